--- /dev/null
+++ b/packages/simulator/src/digest/digest.test.ts
@@ -0,0 +1,26 @@
+/** A few of the recorded runs; all of them are compared by `npm run digests`. */
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { directEdgeSuite } from './direct-edge.js';
+import { fleetSuite, operatorSuite } from './fleet.js';
+import { differingRuns, formatDigests, parseDigests, replayInTests } from './reference.js';
+
+for (const suite of [fleetSuite, operatorSuite, directEdgeSuite])
+  void test(`runs of the ${suite.name} suite are the ones that were recorded`, () => {
+    assert.deepEqual(replayInTests(suite), []);
+  });
+
+void test('a digest that differs, is missing or is new is named', () => {
+  const expected = new Map([
+    ['fleet 1', 'aa'],
+    ['fleet 2', 'bb'],
+    ['fleet 3', 'cc'],
+  ]);
+  const actual = new Map([
+    ['fleet 1', 'aa'],
+    ['fleet 2', 'bc'],
+    ['fleet 4', 'dd'],
+  ]);
+  assert.deepEqual(differingRuns(expected, actual), ['fleet 2', 'fleet 3', 'fleet 4']);
+  assert.deepEqual(parseDigests(`# header\n${formatDigests(expected)}`), expected);
+});
--- a/packages/simulator/src/direct/leg.ts
+++ b/packages/simulator/src/direct/leg.ts
@@ -1,3 +1,4 @@
+import type { Address } from '@switchwheel/types';
 import {
   type Answer,
   type LegEars,
@@ -12,6 +13,13 @@
 /** What stands in the body of an object at a revision. */
 export const objectBody = (target: string, revision: number): string => `${target}@${revision}`;
 
+/** One attempt of a request, as it left the edge. */
+export interface SentAttempt {
+  readonly at: number;
+  readonly id: string;
+  readonly address: Address;
+}
+
 /** How late a late answer is, in milliseconds: sometimes after the request's deadline. */
 const lateMs = [300, 2600] as const;
 
@@ -20,6 +28,7 @@
 
 /** Carries requests to simulated origins in the way that the socket port reports them. */
 export class SimulatedLegs implements LegPort {
+  readonly sent: SentAttempt[] = [];
   readonly #agenda: Agenda;
   readonly #chance: Chance;
   readonly #fleet: OriginFleet;
@@ -42,6 +51,7 @@
   }
 
   send(order: LegOrder, ears: LegEars): () => void {
+    this.sent.push({ at: this.#agenda.now, id: order.id, address: order.address });
     let cut = false;
     const conduct = this.#fleet.conduct();
     // What is cut on its way may arrive all the same.
--- a/packages/simulator/src/direct/rules.ts
+++ b/packages/simulator/src/direct/rules.ts
@@ -32,12 +32,14 @@
 /** How far past its deadline a request may be told: one turn of the clock. */
 const tellMarginMs = 40;
 
-const statusOf = (word: Word): number => {
+/** The status that a caller is answered with. */
+export const statusOf = (word: Word): number => {
   if (word.kind === 'fault') return responseFor(word.fault).status;
   return word.kind === 'kept' ? word.entry.status : word.answer.status;
 };
 
-const bodyOf = (word: Word): string => {
+/** The body that a caller is answered with; empty for a failure. */
+export const bodyOf = (word: Word): string => {
   if (word.kind === 'fault') return '';
   return (word.kind === 'kept' ? word.entry.body : word.answer.body).toString();
 };
--- a/packages/simulator/src/direct/run.ts
+++ b/packages/simulator/src/direct/run.ts
@@ -17,8 +17,8 @@
 import { DirectLine, plainBounds, plainWords } from '@switchwheel/routing';
 import { Agenda } from '../world/agenda.js';
 import { Chance } from '../world/chance.js';
-import { SimulatedLegs } from './leg.js';
-import { OriginFleet, type SimulatedOrigin } from './origin.js';
+import { type SentAttempt, SimulatedLegs } from './leg.js';
+import { OriginFleet, type RunRecord, type SimulatedOrigin } from './origin.js';
 import { type CallerRecord, type Violation, judge } from './rules.js';
 
 /** What a run brought about. */
@@ -27,6 +27,12 @@
   readonly requests: number;
   readonly runs: number;
   readonly counts: ReadonlyMap<string, number>;
+  /** Every request, with all that its caller was told. */
+  readonly callerRecords: readonly CallerRecord[];
+  /** What the origins ran, in their order. */
+  readonly runRecords: readonly RunRecord[];
+  /** What the edge sent to origins, in its order. */
+  readonly sentAttempts: readonly SentAttempt[];
 }
 
 const host = 'one.example';
@@ -83,6 +89,7 @@
   readonly callers = new Map<string, CallerRecord>();
   readonly cache = new Cache(1_000_000);
   readonly line: DirectLine;
+  readonly legs: SimulatedLegs;
   readonly #tables: readonly Table[];
   readonly #standing = new Map<InstanceId, SimulatedOrigin>();
   readonly #revisions = new Map<string, number>();
@@ -106,13 +113,13 @@
     };
     const fresh = newCabin(member, [], { seed });
     this.#cabin = { ...fresh, nodeSession: { ...fresh.nodeSession, members: [member] } };
-    const legs = new SimulatedLegs(this.agenda, this.chance.part(), this.fleet, (target) =>
+    this.legs = new SimulatedLegs(this.agenda, this.chance.part(), this.fleet, (target) =>
       this.#revisionOf(target),
     );
     this.line = new DirectLine(
       { now: () => this.#now(), cabin: () => this.#cabin },
       this.cache,
-      legs,
+      this.legs,
       { area: toAreaName('a'), words: plainWords, bounds: plainBounds, most: 60 },
       { seed: seed ^ 0x5bd1e995 },
     );
@@ -257,5 +264,8 @@
     requests: world.callers.size,
     runs: world.fleet.runs.length,
     counts: world.line.counts,
+    callerRecords: [...world.callers.values()],
+    runRecords: world.fleet.runs,
+    sentAttempts: world.legs.sent,
   };
 };
--- a/packages/simulator/src/run/storm.ts
+++ b/packages/simulator/src/run/storm.ts
@@ -18,6 +18,8 @@
   /** Faults by number that are left out, to shrink a failing run. */
   readonly skip: ReadonlySet<number>;
   readonly trace?: (text: string) => void;
+  /** Is given the fleet and its callers before anything happens, to watch the run. */
+  readonly observe?: (world: World, callers: SimCallers) => void;
 }
 
 export interface StormReport {
@@ -63,6 +65,7 @@
   const rules = new Rules(world, callers);
   const ground = new Ground(world, rules, callers);
   ground.trace = options.trace;
+  options.observe?.(world, callers);
   world.form();
   callers.leaveShare = 0.03;
   callers.begin();
--- a/packages/simulator/src/world/net.ts
+++ b/packages/simulator/src/world/net.ts
@@ -14,6 +14,12 @@
 export const slow: Weather = { least: 25, most: 90, loss: 0, twice: 0, lag: 0.03 };
 export const rough: Weather = { least: 0.2, most: 8, loss: 0.02, twice: 0.02, lag: 0.02 };
 
+/** Is told what is sent over the network and what arrives; it draws nothing and schedules nothing. */
+export interface NetworkObserver {
+  readonly sent: (from: string, to: string) => void;
+  readonly delivered: (from: string, to: string) => void;
+}
+
 /** A virtual network: cut one way or both, slow, losing, doubling and reordering. */
 export class Net {
   readonly #agenda: Agenda;
@@ -24,6 +30,7 @@
   readonly #refused = new Set<string>();
   weather: Weather = fair;
   sent = 0;
+  observer: NetworkObserver | undefined;
 
   constructor(agenda: Agenda, chance: Chance) {
     this.#agenda = agenda;
@@ -73,9 +80,21 @@
     return this.#chance.hit(lag) ? plain + this.#chance.between(20, 200) : plain;
   }
 
+  /** Tells the observer that something is sent, and again when it arrives. */
+  #observed(from: string, to: string, arrive: () => void): () => void {
+    const { observer } = this;
+    if (observer === undefined) return arrive;
+    observer.sent(from, to);
+    return () => {
+      observer.delivered(from, to);
+      arrive();
+    };
+  }
+
   /** Carries something over that may be lost, doubled or overtaken. */
-  carry(from: string, to: string, arrive: () => void): void {
+  carry(from: string, to: string, act: () => void): void {
     this.sent += 1;
+    const arrive = this.#observed(from, to, act);
     const waiting = this.#stalled.get(`${from}>${to}`);
     if (waiting !== undefined) {
       waiting.push(arrive);
@@ -90,8 +109,9 @@
   }
 
   /** Carries something over a channel that keeps order and loses nothing while it stands. */
-  stream(from: string, to: string, lane: { free: number }, arrive: () => void): void {
+  stream(from: string, to: string, lane: { free: number }, act: () => void): void {
     this.sent += 1;
+    const arrive = this.#observed(from, to, act);
     const at = Math.max(this.#agenda.now + this.#delay(), lane.free);
     lane.free = at;
     const land = (): void => {
