--- /dev/null
+++ b/packages/transport/src/channel/hello-form.test.ts
@@ -0,0 +1,66 @@
+/** Holds the bytes with which a channel begins: a process of another version has to understand them. */
+import assert from 'node:assert/strict';
+import { once } from 'node:events';
+import { type Socket, createConnection, createServer } from 'node:net';
+import { test } from 'node:test';
+import { Encoder } from 'cbor-x';
+import * as v from 'valibot';
+import { toAddress, toIncarnation, toNodeId } from '@switchwheel/types';
+import { Channel, type Lane } from './channel.js';
+import { FrameDecoder } from './frame-decoder.js';
+
+const lanes: readonly Lane[] = ['control', 'data', 'objects'];
+const coder = new Encoder({ useRecords: false, mapsAsObjects: true });
+
+/** Reads the first frame that arrives at a socket, as it was encoded. */
+const firstFrame = async (socket: Socket): Promise<unknown> => {
+  const decoder = new FrameDecoder();
+  for await (const bytes of socket) {
+    const frames = decoder.feed(v.parse(v.instance(Buffer), bytes));
+    const [first] = frames.unwrapOr([]);
+    if (first !== undefined) return coder.decode(first);
+  }
+  throw new Error('the channel closed before a frame came');
+};
+
+/** The hello of a new channel on a lane. */
+const helloOn = async (lane: Lane): Promise<unknown> => {
+  const server = createServer();
+  server.listen(0, '127.0.0.1');
+  await once(server, 'listening');
+  const bound = server.address();
+  assert.ok(bound !== null && typeof bound === 'object');
+  const accepted = new Promise<Socket>((resolve) => server.once('connection', resolve));
+  const sender = createConnection(bound.port, '127.0.0.1');
+  const receiver = await accepted;
+  try {
+    const me = {
+      node: toNodeId('store-1'),
+      address: toAddress('127.0.0.1:1'),
+      incarnation: toIncarnation(7),
+    };
+    new Channel(sender, me, lane);
+    return await firstFrame(receiver);
+  } finally {
+    sender.destroy();
+    receiver.destroy();
+    server.close();
+  }
+};
+
+for (const lane of lanes)
+  void test(`a channel on the lane ${lane} begins with the hello that peers expect`, async () => {
+    const { at, ...hello } = v.parse(
+      v.looseObject({ at: v.pipe(v.number(), v.finite()) }),
+      await helloOn(lane),
+    );
+    assert.ok(at >= 0);
+    assert.deepEqual(hello, {
+      switchwheel: 'hello',
+      protocol: 3,
+      lane,
+      node: 'store-1',
+      address: '127.0.0.1:1',
+      incarnation: 7,
+    });
+  });
