--- /dev/null
+++ b/packages/store/src/stored-data.test.ts
@@ -0,0 +1,127 @@
+/** Data folders that the sources of 0ee98b4 wrote stay readable: by the disk, by the store's rows, and by its machine. */
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import {
+  type Address,
+  toAddress,
+  toAreaName,
+  toIncarnation,
+  toMoment,
+  toNodeId,
+} from '@switchwheel/types';
+import { bundleHash, hashOf } from '@switchwheel/configuration';
+import { type Disk, createLog } from '@switchwheel/runtime';
+import { type Found, type Store, newStore, storeStep } from '@switchwheel/replicated-store';
+import { changeOf, findOn } from './rows.js';
+import { openData, startStore } from './run.js';
+import { loadedFacts } from './testing/loaded-state.js';
+import {
+  fixtureStores,
+  recordedFacts,
+  recordedRows,
+  withDataFolder,
+  withDisk,
+} from './testing/stored-fixture.js';
+
+type WholeRecord = Extract<Found, { readonly found: 'whole' }>;
+
+const anyPort: Address = toAddress('127.0.0.1:0');
+
+const rowsOn = (disk: Disk): Readonly<Record<string, string>> => {
+  const read = disk.read();
+  assert.ok(read.isOk, 'the disk can be read');
+  return Object.fromEntries(read.value.map(({ key, text }) => [key, text]));
+};
+
+const recordOn = (disk: Disk): WholeRecord => {
+  const found = findOn(disk);
+  assert.ok(found.found === 'whole', JSON.stringify(found));
+  return found;
+};
+
+/** A store that has just started and knows nothing. */
+const startedStore = (): Store =>
+  newStore(
+    {
+      node: toNodeId('c1-store'),
+      role: 'store',
+      area: toAreaName('north'),
+      address: toAddress('127.0.0.1:1'),
+      incarnation: toIncarnation(1),
+    },
+    [],
+    { seed: 1 },
+  );
+
+for (const name of fixtureStores) {
+  void test(`every row in the data folder of the ${name} is read as it was`, () =>
+    withDataFolder(name, (folder) =>
+      withDisk(folder, (disk) => {
+        assert.equal(disk.aside, undefined);
+        assert.deepEqual(rowsOn(disk), recordedRows());
+      }),
+    ));
+
+  void test(`the store's machine loads the data folder of the ${name} without a fault`, () =>
+    withDataFolder(name, (folder) =>
+      withDisk(folder, (disk) => {
+        const found = findOn(disk);
+        const loaded = storeStep(startedStore(), { kind: 'read', now: toMoment(1), found });
+        assert.equal(loaded.state.phase, 'member');
+        assert.equal(loaded.state.trouble, '');
+        assert.equal(loaded.state.mustWipe, false);
+        assert.deepEqual(JSON.parse(JSON.stringify(loadedFacts(loaded.state))), recordedFacts());
+      }),
+    ));
+
+  void test(`the chunks of the ${name}'s configuration fit their hashes`, () =>
+    withDataFolder(name, (folder) =>
+      withDisk(folder, (disk) => {
+        const found = findOn(disk);
+        const { control } = storeStep(startedStore(), {
+          kind: 'read',
+          now: toMoment(1),
+          found,
+        }).state;
+        assert.ok(control.stored !== undefined);
+        assert.equal(bundleHash(control.stored.offer.pieces), control.stored.offer.hash);
+        for (const [hash, text] of control.pieces) assert.equal(hashOf(text), hash);
+      }),
+    ));
+
+  void test(`what is written again over the data folder of the ${name} has the rows that it had`, () =>
+    withDataFolder(name, async (folder) => {
+      await withDisk(folder, async (disk) => {
+        const { metadata, stamp, entries } = recordOn(disk);
+        const written = await disk.write(
+          changeOf({ id: 1, metadata, stamp, sets: entries, drops: [], wipe: true }),
+        );
+        assert.ok(written.isOk);
+      });
+      await withDisk(folder, (disk) => {
+        assert.deepEqual(rowsOn(disk), recordedRows());
+      });
+    }));
+
+  void test(`a store program starts on the data folder of the ${name} and has all of it`, () =>
+    withDataFolder(name, async (folder) => {
+      const running = await startStore(
+        {
+          node: toNodeId('c1-store'),
+          area: toAreaName('north'),
+          listen: anyPort,
+          seeds: [],
+          data: folder,
+          graceMs: 0,
+        },
+        createLog('store', toNodeId('c1-store'), 'error'),
+        openData(folder),
+      );
+      try {
+        assert.match(running.metrics(), /entries\{[^}]*\} 46\n/);
+        assert.match(running.metrics(), /generation\{[^}]*\} 2\n/);
+      } finally {
+        await running.stop();
+      }
+    }));
+}
