--- a/packages/store/src/testing/stored-fixture.ts
+++ b/packages/store/src/testing/stored-fixture.ts
@@ -38,21 +38,29 @@
 /** What the earlier sources loaded from the rows. */
 export const recordedFacts = (): unknown => readJson('loaded.json');
 
-/** Works on a copy of a store's data folder, as opening a folder writes to it. */
-export const withDataFolder = async (
-  store: FixtureStore,
+/** Works in a new folder that is gone afterwards. */
+export const withTemporaryFolder = async (
   work: (folder: string) => Promise<void>,
 ): Promise<void> => {
-  const folder = mkdtempSync(join(tmpdir(), `stored-${store}-`));
+  const folder = mkdtempSync(join(tmpdir(), 'stored-'));
   try {
-    // The bytes alone: a copied file would keep the mode of a read-only checkout.
-    writeFileSync(join(folder, tableFile), readFileSync(join(fixtures, store, tableFile)));
     await work(folder);
   } finally {
     rmSync(folder, { recursive: true, force: true });
   }
 };
 
+/** Works on a copy of a store's data folder, as opening a folder writes to it. */
+export const withDataFolder = (
+  store: FixtureStore,
+  work: (folder: string) => Promise<void>,
+): Promise<void> =>
+  withTemporaryFolder((folder) => {
+    // The bytes alone: a copied file would keep the mode of a read-only checkout.
+    writeFileSync(join(folder, tableFile), readFileSync(join(fixtures, store, tableFile)));
+    return work(folder);
+  });
+
 /** Opens a data folder for some work, and closes it in any case. */
 export const withDisk = async (
   folder: string,
