--- /dev/null
+++ b/packages/types/src/testing/schema-lines.ts
@@ -0,0 +1,59 @@
+/** Reads a member of a schema object, whose type depends on the kind of schema. */
+const memberOf = (raw: unknown, name: string): unknown =>
+  typeof raw === 'object' && raw !== null ? Reflect.get(raw, name) : undefined;
+const listOf = (raw: unknown, name: string): readonly unknown[] => {
+  const list = memberOf(raw, name);
+  return Array.isArray(list) ? list : [];
+};
+const textOf = (raw: unknown): string => {
+  if (raw instanceof RegExp) return String(raw);
+  return typeof raw === 'function' ? 'function' : JSON.stringify(raw);
+};
+
+const checkText = (check: unknown): string => {
+  const requirement = memberOf(check, 'requirement');
+  const message = memberOf(check, 'message');
+  return [
+    textOf(memberOf(check, 'type')),
+    ...(requirement === undefined ? [] : [textOf(requirement)]),
+    ...(typeof message === 'string' ? [`(${message})`] : []),
+  ].join(' ');
+};
+
+const wrappers: ReadonlySet<unknown> = new Set(['optional', 'nullish', 'nullable']);
+
+const linesOf = (schema: unknown, path: string, presence: string): readonly string[] => {
+  const type = memberOf(schema, 'type');
+  if (wrappers.has(type)) {
+    const fallback = memberOf(schema, 'default');
+    const given = fallback === undefined ? '' : `, default ${textOf(fallback)}`;
+    return linesOf(memberOf(schema, 'wrapped'), path, `${String(type)}${given}`);
+  }
+  const [, ...checks] = listOf(schema, 'pipe');
+  const message = memberOf(schema, 'message');
+  const head = [
+    `${path}: ${String(type)}, ${presence}`,
+    ...(typeof message === 'string' ? [`(${message})`] : []),
+    ...checks.map((check) => `| ${checkText(check)}`),
+  ].join(' ');
+  const entries = memberOf(schema, 'entries');
+  const members = typeof entries === 'object' && entries !== null ? Object.entries(entries) : [];
+  const choices = listOf(schema, 'options');
+  const areSchemas = choices.some((choice) => memberOf(choice, 'kind') === 'schema');
+  return [
+    choices.length > 0 && !areSchemas ? `${head} of ${JSON.stringify(choices)}` : head,
+    ...members.flatMap(([name, member]) => linesOf(member, `${path}.${name}`, 'required')),
+    ...(areSchemas
+      ? choices.flatMap((choice, at) => linesOf(choice, `${path}<${at}>`, 'alternative'))
+      : []),
+    ...listOf(schema, 'items').flatMap((item, at) => linesOf(item, `${path}[${at}]`, 'required')),
+    ...['item', 'key', 'value'].flatMap((part) => {
+      const inner = memberOf(schema, part);
+      return inner === undefined ? [] : linesOf(inner, `${path}.{${part}}`, 'each');
+    }),
+  ];
+};
+
+/** A valibot schema as lines: path, type, whether it is required, default and checks with their messages. */
+export const schemaLines = (schema: unknown, name: string): string =>
+  linesOf(schema, name, 'required').join('\n');
