--- /dev/null
+++ b/packages/switchwheel/src/stub-registry.test-support.ts
@@ -0,0 +1,140 @@
+import { createServer } from 'node:http';
+
+/** A listener on the loopback interface that answers as a registry of a small fleet does. */
+export interface StubRegistry {
+  readonly address: string;
+  /** What it was asked: method, path and body, in order. */
+  readonly requests: readonly string[];
+  readonly stop: () => void;
+}
+export interface StubResponse {
+  readonly status: number;
+  readonly body: object;
+}
+
+const description = {
+  format: 1,
+  classes: [{ name: 'play', share: 1 }],
+  services: [{ name: 'clips' }, { name: 'old' }],
+  routes: [{ name: 'clip', prefix: '/clip/', service: 'clips', class: 'play' }],
+  rollout: { waves: 2 },
+};
+const primary = { store: 's1', epoch: 7, stamp: 12, generation: 4 };
+const target = { generation: 4, node: 'e1', wave: 0, status: 'failed', text: 'why', since: 1 };
+
+const bodies: ReadonlyMap<string, object> = new Map<string, object>([
+  ['GET /v1/description', { ...primary, description }],
+  ['GET /v1/store', { ...primary, metadata: null, entries: 9, waitlist: 0, peers: [] }],
+  ['PUT /v1/description', { kind: 'accepted', generation: 5 }],
+  [
+    'GET /v1/fleet',
+    {
+      registry: 'r1',
+      fleet: 'fleet.1',
+      generation: 4,
+      feedAgeMs: 15,
+      nodes: [
+        {
+          node: 'e1',
+          role: 'edge',
+          area: 'a',
+          open: true,
+          generation: 5,
+          phase: 'running',
+          ready: true,
+          registry: 'r1',
+          ageMs: 30,
+        },
+        { node: 's1', role: 'store', area: 'b', open: false, registry: 'r1', ageMs: 4000 },
+      ],
+      holders: [{ duty: 'primary', node: 's1', epoch: 7 }],
+      origins: [
+        { service: 'clips', release: 'r2', state: 'up' },
+        { service: 'clips', release: 'r2', state: 'leaving' },
+      ],
+    },
+  ],
+  [
+    'GET /v1/rollouts',
+    {
+      ...primary,
+      rollouts: [
+        { generation: 4, status: 'running', wave: 0, waves: 2, troubled: true, targets: [target] },
+        {
+          generation: 3,
+          status: 'done',
+          wave: 1,
+          waves: 2,
+          troubled: false,
+          targets: [{ ...target, generation: 3, status: 'done', text: '' }],
+        },
+      ],
+    },
+  ],
+  [
+    'GET /v1/releases',
+    {
+      ...primary,
+      releases: [
+        {
+          service: 'clips',
+          settled: 'r1',
+          target: 'r2',
+          phase: 'moving',
+          share: 0.5,
+          spentMs: 8000,
+          spanMs: 16_000,
+          text: '',
+        },
+      ],
+    },
+  ],
+  [
+    'GET /v1/verdicts',
+    {
+      ...primary,
+      verdicts: [{ service: 'clips', release: 'r2', state: 'trial', spent: 40, bad: 1 }],
+    },
+  ],
+  ['POST /v1/releases', { kind: 'accepted', service: 'clips', target: 'r2' }],
+  ['POST /v1/purges', { kind: 'accepted', purge: 11, aims: 1 }],
+  ['POST /v1/fleet', { kind: 'accepted', stores: ['s1', 's2'], voters: ['r1', 'r2', 'r3'] }],
+  [
+    'POST /v1/electorate',
+    { kind: 'accepted', electorate: { serial: 2, members: [{ node: 'r1' }, { node: 'r4' }] } },
+  ],
+  ['GET /v1/calls/c9', { kind: 'accepted', generation: 4 }],
+]);
+const absent: StubResponse = { status: 404, body: { kind: 'absent', text: 'nothing answers' } };
+
+/** Starts a stub; `always` is the response to each request, if it is given. */
+export const startStubRegistry = async (always?: StubResponse): Promise<StubRegistry> => {
+  const requests: string[] = [];
+  const server = createServer((request, response) => {
+    const chunks: Buffer[] = [];
+    request.on('data', (chunk: Buffer) => chunks.push(chunk));
+    request.once('end', () => {
+      const path = request.url ?? '';
+      const name = `${request.method ?? ''} ${path.split('?')[0] ?? ''}`;
+      const sent = Buffer.concat(chunks).toString('utf8');
+      requests.push(`${request.method ?? ''} ${path} ${sent}`.trim());
+      const body = bodies.get(name);
+      const told = always ?? (body === undefined ? absent : { status: 200, body });
+      response.writeHead(told.status, { 'content-type': 'application/json' });
+      response.end(JSON.stringify(told.body));
+    });
+  });
+  await new Promise<void>((resolve) => {
+    server.listen(0, '127.0.0.1', resolve);
+  });
+  const bound = server.address();
+  const port = bound !== null && typeof bound === 'object' ? bound.port : 0;
+  return {
+    address: `127.0.0.1:${port}`,
+    requests,
+    stop: () => {
+      server.close();
+      server.closeAllConnections();
+    },
+  };
+};
--- a/packages/types/src/testing/command.ts
+++ b/packages/types/src/testing/command.ts
@@ -1,4 +1,5 @@
-import { execFile } from 'node:child_process';
+import { execFile, spawn } from 'node:child_process';
+import { once } from 'node:events';
 import { readFileSync } from 'node:fs';
 
 /** One run of a program. */
@@ -46,3 +47,35 @@
   }
   return outputs.join('\n\n');
 };
+
+/** A program that runs until it is stopped. */
+export interface RunningProgram {
+  readonly stop: () => Promise<void>;
+}
+
+/** Starts a program; settles once its standard error holds a text, and fails if it ends before. */
+export const startProgram = async (
+  script: string,
+  { args, env }: CommandLine,
+  startedText: string,
+): Promise<RunningProgram> => {
+  const child = spawn(process.execPath, [script, ...args], {
+    env: { PATH: process.env['PATH'], ...env },
+    stdio: ['ignore', 'ignore', 'pipe'],
+  });
+  const ended = once(child, 'exit');
+  await new Promise<void>((resolve, reject) => {
+    let logged = '';
+    child.stderr.on('data', (chunk: Buffer) => {
+      logged += chunk.toString('utf8');
+      if (logged.includes(startedText)) resolve();
+    });
+    child.once('exit', () => reject(new Error(`the program ended: ${logged}`)));
+  });
+  return {
+    stop: async () => {
+      child.kill('SIGKILL');
+      await ended;
+    },
+  };
+};
--- a/packages/types/src/testing/index.ts
+++ b/packages/types/src/testing/index.ts
@@ -1,7 +1,14 @@
 /** Support for tests that hold outer forms against committed snapshots; no program imports it. */
-export { type CommandLine, runCommands } from './command.js';
-export { type HttpRequest, type HttpResponse, freeAddress, httpExchange, portOf, responseText } from './http.js';
+export { type CommandLine, type RunningProgram, runCommands, startProgram } from './command.js';
+export {
+  type HttpRequest,
+  type HttpResponse,
+  freeAddress,
+  httpExchange,
+  portOf,
+  responseText,
+} from './http.js';
 export { jsonShape } from './json-shape.js';
-export { metricLines } from './metrics.js';
+export { matchMetrics } from './metrics.js';
 export { schemaLines } from './schema-lines.js';
 export { type MatchSnapshot, snapshotsFor } from './snapshot.js';
--- a/packages/types/src/testing/schema-lines.ts
+++ b/packages/types/src/testing/schema-lines.ts
@@ -5,6 +5,7 @@
   const list = memberOf(raw, name);
   return Array.isArray(list) ? list : [];
 };
+const isSchema = (raw: unknown): boolean => memberOf(raw, 'kind') === 'schema';
 const textOf = (raw: unknown): string => {
   if (raw instanceof RegExp) return String(raw);
   return typeof raw === 'function' ? 'function' : JSON.stringify(raw);
@@ -31,15 +32,19 @@
   }
   const [, ...checks] = listOf(schema, 'pipe');
   const message = memberOf(schema, 'message');
+  const literal = memberOf(schema, 'literal');
+  const key = memberOf(schema, 'key');
   const head = [
     `${path}: ${String(type)}, ${presence}`,
+    ...(literal === undefined ? [] : [textOf(literal)]),
+    ...(typeof key === 'string' ? [`by ${textOf(key)}`] : []),
     ...(typeof message === 'string' ? [`(${message})`] : []),
     ...checks.map((check) => `| ${checkText(check)}`),
   ].join(' ');
   const entries = memberOf(schema, 'entries');
   const members = typeof entries === 'object' && entries !== null ? Object.entries(entries) : [];
   const choices = listOf(schema, 'options');
-  const areSchemas = choices.some((choice) => memberOf(choice, 'kind') === 'schema');
+  const areSchemas = choices.some(isSchema);
   return [
     choices.length > 0 && !areSchemas ? `${head} of ${JSON.stringify(choices)}` : head,
     ...members.flatMap(([name, member]) => linesOf(member, `${path}.${name}`, 'required')),
@@ -49,7 +54,7 @@
     ...listOf(schema, 'items').flatMap((item, at) => linesOf(item, `${path}[${at}]`, 'required')),
     ...['item', 'key', 'value'].flatMap((part) => {
       const inner = memberOf(schema, part);
-      return inner === undefined ? [] : linesOf(inner, `${path}.{${part}}`, 'each');
+      return isSchema(inner) ? linesOf(inner, `${path}.{${part}}`, 'each') : [];
     }),
   ];
 };
