--- /dev/null
+++ b/packages/membership/src/registry/fleet-view-forms.test.ts
@@ -0,0 +1,104 @@
+import { test } from 'node:test';
+import {
+  primary,
+  toAddress,
+  toAreaName,
+  toEpoch,
+  toGeneration,
+  toHash,
+  toIncarnation,
+  toInstanceId,
+  toMoment,
+  toNodeId,
+  toRelease,
+  toSeq,
+  toServiceName,
+  toSpan,
+} from '@switchwheel/types';
+import { jsonShape, snapshotsFor } from '@switchwheel/types/testing';
+import type { Member } from '@switchwheel/transport';
+import { fleetView } from './calls.js';
+import { newRegistry } from './state.js';
+
+const matchSnapshot = snapshotsFor(import.meta.dirname);
+const now = toMoment(5000);
+const hash = toHash('a'.repeat(64));
+const place = { generation: toGeneration(4), hash };
+
+const member = (role: Member['role'], node: string): Member => ({
+  node: toNodeId(node),
+  role,
+  area: toAreaName('a'),
+  address: toAddress('10.0.0.1:1'),
+  door: toAddress('10.0.0.1:2'),
+  admin: toAddress('10.0.0.1:3'),
+  incarnation: toIncarnation(1),
+});
+
+void test('what a registry shows of the fleet keeps its keys', () => {
+  const edge = member('edge', 'e1');
+  const fresh = newRegistry(member('registry', 'r1'), [], now, { seed: 1 });
+  const session = {
+    member: edge,
+    report: {
+      ...place,
+      phase: 'failed' as const,
+      failed: { ...place, text: 'why' },
+      health: { name: 'node', healthy: true, text: '', parts: [] },
+      ready: true,
+    },
+    registry: fresh.member.node,
+    seq: toSeq(1),
+    open: true,
+    at: now,
+  };
+  const instance = toInstanceId('i1');
+  const origin = {
+    service: toServiceName('clips'),
+    instance,
+    address: toAddress('10.0.0.9:1'),
+    release: toRelease('r1'),
+    slots: 4,
+    state: 'up' as const,
+    area: edge.area,
+    calls: toSeq(1),
+    coldMs: toSpan(0),
+    at: now,
+  };
+  const grant = {
+    epoch: toEpoch(2),
+    node: edge.node,
+    lessee: edge.node,
+    inSyncSet: [edge.node],
+    until: now,
+  };
+  const holder = { duty: primary, epoch: toEpoch(2), node: edge.node, address: edge.address };
+  const verdict = {
+    service: origin.service,
+    release: origin.release,
+    state: 'trial' as const,
+    spent: 1,
+    bad: 0,
+    good: 1,
+    seen: 1,
+  };
+  const members = [{ node: edge.node, address: edge.address }];
+  const view = fleetView(
+    {
+      ...fresh,
+      electorate: { serial: toSeq(1), members },
+      voter: { ...fresh.voter, grants: new Map([[primary, grant]]) },
+      sessions: new Map([[edge.node, session]]),
+      origins: new Map([[instance, origin]]),
+      holders: new Map([[primary, holder]]),
+      feed: {
+        ...fresh.feed,
+        asOf: now,
+        desired: new Map([[edge.node, place]]),
+        verdicts: [verdict],
+      },
+    },
+    now,
+  );
+  matchSnapshot('fleet-view', jsonShape(view));
+});
--- /dev/null
+++ b/packages/proxy/src/edge/error-forms.test.ts
@@ -0,0 +1,45 @@
+import { test } from 'node:test';
+import Koa from 'koa';
+import { kinds, toAddress } from '@switchwheel/types';
+import { httpExchange, responseText, snapshotsFor } from '@switchwheel/types/testing';
+import { openDoor } from '@switchwheel/runtime';
+import { sendWhole } from './answer.js';
+import { closeAfter, sendFault } from './faults.js';
+
+const matchSnapshot = snapshotsFor(import.meta.dirname);
+
+const responsesOf = async (app: Koa, paths: readonly string[]): Promise<string> => {
+  app.silent = true;
+  const listener = await openDoor(app, toAddress('127.0.0.1:0'));
+  try {
+    const texts: string[] = [];
+    for (const path of paths) {
+      const asked = { method: 'GET', path };
+      texts.push(responseText(asked, await httpExchange(listener.port(), asked)));
+    }
+    return texts.join('\n');
+  } finally {
+    listener.shut();
+  }
+};
+
+void test('a caller is told each error kind as before, with and without a time to come back', async () => {
+  const app = new Koa();
+  app.use((ctx) => {
+    const [, name, retryMs] = ctx.path.split('/');
+    const kind = kinds.find((one) => one === name);
+    if (kind !== undefined) sendFault(ctx, kind, 'why', Number(retryMs));
+    if (kind === 'malformed') closeAfter(ctx);
+  });
+  const paths = kinds.flatMap((kind) => [`/${kind}/0`, `/${kind}/1500`]);
+  matchSnapshot('error-responses', await responsesOf(app, paths));
+});
+
+void test('a whole result is told with its own headers and where it came from', async () => {
+  const app = new Koa();
+  app.use((ctx) => {
+    const status = Number(ctx.path.slice(1));
+    sendWhole(ctx, status, [['x-origin', 'kept']], Buffer.from('body'), 'origin');
+  });
+  matchSnapshot('whole-responses', await responsesOf(app, ['/200', '/204', '/304', '/404']));
+});
--- /dev/null
+++ b/packages/proxy/src/origin/recording-origin.test-support.ts
@@ -0,0 +1,37 @@
+import { createServer } from 'node:http';
+
+/** An origin for tests that writes down each request with its headers, and answers with a body. */
+export interface RecordingOrigin {
+  readonly address: string;
+  readonly requests: readonly string[];
+  readonly stop: () => void;
+}
+
+/** Starts an origin; `headers` go with each of its responses, beside the id of the request. */
+export const startRecordingOrigin = async (
+  headers: Readonly<Record<string, string>>,
+): Promise<RecordingOrigin> => {
+  const requests: string[] = [];
+  const server = createServer((request, response) => {
+    const lines = Object.entries(request.headers)
+      .map(([name, value]) => `   ${name}: ${String(value)}`)
+      .toSorted();
+    requests.push([`${request.method ?? ''} ${request.url ?? ''}`, ...lines].join('\n'));
+    const id = request.headers['switchwheel-id'];
+    response.writeHead(200, { ...headers, ...(id === undefined ? {} : { 'switchwheel-id': id }) });
+    response.end('body');
+  });
+  await new Promise<void>((resolve) => {
+    server.listen(0, '127.0.0.1', resolve);
+  });
+  const bound = server.address();
+  const port = bound !== null && typeof bound === 'object' ? bound.port : 0;
+  return {
+    address: `127.0.0.1:${port}`,
+    requests,
+    stop: () => {
+      server.close();
+      server.closeAllConnections();
+    },
+  };
+};
--- /dev/null
+++ b/packages/registry/src/run-forms.test.ts
@@ -0,0 +1,51 @@
+import { test } from 'node:test';
+import { toAreaName, toNodeId } from '@switchwheel/types';
+import {
+  type HttpRequest,
+  freeAddress,
+  httpExchange,
+  matchMetrics,
+  jsonShape,
+  portOf,
+  responseText,
+  snapshotsFor,
+} from '@switchwheel/types/testing';
+import { outsideApp } from './outside/app.js';
+import { startRegistry } from './run.js';
+
+const matchSnapshot = snapshotsFor(import.meta.dirname);
+
+void test('a registry without a fleet keeps its responses, its metrics and its view of the fleet', async () => {
+  const door = await freeAddress();
+  const registry = await startRegistry(
+    {
+      node: toNodeId('r1'),
+      area: toAreaName('a'),
+      listen: await freeAddress(),
+      seeds: [],
+      door,
+    },
+    { write: () => undefined },
+    ({ ask, ready, metrics }) => outsideApp(ask, 1024 * 1024, ready, metrics),
+  );
+  const exchange = (asked: HttpRequest): ReturnType<typeof httpExchange> =>
+    httpExchange(portOf(door), asked);
+  try {
+    const metrics = await exchange({ method: 'GET', path: '/metrics' });
+    matchMetrics(matchSnapshot, 'metrics', metrics.body);
+    const fleet = await exchange({ method: 'GET', path: '/v1/fleet' });
+    matchSnapshot('fleet-alone', jsonShape(JSON.parse(fleet.body)));
+    const origin = { service: 'clips', instance: 'i1', address: '127.0.0.1:9', slots: 4 };
+    const requests: readonly HttpRequest[] = [
+      { method: 'GET', path: '/ready' },
+      { method: 'POST', path: '/v1/origins', body: JSON.stringify(origin) },
+      { method: 'POST', path: '/v1/fleet', body: '{"fleet":"f1"}' },
+      { method: 'POST', path: '/v1/electorate', body: '{"add":"r4"}' },
+    ];
+    const texts: string[] = [];
+    for (const asked of requests) texts.push(responseText(asked, await exchange(asked)));
+    matchSnapshot('http-alone', texts.join('\n'));
+  } finally {
+    await registry.stop();
+  }
+});
--- /dev/null
+++ b/packages/store/src/run-forms.test.ts
@@ -0,0 +1,48 @@
+import { mkdtempSync, rmSync } from 'node:fs';
+import { tmpdir } from 'node:os';
+import { join } from 'node:path';
+import { test } from 'node:test';
+import { toAreaName, toNodeId } from '@switchwheel/types';
+import {
+  freeAddress,
+  httpExchange,
+  matchMetrics,
+  portOf,
+  responseText,
+  snapshotsFor,
+} from '@switchwheel/types/testing';
+import { openData, startStore } from './run.js';
+
+const matchSnapshot = snapshotsFor(import.meta.dirname);
+
+void test('a store keeps its administration paths and its metrics, alone and beside a registry', async () => {
+  const folder = mkdtempSync(join(tmpdir(), 'store-'));
+  const admin = await freeAddress();
+  const store = await startStore(
+    {
+      node: toNodeId('s1'),
+      area: toAreaName('a'),
+      listen: await freeAddress(),
+      seeds: [],
+      data: folder,
+      admin,
+      graceMs: 0,
+    },
+    { write: () => undefined },
+    openData(folder),
+  );
+  try {
+    const texts: string[] = [];
+    for (const path of ['/live', '/ready', '/state']) {
+      const asked = { method: 'GET', path };
+      texts.push(responseText(asked, await httpExchange(portOf(admin), asked)));
+    }
+    matchSnapshot('admin-responses', texts.join('\n'));
+    const metrics = await httpExchange(portOf(admin), { method: 'GET', path: '/metrics' });
+    matchMetrics(matchSnapshot, 'metrics', metrics.body);
+    matchMetrics(matchSnapshot, 'metrics-labelled', store.metrics());
+  } finally {
+    await store.stop();
+    rmSync(folder, { recursive: true });
+  }
+});
