--- a/packages/switchwheel/src/command-line-forms.test.ts
+++ b/packages/switchwheel/src/command-line-forms.test.ts
@@ -138,6 +138,16 @@
   }
 });
 
+void test('apply tells where the description is in force', async () => {
+  const registry = await startStubRegistry();
+  try {
+    const output = await outputsOf([['apply', descriptionFile]], registry, { waitMs: 60_000 });
+    matchSnapshot('command-apply-wait', output.replace(/after \d+ ms/, 'after NUMBER ms'));
+  } finally {
+    registry.stop();
+  }
+});
+
 void test('refusals of a registry are printed with exit code 1', async () => {
   const registry = await startStubRegistry({
     status: 422,
