--- a/packages/types/src/testing/command.ts
+++ b/packages/types/src/testing/command.ts
@@ -9,6 +9,7 @@
 }
 
 const concurrency = 3;
+/** A program that takes longer is ended, so that a test can't hang on it. */
 const timeoutMs = 20_000;
 
 const runOnce = (script: string, name: string, { args, env }: CommandLine): Promise<string> =>
@@ -62,6 +63,7 @@
   const child = spawn(process.execPath, [script, ...args], {
     env: { PATH: process.env['PATH'], ...env },
     stdio: ['ignore', 'ignore', 'pipe'],
+    timeout: timeoutMs,
   });
   const ended = once(child, 'exit');
   await new Promise<void>((resolve, reject) => {
