--- a/packages/configuration/src/control/control.ts
+++ b/packages/configuration/src/control/control.ts
@@ -135,7 +135,7 @@
   data: string | null,
   schema: v.GenericSchema<unknown, T>,
 ): ReadonlyMap<K, T> =>
-  data === null ? g.drop(table, key) : g.put(table, key, parse(schema, data));
+  data === null ? g.withoutEntry(table, key) : g.withEntry(table, key, parse(schema, data));
 
 const absorbPurge = (
   list: readonly Purge[],
@@ -186,15 +186,18 @@
         ...control,
         numbers:
           data === null
-            ? g.drop(control.numbers, number)
-            : g.put(control.numbers, number, parse(numberRecord, data).hash),
+            ? g.withoutEntry(control.numbers, number)
+            : g.withEntry(control.numbers, number, parse(numberRecord, data).hash),
       };
     }
     case 'piece':
       if (!g.isHash(name)) return control;
       return {
         ...control,
-        pieces: data === null ? g.drop(control.pieces, name) : g.put(control.pieces, name, data),
+        pieces:
+          data === null
+            ? g.withoutEntry(control.pieces, name)
+            : g.withEntry(control.pieces, name, data),
       };
     default:
       return control;
--- a/packages/configuration/src/release/judge.ts
+++ b/packages/configuration/src/release/judge.ts
@@ -1,4 +1,4 @@
-import { type Moment, type Release, earlier } from '@switchwheel/types';
+import { type Timestamp, type Release, subtractMs } from '@switchwheel/types';
 import type { ReleaseSettings } from './settings.js';
 import {
   type Counts,
@@ -111,13 +111,13 @@
   one: Watch,
   target: Release,
   prior: Release | undefined,
-  now: Moment,
+  now: Timestamp,
   settings: ReleaseSettings,
 ): string | undefined => {
   const all = sumAll(one);
   const spent = spentAt(one, now);
   for (const span of windows) {
-    const sums = sumSince(one, earlier(now, span));
+    const sums = sumSince(one, subtractMs(now, span));
     const found = reasonOf(sums, all, target, prior, spent - span < settings.coldMs, settings);
     if (found !== undefined) return found;
   }
--- a/packages/configuration/src/release/machine.ts
+++ b/packages/configuration/src/release/machine.ts
@@ -1,4 +1,4 @@
-import { type Moment, type Release, earlier, nextSeq } from '@switchwheel/types';
+import { type Timestamp, type Release, subtractMs, nextSeq } from '@switchwheel/types';
 import { releaseFault } from './judge.js';
 import { type ReleaseOrder, underWay } from './order.js';
 import type { ReleaseSettings } from './settings.js';
@@ -17,7 +17,7 @@
 
 /** What an order is looked at with. */
 interface View {
-  readonly now: Moment;
+  readonly now: Timestamp;
   readonly spentMs: number;
   readonly total: number;
   readonly used: number;
@@ -60,7 +60,7 @@
   order: ReleaseOrder,
   watch: Watch,
   standing: ReadonlyMap<Release, number>,
-  now: Moment,
+  now: Timestamp,
   settings: ReleaseSettings,
 ): View => {
   const all = sumAll(watch);
@@ -71,7 +71,7 @@
   const used = Math.max(order.spent, totalOf(target).sent);
   const window = Math.min(rateSpan, Math.max(250, now - watch.opened));
   const recent = sentIn(
-    sumSince(watch, watch.opened > now - rateSpan ? watch.opened : earlier(now, rateSpan)),
+    sumSince(watch, watch.opened > now - rateSpan ? watch.opened : subtractMs(now, rateSpan)),
   );
   const perS = Math.max(recent / window, total / Math.max(1000, spentMs)) * 1000;
   const stands = (release: Release | undefined): boolean =>
@@ -218,7 +218,7 @@
   order: ReleaseOrder,
   watch: Watch,
   standing: ReadonlyMap<Release, number>,
-  now: Moment,
+  now: Timestamp,
   settings: ReleaseSettings,
 ): ReleaseOrder => {
   const target = order.target;
--- a/packages/configuration/src/release/order.ts
+++ b/packages/configuration/src/release/order.ts
@@ -86,7 +86,7 @@
   phase: one.phase,
   share: one.share,
   shares: one.shares,
-  leftMs: g.toSpan(Math.max(0, one.spanMs - spentMs)),
+  leftMs: g.toDurationMs(Math.max(0, one.spanMs - spentMs)),
   order: one.order,
   serial: one.serial,
 });
--- a/packages/configuration/src/release/release.test.ts
+++ b/packages/configuration/src/release/release.test.ts
@@ -3,16 +3,16 @@
 import * as fc from 'fast-check';
 import * as v from 'valibot';
 import {
-  type Dice,
+  type RandomState,
   type Release,
   noSeq,
-  roll,
+  nextRandom,
   serviceName,
   toIncarnation,
-  toMoment,
+  toTimestamp,
   toNodeId,
   toRelease,
-  toSpan,
+  toDurationMs,
 } from '@switchwheel/types';
 import type { FrameOf, ReleaseState, TallyRow } from '@switchwheel/transport';
 import { chooseRelease } from './choose.js';
@@ -95,9 +95,9 @@
 };
 
 const play = (scene: Scene): Outcome => {
-  let dice: Dice = { seed: scene.seed };
+  let dice: RandomState = { seed: scene.seed };
   const chance = (): number => {
-    const [thrown, next] = roll(dice);
+    const [thrown, next] = nextRandom(dice);
     dice = next;
     return thrown;
   };
@@ -109,7 +109,7 @@
     else list.push(run);
   };
   let stored = openedOrder(order(settledOn(service, old), old, fresh, scene.spanMs, 0));
-  let known: Watch | undefined = watch(stored.order, 0, toMoment(0));
+  let known: Watch | undefined = watch(stored.order, 0, toTimestamp(0));
   let writing = false;
   let writes = 0;
   let judgedMs = NaN;
@@ -148,13 +148,13 @@
   const push = (most: number): void => {
     const word = releaseStateOf(
       stored,
-      known === undefined ? stored.spentMs : spentAt(known, toMoment(now)),
+      known === undefined ? stored.spentMs : spentAt(known, toTimestamp(now)),
     );
     for (const edge of edges) later(now + 10 + chance() * most, () => hear(edge, word));
   };
   const consider = (): void => {
-    if (known === undefined || writing || !counts(stored, spentAt(known, toMoment(now)))) return;
-    const next = advance(stored, known, standing, toMoment(now), releaseSettings);
+    if (known === undefined || writing || !counts(stored, spentAt(known, toTimestamp(now)))) return;
+    const next = advance(stored, known, standing, toTimestamp(now), releaseSettings);
     if (next === stored) return;
     writing = true;
     const own = known.opened;
@@ -235,11 +235,11 @@
       serial: edge.state.serial,
       rows: [...edge.rows].map(rowOf),
       inFlightOld: edge.under,
-      spentMs: toSpan(Math.max(0, now - edge.since)),
+      spentMs: toDurationMs(Math.max(0, now - edge.since)),
     };
     later(now + 5 + chance() * 30, () => {
       if (known === undefined) return;
-      known = takeTally(known, word, toMoment(now));
+      known = takeTally(known, word, toTimestamp(now));
       consider();
     });
   };
@@ -251,7 +251,7 @@
     if (scene.lossAt !== undefined && now === scene.lossAt) known = undefined;
     if (scene.lossAt !== undefined && now === scene.lossAt + 1200) {
       writing = false;
-      known = watch(stored.order, stored.spentMs, toMoment(now));
+      known = watch(stored.order, stored.spentMs, toTimestamp(now));
     }
     if (scene.edgeLossAt !== undefined && now === scene.edgeLossAt) {
       for (const edge of edges.slice(0, 3))
--- a/packages/configuration/src/release/tally.ts
+++ b/packages/configuration/src/release/tally.ts
@@ -1,12 +1,12 @@
 import {
   type Incarnation,
-  type Moment,
+  type Timestamp,
   type NodeId,
   type Release,
   type Seq,
-  put,
-  sift,
-  toMoment,
+  withEntry,
+  filterEntries,
+  toTimestamp,
 } from '@switchwheel/types';
 import type { FrameOf, TallyRow } from '@switchwheel/transport';
 
@@ -22,23 +22,23 @@
 
 /** What one life of an edge told, with what it told before, the oldest first. */
 interface Edge {
-  readonly at: Moment;
+  readonly at: Timestamp;
   readonly serial: Seq;
   readonly inFlightOld: number;
   readonly first: Told;
   readonly recent: readonly Told[];
 }
 interface Told {
-  readonly at: Moment;
+  readonly at: Timestamp;
   readonly rows: readonly TallyRow[];
 }
 
 /** A primary's own view of one order: when it began by the primary's clock, and what edges count. */
 export interface Watch {
   readonly order: Seq;
-  readonly since: Moment;
+  readonly since: Timestamp;
   /** When this primary began to watch. */
-  readonly opened: Moment;
+  readonly opened: Timestamp;
   readonly edges: ReadonlyMap<string, Edge>;
 }
 
@@ -46,20 +46,20 @@
 const nearSpan = 1000;
 const keptSpan = 9000;
 
-export const watch = (order: Seq, spentMs: number, now: Moment): Watch => ({
+export const watch = (order: Seq, spentMs: number, now: Timestamp): Watch => ({
   order,
-  since: toMoment(now - spentMs),
+  since: toTimestamp(now - spentMs),
   opened: now,
   edges: new Map(),
 });
 
-export const spentAt = (one: Watch, now: Moment): number => now - one.since;
+export const spentAt = (one: Watch, now: Timestamp): number => now - one.since;
 
 const keyOf = (node: NodeId, incarnation: Incarnation): string => `${node} ${incarnation}`;
 const sentOf = (rows: readonly TallyRow[]): number => rows.reduce((sum, one) => sum + one.sent, 0);
 
 /** Takes an edge's counts in. They are of its whole life, so a lost one is made good by the next. */
-export const takeTally = (one: Watch, word: FrameOf<'tally'>, now: Moment): Watch => {
+export const takeTally = (one: Watch, word: FrameOf<'tally'>, now: Timestamp): Watch => {
   if (word.order !== one.order) return one;
   const key = keyOf(word.node, word.incarnation);
   const known = one.edges.get(key);
@@ -79,14 +79,14 @@
   };
   return {
     ...one,
-    since: toMoment(Math.min(one.since, now - word.spentMs)),
-    edges: put(one.edges, key, edge),
+    since: toTimestamp(Math.min(one.since, now - word.spentMs)),
+    edges: withEntry(one.edges, key, edge),
   };
 };
 
 /** Whether all edges in touch act on a state and have nothing under way at old origins. */
-export const drained = (one: Watch, serial: Seq, now: Moment): boolean => {
-  const near = sift(one.edges, (edge) => now - edge.at < nearSpan);
+export const drained = (one: Watch, serial: Seq, now: Timestamp): boolean => {
+  const near = filterEntries(one.edges, (edge) => now - edge.at < nearSpan);
   return (
     near.size > 0 &&
     [...near.values()].every((edge) => edge.serial >= serial && edge.inFlightOld === 0)
@@ -124,7 +124,7 @@
 };
 
 /** What was counted within the last span; an edge new to this primary counts from its first word. */
-export const sumSince = (one: Watch, from: Moment): Sums => {
+export const sumSince = (one: Watch, from: Timestamp): Sums => {
   const sums = new Map<Release, Map<string, Counts>>();
   for (const edge of one.edges.values()) {
     addRows(sums, edge.recent.at(-1)?.rows ?? [], 1);
--- a/packages/configuration/src/rollout/engine.ts
+++ b/packages/configuration/src/rollout/engine.ts
@@ -1,4 +1,4 @@
-import { type Moment, nextSeq } from '@switchwheel/types';
+import { type Timestamp, nextSeq } from '@switchwheel/types';
 import type { Put } from '@switchwheel/transport';
 import {
   type Control,
@@ -17,7 +17,10 @@
 export const graceSpan = 10_000;
 
 /** When a target was first seen in its status: only a cache, made anew by a new primary. */
-export type Seen = ReadonlyMap<string, { readonly status: Target['status']; readonly at: Moment }>;
+export type Seen = ReadonlyMap<
+  string,
+  { readonly status: Target['status']; readonly at: Timestamp }
+>;
 
 const done = (one: Target): boolean =>
   one.status === 'succeeded' || one.status === 'failed' || one.status === 'skipped';
@@ -73,14 +76,18 @@
 export const turn = (
   control: Control,
   seen: Seen,
-  opened: Moment | undefined,
-  now: Moment,
-): { readonly puts: readonly Put[]; readonly seen: Seen; readonly opened: Moment | undefined } => {
+  opened: Timestamp | undefined,
+  now: Timestamp,
+): {
+  readonly puts: readonly Put[];
+  readonly seen: Seen;
+  readonly opened: Timestamp | undefined;
+} => {
   const rollout = activeRollout(control);
   if (rollout === undefined) return { puts: [], seen: new Map(), opened: undefined };
   const since = opened ?? now;
   const puts: Put[] = [];
-  const kept = new Map<string, { readonly status: Target['status']; readonly at: Moment }>();
+  const kept = new Map<string, { readonly status: Target['status']; readonly at: Timestamp }>();
   const after: Target[] = [];
   for (const [key, target] of control.targets) {
     if (target.generation !== rollout.generation) continue;
--- a/packages/devfleet/src/deployment/schema.ts
+++ b/packages/devfleet/src/deployment/schema.ts
@@ -2,7 +2,7 @@
 import { dirname, join } from 'node:path';
 import * as v from 'valibot';
 import { type Result, err, ok } from 'true-myth/result';
-import { areaName, serviceName } from '@switchwheel/types';
+import { zoneName, serviceName } from '@switchwheel/types';
 
 const count = v.pipe(v.number(), v.integer(), v.minValue(0), v.maxValue(1000));
 const pair = v.tuple([v.number(), v.number()]);
@@ -36,7 +36,7 @@
 export const deployment = v.strictObject({
   name: v.string(),
   description: v.string(),
-  areas: v.pipe(v.array(areaName), v.minLength(1)),
+  areas: v.pipe(v.array(zoneName), v.minLength(1)),
   edges: count,
   shields: count,
   stores: count,
--- a/packages/devfleet/src/report/report.ts
+++ b/packages/devfleet/src/report/report.ts
@@ -1,4 +1,4 @@
-import { tally } from '@switchwheel/types';
+import { increment } from '@switchwheel/types';
 import type { Deployment } from '../deployment/schema.js';
 import type { Seen } from '../load/callers.js';
 
@@ -17,7 +17,7 @@
       .map((one) => one.ms)
       .sort((one, two) => one - two);
     const kinds = new Map<string, number>();
-    for (const one of mine) tally(kinds, one.kind);
+    for (const one of mine) increment(kinds, one.kind);
     return `${traffic.name.padEnd(14)}${traffic.class.padEnd(12)}${String(traffic.aimMs).padStart(6)}${ms(rank(good, 0.5))}${ms(rank(good, 0.99))}${ms(rank(good, 0.999))}${ms(good.at(-1) ?? 0)}  ${[
       ...kinds,
     ]
@@ -34,7 +34,7 @@
   for (const one of seen) {
     if (one.kind === 'result') continue;
     const name = `${one.kind}: ${one.why}`;
-    tally(count, name);
+    increment(count, name);
   }
   return [...count]
     .sort(([, one], [, two]) => two - one)
--- a/packages/devfleet/src/report/rules.ts
+++ b/packages/devfleet/src/report/rules.ts
@@ -1,6 +1,6 @@
 import got from 'got';
 import * as v from 'valibot';
-import { tally } from '@switchwheel/types';
+import { increment } from '@switchwheel/types';
 import type { Fleet } from '../fleet/fleet.js';
 import type { Seen } from '../load/callers.js';
 import type { Verdict } from './report.js';
@@ -22,7 +22,7 @@
       retry: { limit: 0 },
       timeout: { request: 5000 },
     });
-    for (const [id, many] of v.parse(ranForm, JSON.parse(reply.body)).ran) tally(all, id, many);
+    for (const [id, many] of v.parse(ranForm, JSON.parse(reply.body)).ran) increment(all, id, many);
   }
   return all;
 };
--- a/packages/devfleet/src/run/full.ts
+++ b/packages/devfleet/src/run/full.ts
@@ -1,6 +1,6 @@
 import got from 'got';
 import * as v from 'valibot';
-import { tally } from '@switchwheel/types';
+import { increment } from '@switchwheel/types';
 import type { Plan } from '../deployment/schema.js';
 import { type Fleet, pause, until } from '../fleet/fleet.js';
 import { Callers, type Seen } from '../load/callers.js';
@@ -108,7 +108,7 @@
     verdicts.push(...judgeRuns(callers.seen, await collectRuns(fleet)));
     say(latencyTable(plan.deployment, callers.seen));
     const froms = new Map<string, number>();
-    for (const one of callers.seen) tally(froms, one.from === '' ? '-' : one.from);
+    for (const one of callers.seen) increment(froms, one.from === '' ? '-' : one.from);
     say(
       `${callers.seen.length} requests; told by ${[...froms].map(([from, many]) => `${from} ${many}`).join(', ')}`,
     );
--- a/packages/devfleet/src/soak/chance.ts
+++ b/packages/devfleet/src/soak/chance.ts
@@ -1,8 +1,8 @@
 /** Chance from one seed, for plans that can be made again. Real processes add chance of their own. */
-import { type Dice, roll } from '@switchwheel/types';
+import { type RandomState, nextRandom } from '@switchwheel/types';
 
 export class Chance {
-  #dice: Dice;
+  #dice: RandomState;
 
   constructor(seed: number) {
     this.#dice = { seed };
@@ -10,7 +10,7 @@
 
   /** A number from 0 up to 1. */
   next(): number {
-    const [value, dice] = roll(this.#dice);
+    const [value, dice] = nextRandom(this.#dice);
     this.#dice = dice;
     return value;
   }
--- a/packages/election/src/candidate/candidate.ts
+++ b/packages/election/src/candidate/candidate.ts
@@ -1,21 +1,21 @@
 import {
-  type Dice,
-  type Duty,
+  type RandomState,
+  type LeaseName,
   type Epoch,
   type FleetId,
   type Incarnation,
-  type Moment,
+  type Timestamp,
   type NodeId,
-  type Step,
-  later,
+  type Transition,
+  addMs,
   nextEpoch,
   noEpoch,
-  put,
-  roll,
-  step,
+  withEntry,
+  nextRandom,
+  transition,
   toEpoch,
-  toMoment,
-  toSpan,
+  toTimestamp,
+  toDurationMs,
 } from '@switchwheel/types';
 import {
   type Electorate,
@@ -32,7 +32,7 @@
 
 /** The newest vote of a voter in an epoch: when it was asked for, and which life of the voter gave it. */
 interface CountedVote {
-  readonly at: Moment;
+  readonly at: Timestamp;
   readonly recovering: boolean;
   readonly life: Incarnation;
 }
@@ -44,28 +44,28 @@
 
 /** Where a node stands towards one duty. */
 export type Phase =
-  | { readonly phase: 'idle'; readonly retry: Moment }
+  | { readonly phase: 'idle'; readonly retry: Timestamp }
   /** Asks first whether a round could be won: one that can't would only drive the epoch up. */
   | ({
       readonly phase: 'preVote';
-      readonly since: Moment;
+      readonly since: Timestamp;
       readonly refusals: ReadonlyMap<NodeId, number>;
     } & VoteCount)
   | ({
       readonly phase: 'requestingVotes';
-      readonly since: Moment;
+      readonly since: Timestamp;
       readonly refusals: ReadonlyMap<NodeId, number>;
     } & VoteCount)
   | ({
       readonly phase: 'holdingLease';
-      readonly until: Moment;
-      readonly asked: Moment;
-      readonly won: Moment;
+      readonly until: Timestamp;
+      readonly asked: Timestamp;
+      readonly won: Timestamp;
     } & VoteCount);
 
 export interface Candidate {
   readonly me: NodeId;
-  readonly duty: Duty;
+  readonly duty: LeaseName;
   readonly phase: Phase;
   /** The highest epoch heard of for this duty. */
   readonly highest: Epoch;
@@ -85,19 +85,19 @@
 
 export const newCandidate = (
   me: NodeId,
-  duty: Duty,
+  duty: LeaseName,
   inSyncSet: readonly NodeId[],
   lease = leaseSpan,
 ): Candidate => ({
   me,
   duty,
   lease,
-  phase: { phase: 'idle', retry: toMoment(0) },
+  phase: { phase: 'idle', retry: toTimestamp(0) },
   highest: noEpoch,
   inSyncSet,
 });
 
-export const holdsLease = (candidate: Candidate, now: Moment): boolean =>
+export const holdsLease = (candidate: Candidate, now: Timestamp): boolean =>
   candidate.phase.phase === 'holdingLease' && now < candidate.phase.until;
 export const heldEpoch = (candidate: Candidate): Epoch =>
   candidate.phase.phase === 'idle' || candidate.phase.phase === 'preVote'
@@ -116,7 +116,7 @@
   candidate: Candidate,
   context: ElectionContext,
   epoch: Epoch,
-  now: Moment,
+  now: Timestamp,
   renew: boolean,
   stepDown = false,
   preVote = false,
@@ -132,7 +132,7 @@
       epoch,
       node: candidate.me,
       at: now,
-      lease: toSpan(candidate.lease),
+      lease: toDurationMs(candidate.lease),
       renew,
       preVote,
       inSyncSet: [...candidate.inSyncSet],
@@ -148,8 +148,8 @@
   candidate: Candidate,
   context: ElectionContext,
   inSyncSet: readonly NodeId[],
-  now: Moment,
-): Step<Candidate, WireEffect> => {
+  now: Timestamp,
+): Transition<Candidate, WireEffect> => {
   const epoch = nextEpoch(toEpoch(Math.max(candidate.highest, heldEpoch(candidate))));
   const next: Candidate = {
     ...candidate,
@@ -157,46 +157,50 @@
     inSyncSet,
     phase: { phase: 'requestingVotes', since: now, epoch, votes: new Map(), refusals: new Map() },
   };
-  return step(next, ...voteRequests(next, context, epoch, now, false));
+  return transition(next, ...voteRequests(next, context, epoch, now, false));
 };
 
 /** Asks the voters whether they would vote for this store, before it stands. */
 const startPreVote = (
   candidate: Candidate,
   context: ElectionContext,
-  now: Moment,
-): Step<Candidate, WireEffect> => {
+  now: Timestamp,
+): Transition<Candidate, WireEffect> => {
   const epoch = nextEpoch(candidate.highest);
   const next: Candidate = {
     ...candidate,
     phase: { phase: 'preVote', since: now, epoch, votes: new Map(), refusals: new Map() },
   };
-  return step(next, ...voteRequests(next, context, epoch, now, false, false, true));
+  return transition(next, ...voteRequests(next, context, epoch, now, false, false, true));
 };
 
 /** Gives the duty up: the voters are told so that it falls vacant at once. */
 export const stepDown = (
   candidate: Candidate,
   context: ElectionContext | undefined,
-  now: Moment,
+  now: Timestamp,
   rest: number,
-): Step<Candidate, WireEffect> => {
+): Transition<Candidate, WireEffect> => {
   const told =
     context !== undefined && holdsLease(candidate, now)
       ? voteRequests(candidate, context, heldEpoch(candidate), now, true, true)
       : [];
-  return step({ ...candidate, phase: { phase: 'idle', retry: later(now, rest) } }, ...told);
+  return transition({ ...candidate, phase: { phase: 'idle', retry: addMs(now, rest) } }, ...told);
 };
 
 /** The lease that enough votes give: counted from before the asking. */
-const leaseEnd = (context: ElectionContext, own: VoteCount, lease: number): Moment | undefined => {
+const leaseEnd = (
+  context: ElectionContext,
+  own: VoteCount,
+  lease: number,
+): Timestamp | undefined => {
   const times = context.electorate.members
     .map((one) => own.votes.get(one.node))
     .filter((one) => one !== undefined && (context.countRecovering || !one.recovering))
     .map((one) => (one === undefined ? 0 : one.at))
     .sort((one, two) => two - one);
   const last = times[majority(context.electorate.members.length) - 1];
-  return last === undefined ? undefined : toMoment(last + lease - leaseMargin);
+  return last === undefined ? undefined : toTimestamp(last + lease - leaseMargin);
 };
 
 /** Counts a vote. */
@@ -204,7 +208,7 @@
   candidate: Candidate,
   context: ElectionContext,
   word: FrameOf<'vote'>,
-  now: Moment,
+  now: Timestamp,
 ): Candidate => {
   const known = observeEpoch(candidate, word.highest);
   const own = known.phase;
@@ -219,11 +223,14 @@
     return { ...known, phase: { phase: 'idle', retry: now } };
   if (!word.granted)
     return own.phase === 'requestingVotes' || own.phase === 'preVote'
-      ? { ...known, phase: { ...own, refusals: put(own.refusals, word.voter, word.left ?? 0) } }
+      ? {
+          ...known,
+          phase: { ...own, refusals: withEntry(own.refusals, word.voter, word.left ?? 0) },
+        }
       : known;
   const before = own.votes.get(word.voter);
   if (before !== undefined && before.at >= word.at) return known;
-  const votes = put(own.votes, word.voter, {
+  const votes = withEntry(own.votes, word.voter, {
     at: word.at,
     recovering: word.recovering,
     life: word.life,
@@ -239,7 +246,7 @@
         epoch: own.epoch,
         votes,
         until,
-        asked: toMoment(now - known.lease),
+        asked: toTimestamp(now - known.lease),
         won: now,
       },
     };
@@ -255,7 +262,7 @@
     phase: {
       ...own,
       votes,
-      until: until === undefined ? own.until : toMoment(Math.max(until, own.until)),
+      until: until === undefined ? own.until : toTimestamp(Math.max(until, own.until)),
     },
   };
 };
@@ -282,20 +289,20 @@
   candidate: Candidate,
   context: ElectionContext,
   wantsElection: boolean,
-  dice: Dice,
-  now: Moment,
-): Step<{ readonly candidate: Candidate; readonly dice: Dice }, WireEffect> => {
+  dice: RandomState,
+  now: Timestamp,
+): Transition<{ readonly candidate: Candidate; readonly dice: RandomState }, WireEffect> => {
   const own = candidate.phase;
   if (own.phase === 'holdingLease') {
     if (now >= own.until) {
-      const [chance, rest] = roll(dice);
-      return step({
-        candidate: { ...candidate, phase: { phase: 'idle', retry: later(now, 50 + 200 * chance) } },
+      const [chance, rest] = nextRandom(dice);
+      return transition({
+        candidate: { ...candidate, phase: { phase: 'idle', retry: addMs(now, 50 + 200 * chance) } },
         dice: rest,
       });
     }
-    if (now - own.asked < candidate.lease / 4) return step({ candidate, dice });
-    return step(
+    if (now - own.asked < candidate.lease / 4) return transition({ candidate, dice });
+    return transition(
       { candidate: { ...candidate, phase: { ...own, asked: now } }, dice },
       ...voteRequests(candidate, context, own.epoch, now, true),
     );
@@ -306,25 +313,26 @@
   }
   if (own.phase === 'requestingVotes' || own.phase === 'preVote') {
     const wait = retryDelay(context, own.refusals);
-    if (wait === undefined && now - own.since < roundTimeout) return step({ candidate, dice });
-    const [chance, rest] = roll(dice);
+    if (wait === undefined && now - own.since < roundTimeout)
+      return transition({ candidate, dice });
+    const [chance, rest] = nextRandom(dice);
     // What was granted in a round that is lost is given back, so that nobody waits for it to run out.
     const back =
       own.phase === 'preVote'
         ? []
         : voteRequests(candidate, context, own.epoch, now, true, true, false, true);
-    return step(
+    return transition(
       {
         candidate: {
           ...candidate,
-          phase: { phase: 'idle', retry: later(now, (wait ?? 50) + 10 + 150 * chance) },
+          phase: { phase: 'idle', retry: addMs(now, (wait ?? 50) + 10 + 150 * chance) },
         },
         dice: rest,
       },
       ...back,
     );
   }
-  if (!wantsElection || now < own.retry) return step({ candidate, dice });
+  if (!wantsElection || now < own.retry) return transition({ candidate, dice });
   const opened = startPreVote(candidate, context, now);
   return { state: { candidate: opened.state, dice }, effects: opened.effects };
 };
--- a/packages/election/src/voter/voter.test.ts
+++ b/packages/election/src/voter/voter.test.ts
@@ -1,16 +1,16 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
-  type Moment,
+  type Timestamp,
   noSeq,
-  primary,
+  primaryLease,
   toAddress,
   toEpoch,
   toFleetId,
   toIncarnation,
-  toMoment,
+  toTimestamp,
   toNodeId,
-  toSpan,
+  toDurationMs,
 } from '@switchwheel/types';
 import type { FrameOf } from '@switchwheel/transport';
 import { type Voter, leaseSpan, newVoter, recoverGrants, vote } from './voter.js';
@@ -19,7 +19,7 @@
 const [me, second, third] = voterNames;
 const oldHolder = toNodeId('store-1');
 const newHolder = toNodeId('store-2');
-const born = toMoment(50_000);
+const born = toTimestamp(50_000);
 const life = toIncarnation(7);
 
 const request = (change: Partial<FrameOf<'vote-request'>>): FrameOf<'vote-request'> => ({
@@ -29,11 +29,11 @@
     serial: noSeq,
     members: voterNames.map((node, at) => ({ node, address: toAddress(`10.0.0.${at + 1}:1`) })),
   },
-  duty: primary,
+  duty: primaryLease,
   epoch: toEpoch(5),
   node: oldHolder,
-  at: toMoment(1),
-  lease: toSpan(leaseSpan),
+  at: toTimestamp(1),
+  lease: toDurationMs(leaseSpan),
   preVote: false,
   renew: false,
   inSyncSet: [oldHolder, newHolder],
@@ -45,7 +45,7 @@
   assert.ok(me !== undefined);
   return newVoter(me, born, life);
 };
-const after = (span: number): Moment => toMoment(born + span);
+const after = (span: number): Timestamp => toTimestamp(born + span);
 
 void test('a voter that restarted abstains from everything for a lease, renewals too', () => {
   const early = after(leaseSpan - 1);
@@ -87,7 +87,7 @@
   const memory = (from: typeof second, at: number, incarnation = life) => ({
     from,
     recovering: false,
-    records: [{ duty: primary, epoch: toEpoch(6), node: newHolder, inSyncSet: [newHolder] }],
+    records: [{ duty: primaryLease, epoch: toEpoch(6), node: newHolder, inSyncSet: [newHolder] }],
     heard: { incarnation, at: after(at) },
   });
   const now = after(leaseSpan + 300);
@@ -99,7 +99,11 @@
     );
   assert.equal(both(900, 1000).recovering, true, 'one spoke too early');
   assert.equal(both(1000, 1000).recovering, false);
-  assert.equal(both(900, 900).grants.get(primary)?.epoch, 6, 'the epoch is taken all the same');
+  assert.equal(
+    both(900, 900).grants.get(primaryLease)?.epoch,
+    6,
+    'the epoch is taken all the same',
+  );
   const other = recoverGrants(known, memory(second, 1000, toIncarnation(6)), now);
   assert.equal(other.heardFrom.size, 0, 'what was said to an earlier life');
 });
@@ -115,5 +119,5 @@
   assert.equal(vote(resigned, rival, after(1300))[1].granted, false, 'it won and resigned');
   const abandoned = vote(asked, { ...back, abandoned: true }, after(1200))[0];
   assert.equal(vote(abandoned, rival, after(1300))[1].granted, true);
-  assert.equal(abandoned.grants.get(primary)?.epoch, 6, 'the epoch stays taken');
+  assert.equal(abandoned.grants.get(primaryLease)?.epoch, 6, 'the epoch stays taken');
 });
--- a/packages/election/src/voter/voter.ts
+++ b/packages/election/src/voter/voter.ts
@@ -1,15 +1,15 @@
 import {
-  type Duty,
+  type LeaseName,
   type Epoch,
   type FleetId,
   type Incarnation,
-  type Moment,
+  type Timestamp,
   type NodeId,
-  later,
+  addMs,
   noEpoch,
-  primary,
-  put,
-  toSpan,
+  primaryLease,
+  withEntry,
+  toDurationMs,
 } from '@switchwheel/types';
 import type { Electorate, FrameOf, GrantRecord } from '@switchwheel/transport';
 
@@ -22,7 +22,7 @@
   readonly node: NodeId;
   /** Whose lease it is that stands until then: what is recalled of a higher epoch does not end a lease. */
   readonly lessee: NodeId;
-  readonly until: Moment;
+  readonly until: Timestamp;
   /** For `primary`: the stores that hold every confirmed write under this epoch. */
   readonly inSyncSet: readonly NodeId[];
   /** The in-sync set of the grant before: it counts again if the candidate gives its round up. */
@@ -33,17 +33,17 @@
   readonly me: NodeId;
   /** This life of the process: votes bear it, and only a renewal that echoes it proves a win. */
   readonly life: Incarnation;
-  readonly born: Moment;
+  readonly born: Timestamp;
   readonly fleet: FleetId | undefined;
   readonly electorate: Electorate | undefined;
-  readonly grants: ReadonlyMap<Duty, Grant>;
+  readonly grants: ReadonlyMap<LeaseName, Grant>;
   /** While set, this voter restarted and does not yet know what it once granted. */
   readonly recovering: boolean;
   /** The peers that told what they remember since this voter's abstention ended. */
   readonly heardFrom: ReadonlySet<NodeId>;
 }
 
-export const newVoter = (me: NodeId, born: Moment, life: Incarnation): Voter => ({
+export const newVoter = (me: NodeId, born: Timestamp, life: Incarnation): Voter => ({
   me,
   life,
   born,
@@ -58,7 +58,7 @@
  * When a voter's abstention ends: by then every vote that an earlier life of the process gave is
  * too old to win anything, and every lease that it granted is over.
  */
-export const abstainsUntil = (state: Voter): Moment => later(state.born, leaseSpan);
+export const abstainsUntil = (state: Voter): Timestamp => addMs(state.born, leaseSpan);
 
 export const majority = (size: number): number => Math.floor(size / 2) + 1;
 
@@ -73,7 +73,7 @@
   state: Voter,
   ballot: FrameOf<'vote-request'>,
   set: Electorate,
-  now: Moment,
+  now: Timestamp,
 ): string | undefined => {
   if (state.fleet !== undefined && state.fleet !== ballot.fleet) return 'another fleet';
   if (ballot.electorate.serial < set.serial) return 'an older electorate';
@@ -92,7 +92,7 @@
   if (mine === undefined) return undefined;
   if (ballot.epoch <= mine.epoch) return 'not a higher epoch';
   if (mine.lessee !== ballot.node && now < mine.until) return 'the lease stands';
-  if (ballot.duty === primary && !mine.inSyncSet.includes(ballot.node)) return 'not in sync';
+  if (ballot.duty === primaryLease && !mine.inSyncSet.includes(ballot.node)) return 'not in sync';
   return undefined;
 };
 
@@ -108,13 +108,17 @@
 ): boolean =>
   ballot.renew &&
   !ballot.stepDown &&
-  ballot.duty === primary &&
+  ballot.duty === primaryLease &&
   ballot.voterLife === state.life &&
   mine?.epoch === ballot.epoch &&
   mine.node === ballot.node;
 
 /** The grant that a ballot leaves behind. */
-const grantFor = (mine: Grant | undefined, ballot: FrameOf<'vote-request'>, now: Moment): Grant => {
+const grantFor = (
+  mine: Grant | undefined,
+  ballot: FrameOf<'vote-request'>,
+  now: Timestamp,
+): Grant => {
   const base = { epoch: ballot.epoch, node: ballot.node, lessee: ballot.node };
   if (ballot.stepDown) {
     const before = ballot.abandoned === true ? mine?.inSyncSetBefore : undefined;
@@ -122,7 +126,7 @@
   }
   return {
     ...base,
-    until: later(now, Math.min(ballot.lease, leaseSpan)),
+    until: addMs(now, Math.min(ballot.lease, leaseSpan)),
     inSyncSet: ballot.inSyncSet,
     inSyncSetBefore: ballot.renew ? mine?.inSyncSetBefore : mine?.inSyncSet,
   };
@@ -132,7 +136,7 @@
 export const vote = (
   state: Voter,
   ballot: FrameOf<'vote-request'>,
-  now: Moment,
+  now: Timestamp,
 ): readonly [Voter, FrameOf<'vote'>] => {
   const set = newestElectorate(state.electorate, ballot.electorate);
   const why = refusalReason(state, ballot, set, now);
@@ -157,7 +161,7 @@
         granted: false,
         recovering: state.recovering,
         highest,
-        left: toSpan(left),
+        left: toDurationMs(left),
         ...told,
       },
     ];
@@ -173,7 +177,7 @@
     ...state,
     fleet: ballot.fleet,
     electorate: set,
-    grants: put(state.grants, ballot.duty, grant),
+    grants: withEntry(state.grants, ballot.duty, grant),
     recovering: state.recovering && !provesWin,
   };
   return [
@@ -193,7 +197,7 @@
   readonly from: NodeId;
   readonly recovering: boolean;
   readonly records: readonly GrantRecord[];
-  readonly heard: { readonly incarnation: Incarnation; readonly at: Moment } | undefined;
+  readonly heard: { readonly incarnation: Incarnation; readonly at: Timestamp } | undefined;
 }
 
 /** Whether a peer spoke after this voter's abstention ended: only then does it remember all that matters. */
@@ -201,7 +205,7 @@
   memory.heard?.incarnation === state.life && memory.heard.at >= abstainsUntil(state);
 
 /** Takes what a peer remembers; enough of them make a recovering voter whole. */
-export const recoverGrants = (state: Voter, memory: PeerMemory, now: Moment): Voter => {
+export const recoverGrants = (state: Voter, memory: PeerMemory, now: Timestamp): Voter => {
   if (!state.recovering || memory.recovering) return state;
   let grants = state.grants;
   for (const word of memory.records) {
@@ -210,8 +214,8 @@
     const lease =
       mine !== undefined && now < mine.until
         ? { lessee: mine.lessee, until: mine.until }
-        : { lessee: word.node, until: later(now, leaseSpan) };
-    grants = put(grants, word.duty, {
+        : { lessee: word.node, until: addMs(now, leaseSpan) };
+    grants = withEntry(grants, word.duty, {
       epoch: word.epoch,
       node: word.node,
       inSyncSet: word.inSyncSet,
--- a/packages/membership/src/origins/origins.ts
+++ b/packages/membership/src/origins/origins.ts
@@ -1,17 +1,17 @@
 import {
   type InstanceId,
-  type Moment,
-  between,
-  earlier,
+  type Timestamp,
+  elapsedMs,
+  subtractMs,
   noSeq,
-  put,
-  sift,
+  withEntry,
+  filterEntries,
 } from '@switchwheel/types';
 import type { Origin } from '@switchwheel/transport';
 
 /** An origin with the time it was last heard, by this process's clock. */
 export interface Seen extends Omit<Origin, 'age'> {
-  readonly at: Moment;
+  readonly at: Timestamp;
 }
 export type Origins = ReadonlyMap<InstanceId, Seen>;
 
@@ -52,10 +52,10 @@
     if (word.state === 'up') {
       for (const other of origins.values()) {
         if (other.address === word.address && other.state !== 'gone' && other.at <= word.at)
-          rest = put(rest, other.instance, { ...other, state: 'gone' });
+          rest = withEntry(rest, other.instance, { ...other, state: 'gone' });
       }
     }
-    return { origins: put(rest, word.instance, word), news: true };
+    return { origins: withEntry(rest, word.instance, word), news: true };
   }
   const at = word.at > known.at ? word.at : known.at;
   const [before, now] = [known.calls ?? noSeq, word.calls ?? noSeq];
@@ -64,35 +64,35 @@
   const next: Seen = { ...latest, state, at };
   if (same(next, known))
     return {
-      origins: at - known.at > 200 ? put(origins, word.instance, next) : origins,
+      origins: at - known.at > 200 ? withEntry(origins, word.instance, next) : origins,
       news: false,
     };
-  return { origins: put(origins, word.instance, next), news: true };
+  return { origins: withEntry(origins, word.instance, next), news: true };
 };
 
 export const learnAll = (
   origins: Origins,
   words: readonly Origin[],
-  now: Moment,
+  now: Timestamp,
 ): { readonly origins: Origins; readonly news: boolean } => {
   let result = { origins, news: false };
   for (const { age, ...word } of words) {
     if (age > relearnSpan && !result.origins.has(word.instance)) continue;
-    const next = learn(result.origins, { ...word, at: earlier(now, age) });
+    const next = learn(result.origins, { ...word, at: subtractMs(now, age) });
     result = { origins: next.origins, news: result.news || next.news };
   }
   return result;
 };
 
-export const tellOrigin = ({ at, ...word }: Seen, now: Moment): Origin => ({
+export const tellOrigin = ({ at, ...word }: Seen, now: Timestamp): Origin => ({
   ...word,
-  age: between(at, now),
+  age: elapsedMs(at, now),
 });
-export const tellOrigins = (origins: Origins, now: Moment): Origin[] =>
+export const tellOrigins = (origins: Origins, now: Timestamp): Origin[] =>
   [...origins.values()].map((one) => tellOrigin(one, now));
 
-export const forget = (origins: Origins, now: Moment): Origins =>
-  sift(origins, (one) => now - one.at < forgetSpan);
+export const forget = (origins: Origins, now: Timestamp): Origins =>
+  filterEntries(origins, (one) => now - one.at < forgetSpan);
 /** Whether requests may be sent to it at all. */
-export const standing = (one: Seen, now: Moment): boolean =>
+export const standing = (one: Seen, now: Timestamp): boolean =>
   one.state === 'up' && now - one.at < silentSpan;
--- a/packages/membership/src/registry/calls.ts
+++ b/packages/membership/src/registry/calls.ts
@@ -1,12 +1,12 @@
 import {
   type CallId,
-  type Moment,
+  type Timestamp,
   type NodeId,
-  type Step,
-  drop,
+  type Transition,
+  withoutEntry,
   noSeq,
-  put,
-  step,
+  withEntry,
+  transition,
 } from '@switchwheel/types';
 import { type FrameOf, send } from '@switchwheel/transport';
 import { announce } from './departures.js';
@@ -15,7 +15,7 @@
 import type { Pending, Registry } from './state.js';
 import { hasMajorityContact, isAlive, onlyPeersHearPrimary, primaryHolder } from './queries.js';
 
-type Done = Step<Registry, RegistryEffect>;
+type Done = Transition<Registry, RegistryEffect>;
 const resendInterval = 400;
 const maxPendingCalls = 256;
 /** How long a call waits for a primary that others hear and this registry does not, or without a majority. */
@@ -27,7 +27,7 @@
   state: Registry,
   ref: number,
   call: Extract<Outside, { verb: 'found' }>,
-  now: Moment,
+  now: Timestamp,
 ): Done => {
   const near = [...state.sessions.values()].filter((one) => isAlive(one, now));
   const stores = near
@@ -46,12 +46,12 @@
     ...call.voters.filter((name) => !seats.some((one) => one.node === name)),
   ];
   if (lost.length > 0)
-    return step(
+    return transition(
       state,
       reply(ref, 409, { kind: 'unready', text: `not in touch: ${lost.join(', ')}` }),
     );
   if (stores.length < 1) {
-    return step(
+    return transition(
       state,
       reply(ref, 409, {
         kind: 'unready',
@@ -60,7 +60,7 @@
     );
   }
   if (state.fleet !== undefined)
-    return step(
+    return transition(
       state,
       reply(ref, 409, { kind: 'stale', text: `the fleet ${state.fleet} stands already` }),
     );
@@ -76,33 +76,39 @@
         .sort((one, two) => (one.node < two.node ? -1 : 1)),
     },
   };
-  const founding = put(state.bootstraps, call.id, {
+  const founding = withEntry(state.bootstraps, call.id, {
     ref,
     since: now,
     stores: stores.map((one) => one.node),
     voters: word.electorate.members.map((one) => one.node),
     agreed: new Set<NodeId>(),
   });
-  return step({ ...state, bootstraps: founding }, ...stores.map((one) => send(one.address, word)));
+  return transition(
+    { ...state, bootstraps: founding },
+    ...stores.map((one) => send(one.address, word)),
+  );
 };
 
 /** A store agreed to a founding, or did not. */
 export const onBootstrapped = (state: Registry, word: FrameOf<'bootstrapped'>): Done => {
   const open = state.bootstraps.get(word.id);
-  if (open === undefined) return step(state);
-  const without = { ...state, bootstraps: drop(state.bootstraps, word.id) };
+  if (open === undefined) return transition(state);
+  const without = { ...state, bootstraps: withoutEntry(state.bootstraps, word.id) };
   if (!word.ok)
-    return step(
+    return transition(
       without,
       reply(open.ref, 409, { kind: 'stale', text: `${word.node}: ${word.text}` }),
     );
   const agreed = new Set([...open.agreed, word.node]);
   if (open.stores.every((one) => agreed.has(one)))
-    return step(
+    return transition(
       without,
       reply(open.ref, 200, { kind: 'bootstrapped', stores: open.stores, voters: open.voters }),
     );
-  return step({ ...state, bootstraps: put(state.bootstraps, word.id, { ...open, agreed }) });
+  return transition({
+    ...state,
+    bootstraps: withEntry(state.bootstraps, word.id, { ...open, agreed }),
+  });
 };
 
 const callFrame = (id: CallId, one: Pending): FrameOf<'call'> => ({
@@ -118,7 +124,7 @@
  * no contact with the majority, or the primary is silent here while peers hear it. While nobody
  * hears one, a new primary is being elected, and the call waits for it.
  */
-const isCutOff = (state: Registry, one: Pending, now: Moment): boolean => {
+const isCutOff = (state: Registry, one: Pending, now: Timestamp): boolean => {
   if (!hasMajorityContact(state, now)) return true;
   if (now - one.since > doubtfulAfter && !hasMajorityContact(state, now, contactTimeout))
     return true;
@@ -158,23 +164,23 @@
   const isSame = underWay.verb === again.verb && underWay.body === again.body;
   const isRead = again.verb === 'ask' || again.verb === 'view';
   if (!isSame || isRead)
-    return step(
+    return transition(
       state,
       reply(ref, 409, { kind: 'stale', id, text: 'a call with this id is under way here' }),
     );
   const joined: Pending = { ...underWay, repeats: [...underWay.repeats, ref] };
-  return step({ ...state, pending: put(state.pending, id, joined) });
+  return transition({ ...state, pending: withEntry(state.pending, id, joined) });
 };
 
 /** Sends waiting calls on to the primary, and ends those whose time is over. */
-export const tickPendingCalls = (state: Registry, now: Moment): Done => {
+export const tickPendingCalls = (state: Registry, now: Timestamp): Done => {
   let pending = state.pending;
   const effects: RegistryEffect[] = [];
   // Who holds the duty may be old news: a call leaves once the primary was heard in this life.
   const store = state.feed.asOf === undefined ? undefined : primaryHolder(state);
   for (const [id, one] of state.pending) {
     if (now - one.since > one.span || isCutOff(state, one, now)) {
-      pending = drop(pending, id);
+      pending = withoutEntry(pending, id);
       // A call that never left this registry certainly did not run.
       const unrun = one.sent === undefined || one.verb === 'ask' || one.verb === 'view';
       const answers = callers(one).map((ref) =>
@@ -182,14 +188,14 @@
       );
       effects.push(...answers);
     } else if (store !== undefined && now - (one.sent ?? -Infinity) > resendInterval) {
-      pending = put(pending, id, { ...one, sent: now });
+      pending = withEntry(pending, id, { ...one, sent: now });
       effects.push(send(store.address, callFrame(id, one)));
     }
   }
   let founding = state.bootstraps;
   for (const [id, one] of state.bootstraps) {
     if (now - one.since < 3000) continue;
-    founding = drop(founding, id);
+    founding = withoutEntry(founding, id);
     effects.push(
       reply(one.ref, 504, {
         kind: 'unknown',
@@ -198,7 +204,7 @@
       }),
     );
   }
-  return step(
+  return transition(
     pending === state.pending && founding === state.bootstraps
       ? state
       : { ...state, pending, bootstraps: founding },
@@ -211,15 +217,15 @@
   ref: number,
   id: CallId,
   row: Pick<Pending, 'verb' | 'body' | 'span'> & Partial<Pick<Pending, 'base' | 'pieces'>>,
-  now: Moment,
+  now: Timestamp,
 ): Done => {
   if (state.stopping)
-    return step(
+    return transition(
       state,
       reply(ref, 503, { kind: 'rejected', id, text: 'this registry is stopping', retryAfterMs: 0 }),
     );
   if (!hasMajorityContact(state, now))
-    return step(
+    return transition(
       state,
       reply(ref, 503, {
         kind: 'unready',
@@ -229,7 +235,7 @@
       }),
     );
   if (state.pending.size >= maxPendingCalls)
-    return step(
+    return transition(
       state,
       reply(ref, 503, { kind: 'rejected', id, text: 'too many calls wait', retryAfterMs: 1000 }),
     );
@@ -244,10 +250,10 @@
     pieces: new Map(),
     ...row,
   };
-  return tickPendingCalls({ ...state, pending: put(state.pending, id, one) }, now);
+  return tickPendingCalls({ ...state, pending: withEntry(state.pending, id, one) }, now);
 };
 
-export const onOutside = (state: Registry, ref: number, call: Outside, now: Moment): Done => {
+export const onOutside = (state: Registry, ref: number, call: Outside, now: Timestamp): Done => {
   switch (call.verb) {
     case 'announce':
       return announce(state, ref, call.origin, now);
@@ -304,7 +310,7 @@
     case 'electorate':
       return changeElectorate(state, ref, call, now);
     case 'fleet':
-      return step(state, reply(ref, 200, fleetView(state, now)));
+      return transition(state, reply(ref, 200, fleetView(state, now)));
   }
 };
 
@@ -312,13 +318,13 @@
   state: Registry,
   ref: number,
   call: Extract<Outside, { verb: 'electorate' }>,
-  now: Moment,
+  now: Timestamp,
 ): Done => {
   const set = state.electorate;
   if (set === undefined)
-    return step(state, reply(ref, 409, { kind: 'unready', text: 'no fleet stands yet' }));
+    return transition(state, reply(ref, 409, { kind: 'unready', text: 'no fleet stands yet' }));
   if ((call.add === undefined) === (call.remove === undefined))
-    return step(
+    return transition(
       state,
       reply(ref, 422, { kind: 'invalid', text: 'one voter is added or removed at a time' }),
     );
@@ -329,7 +335,7 @@
         ? state.member
         : state.sessions.get(call.add)?.member;
   if (call.add !== undefined && (seat === undefined || seat.role !== 'registry')) {
-    return step(
+    return transition(
       state,
       reply(ref, 409, { kind: 'unready', text: `no registry named ${call.add} is in touch` }),
     );
@@ -342,12 +348,12 @@
 };
 
 /** The store answered a call. */
-export const onCalled = (state: Registry, word: FrameOf<'called'>, now: Moment): Done => {
+export const onCalled = (state: Registry, word: FrameOf<'called'>, now: Timestamp): Done => {
   const open = state.pending.get(word.id);
-  if (open === undefined) return step(state);
+  if (open === undefined) return transition(state);
   if (word.status === 200 && readsDescription(open)) return onOfferNamed(state, open, word, now);
-  return step(
-    { ...state, pending: drop(state.pending, word.id) },
+  return transition(
+    { ...state, pending: withoutEntry(state.pending, word.id) },
     ...callers(open).map((ref) => replyText(ref, word.status, word.body)),
   );
 };
@@ -364,11 +370,11 @@
     const data = sources.find((one) => one.has(hash))?.get(hash);
     if (data !== undefined) effects.push(send(to, { kind: 'piece', hash, data }));
   }
-  return step(state, ...effects);
+  return transition(state, ...effects);
 };
 
 /** What this registry knows of the fleet by itself. */
-export const fleetView = (state: Registry, now: Moment): object => ({
+export const fleetView = (state: Registry, now: Timestamp): object => ({
   registry: state.member.node,
   fleet: state.fleet ?? null,
   inTouch: hasMajorityContact(state, now),
--- a/packages/membership/src/registry/departures.ts
+++ b/packages/membership/src/registry/departures.ts
@@ -1,4 +1,12 @@
-import { type InstanceId, type Moment, type Step, drop, join, put, step } from '@switchwheel/types';
+import {
+  type InstanceId,
+  type Timestamp,
+  type Transition,
+  withoutEntry,
+  prependEffects,
+  withEntry,
+  transition,
+} from '@switchwheel/types';
 import { type Peer, type FrameOf, send } from '@switchwheel/transport';
 import { majority } from '@switchwheel/election';
 import { learn, learnAll, rankOf, tellOrigin } from '../origins/origins.js';
@@ -6,7 +14,7 @@
 import type { Departure, Registry } from './state.js';
 import { broadcastTargets, hasMajorityContact, broadcast, sendMemberList } from './queries.js';
 
-type Done = Step<Registry, RegistryEffect>;
+type Done = Transition<Registry, RegistryEffect>;
 type Announced = Extract<Outside, { verb: 'announce' }>['origin'];
 /** How long a majority may take to confirm that an origin leaves. */
 const confirmTimeout = 700;
@@ -29,7 +37,7 @@
   state: Registry,
   instance: InstanceId,
   one: Departure,
-  now: Moment,
+  now: Timestamp,
 ): readonly RegistryEffect[] => {
   const known = state.origins.get(instance);
   const members = state.electorate?.members ?? [];
@@ -44,20 +52,20 @@
 const replyIfDurable = (state: Registry, instance: InstanceId, one: Departure): Done => {
   const whole = !one.confirmed && isDurable(state, one);
   const next: Departure = whole ? { ...one, confirmed: true, waiting: [] } : one;
-  return step(
-    { ...state, departures: put(state.departures, instance, next) },
+  return transition(
+    { ...state, departures: withEntry(state.departures, instance, next) },
     ...(whole ? one.waiting.map((row) => announcedReply(row.ref)) : []),
   );
 };
 
 /** An origin leaves or is gone: told as known only once a majority of the voters' registries took the word. */
-const recordDeparture = (state: Registry, ref: number, origin: Announced, now: Moment): Done => {
+const recordDeparture = (state: Registry, ref: number, origin: Announced, now: Timestamp): Done => {
   const before = state.departures.get(origin.instance);
   if (before !== undefined && rankOf(before.state) >= rankOf(origin.state)) {
-    if (before.confirmed) return step(state, announcedReply(ref));
-    return step({
+    if (before.confirmed) return transition(state, announcedReply(ref));
+    return transition({
       ...state,
-      departures: put(state.departures, origin.instance, {
+      departures: withEntry(state.departures, origin.instance, {
         ...before,
         waiting: [...before.waiting, { ref, since: now }],
       }),
@@ -70,16 +78,16 @@
     noted: new Set(),
     waiting: [...(before?.waiting ?? []), { ref, since: now }],
   };
-  return join(
+  return prependEffects(
     departureFrames(state, origin.instance, one, now),
     replyIfDurable(state, origin.instance, one),
   );
 };
 
 /** An origin tells of itself. */
-export const announce = (state: Registry, ref: number, origin: Announced, now: Moment): Done => {
+export const announce = (state: Registry, ref: number, origin: Announced, now: Timestamp): Done => {
   if (!hasMajorityContact(state, now)) {
-    return step(
+    return transition(
       state,
       reply(ref, 503, {
         kind: 'unready',
@@ -89,7 +97,7 @@
   }
   const known = state.origins.get(origin.instance);
   if (known !== undefined && known.state !== 'up' && origin.state === 'up') {
-    return step(
+    return transition(
       state,
       reply(ref, 409, {
         kind: 'stale',
@@ -101,8 +109,8 @@
   const next = { ...state, origins: learned.origins };
   const told = learned.news ? broadcast(next, now) : [];
   return origin.state === 'up'
-    ? step(next, ...told, announcedReply(ref))
-    : join(told, recordDeparture(next, ref, origin, now));
+    ? transition(next, ...told, announcedReply(ref))
+    : prependEffects(told, recordDeparture(next, ref, origin, now));
 };
 
 /** A peer was told that an origin leaves, and wants to know that this registry took the word. */
@@ -110,7 +118,7 @@
   state: Registry,
   from: Peer,
   word: FrameOf<'departure'>,
-  now: Moment,
+  now: Timestamp,
 ): Done => {
   const learned = learnAll(state.origins, [word.origin], now);
   const next = { ...state, origins: learned.origins };
@@ -120,7 +128,7 @@
     instance: word.origin.instance,
     state: word.origin.state,
   });
-  return step(
+  return transition(
     next,
     noted,
     ...(learned.news ? sendMemberList(next, broadcastTargets(next, now), now) : []),
@@ -130,7 +138,7 @@
 export const onDepartureAck = (state: Registry, word: FrameOf<'departure-ack'>): Done => {
   const one = state.departures.get(word.instance);
   if (one === undefined || one.confirmed || rankOf(word.state) < rankOf(one.state))
-    return step(state);
+    return transition(state);
   return replyIfDurable(state, word.instance, {
     ...one,
     noted: new Set([...one.noted, word.node]),
@@ -138,12 +146,12 @@
 };
 
 /** Lets time pass over departures: asks again, ends what took too long, forgets those of origins long forgotten. */
-export const tickDepartures = (state: Registry, now: Moment): Done => {
-  let next: Done = step(state);
+export const tickDepartures = (state: Registry, now: Timestamp): Done => {
+  let next: Done = transition(state);
   for (const [instance, one] of state.departures) {
     if (!state.origins.has(instance) && one.waiting.length === 0) {
-      next = step(
-        { ...next.state, departures: drop(next.state.departures, instance) },
+      next = transition(
+        { ...next.state, departures: withoutEntry(next.state.departures, instance) },
         ...next.effects,
       );
       continue;
@@ -163,8 +171,8 @@
         retryAfterMs: 300,
       }),
     );
-    next = step(
-      { ...next.state, departures: put(next.state.departures, instance, kept) },
+    next = transition(
+      { ...next.state, departures: withEntry(next.state.departures, instance, kept) },
       ...next.effects,
       ...told,
       ...(again ? departureFrames(state, instance, kept, now) : []),
--- a/packages/membership/src/registry/description-read.ts
+++ b/packages/membership/src/registry/description-read.ts
@@ -7,11 +7,11 @@
 import {
   type CallId,
   type Hash,
-  type Moment,
-  type Step,
-  drop,
-  put,
-  step,
+  type Timestamp,
+  type Transition,
+  withoutEntry,
+  withEntry,
+  transition,
 } from '@switchwheel/types';
 import { type FrameOf, type Offer, offer as offerSchema, send } from '@switchwheel/transport';
 import { wholeText } from '@switchwheel/configuration';
@@ -19,7 +19,7 @@
 import { primaryHolder } from './queries.js';
 import type { Pending, Registry } from './state.js';
 
-type Done = Step<Registry, RegistryEffect>;
+type Done = Transition<Registry, RegistryEffect>;
 
 /** The view of the store that names the description in force. */
 export const descriptionView = 'description';
@@ -52,12 +52,12 @@
   id: CallId,
   call: Pending,
   read: Omit<DescriptionRead, 'awaited'>,
-  now: Moment,
+  now: Timestamp,
 ): Done => {
   const texts = read.offer.pieces.flatMap((hash) => state.pieces.get(hash) ?? []);
   if (texts.length === read.offer.pieces.length)
-    return step(
-      { ...state, pending: drop(state.pending, id) },
+    return transition(
+      { ...state, pending: withoutEntry(state.pending, id) },
       replyText(call.ref, 200, replyBody(read.header, wholeText(texts))),
     );
   const hashes = read.offer.pieces
@@ -65,8 +65,8 @@
     .slice(0, maxPiecesPerRequest);
   const next: Pending = { ...call, sent: now, read: { ...read, awaited: new Set(hashes) } };
   const store = primaryHolder(state);
-  return step(
-    { ...state, pending: put(state.pending, id, next) },
+  return transition(
+    { ...state, pending: withEntry(state.pending, id, next) },
     ...(store === undefined
       ? []
       : [send(store.address, { kind: 'piece-request', node: state.member.node, hashes })]),
@@ -78,14 +78,14 @@
   state: Registry,
   call: Pending,
   word: FrameOf<'called'>,
-  now: Moment,
+  now: Timestamp,
 ): Done => {
   const named = v.safeParse(describedOffer, JSON.parse(word.body));
-  if (!named.success) return step(state);
+  if (!named.success) return transition(state);
   const { offer, ...about } = named.output;
   if (offer === null)
-    return step(
-      { ...state, pending: drop(state.pending, word.id) },
+    return transition(
+      { ...state, pending: withoutEntry(state.pending, word.id) },
       replyText(call.ref, 200, replyBody({ ...about, hash: null }, 'null')),
     );
   const header = { ...about, generation: offer.generation, hash: offer.hash };
@@ -93,7 +93,7 @@
 };
 
 /** A piece came: the reads that waited for it go on. */
-export const advanceReads = (state: Registry, hash: Hash, now: Moment): Done => {
+export const advanceReads = (state: Registry, hash: Hash, now: Timestamp): Done => {
   let next = state;
   const effects: RegistryEffect[] = [];
   for (const [id, call] of state.pending) {
@@ -102,14 +102,14 @@
     const awaited = new Set([...read.awaited].filter((one) => one !== hash));
     if (awaited.size > 0) {
       const waiting: Pending = { ...call, sent: now, read: { ...read, awaited } };
-      next = { ...next, pending: put(next.pending, id, waiting) };
+      next = { ...next, pending: withEntry(next.pending, id, waiting) };
       continue;
     }
     const done = advance(next, id, call, read, now);
     next = done.state;
     effects.push(...done.effects);
   }
-  return step(next, ...effects);
+  return transition(next, ...effects);
 };
 
 /** The pieces that reads under way still need: they stay when the description in force changes. */
--- a/packages/membership/src/registry/event.ts
+++ b/packages/membership/src/registry/event.ts
@@ -3,7 +3,7 @@
   FleetId,
   Generation,
   Hash,
-  Moment,
+  Timestamp,
   NodeId,
   Release,
   ServiceName,
@@ -49,8 +49,13 @@
 
 export type RegistryEvent =
   | WireEvent
-  | { readonly kind: 'outside'; readonly now: Moment; readonly ref: number; readonly call: Outside }
-  | { readonly kind: 'stop'; readonly now: Moment };
+  | {
+      readonly kind: 'outside';
+      readonly now: Timestamp;
+      readonly ref: number;
+      readonly call: Outside;
+    }
+  | { readonly kind: 'stop'; readonly now: Timestamp };
 
 export type RegistryEffect =
   | WireEffect
--- a/packages/membership/src/registry/fleet-view-forms.test.ts
+++ b/packages/membership/src/registry/fleet-view-forms.test.ts
@@ -1,19 +1,19 @@
 import { test } from 'node:test';
 import {
-  primary,
+  primaryLease,
   toAddress,
-  toAreaName,
+  toZoneName,
   toEpoch,
   toGeneration,
   toHash,
   toIncarnation,
   toInstanceId,
-  toMoment,
+  toTimestamp,
   toNodeId,
   toRelease,
   toSeq,
   toServiceName,
-  toSpan,
+  toDurationMs,
 } from '@switchwheel/types';
 import { jsonShape, snapshotsFor } from '@switchwheel/types/testing';
 import type { Member } from '@switchwheel/transport';
@@ -21,14 +21,14 @@
 import { newRegistry } from './state.js';
 
 const matchSnapshot = snapshotsFor(import.meta.dirname);
-const now = toMoment(5000);
+const now = toTimestamp(5000);
 const hash = toHash('a'.repeat(64));
 const place = { generation: toGeneration(4), hash };
 
 const member = (role: Member['role'], node: string): Member => ({
   node: toNodeId(node),
   role,
-  area: toAreaName('a'),
+  area: toZoneName('a'),
   address: toAddress('10.0.0.1:1'),
   door: toAddress('10.0.0.1:2'),
   admin: toAddress('10.0.0.1:3'),
@@ -62,7 +62,7 @@
     state: 'up' as const,
     area: edge.area,
     calls: toSeq(1),
-    coldMs: toSpan(0),
+    coldMs: toDurationMs(0),
     at: now,
   };
   const grant = {
@@ -72,7 +72,7 @@
     inSyncSet: [edge.node],
     until: now,
   };
-  const holder = { duty: primary, epoch: toEpoch(2), node: edge.node, address: edge.address };
+  const holder = { duty: primaryLease, epoch: toEpoch(2), node: edge.node, address: edge.address };
   const verdict = {
     service: origin.service,
     release: origin.release,
@@ -87,10 +87,10 @@
     {
       ...fresh,
       electorate: { serial: toSeq(1), members },
-      voter: { ...fresh.voter, grants: new Map([[primary, grant]]) },
+      voter: { ...fresh.voter, grants: new Map([[primaryLease, grant]]) },
       sessions: new Map([[edge.node, session]]),
       origins: new Map([[instance, origin]]),
-      holders: new Map([[primary, holder]]),
+      holders: new Map([[primaryLease, holder]]),
       feed: {
         ...fresh.feed,
         asOf: now,
--- a/packages/membership/src/registry/hint.test.ts
+++ b/packages/membership/src/registry/hint.test.ts
@@ -1,15 +1,15 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
-  type Moment,
+  type Timestamp,
   toAddress,
-  toAreaName,
+  toZoneName,
   toEpoch,
   toFleetId,
   toGeneration,
   toHash,
   toIncarnation,
-  toMoment,
+  toTimestamp,
   toNodeId,
   noSeq,
 } from '@switchwheel/types';
@@ -20,7 +20,7 @@
 const member = (role: Member['role'], node: string, port: number): Member => ({
   node: toNodeId(node),
   role,
-  area: toAreaName('a'),
+  area: toZoneName('a'),
   address: toAddress(`10.0.0.1:${port}`),
   incarnation: toIncarnation(1),
 });
@@ -32,7 +32,7 @@
 const peers = [member('registry', 'r2', 7003), member('registry', 'r3', 7004)];
 const stores = [store, member('store', 's2', 7005), member('store', 's3', 7006)];
 const inSyncSet = stores.slice(0, 2).map((one) => one.node);
-const born = toMoment(1000);
+const born = toTimestamp(1000);
 
 /** What a store's disk holds: the epoch of its metadata and a generation; none if it has no description. */
 const hint = (
@@ -45,7 +45,7 @@
   node: from.node,
   address: from.address,
   incarnation: from.incarnation,
-  at: toMoment(1),
+  at: toTimestamp(1),
   metadata: {
     fleet,
     epoch: toEpoch(epoch),
@@ -73,7 +73,7 @@
   address: one.address,
   incarnation: one.incarnation,
 });
-const hear = (state: Registry, from: Member, frame: Frame, now: Moment): Registry =>
+const hear = (state: Registry, from: Member, frame: Frame, now: Timestamp): Registry =>
   registryStep(state, { kind: 'frame', now, from: peerOf(from), frame }).state;
 
 /** A registry that heard some peers, which say that they heard it just now. */
@@ -100,12 +100,12 @@
 const withHints = (state: Registry, ...words: readonly FrameOf<'hint'>[]): Registry =>
   words.reduce((next, word) => hear(next, store, word, born), state);
 
-const offered = (state: Registry, generation: number, now: Moment): number | undefined => {
+const offered = (state: Registry, generation: number, now: Timestamp): number | undefined => {
   const frame: FrameOf<'heartbeat'> = {
     kind: 'heartbeat',
     member: edge,
     seq: noSeq,
-    at: toMoment(1),
+    at: toTimestamp(1),
     bye: false,
     held: [],
     purged: noSeq,
@@ -127,15 +127,15 @@
 
 const [first, second, spare] = stores;
 assert.ok(first !== undefined && second !== undefined && spare !== undefined);
-const soon = toMoment(1400);
+const soon = toTimestamp(1400);
 
 void test('after a full loss a node that runs nothing gets the newest confirmed, before there is a primary', () => {
   const told = withHints(inTouchWith(1), hint(first, 3, 8), hint(second, 3, 7), hint(spare, 2, 9));
-  assert.equal(offered(told, 0, toMoment(1100)), undefined, 'it listens first');
+  assert.equal(offered(told, 0, toTimestamp(1100)), undefined, 'it listens first');
   assert.equal(offered(told, 0, soon), 7, 'what each store in sync holds; not what one alone does');
   assert.equal(offered(told, 4, soon), undefined, 'one that runs something waits for the primary');
   assert.equal(
-    offered(withHints(told, { ...hint(first, 3, 2), at: toMoment(0) }), 0, soon),
+    offered(withHints(told, { ...hint(first, 3, 2), at: toTimestamp(0) }), 0, soon),
     7,
     'a word that was overtaken changes nothing',
   );
@@ -155,5 +155,5 @@
   const unheard = withHints(inTouchWith(2), ...whole, hint(spare, 4, 9, [spare.node, edge.node]));
   assert.equal(offered(unheard, 0, soon), undefined, 'a later in-sync set that did not speak');
   const old = withHints(inTouchWith(2), ...whole);
-  assert.equal(offered(old, 0, toMoment(2100)), undefined, 'words that are old');
+  assert.equal(offered(old, 0, toTimestamp(2100)), undefined, 'words that are old');
 });
--- a/packages/membership/src/registry/hints.ts
+++ b/packages/membership/src/registry/hints.ts
@@ -2,7 +2,7 @@
  * Hints: what stores say of their disks while they hear no primary. Nodes that run nothing may
  * start on them, but only where no newer description can have been confirmed.
  */
-import { type Moment, put } from '@switchwheel/types';
+import { type Timestamp, withEntry } from '@switchwheel/types';
 import type { ClusterMetadata, FrameOf, Offer } from '@switchwheel/transport';
 import { hasMajorityContact, feedAge } from './queries.js';
 import type { Registry, StoreHint } from './state.js';
@@ -16,17 +16,19 @@
 export type ProvenHint = FrameOf<'hint'> & { readonly offer: Offer };
 
 /** Keeps the newest word of each store. */
-export const learnHint = (state: Registry, word: FrameOf<'hint'>, now: Moment): Registry => {
+export const learnHint = (state: Registry, word: FrameOf<'hint'>, now: Timestamp): Registry => {
   if (state.fleet !== undefined && state.fleet !== word.metadata.fleet) return state;
   const known = state.hints.get(word.node);
   const late =
     known !== undefined &&
     (word.incarnation < known.word.incarnation ||
       (word.incarnation === known.word.incarnation && word.at < known.word.at));
-  return late ? state : { ...state, hints: put(state.hints, word.node, { word, heardAt: now }) };
+  return late
+    ? state
+    : { ...state, hints: withEntry(state.hints, word.node, { word, heardAt: now }) };
 };
 
-const freshHints = (state: Registry, now: Moment): readonly StoreHint[] =>
+const freshHints = (state: Registry, now: Timestamp): readonly StoreHint[] =>
   [...state.hints.values()].filter((one) => now - one.heardAt < hintLimit);
 
 const newestMetadata = (hints: readonly StoreHint[]): ClusterMetadata | undefined =>
@@ -44,7 +46,7 @@
  * member of the newest in-sync set has spoken. What was confirmed is on the disk of each of them,
  * so the lowest of what they hold is no older; and whoever of them is elected has it.
  */
-export const provenHint = (state: Registry, now: Moment): ProvenHint | undefined => {
+export const provenHint = (state: Registry, now: Timestamp): ProvenHint | undefined => {
   if (!state.eager || now - state.voter.born <= hintDelay || feedAge(state, now) !== undefined)
     return undefined;
   const hints = freshHints(state, now);
--- a/packages/membership/src/registry/machine.ts
+++ b/packages/membership/src/registry/machine.ts
@@ -1,16 +1,16 @@
 import {
-  type Moment,
-  type Step,
+  type Timestamp,
+  type Transition,
   countViolations,
-  earlier,
-  join,
+  subtractMs,
+  prependEffects,
   noGeneration,
   noSeq,
-  put,
-  sift,
-  step,
+  withEntry,
+  filterEntries,
+  transition,
   toCallId,
-  toMoment,
+  toTimestamp,
 } from '@switchwheel/types';
 import {
   type Peer,
@@ -51,7 +51,7 @@
   sendMemberList,
 } from './queries.js';
 
-type Done = Step<Registry, RegistryEffect>;
+type Done = Transition<Registry, RegistryEffect>;
 const gossipInterval = 300;
 const subscribeInterval = 250;
 /** How often nodes are told of the fleet without news: an origin that nobody speaks of counts as silent. */
@@ -63,7 +63,7 @@
   state: Registry,
   from: Peer,
   word: FrameOf<'vote-request'>,
-  now: Moment,
+  now: Timestamp,
 ): Done => {
   const [voter, ballot] = vote(state.voter, word, now);
   const base: Registry = {
@@ -78,11 +78,11 @@
     word.renew && !word.stepDown && ballot.granted && word.held !== undefined
       ? word.held
       : undefined;
-  if (won === undefined) return step(base, answer);
+  if (won === undefined) return transition(base, answer);
   const holders = learnHolder(base.holders, won);
-  if (holders === base.holders) return step(base, answer);
+  if (holders === base.holders) return transition(base, answer);
   const next = { ...base, holders };
-  return step(next, answer, ...broadcast(next, now));
+  return transition(next, answer, ...broadcast(next, now));
 };
 
 /** The gossip of this registry's own life that a peer shows to have. */
@@ -98,7 +98,7 @@
 const contactOf = (
   state: Registry,
   word: FrameOf<'gossip'>,
-  now: Moment,
+  now: Timestamp,
 ): PeerContact | undefined => {
   const { incarnation } = word.from;
   const known = state.peers.get(word.from.node);
@@ -110,7 +110,7 @@
     incarnation,
     sentAt: word.at,
     echoedAt: echoed ?? (sameLife ? known.echoedAt : undefined),
-    primaryAsOf: word.feedAge === undefined ? undefined : earlier(now, word.feedAge),
+    primaryAsOf: word.feedAge === undefined ? undefined : subtractMs(now, word.feedAge),
   };
 };
 
@@ -118,18 +118,18 @@
 const answerRecovering = (
   state: Registry,
   word: FrameOf<'gossip'>,
-  now: Moment,
+  now: Timestamp,
 ): readonly WireEffect[] =>
   word.recovering && !state.voter.recovering
     ? [send(word.from.address, gossipFrame(state, now))]
     : [];
 
-const onGossip = (state: Registry, word: FrameOf<'gossip'>, now: Moment): Done => {
+const onGossip = (state: Registry, word: FrameOf<'gossip'>, now: Timestamp): Done => {
   const node = word.from.node;
-  if (node === state.member.node) return step(state);
+  if (node === state.member.node) return transition(state);
   const contact = contactOf(state, word, now);
   // A gossip that was overtaken tells nothing that its sender did not tell since.
-  if (contact === undefined) return step(state);
+  if (contact === undefined) return transition(state);
   const self: KnownSession = {
     member: word.from,
     report: emptyReport(true),
@@ -140,8 +140,8 @@
   };
   let next: Registry = {
     ...state,
-    peers: put(state.peers, node, contact),
-    sessions: put(state.sessions, node, self),
+    peers: withEntry(state.peers, node, contact),
+    sessions: withEntry(state.sessions, node, self),
   };
   let news = state.sessions.get(node)?.member.address !== word.from.address;
   for (const { age, ...session } of word.sessions) {
@@ -150,15 +150,15 @@
       if (session.member.node !== state.member.node && !next.sessions.has(session.member.node)) {
         next = {
           ...next,
-          sessions: put(next.sessions, session.member.node, {
+          sessions: withEntry(next.sessions, session.member.node, {
             ...session,
-            at: toMoment(now - age - 1000),
+            at: toTimestamp(now - age - 1000),
           }),
         };
       }
       continue;
     }
-    const learned = learnSession(next, { ...session, at: earlier(now, age) });
+    const learned = learnSession(next, { ...session, at: subtractMs(now, age) });
     next = learned.state;
     news ||= learned.news;
   }
@@ -174,7 +174,7 @@
   const voter = recoverGrants(next.voter, memory, now);
   next = { ...next, origins: origins.origins, holders, voter: voter };
   // What is news here goes on to the nodes; peers hear it from whom it began with.
-  return step(
+  return transition(
     next,
     ...answerRecovering(next, word, now),
     ...(news ? sendMemberList(next, broadcastTargets(next, now), now) : []),
@@ -184,14 +184,14 @@
 const isNewerOffer = (next: Offer | undefined, known: Offer | undefined): boolean =>
   next !== undefined && next.generation > (known?.generation ?? noGeneration);
 
-const onFeed = (state: Registry, word: FrameOf<'feed'>, now: Moment): Done => {
-  if (word.epoch < state.feed.epoch) return step(state);
+const onFeed = (state: Registry, word: FrameOf<'feed'>, now: Timestamp): Done => {
+  if (word.epoch < state.feed.epoch) return transition(state);
   if (state.fleet !== undefined && state.fleet !== word.fleet)
-    return step(state, log('error', 'a feed of another fleet', ['fleet', word.fleet]));
+    return transition(state, log('error', 'a feed of another fleet', ['fleet', word.fleet]));
   const old = state.feed;
   const back = word.epoch === old.epoch && word.serial < old.latest;
-  const asOf = word.at > 0 && !back ? toMoment(Math.max(word.at, old.asOf ?? 0)) : old.asOf;
-  if (back) return step(state);
+  const asOf = word.at > 0 && !back ? toTimestamp(Math.max(word.at, old.asOf ?? 0)) : old.asOf;
+  if (back) return transition(state);
   const known = new Set(old.purges.map((one) => one.seq));
   const purges = [...old.purges, ...word.purges.filter((one) => !known.has(one.seq))].filter(
     (one) => one.seq >= word.floor,
@@ -234,7 +234,7 @@
     pieces:
       feed.current?.hash === old.current?.hash
         ? state.pieces
-        : sift(state.pieces, (_, hash) => kept.has(hash)),
+        : filterEntries(state.pieces, (_, hash) => kept.has(hash)),
   };
   const news =
     feed.latest !== old.latest ||
@@ -242,8 +242,8 @@
     feed.epoch !== old.epoch ||
     feed.current?.generation !== old.current?.generation;
   const checked = checkConfirmed(next, old.current, feed.current);
-  const told: Done = news ? pushToNodes(checked.state, old.top, now) : step(checked.state);
-  return join(checked.effects, told);
+  const told: Done = news ? pushToNodes(checked.state, old.top, now) : transition(checked.state);
+  return prependEffects(checked.effects, told);
 };
 
 /** A primary that tells of an older description than the one before has lost a confirmed order. */
@@ -253,23 +253,23 @@
   told: Offer | undefined,
 ): Done =>
   (told?.generation ?? noGeneration) >= (known?.generation ?? noGeneration)
-    ? step(state)
-    : step(
+    ? transition(state)
+    : transition(
         { ...state, violations: countViolations(state.violations, ['confirmed-kept']) },
         log('error', 'an invariant is broken', ['invariant', 'confirmed-kept']),
       );
 
 /** How far the primary may rely on this registry's vote. */
-const voterReadiness = (state: Registry, now: Moment): FrameOf<'subscribe'>['voter'] => {
+const voterReadiness = (state: Registry, now: Timestamp): FrameOf<'subscribe'>['voter'] => {
   if (state.stopping) return 'leaving';
   const abstains = now < abstainsUntil(state.voter);
   return state.voter.recovering || abstains ? 'recovering' : 'ready';
 };
 
 /** Tells the primary which nodes have their session here and what they report. */
-const subscribe = (state: Registry, now: Moment): Done => {
+const subscribe = (state: Registry, now: Timestamp): Done => {
   const store = primaryHolder(state);
-  if (store === undefined) return step(state);
+  if (store === undefined) return transition(state);
   const reports = [...state.sessions.values()]
     .filter((one) => one.registry === state.member.node && one.member.role !== 'registry')
     .map((one) => ({
@@ -279,7 +279,7 @@
       open: isAlive(one, now),
       report: one.report,
     }));
-  return step(
+  return transition(
     { ...state, subscribedAt: now },
     send(store.address, {
       kind: 'subscribe',
@@ -295,7 +295,7 @@
 };
 
 /** Proposes the fleet to its stores until one stands; not long after, as a store may come back with an empty disk. */
-const proposeCluster = (state: Registry, now: Moment): Done => {
+const proposeCluster = (state: Registry, now: Timestamp): Done => {
   const { proposal, voter: voter } = state;
   if (
     proposal === undefined ||
@@ -303,7 +303,7 @@
     now - state.proposedAt < proposeInterval ||
     now - voter.born > bootstrapWindow
   )
-    return step(state);
+    return transition(state);
   const word = {
     kind: 'bootstrap' as const,
     id: toCallId(`${proposal.fleet}.${state.member.node}`),
@@ -311,27 +311,27 @@
     stores: [...proposal.stores],
     electorate: proposal.electorate,
   };
-  return step(
+  return transition(
     { ...state, proposedAt: now },
     ...proposal.stores.map((one) => send(one.address, word)),
   );
 };
 
 /** Whether the voter's abstention has just ended: peers are asked at once for what they remember. */
-const recoversNow = (state: Registry, now: Moment): boolean =>
+const recoversNow = (state: Registry, now: Timestamp): boolean =>
   state.voter.recovering &&
   now >= abstainsUntil(state.voter) &&
   state.gossipedAt < abstainsUntil(state.voter);
 
-const onTick = (state: Registry, now: Moment): Done => {
-  let next: Done = step(state);
+const onTick = (state: Registry, now: Timestamp): Done => {
+  let next: Done = transition(state);
   if (now - state.subscribedAt >= subscribeInterval)
-    next = join(next.effects, subscribe(next.state, now));
+    next = prependEffects(next.effects, subscribe(next.state, now));
   if (now - state.gossipedAt >= gossipInterval || recoversNow(state, now)) {
     const word = gossipFrame(next.state, now);
-    next = join(
+    next = prependEffects(
       next.effects,
-      step(
+      transition(
         {
           ...forgetGone(next.state, now),
           gossipedAt: now,
@@ -346,19 +346,20 @@
     [...open].some((one) => !state.vacantDuties.has(one))
   ) {
     const fresh = [...open].some((one) => !state.vacantDuties.has(one));
-    next = step({ ...next.state, vacantDuties: open }, ...next.effects);
+    next = transition({ ...next.state, vacantDuties: open }, ...next.effects);
     // Whoever may take a duty over hears of it at once.
-    if (fresh) next = join(next.effects, pushToNodes(next.state, next.state.feed.top, now));
+    if (fresh)
+      next = prependEffects(next.effects, pushToNodes(next.state, next.state.feed.top, now));
   }
-  next = join(next.effects, proposeCluster(next.state, now));
+  next = prependEffects(next.effects, proposeCluster(next.state, now));
   if (now - state.memberListSentAt >= memberListInterval) {
     const near = [...next.state.sessions.values()].filter(
       (one) =>
         isAlive(one, now) && one.member.role !== 'registry' && one.registry === state.member.node,
     );
-    next = join(
+    next = prependEffects(
       next.effects,
-      step(
+      transition(
         { ...next.state, memberListSentAt: now },
         ...sendMemberList(
           next.state,
@@ -368,11 +369,11 @@
       ),
     );
   }
-  next = join(next.effects, tickDepartures(next.state, now));
-  return join(next.effects, tickPendingCalls(next.state, now));
+  next = prependEffects(next.effects, tickDepartures(next.state, now));
+  return prependEffects(next.effects, tickPendingCalls(next.state, now));
 };
 
-const onHint = (state: Registry, word: FrameOf<'hint'>, now: Moment): Done => {
+const onHint = (state: Registry, word: FrameOf<'hint'>, now: Timestamp): Done => {
   const noted = learnHint(state, word, now);
   if (
     !state.eager ||
@@ -380,16 +381,16 @@
     !hasMajorityContact(state, now) ||
     (state.fleet !== undefined && state.fleet !== word.metadata.fleet)
   )
-    return step(noted);
+    return transition(noted);
   const learned = learnAll(noted.origins, word.origins, now);
   const next = { ...noted, origins: learned.origins };
-  return step(
+  return transition(
     next,
     ...(learned.news ? sendMemberList(next, broadcastTargets(next, now), now) : []),
   );
 };
 
-const onFrame = (state: Registry, from: Peer, frame: Frame, now: Moment): Done => {
+const onFrame = (state: Registry, from: Peer, frame: Frame, now: Timestamp): Done => {
   switch (frame.kind) {
     case 'heartbeat':
       return onHeartbeat(state, from, frame, now);
@@ -416,7 +417,7 @@
     case 'hint':
       return onHint(state, frame, now);
     default:
-      return step(
+      return transition(
         state,
         log(
           'warn',
@@ -436,7 +437,7 @@
     case 'frame':
       return onFrame(state, event.from, event.frame, event.now);
     case 'gone':
-      return step(state);
+      return transition(state);
     case 'outside':
       return onOutside(state, event.ref, event.call, event.now);
     case 'stop':
--- a/packages/membership/src/registry/newest-offer.test.ts
+++ b/packages/membership/src/registry/newest-offer.test.ts
@@ -7,13 +7,13 @@
 import {
   noSeq,
   toAddress,
-  toAreaName,
+  toZoneName,
   toEpoch,
   toFleetId,
   toGeneration,
   toHash,
   toIncarnation,
-  toMoment,
+  toTimestamp,
   toNodeId,
   toSeq,
 } from '@switchwheel/types';
@@ -27,7 +27,7 @@
 const member = (role: Member['role'], node: string, port: number): Member => ({
   node: toNodeId(node),
   role,
-  area: toAreaName('a'),
+  area: toZoneName('a'),
   address: toAddress(`10.0.0.1:${port}`),
   incarnation: toIncarnation(1),
 });
@@ -43,7 +43,7 @@
 /** The primary's word: the newest description, and a row for the edge that names an older one. */
 const feed = (at: number, serial: number): FrameOf<'feed'> => ({
   kind: 'feed',
-  at: toMoment(at),
+  at: toTimestamp(at),
   epoch: toEpoch(1),
   serial: toSeq(serial),
   fleet: toFleetId('f1'),
@@ -61,7 +61,7 @@
   kind: 'heartbeat',
   member: edge,
   seq: toSeq(seq),
-  at: toMoment(at),
+  at: toTimestamp(at),
   bye: false,
   held: [],
   purged: noSeq,
@@ -76,14 +76,14 @@
 
 /** A registry and the answers that the edge gets from it. */
 class Conversation {
-  state: Registry = newRegistry(member('registry', 'r1', 7000), [], toMoment(900), { seed: 1 });
+  state: Registry = newRegistry(member('registry', 'r1', 7000), [], toTimestamp(900), { seed: 1 });
   readonly replies: FrameOf<'heartbeat-reply'>[] = [];
 
   hear(by: Member, frame: FrameOf<'heartbeat'> | FrameOf<'feed'>, now: number): void {
     const { node, address, incarnation } = by;
     const done = registryStep(this.state, {
       kind: 'frame',
-      now: toMoment(now),
+      now: toTimestamp(now),
       from: { node, address, incarnation },
       frame,
     });
--- a/packages/membership/src/registry/nodes.ts
+++ b/packages/membership/src/registry/nodes.ts
@@ -1,19 +1,19 @@
 import { leaseSpan } from '@switchwheel/election';
 import {
-  type Duty,
+  type LeaseName,
   type Generation,
   type Hash,
-  type Moment,
-  type Step,
-  between,
-  drop,
-  join,
-  later,
+  type Timestamp,
+  type Transition,
+  elapsedMs,
+  withoutEntry,
+  prependEffects,
+  addMs,
   noGeneration,
-  put,
-  start,
-  step,
-  toSpan,
+  withEntry,
+  clockOrigin,
+  transition,
+  toDurationMs,
 } from '@switchwheel/types';
 import {
   type Peer,
@@ -31,7 +31,7 @@
 import { provenHint } from './hints.js';
 import { servableFeedAge, primaryHolder, memberListFrame, broadcast } from './queries.js';
 
-type Done = Step<Registry, WireEffect>;
+type Done = Transition<Registry, WireEffect>;
 const firstRetryDelay = 1000;
 const longestRetryDelay = 15_000;
 const resendInterval = 400;
@@ -56,14 +56,14 @@
     known.member.incarnation !== word.member.incarnation ||
     known.member.address !== word.member.address ||
     known.member.door !== word.member.door;
-  return { state: { ...state, sessions: put(state.sessions, word.member.node, word) }, news };
+  return { state: { ...state, sessions: withEntry(state.sessions, word.member.node, word) }, news };
 };
 
-const offerFromHint = (state: Registry, known: KnownSession, now: Moment): Offer | undefined =>
+const offerFromHint = (state: Registry, known: KnownSession, now: Timestamp): Offer | undefined =>
   known.report.phase === 'none' ? provenHint(state, now)?.offer : undefined;
 
 /** What a node is to run, if this registry's word of the primary counts. */
-const desiredOffer = (state: Registry, known: KnownSession, now: Moment): Offer | undefined => {
+const desiredOffer = (state: Registry, known: KnownSession, now: Timestamp): Offer | undefined => {
   if (servableFeedAge(state, now) === undefined) return offerFromHint(state, known, now);
   const { current, currentSince, desired, offers } = state.feed;
   const row = desired.get(known.member.node);
@@ -81,7 +81,7 @@
 const reconcile = (
   state: Registry,
   known: KnownSession,
-  now: Moment,
+  now: Timestamp,
 ): { readonly state: Registry; readonly offer: Offer | undefined } => {
   const node = known.member.node;
   const offer = desiredOffer(state, known, now);
@@ -93,7 +93,9 @@
     report.hash === offer.hash
   ) {
     return {
-      state: state.offered.has(node) ? { ...state, offered: drop(state.offered, node) } : state,
+      state: state.offered.has(node)
+        ? { ...state, offered: withoutEntry(state.offered, node) }
+        : state,
       offer: undefined,
     };
   }
@@ -104,19 +106,22 @@
   const rest = failed
     ? Math.min(longestRetryDelay, firstRetryDelay * 2 ** Math.min(10, before?.tries ?? 0))
     : resendInterval;
-  if (again && now < later(before.at, rest)) return { state, offer: undefined };
+  if (again && now < addMs(before.at, rest)) return { state, offer: undefined };
   const tries = again && failed ? before.tries + 1 : 0;
   return {
-    state: { ...state, offered: put(state.offered, node, { hash: offer.hash, at: now, tries }) },
+    state: {
+      ...state,
+      offered: withEntry(state.offered, node, { hash: offer.hash, at: now, tries }),
+    },
     offer,
   };
 };
 
 /** Duties whose lease is over as far as this voter knows: it would have seen their renewals. */
-export const vacantDuties = (state: Registry, now: Moment): Duty[] => {
-  if (now < later(state.voter.born, 1.2 * leaseSpan)) return [];
+export const vacantDuties = (state: Registry, now: Timestamp): LeaseName[] => {
+  if (now < addMs(state.voter.born, 1.2 * leaseSpan)) return [];
   const duties = new Set([...state.voter.grants.keys(), ...state.holders.keys()]);
-  return [...duties].filter((duty) => (state.voter.grants.get(duty)?.until ?? start) <= now);
+  return [...duties].filter((duty) => (state.voter.grants.get(duty)?.until ?? clockOrigin) <= now);
 };
 
 /** The records of releases with what is left of their spans by now, and their digest. */
@@ -130,11 +135,11 @@
   { readonly digest: string; readonly until: number }
 >();
 
-const releaseRecords = (state: Registry, now: Moment): Records => {
+const releaseRecords = (state: Registry, now: Timestamp): Records => {
   const { releases: told, releasesAt } = state.feed;
   const releases = told.map((one) => ({
     ...one,
-    leftMs: toSpan(Math.max(0, one.leftMs - (now - releasesAt))),
+    leftMs: toDurationMs(Math.max(0, one.leftMs - (now - releasesAt))),
   }));
   const before = digests.get(told);
   if (before !== undefined && now < before.until) return { releases, digest: before.digest };
@@ -155,11 +160,11 @@
 
 const heartbeatReply = (
   state: Registry,
-  at: Moment,
+  at: Timestamp,
   purged: number,
   offer: Offer | undefined,
   releases: ReleaseState[],
-  now: Moment,
+  now: Timestamp,
 ): FrameOf<'heartbeat-reply'> => {
   const age = servableFeedAge(state, now);
   return {
@@ -171,7 +176,7 @@
     ...(age === undefined ? {} : { age }),
     ...(offer === undefined ? {} : { offer }),
     newest: newestGeneration(state),
-    newestAge: between(state.feed.currentSince, now),
+    newestAge: elapsedMs(state.feed.currentSince, now),
     purges: state.feed.purges.filter((one) => one.seq > purged),
     floor: state.feed.floor,
     top: state.feed.top,
@@ -188,7 +193,7 @@
   state: Registry,
   from: Peer,
   word: FrameOf<'heartbeat'>,
-  now: Moment,
+  now: Timestamp,
 ): Done => {
   const before = state.sessions.get(word.member.node);
   const known: KnownSession = {
@@ -221,12 +226,12 @@
     before.registry !== state.member.node ||
     before.member.incarnation !== word.member.incarnation;
   const told = first ? [send(from.address, memberListFrame(checked.state, now))] : [];
-  return step(checked.state, answer, ...told, ...(news ? broadcast(checked.state, now) : []));
+  return transition(checked.state, answer, ...told, ...(news ? broadcast(checked.state, now) : []));
 };
 
 /** Pushes to every node with a session here: after news of the primary. */
-export const pushToNodes = (state: Registry, purged: number, now: Moment): Done => {
-  let next: Done = step(state);
+export const pushToNodes = (state: Registry, purged: number, now: Timestamp): Done => {
+  let next: Done = transition(state);
   const all = releaseRecords(state, now);
   for (const known of state.sessions.values()) {
     if (
@@ -238,15 +243,15 @@
       continue;
     const checked = reconcile(next.state, known, now);
     // The time echoed is none of the node's own, so the push renews no lease; it bears news only.
-    next = join(
+    next = prependEffects(
       next.effects,
-      step(
+      transition(
         checked.state,
         send(
           known.member.address,
           heartbeatReply(
             checked.state,
-            start,
+            clockOrigin,
             purged,
             checked.offer,
             unknownReleases(all, known.releases),
@@ -264,7 +269,7 @@
   state: Registry,
   from: Peer,
   word: FrameOf<'piece-request'>,
-  now: Moment,
+  now: Timestamp,
 ): Done => {
   const effects: WireEffect[] = [];
   let wanted = state.wanted;
@@ -276,9 +281,9 @@
       effects.push(send(from.address, { kind: 'piece', hash, data }));
       continue;
     }
-    wanted = put(wanted, hash, new Set([...(wanted.get(hash) ?? []), from.address]));
+    wanted = withEntry(wanted, hash, new Set([...(wanted.get(hash) ?? []), from.address]));
     if (now - (asked.get(hash) ?? -Infinity) > resendInterval) {
-      asked = put(asked, hash, now);
+      asked = withEntry(asked, hash, now);
       missing.push(hash);
     }
   }
@@ -287,22 +292,22 @@
     effects.push(
       send(store.address, { kind: 'piece-request', node: state.member.node, hashes: missing }),
     );
-  return step({ ...state, wanted, asked }, ...effects);
+  return transition({ ...state, wanted, asked }, ...effects);
 };
 
 export const onPiece = (
   state: Registry,
   word: FrameOf<'piece'>,
-  now: Moment,
-): Step<Registry, RegistryEffect> => {
+  now: Timestamp,
+): Transition<Registry, RegistryEffect> => {
   const waiting = [...(state.wanted.get(word.hash) ?? [])];
   const next: Registry = {
     ...state,
-    pieces: put(state.pieces, word.hash, word.data),
-    wanted: drop(state.wanted, word.hash),
-    asked: drop(state.asked, word.hash),
+    pieces: withEntry(state.pieces, word.hash, word.data),
+    wanted: withoutEntry(state.wanted, word.hash),
+    asked: withoutEntry(state.asked, word.hash),
   };
-  return join(
+  return prependEffects(
     waiting.map((to) => send(to, word)),
     advanceReads(next, word.hash, now),
   );
--- a/packages/membership/src/registry/queries.ts
+++ b/packages/membership/src/registry/queries.ts
@@ -1,10 +1,10 @@
 import {
   type Address,
-  type Moment,
-  between,
+  type Timestamp,
+  elapsedMs,
   noGeneration,
-  primary,
-  toSpan,
+  primaryLease,
+  toDurationMs,
 } from '@switchwheel/types';
 import {
   type Electorate,
@@ -25,7 +25,7 @@
 /** How old a registry's word of the primary may be to count. */
 export const freshnessLimit = 1200;
 
-export const isAlive = (one: KnownSession, now: Moment): boolean =>
+export const isAlive = (one: KnownSession, now: Timestamp): boolean =>
   one.open && now - one.at < sessionTimeout;
 
 export const emptyReport = (ready: boolean): Report => ({
@@ -35,22 +35,22 @@
   health: { name: 'process', healthy: true, text: '', parts: [] },
 });
 
-const sessionRecord = (one: KnownSession, now: Moment): Session => ({
+const sessionRecord = (one: KnownSession, now: Timestamp): Session => ({
   member: one.member,
   report: one.report,
   registry: one.registry,
   seq: one.seq,
-  age: between(one.at, now),
+  age: elapsedMs(one.at, now),
   open: one.open,
 });
 
 /** Every node in touch, this registry and its peers among them. */
-export const members = (state: Registry, now: Moment): Member[] => [
+export const members = (state: Registry, now: Timestamp): Member[] => [
   state.member,
   ...[...state.sessions.values()].filter((one) => isAlive(one, now)).map((one) => one.member),
 ];
 
-export const peerAddresses = (state: Registry, now: Moment): readonly Address[] => {
+export const peerAddresses = (state: Registry, now: Timestamp): readonly Address[] => {
   const known = [...state.sessions.values()]
     .filter((one) => one.member.role === 'registry' && now - one.at < 60_000)
     .map((one) => one.member.address);
@@ -67,7 +67,7 @@
  */
 export const hasMajorityContact = (
   state: Registry,
-  now: Moment,
+  now: Timestamp,
   limit = freshnessLimit,
 ): boolean => {
   const set: Electorate | undefined = state.electorate;
@@ -91,12 +91,12 @@
   );
 };
 
-const feedAgeField = (state: Registry, now: Moment): Pick<FrameOf<'gossip'>, 'feedAge'> => {
+const feedAgeField = (state: Registry, now: Timestamp): Pick<FrameOf<'gossip'>, 'feedAge'> => {
   const age = feedAge(state, now);
   return age === undefined ? {} : { feedAge: age };
 };
 
-export const gossipFrame = (state: Registry, now: Moment): FrameOf<'gossip'> => ({
+export const gossipFrame = (state: Registry, now: Timestamp): FrameOf<'gossip'> => ({
   kind: 'gossip',
   from: state.member,
   full: true,
@@ -116,7 +116,7 @@
   ...feedAgeField(state, now),
 });
 
-export const memberListFrame = (state: Registry, now: Moment): FrameOf<'member-list'> => ({
+export const memberListFrame = (state: Registry, now: Timestamp): FrameOf<'member-list'> => ({
   kind: 'member-list',
   members: members(state, now),
   origins: tellOrigins(state.origins, now),
@@ -124,7 +124,7 @@
 });
 
 /** The nodes that news goes to at once: those with a session here, and every shield. */
-export const broadcastTargets = (state: Registry, now: Moment): readonly Address[] =>
+export const broadcastTargets = (state: Registry, now: Timestamp): readonly Address[] =>
   [...state.sessions.values()]
     .filter(
       (one) =>
@@ -138,13 +138,13 @@
 export const sendMemberList = (
   state: Registry,
   to: readonly Address[],
-  now: Moment,
+  now: Timestamp,
 ): readonly WireEffect[] => {
   const word = memberListFrame(state, now);
   return to.map((one) => send(one, word));
 };
 
-export const broadcast = (state: Registry, now: Moment): readonly WireEffect[] => {
+export const broadcast = (state: Registry, now: Timestamp): readonly WireEffect[] => {
   const inner = gossipFrame(state, now);
   return [
     ...sendMemberList(state, broadcastTargets(state, now), now),
@@ -152,15 +152,19 @@
   ];
 };
 
-export const primaryHolder = (state: Registry): Holder | undefined => state.holders.get(primary);
+export const primaryHolder = (state: Registry): Holder | undefined =>
+  state.holders.get(primaryLease);
 
 /** How old this registry's word of the primary is, where it may be handed out: only in touch with the majority. */
-export const servableFeedAge = (state: Registry, now: Moment): ReturnType<typeof feedAge> =>
+export const servableFeedAge = (state: Registry, now: Timestamp): ReturnType<typeof feedAge> =>
   hasMajorityContact(state, now) ? feedAge(state, now) : undefined;
 
-export const feedAge = (state: Registry, now: Moment): ReturnType<typeof toSpan> | undefined => {
+export const feedAge = (
+  state: Registry,
+  now: Timestamp,
+): ReturnType<typeof toDurationMs> | undefined => {
   const asOf = state.feed.asOf;
   if (asOf === undefined) return undefined;
   const age = now - asOf;
-  return age < freshnessLimit ? toSpan(age) : undefined;
+  return age < freshnessLimit ? toDurationMs(age) : undefined;
 };
--- a/packages/membership/src/registry/releases.test.ts
+++ b/packages/membership/src/registry/releases.test.ts
@@ -1,20 +1,20 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
-  type Moment,
+  type Timestamp,
   noSeq,
   toAddress,
-  toAreaName,
+  toZoneName,
   toEpoch,
   toFleetId,
   toGeneration,
   toIncarnation,
-  toMoment,
+  toTimestamp,
   toNodeId,
   toRelease,
   toSeq,
   toServiceName,
-  toSpan,
+  toDurationMs,
 } from '@switchwheel/types';
 import type { FrameOf, Member, ReleaseState } from '@switchwheel/transport';
 import { releasesDigest } from '../releases/digest.js';
@@ -24,7 +24,7 @@
 const member = (role: Member['role'], node: string, port: number): Member => ({
   node: toNodeId(node),
   role,
-  area: toAreaName('a'),
+  area: toZoneName('a'),
   address: toAddress(`10.0.0.1:${port}`),
   incarnation: toIncarnation(1),
 });
@@ -43,7 +43,7 @@
   phase: 'none',
   share: 0,
   shares: [],
-  leftMs: toSpan(0),
+  leftMs: toDurationMs(0),
   order: noSeq,
   serial: toSeq(1),
   ...change,
@@ -51,7 +51,7 @@
 const moving = record('clips', {
   target: toRelease('r2'),
   phase: 'trial',
-  leftMs: toSpan(5000),
+  leftMs: toDurationMs(5000),
   order: toSeq(1),
   serial: toSeq(2),
 });
@@ -59,7 +59,7 @@
 
 const feed = (releases: ReleaseState[], serial = 1, top = 0): FrameOf<'feed'> => ({
   kind: 'feed',
-  at: toMoment(1),
+  at: toTimestamp(1),
   epoch: toEpoch(1),
   serial: toSeq(serial),
   fleet: toFleetId('f1'),
@@ -80,7 +80,7 @@
   kind: 'heartbeat',
   member: edge,
   seq: toSeq(seq),
-  at: toMoment(1),
+  at: toTimestamp(1),
   bye: false,
   held: [],
   purged: noSeq,
@@ -104,7 +104,7 @@
   frame: FrameOf<'heartbeat'> | FrameOf<'feed'>,
   now: number,
 ): Told => {
-  const at: Moment = toMoment(now);
+  const at: Timestamp = toTimestamp(now);
   const done = registryStep(state, { kind: 'frame', now: at, from: from(by), frame });
   const heard = done.effects.flatMap((one) =>
     one.kind === 'send' && one.to === edge.address && one.frame.kind === 'heartbeat-reply'
@@ -115,7 +115,7 @@
 };
 const fresh = (releases: ReleaseState[]): Registry =>
   act(
-    newRegistry(member('registry', 'r1', 7000), [], toMoment(900), { seed: 1 }),
+    newRegistry(member('registry', 'r1', 7000), [], toTimestamp(900), { seed: 1 }),
     store,
     feed(releases),
     1000,
@@ -157,7 +157,7 @@
     ['clips', 'acts'],
     'over, and the node does not know',
   );
-  const over = releasesDigest([{ ...good, leftMs: toSpan(0) }, record('acts')]);
+  const over = releasesDigest([{ ...good, leftMs: toDurationMs(0) }, record('acts')]);
   assert.deepEqual(
     act(judged, edge, heartbeat(1, over), 6500).services,
     [],
--- a/packages/membership/src/registry/state.ts
+++ b/packages/membership/src/registry/state.ts
@@ -1,22 +1,22 @@
 import {
   type Address,
   type CallId,
-  type Dice,
-  type Duty,
+  type RandomState,
+  type LeaseName,
   type Epoch,
   type FleetId,
   type Generation,
   type Hash,
   type Incarnation,
   type InstanceId,
-  type Moment,
+  type Timestamp,
   type NodeId,
   type Seq,
   type Violations,
   noEpoch,
   noSeq,
   noViolations,
-  start,
+  clockOrigin,
 } from '@switchwheel/types';
 import type {
   Electorate,
@@ -40,7 +40,7 @@
   readonly report: Report;
   readonly registry: NodeId;
   readonly seq: Seq;
-  readonly at: Moment;
+  readonly at: Timestamp;
   readonly open: boolean;
   /** The digest of the records of releases that it said it knows. */
   readonly releases?: string | undefined;
@@ -52,7 +52,7 @@
   /** The write as of which the desired state here is whole, and the last one that was told of. */
   readonly serial: Seq;
   readonly latest: Seq;
-  readonly asOf: Moment | undefined;
+  readonly asOf: Timestamp | undefined;
   readonly desired: ReadonlyMap<
     NodeId,
     { readonly generation: Generation; readonly hash: Hash; readonly failed?: Hash | undefined }
@@ -60,14 +60,14 @@
   readonly offers: ReadonlyMap<Hash, Offer>;
   readonly current: Offer | undefined;
   /** When the current offer was first heard of here. */
-  readonly currentSince: Moment;
+  readonly currentSince: Timestamp;
   readonly purges: readonly Purge[];
   readonly floor: Seq;
   readonly top: Seq;
   readonly verdicts: readonly Verdict[];
   readonly releases: readonly ReleaseState[];
   /** When the releases were told: their spans run on from there. */
-  readonly releasesAt: Moment;
+  readonly releasesAt: Timestamp;
 }
 export const noFeed: Feed = {
   epoch: noEpoch,
@@ -77,13 +77,13 @@
   desired: new Map(),
   offers: new Map(),
   current: undefined,
-  currentSince: start,
+  currentSince: clockOrigin,
   purges: [],
   floor: noSeq,
   top: noSeq,
   verdicts: [],
   releases: [],
-  releasesAt: start,
+  releasesAt: clockOrigin,
 };
 
 /** An outside call that waits for the store. */
@@ -91,9 +91,9 @@
   readonly ref: number;
   /** The same order, sent again here while it is under way: answered as the first one is. */
   readonly repeats: readonly number[];
-  readonly since: Moment;
+  readonly since: Timestamp;
   readonly span: number;
-  readonly sent: Moment | undefined;
+  readonly sent: Timestamp | undefined;
   readonly verb: 'apply' | 'purge' | 'ask' | 'view' | 'electorate' | 'release';
   readonly body: string;
   readonly base: Generation | undefined;
@@ -106,15 +106,15 @@
 export interface Departure {
   readonly state: Origin['state'];
   readonly confirmed: boolean;
-  readonly sent: Moment;
+  readonly sent: Timestamp;
   readonly noted: ReadonlySet<NodeId>;
-  readonly waiting: readonly { readonly ref: number; readonly since: Moment }[];
+  readonly waiting: readonly { readonly ref: number; readonly since: Timestamp }[];
 }
 
 /** A founding under way: the stores that agreed so far. */
 export interface BootstrapInProgress {
   readonly ref: number;
-  readonly since: Moment;
+  readonly since: Timestamp;
   readonly stores: readonly NodeId[];
   readonly voters: readonly NodeId[];
   readonly agreed: ReadonlySet<NodeId>;
@@ -131,23 +131,23 @@
 export interface PeerContact {
   readonly incarnation: Incarnation;
   /** When the newest gossip of the peer was sent, by the peer's clock. */
-  readonly sentAt: Moment;
+  readonly sentAt: Timestamp;
   /** When this registry sent the newest gossip that the peer is known to have. */
-  readonly echoedAt: Moment | undefined;
+  readonly echoedAt: Timestamp | undefined;
   /** As of when the peer is known to have heard the primary. */
-  readonly primaryAsOf: Moment | undefined;
+  readonly primaryAsOf: Timestamp | undefined;
 }
 
 /** What a store said of its disk, and when it was heard. */
 export interface StoreHint {
   readonly word: FrameOf<'hint'>;
-  readonly heardAt: Moment;
+  readonly heardAt: Timestamp;
 }
 
 export interface Registry {
   readonly member: Member;
   readonly proposal: ClusterProposal | undefined;
-  readonly proposedAt: Moment;
+  readonly proposedAt: Timestamp;
   /** Whether a node that runs nothing gets the newest that any disk is known to hold, while no primary is heard of. */
   readonly eager: boolean;
   readonly hints: ReadonlyMap<NodeId, StoreHint>;
@@ -155,43 +155,43 @@
   readonly voter: Voter;
   readonly sessions: ReadonlyMap<NodeId, KnownSession>;
   readonly origins: Origins;
-  readonly holders: ReadonlyMap<Duty, Holder>;
+  readonly holders: ReadonlyMap<LeaseName, Holder>;
   readonly peers: ReadonlyMap<NodeId, PeerContact>;
   readonly feed: Feed;
   readonly electorate: Electorate | undefined;
   readonly fleet: FleetId | undefined;
   readonly pieces: ReadonlyMap<Hash, string>;
   readonly wanted: ReadonlyMap<Hash, ReadonlySet<Address>>;
-  readonly asked: ReadonlyMap<Hash, Moment>;
+  readonly asked: ReadonlyMap<Hash, Timestamp>;
   readonly offered: ReadonlyMap<
     NodeId,
-    { readonly hash: Hash; readonly at: Moment; readonly tries: number }
+    { readonly hash: Hash; readonly at: Timestamp; readonly tries: number }
   >;
   readonly pending: ReadonlyMap<CallId, Pending>;
   readonly bootstraps: ReadonlyMap<CallId, BootstrapInProgress>;
   readonly departures: ReadonlyMap<InstanceId, Departure>;
-  readonly gossipedAt: Moment;
-  readonly subscribedAt: Moment;
+  readonly gossipedAt: Timestamp;
+  readonly subscribedAt: Timestamp;
   /** When the nodes with a session here were last told of the whole fleet. */
-  readonly memberListSentAt: Moment;
+  readonly memberListSentAt: Timestamp;
   /** Duties that were vacant at the last look. */
-  readonly vacantDuties: ReadonlySet<Duty>;
+  readonly vacantDuties: ReadonlySet<LeaseName>;
   readonly stopping: boolean;
   /** How often each invariant was found broken here. */
   readonly violations: Violations;
-  readonly dice: Dice;
+  readonly dice: RandomState;
 }
 
 export const newRegistry = (
   member: Member,
   seeds: readonly Address[],
-  now: Moment,
-  dice: Dice,
+  now: Timestamp,
+  dice: RandomState,
   proposal?: ClusterProposal,
   eager = false,
 ): Registry => ({
   proposal,
-  proposedAt: start,
+  proposedAt: clockOrigin,
   eager,
   hints: new Map(),
   member,
@@ -211,9 +211,9 @@
   pending: new Map(),
   bootstraps: new Map(),
   departures: new Map(),
-  gossipedAt: start,
-  subscribedAt: start,
-  memberListSentAt: start,
+  gossipedAt: clockOrigin,
+  subscribedAt: clockOrigin,
+  memberListSentAt: clockOrigin,
   vacantDuties: new Set(),
   stopping: false,
   violations: noViolations,
--- a/packages/membership/src/session/node-session.ts
+++ b/packages/membership/src/session/node-session.ts
@@ -1,21 +1,21 @@
 import {
   type Address,
-  type Dice,
-  type Duty,
+  type RandomState,
+  type LeaseName,
   type Epoch,
   type FleetId,
-  type Moment,
+  type Timestamp,
   type Seq,
-  type Step,
-  join,
+  type Transition,
+  prependEffects,
   nextSeq,
   noEpoch,
   noSeq,
-  put,
-  roll,
-  start,
-  step,
-  toMoment,
+  withEntry,
+  nextRandom,
+  clockOrigin,
+  transition,
+  toTimestamp,
 } from '@switchwheel/types';
 import {
   type Peer,
@@ -43,10 +43,10 @@
 
 interface RegistryLink {
   readonly address: Address;
-  readonly since: Moment;
-  readonly heard: Moment | undefined;
+  readonly since: Timestamp;
+  readonly heard: Timestamp | undefined;
   /** Since when it has no fresh word of the primary. */
-  readonly staleSince: Moment | undefined;
+  readonly staleSince: Timestamp | undefined;
 }
 
 /** A node's side of its session, and what it learned of the fleet through it. */
@@ -54,33 +54,33 @@
   readonly member: Member;
   readonly seeds: readonly Address[];
   readonly registryLink: RegistryLink | undefined;
-  readonly heartbeatSentAt: Moment;
+  readonly heartbeatSentAt: Timestamp;
   /** When other registries than its own were last asked, and which of them is the next. */
-  readonly probedAt: Moment;
+  readonly probedAt: Timestamp;
   readonly probeNext: number;
   /** When any registry was last heard: a session outlives the change of its registry. */
-  readonly registryHeardAt: Moment;
+  readonly registryHeardAt: Timestamp;
   readonly seq: Seq;
   readonly members: readonly Member[];
   readonly origins: Origins;
-  readonly holders: ReadonlyMap<Duty, Holder>;
+  readonly holders: ReadonlyMap<LeaseName, Holder>;
   readonly electorate: Electorate | undefined;
   readonly fleet: FleetId | undefined;
-  readonly dice: Dice;
+  readonly dice: RandomState;
 }
 
 export const newNodeSession = (
   member: Member,
   seeds: readonly Address[],
-  dice: Dice,
+  dice: RandomState,
 ): NodeSession => ({
   member,
   seeds,
   registryLink: undefined,
-  heartbeatSentAt: start,
-  probedAt: toMoment(-probeInterval),
+  heartbeatSentAt: clockOrigin,
+  probedAt: toTimestamp(-probeInterval),
   probeNext: 0,
-  registryHeardAt: start,
+  registryHeardAt: clockOrigin,
   seq: noSeq,
   members: [],
   origins: new Map(),
@@ -98,12 +98,12 @@
   return [...new Set([...known, ...nodeSession.seeds])];
 };
 
-const switchRegistry = (nodeSession: NodeSession, now: Moment): NodeSession => {
+const switchRegistry = (nodeSession: NodeSession, now: Timestamp): NodeSession => {
   const others = knownRegistries(nodeSession).filter(
     (one) => one !== nodeSession.registryLink?.address,
   );
   const pool = others.length > 0 ? others : knownRegistries(nodeSession);
-  const [chance, dice] = roll(nodeSession.dice);
+  const [chance, dice] = nextRandom(nodeSession.dice);
   const address = pool[Math.floor(chance * pool.length)];
   return {
     ...nodeSession,
@@ -115,21 +115,21 @@
   };
 };
 
-const isSilent = (registryLink: RegistryLink, now: Moment): boolean =>
+const isSilent = (registryLink: RegistryLink, now: Timestamp): boolean =>
   now - (registryLink.heard ?? registryLink.since) > registryTimeout;
 
 /** Whether this registry has been without word of the primary for too long, and there is another one to go to. */
-const isStale = (nodeSession: NodeSession, registryLink: RegistryLink, now: Moment): boolean =>
+const isStale = (nodeSession: NodeSession, registryLink: RegistryLink, now: Timestamp): boolean =>
   registryLink.staleSince !== undefined &&
   now - registryLink.staleSince > staleTimeout &&
   now - registryLink.since >= staleTimeout &&
   knownRegistries(nodeSession).some((one) => one !== registryLink.address);
 
 /** Whether the session stands. */
-export const isConnected = (nodeSession: NodeSession, now: Moment): boolean =>
-  nodeSession.registryHeardAt > start && now - nodeSession.registryHeardAt < sessionTimeout;
+export const isConnected = (nodeSession: NodeSession, now: Timestamp): boolean =>
+  nodeSession.registryHeardAt > clockOrigin && now - nodeSession.registryHeardAt < sessionTimeout;
 
-export const highestEpoch = (nodeSession: NodeSession, duty: Duty): Epoch =>
+export const highestEpoch = (nodeSession: NodeSession, duty: LeaseName): Epoch =>
   nodeSession.holders.get(duty)?.epoch ?? noEpoch;
 
 /** What a node adds to its word of itself. */
@@ -146,10 +146,10 @@
   nodeSession: NodeSession,
   address: Address,
   words: HeartbeatContent,
-  now: Moment,
-): Step<NodeSession, WireEffect> => {
+  now: Timestamp,
+): Transition<NodeSession, WireEffect> => {
   const seq = nextSeq(nodeSession.seq);
-  return step(
+  return transition(
     { ...nodeSession, seq },
     send(address, {
       kind: 'heartbeat',
@@ -169,10 +169,10 @@
 export const sendHeartbeat = (
   nodeSession: NodeSession,
   words: HeartbeatContent,
-  now: Moment,
-): Step<NodeSession, WireEffect> =>
+  now: Timestamp,
+): Transition<NodeSession, WireEffect> =>
   nodeSession.registryLink === undefined
-    ? step(nodeSession)
+    ? transition(nodeSession)
     : heartbeatTo(
         { ...nodeSession, heartbeatSentAt: now },
         nodeSession.registryLink.address,
@@ -181,7 +181,7 @@
       );
 
 /** Whether this node's registry has a fresh word of the primary, as far as its last answer tells. */
-const followsPrimary = (nodeSession: NodeSession, now: Moment): boolean => {
+const followsPrimary = (nodeSession: NodeSession, now: Timestamp): boolean => {
   const link = nodeSession.registryLink;
   return (
     link?.heard !== undefined && link.staleSince === undefined && now - link.heard < registryTimeout
@@ -195,10 +195,10 @@
 const probe = (
   nodeSession: NodeSession,
   words: HeartbeatContent,
-  now: Moment,
-): Step<NodeSession, WireEffect> => {
+  now: Timestamp,
+): Transition<NodeSession, WireEffect> => {
   if (followsPrimary(nodeSession, now) || now - nodeSession.probedAt < probeInterval)
-    return step(nodeSession);
+    return transition(nodeSession);
   const others = knownRegistries(nodeSession).filter(
     (one) => one !== nodeSession.registryLink?.address,
   );
@@ -207,7 +207,7 @@
     { length: width },
     (_, at) => (nodeSession.probeNext + at) % others.length,
   );
-  let next: Step<NodeSession, WireEffect> = step({
+  let next: Transition<NodeSession, WireEffect> = transition({
     ...nodeSession,
     probedAt: now,
     probeNext: nodeSession.probeNext + width,
@@ -215,7 +215,7 @@
   for (const at of chosen) {
     const address = others[at];
     if (address === undefined) continue;
-    next = join(next.effects, heartbeatTo(next.state, address, words, now));
+    next = prependEffects(next.effects, heartbeatTo(next.state, address, words, now));
   }
   return next;
 };
@@ -224,18 +224,18 @@
 export const tickSession = (
   nodeSession: NodeSession,
   words: HeartbeatContent,
-  now: Moment,
-): Step<NodeSession, WireEffect> => {
+  now: Timestamp,
+): Transition<NodeSession, WireEffect> => {
   const spoken = tickOwnRegistry(nodeSession, words, now);
-  return join(spoken.effects, probe(spoken.state, words, now));
+  return prependEffects(spoken.effects, probe(spoken.state, words, now));
 };
 
 /** Heartbeats when it is due, goes to another registry when this one is silent or knows nothing new. */
 const tickOwnRegistry = (
   nodeSession: NodeSession,
   words: HeartbeatContent,
-  now: Moment,
-): Step<NodeSession, WireEffect> => {
+  now: Timestamp,
+): Transition<NodeSession, WireEffect> => {
   if (nodeSession.registryLink === undefined || isSilent(nodeSession.registryLink, now)) {
     const lost =
       nodeSession.registryLink?.heard === undefined
@@ -247,30 +247,32 @@
             ]),
           ];
     const moved = switchRegistry(nodeSession, now);
-    return join(lost, sendHeartbeat(moved, words, now));
+    return prependEffects(lost, sendHeartbeat(moved, words, now));
   }
   // The session stands meanwhile: the next registry takes it on where this one had it.
   if (isStale(nodeSession, nodeSession.registryLink, now))
     return sendHeartbeat(switchRegistry(nodeSession, now), words, now);
   return now - nodeSession.heartbeatSentAt >= heartbeatInterval
     ? sendHeartbeat(nodeSession, words, now)
-    : step(nodeSession);
+    : transition(nodeSession);
 };
 
 /** A channel ended: if it was the registry's, another one is sought at once. */
 export const onRegistryLost = (
   nodeSession: NodeSession,
   address: Address,
-  now: Moment,
+  now: Timestamp,
 ): NodeSession =>
   nodeSession.registryLink?.address === address ? switchRegistry(nodeSession, now) : nodeSession;
 
 export const learnHolder = (
-  holders: ReadonlyMap<Duty, Holder>,
+  holders: ReadonlyMap<LeaseName, Holder>,
   word: Holder,
-): ReadonlyMap<Duty, Holder> => {
+): ReadonlyMap<LeaseName, Holder> => {
   const known = holders.get(word.duty);
-  return known !== undefined && known.epoch >= word.epoch ? holders : put(holders, word.duty, word);
+  return known !== undefined && known.epoch >= word.epoch
+    ? holders
+    : withEntry(holders, word.duty, word);
 };
 
 /** Takes in what a registry tells of the fleet. */
@@ -278,7 +280,7 @@
   nodeSession: NodeSession,
   from: Peer,
   word: FrameOf<'member-list'>,
-  now: Moment,
+  now: Timestamp,
 ): NodeSession => {
   const mine = nodeSession.registryLink?.address === from.address;
   return {
@@ -297,12 +299,13 @@
   nodeSession: NodeSession,
   from: Peer,
   word: FrameOf<'heartbeat-reply'>,
-  now: Moment,
+  now: Timestamp,
 ): RegistryLink | undefined => {
   const link = nodeSession.registryLink;
   if (link?.address === from.address) return link;
   // A push answers no heartbeat; it may come from a registry that this node left.
-  const better = word.age !== undefined && word.at > start && !followsPrimary(nodeSession, now);
+  const better =
+    word.age !== undefined && word.at > clockOrigin && !followsPrimary(nodeSession, now);
   return better
     ? { address: from.address, since: now, heard: now, staleSince: undefined }
     : undefined;
@@ -313,7 +316,7 @@
   nodeSession: NodeSession,
   from: Peer,
   word: FrameOf<'heartbeat-reply'>,
-  now: Moment,
+  now: Timestamp,
 ): NodeSession => {
   const link = linkFor(nodeSession, from, word, now);
   if (link === undefined) return nodeSession;
--- a/packages/model-checker/src/cluster/invariants.ts
+++ b/packages/model-checker/src/cluster/invariants.ts
@@ -1,4 +1,4 @@
-import { type Moment, type NodeId, noGeneration } from '@switchwheel/types';
+import { type Timestamp, type NodeId, noGeneration } from '@switchwheel/types';
 import type { Electorate } from '@switchwheel/transport';
 import { heldEpoch, holdsLease } from '@switchwheel/election';
 import { type DiskWrite, type Store, isPrimary } from '@switchwheel/replicated-store';
@@ -93,7 +93,7 @@
 
   /** Checks leases and the state that a primary serves, after any event. */
   onStores(
-    stores: readonly { readonly store: Store; readonly clock: Moment; readonly node: NodeId }[],
+    stores: readonly { readonly store: Store; readonly clock: Timestamp; readonly node: NodeId }[],
     at: number,
   ): void {
     const holders = stores.filter((one) => holdsLease(one.store.candidate, one.clock));
--- a/packages/model-checker/src/cluster/machine.ts
+++ b/packages/model-checker/src/cluster/machine.ts
@@ -1,11 +1,11 @@
 import {
   type Address,
-  type Moment,
+  type Timestamp,
   noSeq,
-  toAreaName,
+  toZoneName,
   toFleetId,
   toIncarnation,
-  toMoment,
+  toTimestamp,
 } from '@switchwheel/types';
 import type { Member, Peer } from '@switchwheel/transport';
 import { type ClusterProposal, type Registry, newRegistry } from '@switchwheel/membership';
@@ -53,13 +53,13 @@
 });
 
 /** A machine's own clock at a moment of true time. */
-export const clockOf = (machine: Machine, at: number): Moment =>
-  toMoment(machine.clockOffset + at * machine.clockRate);
+export const clockOf = (machine: Machine, at: number): Timestamp =>
+  toTimestamp(machine.clockOffset + at * machine.clockRate);
 
 const memberOf = (machine: Machine, role: Role): Member => ({
   node: nodeOf({ machine: machine.index, role }),
   role,
-  area: toAreaName(`zone-${machine.index}`),
+  area: toZoneName(`zone-${machine.index}`),
   address: addressOf({ machine: machine.index, role }),
   incarnation: toIncarnation(machine.life),
 });
--- a/packages/model-checker/src/cluster/simulation.ts
+++ b/packages/model-checker/src/cluster/simulation.ts
@@ -1,4 +1,4 @@
-import { type NodeId, toMoment } from '@switchwheel/types';
+import { type NodeId, toTimestamp } from '@switchwheel/types';
 import type { Frame, Peer, WireEffect, WireEvent } from '@switchwheel/transport';
 import {
   type DiskWrite,
@@ -56,7 +56,7 @@
       readonly kind: 'store event';
       readonly machine: number;
       readonly life: number;
-      readonly event: (now: ReturnType<typeof toMoment>) => StoreEvent;
+      readonly event: (now: ReturnType<typeof toTimestamp>) => StoreEvent;
     }
   | {
       readonly kind: 'call';
--- a/packages/model-checker/src/explore/chooser.ts
+++ b/packages/model-checker/src/explore/chooser.ts
@@ -1,8 +1,8 @@
-import { type Dice, roll } from '@switchwheel/types';
+import { type RandomState, nextRandom } from '@switchwheel/types';
 
 /** Random choices from one seed. */
 export class Chooser {
-  #dice: Dice;
+  #dice: RandomState;
 
   constructor(seed: number) {
     this.#dice = { seed: Math.imul(seed + 1, 0x9e3779b1) >>> 0 };
@@ -10,7 +10,7 @@
 
   /** From 0 up to 1. */
   number(): number {
-    const [value, dice] = roll(this.#dice);
+    const [value, dice] = nextRandom(this.#dice);
     this.#dice = dice;
     return value;
   }
--- a/packages/model-checker/src/seeded-bugs/list.ts
+++ b/packages/model-checker/src/seeded-bugs/list.ts
@@ -90,7 +90,7 @@
     name: 'only stores in sync are elected',
     rule: 'a primary has every confirmed write',
     file: voter,
-    from: 'if (ballot.duty === primary && !mine.inSyncSet.includes(ballot.node))',
+    from: 'if (ballot.duty === primaryLease && !mine.inSyncSet.includes(ballot.node))',
     to: 'if (false)',
   },
   {
@@ -104,8 +104,8 @@
     name: 'the backup has it before the answer',
     rule: 'in-sync members hold a confirmed write',
     file: write,
-    from: 'const whole = unconfirmedBackups(state, next).length === 0; if (whole) return join(',
-    to: 'if (true) return join(',
+    from: 'const whole = unconfirmedBackups(state, next).length === 0; if (whole) return prependEffects(',
+    to: 'if (true) return prependEffects(',
   },
   {
     name: 'every backup in sync has it before the answer',
@@ -118,8 +118,8 @@
     name: 'the own disk has it before the answer',
     rule: 'in-sync members hold a confirmed write',
     file: write,
-    from: 'return step({ ...next, primaryWrite, nextId: state.nextId + 1 }, ...told, diskWrite(primaryWrite.id, primaryWrite.metadata, stamp, puts));',
-    to: 'return join([...told, diskWrite(primaryWrite.id, primaryWrite.metadata, stamp, puts)], commitWrite({ ...next, primaryWrite, nextId: state.nextId + 1 }, primaryWrite, now));',
+    from: 'return transition({ ...next, primaryWrite, nextId: state.nextId + 1 }, ...told, diskWrite(primaryWrite.id, primaryWrite.metadata, stamp, puts));',
+    to: 'return prependEffects([...told, diskWrite(primaryWrite.id, primaryWrite.metadata, stamp, puts)], commitWrite({ ...next, primaryWrite, nextId: state.nextId + 1 }, primaryWrite, now));',
   },
   {
     name: 'a primary answers only while it holds the lease',
--- a/packages/proxy-core/src/cabin/duties.ts
+++ b/packages/proxy-core/src/cabin/duties.ts
@@ -1,13 +1,13 @@
 import { createHash } from 'node:crypto';
 import {
-  type Moment,
+  type Timestamp,
   type ServiceName,
-  type Step,
-  drop,
-  join,
-  keeperOf,
-  put,
-  step,
+  type Transition,
+  withoutEntry,
+  prependEffects,
+  serviceLeaseOf,
+  withEntry,
+  transition,
 } from '@switchwheel/types';
 import { type FrameOf, type Holder, type Member, send } from '@switchwheel/transport';
 import {
@@ -24,7 +24,7 @@
 import { highestEpoch } from '@switchwheel/membership';
 import type { Cabin, CabinEffect } from './state.js';
 
-type Done = Step<Cabin, CabinEffect>;
+type Done = Transition<Cabin, CabinEffect>;
 const rankSpan = 150;
 /** Callers wait while a service has no keeper, so its lease is shorter than the primary's. */
 const keeperLease = 600;
@@ -46,14 +46,14 @@
 /** This shield's stand towards a service: one that rests if it never stood. */
 const candidateOf = (state: Cabin, service: ServiceName): Candidate =>
   state.candidates.get(service) ??
-  newCandidate(state.nodeSession.member.node, keeperOf(service), [], keeperLease);
+  newCandidate(state.nodeSession.member.node, serviceLeaseOf(service), [], keeperLease);
 
 const electionContext = (state: Cabin, service: ServiceName): ElectionContext | undefined => {
   const { fleet, electorate, member } = state.nodeSession;
   if (fleet === undefined || electorate === undefined) return undefined;
   const held: Holder = {
-    duty: keeperOf(service),
-    epoch: highestEpoch(state.nodeSession, keeperOf(service)),
+    duty: serviceLeaseOf(service),
+    epoch: highestEpoch(state.nodeSession, serviceLeaseOf(service)),
     node: member.node,
     address: member.address,
     ...(member.door === undefined ? {} : { door: member.door }),
@@ -62,12 +62,12 @@
 };
 
 const heldBy = (state: Cabin, service: ServiceName): Holder | undefined =>
-  state.nodeSession.holders.get(keeperOf(service));
+  state.nodeSession.holders.get(serviceLeaseOf(service));
 
 /** Whether this shield should stand now: at once if it is first in order, the others after it in turn. */
-const wantsElection = (state: Cabin, service: ServiceName, now: Moment): boolean => {
+const wantsElection = (state: Cabin, service: ServiceName, now: Timestamp): boolean => {
   if (state.stopping || state.table === undefined) return false;
-  const duty = keeperOf(service);
+  const duty = serviceLeaseOf(service);
   const holder = heldBy(state, service);
   const near =
     holder !== undefined && state.nodeSession.members.some((one) => one.node === holder.node);
@@ -94,67 +94,71 @@
   service: ServiceName,
   before: Candidate,
   after: Candidate,
-  now: Moment,
+  now: Timestamp,
 ): Done => {
   const was = before.phase.phase === 'holdingLease';
   const is = after.phase.phase === 'holdingLease';
-  const next = { ...state, candidates: put(state.candidates, service, after) };
+  const next = { ...state, candidates: withEntry(state.candidates, service, after) };
   if (!was && is && holdsLease(after, now))
-    return step(
-      { ...next, vacant: drop(next.vacant, keeperOf(service)) },
+    return transition(
+      { ...next, vacant: withoutEntry(next.vacant, serviceLeaseOf(service)) },
       { kind: 'kept', service, candidate: after },
     );
-  if (was && !is) return step(next, { kind: 'unkept', service });
-  return step(next);
+  if (was && !is) return transition(next, { kind: 'unkept', service });
+  return transition(next);
 };
 
-const watch = (state: Cabin, now: Moment): Cabin => {
+const watch = (state: Cabin, now: Timestamp): Cabin => {
   let vacant = state.vacant;
   for (const service of state.table?.services.keys() ?? []) {
-    const duty = keeperOf(service);
+    const duty = serviceLeaseOf(service);
     const holder = heldBy(state, service);
     const open =
       holder === undefined || !state.nodeSession.members.some((one) => one.node === holder.node);
-    if (open && !vacant.has(duty)) vacant = put(vacant, duty, now);
+    if (open && !vacant.has(duty)) vacant = withEntry(vacant, duty, now);
   }
   return vacant === state.vacant ? state : { ...state, vacant };
 };
 
 /** Takes in what a voter says of leases that are over. */
-export const takeVacant = (state: Cabin, word: FrameOf<'heartbeat-reply'>, now: Moment): Cabin => {
+export const takeVacant = (
+  state: Cabin,
+  word: FrameOf<'heartbeat-reply'>,
+  now: Timestamp,
+): Cabin => {
   if (state.nodeSession.member.role !== 'shield') return state;
   const told = new Set(word.vacant);
   let vacant = state.vacant;
   for (const service of state.table?.services.keys() ?? []) {
-    const duty = keeperOf(service);
+    const duty = serviceLeaseOf(service);
     const holder = heldBy(state, service);
     const near =
       holder !== undefined && state.nodeSession.members.some((one) => one.node === holder.node);
-    if (told.has(duty)) vacant = vacant.has(duty) ? vacant : put(vacant, duty, now);
-    else if (near) vacant = drop(vacant, duty);
+    if (told.has(duty)) vacant = vacant.has(duty) ? vacant : withEntry(vacant, duty, now);
+    else if (near) vacant = withoutEntry(vacant, duty);
   }
   return vacant === state.vacant ? state : { ...state, vacant };
 };
 
 /** Lets time pass over all stands of this shield. */
-export const passDuties = (before: Cabin, now: Moment): Done => {
+export const passDuties = (before: Cabin, now: Timestamp): Done => {
   if (before.nodeSession.member.role !== 'shield' || before.table === undefined)
-    return step(before);
-  let next: Done = step(watch(before, now));
+    return transition(before);
+  let next: Done = transition(watch(before, now));
   for (const service of before.table.services.keys()) {
     const state = next.state;
     const own = electionContext(state, service);
     if (own === undefined) continue;
-    const duty = keeperOf(service);
+    const duty = serviceLeaseOf(service);
     const known = candidateOf(state, service);
     const candidate = observeEpoch(known, highestEpoch(state.nodeSession, duty));
     if (known.phase.phase === 'holdingLease' && candidate.highest > heldEpoch(known)) {
       // Somebody remembers a higher epoch than the voters that voted: this holding would be fenced off, a new one is stood for.
       const given = stepDown(candidate, own, now, 0);
       const followed = follow(state, service, known, given.state, now);
-      next = join([...next.effects, ...given.effects], {
+      next = prependEffects([...next.effects, ...given.effects], {
         ...followed,
-        state: { ...followed.state, vacant: put(followed.state.vacant, duty, now) },
+        state: { ...followed.state, vacant: withEntry(followed.state.vacant, duty, now) },
       });
       continue;
     }
@@ -172,22 +176,22 @@
       passed.state.candidate,
       now,
     );
-    next = join([...next.effects, ...passed.effects], followed);
+    next = prependEffects([...next.effects, ...passed.effects], followed);
   }
   for (const [service, candidate] of next.state.candidates) {
     if (before.table.services.has(service) || candidate.phase.phase === 'idle') continue;
     // The service left the description: its duty is laid down.
     const given = stepDown(candidate, electionContext(next.state, service), now, 1000);
-    const dropped = { ...next.state, candidates: drop(next.state.candidates, service) };
-    next = join(
+    const dropped = { ...next.state, candidates: withoutEntry(next.state.candidates, service) };
+    next = prependEffects(
       [...next.effects, ...given.effects],
-      step(dropped, { kind: 'unkept' as const, service }),
+      transition(dropped, { kind: 'unkept' as const, service }),
     );
   }
   return next;
 };
 
-export const onVote = (state: Cabin, word: FrameOf<'vote'>, now: Moment): Done => {
+export const onVote = (state: Cabin, word: FrameOf<'vote'>, now: Timestamp): Done => {
   const known = state.nodeSession.electorate;
   const nodeSession =
     word.electorate !== undefined && (known === undefined || word.electorate.serial > known.serial)
@@ -198,15 +202,15 @@
     if (candidate.duty !== word.duty) continue;
     const own = electionContext(base, service);
     return own === undefined
-      ? step(base)
+      ? transition(base)
       : follow(base, service, candidate, countVote(candidate, own, word, now), now);
   }
-  return step(base);
+  return transition(base);
 };
 
 /** Hands every duty over before a stop: the next in order is told to stand at once. */
-export const handOver = (state: Cabin, now: Moment): Done => {
-  let next: Done = step(state);
+export const handOver = (state: Cabin, now: Timestamp): Done => {
+  let next: Done = transition(state);
   for (const [service, candidate] of state.candidates) {
     if (!holdsLease(candidate, now)) continue;
     const heir = order(service, shields(state)).find(
@@ -223,38 +227,41 @@
               epoch: heldEpoch(candidate),
             }),
           ];
-    const after = { ...next.state, candidates: put(next.state.candidates, service, given.state) };
-    next = join(
+    const after = {
+      ...next.state,
+      candidates: withEntry(next.state.candidates, service, given.state),
+    };
+    next = prependEffects(
       [...next.effects, ...given.effects, ...told],
-      step(after, { kind: 'unkept' as const, service }),
+      transition(after, { kind: 'unkept' as const, service }),
     );
   }
   return next;
 };
 
 /** The keeper of a service hands it over to this shield. */
-export const onHandover = (state: Cabin, word: FrameOf<'handover'>, now: Moment): Done => {
+export const onHandover = (state: Cabin, word: FrameOf<'handover'>, now: Timestamp): Done => {
   for (const service of state.table?.services.keys() ?? []) {
-    if (keeperOf(service) !== word.duty) continue;
+    if (serviceLeaseOf(service) !== word.duty) continue;
     const own = electionContext(state, service);
-    if (own === undefined || state.stopping) return step(state);
+    if (own === undefined || state.stopping) return transition(state);
     const candidate = observeEpoch(candidateOf(state, service), word.epoch);
     const passed = tickCandidate(candidate, own, true, state.dice, now);
-    return step(
+    return transition(
       {
         ...state,
         dice: passed.state.dice,
-        vacant: put(state.vacant, word.duty, now),
-        candidates: put(state.candidates, service, passed.state.candidate),
+        vacant: withEntry(state.vacant, word.duty, now),
+        candidates: withEntry(state.candidates, service, passed.state.candidate),
       },
       ...passed.effects,
     );
   }
-  return step(state);
+  return transition(state);
 };
 
 /** The duties held now, as told to registries. */
-export const heldNow = (state: Cabin, now: Moment): Holder[] =>
+export const heldNow = (state: Cabin, now: Timestamp): Holder[] =>
   [...state.candidates].flatMap(([service, candidate]) => {
     const own = holdsLease(candidate, now) ? electionContext(state, service)?.held : undefined;
     return own === undefined ? [] : [{ ...own, epoch: heldEpoch(candidate) }];
--- a/packages/proxy-core/src/cabin/machine.ts
+++ b/packages/proxy-core/src/cabin/machine.ts
@@ -1,13 +1,13 @@
 import {
-  type Moment,
-  type Step,
+  type Timestamp,
+  type Transition,
   countViolations,
-  join,
+  prependEffects,
   noGeneration,
-  put,
-  sift,
-  step,
-  toMoment,
+  withEntry,
+  filterEntries,
+  transition,
+  toTimestamp,
 } from '@switchwheel/types';
 import {
   type Peer,
@@ -35,7 +35,7 @@
 import { learnNewest, noteInForce } from './newest.js';
 import type { Cabin, CabinEffect, CabinEvent } from './state.js';
 
-type Done = Step<Cabin, CabinEffect>;
+type Done = Transition<Cabin, CabinEffect>;
 const wantSpan = 300;
 /** How many pieces are asked for at a time: the next ones when these are here. */
 const wantMost = 64;
@@ -45,19 +45,20 @@
 export const cacheLease = 1500;
 
 /** Whether callers that come all the same are served: the platform needs a moment to see that a node is stopping. */
-export const takes = (state: Cabin, now: Moment): boolean =>
+export const takes = (state: Cabin, now: Timestamp): boolean =>
   state.table !== undefined &&
   state.failed === undefined &&
   (state.stopping || isConnected(state.nodeSession, now));
 
 /** Whether this node reports ready: it runs the newest it knows of, its session stands, and it is not stopping. */
-export const isReady = (state: Cabin, now: Moment): boolean => takes(state, now) && !state.stopping;
+export const isReady = (state: Cabin, now: Timestamp): boolean =>
+  takes(state, now) && !state.stopping;
 
 /** Whether results may be told from a cache now. */
-export const mayServe = (state: Cabin, now: Moment): boolean =>
+export const mayServe = (state: Cabin, now: Timestamp): boolean =>
   state.asOf !== undefined && now - state.asOf < cacheLease;
 
-const reportOf = (state: Cabin, now: Moment): Report => {
+const reportOf = (state: Cabin, now: Timestamp): Report => {
   const table = state.table;
   const failed = state.failed;
   const phase =
@@ -99,7 +100,7 @@
   return known;
 };
 
-const words = (state: Cabin, now: Moment, bye = false): HeartbeatContent => ({
+const words = (state: Cabin, now: Timestamp, bye = false): HeartbeatContent => ({
   report: reportOf(state, now),
   held: [...heldNow(state, now), ...state.nodeSession.holders.values()],
   purged: state.purged,
@@ -107,13 +108,13 @@
   releases: digestOf(state.releases),
 });
 
-const speak = (state: Cabin, now: Moment): Done => {
+const speak = (state: Cabin, now: Timestamp): Done => {
   const hailed = sendHeartbeat(state.nodeSession, words(state, now), now);
-  return step({ ...state, nodeSession: hailed.state }, ...hailed.effects);
+  return transition({ ...state, nodeSession: hailed.state }, ...hailed.effects);
 };
 
 /** Goes on with an offer once all its pieces are here, or asks for those that are not. */
-const fit = (state: Cabin, offer: Offer, now: Moment): Done => {
+const fit = (state: Cabin, offer: Offer, now: Timestamp): Done => {
   const missing = offer.pieces.filter((one) => !state.pieces.has(one));
   const fitting = state.fitting;
   const since =
@@ -122,7 +123,7 @@
       : now;
   if (missing.length === 0) {
     const texts = offer.pieces.map((one) => state.pieces.get(one) ?? '');
-    return step(
+    return transition(
       { ...state, fitting: { phase: 'compiling', offer, since, whole: now } },
       { kind: 'build', offer, texts, before: state.table },
     );
@@ -138,7 +139,7 @@
             hashes: missing.slice(0, wantMost),
           }),
         ];
-  return step(
+  return transition(
     {
       ...state,
       fitting: {
@@ -154,17 +155,19 @@
 };
 
 /** Takes an offer; never one that is lower than what runs or is being fitted. */
-const onOffer = (state: Cabin, offer: Offer, now: Moment): Done => {
-  if (state.table !== undefined && offer.generation <= state.table.generation) return step(state);
+const onOffer = (state: Cabin, offer: Offer, now: Timestamp): Done => {
+  if (state.table !== undefined && offer.generation <= state.table.generation)
+    return transition(state);
   const fitting = state.fitting;
-  if (fitting.phase !== 'idle' && offer.generation <= fitting.offer.generation) return step(state);
+  if (fitting.phase !== 'idle' && offer.generation <= fitting.offer.generation)
+    return transition(state);
   if (state.failed !== undefined && offer.generation < state.failed.offer.generation)
-    return step(state);
+    return transition(state);
   return fit(state, offer, now);
 };
 
 const onPurges = (state: Cabin, word: FrameOf<'heartbeat-reply'>): Done => {
-  if (word.top <= state.purged) return step(state);
+  if (word.top <= state.purged) return transition(state);
   const fresh = word.purges
     .filter((one) => one.seq > state.purged)
     .sort((one, two) => one.seq - two.seq);
@@ -175,17 +178,17 @@
     fresh.length === word.top - state.purged;
   const lost = state.purged + 1 < word.floor;
   if (whole)
-    return step(
+    return transition(
       { ...state, purged: word.top },
       { kind: 'purge', purges: fresh, flush: false, top: word.top },
     );
   // Too old to catch up: all that is cached goes.
   if (lost || state.purged === 0)
-    return step(
+    return transition(
       { ...state, purged: word.top },
       { kind: 'purge', purges: [], flush: true, top: word.top },
     );
-  return step(state);
+  return transition(state);
 };
 
 /** Only the highest state of a service counts, whoever tells it. */
@@ -203,7 +206,7 @@
   before: Cabin,
   from: Peer,
   word: FrameOf<'heartbeat-reply'>,
-  now: Moment,
+  now: Timestamp,
 ): Done => {
   const nodeSession = applyHeartbeatReply(before.nodeSession, from, word, now);
   const purged = onPurges(
@@ -223,29 +226,31 @@
     state.purged >= word.top &&
     before.nodeSession.registryLink?.address === from.address
   ) {
-    const asOf = toMoment(word.at - word.age);
+    const asOf = toTimestamp(word.at - word.age);
     if (state.asOf === undefined || asOf > state.asOf) state = { ...state, asOf };
   }
   const offered =
-    word.offer === undefined ? step<Cabin, CabinEffect>(state) : onOffer(state, word.offer, now);
-  return join(purged.effects, offered);
+    word.offer === undefined
+      ? transition<Cabin, CabinEffect>(state)
+      : onOffer(state, word.offer, now);
+  return prependEffects(purged.effects, offered);
 };
 
-const onPiece = (state: Cabin, word: FrameOf<'piece'>, now: Moment): Done => {
+const onPiece = (state: Cabin, word: FrameOf<'piece'>, now: Timestamp): Done => {
   const fitting = state.fitting;
   if (
     fitting.phase !== 'fetching' ||
     !fitting.offer.pieces.includes(word.hash) ||
     hashOf(word.data) !== word.hash
   )
-    return step(state);
-  if (state.pieces.has(word.hash)) return step(state);
+    return transition(state);
+  if (state.pieces.has(word.hash)) return transition(state);
   const next = {
     ...state,
-    pieces: put(state.pieces, word.hash, word.data),
+    pieces: withEntry(state.pieces, word.hash, word.data),
     fitting: { ...fitting, asked: now, awaited: fitting.awaited - 1 },
   };
-  return next.fitting.awaited <= 0 ? fit(next, fitting.offer, now) : step(next);
+  return next.fitting.awaited <= 0 ? fit(next, fitting.offer, now) : transition(next);
 };
 
 const onBuilt = (
@@ -254,9 +259,10 @@
   event: Extract<CabinEvent, { kind: 'built' }>,
 ): Done => {
   const fitting = state.fitting;
-  if (fitting.phase === 'idle' || fitting.offer.generation !== offer.generation) return step(state);
+  if (fitting.phase === 'idle' || fitting.offer.generation !== offer.generation)
+    return transition(state);
   if (event.table.generation < (state.table?.generation ?? noGeneration))
-    return step(
+    return transition(
       {
         ...state,
         fitting: { phase: 'idle' },
@@ -278,9 +284,9 @@
     newest: noteInForce(state.newest, event.table.generation),
     fitting: { phase: 'idle' },
     failed: undefined,
-    pieces: sift(state.pieces, (_, hash) => keep.has(hash)),
+    pieces: filterEntries(state.pieces, (_, hash) => keep.has(hash)),
   };
-  return join(
+  return prependEffects(
     [
       { kind: 'adopt', table: event.table },
       log('info', 'in force', ['generation', offer.generation], ...spans),
@@ -299,7 +305,7 @@
     fitting: { phase: 'idle' },
     failed: { offer: event.offer, text },
   };
-  return join(
+  return prependEffects(
     [
       log(
         'error',
@@ -316,7 +322,7 @@
 const lateFetch = (
   state: Cabin,
   fetching: Extract<Cabin['fitting'], { phase: 'fetching' }>,
-  now: Moment,
+  now: Timestamp,
 ): WireEffect =>
   log(
     'warn',
@@ -327,23 +333,26 @@
     ['asked', state.nodeSession.registryLink?.address ?? 'nobody'],
   );
 
-const onTick = (state: Cabin, now: Moment): Done => {
+const onTick = (state: Cabin, now: Timestamp): Done => {
   const drifted = tickSession(state.nodeSession, words(state, now), now);
-  let next: Done = step({ ...state, nodeSession: drifted.state }, ...drifted.effects);
+  let next: Done = transition({ ...state, nodeSession: drifted.state }, ...drifted.effects);
   const fitting = next.state.fitting;
   if (fitting.phase === 'fetching' && now - fitting.asked >= wantSpan) {
     const late = now - fitting.since >= lateFetchSpan ? [lateFetch(state, fitting, now)] : [];
-    next = join([...next.effects, ...late], fit(next.state, fitting.offer, now));
+    next = prependEffects([...next.effects, ...late], fit(next.state, fitting.offer, now));
   }
-  return join(next.effects, passDuties(next.state, now));
+  return prependEffects(next.effects, passDuties(next.state, now));
 };
 
-const onFrame = (state: Cabin, from: Peer, frame: Frame, now: Moment): Done => {
+const onFrame = (state: Cabin, from: Peer, frame: Frame, now: Timestamp): Done => {
   switch (frame.kind) {
     case 'heartbeat-reply':
       return onHeard(state, from, frame, now);
     case 'member-list':
-      return step({ ...state, nodeSession: applyMemberList(state.nodeSession, from, frame, now) });
+      return transition({
+        ...state,
+        nodeSession: applyMemberList(state.nodeSession, from, frame, now),
+      });
     case 'piece':
       return onPiece(state, frame, now);
     case 'vote':
@@ -351,7 +360,7 @@
     case 'handover':
       return onHandover(state, frame, now);
     case 'tried':
-      return step({
+      return transition({
         ...state,
         verdicts: [
           ...state.verdicts.filter(
@@ -364,9 +373,9 @@
     case 'object-request':
     case 'object':
     case 'object-status':
-      return step(state);
+      return transition(state);
     default:
-      return step(
+      return transition(
         state,
         log(
           'warn',
@@ -386,7 +395,7 @@
     case 'frame':
       return onFrame(state, event.from, event.frame, event.now);
     case 'gone':
-      return step({
+      return transition({
         ...state,
         nodeSession: onRegistryLost(state.nodeSession, event.address, event.now),
       });
@@ -401,9 +410,9 @@
         words(given.state, event.now, true),
         event.now,
       );
-      return join(
+      return prependEffects(
         [...given.effects],
-        step({ ...given.state, nodeSession: bye.state }, ...bye.effects),
+        transition({ ...given.state, nodeSession: bye.state }, ...bye.effects),
       );
     }
   }
--- a/packages/proxy-core/src/cabin/newest.ts
+++ b/packages/proxy-core/src/cabin/newest.ts
@@ -4,11 +4,11 @@
  */
 import {
   type Generation,
-  type Moment,
-  earlier,
+  type Timestamp,
+  subtractMs,
   noGeneration,
-  start,
-  toMoment,
+  clockOrigin,
+  toTimestamp,
 } from '@switchwheel/types';
 import type { FrameOf } from '@switchwheel/transport';
 import type { Cabin } from './state.js';
@@ -25,9 +25,9 @@
 /** The newest confirmed generation that a node heard of, and as of when it is the newest. */
 export interface Newest {
   readonly generation: Generation;
-  readonly asOf: Moment | undefined;
+  readonly asOf: Timestamp | undefined;
   /** When the core first heard of each generation above the one that runs here, the lowest first. */
-  readonly learned: readonly { readonly generation: Generation; readonly at: Moment }[];
+  readonly learned: readonly { readonly generation: Generation; readonly at: Timestamp }[];
 }
 
 export const noNewest: Newest = { generation: noGeneration, asOf: undefined, learned: [] };
@@ -37,19 +37,19 @@
   known: Newest,
   word: FrameOf<'heartbeat-reply'>,
   running: Generation,
-  now: Moment,
+  now: Timestamp,
 ): Newest => {
   if (word.age === undefined) return known;
   const isNews = word.newest > known.generation;
   const generation = isNews ? word.newest : known.generation;
   const added =
     isNews && generation > running && known.learned.length < maxLearned
-      ? [...known.learned, { generation, at: earlier(now, word.newestAge) }]
+      ? [...known.learned, { generation, at: subtractMs(now, word.newestAge) }]
       : known.learned;
   const learned = { ...known, generation, learned: added };
   // A registry that is behind renews nothing, and neither does a push.
-  if (word.newest < known.generation || word.at === start) return learned;
-  return { ...learned, asOf: toMoment(Math.max(word.at - word.age, known.asOf ?? start)) };
+  if (word.newest < known.generation || word.at === clockOrigin) return learned;
+  return { ...learned, asOf: toTimestamp(Math.max(word.at - word.age, known.asOf ?? clockOrigin)) };
 };
 
 /** Lets go of what has come into force. */
@@ -59,14 +59,14 @@
 });
 
 /** Whether a registry with a word of the primary that is no older than the limit was heard. */
-const hasFreshWord = ({ newest }: Cabin, now: Moment, limit: number): boolean =>
+const hasFreshWord = ({ newest }: Cabin, now: Timestamp, limit: number): boolean =>
   newest.asOf !== undefined && now - newest.asOf < limit;
 
 /**
  * Whether this node may say that there is no route: only if its description is known to be the
  * newest one. Started on what disks told, or out of touch, it can't know.
  */
-export const knowsAllRoutes = (state: Cabin, now: Moment): boolean =>
+export const knowsAllRoutes = (state: Cabin, now: Timestamp): boolean =>
   state.table !== undefined &&
   state.table.generation >= state.newest.generation &&
   hasFreshWord(state, now, currentLease);
@@ -75,7 +75,7 @@
  * Whether a newer description should have been in force here by now: this node then answers nothing by the one that it
  * runs, for a request that is handled by it might be one that only the older description allows.
  */
-export const isOverdue = (state: Cabin, now: Moment, applyMs: number): boolean => {
+export const isOverdue = (state: Cabin, now: Timestamp, applyMs: number): boolean => {
   const [first] = state.newest.learned;
   return (
     first !== undefined &&
--- a/packages/proxy-core/src/cabin/state.ts
+++ b/packages/proxy-core/src/cabin/state.ts
@@ -1,15 +1,15 @@
 import {
   type Address,
-  type Dice,
-  type Duty,
+  type RandomState,
+  type LeaseName,
   type Hash,
-  type Moment,
+  type Timestamp,
   type Seq,
   type ServiceName,
   type Violations,
   noSeq,
   noViolations,
-  start,
+  clockOrigin,
 } from '@switchwheel/types';
 import type {
   Member,
@@ -31,15 +31,15 @@
   | {
       readonly phase: 'fetching';
       readonly offer: Offer;
-      readonly since: Moment;
-      readonly asked: Moment;
+      readonly since: Timestamp;
+      readonly asked: Timestamp;
       readonly awaited: number;
     }
   | {
       readonly phase: 'compiling';
       readonly offer: Offer;
-      readonly since: Moment;
-      readonly whole: Moment;
+      readonly since: Timestamp;
+      readonly whole: Timestamp;
     };
 
 /** The control side of a proxy: its session, its description, its purges and its duties. */
@@ -52,31 +52,36 @@
   /** The last purge that was acted on. */
   readonly purged: Seq;
   /** As of when this node is known to have acted on every accepted purge. */
-  readonly asOf: Moment | undefined;
+  readonly asOf: Timestamp | undefined;
   readonly newest: Newest;
   readonly verdicts: readonly Verdict[];
   /** Which release each service's requests go to, as last told. */
   readonly releases: ReadonlyMap<ServiceName, ReleaseState>;
-  readonly releasesAt: Moment;
+  readonly releasesAt: Timestamp;
   readonly candidates: ReadonlyMap<ServiceName, Candidate>;
   /** Since when each duty is seen vacant. */
-  readonly vacant: ReadonlyMap<Duty, Moment>;
+  readonly vacant: ReadonlyMap<LeaseName, Timestamp>;
   readonly stopping: boolean;
   /** How often each invariant was found broken here. */
   readonly violations: Violations;
-  readonly dice: Dice;
+  readonly dice: RandomState;
 }
 
 export type CabinEvent =
   | WireEvent
-  | { readonly kind: 'built'; readonly now: Moment; readonly offer: Offer; readonly table: Table }
+  | {
+      readonly kind: 'built';
+      readonly now: Timestamp;
+      readonly offer: Offer;
+      readonly table: Table;
+    }
   | {
       readonly kind: 'unbuilt';
-      readonly now: Moment;
+      readonly now: Timestamp;
       readonly offer: Offer;
       readonly faults: readonly Fault[];
     }
-  | { readonly kind: 'stop'; readonly now: Moment };
+  | { readonly kind: 'stop'; readonly now: Timestamp };
 
 export type CabinEffect =
   | WireEffect
@@ -96,7 +101,7 @@
   | { readonly kind: 'kept'; readonly service: ServiceName; readonly candidate: Candidate }
   | { readonly kind: 'unkept'; readonly service: ServiceName };
 
-export const newCabin = (member: Member, seeds: readonly Address[], dice: Dice): Cabin => ({
+export const newCabin = (member: Member, seeds: readonly Address[], dice: RandomState): Cabin => ({
   nodeSession: newNodeSession(member, seeds, { seed: dice.seed ^ 0x2545f491 }),
   table: undefined,
   fitting: { phase: 'idle' },
@@ -107,7 +112,7 @@
   newest: noNewest,
   verdicts: [],
   releases: new Map(),
-  releasesAt: start,
+  releasesAt: clockOrigin,
   candidates: new Map(),
   vacant: new Map(),
   stopping: false,
--- a/packages/proxy-core/src/cache/cache.test.ts
+++ b/packages/proxy-core/src/cache/cache.test.ts
@@ -1,11 +1,11 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { type Moment, later, toMoment, toSeq } from '@switchwheel/types';
+import { type Timestamp, addMs, toTimestamp, toSeq } from '@switchwheel/types';
 import type { Fields } from '@switchwheel/transport';
 import { Cache, type CacheKey, digestOf } from './cache.js';
 import { lifetimeOf } from './fields.js';
 
-const now = toMoment(1000);
+const now = toTimestamp(1000);
 const key: CacheKey = { route: 'r', host: 'h', path: '/p', query: '' };
 const put = (
   cache: Cache,
@@ -16,7 +16,7 @@
     readonly key?: CacheKey;
     readonly tags?: readonly string[];
     readonly since?: number;
-    readonly born?: Moment;
+    readonly born?: Timestamp;
   } = {},
 ): boolean =>
   cache.store(
@@ -57,9 +57,9 @@
     ['german', 'english', undefined],
   );
   const old = new Cache(1_000_000);
-  put(old, 'x', { born: toMoment(500) });
+  put(old, 'x', { born: toTimestamp(500) });
   assert.deepEqual(
-    [find(old, [], later(now, 499)), find(old, [], later(now, 500))],
+    [find(old, [], addMs(now, 499)), find(old, [], addMs(now, 500))],
     ['x', undefined],
   );
 });
--- a/packages/proxy-core/src/cache/cache.ts
+++ b/packages/proxy-core/src/cache/cache.ts
@@ -1,5 +1,5 @@
 import { createHash } from 'node:crypto';
-import { type Moment, type Seq, noSeq } from '@switchwheel/types';
+import { type Timestamp, type Seq, noSeq } from '@switchwheel/types';
 import type { Aim, Fields, Purge } from '@switchwheel/transport';
 import { fieldOf, varyOf } from './fields.js';
 
@@ -20,7 +20,7 @@
   readonly body: Buffer;
   readonly digest: string;
   /** When the origin made it, at the latest guess that is safe. */
-  readonly born: Moment;
+  readonly born: Timestamp;
   readonly lifetime: number;
   readonly tags: readonly string[];
 }
@@ -76,7 +76,7 @@
   }
 
   /** Finds a result that is still good for this request. */
-  find(key: CacheKey, request: Fields, now: Moment): Entry | undefined {
+  find(key: CacheKey, request: Fields, now: Timestamp): Entry | undefined {
     const id = idOf(key);
     const row = this.#rows.get(id);
     if (row === undefined) return undefined;
@@ -99,7 +99,7 @@
     request: Fields,
     extraVary: readonly string[],
     fetchedAt: Seq,
-    now: Moment,
+    now: Timestamp,
   ): Entry | undefined {
     const { key, tags } = entry;
     if (
--- a/packages/proxy-core/src/cache/desk.ts
+++ b/packages/proxy-core/src/cache/desk.ts
@@ -1,5 +1,5 @@
-import type { Moment, Seq } from '@switchwheel/types';
-import { toMoment } from '@switchwheel/types';
+import type { Timestamp, Seq } from '@switchwheel/types';
+import { toTimestamp } from '@switchwheel/types';
 import type { Ask, Fields } from '@switchwheel/transport';
 import type { Table, Track } from '@switchwheel/configuration';
 import { mayServe } from '../cabin/machine.js';
@@ -46,7 +46,7 @@
   readonly fields: Fields;
   readonly body: Buffer;
   readonly digest: string;
-  readonly born: Moment;
+  readonly born: Timestamp;
   /** The last purge that was acted on when its fetch began. */
   readonly purged: Seq;
 }
@@ -93,12 +93,12 @@
   }
 
   /** Whether this cache may speak now, to one that has heard the purges up to `purged`. */
-  inStep(cabin: Cabin, purged: Seq, now: Moment): boolean {
+  inStep(cabin: Cabin, purged: Seq, now: Timestamp): boolean {
     return mayServe(cabin, now) && this.cache.top >= purged;
   }
 
   /** A kept result that may be told now; one that no longer fits its digest is nobody's and goes. */
-  find(slip: Slip, cabin: Cabin, purged: Seq, now: Moment): Entry | undefined {
+  find(slip: Slip, cabin: Cabin, purged: Seq, now: Timestamp): Entry | undefined {
     const entry = this.inStep(cabin, purged, now)
       ? this.cache.find(slip.key, slip.fields, now)
       : undefined;
@@ -107,7 +107,7 @@
     return undefined;
   }
 
-  keep(slip: Slip, result: Arrived, now: Moment): Entry | undefined {
+  keep(slip: Slip, result: Arrived, now: Timestamp): Entry | undefined {
     const lifetime = lifetimeOf(result.status, result.fields, false, slip.track.cache?.lifetimeMs);
     if (lifetime === undefined || lifetime <= 0) return undefined;
     const { status, fields, body, digest, born } = result;
@@ -122,4 +122,4 @@
 }
 
 /** When a result was made, by the clock of who asked for it: never later than it was. */
-export const bornAt = (askedAt: Moment, age: number): Moment => toMoment(askedAt - age);
+export const bornAt = (askedAt: Timestamp, age: number): Timestamp => toTimestamp(askedAt - age);
--- a/packages/proxy-core/src/forward/forward.test.ts
+++ b/packages/proxy-core/src/forward/forward.test.ts
@@ -1,16 +1,16 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
-  type Duty,
-  keeperOf,
-  later,
+  type LeaseName,
+  serviceLeaseOf,
+  addMs,
   noGeneration,
   noSeq,
   toAddress,
-  toAskId,
+  toRequestId,
   toClassName,
   toEpoch,
-  toMoment,
+  toTimestamp,
   toNodeId,
   toServiceName,
   isRouteName,
@@ -20,7 +20,7 @@
 import { type Forward, type ForwardEffect, type ForwardEvent, newForward } from './state.js';
 
 const service = toServiceName('shop');
-const start = toMoment(10_000);
+const start = toTimestamp(10_000);
 
 class Bench {
   state: Forward = newForward;
@@ -40,7 +40,7 @@
       kind: 'take',
       now: start,
       wagon: {
-        id: toAskId(name),
+        id: toRequestId(name),
         service,
         generation: noGeneration,
         route,
@@ -51,14 +51,14 @@
         fields: [],
         repeatable,
         storable: false,
-        until: later(start, 5000),
+        until: addMs(start, 5000),
         purged: noSeq,
       },
     });
   }
 
   keeper(epoch: number, spot: string, at = start): readonly ForwardEffect[] {
-    const duty = keeperOf(service);
+    const duty = serviceLeaseOf(service);
     const holder: Holder = {
       duty,
       epoch: toEpoch(epoch),
@@ -68,7 +68,7 @@
     return this.tell({
       kind: 'keepers',
       now: at,
-      keepers: new Map<Duty, Holder>([[duty, holder]]),
+      keepers: new Map<LeaseName, Holder>([[duty, holder]]),
     });
   }
 }
@@ -102,12 +102,12 @@
   bench.keeper(1, '10.0.0.1:1');
   bench.take('act', false);
   bench.take('read', true);
-  bench.tell({ kind: 'begun', now: start, from: toAddress('10.0.0.1:1'), id: toAskId('read') });
+  bench.tell({ kind: 'begun', now: start, from: toAddress('10.0.0.1:1'), id: toRequestId('read') });
   bench.tell({
     kind: 'lost',
     now: start,
     keeper: toAddress('10.0.0.1:1'),
-    unsent: new Set([toAskId('act')]),
+    unsent: new Set([toRequestId('act')]),
   });
   const moved = bench.keeper(2, '10.0.0.2:1');
   assert.deepEqual(kinds(moved).toSorted(), ['act to 10.0.0.2:1', 'read to 10.0.0.2:1']);
@@ -127,7 +127,7 @@
       from: toAddress('10.0.0.2:1'),
       frame: {
         kind: 'reject',
-        id: toAskId(id),
+        id: toRequestId(id),
         errorKind: 'rejected',
         text: '',
         retryAfter: 1,
@@ -144,6 +144,6 @@
 void test('without a keeper a request waits for as long as a change takes, and is then told at once', () => {
   const bench = new Bench();
   bench.take('act', false);
-  assert.deepEqual(kinds(bench.tell({ kind: 'tick', now: later(start, 1900) })), []);
-  assert.deepEqual(kinds(bench.tell({ kind: 'tick', now: later(start, 2200) })), ['act rejected']);
+  assert.deepEqual(kinds(bench.tell({ kind: 'tick', now: addMs(start, 1900) })), []);
+  assert.deepEqual(kinds(bench.tell({ kind: 'tick', now: addMs(start, 2200) })), ['act rejected']);
 });
--- a/packages/proxy-core/src/forward/forward.ts
+++ b/packages/proxy-core/src/forward/forward.ts
@@ -1,20 +1,20 @@
 import {
   type Address,
-  type AskId,
-  type Kind,
-  type Moment,
-  type Step,
-  drop,
-  join,
-  keeperOf,
-  put,
-  step,
-  toSpan,
+  type RequestId,
+  type ErrorKind,
+  type Timestamp,
+  type Transition,
+  withoutEntry,
+  prependEffects,
+  serviceLeaseOf,
+  withEntry,
+  transition,
+  toDurationMs,
 } from '@switchwheel/types';
 import type { Forward, ForwardEffect, ForwardEvent, Wagon } from './state.js';
 import { maxWagons } from './state.js';
 
-type Done = Step<Forward, ForwardEffect>;
+type Done = Transition<Forward, ForwardEffect>;
 /** How often a waiting request asks the keeper that is known again. */
 const askAgain = 100;
 /** How long a request waits for its service to have a keeper again: well over what a change of keeper takes. */
@@ -23,7 +23,7 @@
 /** A request of which an earlier leg may have run is never told as refused. */
 const fail = (
   wagon: Pick<Wagon, 'id' | 'again'>,
-  errorKind: Kind,
+  errorKind: ErrorKind,
   text: string,
   retryMs: number,
 ): ForwardEffect => ({
@@ -33,20 +33,26 @@
   text,
   retryMs,
 });
-const end = (state: Forward, id: AskId): Forward => ({ ...state, wagons: drop(state.wagons, id) });
+const end = (state: Forward, id: RequestId): Forward => ({
+  ...state,
+  wagons: withoutEntry(state.wagons, id),
+});
 
 /** Sends a request to the keeper of its service, if one is known that has not just passed it back. */
-const dispatch = (state: Forward, wagon: Wagon, less: number, now: Moment): Done => {
-  const keeper = state.keepers.get(keeperOf(wagon.service));
+const dispatch = (state: Forward, wagon: Wagon, less: number, now: Timestamp): Done => {
+  const keeper = state.keepers.get(serviceLeaseOf(wagon.service));
   if (keeper === undefined || keeper.epoch < less) {
-    const bare = put(state.bare, wagon.service, {
+    const bare = withEntry(state.bare, wagon.service, {
       since: state.bare.get(wagon.service)?.since ?? now,
       tried: now,
     });
-    return step({
+    return transition({
       ...state,
       bare,
-      wagons: put(state.wagons, wagon.id, { ...wagon, stage: { stage: 'waiting', since: now } }),
+      wagons: withEntry(state.wagons, wagon.id, {
+        ...wagon,
+        stage: { stage: 'waiting', since: now },
+      }),
     });
   }
   const to = keeper.door ?? keeper.address;
@@ -67,8 +73,8 @@
     begun,
     purged,
   } = next;
-  return step(
-    { ...state, wagons: put(state.wagons, wagon.id, next) },
+  return transition(
+    { ...state, wagons: withEntry(state.wagons, wagon.id, next) },
     {
       kind: 'ask',
       to,
@@ -89,7 +95,7 @@
         extra: begun,
         purged,
         epoch: keeper.epoch,
-        left: toSpan(Math.max(1, wagon.until - now)),
+        left: toDurationMs(Math.max(1, wagon.until - now)),
       },
     },
   );
@@ -102,23 +108,23 @@
 
 /** A keeper took a request of a service: it has one. */
 const found = (state: Forward, service: Wagon['service']): Forward =>
-  state.bare.has(service) ? { ...state, bare: drop(state.bare, service) } : state;
+  state.bare.has(service) ? { ...state, bare: withoutEntry(state.bare, service) } : state;
 
 const onTake = (
   state: Forward,
   wagon: Omit<Wagon, 'stage' | 'again' | 'begun'>,
-  now: Moment,
+  now: Timestamp,
 ): Done => {
   const bare = state.bare.get(wagon.service);
   if (bare !== undefined && now - bare.since > strandSpan) {
     // Now and then one is sent to see whether a keeper is there again; the others are told at once.
     if (now - bare.tried < askAgain)
-      return step(
+      return transition(
         state,
         fail({ id: wagon.id, again: false }, 'rejected', 'no keeper for a while', 1000),
       );
     return dispatch(
-      { ...state, bare: put(state.bare, wagon.service, { ...bare, tried: now }) },
+      { ...state, bare: withEntry(state.bare, wagon.service, { ...bare, tried: now }) },
       { ...wagon, again: false, begun: false, stage: { stage: 'waiting', since: now } },
       0,
       now,
@@ -127,7 +133,7 @@
   let same = 0;
   for (const one of state.wagons.values()) if (one.group === wagon.group) same += 1;
   if (state.wagons.size >= maxWagons || same >= maxWagons / 2)
-    return step(
+    return transition(
       state,
       fail({ id: wagon.id, again: false }, 'rejected', 'too many requests are under way', 1000),
     );
@@ -140,25 +146,25 @@
 };
 
 const onKeepers = (state: Forward, event: Extract<ForwardEvent, { kind: 'keepers' }>): Done => {
-  let next: Done = step({ ...state, keepers: event.keepers });
+  let next: Done = transition({ ...state, keepers: event.keepers });
   for (const service of state.bare.keys()) {
-    if (event.keepers.get(keeperOf(service)) !== state.keepers.get(keeperOf(service)))
-      next = step(found(next.state, service));
+    if (event.keepers.get(serviceLeaseOf(service)) !== state.keepers.get(serviceLeaseOf(service)))
+      next = transition(found(next.state, service));
   }
   for (const wagon of state.wagons.values()) {
-    const keeper = event.keepers.get(keeperOf(wagon.service));
+    const keeper = event.keepers.get(serviceLeaseOf(wagon.service));
     if (
       keeper === undefined ||
-      keeper === state.keepers.get(keeperOf(wagon.service)) ||
+      keeper === state.keepers.get(serviceLeaseOf(wagon.service)) ||
       wagon.stage.stage === 'answering'
     )
       continue;
     if (wagon.stage.stage === 'waiting')
-      next = join(next.effects, dispatch(next.state, wagon, 0, event.now));
+      next = prependEffects(next.effects, dispatch(next.state, wagon, 0, event.now));
     else if (wagon.repeatable && wagon.stage.epoch < keeper.epoch) {
       // The keeper that was asked holds the service no more and may be frozen: what may run twice is asked of the new one.
       const left: ForwardEffect = { kind: 'cancel', to: wagon.stage.keeper, id: wagon.id };
-      next = join(
+      next = prependEffects(
         [...next.effects, left],
         dispatch(next.state, { ...wagon, again: true }, 0, event.now),
       );
@@ -168,28 +174,33 @@
 };
 
 /** What to do with a request of which it is certain that nothing ran. */
-const retry = (state: Forward, wagon: Wagon, less: number, now: Moment): Done =>
+const retry = (state: Forward, wagon: Wagon, less: number, now: Timestamp): Done =>
   now >= wagon.until
-    ? step(end(state, wagon.id), fail(wagon, 'rejected', 'no keeper took it', 500))
+    ? transition(end(state, wagon.id), fail(wagon, 'rejected', 'no keeper took it', 500))
     : dispatch(state, wagon, less, now);
 
 const onBounce = (state: Forward, event: Extract<ForwardEvent, { kind: 'reject' }>): Done => {
   const { frame, now } = event;
   const wagon = state.wagons.get(frame.id);
-  if (wagon?.stage.stage !== 'asked' || wagon.stage.keeper !== event.from) return step(state);
+  if (wagon?.stage.stage !== 'asked' || wagon.stage.keeper !== event.from) return transition(state);
   if (frame.moved) return retry(state, wagon, wagon.stage.epoch + 1, now);
-  return step(
+  return transition(
     end(found(state, wagon.service), frame.id),
     fail(wagon, frame.errorKind, frame.text, frame.retryAfter),
   );
 };
 
-const onLost = (state: Forward, keeper: Address, unsent: ReadonlySet<AskId>, now: Moment): Done => {
-  let next: Done = step(state);
+const onLost = (
+  state: Forward,
+  keeper: Address,
+  unsent: ReadonlySet<RequestId>,
+  now: Timestamp,
+): Done => {
+  let next: Done = transition(state);
   for (const wagon of state.wagons.values()) {
     if (wagon.stage.stage !== 'asked' || wagon.stage.keeper !== keeper) continue;
     const safe = unsent.has(wagon.id) || wagon.repeatable;
-    next = join(
+    next = prependEffects(
       next.effects,
       safe
         ? retry(
@@ -198,7 +209,7 @@
             wagon.stage.epoch + 1,
             now,
           )
-        : step(
+        : transition(
             end(next.state, wagon.id),
             fail(wagon, 'unknown', 'the channel to the keeper ended before a result', 0),
           ),
@@ -207,8 +218,8 @@
   return next;
 };
 
-const onTick = (state: Forward, now: Moment): Done => {
-  let next: Done = step(state);
+const onTick = (state: Forward, now: Timestamp): Done => {
+  let next: Done = transition(state);
   for (const wagon of state.wagons.values()) {
     if (wagon.stage.stage === 'answering') continue;
     if (now >= wagon.until) {
@@ -216,19 +227,19 @@
         wagon.stage.stage === 'asked'
           ? [{ kind: 'cancel', to: wagon.stage.keeper, id: wagon.id }]
           : [];
-      next = step(end(next.state, wagon.id), ...next.effects, ...cancel, late(wagon));
+      next = transition(end(next.state, wagon.id), ...next.effects, ...cancel, late(wagon));
     } else if (
       wagon.stage.stage === 'waiting' &&
       now - (state.bare.get(wagon.service)?.since ?? now) > strandSpan
     ) {
-      next = step(
+      next = transition(
         end(next.state, wagon.id),
         ...next.effects,
         fail(wagon, 'rejected', 'no keeper for a while', 1000),
       );
     } else if (wagon.stage.stage === 'waiting' && now - wagon.stage.since > askAgain) {
       // Passed back by a keeper that is still the one known: it is asked again after a little while.
-      next = join(next.effects, dispatch(next.state, wagon, 0, now));
+      next = prependEffects(next.effects, dispatch(next.state, wagon, 0, now));
     }
   }
   return next;
@@ -243,11 +254,12 @@
       return onKeepers(state, event);
     case 'result': {
       const wagon = state.wagons.get(event.frame.id);
-      if (wagon?.stage.stage !== 'asked' || wagon.stage.keeper !== event.from) return step(state);
-      return step(
+      if (wagon?.stage.stage !== 'asked' || wagon.stage.keeper !== event.from)
+        return transition(state);
+      return transition(
         {
           ...found(state, wagon.service),
-          wagons: put(state.wagons, wagon.id, {
+          wagons: withEntry(state.wagons, wagon.id, {
             ...wagon,
             stage: { stage: 'answering', keeper: wagon.stage.keeper },
           }),
@@ -258,22 +270,22 @@
     case 'begun': {
       const wagon = state.wagons.get(event.id);
       if (wagon?.stage.stage !== 'asked' || wagon.stage.keeper !== event.from || wagon.begun)
-        return step(state);
-      return step({
+        return transition(state);
+      return transition({
         ...found(state, wagon.service),
-        wagons: put(state.wagons, wagon.id, { ...wagon, begun: true }),
+        wagons: withEntry(state.wagons, wagon.id, { ...wagon, begun: true }),
       });
     }
     case 'reject':
       return onBounce(state, event);
     case 'done':
-      return step(end(state, event.id));
+      return transition(end(state, event.id));
     case 'lost':
       return onLost(state, event.keeper, event.unsent, event.now);
     case 'quit': {
       const wagon = state.wagons.get(event.id);
-      if (wagon === undefined) return step(state);
-      return step(
+      if (wagon === undefined) return transition(state);
+      return transition(
         end(state, event.id),
         ...(wagon.stage.stage === 'waiting'
           ? []
@@ -289,7 +301,7 @@
     }
     case 'adrift': {
       const waiting = [...state.wagons.values()].filter((one) => one.stage.stage === 'waiting');
-      return step(
+      return transition(
         waiting.reduce((next, one) => end(next, one.id), state),
         ...waiting.map((one) => fail(one, 'rejected', 'this node is out of touch', 1000)),
       );
--- a/packages/proxy-core/src/forward/state.ts
+++ b/packages/proxy-core/src/forward/state.ts
@@ -1,12 +1,12 @@
 import type {
   Address,
-  AskId,
+  RequestId,
   ClassName,
-  Duty,
+  LeaseName,
   Epoch,
   Generation,
-  Kind,
-  Moment,
+  ErrorKind,
+  Timestamp,
   RouteName,
   Seq,
   ServiceName,
@@ -15,7 +15,7 @@
 
 /** A request that an edge has taken on, without its body. */
 export interface Wagon {
-  readonly id: AskId;
+  readonly id: RequestId;
   readonly service: ServiceName;
   readonly generation: Generation;
   readonly route: RouteName;
@@ -26,10 +26,10 @@
   readonly fields: Fields;
   readonly repeatable: boolean;
   readonly storable: boolean;
-  readonly until: Moment;
+  readonly until: Timestamp;
   readonly purged: Seq;
   readonly stage:
-    | { readonly stage: 'waiting'; readonly since: Moment }
+    | { readonly stage: 'waiting'; readonly since: Timestamp }
     | { readonly stage: 'asked'; readonly keeper: Address; readonly epoch: Epoch }
     /** The first byte of a result is with the caller's side. */
     | { readonly stage: 'answering'; readonly keeper: Address };
@@ -39,10 +39,10 @@
 }
 
 export interface Forward {
-  readonly wagons: ReadonlyMap<AskId, Wagon>;
-  readonly keepers: ReadonlyMap<Duty, Holder>;
+  readonly wagons: ReadonlyMap<RequestId, Wagon>;
+  readonly keepers: ReadonlyMap<LeaseName, Holder>;
   /** Since when no request of a service found a keeper, and when one last tried. */
-  readonly bare: ReadonlyMap<ServiceName, { readonly since: Moment; readonly tried: Moment }>;
+  readonly bare: ReadonlyMap<ServiceName, { readonly since: Timestamp; readonly tried: Timestamp }>;
 }
 export const newForward: Forward = { wagons: new Map(), keepers: new Map(), bare: new Map() };
 /** The most requests one edge has under way. */
@@ -51,50 +51,64 @@
 export type ForwardEvent =
   | {
       readonly kind: 'take';
-      readonly now: Moment;
+      readonly now: Timestamp;
       readonly wagon: Omit<Wagon, 'stage' | 'again' | 'begun'>;
     }
-  | { readonly kind: 'keepers'; readonly now: Moment; readonly keepers: ReadonlyMap<Duty, Holder> }
+  | {
+      readonly kind: 'keepers';
+      readonly now: Timestamp;
+      readonly keepers: ReadonlyMap<LeaseName, Holder>;
+    }
   | {
       readonly kind: 'result';
-      readonly now: Moment;
+      readonly now: Timestamp;
       readonly from: Address;
       readonly frame: FrameOf<'result'>;
     }
   | {
       readonly kind: 'reject';
-      readonly now: Moment;
+      readonly now: Timestamp;
       readonly from: Address;
       readonly frame: FrameOf<'reject'>;
     }
-  | { readonly kind: 'begun'; readonly now: Moment; readonly from: Address; readonly id: AskId }
-  | { readonly kind: 'done'; readonly now: Moment; readonly id: AskId }
+  | {
+      readonly kind: 'begun';
+      readonly now: Timestamp;
+      readonly from: Address;
+      readonly id: RequestId;
+    }
+  | { readonly kind: 'done'; readonly now: Timestamp; readonly id: RequestId }
   /** A channel to a keeper ended; `unsent` names asks of which no byte left. */
   | {
       readonly kind: 'lost';
-      readonly now: Moment;
+      readonly now: Timestamp;
       readonly keeper: Address;
-      readonly unsent: ReadonlySet<AskId>;
+      readonly unsent: ReadonlySet<RequestId>;
+    }
+  | {
+      readonly kind: 'quit';
+      readonly now: Timestamp;
+      readonly id: RequestId;
+      readonly text: string;
     }
-  | { readonly kind: 'quit'; readonly now: Moment; readonly id: AskId; readonly text: string }
   /** This node is out of touch: it gives up what waits. */
-  | { readonly kind: 'adrift'; readonly now: Moment }
-  | { readonly kind: 'tick'; readonly now: Moment };
+  | { readonly kind: 'adrift'; readonly now: Timestamp }
+  | { readonly kind: 'tick'; readonly now: Timestamp };
 
 export type ForwardEffect =
   /** The shell adds the body and hands it over. */
   | { readonly kind: 'ask'; readonly to: Address; readonly ask: Omit<Ask, 'body'> }
-  | { readonly kind: 'cancel'; readonly to: Address; readonly id: AskId }
+  | { readonly kind: 'cancel'; readonly to: Address; readonly id: RequestId }
   | {
       readonly kind: 'begin';
       readonly to: Address;
-      readonly id: AskId;
+      readonly id: RequestId;
       readonly frame: FrameOf<'result'>;
     }
   | {
       readonly kind: 'fail';
-      readonly id: AskId;
-      readonly errorKind: Kind;
+      readonly id: RequestId;
+      readonly errorKind: ErrorKind;
       readonly text: string;
       readonly retryMs: number;
     };
--- a/packages/proxy-core/src/keeper/bays.ts
+++ b/packages/proxy-core/src/keeper/bays.ts
@@ -1,4 +1,4 @@
-import { type InstanceId, type Moment, later, put } from '@switchwheel/types';
+import { type InstanceId, type Timestamp, addMs, withEntry } from '@switchwheel/types';
 import { type Origins, standing } from '@switchwheel/membership';
 import type { Bay, Fit, Keeper, LegEnd } from './state.js';
 
@@ -9,7 +9,7 @@
 const slowTimes = 4;
 const slowFloor = 40;
 
-const newFit = (now: Moment): Fit => ({
+const newFit = (now: Timestamp): Fit => ({
   streak: 0,
   typical: 0,
   samples: 0,
@@ -19,7 +19,7 @@
 });
 
 /** Takes the origins of the service in as they are known now. */
-export const takeOrigins = (state: Keeper, origins: Origins, now: Moment): Keeper => {
+export const takeOrigins = (state: Keeper, origins: Origins, now: Timestamp): Keeper => {
   const bays = new Map<InstanceId, Bay>();
   for (const one of origins.values()) {
     if (one.service !== state.service) continue;
@@ -44,25 +44,25 @@
 };
 
 /** Slots a bay may fill now: a new keeper ramps in, as legs of the one before may still run there. */
-export const roomOf = (state: Keeper, bay: Bay, now: Moment): number =>
+export const roomOf = (state: Keeper, bay: Bay, now: Timestamp): number =>
   now - state.opened < rampSpan ? Math.max(1, Math.ceil(bay.slots / 2)) : bay.slots;
 
-export const isFit = (bay: Bay, now: Moment): boolean =>
+export const isFit = (bay: Bay, now: Timestamp): boolean =>
   bay.up && now >= bay.fit.barredUntil && bay.fit.probe !== 'bad';
 
-export const totalRoom = (state: Keeper, now: Moment): number => {
+export const totalRoom = (state: Keeper, now: Timestamp): number => {
   let sum = 0;
   for (const bay of state.bays.values()) if (isFit(bay, now)) sum += roomOf(state, bay, now);
   return sum;
 };
 
-const bar = (fit: Fit, now: Moment): Fit => {
+const bar = (fit: Fit, now: Timestamp): Fit => {
   const barred = Math.min(6, fit.barred + 1);
   return {
     ...fit,
     barred,
     streak: 0,
-    barredUntil: later(now, Math.min(longestBar, firstBar * 2 ** (barred - 1))),
+    barredUntil: addMs(now, Math.min(longestBar, firstBar * 2 ** (barred - 1))),
   };
 };
 
@@ -70,7 +70,7 @@
   [...list].sort((one, two) => one - two)[Math.floor(list.length / 2)] ?? 0;
 
 /** Whether a bay is far slower than the others of its service. */
-const outlier = (state: Keeper, bay: Bay, now: Moment): boolean => {
+const outlier = (state: Keeper, bay: Bay, now: Timestamp): boolean => {
   const others = [...state.bays.values()]
     .filter((one) => one.instance !== bay.instance && isFit(one, now) && one.fit.samples >= 5)
     .map((one) => one.fit.typical);
@@ -84,7 +84,7 @@
   instance: InstanceId,
   how: LegEnd,
   ms: number,
-  now: Moment,
+  now: Timestamp,
 ): { readonly state: Keeper; readonly barred: string | undefined } => {
   const bay = state.bays.get(instance);
   if (bay === undefined) return { state, barred: undefined };
@@ -111,7 +111,10 @@
     fit = bar(fit, now);
     text = `${how.end} answers`;
   }
-  return { state: { ...state, bays: put(state.bays, instance, { ...bay, fit }) }, barred: text };
+  return {
+    state: { ...state, bays: withEntry(state.bays, instance, { ...bay, fit }) },
+    barred: text,
+  };
 };
 
 /** Draws a probe into the health of its bay. */
@@ -119,14 +122,18 @@
   const bay = state.bays.get(instance);
   if (bay === undefined) return state;
   const fit: Fit = good ? { ...bay.fit, probe: 'good' } : { ...bay.fit, probe: 'bad' };
-  return { ...state, bays: put(state.bays, instance, { ...bay, fit }) };
+  return { ...state, bays: withEntry(state.bays, instance, { ...bay, fit }) };
 };
 
 /** How much more loaded than the best a bay may be and still take its turn. */
 const even = 1.5;
 
 /** Among the bays a request may go to, those with about the least load take turns. */
-export const elect = (state: Keeper, may: (bay: Bay) => boolean, now: Moment): Bay | undefined => {
+export const elect = (
+  state: Keeper,
+  may: (bay: Bay) => boolean,
+  now: Timestamp,
+): Bay | undefined => {
   const open: { readonly bay: Bay; readonly load: number }[] = [];
   for (const bay of state.bays.values()) {
     const room = roomOf(state, bay, now);
--- a/packages/proxy-core/src/keeper/ceiling.ts
+++ b/packages/proxy-core/src/keeper/ceiling.ts
@@ -1,11 +1,11 @@
-import type { Moment } from '@switchwheel/types';
+import type { Timestamp } from '@switchwheel/types';
 import type { Keeper } from './state.js';
 
 /** How far a burst may go beyond an even flow under the ceiling, in seconds of it. */
 const burstSpan = 0.3;
 
 /** Lets time pass over the ceiling. */
-export const fill = (state: Keeper, now: Moment): Keeper => {
+export const fill = (state: Keeper, now: Timestamp): Keeper => {
   const rate = state.rules.perSecond;
   if (rate === undefined) return state;
   const most = Math.max(1, rate * burstSpan);
--- a/packages/proxy-core/src/keeper/keeper.test.ts
+++ b/packages/proxy-core/src/keeper/keeper.test.ts
@@ -3,14 +3,14 @@
 import * as fc from 'fast-check';
 import {
   type ClassName,
-  later,
+  addMs,
   noGeneration,
   toAddress,
-  toAskId,
+  toRequestId,
   toClassName,
   toEpoch,
   toInstanceId,
-  toMoment,
+  toTimestamp,
   toRelease,
   toServiceName,
 } from '@switchwheel/types';
@@ -53,7 +53,7 @@
 class Bench {
   state: Keeper;
   readonly effects: KeeperEffect[] = [];
-  now = toMoment(10_000);
+  now = toTimestamp(10_000);
 
   constructor(groups: Keeper['groups'], slots: number) {
     this.state = newKeeper(
@@ -61,7 +61,7 @@
       toEpoch(1),
       { name: service, waitlist: 500, probe: { path: '/health', everyMs: 500 } },
       groups,
-      toMoment(0),
+      toTimestamp(0),
     );
     const origin = {
       service,
@@ -85,7 +85,7 @@
     this.tell({
       kind: 'arrive',
       now: this.now,
-      id: toAskId(`a${id}`),
+      id: toRequestId(`a${id}`),
       group,
       repeatable: true,
       again: false,
@@ -102,7 +102,7 @@
 
   endOne(): void {
     const leg = [...this.state.legs.keys()][0];
-    this.now = later(this.now, 20);
+    this.now = addMs(this.now, 20);
     if (leg !== undefined)
       this.tell({ kind: 'ended', now: this.now, leg, how: { end: 'good', status: 200 }, ms: 20 });
   }
@@ -137,7 +137,7 @@
   bench.tell({
     kind: 'arrive',
     now: bench.now,
-    id: toAskId('late'),
+    id: toRequestId('late'),
     group: quick,
     repeatable: true,
     again: false,
@@ -148,10 +148,10 @@
   bench.tell({ kind: 'origins', now: bench.now, origins: new Map() });
   const told = (): KeeperEffect | undefined =>
     bench.effects.find((one) => one.kind === 'turnAway' && one.ask === 'late');
-  bench.now = later(bench.now, 900);
+  bench.now = addMs(bench.now, 900);
   bench.tell({ kind: 'tick', now: bench.now });
   assert.equal(told(), undefined, 'another one may come up');
-  bench.now = later(bench.now, 200);
+  bench.now = addMs(bench.now, 200);
   bench.tell({ kind: 'tick', now: bench.now });
   const away = told();
   assert.ok(away?.kind === 'turnAway' && away.errorKind === 'rejected' && away.retryMs > 0);
--- a/packages/proxy-core/src/keeper/keeper.ts
+++ b/packages/proxy-core/src/keeper/keeper.ts
@@ -1,15 +1,15 @@
 import {
-  type AskId,
+  type RequestId,
   type ClassName,
-  type Moment,
-  type Step,
-  drop,
-  join,
-  later,
-  put,
-  step,
-  tally,
-  toAskId,
+  type Timestamp,
+  type Transition,
+  withoutEntry,
+  prependEffects,
+  addMs,
+  withEntry,
+  transition,
+  increment,
+  toRequestId,
 } from '@switchwheel/types';
 import { elect, judgeBay, judgeProbe, takeOrigins, totalRoom } from './bays.js';
 import { affords, fill, tokensAfter } from './ceiling.js';
@@ -18,7 +18,7 @@
 import { judgeTrial, mayTry, meetReleases, passTrials, spend, takeVerdicts } from './trial.js';
 import { addTo, sumOf } from './window.js';
 
-type Done = Step<Keeper, KeeperEffect>;
+type Done = Transition<Keeper, KeeperEffect>;
 /** The rules are a fifth and sixty; what is used stays below, for what a keeper before may have spent. */
 const extraShare = 0.15;
 const extraBase = 35;
@@ -26,10 +26,10 @@
 const firstBase = 12;
 const extraSpan = 10_000;
 const maxLegs = 3;
-const noAsk: AskId = toAskId('none');
+const noAsk: RequestId = toRequestId('none');
 
 /** Whether one more leg may be sent beyond each request's first. */
-export const mayExtra = (state: Keeper, now: Moment): boolean => {
+export const mayExtra = (state: Keeper, now: Timestamp): boolean => {
   const base =
     now - state.opened < extraSpan ? Math.floor(firstBase / 2 ** (state.holdings - 1)) : extraBase;
   return sumOf(state.extra, now) + 1 <= base + extraShare * sumOf(state.traffic, now);
@@ -39,7 +39,7 @@
   const count = new Map<ClassName, number>();
   for (const leg of state.legs.values()) {
     const load = state.running.get(leg.ask);
-    if (load !== undefined) tally(count, load.group);
+    if (load !== undefined) increment(count, load.group);
   }
   return count;
 };
@@ -63,7 +63,7 @@
   return sum;
 };
 
-const mayRun = (state: Keeper, group: ClassName, now: Moment): boolean => {
+const mayRun = (state: Keeper, group: ClassName, now: Timestamp): boolean => {
   const room = totalRoom(state, now);
   const free = room - state.legs.size;
   if (free <= 0) return false;
@@ -77,7 +77,7 @@
   return free > reserved(state, group, room, used);
 };
 
-const launch = (state: Keeper, load: Load, bay: Bay, now: Moment): Done => {
+const launch = (state: Keeper, load: Load, bay: Bay, now: Timestamp): Done => {
   const leg: Leg = {
     id: state.nextLeg,
     ask: load.id,
@@ -89,9 +89,9 @@
   const next: Keeper = {
     ...spend(state, bay.release),
     nextLeg: state.nextLeg + 1,
-    legs: put(state.legs, leg.id, leg),
-    bays: put(state.bays, bay.instance, { ...bay, used: bay.used + 1, lastLeg: leg.id }),
-    running: put(state.running, load.id, {
+    legs: withEntry(state.legs, leg.id, leg),
+    bays: withEntry(state.bays, bay.instance, { ...bay, used: bay.used + 1, lastLeg: leg.id }),
+    running: withEntry(state.running, load.id, {
       ...load,
       legs: load.legs + 1,
       tried: new Set([...load.tried, bay.instance]),
@@ -100,7 +100,7 @@
     traffic: extra ? state.traffic : addTo(state.traffic, now, 1),
     extra: extra ? addTo(state.extra, now, 1) : state.extra,
   };
-  return step(next, {
+  return transition(next, {
     kind: 'leg',
     leg: leg.id,
     ask: load.id,
@@ -113,7 +113,7 @@
 
 const open = (state: Keeper): boolean => !state.closing && affords(state);
 
-const pick = (state: Keeper, load: Load, now: Moment): Bay | undefined =>
+const pick = (state: Keeper, load: Load, now: Timestamp): Bay | undefined =>
   elect(state, (bay) => !load.tried.has(bay.instance) && mayTry(state, bay.release), now) ??
   (load.begun ? undefined : elect(state, (bay) => mayTry(state, bay.release), now));
 
@@ -139,13 +139,13 @@
     paid:
       others.length === 0
         ? new Map()
-        : put(state.paid, group, Math.max(paidOf(state, group), Math.min(...others))),
+        : withEntry(state.paid, group, Math.max(paidOf(state, group), Math.min(...others))),
   };
 };
 
 /** Lets in what may run, class by class, each in its order. */
-const pump = (before: Keeper, now: Moment): Done => {
-  let next: Done = step(fill(before, now));
+const pump = (before: Keeper, now: Timestamp): Done => {
+  let next: Done = transition(fill(before, now));
   for (let moved = true; moved;) {
     moved = false;
     for (const group of turns(next.state)) {
@@ -158,13 +158,15 @@
       if (bay === undefined) continue;
       const rest = list.filter((one) => one !== load);
       const waiting =
-        rest.length === 0 ? drop(next.state.waiting, group) : put(next.state.waiting, group, rest);
-      const paid = put(
+        rest.length === 0
+          ? withoutEntry(next.state.waiting, group)
+          : withEntry(next.state.waiting, group, rest);
+      const paid = withEntry(
         next.state.paid,
         group,
         paidOf(next.state, group) + 1 / shareOf(next.state, group),
       );
-      next = join(next.effects, launch({ ...next.state, waiting, paid }, load, bay, now));
+      next = prependEffects(next.effects, launch({ ...next.state, waiting, paid }, load, bay, now));
       moved = true;
       if (next.state.rules.perSecond !== undefined) break;
     }
@@ -173,7 +175,7 @@
 };
 
 const away = (
-  id: AskId,
+  id: RequestId,
   errorKind: 'rejected' | 'unknown' | 'slow' | 'lost',
   text: string,
   retryMs: number,
@@ -192,7 +194,7 @@
 };
 
 /** How long a request of a class that comes now would wait. */
-const estimate = (state: Keeper, group: ClassName, now: Moment): number => {
+const estimate = (state: Keeper, group: ClassName, now: Timestamp): number => {
   const ahead = state.waiting.get(group)?.length ?? 0;
   const room = totalRoom(state, now);
   if (room === 0) return ahead === 0 ? 0 : 500;
@@ -202,41 +204,48 @@
 /** How long requests wait for an origin to come up at all, and when to ask again after that. */
 const bareSpan = 1000;
 const bareRetry = 500;
-const isBare = (state: Keeper, now: Moment): boolean =>
+const isBare = (state: Keeper, now: Timestamp): boolean =>
   state.bare !== undefined && now - state.bare > bareSpan;
 
 const onArrive = (state: Keeper, event: Extract<KeeperEvent, { kind: 'arrive' }>): Done => {
   const { now, id, group } = event;
-  if (state.closing) return step(state, away(id, 'rejected', 'the keeper is closing', 0, true));
+  if (state.closing)
+    return transition(state, away(id, 'rejected', 'the keeper is closing', 0, true));
   if (
     state.running.has(id) ||
     [...state.waiting.values()].some((list) => list.some((one) => one.id === id))
   )
-    return step(state);
+    return transition(state);
   if (isBare(state, now))
-    return step(
+    return transition(
       { ...state, sent: state.sent + 1 },
       away(id, event.again ? 'lost' : 'rejected', 'no origin for a while', bareRetry),
     );
   const wait = estimate(state, group, now);
   // Each class has a waitlist of its own: one that floods does not fill another's.
   if ((state.waiting.get(group)?.length ?? 0) >= state.rules.waitlist)
-    return step(state, away(id, 'rejected', 'the waitlist is full', Math.max(250, wait)));
+    return transition(state, away(id, 'rejected', 'the waitlist is full', Math.max(250, wait)));
   if (wait + Math.min(state.typical, event.left / 2) > event.left)
-    return step(state, away(id, 'rejected', 'the deadline can not be met', Math.max(250, wait)));
+    return transition(
+      state,
+      away(id, 'rejected', 'the deadline can not be met', Math.max(250, wait)),
+    );
   const load: Load = {
     id,
     group,
     repeatable: event.repeatable,
     came: now,
-    until: later(now, event.left),
+    until: addMs(now, event.left),
     legs: event.extra ? 1 : 0,
     tried: new Set(),
     begun: event.again,
   };
   const base = joinTurns({ ...state, sent: state.sent + 1 }, group);
   return pump(
-    { ...base, waiting: put(base.waiting, group, [...(base.waiting.get(group) ?? []), load]) },
+    {
+      ...base,
+      waiting: withEntry(base.waiting, group, [...(base.waiting.get(group) ?? []), load]),
+    },
     now,
   );
 };
@@ -247,12 +256,12 @@
     bay === undefined
       ? state.bays
       : !bay.up && bay.used <= 1
-        ? drop(state.bays, leg.instance)
-        : put(state.bays, leg.instance, { ...bay, used: Math.max(0, bay.used - 1) });
-  return { ...state, legs: drop(state.legs, leg.id), bays };
+        ? withoutEntry(state.bays, leg.instance)
+        : withEntry(state.bays, leg.instance, { ...bay, used: Math.max(0, bay.used - 1) });
+  return { ...state, legs: withoutEntry(state.legs, leg.id), bays };
 };
 
-const others = (state: Keeper, ask: AskId): readonly Leg[] =>
+const others = (state: Keeper, ask: RequestId): readonly Leg[] =>
   [...state.legs.values()].filter((one) => one.ask === ask);
 
 /** Whether another leg is allowed after one ended: nothing ran for certain, or running twice does no harm. */
@@ -262,7 +271,7 @@
 const onEnded = (before: Keeper, event: Extract<KeeperEvent, { kind: 'ended' }>): Done => {
   const { now, how, ms } = event;
   const leg = before.legs.get(event.leg);
-  if (leg === undefined) return step(before);
+  if (leg === undefined) return transition(before);
   const judged = judgeBay(endLeg(before, leg), leg.instance, how, ms, now);
   const tried = judgeTrial(judged.state, leg.release, how, now);
   const effects: KeeperEffect[] = [...tried.effects];
@@ -271,10 +280,10 @@
   let state = tried.state;
   if (how.end === 'good') state = { ...state, typical: state.typical * 0.95 + ms * 0.05 };
   const load = state.running.get(leg.ask);
-  if (load === undefined) return join(effects, pump(state, now));
+  if (load === undefined) return prependEffects(effects, pump(state, now));
   const left = others(state, leg.ask);
   const begun = load.begun || (how.end !== 'unrun' && how.end !== 'unopened');
-  const settled = { ...state, running: drop(state.running, leg.ask) };
+  const settled = { ...state, running: withoutEntry(state.running, leg.ask) };
   if (
     how.end === 'good' ||
     (how.end === 'bad' &&
@@ -284,23 +293,26 @@
         pick(state, load, now) === undefined))
   ) {
     if (how.end === 'bad' && left.length > 0)
-      return join(
+      return prependEffects(
         effects,
-        pump({ ...state, running: put(state.running, load.id, { ...load, begun }) }, now),
+        pump({ ...state, running: withEntry(state.running, load.id, { ...load, begun }) }, now),
       );
     effects.push(
       { kind: 'use', leg: leg.id, ask: leg.ask },
       ...left.map((one): KeeperEffect => ({ kind: 'cut', leg: one.id })),
     );
-    return join(effects, pump(settled, now));
+    return prependEffects(effects, pump(settled, now));
   }
   if (left.length > 0)
-    return join(
+    return prependEffects(
       effects,
-      pump({ ...state, running: put(state.running, load.id, { ...load, begun }) }, now),
+      pump({ ...state, running: withEntry(state.running, load.id, { ...load, begun }) }, now),
     );
   if (state.closing && !begun && maySend(load, how))
-    return join(effects, step(settled, away(leg.ask, 'rejected', 'the keeper moved', 0, true)));
+    return prependEffects(
+      effects,
+      transition(settled, away(leg.ask, 'rejected', 'the keeper moved', 0, true)),
+    );
   const again =
     !state.closing &&
     maySend(load, how) &&
@@ -309,9 +321,9 @@
     mayExtra(state, now);
   if (again) {
     const list = [{ ...load, begun }, ...(settled.waiting.get(load.group) ?? [])];
-    return join(
+    return prependEffects(
       effects,
-      pump({ ...settled, waiting: put(settled.waiting, load.group, list) }, now),
+      pump({ ...settled, waiting: withEntry(settled.waiting, load.group, list) }, now),
     );
   }
   const text =
@@ -325,28 +337,31 @@
       ? away(leg.ask, 'rejected', text, 500)
       : away(leg.ask, how.end === 'slow' ? 'slow' : 'lost', text, 0),
   );
-  return join(effects, pump(settled, now));
+  return prependEffects(effects, pump(settled, now));
 };
 
 /** A result is on its way to the caller in parts: the other legs of its request end. */
 const onStreaming = (state: Keeper, id: number): Done => {
   const ask = state.legs.get(id)?.ask ?? noAsk;
   const load = state.running.get(ask);
-  if (load === undefined) return step(state);
+  if (load === undefined) return transition(state);
   const cuts = others(state, ask)
     .filter((one) => one.id !== id)
     .map((one): KeeperEffect => ({ kind: 'cut', leg: one.id }));
-  return step(
-    { ...state, running: put(state.running, ask, { ...load, repeatable: false, legs: maxLegs }) },
+  return transition(
+    {
+      ...state,
+      running: withEntry(state.running, ask, { ...load, repeatable: false, legs: maxLegs }),
+    },
     ...cuts,
   );
 };
 
-const onQuit = (state: Keeper, id: AskId, now: Moment): Done => {
+const onQuit = (state: Keeper, id: RequestId, now: Timestamp): Done => {
   let waiting = state.waiting;
   for (const [group, list] of state.waiting) {
     if (list.some((one) => one.id === id))
-      waiting = put(
+      waiting = withEntry(
         waiting,
         group,
         list.filter((one) => one.id !== id),
@@ -361,9 +376,9 @@
   const next = {
     ...state,
     waiting,
-    running: load === undefined ? state.running : drop(state.running, id),
+    running: load === undefined ? state.running : withoutEntry(state.running, id),
   };
-  return join(cuts, pump(next, now));
+  return prependEffects(cuts, pump(next, now));
 };
 
 /** The origins that may take a request at all, now or after a while. */
@@ -371,13 +386,13 @@
   [...state.bays.values()].filter((bay) => bay.up && mayTry(state, bay.release));
 
 /** Takes note of whether there is any. */
-const noteBare = (state: Keeper, now: Moment): Keeper => {
+const noteBare = (state: Keeper, now: Timestamp): Keeper => {
   if (usable(state).length === 0) return state.bare === undefined ? { ...state, bare: now } : state;
   return state.bare === undefined ? state : { ...state, bare: undefined };
 };
 
 /** When the first origin that is passed over may be tried again; nothing if none is up. */
-const firstOpen = (state: Keeper, now: Moment): number | undefined => {
+const firstOpen = (state: Keeper, now: Timestamp): number | undefined => {
   const open = usable(state).map((bay) =>
     bay.fit.probe === 'bad' ? now + state.rules.probe.everyMs : Math.max(now, bay.fit.barredUntil),
   );
@@ -391,7 +406,7 @@
   place: number,
   room: number,
   open: number | undefined,
-  now: Moment,
+  now: Timestamp,
 ): boolean => {
   if (now >= load.until - Math.min(state.typical, 50)) return true;
   if (open === undefined) return isBare(state, now);
@@ -401,7 +416,7 @@
 };
 
 /** Ends what can't be served in its time, and says when to come back. */
-const expire = (state: Keeper, now: Moment): Done => {
+const expire = (state: Keeper, now: Timestamp): Done => {
   let waiting = state.waiting;
   const effects: KeeperEffect[] = [];
   const room = totalRoom(state, now);
@@ -410,7 +425,7 @@
     const late = list.filter((one, place) => hopeless(state, one, place, room, open, now));
     if (late.length === 0) continue;
     const rest = list.filter((one) => !late.includes(one));
-    waiting = rest.length === 0 ? drop(waiting, group) : put(waiting, group, rest);
+    waiting = rest.length === 0 ? withoutEntry(waiting, group) : withEntry(waiting, group, rest);
     effects.push(
       ...late.map((one) =>
         one.begun
@@ -419,13 +434,13 @@
       ),
     );
   }
-  return step(waiting === state.waiting ? state : { ...state, waiting }, ...effects);
+  return transition(waiting === state.waiting ? state : { ...state, waiting }, ...effects);
 };
 
 /** Sends a second leg for repeatable requests that take far longer than they should. */
-const hedge = (before: Keeper, now: Moment): Done => {
+const hedge = (before: Keeper, now: Timestamp): Done => {
   const span = before.rules.hedgeMs ?? Math.max(50, before.typical * 4);
-  let next: Done = step(before);
+  let next: Done = transition(before);
   for (const leg of before.legs.values()) {
     if (now - leg.since < span) continue;
     const load = next.state.running.get(leg.ask);
@@ -443,7 +458,7 @@
       (one) => !load.tried.has(one.instance) && mayTry(next.state, one.release),
       now,
     );
-    if (bay !== undefined) next = join(next.effects, launch(next.state, load, bay, now));
+    if (bay !== undefined) next = prependEffects(next.effects, launch(next.state, load, bay, now));
   }
   return next;
 };
@@ -457,16 +472,16 @@
         ? away(one.id, 'lost', 'the keeper moved', 0)
         : away(one.id, 'rejected', 'the keeper moved', 0, true),
     );
-  return step({ ...state, closing: true, waiting: new Map() }, ...effects);
+  return transition({ ...state, closing: true, waiting: new Map() }, ...effects);
 };
 
-const onTick = (state: Keeper, now: Moment): Done => {
-  if (state.closing) return step(state);
+const onTick = (state: Keeper, now: Timestamp): Done => {
+  if (state.closing) return transition(state);
   const late = expire(noteBare(state, now), now);
   const trials = passTrials(late.state, now);
   const probes = passProbes(fill(trials.state, now), now);
   const pumped = pump(probes.state, now);
-  return join(
+  return prependEffects(
     [...late.effects, ...trials.effects, ...probes.effects, ...pumped.effects],
     hedge(pumped.state, now),
   );
@@ -485,7 +500,7 @@
       return onQuit(state, event.id, event.now);
     case 'origins': {
       const met = meetReleases(takeOrigins(state, event.origins, event.now), event.now);
-      return join(met.effects, pump(noteBare(met.state, event.now), event.now));
+      return prependEffects(met.effects, pump(noteBare(met.state, event.now), event.now));
     }
     case 'probed':
       return pump(judgeProbe(state, event.instance, event.good), event.now);
