--- a/packages/proxy-core/src/keeper/probes.ts
+++ b/packages/proxy-core/src/keeper/probes.ts
@@ -1,4 +1,4 @@
-import { type Moment, put } from '@switchwheel/types';
+import { type Timestamp, withEntry } from '@switchwheel/types';
 import { affords, tokensAfter } from './ceiling.js';
 import type { Keeper, KeeperEffect } from './state.js';
 
@@ -17,7 +17,7 @@
 /** Sends the health checks that are due. */
 export const passProbes = (
   before: Keeper,
-  now: Moment,
+  now: Timestamp,
 ): { readonly state: Keeper; readonly effects: readonly KeeperEffect[] } => {
   const every = everyOf(before);
   const effects: KeeperEffect[] = [];
@@ -34,7 +34,7 @@
     state = {
       ...state,
       tokens: tokensAfter(state),
-      bays: put(state.bays, bay.instance, { ...bay, probed: now }),
+      bays: withEntry(state.bays, bay.instance, { ...bay, probed: now }),
     };
   }
   return { state, effects };
--- a/packages/proxy-core/src/keeper/state.ts
+++ b/packages/proxy-core/src/keeper/state.ts
@@ -1,9 +1,9 @@
 import type {
-  AskId,
+  RequestId,
   ClassName,
   Epoch,
   InstanceId,
-  Moment,
+  Timestamp,
   Release,
   ServiceName,
 } from '@switchwheel/types';
@@ -33,7 +33,7 @@
   /** Typical time of its results, in milliseconds. */
   readonly typical: number;
   readonly samples: number;
-  readonly barredUntil: Moment;
+  readonly barredUntil: Timestamp;
   readonly barred: number;
   readonly probe: 'unknown' | 'good' | 'bad';
 }
@@ -47,18 +47,18 @@
   readonly used: number;
   /** The last leg that went there, so that bays take turns. */
   readonly lastLeg: number;
-  readonly probed: Moment | undefined;
+  readonly probed: Timestamp | undefined;
   readonly up: boolean;
   readonly fit: Fit;
 }
 
 /** A request that waits for a slot, or runs. */
 export interface Load {
-  readonly id: AskId;
+  readonly id: RequestId;
   readonly group: ClassName;
   readonly repeatable: boolean;
-  readonly came: Moment;
-  readonly until: Moment;
+  readonly came: Timestamp;
+  readonly until: Timestamp;
   readonly legs: number;
   readonly tried: ReadonlySet<InstanceId>;
   /** Whether a leg of it may have run: then it is never told as refused. */
@@ -67,10 +67,10 @@
 
 export interface Leg {
   readonly id: number;
-  readonly ask: AskId;
+  readonly ask: RequestId;
   readonly instance: InstanceId;
   readonly release: Release;
-  readonly since: Moment;
+  readonly since: Timestamp;
 }
 
 /** What this keeper knows of a release that is on trial. */
@@ -86,8 +86,8 @@
   /** The traffic since the trial began that earlier keepers told of, and where this keeper's own count stood then. */
   readonly base: number;
   readonly from: number;
-  readonly since: Moment;
-  readonly asked: Moment | undefined;
+  readonly since: Timestamp;
+  readonly asked: Timestamp | undefined;
   /** How many of its bad answers were told for keeping. */
   readonly told: number;
   readonly state: 'trial' | 'good' | 'bad';
@@ -98,21 +98,21 @@
 export interface Keeper {
   readonly service: ServiceName;
   readonly epoch: Epoch;
-  readonly opened: Moment;
+  readonly opened: Timestamp;
   /** How many keepers there may have been in the ten seconds before, this one among them. */
   readonly holdings: number;
   readonly rules: Service;
   readonly groups: ReadonlyMap<ClassName, Group>;
   readonly bays: ReadonlyMap<InstanceId, Bay>;
   readonly waiting: ReadonlyMap<ClassName, readonly Load[]>;
-  readonly running: ReadonlyMap<AskId, Load>;
+  readonly running: ReadonlyMap<RequestId, Load>;
   readonly legs: ReadonlyMap<number, Leg>;
   readonly nextLeg: number;
   /** Since when no origin at all may take a request. */
-  readonly bare: Moment | undefined;
+  readonly bare: Timestamp | undefined;
   /** Sends still allowed by the ceiling right now. */
   readonly tokens: number;
-  readonly filled: Moment;
+  readonly filled: Timestamp;
   /** What each class that waits has had of the ceiling, for its share. */
   readonly paid: ReadonlyMap<ClassName, number>;
   readonly traffic: Sliding;
@@ -130,7 +130,7 @@
   epoch: Epoch,
   rules: Service,
   groups: ReadonlyMap<ClassName, Group>,
-  now: Moment,
+  now: Timestamp,
   holdings = 1,
 ): Keeper => ({
   service,
@@ -159,8 +159,8 @@
 export type KeeperEvent =
   | {
       readonly kind: 'arrive';
-      readonly now: Moment;
-      readonly id: AskId;
+      readonly now: Timestamp;
+      readonly id: RequestId;
       readonly group: ClassName;
       readonly repeatable: boolean;
       readonly again: boolean;
@@ -168,38 +168,38 @@
       readonly left: number;
     }
   /** A leg's result is on its way to the caller in parts: nothing else may take its place. */
-  | { readonly kind: 'streaming'; readonly now: Moment; readonly leg: number }
+  | { readonly kind: 'streaming'; readonly now: Timestamp; readonly leg: number }
   | {
       readonly kind: 'ended';
-      readonly now: Moment;
+      readonly now: Timestamp;
       readonly leg: number;
       readonly how: LegEnd;
       readonly ms: number;
     }
-  | { readonly kind: 'quit'; readonly now: Moment; readonly id: AskId }
-  | { readonly kind: 'origins'; readonly now: Moment; readonly origins: Origins }
+  | { readonly kind: 'quit'; readonly now: Timestamp; readonly id: RequestId }
+  | { readonly kind: 'origins'; readonly now: Timestamp; readonly origins: Origins }
   | {
       readonly kind: 'probed';
-      readonly now: Moment;
+      readonly now: Timestamp;
       readonly instance: InstanceId;
       readonly good: boolean;
       readonly ms: number;
     }
   | {
       readonly kind: 'rules';
-      readonly now: Moment;
+      readonly now: Timestamp;
       readonly rules: Service;
       readonly groups: ReadonlyMap<ClassName, Group>;
     }
-  | { readonly kind: 'verdicts'; readonly now: Moment; readonly verdicts: readonly Verdict[] }
-  | { readonly kind: 'tick'; readonly now: Moment }
-  | { readonly kind: 'close'; readonly now: Moment };
+  | { readonly kind: 'verdicts'; readonly now: Timestamp; readonly verdicts: readonly Verdict[] }
+  | { readonly kind: 'tick'; readonly now: Timestamp }
+  | { readonly kind: 'close'; readonly now: Timestamp };
 
 export type KeeperEffect =
   | {
       readonly kind: 'leg';
       readonly leg: number;
-      readonly ask: AskId;
+      readonly ask: RequestId;
       readonly instance: InstanceId;
       readonly address: Address;
       readonly release: Release;
@@ -207,10 +207,10 @@
     }
   | { readonly kind: 'cut'; readonly leg: number }
   /** The leg's result is the one the caller gets. */
-  | { readonly kind: 'use'; readonly leg: number; readonly ask: AskId }
+  | { readonly kind: 'use'; readonly leg: number; readonly ask: RequestId }
   | {
       readonly kind: 'turnAway';
-      readonly ask: AskId;
+      readonly ask: RequestId;
       readonly errorKind: 'rejected' | 'unknown' | 'slow' | 'lost';
       readonly text: string;
       readonly retryMs: number;
--- a/packages/proxy-core/src/keeper/trial.ts
+++ b/packages/proxy-core/src/keeper/trial.ts
@@ -1,4 +1,4 @@
-import { type Moment, type Release, put } from '@switchwheel/types';
+import { type Timestamp, type Release, withEntry } from '@switchwheel/types';
 import type { Verdict } from '@switchwheel/transport';
 import type { Keeper, KeeperEffect, LegEnd, Trial } from './state.js';
 
@@ -13,7 +13,12 @@
 const badMost = 25;
 const askAgain = 500;
 
-const newTrial = (release: Release, state: Trial['state'], from: number, now: Moment): Trial => ({
+const newTrial = (
+  release: Release,
+  state: Trial['state'],
+  from: number,
+  now: Timestamp,
+): Trial => ({
   release,
   granted: 0,
   used: 0,
@@ -30,14 +35,18 @@
 });
 
 /** Takes the stored verdicts in: counts only grow, bad stays bad. */
-export const takeVerdicts = (state: Keeper, verdicts: readonly Verdict[], now: Moment): Keeper => {
+export const takeVerdicts = (
+  state: Keeper,
+  verdicts: readonly Verdict[],
+  now: Timestamp,
+): Keeper => {
   let trials = state.trials;
   for (const word of verdicts) {
     if (word.service !== state.service) continue;
     const known = trials.get(word.release);
     if (known === undefined) {
       // What an earlier keeper reserved counts as used: some of it may not have been, none goes uncounted.
-      trials = put(trials, word.release, {
+      trials = withEntry(trials, word.release, {
         ...newTrial(word.release, word.state, state.sent, now),
         granted: word.spent,
         used: word.spent,
@@ -58,7 +67,13 @@
     const granted = Math.max(known.granted, word.spent);
     const asked = granted > known.granted ? undefined : known.asked;
     if (next !== known.state || granted !== known.granted || !known.stored)
-      trials = put(trials, word.release, { ...known, state: next, granted, asked, stored: true });
+      trials = withEntry(trials, word.release, {
+        ...known,
+        state: next,
+        granted,
+        asked,
+        stored: true,
+      });
   }
   return trials === state.trials ? state : { ...state, trials };
 };
@@ -66,14 +81,14 @@
 /** Makes sure each release present has a trial; the first one of a service stands without one. */
 export const meetReleases = (
   state: Keeper,
-  now: Moment,
+  now: Timestamp,
 ): { readonly state: Keeper; readonly effects: readonly KeeperEffect[] } => {
   let trials = state.trials;
   const effects: KeeperEffect[] = [];
   for (const bay of state.bays.values()) {
     if (!bay.up || trials.has(bay.release)) continue;
     const first = ![...trials.values()].some((one) => one.state === 'good');
-    trials = put(
+    trials = withEntry(
       trials,
       bay.release,
       newTrial(bay.release, first ? 'good' : 'trial', state.sent, now),
@@ -110,7 +125,7 @@
   const trial = state.trials.get(release);
   return trial === undefined
     ? state
-    : { ...state, trials: put(state.trials, release, { ...trial, used: trial.used + 1 }) };
+    : { ...state, trials: withEntry(state.trials, release, { ...trial, used: trial.used + 1 }) };
 };
 
 const told = (state: Keeper, trial: Trial, spent: number): KeeperEffect => ({
@@ -143,7 +158,7 @@
   );
 
 /** Whether a release may have all its traffic: enough good answers, over some time. */
-const earned = (trial: Trial, now: Moment): boolean =>
+const earned = (trial: Trial, now: Timestamp): boolean =>
   trial.good >= earnGood &&
   trial.bad <= 0.05 * (trial.good + trial.bad) &&
   now - trial.since >= earnSpan;
@@ -153,7 +168,7 @@
   trial.bad >= badMost || (trial.bad >= 8 && trial.bad > 0.2 * (trial.good + trial.bad));
 
 /** The verdict that a release's answers call for now, if it is another one than it has. */
-const verdictOf = (state: Keeper, trial: Trial, now: Moment): 'good' | 'bad' | undefined => {
+const verdictOf = (state: Keeper, trial: Trial, now: Timestamp): 'good' | 'bad' | undefined => {
   switch (trial.state) {
     case 'trial':
       return isPoor(trial) ? 'bad' : earned(trial, now) ? 'good' : undefined;
@@ -169,7 +184,7 @@
   state: Keeper,
   release: Release,
   how: LegEnd,
-  now: Moment,
+  now: Timestamp,
 ): { readonly state: Keeper; readonly effects: readonly KeeperEffect[] } => {
   const trial = state.trials.get(release);
   if (trial === undefined || how.end === 'unrun' || how.end === 'unopened' || how.end === 'dropped')
@@ -184,7 +199,7 @@
   const verdict = verdictOf(state, next, now);
   const judged: Trial = verdict === undefined ? next : { ...next, state: verdict };
   return {
-    state: { ...state, trials: put(state.trials, release, judged) },
+    state: { ...state, trials: withEntry(state.trials, release, judged) },
     effects: verdict === undefined ? [] : [told(state, judged, judged.granted)],
   };
 };
@@ -192,7 +207,7 @@
 /** Reserves more of a trial ahead, through the stored state, and repeats what was not yet confirmed. */
 export const passTrials = (
   state: Keeper,
-  now: Moment,
+  now: Timestamp,
 ): { readonly state: Keeper; readonly effects: readonly KeeperEffect[] } => {
   let trials = state.trials;
   const effects: KeeperEffect[] = [];
@@ -200,7 +215,7 @@
     if (trial.state === 'trial' && earned(trial, now)) {
       // It may have no answers left to earn it by: time alone was lacking.
       const judged: Trial = { ...trial, state: 'good' };
-      trials = put(trials, trial.release, judged);
+      trials = withEntry(trials, trial.release, judged);
       effects.push(told(state, judged, judged.granted));
       continue;
     }
@@ -211,7 +226,7 @@
     // Bad answers are kept as they come, for the keepers after this one.
     const mute = !trial.stored || (trial.state === 'trial' && trial.bad > trial.told);
     if ((!wants && !mute) || (trial.asked !== undefined && now - trial.asked < askAgain)) continue;
-    trials = put(trials, trial.release, { ...trial, asked: now, told: trial.bad });
+    trials = withEntry(trials, trial.release, { ...trial, asked: now, told: trial.bad });
     effects.push(told(state, trial, wants ? trial.used + reserve : trial.granted));
   }
   return { state: trials === state.trials ? state : { ...state, trials }, effects };
--- a/packages/proxy-core/src/keeper/window.ts
+++ b/packages/proxy-core/src/keeper/window.ts
@@ -1,4 +1,4 @@
-import type { Moment } from '@switchwheel/types';
+import type { Timestamp } from '@switchwheel/types';
 
 /** Counts over a sliding time, in slots; a reading takes the oldest slot in whole, so it never tells too little. */
 export interface Sliding {
@@ -13,7 +13,7 @@
   head: 0,
 });
 
-const turn = (window: Sliding, now: Moment): Sliding => {
+const turn = (window: Sliding, now: Timestamp): Sliding => {
   const head = Math.floor(now / window.slotMs);
   if (head === window.head) return window;
   const size = window.slots.length;
@@ -24,7 +24,7 @@
   return { ...window, slots, head };
 };
 
-export const addTo = (window: Sliding, now: Moment, amount: number): Sliding => {
+export const addTo = (window: Sliding, now: Timestamp, amount: number): Sliding => {
   const fresh = turn(window, now);
   const slots = [...fresh.slots];
   const at = fresh.head % slots.length;
@@ -32,5 +32,5 @@
   return { ...fresh, slots };
 };
 
-export const sumOf = (window: Sliding, now: Moment): number =>
+export const sumOf = (window: Sliding, now: Timestamp): number =>
   turn(window, now).slots.reduce((sum, one) => sum + one, 0);
--- a/packages/proxy-core/src/line/dock.ts
+++ b/packages/proxy-core/src/line/dock.ts
@@ -1,6 +1,6 @@
 import { createHash } from 'node:crypto';
-import type { AskId, Moment, Seq } from '@switchwheel/types';
-import { toSpan } from '@switchwheel/types';
+import type { RequestId, Timestamp, Seq } from '@switchwheel/types';
+import { toDurationMs } from '@switchwheel/types';
 import type { Ask, Fields, Frame, FrameOf } from '@switchwheel/transport';
 import type { DataChannel, DataEars, Measures } from './port.js';
 
@@ -8,7 +8,7 @@
 export interface Inbound {
   readonly ask: Ask;
   readonly channel: DataChannel;
-  readonly came: Moment;
+  readonly came: Timestamp;
   credit: number;
   /** Waits for room. */
   wake: (() => void) | undefined;
@@ -36,12 +36,12 @@
 
 /** A shield's side of the data channels: asks come in, results go back. */
 export class Dock {
-  readonly #open = new Map<AskId, Inbound>();
+  readonly #open = new Map<RequestId, Inbound>();
   readonly #measures: Measures;
   readonly #asked: (one: Inbound) => void;
-  readonly #quit: (id: AskId) => void;
+  readonly #quit: (id: RequestId) => void;
 
-  constructor(sizes: Measures, asked: (one: Inbound) => void, quit: (id: AskId) => void) {
+  constructor(sizes: Measures, asked: (one: Inbound) => void, quit: (id: RequestId) => void) {
     this.#measures = sizes;
     this.#asked = asked;
     this.#quit = quit;
@@ -51,13 +51,13 @@
     return this.#open.size;
   }
 
-  find(id: AskId): Inbound | undefined {
+  find(id: RequestId): Inbound | undefined {
     return this.#open.get(id);
   }
 
   /** Takes a channel that an edge opened. */
-  take(channel: DataChannel, clock: () => Moment): Omit<DataEars, 'up'> {
-    const mine = new Set<AskId>();
+  take(channel: DataChannel, clock: () => Timestamp): Omit<DataEars, 'up'> {
+    const mine = new Set<RequestId>();
     const frame = (word: Frame): void => {
       if (word.kind === 'ask') {
         if (this.#open.has(word.id)) return;
@@ -85,14 +85,14 @@
     return { frame, closed };
   }
 
-  reject(id: AskId, frame: Omit<FrameOf<'reject'>, 'kind' | 'id'>): void {
+  reject(id: RequestId, frame: Omit<FrameOf<'reject'>, 'kind' | 'id'>): void {
     const one = this.#open.get(id);
     this.#open.delete(id);
     one?.channel.send({ kind: 'reject', id, ...frame });
   }
 
   /** Says that the first leg of an ask goes out. */
-  begun(id: AskId): void {
+  begun(id: RequestId): void {
     const one = this.#open.get(id);
     if (one === undefined || one.begun) return;
     one.begun = true;
@@ -100,7 +100,7 @@
   }
 
   /** Sends a whole result back. */
-  tell(id: AskId, told: Finding): void {
+  tell(id: RequestId, told: Finding): void {
     const one = this.#open.get(id);
     if (one === undefined || one.streaming) return;
     this.#open.delete(id);
@@ -112,7 +112,7 @@
       status,
       fields,
       length: body.length,
-      age: toSpan(age),
+      age: toDurationMs(age),
       from,
       purged,
       streamed: false,
@@ -124,7 +124,7 @@
 
   /** Opens a result that goes back in parts, no faster than the caller takes it. */
   stream(
-    id: AskId,
+    id: RequestId,
     status: number,
     fields: Fields,
     length: number | undefined,
@@ -141,7 +141,7 @@
       status,
       fields,
       ...(length === undefined ? {} : { length }),
-      age: toSpan(0),
+      age: toDurationMs(0),
       from: 'origin',
       purged,
       streamed: true,
@@ -175,7 +175,7 @@
     };
   }
 
-  #refill(id: AskId, bytes: number): void {
+  #refill(id: RequestId, bytes: number): void {
     const one = this.#open.get(id);
     if (one === undefined) return;
     one.credit += bytes;
@@ -185,7 +185,7 @@
     wake();
   }
 
-  #leave(id: AskId): void {
+  #leave(id: RequestId): void {
     if (this.#open.delete(id)) this.#quit(id);
   }
 }
--- a/packages/proxy-core/src/line/edge.ts
+++ b/packages/proxy-core/src/line/edge.ts
@@ -1,15 +1,15 @@
 import {
   type Address,
-  type AskId,
-  type Kind,
-  type Moment,
+  type RequestId,
+  type ErrorKind,
+  type Timestamp,
   type Seq,
   noGeneration,
   noSeq,
-  spread,
-  tally,
-  toAskId,
-  toMoment,
+  hashToFraction,
+  increment,
+  toRequestId,
+  toTimestamp,
 } from '@switchwheel/types';
 import type { Ask, Fields, Frame, FrameOf } from '@switchwheel/transport';
 import { type Track, match, pickService } from '@switchwheel/configuration';
@@ -41,12 +41,12 @@
   readonly call: Call;
   readonly track: Track;
   readonly caller: Caller;
-  readonly until: Moment;
+  readonly until: Timestamp;
   readonly slip: Slip | undefined;
   /** Tells those who wait for this very fetch; nothing if it can't be shared. */
   readonly lead: ((outcome: Outcome) => void) | undefined;
   /** Its trip, once it has one. */
-  readonly seat: { id: AskId | undefined };
+  readonly seat: { id: RequestId | undefined };
 }
 type Filter = (pass: Pass, next: (pass: Pass) => void) => void;
 
@@ -56,7 +56,11 @@
   first?.(pass, (on) => chain(rest, on));
 };
 
-const fault = (kind: Kind, text: string, retryMs: number): Extract<Told, { kind: 'fault' }> => ({
+const fault = (
+  kind: ErrorKind,
+  text: string,
+  retryMs: number,
+): Extract<Told, { kind: 'fault' }> => ({
   kind: 'fault',
   fault: kind,
   text,
@@ -78,7 +82,7 @@
 
 /** The life of callers' requests at an edge: filters first, then a trip to the keeper and back. */
 export class EdgeLine {
-  readonly #trips = new Map<AskId, Trip>();
+  readonly #trips = new Map<RequestId, Trip>();
   readonly #flights: Flights<Outcome>;
   readonly #desk: Desk;
   readonly #cab: Cab;
@@ -161,7 +165,7 @@
       slip,
       seat,
       lead: undefined,
-      until: toMoment(this.#cab.now() + track.timeoutMs),
+      until: toTimestamp(this.#cab.now() + track.timeoutMs),
     });
     // Others may wait for what can be kept: it goes on without its caller.
     return () => {
@@ -177,7 +181,7 @@
   }
 
   bump(name: string): void {
-    tally(this.counts, name);
+    increment(this.counts, name);
   }
 
   #tell(pass: Pass, told: Told): void {
@@ -220,7 +224,7 @@
     const storable = slip !== undefined;
     const { table } = this.#cab.state().cabin;
     this.#count += 1;
-    const id = toAskId(`${this.#name}.${this.#count}`);
+    const id = toRequestId(`${this.#name}.${this.#count}`);
     const sentAt = this.#cab.now();
     const purged = this.#desk.cache.top;
     pass.seat.id = id;
@@ -245,7 +249,7 @@
       now: at,
       wagon: {
         id,
-        service: pickService(track, spread(id)),
+        service: pickService(track, hashToFraction(id)),
         generation: table?.generation ?? noGeneration,
         route: track.name,
         group: track.group,
@@ -264,7 +268,7 @@
     }));
   }
 
-  #ended(pass: Pass, sentAt: Moment, outcome: Outcome): void {
+  #ended(pass: Pass, sentAt: Timestamp, outcome: Outcome): void {
     switch (outcome.kind) {
       case 'fault':
         this.#tell(pass, outcome);
@@ -289,7 +293,7 @@
   }
 
   /** Whether a result that may be kept is no longer sure to be good: a sleep, or a purge while it was long under way. */
-  #isLate(slip: Slip, fields: Fields, sentAt: Moment, purged: Seq): boolean {
+  #isLate(slip: Slip, fields: Fields, sentAt: Timestamp, purged: Seq): boolean {
     const { cabin, woke } = this.#cab.state();
     const at = this.#cab.now();
     if (woke > sentAt) return true;
@@ -299,7 +303,7 @@
     );
   }
 
-  #leave(id: AskId, text: string): void {
+  #leave(id: RequestId, text: string): void {
     this.#cab.tell((at) => ({ kind: 'quit', now: at, id, text }));
   }
 
@@ -361,7 +365,7 @@
   }
 
   /** The trip whose result a keeper sends, if that is the keeper that was asked. */
-  #coming(from: Address, id: AskId): Trip | undefined {
+  #coming(from: Address, id: RequestId): Trip | undefined {
     const trip = this.#trips.get(id);
     return trip?.begun === true && trip.keeper === from ? trip : undefined;
   }
--- a/packages/proxy-core/src/line/links.ts
+++ b/packages/proxy-core/src/line/links.ts
@@ -1,4 +1,4 @@
-import type { Address, AskId } from '@switchwheel/types';
+import type { Address, RequestId } from '@switchwheel/types';
 import type { Ask, Frame, FrameOf } from '@switchwheel/transport';
 import type { DataChannel, Dial } from './port.js';
 
@@ -12,7 +12,7 @@
 export interface LinkEars {
   /** Says whether it is a frame that belongs there. */
   readonly frame: (from: Address, frame: Frame) => boolean;
-  readonly lost: (keeper: Address, unsent: ReadonlySet<AskId>) => void;
+  readonly lost: (keeper: Address, unsent: ReadonlySet<RequestId>) => void;
 }
 
 /** An edge's data channels to keepers. */
--- a/packages/proxy-core/src/line/port.ts
+++ b/packages/proxy-core/src/line/port.ts
@@ -1,13 +1,13 @@
-import type { Address, InstanceId, Kind, Moment } from '@switchwheel/types';
+import type { Address, InstanceId, ErrorKind, Timestamp } from '@switchwheel/types';
 import type { Fields, Frame } from '@switchwheel/transport';
 import type { Entry } from '../cache/cache.js';
 import type { Proxy, ProxyEvent } from '../proxy/state.js';
 
 /** What the life of a request stands on: the machine, and the time. */
 export interface Cab {
-  readonly now: () => Moment;
+  readonly now: () => Timestamp;
   readonly state: () => Proxy;
-  readonly tell: (make: (now: Moment) => ProxyEvent) => void;
+  readonly tell: (make: (now: Timestamp) => ProxyEvent) => void;
 }
 
 /** A channel on which requests and results go. */
@@ -61,12 +61,12 @@
 export type Told =
   | {
       readonly kind: 'fault';
-      readonly fault: Kind;
+      readonly fault: ErrorKind;
       readonly text: string;
       readonly retryMs: number;
       readonly allow?: readonly string[];
     }
-  | { readonly kind: 'entry'; readonly entry: Entry; readonly at: Moment; readonly from: string }
+  | { readonly kind: 'entry'; readonly entry: Entry; readonly at: Timestamp; readonly from: string }
   | {
       readonly kind: 'whole';
       readonly status: number;
--- a/packages/proxy-core/src/line/shield.ts
+++ b/packages/proxy-core/src/line/shield.ts
@@ -1,4 +1,11 @@
-import { type AskId, type Moment, type Seq, tally, toMoment, toSpan } from '@switchwheel/types';
+import {
+  type RequestId,
+  type Timestamp,
+  type Seq,
+  increment,
+  toTimestamp,
+  toDurationMs,
+} from '@switchwheel/types';
 import type { Fields } from '@switchwheel/transport';
 import { type Entry, digestOf } from '../cache/cache.js';
 import type { Desk, Slip } from '../cache/desk.js';
@@ -28,9 +35,9 @@
 /** The life of requests at a shield: what it keeps of them while its keepers decide about them. */
 export class ShieldLine {
   readonly dock: Dock;
-  readonly #hands = new Map<AskId, Hand>();
+  readonly #hands = new Map<RequestId, Hand>();
   readonly #takings = new Map<string, Taking>();
-  readonly #results = new Map<string, { readonly result: LegResult; readonly since: Moment }>();
+  readonly #results = new Map<string, { readonly result: LegResult; readonly since: Timestamp }>();
   readonly #flights: Flights<Entry | undefined>;
   readonly #legs: LegPort;
   readonly #desk: Desk;
@@ -90,10 +97,10 @@
   }
 
   #count(name: string): void {
-    tally(this.counts, name);
+    increment(this.counts, name);
   }
 
-  #drop(id: AskId): void {
+  #drop(id: RequestId): void {
     const hand = this.#hands.get(id);
     this.#hands.delete(id);
     hand?.finish(undefined);
@@ -148,16 +155,16 @@
     this.#cab.tell((at) => ({
       kind: 'asked',
       now: at,
-      ask: { ...one.ask, left: toSpan(Math.max(0, one.ask.left - (at - one.came))) },
+      ask: { ...one.ask, left: toDurationMs(Math.max(0, one.ask.left - (at - one.came))) },
     }));
   }
 
-  #quit(id: AskId): void {
+  #quit(id: RequestId): void {
     this.#drop(id);
     this.#cab.tell((at) => ({ kind: 'quitAsk', now: at, id }));
   }
 
-  #ended(effect: LegWord, since: Moment, came: LegResult): void {
+  #ended(effect: LegWord, since: Timestamp, came: LegResult): void {
     const name = nameOf(effect);
     const result: LegResult =
       came.whole !== undefined && this.#isStale(effect.ask, since)
@@ -181,7 +188,7 @@
   }
 
   /** Nobody knows how long a result waited here while this process slept: what may be kept is not told any more. */
-  #isStale(ask: AskId, since: Moment): boolean {
+  #isStale(ask: RequestId, since: Timestamp): boolean {
     return this.#cab.state().woke > since && this.#hands.get(ask)?.slip !== undefined;
   }
 
@@ -234,7 +241,7 @@
     this.#legs.send(nameOf(effect), request, taking);
   }
 
-  #use(name: string, id: AskId): void {
+  #use(name: string, id: RequestId): void {
     const hand = this.#hands.get(id);
     this.#hands.delete(id);
     const held = this.#results.get(name);
@@ -246,7 +253,7 @@
     const { status, body } = whole;
     const fields = backFields(whole.fields);
     const digest = digestOf(body);
-    const born = toMoment(held.since - ageOf(whole.fields));
+    const born = toTimestamp(held.since - ageOf(whole.fields));
     const entry =
       hand.slip === undefined
         ? undefined
--- a/packages/proxy-core/src/line/trip.ts
+++ b/packages/proxy-core/src/line/trip.ts
@@ -1,5 +1,5 @@
 import { createHash, type Hash } from 'node:crypto';
-import type { Address, AskId, Seq } from '@switchwheel/types';
+import type { Address, RequestId, Seq } from '@switchwheel/types';
 import type { Fields, FrameOf } from '@switchwheel/transport';
 import type { Caller, Spout } from './port.js';
 
@@ -33,7 +33,7 @@
 
 /** One forwarded request at its edge: its body, and its result as it comes in. */
 export class Trip {
-  readonly id: AskId;
+  readonly id: RequestId;
   readonly body: Uint8Array;
   /** Whether a result with these fields comes too late to be told. */
   readonly #late: (fields: Fields) => boolean;
@@ -48,7 +48,7 @@
   keeper: Address | undefined;
 
   constructor(
-    id: AskId,
+    id: RequestId,
     body: Uint8Array,
     caller: Caller,
     most: number,
--- a/packages/proxy-core/src/proxy/depart.ts
+++ b/packages/proxy-core/src/proxy/depart.ts
@@ -1,4 +1,4 @@
-import type { Moment } from '@switchwheel/types';
+import type { Timestamp } from '@switchwheel/types';
 
 /** How long callers are still taken after a stop was asked for: the platform needs a moment to see it. */
 const graceSpan = 1500;
@@ -11,9 +11,9 @@
 /** What a process that was asked to stop does now, by what is still open here. */
 export const departure = (
   role: 'edge' | 'shield',
-  since: Moment,
+  since: Timestamp,
   open: number,
-  now: Moment,
+  now: Timestamp,
 ): Departure => {
   const spent = now - since;
   if (spent < (role === 'edge' ? graceSpan : 100)) return 'serving';
--- a/packages/proxy-core/src/proxy/machine.ts
+++ b/packages/proxy-core/src/proxy/machine.ts
@@ -1,14 +1,14 @@
 import {
-  type Moment,
+  type Timestamp,
   type ServiceName,
-  type Step,
-  drop,
-  join,
-  keeperOf,
-  primary,
-  put,
-  start,
-  step,
+  type Transition,
+  withoutEntry,
+  prependEffects,
+  serviceLeaseOf,
+  primaryLease,
+  withEntry,
+  clockOrigin,
+  transition,
 } from '@switchwheel/types';
 import { type FrameOf, log, send } from '@switchwheel/transport';
 import { heldEpoch, holdsLease } from '@switchwheel/election';
@@ -22,9 +22,9 @@
 import { holdingsOf, noteHeights } from './heights.js';
 import type { Proxy, ProxyEffect, ProxyEvent } from './state.js';
 
-type Done = Step<Proxy, ProxyEffect>;
+type Done = Transition<Proxy, ProxyEffect>;
 const then = (first: Done, next: (state: Proxy) => Done): Done =>
-  join(first.effects, next(first.state));
+  prependEffects(first.effects, next(first.state));
 
 const wrap = (state: Proxy, name: string, effect: KeeperEffect): readonly ProxyEffect[] => {
   if (effect.kind === 'barred')
@@ -38,7 +38,7 @@
     ];
   if (effect.kind === 'probe') return [effect];
   if (effect.kind !== 'trial') return [{ ...effect, keeper: name }];
-  const store = state.cabin.nodeSession.holders.get(primary);
+  const store = state.cabin.nodeSession.holders.get(primaryLease);
   if (store === undefined) return [];
   const { service, release, spent, bad, good, seen, state: verdict } = effect;
   const word: FrameOf<'trial'> = {
@@ -71,19 +71,19 @@
 
 const tellKeeper = (state: Proxy, name: string, event: KeeperEvent): Done => {
   const keeper = state.keepers.get(name);
-  if (keeper === undefined) return step(state);
+  if (keeper === undefined) return transition(state);
   const done = keeperStep(keeper, event);
   const keepers =
     done.state.closing && atRest(done.state)
-      ? drop(state.keepers, name)
-      : put(state.keepers, name, done.state);
+      ? withoutEntry(state.keepers, name)
+      : withEntry(state.keepers, name, done.state);
   const next = { ...state, keepers };
-  return step(next, ...done.effects.flatMap((one) => wrap(next, name, one)));
+  return transition(next, ...done.effects.flatMap((one) => wrap(next, name, one)));
 };
 
 /** Closes a keeper whose lease is over before anything else is acted on: a process that slept acts on nothing stale. */
-const fence = (state: Proxy, now: Moment): Done => {
-  let next: Done = step(state);
+const fence = (state: Proxy, now: Timestamp): Done => {
+  let next: Done = transition(state);
   for (const [service, name] of state.active) {
     const candidate = state.cabin.candidates.get(service);
     const keeper = state.keepers.get(name);
@@ -95,7 +95,10 @@
     )
       continue;
     next = then(next, (one) =>
-      tellKeeper({ ...one, active: drop(one.active, service) }, name, { kind: 'close', now }),
+      tellKeeper({ ...one, active: withoutEntry(one.active, service) }, name, {
+        kind: 'close',
+        now,
+      }),
     );
   }
   return next;
@@ -105,12 +108,12 @@
   state: Proxy,
   service: ServiceName,
   epoch: Keeper['epoch'],
-  now: Moment,
+  now: Timestamp,
 ): Done => {
   const rules = state.cabin.table?.services.get(service);
-  if (rules === undefined || state.cabin.table === undefined) return step(state);
+  if (rules === undefined || state.cabin.table === undefined) return transition(state);
   const name = `${service}#${epoch}`;
-  const holdings = holdingsOf(state.heights, keeperOf(service), epoch, now);
+  const holdings = holdingsOf(state.heights, serviceLeaseOf(service), epoch, now);
   const keeper = newKeeper(
     service,
     epoch,
@@ -121,11 +124,11 @@
   );
   const opened: Proxy = {
     ...state,
-    keepers: put(state.keepers, name, keeper),
-    active: put(state.active, service, name),
+    keepers: withEntry(state.keepers, name, keeper),
+    active: withEntry(state.active, service, name),
   };
   const taught = then(
-    step(opened, log('info', 'keeps a service', ['service', service], ['epoch', epoch])),
+    transition(opened, log('info', 'keeps a service', ['service', service], ['epoch', epoch])),
     (one) => tellKeeper(one, name, { kind: 'verdicts', now, verdicts: one.cabin.verdicts }),
   );
   return then(taught, (one) =>
@@ -133,14 +136,14 @@
   );
 };
 
-const onCabinEffect = (state: Proxy, effect: CabinEffect, now: Moment): Done => {
+const onCabinEffect = (state: Proxy, effect: CabinEffect, now: Timestamp): Done => {
   switch (effect.kind) {
     case 'kept':
       return openKeeper(state, effect.service, heldEpoch(effect.candidate), now);
     case 'unkept':
       return fence(state, now);
     case 'adopt': {
-      let next: Done = step(state, effect);
+      let next: Done = transition(state, effect);
       for (const [service, name] of state.active) {
         const rules = effect.table.services.get(service);
         if (rules !== undefined)
@@ -156,23 +159,23 @@
       return next;
     }
     default:
-      return step(state, effect);
+      return transition(state, effect);
   }
 };
 
 const tellForward = (state: Proxy, event: ForwardEvent): Done => {
   const done = forwardStep(state.forward, event);
-  return step({ ...state, forward: done.state }, ...done.effects);
+  return transition({ ...state, forward: done.state }, ...done.effects);
 };
 
 /** What the control side learned goes to where it is used. */
-const carry = (before: Proxy, state: Proxy, now: Moment): Done => {
-  let next: Done = step(state);
+const carry = (before: Proxy, state: Proxy, now: Timestamp): Done => {
+  let next: Done = transition(state);
   const was = before.cabin;
   const is = state.cabin;
   if (was.nodeSession.holders !== is.nodeSession.holders) {
     const heights = noteHeights(state.heights, is.nodeSession.holders, now);
-    next = then(step({ ...state, heights }), (one) =>
+    next = then(transition({ ...state, heights }), (one) =>
       tellForward(one, { kind: 'keepers', now, keepers: is.nodeSession.holders }),
     );
   }
@@ -186,7 +189,7 @@
         .filter((one) => standing(one, now))
         .map((one) => one.instance),
     );
-    next = then(next, (one) => step(one, { kind: 'gates', standing: up }));
+    next = then(next, (one) => transition(one, { kind: 'gates', standing: up }));
   }
   if (was.verdicts !== is.verdicts) {
     for (const name of state.active.values())
@@ -199,13 +202,13 @@
 
 const onCabin = (state: Proxy, event: Parameters<typeof cabinStep>[1]): Done => {
   const done = cabinStep(state.cabin, event);
-  let next: Done = step({ ...state, cabin: done.state });
+  let next: Done = transition({ ...state, cabin: done.state });
   for (const effect of done.effects)
     next = then(next, (one) => onCabinEffect(one, effect, event.now));
   return then(next, (one) => carry(state, one, event.now));
 };
 
-const onTick = (state: Proxy, now: Moment): Done => {
+const onTick = (state: Proxy, now: Timestamp): Done => {
   let next = onCabin(state, { kind: 'tick', now });
   for (const [name, keeper] of next.state.keepers) {
     if (!keeper.closing)
@@ -234,7 +237,7 @@
     moved: true,
   };
   if (name === undefined || keeper === undefined || ask.epoch > keeper.epoch)
-    return step(state, moved);
+    return transition(state, moved);
   return tellKeeper(state, name, {
     kind: 'arrive',
     now,
@@ -248,7 +251,7 @@
 };
 
 const onQuit = (state: Proxy, event: Extract<ProxyEvent, { kind: 'quitAsk' }>): Done => {
-  let next: Done = step(state);
+  let next: Done = transition(state);
   for (const name of state.keepers.keys())
     next = then(next, (one) =>
       tellKeeper(one, name, { kind: 'quit', now: event.now, id: event.id }),
@@ -285,7 +288,7 @@
     case 'probed': {
       const name = state.active.get(event.service);
       return name === undefined
-        ? step(state)
+        ? transition(state)
         : tellKeeper(state, name, {
             kind: 'probed',
             now: event.now,
@@ -306,10 +309,10 @@
 
 /** A process that did nothing for so long slept, was stopped, or was held up. */
 const sleepSpan = 1500;
-const notice = (state: Proxy, now: Moment): Proxy => ({
+const notice = (state: Proxy, now: Timestamp): Proxy => ({
   ...state,
   acted: now,
-  woke: state.acted > start && now - state.acted > sleepSpan ? now : state.woke,
+  woke: state.acted > clockOrigin && now - state.acted > sleepSpan ? now : state.woke,
 });
 
 /** The proxy: one function for every change of its state. */
--- a/packages/proxy-core/src/proxy/state.ts
+++ b/packages/proxy-core/src/proxy/state.ts
@@ -1,11 +1,11 @@
 import {
   type Address,
-  type AskId,
-  type Dice,
+  type RequestId,
+  type RandomState,
   type InstanceId,
-  type Moment,
+  type Timestamp,
   type ServiceName,
-  start,
+  clockOrigin,
 } from '@switchwheel/types';
 import type { Ask, FrameOf, Member } from '@switchwheel/transport';
 import { type Cabin, type CabinEffect, type CabinEvent, newCabin } from '../cabin/state.js';
@@ -23,38 +23,38 @@
   /** Since when the epochs of duties have been known: how many holdings there were of late. */
   readonly heights: Heights;
   /** When this process last acted, and when it last woke from a sleep or a stall. */
-  readonly acted: Moment;
-  readonly woke: Moment;
+  readonly acted: Timestamp;
+  readonly woke: Timestamp;
 }
 
-export const newProxy = (member: Member, seeds: readonly Address[], dice: Dice): Proxy => ({
+export const newProxy = (member: Member, seeds: readonly Address[], dice: RandomState): Proxy => ({
   cabin: newCabin(member, seeds, dice),
   keepers: new Map(),
   active: new Map(),
   forward: newForward,
   heights: new Map(),
-  acted: start,
-  woke: start,
+  acted: clockOrigin,
+  woke: clockOrigin,
 });
 
 export type ProxyEvent =
   | CabinEvent
   | {
       readonly kind: 'take';
-      readonly now: Moment;
+      readonly now: Timestamp;
       readonly wagon: Omit<Wagon, 'stage' | 'again' | 'begun'>;
     }
-  | { readonly kind: 'asked'; readonly now: Moment; readonly ask: Omit<Ask, 'body'> }
-  | { readonly kind: 'quitAsk'; readonly now: Moment; readonly id: AskId }
+  | { readonly kind: 'asked'; readonly now: Timestamp; readonly ask: Omit<Ask, 'body'> }
+  | { readonly kind: 'quitAsk'; readonly now: Timestamp; readonly id: RequestId }
   | {
       readonly kind: 'streaming';
-      readonly now: Moment;
+      readonly now: Timestamp;
       readonly keeper: string;
       readonly leg: number;
     }
   | {
       readonly kind: 'legEnded';
-      readonly now: Moment;
+      readonly now: Timestamp;
       readonly keeper: string;
       readonly leg: number;
       readonly how: LegEnd;
@@ -62,7 +62,7 @@
     }
   | {
       readonly kind: 'probed';
-      readonly now: Moment;
+      readonly now: Timestamp;
       readonly service: ServiceName;
       readonly instance: InstanceId;
       readonly good: boolean;
@@ -70,24 +70,34 @@
     }
   | {
       readonly kind: 'result';
-      readonly now: Moment;
+      readonly now: Timestamp;
       readonly from: Address;
       readonly frame: FrameOf<'result'>;
     }
   | {
       readonly kind: 'reject';
-      readonly now: Moment;
+      readonly now: Timestamp;
       readonly from: Address;
       readonly frame: FrameOf<'reject'>;
     }
-  | { readonly kind: 'begun'; readonly now: Moment; readonly from: Address; readonly id: AskId }
-  | { readonly kind: 'done'; readonly now: Moment; readonly id: AskId }
-  | { readonly kind: 'quit'; readonly now: Moment; readonly id: AskId; readonly text: string }
+  | {
+      readonly kind: 'begun';
+      readonly now: Timestamp;
+      readonly from: Address;
+      readonly id: RequestId;
+    }
+  | { readonly kind: 'done'; readonly now: Timestamp; readonly id: RequestId }
+  | {
+      readonly kind: 'quit';
+      readonly now: Timestamp;
+      readonly id: RequestId;
+      readonly text: string;
+    }
   | {
       readonly kind: 'lost';
-      readonly now: Moment;
+      readonly now: Timestamp;
       readonly keeper: Address;
-      readonly unsent: ReadonlySet<AskId>;
+      readonly unsent: ReadonlySet<RequestId>;
     };
 
 export type ProxyEffect =
--- a/packages/proxy/src/admin/view-forms.test.ts
+++ b/packages/proxy/src/admin/view-forms.test.ts
@@ -1,13 +1,13 @@
 import { test } from 'node:test';
 import {
   toAddress,
-  toAreaName,
-  toAskId,
+  toZoneName,
+  toRequestId,
   toClassName,
   toEpoch,
   toIncarnation,
   toInstanceId,
-  toMoment,
+  toTimestamp,
   toNodeId,
   toRelease,
   toServiceName,
@@ -20,7 +20,7 @@
 const member = {
   node: toNodeId('p1'),
   role: 'shield' as const,
-  area: toAreaName('a'),
+  area: toZoneName('a'),
   address: toAddress('127.0.0.1:1'),
   incarnation: toIncarnation(1),
 };
@@ -28,9 +28,9 @@
 const play = toClassName('play');
 const release = toRelease('r2');
 const group = { name: play, share: 0.5, lendsTo: [] };
-const now = toMoment(1000);
+const now = toTimestamp(1000);
 const load = {
-  id: toAskId('q1'),
+  id: toRequestId('q1'),
   group: play,
   repeatable: true,
   came: now,
--- a/packages/proxy/src/direct/door.test.ts
+++ b/packages/proxy/src/direct/door.test.ts
@@ -5,11 +5,11 @@
 import {
   type Address,
   toAddress,
-  toAreaName,
+  toZoneName,
   toGeneration,
   toIncarnation,
   toInstanceId,
-  toMoment,
+  toTimestamp,
   toNodeId,
   toRelease,
   toServiceName,
@@ -26,7 +26,7 @@
 import { DirectDoor } from './door.js';
 
 const service = toServiceName('clips');
-const now = toMoment(50_000);
+const now = toTimestamp(50_000);
 const description = {
   format: 1,
   classes: [{ name: 'play', share: 1 }],
@@ -140,7 +140,7 @@
   const member = {
     node: toNodeId('e1'),
     role: 'edge' as const,
-    area: toAreaName('a'),
+    area: toZoneName('a'),
     address: toAddress('10.0.0.1:1'),
     incarnation: toIncarnation(1),
   };
@@ -184,7 +184,7 @@
     { now: () => now, cabin: () => cabin },
     new Cache(1_000_000),
     port,
-    { area: toAreaName('a'), words: plainWords, bounds: plainBounds, most: 10 },
+    { area: toZoneName('a'), words: plainWords, bounds: plainBounds, most: 10 },
     { seed: 7 },
   );
   line.learn(cabin);
--- a/packages/proxy/src/direct/door.ts
+++ b/packages/proxy/src/direct/door.ts
@@ -1,7 +1,7 @@
 import { type IncomingMessage, type Server, type ServerResponse, createServer } from 'node:http';
 import { Server as NetServer } from 'node:net';
 import rangeParser from 'range-parser';
-import { type Address, type Kind, responseFor as tellingOf } from '@switchwheel/types';
+import { type Address, type ErrorKind, responseFor as tellingOf } from '@switchwheel/types';
 import { type Fields, splitAddress } from '@switchwheel/transport';
 import type { Call, DirectLine, Word, Words } from '@switchwheel/routing';
 import { type Entry, fieldOf, handOn } from '@switchwheel/proxy-core';
@@ -17,7 +17,7 @@
   return out;
 };
 
-const kindOf = (fault: Kind): number => tellingOf(fault).status;
+const kindOf = (fault: ErrorKind): number => tellingOf(fault).status;
 const empty = Buffer.alloc(0);
 
 /** What a client is told whose message could not be read, by the HTTP parser's code. */
@@ -163,7 +163,7 @@
   #fault(
     answer: ServerResponse,
     id: string,
-    kind: Kind,
+    kind: ErrorKind,
     text: string,
     retryMs: number,
     last = false,
--- a/packages/proxy/src/direct/end-to-end.test.ts
+++ b/packages/proxy/src/direct/end-to-end.test.ts
@@ -2,14 +2,14 @@
 import { connect } from 'node:net';
 import { test } from 'node:test';
 import {
-  type Dice,
-  roll,
+  type RandomState,
+  nextRandom,
   toAddress,
-  toAreaName,
+  toZoneName,
   toGeneration,
   toIncarnation,
   toInstanceId,
-  toMoment,
+  toTimestamp,
   toNodeId,
   toRelease,
   toServiceName,
@@ -23,7 +23,7 @@
 
 const service = toServiceName('clips');
 const promises = new Set(['408', '421', '429', '503']);
-const now = (): ReturnType<typeof toMoment> => toMoment(50_000 + performance.now());
+const now = (): ReturnType<typeof toTimestamp> => toTimestamp(50_000 + performance.now());
 const pause = (ms: number): Promise<void> =>
   new Promise((done) => {
     setTimeout(done, ms);
@@ -49,7 +49,7 @@
   const member = {
     node: toNodeId('e1'),
     role: 'edge' as const,
-    area: toAreaName('a'),
+    area: toZoneName('a'),
     address: toAddress('10.0.0.1:1'),
     incarnation: toIncarnation(1),
   };
@@ -103,9 +103,9 @@
   ].map((found) => found.slice(1));
 
 void test('over real sockets, rough origins and pipelining callers: each answer is its own, nothing runs twice, and a stop loses none', async () => {
-  let dice: Dice = { seed: 11 };
+  let dice: RandomState = { seed: 11 };
   const chance = (): number => {
-    const [value, next] = roll(dice);
+    const [value, next] = nextRandom(dice);
     dice = next;
     return value;
   };
@@ -117,7 +117,7 @@
     { now, cabin: () => cabin },
     new Cache(1_000_000),
     new Origins(plainWords),
-    { area: toAreaName('a'), words: plainWords, bounds: plainBounds, most: 1000 },
+    { area: toZoneName('a'), words: plainWords, bounds: plainBounds, most: 1000 },
     { seed: 7 },
   );
   line.learn(cabin);
--- a/packages/proxy/src/direct/program.ts
+++ b/packages/proxy/src/direct/program.ts
@@ -1,9 +1,9 @@
 import { createServer } from 'node:http';
 import {
   type Address,
-  type AreaName,
+  type ZoneName,
   type NodeId,
-  primary,
+  primaryLease,
   totalViolations,
 } from '@switchwheel/types';
 import { type WireEffect, ChannelPool, isObjectFrame, splitAddress } from '@switchwheel/transport';
@@ -37,7 +37,7 @@
 /** What an edge that sends straight to origins needs to know. */
 export interface DirectBoot {
   readonly node: NodeId;
-  readonly area: AreaName;
+  readonly area: ZoneName;
   readonly listen: Address;
   readonly seeds: readonly Address[];
   readonly door: Address;
@@ -154,7 +154,7 @@
       line.learn(one);
     seen = one;
     line.tick(now());
-    const store = one.nodeSession.holders.get(primary);
+    const store = one.nodeSession.holders.get(primaryLease);
     if (store === undefined || now() - told < tellMs) return;
     told = now();
     for (const word of line.tell(one)) yard.send(store.address, word);
--- a/packages/proxy/src/direct/response-forms.test.ts
+++ b/packages/proxy/src/direct/response-forms.test.ts
@@ -2,11 +2,11 @@
 import { test } from 'node:test';
 import {
   toAddress,
-  toAreaName,
+  toZoneName,
   toGeneration,
   toIncarnation,
   toInstanceId,
-  toMoment,
+  toTimestamp,
   toNodeId,
   toRelease,
   toServiceName,
@@ -28,7 +28,7 @@
 
 const matchSnapshot = snapshotsFor(import.meta.dirname);
 const service = toServiceName('clips');
-const now = toMoment(50_000);
+const now = toTimestamp(50_000);
 const description = {
   format: 1,
   classes: [{ name: 'play', share: 1 }],
@@ -58,7 +58,7 @@
   const member = {
     node: toNodeId('e1'),
     role: 'edge' as const,
-    area: toAreaName('a'),
+    area: toZoneName('a'),
     address: toAddress('10.0.0.1:1'),
     incarnation: toIncarnation(1),
   };
@@ -106,7 +106,7 @@
     { now: clock, cabin: () => state },
     new Cache(1_000_000),
     new Origins(plainWords),
-    { area: toAreaName('a'), words: plainWords, bounds: plainBounds, most: 1000 },
+    { area: toZoneName('a'), words: plainWords, bounds: plainBounds, most: 1000 },
     { seed: 7 },
   );
   line.learn(state);
--- a/packages/proxy/src/edge/answer.ts
+++ b/packages/proxy/src/edge/answer.ts
@@ -1,6 +1,6 @@
 import type Koa from 'koa';
 import rangeParser from 'range-parser';
-import type { Moment } from '@switchwheel/types';
+import type { Timestamp } from '@switchwheel/types';
 import type { Fields } from '@switchwheel/transport';
 import type { Entry } from '@switchwheel/proxy-core';
 
@@ -35,7 +35,7 @@
 };
 
 /** Tells a kept result, as the caller's conditions ask for it. */
-export const sendEntry = (ctx: Koa.Context, entry: Entry, now: Moment, from: string): void => {
+export const sendEntry = (ctx: Koa.Context, entry: Entry, now: Timestamp, from: string): void => {
   sendWhole(ctx, entry.status, entry.fields, entry.body, from);
   ctx.set('age', String(Math.max(0, Math.floor((now - entry.born) / 1000))));
   if (entry.status !== 200) return;
--- a/packages/proxy/src/edge/error-forms.test.ts
+++ b/packages/proxy/src/edge/error-forms.test.ts
@@ -1,6 +1,6 @@
 import { test } from 'node:test';
 import Koa from 'koa';
-import { kinds, toAddress } from '@switchwheel/types';
+import { errorKinds, toAddress } from '@switchwheel/types';
 import { httpExchange, responseText, snapshotsFor } from '@switchwheel/types/testing';
 import { openDoor } from '@switchwheel/runtime';
 import { sendWhole } from './answer.js';
@@ -27,11 +27,11 @@
   const app = new Koa();
   app.use((ctx) => {
     const [, name, retryMs] = ctx.path.split('/');
-    const kind = kinds.find((one) => one === name);
+    const kind = errorKinds.find((one) => one === name);
     if (kind !== undefined) sendFault(ctx, kind, 'why', Number(retryMs));
     if (kind === 'malformed') closeAfter(ctx);
   });
-  const paths = kinds.flatMap((kind) => [`/${kind}/0`, `/${kind}/1500`]);
+  const paths = errorKinds.flatMap((kind) => [`/${kind}/0`, `/${kind}/1500`]);
   matchSnapshot('error-responses', await responsesOf(app, paths));
 });
 
--- a/packages/proxy/src/edge/faults.ts
+++ b/packages/proxy/src/edge/faults.ts
@@ -1,8 +1,13 @@
 import type Koa from 'koa';
-import { type Kind, responseFor } from '@switchwheel/types';
+import { type ErrorKind, responseFor } from '@switchwheel/types';
 
 /** Tells a caller what went wrong: the kind says whether the request ran. */
-export const sendFault = (ctx: Koa.Context, kind: Kind, text: string, retryMs: number): void => {
+export const sendFault = (
+  ctx: Koa.Context,
+  kind: ErrorKind,
+  text: string,
+  retryMs: number,
+): void => {
   const told = responseFor(kind);
   const shown = kind === 'slow' || kind === 'lost' ? 'unknown' : kind;
   ctx.status = told.status;
--- a/packages/query-shell/src/shell/print.ts
+++ b/packages/query-shell/src/shell/print.ts
@@ -1,4 +1,4 @@
-import { columns } from '@switchwheel/types';
+import { formatColumns } from '@switchwheel/types';
 import type { Words } from '../gather/gather.js';
 import type { Row } from '../table/tables.js';
 
@@ -10,7 +10,7 @@
   const heads = [...(rows[0]?.keys() ?? [])];
   if (heads.length === 0) return '(no rows)';
   const lines = [heads, ...rows.map((row) => heads.map((head) => cell(row.get(head))))];
-  return columns(lines);
+  return formatColumns(lines);
 };
 
 /** How fresh a result is, and who could not be asked. */
--- a/packages/registry/src/outside/app.ts
+++ b/packages/registry/src/outside/app.ts
@@ -5,7 +5,7 @@
   type CallId,
   type Generation,
   type Hash,
-  type Kind,
+  type ErrorKind,
   isCallId,
   isGeneration,
   isServiceName,
@@ -32,7 +32,7 @@
 ]);
 const smallLimit = 4 * 1024 * 1024;
 
-const fail = (ctx: Koa.Context, kind: Kind, text: string, faults?: readonly Fault[]): void => {
+const fail = (ctx: Koa.Context, kind: ErrorKind, text: string, faults?: readonly Fault[]): void => {
   const told = responseFor(kind);
   ctx.status = told.status;
   if (told.retryAfter !== undefined) ctx.set('retry-after', String(told.retryAfter));
--- a/packages/registry/src/run-forms.test.ts
+++ b/packages/registry/src/run-forms.test.ts
@@ -1,5 +1,5 @@
 import { test } from 'node:test';
-import { toAreaName, toNodeId } from '@switchwheel/types';
+import { toZoneName, toNodeId } from '@switchwheel/types';
 import {
   type HttpRequest,
   freeAddress,
@@ -20,7 +20,7 @@
   const registry = await startRegistry(
     {
       node: toNodeId('r1'),
-      area: toAreaName('a'),
+      area: toZoneName('a'),
       listen: await freeAddress(),
       seeds: [],
       door,
--- a/packages/registry/src/run.ts
+++ b/packages/registry/src/run.ts
@@ -1,5 +1,5 @@
 import type Koa from 'koa';
-import { type Address, type AreaName, type NodeId, totalViolations } from '@switchwheel/types';
+import { type Address, type ZoneName, type NodeId, totalViolations } from '@switchwheel/types';
 import { type WireEffect, ChannelPool } from '@switchwheel/transport';
 import {
   type Outside,
@@ -29,7 +29,7 @@
 /** What a registry needs to know of its place. */
 export interface RegistryBoot {
   readonly node: NodeId;
-  readonly area: AreaName;
+  readonly area: ZoneName;
   readonly listen: Address;
   readonly seeds: readonly Address[];
   readonly door: Address;
--- a/packages/replicated-store/src/command/call-bodies.test.ts
+++ b/packages/replicated-store/src/command/call-bodies.test.ts
@@ -6,12 +6,12 @@
 import { test } from 'node:test';
 import {
   toAddress,
-  toAreaName,
+  toZoneName,
   toCallId,
   toEpoch,
   toFleetId,
   toIncarnation,
-  toMoment,
+  toTimestamp,
   toNodeId,
   toSeq,
 } from '@switchwheel/types';
@@ -25,7 +25,7 @@
 type Verb = FrameOf<'call'>['verb'];
 type CallStep = ReturnType<typeof onCall>;
 
-const now = toMoment(1000);
+const now = toTimestamp(1000);
 const registry: Peer = {
   node: toNodeId('registry-1'),
   address: toAddress('127.0.0.1:7000'),
@@ -54,7 +54,7 @@
       {
         node: ownNode,
         role: 'store',
-        area: toAreaName('north'),
+        area: toZoneName('north'),
         address,
         incarnation: toIncarnation(1),
       },
@@ -86,7 +86,7 @@
       ...state.candidate,
       phase: {
         phase: 'holdingLease',
-        until: toMoment(9000),
+        until: toTimestamp(9000),
         asked: now,
         won: now,
         epoch: toEpoch(1),
--- a/packages/replicated-store/src/command/calls.ts
+++ b/packages/replicated-store/src/command/calls.ts
@@ -2,19 +2,19 @@
 import {
   type CallId,
   type Hash,
-  type Moment,
-  type Step,
-  drop,
+  type Timestamp,
+  type Transition,
+  withoutEntry,
   generation as generationSchema,
   hash as hashSchema,
-  join,
+  prependEffects,
   nextSeq,
   nodeId,
   address,
-  put,
+  withEntry,
   release,
   serviceName,
-  step,
+  transition,
 } from '@switchwheel/types';
 import { type Peer, type Electorate, type FrameOf, aim, log, send } from '@switchwheel/transport';
 import { bundleHash, hashOf } from '@switchwheel/configuration';
@@ -26,7 +26,7 @@
 import { type Command, type Store, ownId } from '../state/state.js';
 import { view, viewRelease } from './view.js';
 
-type Done = Step<Store, StoreEffect>;
+type Done = Transition<Store, StoreEffect>;
 type ApplyCommand = Extract<Command, { kind: 'apply' }>;
 const piecesTimeout = 6000;
 const askPiecesInterval = 300;
@@ -61,10 +61,13 @@
 /** Has the description compiled with the nodes' own code once all its pieces are here. */
 const compile = (state: Store, command: ApplyCommand): Done => {
   const others = state.compiling.get(command.hash) ?? [];
-  const next = { ...state, compiling: put(state.compiling, command.hash, [...others, command]) };
-  if (others.length > 0) return step(next);
+  const next = {
+    ...state,
+    compiling: withEntry(state.compiling, command.hash, [...others, command]),
+  };
+  if (others.length > 0) return transition(next);
   const texts = command.order.map((one) => state.heldPieces.get(one) ?? '');
-  return step(next, { kind: 'compile', hash: command.hash, texts });
+  return transition(next, { kind: 'compile', hash: command.hash, texts });
 };
 
 type Lacking = NonNullable<ReturnType<Store['awaitingPieces']['get']>>;
@@ -74,15 +77,15 @@
   state: Store,
   one: Pick<Lacking, 'command' | 'since'>,
   missing: readonly Hash[],
-  now: Moment,
+  now: Timestamp,
 ): Done => {
   const hashes = missing.slice(0, maxPiecesPerRequest);
-  const lacking = put(state.awaitingPieces, one.command.asker.id, {
+  const lacking = withEntry(state.awaitingPieces, one.command.asker.id, {
     ...one,
     asked: now,
     awaited: hashes.length,
   });
-  return step(
+  return transition(
     { ...state, awaitingPieces: lacking },
     send(one.command.asker.to, { kind: 'piece-request', node: ownId(state), hashes: [...hashes] }),
   );
@@ -95,8 +98,8 @@
   state.commandQueue.some((one) => one.kind === 'apply' && one.asker.id === asker.id) ||
   (state.primaryWrite?.results.some((one) => one.id === asker.id) ?? false);
 
-const onApply = (before: Store, command: ApplyCommand, now: Moment): Done => {
-  if (isUnderWay(before, command)) return step(before);
+const onApply = (before: Store, command: ApplyCommand, now: Timestamp): Done => {
+  if (isUnderWay(before, command)) return transition(before);
   const state = holdPieces(before, command.order);
   const missing = missingPieces(state, command.order);
   if (missing.length === 0) return compile(state, command);
@@ -117,12 +120,12 @@
   return { serial: nextSeq(old.serial), members };
 };
 
-export const onCall = (state: Store, from: Peer, word: FrameOf<'call'>, now: Moment): Done => {
+export const onCall = (state: Store, from: Peer, word: FrameOf<'call'>, now: Timestamp): Done => {
   // A store without the duty stays silent: the registry asks the holder as soon as it knows it.
-  if (!isPrimary(state, now)) return step(state);
+  if (!isPrimary(state, now)) return transition(state);
   const asker = { to: from.address, id: word.id };
   const bad = (text: string): Done =>
-    step(
+    transition(
       state,
       callReply({
         ...asker,
@@ -132,9 +135,9 @@
     );
   const before = state.control.calls.get(word.id);
   if (before !== undefined)
-    return step(state, callReply({ ...asker, status: before.status, body: before.body }));
+    return transition(state, callReply({ ...asker, status: before.status, body: before.body }));
   if (state.readOnly && word.verb !== 'ask' && word.verb !== 'view') {
-    return step(
+    return transition(
       state,
       callReply({
         ...asker,
@@ -188,9 +191,9 @@
       return enqueueOnce(state, { kind: 'order', asker, ...body });
     }
     case 'ask':
-      return step(state, callReply({ ...asker, ...outcomeReply(state, word.body) }));
+      return transition(state, callReply({ ...asker, ...outcomeReply(state, word.body) }));
     case 'view':
-      return step(state, callReply({ ...asker, ...viewReply(state, word.body, now) }));
+      return transition(state, callReply({ ...asker, ...viewReply(state, word.body, now) }));
   }
 };
 
@@ -201,13 +204,13 @@
   const open =
     state.commandQueue.some((one) => 'asker' in one && one.asker.id === command.asker.id) ||
     (state.primaryWrite?.results.some((one) => one.id === command.asker.id) ?? false);
-  return open ? step(state) : enqueue(state, command);
+  return open ? transition(state) : enqueue(state, command);
 };
 
 const viewReply = (
   state: Store,
   what: string,
-  now: Moment,
+  now: Timestamp,
 ): { readonly status: number; readonly body: string } => {
   if (!what.startsWith('release/'))
     return { status: 200, body: JSON.stringify(view(state, what, now)) };
@@ -236,26 +239,26 @@
 };
 
 /** Goes on with an order that waits for pieces, once those that it asked for last are here. */
-const advanceOrder = (state: Store, id: CallId, one: Lacking, now: Moment): Done => {
+const advanceOrder = (state: Store, id: CallId, one: Lacking, now: Timestamp): Done => {
   const missing = missingPieces(state, one.command.order);
   if (missing.length > 0) return askPieces(state, one, missing, now);
-  return compile({ ...state, awaitingPieces: drop(state.awaitingPieces, id) }, one.command);
+  return compile({ ...state, awaitingPieces: withoutEntry(state.awaitingPieces, id) }, one.command);
 };
 
 /** A piece of a description came in. */
-export const onPiece = (state: Store, word: FrameOf<'piece'>, now: Moment): Done => {
-  if (state.heldPieces.has(word.hash) || hashOf(word.data) !== word.hash) return step(state);
-  const held = { ...state, heldPieces: put(state.heldPieces, word.hash, word.data) };
+export const onPiece = (state: Store, word: FrameOf<'piece'>, now: Timestamp): Done => {
+  if (state.heldPieces.has(word.hash) || hashOf(word.data) !== word.hash) return transition(state);
+  const held = { ...state, heldPieces: withEntry(state.heldPieces, word.hash, word.data) };
   let next = storeLackingPiece(held, word.hash);
   for (const [id, one] of state.awaitingPieces) {
     if (!one.command.order.includes(word.hash)) continue;
     if (one.awaited > 1) {
       const row = { ...one, awaited: one.awaited - 1, asked: now };
-      next = step(
-        { ...next.state, awaitingPieces: put(next.state.awaitingPieces, id, row) },
+      next = transition(
+        { ...next.state, awaitingPieces: withEntry(next.state.awaitingPieces, id, row) },
         ...next.effects,
       );
-    } else next = join(next.effects, advanceOrder(next.state, id, one, now));
+    } else next = prependEffects(next.effects, advanceOrder(next.state, id, one, now));
   }
   return next;
 };
@@ -263,23 +266,24 @@
 /** Queues a description, and before it the writes that store the pieces of a large one. */
 const enqueueApply = (state: Store, command: ApplyCommand): Done => {
   const ahead = command.faults.length > 0 ? [] : piecesCommands(state, command);
-  let next: Done = step(state);
-  for (const one of [...ahead, command]) next = join(next.effects, enqueue(next.state, one));
+  let next: Done = transition(state);
+  for (const one of [...ahead, command])
+    next = prependEffects(next.effects, enqueue(next.state, one));
   return next;
 };
 
 /** The compile of a description ended. */
 export const onCompiled = (state: Store, hash: Hash, faults: ApplyCommand['faults']): Done => {
-  let next: Done = step({ ...state, compiling: drop(state.compiling, hash) });
+  let next: Done = transition({ ...state, compiling: withoutEntry(state.compiling, hash) });
   for (const command of state.compiling.get(hash) ?? [])
-    next = join(next.effects, enqueueApply(next.state, { ...command, faults }));
+    next = prependEffects(next.effects, enqueueApply(next.state, { ...command, faults }));
   return next;
 };
 
 /** Lets time pass over calls that lack pieces. */
-export const tickCalls = (before: Store, now: Moment): Done => {
+export const tickCalls = (before: Store, now: Timestamp): Done => {
   const state = releasePieces(before);
-  let next: Done = step(state);
+  let next: Done = transition(state);
   for (const [id, one] of state.awaitingPieces) {
     if (now - one.since > piecesTimeout) {
       const told = callReply({
@@ -292,12 +296,15 @@
           retryAfterMs: 1000,
         }),
       });
-      next = join(
+      next = prependEffects(
         next.effects,
-        step({ ...next.state, awaitingPieces: drop(next.state.awaitingPieces, id) }, told),
+        transition(
+          { ...next.state, awaitingPieces: withoutEntry(next.state.awaitingPieces, id) },
+          told,
+        ),
       );
     } else if (now - one.asked > askPiecesInterval) {
-      next = join(next.effects, advanceOrder(next.state, id, one, now));
+      next = prependEffects(next.effects, advanceOrder(next.state, id, one, now));
     }
   }
   return next;
@@ -322,8 +329,8 @@
     return data === undefined ? [] : [send(from.address, { kind: 'piece', hash, data })];
   });
   const missed = word.hashes.filter((hash) => !state.control.pieces.has(hash));
-  if (missed.length === 0) return step(state, ...sent);
-  return step(
+  if (missed.length === 0) return transition(state, ...sent);
+  return transition(
     { ...state, missedPieceRequests: state.missedPieceRequests + missed.length },
     ...sent,
     ...missedPieces(state, from, missed),
--- a/packages/replicated-store/src/command/decide.ts
+++ b/packages/replicated-store/src/command/decide.ts
@@ -1,4 +1,4 @@
-import { type Seq, alike, nextSeq } from '@switchwheel/types';
+import { type Seq, equalAsJson, nextSeq } from '@switchwheel/types';
 import type { Purge, Put } from '@switchwheel/transport';
 import {
   type Control,
@@ -62,7 +62,7 @@
     // A new run of a node starts without a mark; a mark ends when the node runs what it was for.
     failed: report.failed?.hash ?? (fresh || report.phase === 'applied' ? undefined : known.failed),
   };
-  if (known !== undefined && alike(known, row)) return noChange;
+  if (known !== undefined && equalAsJson(known, row)) return noChange;
   return { ...noChange, puts: [write(keyOf.node(command.node), row)] };
 };
 
--- a/packages/replicated-store/src/command/order.ts
+++ b/packages/replicated-store/src/command/order.ts
@@ -1,4 +1,4 @@
-import type { Moment, Release, ServiceName } from '@switchwheel/types';
+import type { Timestamp, Release, ServiceName } from '@switchwheel/types';
 import type { Put } from '@switchwheel/transport';
 import {
   type Control,
@@ -37,7 +37,7 @@
   state: Store,
   control: Control,
   command: Extract<Command, { kind: 'order' }>,
-  now: Moment,
+  now: Timestamp,
 ): OrderDecision => {
   const { service, target, spanMs } = command;
   const known = control.releases.get(service) ?? settledOn(service, undefined);
--- a/packages/replicated-store/src/command/pieces.ts
+++ b/packages/replicated-store/src/command/pieces.ts
@@ -3,7 +3,7 @@
  * the pieces of a large description are stored by writes of their own, of bounded size, before the
  * write that puts it in force.
  */
-import { type Hash, sift } from '@switchwheel/types';
+import { type Hash, filterEntries } from '@switchwheel/types';
 import type { Put } from '@switchwheel/transport';
 import { type Control, erase, keyOf } from '@switchwheel/configuration';
 import type { Command, Store } from '../state/state.js';
@@ -95,6 +95,6 @@
     ...ordersUnderWay.flatMap((one) => one.order),
     ...state.commandQueue.flatMap(piecesOf),
   ]);
-  const heldPieces = sift(state.heldPieces, (_, hash) => needed.has(hash));
+  const heldPieces = filterEntries(state.heldPieces, (_, hash) => needed.has(hash));
   return heldPieces === state.heldPieces ? state : { ...state, heldPieces };
 };
--- a/packages/replicated-store/src/command/queue.ts
+++ b/packages/replicated-store/src/command/queue.ts
@@ -1,4 +1,4 @@
-import { type Step, step } from '@switchwheel/types';
+import { type Transition, transition } from '@switchwheel/types';
 import { send } from '@switchwheel/transport';
 import type { StoreEffect } from '../state/event.js';
 import type { CallResult, Command, Store } from '../state/state.js';
@@ -29,8 +29,8 @@
   });
 
 /** Appends a command to the queue, or rejects it if too many wait; the write starts at the end of the step. */
-export const enqueue = (state: Store, command: Command): Step<Store, StoreEffect> => {
+export const enqueue = (state: Store, command: Command): Transition<Store, StoreEffect> => {
   if (state.commandQueue.length < maxQueuedCommands)
-    return step({ ...state, commandQueue: [...state.commandQueue, command] });
-  return 'asker' in command ? step(state, queueIsFull(command)) : step(state);
+    return transition({ ...state, commandQueue: [...state.commandQueue, command] });
+  return 'asker' in command ? transition(state, queueIsFull(command)) : transition(state);
 };
--- a/packages/replicated-store/src/command/repair.ts
+++ b/packages/replicated-store/src/command/repair.ts
@@ -2,13 +2,19 @@
  * Repair of a description in force that lacks pieces in the table, as a fleet may have it on disk from an earlier
  * version. Registries keep the pieces that their nodes asked for, so the primary asks them and stores what comes.
  */
-import { type Hash, type Moment, type Step, join, step } from '@switchwheel/types';
+import {
+  type Hash,
+  type Timestamp,
+  type Transition,
+  prependEffects,
+  transition,
+} from '@switchwheel/types';
 import { log, send } from '@switchwheel/transport';
 import type { StoreEffect } from '../state/event.js';
 import { type Store, ownId } from '../state/state.js';
 import { enqueue } from './queue.js';
 
-type Done = Step<Store, StoreEffect>;
+type Done = Transition<Store, StoreEffect>;
 /** How often registries are asked for what the table lacks. */
 const repairInterval = 500;
 const maxPiecesPerRequest = 64;
@@ -18,12 +24,12 @@
   control.stored?.offer.pieces.filter((hash) => !control.pieces.has(hash)) ?? [];
 
 /** Asks every registry for the pieces that the table lacks. */
-export const tickRepair = (state: Store, now: Moment): Done => {
-  if (now - state.repairAskedAt < repairInterval) return step(state);
+export const tickRepair = (state: Store, now: Timestamp): Done => {
+  if (now - state.repairAskedAt < repairInterval) return transition(state);
   const hashes = lackingPieces(state).slice(0, maxPiecesPerRequest);
-  if (hashes.length === 0) return step(state);
+  if (hashes.length === 0) return transition(state);
   const word = { kind: 'piece-request' as const, node: ownId(state), hashes };
-  return step(
+  return transition(
     { ...state, repairAskedAt: now },
     log('error', 'the description in force lacks pieces: registries are asked', [
       'missing',
@@ -35,8 +41,8 @@
 
 /** Stores a held piece if the description in force lacks it. */
 export const storeLackingPiece = (state: Store, hash: Hash): Done => {
-  if (!lackingPieces(state).includes(hash)) return step(state);
-  return join(
+  if (!lackingPieces(state).includes(hash)) return transition(state);
+  return prependEffects(
     [log('info', 'a lacking piece came and is stored', ['piece', hash])],
     enqueue(state, { kind: 'pieces', hashes: [hash] }),
   );
--- a/packages/replicated-store/src/command/view-forms.test.ts
+++ b/packages/replicated-store/src/command/view-forms.test.ts
@@ -1,9 +1,9 @@
 import { test } from 'node:test';
 import {
   toAddress,
-  toAreaName,
+  toZoneName,
   toIncarnation,
-  toMoment,
+  toTimestamp,
   toNodeId,
   toServiceName,
 } from '@switchwheel/types';
@@ -13,7 +13,7 @@
 import { view, viewRelease } from './view.js';
 
 const matchSnapshot = snapshotsFor(import.meta.dirname);
-const now = toMoment(5000);
+const now = toTimestamp(5000);
 const hash = 'a'.repeat(64);
 const place = { generation: 4, hash };
 const offer = { ...place, pieces: [hash] };
@@ -67,7 +67,7 @@
   const member = {
     node: toNodeId('s1'),
     role: 'store' as const,
-    area: toAreaName('a'),
+    area: toZoneName('a'),
     address: toAddress('127.0.0.1:1'),
     incarnation: toIncarnation(1),
   };
--- a/packages/replicated-store/src/command/view.ts
+++ b/packages/replicated-store/src/command/view.ts
@@ -1,4 +1,4 @@
-import { type Moment, noGeneration } from '@switchwheel/types';
+import { type Timestamp, noGeneration } from '@switchwheel/types';
 import { heldEpoch } from '@switchwheel/election';
 import { spentOf } from '../release/release.js';
 import { type Store, ownId } from '../state/state.js';
@@ -11,7 +11,7 @@
 });
 
 /** The last order of a service, or nothing if there was none. */
-export const viewRelease = (state: Store, service: string, now: Moment): object | undefined => {
+export const viewRelease = (state: Store, service: string, now: Timestamp): object | undefined => {
   const found = [...state.control.releases.values()].find((one) => one.service === service);
   if (found?.target === undefined) return undefined;
   const { target, phase, settled, share, spanMs, text } = found;
@@ -28,7 +28,7 @@
 };
 
 /** What operators may ask of the stored state. */
-export const view = (state: Store, what: string, now: Moment): object => {
+export const view = (state: Store, what: string, now: Timestamp): object => {
   const control = state.control;
   switch (what) {
     // The offer alone: the registry that asks collects its pieces, as they may not fit one frame.
--- a/packages/replicated-store/src/feed/feed.ts
+++ b/packages/replicated-store/src/feed/feed.ts
@@ -1,4 +1,4 @@
-import { type Moment, noSeq, start } from '@switchwheel/types';
+import { type Timestamp, noSeq, clockOrigin } from '@switchwheel/types';
 import { type FrameOf, type Offer, send } from '@switchwheel/transport';
 import { floorPurge, releaseStateOf, topPurge } from '@switchwheel/configuration';
 import { heldEpoch } from '@switchwheel/election';
@@ -17,8 +17,8 @@
 const feed = (
   state: Store,
   to: Subscriber,
-  at: Moment,
-  now: Moment,
+  at: Timestamp,
+  now: Timestamp,
 ): FrameOf<'feed'> | undefined => {
   const metadata = state.metadata;
   if (metadata === undefined) return undefined;
@@ -51,15 +51,15 @@
 export const feedOne = (
   state: Store,
   to: Subscriber,
-  at: Moment,
-  now: Moment,
+  at: Timestamp,
+  now: Timestamp,
 ): readonly StoreEffect[] => {
   const word = feed(state, to, at, now);
   return word === undefined ? [] : [send(to.address, word)];
 };
 
 /** Pushes news to every registry that listens; the time it bears renews nothing. */
-export const feedAll = (state: Store, now: Moment): readonly StoreEffect[] =>
+export const feedAll = (state: Store, now: Timestamp): readonly StoreEffect[] =>
   [...state.subscribers.values()]
     .filter((one) => now - one.at < subscriberTimeout)
-    .flatMap((one) => feedOne(state, one, start, now));
+    .flatMap((one) => feedOne(state, one, clockOrigin, now));
--- a/packages/replicated-store/src/invariant/invariants.ts
+++ b/packages/replicated-store/src/invariant/invariants.ts
@@ -1,5 +1,5 @@
 /** The invariants of a store: what must hold after each event, and what becomes of a violation. */
-import { type Invariant, type Step, countViolations, step } from '@switchwheel/types';
+import { type Invariant, type Transition, countViolations, transition } from '@switchwheel/types';
 import { log } from '@switchwheel/transport';
 import { lackingPieces } from '../command/repair.js';
 import { inSync } from '../leadership/candidacy.js';
@@ -10,10 +10,10 @@
 export const noteViolations = (
   state: Store,
   found: readonly Invariant[],
-): Step<Store, StoreEffect> =>
+): Transition<Store, StoreEffect> =>
   found.length === 0
-    ? step(state)
-    : step(
+    ? transition(state)
+    : transition(
         { ...state, violations: countViolations(state.violations, found) },
         ...found.map((one) => log('error', 'an invariant is broken', ['invariant', one])),
       );
@@ -25,7 +25,7 @@
   inSync(before) !== inSync(after);
 
 /** Checks a store after an event that changed its table or its place in the in-sync set. */
-export const checkInvariants = (before: Store, after: Store): Step<Store, StoreEffect> => {
-  if (!isChanged(before, after) || !inSync(after)) return step(after);
+export const checkInvariants = (before: Store, after: Store): Transition<Store, StoreEffect> => {
+  if (!isChanged(before, after) || !inSync(after)) return transition(after);
   return noteViolations(after, lackingPieces(after).length > 0 ? ['description-whole'] : []);
 };
--- a/packages/replicated-store/src/leadership/candidacy.ts
+++ b/packages/replicated-store/src/leadership/candidacy.ts
@@ -1,4 +1,10 @@
-import { type Moment, type Step, noEpoch, step, toMoment } from '@switchwheel/types';
+import {
+  type Timestamp,
+  type Transition,
+  noEpoch,
+  transition,
+  toTimestamp,
+} from '@switchwheel/types';
 import type { ClusterMetadata, Electorate, Holder, WireEffect } from '@switchwheel/transport';
 import { type ElectionContext, holdsLease, stepDown } from '@switchwheel/election';
 import { type PeerStatus, type Store, noStamp, ownId } from '../state/state.js';
@@ -18,7 +24,7 @@
 /** How long it waits for others to speak up when one of its in-sync set has lost its disk. */
 const lostDiskWait = 1000;
 
-export const isPrimary = (state: Store, now: Moment): boolean =>
+export const isPrimary = (state: Store, now: Timestamp): boolean =>
   state.serving && holdsLease(state.candidate, now);
 
 /** Whether the table is the state at its stamp: while a resync changes it there is no such stamp. */
@@ -38,7 +44,7 @@
   state: Store,
   metadata: ClusterMetadata,
   word: PeerStatus | undefined,
-  now: Moment,
+  now: Timestamp,
 ): PeerEvidence => {
   if (word === undefined || now - word.at >= evidenceLimit) return 'silent';
   if (word.metadata === undefined) return 'empty';
@@ -49,7 +55,7 @@
 };
 
 /** Whether a store is heard that belongs to a later holding without this one. */
-const newerPrimaryHeard = (state: Store, metadata: ClusterMetadata, now: Moment): boolean =>
+const newerPrimaryHeard = (state: Store, metadata: ClusterMetadata, now: Timestamp): boolean =>
   [...state.peers.values()].some(
     (word) =>
       now - word.at < silentPeerTimeout &&
@@ -62,7 +68,7 @@
 const survivorsProveNoNewerPrimary = (
   state: Store,
   metadata: ClusterMetadata,
-  now: Moment,
+  now: Timestamp,
 ): boolean => {
   const others = metadata.inSyncSet
     .filter((one) => one !== ownId(state))
@@ -93,7 +99,7 @@
 export const electionContext = (
   state: Store,
   metadata: ClusterMetadata,
-  now: Moment,
+  now: Timestamp,
 ): ElectionContext => {
   const known = state.session.electorate;
   const electorate: Electorate =
@@ -115,7 +121,7 @@
 /** The stores in sync that are in touch, whose disks take writes, and that do not leave. */
 export const reachableInSync = (
   state: Store,
-  now: Moment,
+  now: Timestamp,
   leavingToo = false,
 ): ClusterMetadata['inSyncSet'] =>
   (state.metadata?.inSyncSet ?? []).filter((one) => {
@@ -131,7 +137,7 @@
   });
 
 /** The stores to stand with: those in sync that are in touch, no more than copies are wanted. */
-export const chooseBackups = (state: Store, now: Moment): ClusterMetadata['inSyncSet'] => {
+export const chooseBackups = (state: Store, now: Timestamp): ClusterMetadata['inSyncSet'] => {
   const own = [ownId(state)];
   // What a promoted learner knows of the others is older than the epoch that names it.
   if (!inSync(state)) return own;
@@ -146,7 +152,7 @@
   state.metadata !== undefined && !inSync(state) && isClean(state);
 
 /** Whether this store may and should stand for the duty. */
-export const wantsElection = (state: Store, now: Moment): boolean => {
+export const wantsElection = (state: Store, now: Timestamp): boolean => {
   if (state.phase !== 'member' || now < state.standDownUntil) return false;
   if (!inSync(state) && !mayBePromoted(state)) return false;
   const rank = [...reachableInSync(state, now)].sort().indexOf(ownId(state));
@@ -159,15 +165,19 @@
 };
 
 /** Gives the duty up for a while. */
-export const resignFor = (state: Store, rest: number, now: Moment): Step<Store, WireEffect> => {
+export const resignFor = (
+  state: Store,
+  rest: number,
+  now: Timestamp,
+): Transition<Store, WireEffect> => {
   const given = stepDown(
     state.candidate,
     state.metadata === undefined ? undefined : electionContext(state, state.metadata, now),
     now,
     0,
   );
-  return step(
-    { ...state, candidate: given.state, standDownUntil: toMoment(now + rest) },
+  return transition(
+    { ...state, candidate: given.state, standDownUntil: toTimestamp(now + rest) },
     ...given.effects,
   );
 };
--- a/packages/replicated-store/src/leadership/copies.ts
+++ b/packages/replicated-store/src/leadership/copies.ts
@@ -4,7 +4,7 @@
  * A set is sufficient if `tolerate` machines, and `failureDomains.tolerate` zones or regions, can be
  * lost at once with one copy left: it has a machine more, and stands in a domain more.
  */
-import type { Moment, NodeId } from '@switchwheel/types';
+import type { Timestamp, NodeId } from '@switchwheel/types';
 import { type PeerStatus, type Store, ownId } from '../state/state.js';
 import { sameStamp } from '../table/table.js';
 
@@ -91,7 +91,7 @@
 const reachableSpares = (
   state: Store,
   set: readonly NodeId[],
-  now: Moment,
+  now: Timestamp,
 ): readonly PeerStatus[] =>
   [...state.peers.values()].filter(
     (one) =>
@@ -106,7 +106,7 @@
 export const caughtUpLearners = (
   state: Store,
   set: readonly NodeId[],
-  now: Moment,
+  now: Timestamp,
 ): readonly NodeId[] =>
   reachableSpares(state, set, now)
     .filter(
@@ -122,7 +122,7 @@
   state.primaryWrite !== undefined && sameStamp(peer.stamp, state.primaryWrite.stamp);
 
 /** Whether a store that a new primary knows of has not been heard since it won. */
-const awaitsFirstWord = (state: Store, set: readonly NodeId[], now: Moment): boolean => {
+const awaitsFirstWord = (state: Store, set: readonly NodeId[], now: Timestamp): boolean => {
   const holding = state.candidate.phase;
   if (holding.phase !== 'holdingLease' || now - holding.won >= discoveryTime) return false;
   const known = [
@@ -137,7 +137,7 @@
 };
 
 /** Whether a store may soon be taken into a set that is not sufficient. */
-export const awaitsSpare = (state: Store, set: readonly NodeId[], now: Moment): boolean =>
+export const awaitsSpare = (state: Store, set: readonly NodeId[], now: Timestamp): boolean =>
   awaitsFirstWord(state, set, now) ||
   reachableSpares(state, set, now).some(
     (one) => now - Math.max(one.progressAt, state.shortageSince ?? now) < spareStallTimeout,
--- a/packages/replicated-store/src/leadership/electorate.ts
+++ b/packages/replicated-store/src/leadership/electorate.ts
@@ -15,7 +15,7 @@
  * each one that a primary makes lies in the range of its epoch, so a change that a former primary
  * wrote down but did not commit never has the serial of another one, and counts as older.
  */
-import { type Epoch, type Moment, type NodeId, type Seq, toSeq } from '@switchwheel/types';
+import { type Epoch, type Timestamp, type NodeId, type Seq, toSeq } from '@switchwheel/types';
 import type { Electorate } from '@switchwheel/transport';
 import { majority } from '@switchwheel/election';
 import type { Store, Subscriber } from '../state/state.js';
@@ -64,7 +64,7 @@
 };
 
 /** Notes since when the electorate that this store polls has been the one that it polls. */
-export const notePolledElectorate = (state: Store, now: Moment): Store => {
+export const notePolledElectorate = (state: Store, now: Timestamp): Store => {
   const set = polledElectorate(state);
   if (set === undefined || set.serial === state.polledElectorate.serial) return state;
   return { ...state, polledElectorate: { serial: set.serial, since: now } };
@@ -79,7 +79,7 @@
   return renewed.length >= majority(set.members.length);
 };
 
-const observeRegistries = (state: Store, won: Moment, now: Moment): Registries => {
+const observeRegistries = (state: Store, won: Timestamp, now: Timestamp): Registries => {
   const { failureDomains, syncMs = defaultSyncMs } = state.settings;
   const silenceLimit = syncMs * silenceShare;
   return {
@@ -178,7 +178,7 @@
 };
 
 /** The electorate with the one change that is due next, if there is one. */
-export const nextElectorate = (state: Store, now: Moment): Electorate | undefined => {
+export const nextElectorate = (state: Store, now: Timestamp): Electorate | undefined => {
   const set = polledElectorate(state);
   const holding = state.candidate.phase;
   if (set === undefined || holding.phase !== 'holdingLease') return undefined;
--- a/packages/replicated-store/src/leadership/leaving.ts
+++ b/packages/replicated-store/src/leadership/leaving.ts
@@ -2,7 +2,7 @@
  * What a store that was asked to stop waits for: its duty goes to a successor that is in sync, and
  * its copy to other stores, so that its end is no loss.
  */
-import type { Moment, NodeId } from '@switchwheel/types';
+import type { Timestamp, NodeId } from '@switchwheel/types';
 import { type Store, ownId } from '../state/state.js';
 import { inSync, primaryTimeout, reachableInSync } from './candidacy.js';
 
@@ -12,19 +12,19 @@
 const exclusionWait = 1000;
 
 /** The stores that hold every confirmed write, are in touch, take writes and stay. */
-export const successors = (state: Store, now: Moment): readonly NodeId[] =>
+export const successors = (state: Store, now: Timestamp): readonly NodeId[] =>
   reachableInSync(state, now).filter(
     (one) => one !== ownId(state) && state.peers.get(one)?.leaving !== true,
   );
 
 /** Whether a primary that leaves may hand over: somebody can take over, and nothing is under way. */
-export const mayHandOver = (state: Store, since: Moment, now: Moment): boolean => {
+export const mayHandOver = (state: Store, since: Timestamp, now: Timestamp): boolean => {
   const idle = state.primaryWrite === undefined && state.commandQueue.length === 0;
   return successors(state, now).length > 0 && (idle || now - since >= drainLimit);
 };
 
 /** Whether the fleet keeps enough copies without this store. */
-export const copiesStandElsewhere = (state: Store, since: Moment, now: Moment): boolean => {
+export const copiesStandElsewhere = (state: Store, since: Timestamp, now: Timestamp): boolean => {
   if (state.phase === 'reading' || state.metadata === undefined || !inSync(state)) return true;
   const led = now - state.primaryHeardAt < primaryTimeout;
   const enough = successors(state, now).length > state.settings.tolerate;
--- a/packages/replicated-store/src/machine.ts
+++ b/packages/replicated-store/src/machine.ts
@@ -1,16 +1,16 @@
 import {
-  type Moment,
-  type Step,
-  alike,
-  drop,
-  join,
-  later,
+  type Timestamp,
+  type Transition,
+  equalAsJson,
+  withoutEntry,
+  prependEffects,
+  addMs,
   noGeneration,
   noSeq,
-  put,
-  start,
-  step,
-  toMoment,
+  withEntry,
+  clockOrigin,
+  transition,
+  toTimestamp,
 } from '@switchwheel/types';
 import {
   type Peer,
@@ -80,7 +80,7 @@
 import type { Found, StoreEffect, StoreEvent } from './state/event.js';
 import { type Store, type Subscriber, ownId } from './state/state.js';
 
-type Done = Step<Store, StoreEffect>;
+type Done = Transition<Store, StoreEffect>;
 const planInterval = 60_000;
 const engineInterval = 5000;
 const offlineAfter = 2000;
@@ -92,7 +92,7 @@
 /** How long a node may be out of touch before it is forgotten. */
 const forgetAfter = 3_600_000;
 
-const ownReport = (state: Store, now: Moment): Report => ({
+const ownReport = (state: Store, now: Timestamp): Report => ({
   generation: state.control.stored?.offer.generation ?? noGeneration,
   phase: 'none',
   ready: state.phase === 'member' && (isPrimary(state, now) || inSync(state)),
@@ -112,22 +112,22 @@
   },
 });
 
-const heartbeatContent = (state: Store, now: Moment, bye: boolean): HeartbeatContent => ({
+const heartbeatContent = (state: Store, now: Timestamp, bye: boolean): HeartbeatContent => ({
   report: ownReport(state, now),
   held: [],
   purged: noSeq,
   bye,
 });
 
-const onRead = (before: Store, found: Found, now: Moment): Done => {
+const onRead = (before: Store, found: Found, now: Timestamp): Done => {
   const state: Store = { ...before, startedAt: now };
   if (found.found === 'nothing')
-    return step(
+    return transition(
       { ...state, phase: 'empty' },
       log('info', 'the disk is empty: this store is no member until it is founded or mended'),
     );
   if (found.found === 'damaged') {
-    return step(
+    return transition(
       { ...state, phase: 'empty', mustWipe: true, trouble: `damaged disk: ${found.text}` },
       log('error', 'the disk is damaged: nothing of it is used, a peer has to mend this store', [
         'why',
@@ -152,7 +152,7 @@
       found.metadata.epoch,
     ),
   };
-  return step(
+  return transition(
     next,
     log(
       'info',
@@ -165,23 +165,23 @@
 };
 
 /** Follows a change of the stand: a win is served, a loss ends all that was under way. */
-const onCandidateChange = (before: Store, after: Store, now: Moment): Done => {
+const onCandidateChange = (before: Store, after: Store, now: Timestamp): Done => {
   const was = before.candidate.phase.phase;
   const is = after.candidate.phase.phase;
   if (was === 'requestingVotes' && is === 'holdingLease')
-    return join(
+    return prependEffects(
       [log('info', 'won the duty', ['epoch', heldEpoch(after.candidate)])],
       onElected(after, now),
     );
   if ((was === 'requestingVotes' || was === 'holdingLease') && is === 'idle') {
     const ended = endLeadership(after);
-    return join(was === 'holdingLease' ? [log('warn', 'the duty is over')] : [], ended);
+    return prependEffects(was === 'holdingLease' ? [log('warn', 'the duty is over')] : [], ended);
   }
-  return step(after);
+  return transition(after);
 };
 
-const onVote = (state: Store, word: FrameOf<'vote'>, now: Moment): Done => {
-  if (state.metadata === undefined) return step(state);
+const onVote = (state: Store, word: FrameOf<'vote'>, now: Timestamp): Done => {
+  if (state.metadata === undefined) return transition(state);
   const nodeSession =
     word.electorate === undefined ||
     (state.session.electorate !== undefined &&
@@ -199,8 +199,8 @@
   );
 };
 
-const onSubscribe = (state: Store, word: FrameOf<'subscribe'>, now: Moment): Done => {
-  if (!isPrimary(state, now)) return step(state);
+const onSubscribe = (state: Store, word: FrameOf<'subscribe'>, now: Timestamp): Done => {
+  if (!isPrimary(state, now)) return transition(state);
   const row: Subscriber = {
     address: word.registry.address,
     area: word.registry.area,
@@ -209,7 +209,10 @@
     serial: word.epoch === heldEpoch(state.candidate) ? word.serial : noSeq,
     purged: word.purged,
   };
-  let next: Store = { ...state, subscribers: put(state.subscribers, word.registry.node, row) };
+  let next: Store = {
+    ...state,
+    subscribers: withEntry(state.subscribers, word.registry.node, row),
+  };
   const effects: StoreEffect[] = [...feedOne(next, row, word.at, now)];
   let touch = next.contacts;
   let fresh = false;
@@ -217,12 +220,12 @@
     const known = state.control.nodes.get(one.node);
     const near = touch.get(one.node);
     if (!one.open && near !== undefined && near.registry !== word.registry.node) continue;
-    if (one.open) touch = put(touch, one.node, { registry: word.registry.node, at: now });
+    if (one.open) touch = withEntry(touch, one.node, { registry: word.registry.node, at: now });
     const same =
       known?.incarnation === one.incarnation &&
       known.online === one.open &&
       known.role === one.role &&
-      alike(known.reported, one.report);
+      equalAsJson(known.reported, one.report);
     if (same) continue;
     fresh ||= known === undefined;
     const waits = next.commandQueue.some(
@@ -230,7 +233,7 @@
         command.kind === 'node' &&
         command.node === one.node &&
         command.incarnation === one.incarnation &&
-        alike(command.report, one.report) &&
+        equalAsJson(command.report, one.report) &&
         command.online === one.open,
     );
     if (waits) continue;
@@ -250,45 +253,45 @@
     next = queued.state;
     effects.push(...queued.effects);
   }
-  return step({ ...next, contacts: touch }, ...effects);
+  return transition({ ...next, contacts: touch }, ...effects);
 };
 
 /** Nodes that no registry has told of for a while are out of touch. */
-const markOffline = (state: Store, now: Moment): Done => {
-  let next: Done = step(state);
+const markOffline = (state: Store, now: Timestamp): Done => {
+  let next: Done = transition(state);
   for (const [node, row] of state.control.nodes) {
     const near = state.contacts.get(node);
     if (!row.online && near !== undefined && now - near.at > forgetAfter) {
-      next = join(
+      next = prependEffects(
         next.effects,
         enqueue(
-          { ...next.state, contacts: drop(next.state.contacts, node) },
+          { ...next.state, contacts: withoutEntry(next.state.contacts, node) },
           { kind: 'forget', node },
         ),
       );
       continue;
     }
     if (!row.online && near === undefined)
-      next = step(
+      next = transition(
         {
           ...next.state,
-          contacts: put(next.state.contacts, node, { registry: ownId(state), at: now }),
+          contacts: withEntry(next.state.contacts, node, { registry: ownId(state), at: now }),
         },
         ...next.effects,
       );
     if (!row.online || (near !== undefined && now - near.at < offlineAfter)) continue;
     if (near === undefined) {
-      next = step(
+      next = transition(
         {
           ...next.state,
-          contacts: put(next.state.contacts, node, { registry: ownId(state), at: now }),
+          contacts: withEntry(next.state.contacts, node, { registry: ownId(state), at: now }),
         },
         ...next.effects,
       );
       continue;
     }
     if (next.state.commandQueue.some((one) => one.kind === 'node' && one.node === node)) continue;
-    next = join(
+    next = prependEffects(
       next.effects,
       enqueue(next.state, {
         kind: 'node',
@@ -307,21 +310,21 @@
 const renewSoon = (state: Store): Store => {
   const { candidate } = state;
   if (candidate.phase.phase !== 'holdingLease') return state;
-  const due = toMoment(Math.max(0, candidate.phase.asked - candidate.lease));
+  const due = toTimestamp(Math.max(0, candidate.phase.asked - candidate.lease));
   return { ...state, candidate: { ...candidate, phase: { ...candidate.phase, asked: due } } };
 };
 
 /** Lets the electorate follow the registries, one member at a time. */
-const followRegistries = (before: Store, now: Moment): Done => {
+const followRegistries = (before: Store, now: Timestamp): Done => {
   const noted = notePolledElectorate(before, now);
   const state = noted === before ? before : renewSoon(noted);
   const open =
     state.primaryWrite !== undefined ||
     state.commandQueue.some((one) => one.kind === 'electorate' || one.kind === 'seats');
   const electorate = state.settings.follow && !open ? nextElectorate(state, now) : undefined;
-  if (electorate === undefined) return step(state);
+  if (electorate === undefined) return transition(state);
   const queued = enqueue(state, { kind: 'seats', electorate });
-  return join(
+  return prependEffects(
     [
       log('info', 'the electorate follows the registries', [
         'members',
@@ -332,17 +335,20 @@
   );
 };
 
-const tickPrimary = (state: Store, now: Moment): Done => {
+const tickPrimary = (state: Store, now: Timestamp): Done => {
   const seated = followRegistries(state, now);
-  let next = join(seated.effects, markOffline(seated.state, now));
+  let next = prependEffects(seated.effects, markOffline(seated.state, now));
   if (now - next.state.plannedAt >= planInterval)
-    next = join(next.effects, enqueue({ ...next.state, plannedAt: now }, { kind: 'plan' }));
-  next = join(next.effects, tickRepair(next.state, now));
-  next = join(next.effects, tickReleases(next.state, now));
-  next = join(next.effects, tickOrigins(next.state, now));
+    next = prependEffects(
+      next.effects,
+      enqueue({ ...next.state, plannedAt: now }, { kind: 'plan' }),
+    );
+  next = prependEffects(next.effects, tickRepair(next.state, now));
+  next = prependEffects(next.effects, tickReleases(next.state, now));
+  next = prependEffects(next.effects, tickOrigins(next.state, now));
   const due = next.state.engineDueAt;
   if ((due !== undefined && now >= due) || now - next.state.engineRanAt >= engineInterval) {
-    next = join(
+    next = prependEffects(
       next.effects,
       enqueue({ ...next.state, engineDueAt: undefined, engineRanAt: now }, { kind: 'turn' }),
     );
@@ -355,7 +361,7 @@
  * nothing need not wait for an election. Each registry is told, as each needs the word of every
  * store in sync; the store's own gets the origins too.
  */
-const sendHint = (state: Store, now: Moment): readonly StoreEffect[] => {
+const sendHint = (state: Store, now: Timestamp): readonly StoreEffect[] => {
   const offer = state.control.stored?.offer;
   const { metadata, session } = state;
   if (
@@ -385,11 +391,11 @@
   ];
 };
 
-const onTick = (before: Store, now: Moment): Done => {
-  if (before.phase === 'reading') return step(before);
+const onTick = (before: Store, now: Timestamp): Done => {
+  if (before.phase === 'reading') return transition(before);
   const state = forgetGone(before, now);
   const drifted = tickSession(state.session, heartbeatContent(state, now, false), now);
-  let next: Done = step({ ...state, session: drifted.state }, ...drifted.effects);
+  let next: Done = transition({ ...state, session: drifted.state }, ...drifted.effects);
   const metadata = next.state.metadata;
   if (metadata !== undefined && state.phase === 'member') {
     const base: Store =
@@ -407,7 +413,7 @@
       base.dice,
       now,
     );
-    next = join(
+    next = prependEffects(
       [...next.effects, ...passed.effects],
       onCandidateChange(
         base,
@@ -417,55 +423,60 @@
     );
   }
   if (now - state.statusSentAt >= hintInterval)
-    next = step(next.state, ...next.effects, ...sendHint(next.state, now));
-  next = join(next.effects, sendStatus(next.state, now));
-  next = join(next.effects, tickWrite(next.state, now));
-  next = join(next.effects, tickCalls(next.state, now));
-  next = join(next.effects, tickLeaving(next.state, now));
-  return isPrimary(next.state, now) ? join(next.effects, tickPrimary(next.state, now)) : next;
+    next = transition(next.state, ...next.effects, ...sendHint(next.state, now));
+  next = prependEffects(next.effects, sendStatus(next.state, now));
+  next = prependEffects(next.effects, tickWrite(next.state, now));
+  next = prependEffects(next.effects, tickCalls(next.state, now));
+  next = prependEffects(next.effects, tickLeaving(next.state, now));
+  return isPrimary(next.state, now)
+    ? prependEffects(next.effects, tickPrimary(next.state, now))
+    : next;
 };
 
 /** Ends this store: the duty is given up if it still has it, and the others are told. */
-const finishLeaving = (state: Store, now: Moment): Done => {
+const finishLeaving = (state: Store, now: Timestamp): Done => {
   const bye = sendHeartbeat(state.session, heartbeatContent(state, now, true), now);
   const done = handOverLeadership({ ...state, session: bye.state }, leaveStandDown, now);
-  const told = sendStatus({ ...done.state, phase: 'member', statusSentAt: start }, now);
-  return join(
+  const told = sendStatus({ ...done.state, phase: 'member', statusSentAt: clockOrigin }, now);
+  return prependEffects(
     [...bye.effects, ...done.effects, ...told.effects],
-    step({ ...told.state, phase: 'stopping' }, { kind: 'stopped' }),
+    transition({ ...told.state, phase: 'stopping' }, { kind: 'stopped' }),
   );
 };
 
 /** Lets time pass over a leave: first the duty goes to a successor, then the copy, then this store. */
-const tickLeaving = (state: Store, now: Moment): Done => {
+const tickLeaving = (state: Store, now: Timestamp): Done => {
   const { leaving } = state;
-  if (leaving === undefined) return step(state);
+  if (leaving === undefined) return transition(state);
   if (now >= leaving.deadline) return finishLeaving(state, now);
   if (holdsLease(state.candidate, now)) {
-    if (!mayHandOver(state, leaving.since, now)) return step(state);
+    if (!mayHandOver(state, leaving.since, now)) return transition(state);
     const handed = handOverLeadership(state, leaveStandDown, now);
-    return join(handed.effects, sendStatus(handed.state, now));
+    return prependEffects(handed.effects, sendStatus(handed.state, now));
   }
   if (copiesStandElsewhere(state, leaving.since, now)) return finishLeaving(state, now);
   // Another one that is in sync is elected before this one; without any, this one has to lead.
   const successor = successors(state, now).length > 0;
-  return step(successor ? { ...state, standDownUntil: later(now, leaveStandDown) } : state);
+  return transition(successor ? { ...state, standDownUntil: addMs(now, leaveStandDown) } : state);
 };
 
-const onStop = (state: Store, now: Moment, graceMs: number): Done => {
-  if (state.leaving !== undefined) return step(state);
-  const leaving = { since: now, deadline: later(now, graceMs) };
-  const begun = tickLeaving({ ...state, leaving, statusSentAt: start }, now);
+const onStop = (state: Store, now: Timestamp, graceMs: number): Done => {
+  if (state.leaving !== undefined) return transition(state);
+  const leaving = { since: now, deadline: addMs(now, graceMs) };
+  const begun = tickLeaving({ ...state, leaving, statusSentAt: clockOrigin }, now);
   // A handover has told the peers already; two words at once might overtake each other.
-  return join(begun.effects, sendStatus(begun.state, now));
+  return prependEffects(begun.effects, sendStatus(begun.state, now));
 };
 
-const onFrame = (state: Store, from: Peer, frame: Frame, now: Moment): Done => {
+const onFrame = (state: Store, from: Peer, frame: Frame, now: Timestamp): Done => {
   switch (frame.kind) {
     case 'heartbeat-reply':
-      return step({ ...state, session: applyHeartbeatReply(state.session, from, frame, now) });
+      return transition({
+        ...state,
+        session: applyHeartbeatReply(state.session, from, frame, now),
+      });
     case 'member-list':
-      return step({ ...state, session: applyMemberList(state.session, from, frame, now) });
+      return transition({ ...state, session: applyMemberList(state.session, from, frame, now) });
     case 'vote':
       return onVote(state, frame, now);
     case 'subscribe':
@@ -491,13 +502,13 @@
     case 'bootstrap':
       return onBootstrap(state, from, frame, now);
     case 'tally':
-      return isPrimary(state, now) ? onTally(state, frame, now) : step(state);
+      return isPrimary(state, now) ? onTally(state, frame, now) : transition(state);
     case 'trial':
       return isPrimary(state, now)
         ? enqueue(state, { kind: 'trial', to: from.address, word: frame })
-        : step(state);
+        : transition(state);
     default:
-      return step(
+      return transition(
         state,
         log(
           'warn',
@@ -510,7 +521,7 @@
 };
 
 const onEvent = (state: Store, event: StoreEvent): Done => {
-  if (state.phase === 'stopping') return step(state);
+  if (state.phase === 'stopping') return transition(state);
   switch (event.kind) {
     case 'read':
       return onRead(state, event.found, event.now);
@@ -518,10 +529,13 @@
       return onTick(state, event.now);
     case 'frame':
       return state.phase === 'reading'
-        ? step(state)
+        ? transition(state)
         : onFrame(state, event.from, event.frame, event.now);
     case 'gone':
-      return step({ ...state, session: onRegistryLost(state.session, event.address, event.now) });
+      return transition({
+        ...state,
+        session: onRegistryLost(state.session, event.address, event.now),
+      });
     case 'synced':
       return state.backupWrite?.id === event.id
         ? onBackupWriteSynced(state, event.id, event.now)
@@ -540,6 +554,6 @@
 /** The store: one function for every change of its state. What an event queued is written at its end. */
 export const storeStep = (state: Store, event: StoreEvent): Done => {
   const handled = onEvent(state, event);
-  const written = join(handled.effects, startWrite(handled.state, event.now));
-  return join(written.effects, checkInvariants(state, written.state));
+  const written = prependEffects(handled.effects, startWrite(handled.state, event.now));
+  return prependEffects(written.effects, checkInvariants(state, written.state));
 };
--- a/packages/replicated-store/src/origins/origins.test.ts
+++ b/packages/replicated-store/src/origins/origins.test.ts
@@ -3,11 +3,11 @@
 import fc from 'fast-check';
 import {
   type InstanceId,
-  type Moment,
-  earlier,
+  type Timestamp,
+  subtractMs,
   toAddress,
   toInstanceId,
-  toMoment,
+  toTimestamp,
   toRelease,
   toServiceName,
 } from '@switchwheel/types';
@@ -16,7 +16,7 @@
 import { absorbAll, noControl } from '@switchwheel/configuration';
 import { originPuts } from './origins.js';
 
-const now: Moment = toMoment(100_000);
+const now: Timestamp = toTimestamp(100_000);
 const seen = (number: number, state: Seen['state'], silentMs: number): Seen => ({
   service: toServiceName('clips'),
   instance: toInstanceId(`o${number}`),
@@ -24,7 +24,7 @@
   release: toRelease('r1'),
   slots: 4,
   state,
-  at: earlier(now, silentMs),
+  at: subtractMs(now, silentMs),
 });
 const list = fc.array(
   fc.record({
--- a/packages/replicated-store/src/origins/origins.ts
+++ b/packages/replicated-store/src/origins/origins.ts
@@ -1,4 +1,10 @@
-import { type InstanceId, type Moment, type Step, step, toSpan } from '@switchwheel/types';
+import {
+  type InstanceId,
+  type Timestamp,
+  type Transition,
+  transition,
+  toDurationMs,
+} from '@switchwheel/types';
 import type { Origin, Put } from '@switchwheel/transport';
 import { type Seen, silentSpan, standing } from '@switchwheel/membership';
 import { erase, keyOf, write } from '@switchwheel/configuration';
@@ -6,7 +12,7 @@
 import type { StoreEffect } from '../state/event.js';
 import type { Store } from '../state/state.js';
 
-type Done = Step<Store, StoreEffect>;
+type Done = Transition<Store, StoreEffect>;
 const checkInterval = 500;
 /** After how long a primary takes one that it has never heard of for gone. */
 const absentAfter = 12_000;
@@ -20,7 +26,7 @@
   release,
   slots,
   state: 'up',
-  age: toSpan(0),
+  age: toDurationMs(0),
   ...(area === undefined ? {} : { area }),
 });
 
@@ -36,7 +42,7 @@
   known: ReadonlyMap<InstanceId, Origin>,
   heard: Store['session']['origins'],
   sure: boolean,
-  now: Moment,
+  now: Timestamp,
 ): readonly Put[] => {
   const puts: Put[] = [];
   for (const one of heard.values()) {
@@ -55,21 +61,21 @@
 };
 
 /** Keeps a record of the origins that stand, so that a fleet that lost all its processes need not wait until each speaks. */
-export const tickOrigins = (state: Store, now: Moment): Done => {
+export const tickOrigins = (state: Store, now: Timestamp): Done => {
   const own = state.candidate.phase;
   if (
     !state.settings.origins ||
     own.phase !== 'holdingLease' ||
     now - state.originsCheckedAt < checkInterval
   )
-    return step(state);
+    return transition(state);
   const next: Store = { ...state, originsCheckedAt: now };
-  if (state.commandQueue.some((one) => one.kind === 'origins')) return step(next);
+  if (state.commandQueue.some((one) => one.kind === 'origins')) return transition(next);
   if (
     originPuts(state.control.origins, state.session.origins, now - own.won > absentAfter, now)
       .length === 0
   )
-    return step(next);
+    return transition(next);
   return enqueue(next, { kind: 'origins', sure: now - own.won > absentAfter });
 };
 
@@ -77,5 +83,5 @@
 export const storedOrigins = (state: Store): Origin[] =>
   [...state.control.origins.values()].map((one) => ({
     ...one,
-    age: toSpan(silentSpan - provisionalTime),
+    age: toDurationMs(silentSpan - provisionalTime),
   }));
--- a/packages/replicated-store/src/primary-write/primary-write.ts
+++ b/packages/replicated-store/src/primary-write/primary-write.ts
@@ -1,14 +1,14 @@
 import {
   type Address,
   type Invariant,
-  type Moment,
+  type Timestamp,
   type NodeId,
-  type Step,
-  join,
+  type Transition,
+  prependEffects,
   nextSeq,
-  start,
-  step,
-  toMoment,
+  clockOrigin,
+  transition,
+  toTimestamp,
 } from '@switchwheel/types';
 import {
   type ClusterMetadata,
@@ -38,7 +38,7 @@
 import { apply } from '../table/table.js';
 import { noteShortage, replaceBackups } from './replacement.js';
 
-type Done = Step<Store, StoreEffect>;
+type Done = Transition<Store, StoreEffect>;
 /** How long a backup may take before another store replaces it. */
 export const replicateTimeout = 400;
 /** How long the own disk may make no progress before the duty is given up. */
@@ -72,7 +72,7 @@
 });
 
 /** Opens a write with nothing in it but a metadata. */
-export const writeMetadata = (state: Store, metadata: ClusterMetadata, now: Moment): Done => {
+export const writeMetadata = (state: Store, metadata: ClusterMetadata, now: Timestamp): Done => {
   const stamp: Stamp = { epoch: metadata.epoch, seq: nextSeq(state.stamp.seq) };
   const primaryWrite: PrimaryWrite = {
     id: state.nextId,
@@ -89,7 +89,7 @@
     results: [],
     trialReports: [],
   };
-  return step(
+  return transition(
     { ...state, primaryWrite, nextId: state.nextId + 1 },
     diskWrite(primaryWrite.id, metadata, stamp, []),
   );
@@ -114,7 +114,7 @@
   primaryWrite: undefined,
   // What a restart would read: the disk has the metadata of this write, and its epoch only goes up.
   metadata: primaryWrite.metadata,
-  standDownUntil: start,
+  standDownUntil: clockOrigin,
   stamp: primaryWrite.stamp,
   table: apply(state.table, primaryWrite.puts, primaryWrite.stamp),
   control: primaryWrite.draft,
@@ -123,12 +123,12 @@
 /** Gives a write up that this store can no longer finish: whether it takes effect is not known. */
 export const abandon = (state: Store): Done => {
   const primaryWrite = state.primaryWrite;
-  if (primaryWrite === undefined || primaryWrite.phase === 'orphan') return step(state);
+  if (primaryWrite === undefined || primaryWrite.phase === 'orphan') return transition(state);
   const next =
     primaryWrite.phase === 'copy'
       ? applyLocally(state, primaryWrite)
       : { ...state, primaryWrite: { ...primaryWrite, phase: 'orphan' as const } };
-  return step(next, ...unknownOutcome(primaryWrite.results));
+  return transition(next, ...unknownOutcome(primaryWrite.results));
 };
 
 /** Ends all that was under way in a holding. */
@@ -146,10 +146,13 @@
   });
 
 /** Gives the duty up for a while, and with it all that was under way. */
-export const handOverLeadership = (state: Store, rest: number, now: Moment): Done => {
+export const handOverLeadership = (state: Store, rest: number, now: Timestamp): Done => {
   const resigned = resignFor(state, rest, now);
   // The peer hears of it at once: the next greeting is due now.
-  return join(resigned.effects, endLeadership({ ...resigned.state, statusSentAt: start }));
+  return prependEffects(
+    resigned.effects,
+    endLeadership({ ...resigned.state, statusSentAt: clockOrigin }),
+  );
 };
 
 interface Batch {
@@ -160,7 +163,7 @@
 }
 
 /** What the next write takes; orders wait while a store is on its way into a set too small for them. */
-const nextBatch = (state: Store, metadata: ClusterMetadata, now: Moment): Batch => {
+const nextBatch = (state: Store, metadata: ClusterMetadata, now: Timestamp): Batch => {
   const queue = state.commandQueue;
   const set = metadata.inSyncSet;
   const isShort = !hasEnoughCopies(state, set) && awaitsSpare(state, set, now);
@@ -175,7 +178,7 @@
 };
 
 /** Takes what waits, in its order, and makes one write of it. */
-export const startWrite = (state: Store, now: Moment): Done => {
+export const startWrite = (state: Store, now: Timestamp): Done => {
   const metadata = state.metadata;
   if (
     state.primaryWrite !== undefined ||
@@ -184,9 +187,9 @@
     state.readOnly ||
     !isPrimary(state, now)
   )
-    return step(state);
+    return transition(state);
   const { batch, rest, isShort } = nextBatch(state, metadata, now);
-  if (batch.length === 0) return step(isShort ? noteShortage(state, now) : state);
+  if (batch.length === 0) return transition(isShort ? noteShortage(state, now) : state);
   const stamp: Stamp = { epoch: heldEpoch(state.candidate), seq: nextSeq(state.stamp.seq) };
   let draft = state.control;
   let electorate = metadata.electorate;
@@ -217,7 +220,7 @@
   next = { ...noted.state, commandQueue: [...batch.slice(taken), ...rest] };
   const told = [...noted.effects, ...rejections.map(callReply)];
   if (puts.length === 0 && results.length === 0 && electorate === metadata.electorate) {
-    return step(next, ...told, ...tried.flatMap((one) => trialReplies(draft, one)));
+    return transition(next, ...told, ...tried.flatMap((one) => trialReplies(draft, one)));
   }
   const primaryWrite: PrimaryWrite = {
     id: state.nextId,
@@ -234,7 +237,7 @@
     trialReports: tried,
     metadata: electorate === metadata.electorate ? metadata : { ...metadata, electorate },
   };
-  return step(
+  return transition(
     { ...next, primaryWrite, nextId: state.nextId + 1 },
     ...told,
     diskWrite(primaryWrite.id, primaryWrite.metadata, stamp, puts),
@@ -255,7 +258,7 @@
 const learners = (
   state: Store,
   metadata: ClusterMetadata,
-  now: Moment,
+  now: Timestamp,
 ): readonly ClusterMetadata['stores'][number][] => {
   const named = metadata.stores.filter((one) => one.node !== ownId(state));
   const others = [...state.peers.values()].filter(
@@ -292,7 +295,7 @@
 const replicateToAll = (
   state: Store,
   primaryWrite: PrimaryWrite,
-  now: Moment,
+  now: Timestamp,
 ): readonly StoreEffect[] => replicateTo(primaryWrite, learners(state, primaryWrite.metadata, now));
 
 /** Sends the open write to a store that has just been brought to the state before it. */
@@ -311,7 +314,7 @@
   );
 
 /** The write lasts wherever it must: it counts, and everyone is told. */
-const commitWrite = (state: Store, primaryWrite: PrimaryWrite, now: Moment): Done => {
+const commitWrite = (state: Store, primaryWrite: PrimaryWrite, now: Timestamp): Done => {
   const first = !state.serving || state.readOnly;
   const table = apply(state.table, primaryWrite.puts, primaryWrite.stamp);
   const next: Store = {
@@ -344,7 +347,7 @@
   );
   const due =
     first || lists
-      ? toMoment(
+      ? toTimestamp(
           Math.min(next.engineDueAt ?? Infinity, Math.max(now, next.engineRanAt + engineThrottle)),
         )
       : next.engineDueAt;
@@ -364,15 +367,15 @@
     ...primaryWrite.trialReports.flatMap((one) => trialReplies(primaryWrite.draft, one)),
   ];
   const fed = feedAll(planned, now);
-  return step(planned, ...told, ...fed);
+  return transition(planned, ...told, ...fed);
 };
 
 /** The own disk has the write: the backups are next, those in sync must have it too. */
-export const onSynced = (state: Store, id: number, now: Moment): Done => {
+export const onSynced = (state: Store, id: number, now: Timestamp): Done => {
   const primaryWrite = state.primaryWrite;
-  if (primaryWrite?.id !== id) return step(state);
-  if (primaryWrite.phase === 'orphan') return step(applyLocally(state, primaryWrite));
-  if (primaryWrite.phase !== 'disk') return step(state);
+  if (primaryWrite?.id !== id) return transition(state);
+  if (primaryWrite.phase === 'orphan') return transition(applyLocally(state, primaryWrite));
+  if (primaryWrite.phase !== 'disk') return transition(state);
   if (
     !holdsLease(state.candidate, now) ||
     heldEpoch(state.candidate) !== primaryWrite.metadata.epoch
@@ -388,8 +391,8 @@
     sent: now,
   };
   const whole = unconfirmedBackups(state, next).length === 0;
-  if (whole) return join(replicateToAll(state, next, now), commitWrite(state, next, now));
-  return step({ ...state, primaryWrite: next }, ...replicateToAll(state, next, now));
+  if (whole) return prependEffects(replicateToAll(state, next, now), commitWrite(state, next, now));
+  return transition({ ...state, primaryWrite: next }, ...replicateToAll(state, next, now));
 };
 
 /** The own disk did not take the write: it never takes effect, unless this disk has had it since before. */
@@ -398,11 +401,11 @@
   id: number,
   text: string,
   full: boolean,
-  now: Moment,
+  now: Timestamp,
 ): Done => {
   const primaryWrite = state.primaryWrite;
-  if (primaryWrite?.id !== id) return step(state);
-  if (primaryWrite.phase === 'orphan') return step({ ...state, primaryWrite: undefined });
+  if (primaryWrite?.id !== id) return transition(state);
+  if (primaryWrite.phase === 'orphan') return transition({ ...state, primaryWrite: undefined });
   const rejected = primaryWrite.onOwnDisk
     ? unknownOutcome(primaryWrite.results)
     : primaryWrite.results.map((one) =>
@@ -433,14 +436,19 @@
       now - one.at < 1000,
   );
   // With a peer in sync whose disk has room the duty goes to it.
-  if (!full || heir) return join([words, ...rejected], handOverLeadership(next, 10_000, now));
+  if (!full || heir)
+    return prependEffects([words, ...rejected], handOverLeadership(next, 10_000, now));
   // Otherwise reads and pushes go on, and writes are rejected until there is room.
   const written = state.serving && primaryWrite.metadata.epoch === state.metadata?.epoch;
-  return step({ ...next, serving: true, readOnly: state.readOnly || !written }, words, ...rejected);
+  return transition(
+    { ...next, serving: true, readOnly: state.readOnly || !written },
+    words,
+    ...rejected,
+  );
 };
 
 /** Notes how far a store has come by its acknowledgement. */
-const noteAcknowledged = (state: Store, word: FrameOf<'replicated'>, now: Moment): Store => {
+const noteAcknowledged = (state: Store, word: FrameOf<'replicated'>, now: Timestamp): Store => {
   const peer = state.peers.get(word.node);
   if (peer === undefined) return state;
   const row: PeerStatus = {
@@ -462,7 +470,7 @@
 };
 
 /** A backup answered a copy: once all in sync have it the write counts. */
-export const onReplicated = (before: Store, word: FrameOf<'replicated'>, now: Moment): Done => {
+export const onReplicated = (before: Store, word: FrameOf<'replicated'>, now: Timestamp): Done => {
   const state = word.ok ? noteAcknowledged(before, word, now) : before;
   const primaryWrite = state.primaryWrite;
   // An acknowledgement under an earlier epoch does not show that this epoch's metadata is on that disk.
@@ -472,11 +480,11 @@
     word.seq !== primaryWrite.stamp.seq ||
     word.metadataEpoch !== primaryWrite.metadata.epoch
   )
-    return step(state);
+    return transition(state);
   const isRequired = primaryWrite.metadata.inSyncSet.includes(word.node);
-  if (!word.ok && !isRequired) return step(state);
+  if (!word.ok && !isRequired) return transition(state);
   if (!word.ok)
-    return join(
+    return prependEffects(
       [log('warn', 'a backup did not take a write', ['store', word.node], ['why', word.text])],
       replaceBackups(noteRefusal(state, word.node), [word.node], now),
     );
@@ -484,17 +492,17 @@
     !holdsLease(state.candidate, now) ||
     heldEpoch(state.candidate) !== primaryWrite.metadata.epoch
   )
-    return step(state);
+    return transition(state);
   const next: PrimaryWrite = {
     ...primaryWrite,
     confirmed: new Set([...primaryWrite.confirmed, word.node]),
   };
   const whole = isRequired && unconfirmedBackups(state, next).length === 0;
-  return whole ? commitWrite(state, next, now) : step({ ...state, primaryWrite: next });
+  return whole ? commitWrite(state, next, now) : transition({ ...state, primaryWrite: next });
 };
 
 /** Lets time pass over a write. */
-export const tickWrite = (state: Store, now: Moment): Done => {
+export const tickWrite = (state: Store, now: Timestamp): Done => {
   const primaryWrite = state.primaryWrite;
   if (
     primaryWrite === undefined &&
@@ -502,7 +510,7 @@
     state.metadata !== undefined &&
     state.candidate.phase.phase === 'holdingLease'
   ) {
-    if (now - (state.diskFull ?? start) < fullDiskRetry) return step(state);
+    if (now - (state.diskFull ?? clockOrigin) < fullDiskRetry) return transition(state);
     return writeMetadata(
       { ...state, diskFull: now },
       {
@@ -513,20 +521,20 @@
       now,
     );
   }
-  if (primaryWrite === undefined) return step(state);
-  if (primaryWrite.phase === 'orphan') return step(state);
+  if (primaryWrite === undefined) return transition(state);
+  if (primaryWrite.phase === 'orphan') return transition(state);
   if (primaryWrite.phase === 'disk') {
     if (now - primaryWrite.since <= diskTimeout || state.candidate.phase.phase !== 'holdingLease')
-      return step(state);
-    return join(
+      return transition(state);
+    return prependEffects(
       [log('error', 'the disk makes no progress; giving the duty up')],
       handOverLeadership(state, 5000, now),
     );
   }
-  if (state.candidate.phase.phase !== 'holdingLease') return step(state);
+  if (state.candidate.phase.phase !== 'holdingLease') return transition(state);
   const late = unconfirmedBackups(state, primaryWrite);
   const isLate = now - primaryWrite.since > replicateTimeout;
-  const replaced: Done = isLate ? replaceBackups(state, late, now) : step(state);
+  const replaced: Done = isLate ? replaceBackups(state, late, now) : transition(state);
   const open = replaced.state.primaryWrite;
   if (
     open === undefined ||
@@ -538,13 +546,13 @@
     late.includes(one.node),
   );
   const resent: Store = { ...replaced.state, primaryWrite: { ...open, sent: now } };
-  return step(resent, ...replaced.effects, ...replicateTo(open, again));
+  return transition(resent, ...replaced.effects, ...replicateTo(open, again));
 };
 
 /** This store won: the metadata of its holding is written before anything else. */
-export const onElected = (state: Store, now: Moment): Done => {
+export const onElected = (state: Store, now: Timestamp): Done => {
   const metadata = state.metadata;
-  if (metadata === undefined) return step(state);
+  if (metadata === undefined) return transition(state);
   const own: ClusterMetadata = {
     ...metadata,
     epoch: heldEpoch(state.candidate),
@@ -561,7 +569,7 @@
       phase: 'disk',
       since: now,
     };
-    return step(
+    return transition(
       { ...state, primaryWrite: next, nextId: state.nextId + 1 },
       diskWrite(next.id, next.metadata, next.stamp, next.puts),
     );
--- a/packages/replicated-store/src/primary-write/replacement.ts
+++ b/packages/replicated-store/src/primary-write/replacement.ts
@@ -28,7 +28,13 @@
  * the metadata of e+1. A backup that returns with an empty disk says so and is replaced; one that
  * returns with the disk that it had before e+1 is refused by the voters, and resynced.
  */
-import { type Moment, type NodeId, type Step, join, step } from '@switchwheel/types';
+import {
+  type Timestamp,
+  type NodeId,
+  type Transition,
+  prependEffects,
+  transition,
+} from '@switchwheel/types';
 import { type ClusterMetadata, log } from '@switchwheel/transport';
 import { holdsLease, requestVotes } from '@switchwheel/election';
 import { electionContext } from '../leadership/candidacy.js';
@@ -42,10 +48,10 @@
 import type { StoreEffect } from '../state/event.js';
 import type { Store } from '../state/state.js';
 
-type Done = Step<Store, StoreEffect>;
+type Done = Transition<Store, StoreEffect>;
 
 /** Notes since when copies have been lacking. */
-export const noteShortage = (state: Store, now: Moment): Store =>
+export const noteShortage = (state: Store, now: Timestamp): Store =>
   state.shortageSince === undefined ? { ...state, shortageSince: now } : state;
 
 /** The stores of the metadata, with those of a set that are not in it yet. */
@@ -63,8 +69,8 @@
 };
 
 /** Asks the voters for an epoch with this in-sync set. */
-export const requestInSyncSet = (state: Store, set: readonly NodeId[], now: Moment): Done => {
-  if (state.metadata === undefined) return step(state);
+export const requestInSyncSet = (state: Store, set: readonly NodeId[], now: Timestamp): Done => {
+  if (state.metadata === undefined) return transition(state);
   const metadata: ClusterMetadata = {
     ...state.metadata,
     stores: storesWith(state, state.metadata, set),
@@ -72,11 +78,11 @@
   const next: Store = { ...state, metadata };
   const context = electionContext(next, metadata, now);
   const asked = requestVotes(state.candidate, context, set, now);
-  return step({ ...next, candidate: asked.state }, ...asked.effects);
+  return transition({ ...next, candidate: asked.state }, ...asked.effects);
 };
 
 /** Whether a backup that is late still speaks and has not refused: its disk may only be slow. */
-const awaitsLate = (state: Store, lost: readonly NodeId[], now: Moment): boolean =>
+const awaitsLate = (state: Store, lost: readonly NodeId[], now: Timestamp): boolean =>
   lost.some((one) => {
     const peer = state.peers.get(one);
     return (
@@ -92,7 +98,7 @@
   state: Store,
   set: readonly NodeId[],
   lost: readonly NodeId[],
-  now: Moment,
+  now: Timestamp,
 ): boolean =>
   state.serving && (awaitsSpare(state, [...set, ...lost], now) || awaitsLate(state, lost, now));
 
@@ -100,13 +106,14 @@
  * Replaces backups by learners that have caught up, in one change of the epoch. While there are too
  * few of them but stores in reach that may catch up, nothing changes and an open write stays open.
  */
-export const replaceBackups = (state: Store, lost: readonly NodeId[], now: Moment): Done => {
-  if (state.metadata === undefined || !holdsLease(state.candidate, now)) return step(state);
+export const replaceBackups = (state: Store, lost: readonly NodeId[], now: Timestamp): Done => {
+  if (state.metadata === undefined || !holdsLease(state.candidate, now)) return transition(state);
   const kept = state.candidate.inSyncSet.filter((one) => !lost.includes(one));
   const learners = caughtUpLearners(state, [...kept, ...lost], now);
   const set = chooseCopies(state, kept, learners);
   const isEnough = hasEnoughCopies(state, set);
-  if (!isEnough && mayBecomeEnough(state, set, lost, now)) return step(noteShortage(state, now));
+  if (!isEnough && mayBecomeEnough(state, set, lost, now))
+    return transition(noteShortage(state, now));
   const words = isEnough
     ? log('warn', 'backups are replaced', ['lost', lost.join(', ')], ['set', set.join(', ')])
     : log(
@@ -115,5 +122,5 @@
         ['lost', lost.join(', ')],
         ['set', set.join(', ')],
       );
-  return join([words], requestInSyncSet(state, set, now));
+  return prependEffects([words], requestInSyncSet(state, set, now));
 };
--- a/packages/replicated-store/src/release/release.ts
+++ b/packages/replicated-store/src/release/release.ts
@@ -1,12 +1,12 @@
 import {
-  type Moment,
+  type Timestamp,
   type Release,
   type ServiceName,
-  type Step,
-  join,
-  put,
-  sift,
-  step,
+  type Transition,
+  prependEffects,
+  withEntry,
+  filterEntries,
+  transition,
 } from '@switchwheel/types';
 import { type FrameOf, log } from '@switchwheel/transport';
 import {
@@ -23,7 +23,7 @@
 import type { StoreEffect } from '../state/event.js';
 import type { Store } from '../state/state.js';
 
-type Done = Step<Store, StoreEffect>;
+type Done = Transition<Store, StoreEffect>;
 
 /** How many origins of each release of a service stand. */
 export const standingOf = (state: Store, service: ServiceName): ReadonlyMap<Release, number> => {
@@ -45,19 +45,19 @@
     .sort(([one, many], [two, more]) => more - many || (one < two ? -1 : 1))[0]?.[0];
 
 /** How much of an order's span is over, as far as this store knows. */
-export const spentOf = (state: Store, order: ReleaseOrder, now: Moment): number => {
+export const spentOf = (state: Store, order: ReleaseOrder, now: Timestamp): number => {
   const own = state.watches.get(order.service);
   return own?.order === order.order ? Math.max(order.spentMs, spentAt(own, now)) : order.spentMs;
 };
 
 /** Watches the orders that need it, from where the record says they are. */
-const watched = (state: Store, now: Moment): Store => {
+const watched = (state: Store, now: Timestamp): Store => {
   let watches = state.watches;
   for (const [service, one] of state.control.releases) {
     if (one.target === undefined || watches.get(service)?.order === one.order) continue;
-    watches = put(watches, service, watch(one.order, one.spentMs, now));
+    watches = withEntry(watches, service, watch(one.order, one.spentMs, now));
   }
-  const kept = sift(watches, (_, service) => state.control.releases.has(service));
+  const kept = filterEntries(watches, (_, service) => state.control.releases.has(service));
   return kept === state.watches ? state : { ...state, watches: kept };
 };
 
@@ -70,10 +70,10 @@
   ) ||
   (state.primaryWrite?.puts.some((one) => one.key === `release/${service}`) ?? false);
 
-const pass = (state: Store, order: ReleaseOrder, now: Moment): Done => {
+const pass = (state: Store, order: ReleaseOrder, now: Timestamp): Done => {
   const own = state.watches.get(order.service);
   if (own === undefined || !counts(order, spentAt(own, now)) || waits(state, order.service))
-    return step(state);
+    return transition(state);
   const next = advance(
     order,
     own,
@@ -81,7 +81,7 @@
     now,
     state.settings.releases ?? releaseSettings,
   );
-  if (next === order) return step(state);
+  if (next === order) return transition(state);
   const told =
     next.phase === order.phase
       ? []
@@ -96,12 +96,12 @@
             ['why', next.text],
           ),
         ];
-  return join(told, enqueue(state, { kind: 'release', next }));
+  return prependEffects(told, enqueue(state, { kind: 'release', next }));
 };
 
 /** Notes on which release each service stands that has no record yet. */
 const settleNew = (state: Store): Done => {
-  let next: Done = step(state);
+  let next: Done = transition(state);
   const services = new Set(
     [...state.session.origins.values()]
       .filter((one) => one.state === 'up')
@@ -111,7 +111,7 @@
     if (state.control.releases.has(service) || waits(next.state, service)) continue;
     const settled = mostStanding(standingOf(state, service));
     if (settled !== undefined)
-      next = join(
+      next = prependEffects(
         next.effects,
         enqueue(next.state, { kind: 'release', next: settledOn(service, settled) }),
       );
@@ -120,19 +120,22 @@
 };
 
 /** Lets time pass over the orders of releases. */
-export const tickReleases = (state: Store, now: Moment): Done => {
+export const tickReleases = (state: Store, now: Timestamp): Done => {
   let next = settleNew(watched(state, now));
   for (const order of state.control.releases.values())
-    next = join(next.effects, pass(next.state, order, now));
+    next = prependEffects(next.effects, pass(next.state, order, now));
   return next;
 };
 
 /** An edge tells what it counts; a release that it shows to be bad is judged at once. */
-export const onTally = (before: Store, word: FrameOf<'tally'>, now: Moment): Done => {
+export const onTally = (before: Store, word: FrameOf<'tally'>, now: Timestamp): Done => {
   const state = watched(before, now);
   const own = state.watches.get(word.service);
   const order = state.control.releases.get(word.service);
-  if (own === undefined || order === undefined) return step(state);
-  const next = { ...state, watches: put(state.watches, word.service, takeTally(own, word, now)) };
+  if (own === undefined || order === undefined) return transition(state);
+  const next = {
+    ...state,
+    watches: withEntry(state.watches, word.service, takeTally(own, word, now)),
+  };
   return pass(next, order, now);
 };
--- a/packages/replicated-store/src/resync/bootstrap.test.ts
+++ b/packages/replicated-store/src/resync/bootstrap.test.ts
@@ -2,15 +2,15 @@
 import { test } from 'node:test';
 import fc from 'fast-check';
 import {
-  type Moment,
+  type Timestamp,
   noSeq,
   toAddress,
-  toAreaName,
+  toZoneName,
   toCallId,
   toEpoch,
   toFleetId,
   toIncarnation,
-  toMoment,
+  toTimestamp,
   toNodeId,
 } from '@switchwheel/types';
 import type { ClusterMetadata, Peer, FrameOf, Member } from '@switchwheel/transport';
@@ -22,7 +22,7 @@
 const member = (node: string, port: number): Member => ({
   node: toNodeId(node),
   role: 'store',
-  area: toAreaName('a'),
+  area: toZoneName('a'),
   address: toAddress(`10.0.0.1:${port}`),
   incarnation: toIncarnation(1),
 });
@@ -47,7 +47,7 @@
 /** A store whose disk takes each write at once, or not at all until it is let. */
 class Bench {
   state: Store;
-  now: Moment = toMoment(1000);
+  now: Timestamp = toTimestamp(1000);
   readonly effects: StoreEffect[] = [];
   #pending: number[] = [];
 
--- a/packages/replicated-store/src/resync/resync.ts
+++ b/packages/replicated-store/src/resync/resync.ts
@@ -1,14 +1,14 @@
 import {
-  type Moment,
+  type Timestamp,
   type NodeId,
-  type Step,
-  join,
+  type Transition,
+  prependEffects,
   nextSeq,
   noEpoch,
   noSeq,
-  start,
-  step,
-  toMoment,
+  clockOrigin,
+  transition,
+  toTimestamp,
 } from '@switchwheel/types';
 import {
   type ClusterMetadata,
@@ -29,7 +29,7 @@
 import { type BackupWrite, type PeerStatus, type Store, noStamp, ownId } from '../state/state.js';
 import { apply, digests, inRange, newerStamp, sameStamp } from '../table/table.js';
 
-type Done = Step<Store, StoreEffect>;
+type Done = Transition<Store, StoreEffect>;
 const statusInterval = 300;
 /** How long a write to this disk may take before the disk counts as one that takes none. */
 const stalledAfter = 1000;
@@ -50,7 +50,7 @@
     data === null ? [] : [{ key, data, stamp: own.stamps.get(key) ?? own.stamp }],
   );
   const drops = own.puts.flatMap(({ key, data }) => (data === null ? [key] : []));
-  return step(
+  return transition(
     { ...state, backupWrite: own, nextId: state.nextId + 1 },
     {
       kind: 'sync',
@@ -83,7 +83,7 @@
   });
 
 /** Takes note of a primary: of its being there, and of whether it counts this store in. */
-const notePrimary = (state: Store, metadata: ClusterMetadata, now: Moment): Store => {
+const notePrimary = (state: Store, metadata: ClusterMetadata, now: Timestamp): Store => {
   if (
     state.metadata === undefined ||
     metadata.fleet !== state.metadata.fleet ||
@@ -110,11 +110,11 @@
 };
 
 /** Takes the next write that waits, if there is one. */
-const continueReplication = (state: Store, now: Moment): Done => {
+const continueReplication = (state: Store, now: Timestamp): Done => {
   const [next, ...rest] = state.replicateQueue;
-  if (next === undefined || state.backupWrite !== undefined) return step(state);
+  if (next === undefined || state.backupWrite !== undefined) return transition(state);
   const taken = onReplicate({ ...state, replicateQueue: rest }, next.from, next.word, now);
-  return join(taken.effects, continueReplication(taken.state, now));
+  return prependEffects(taken.effects, continueReplication(taken.state, now));
 };
 
 /** The primary copies a write here. */
@@ -122,23 +122,23 @@
   before: Store,
   from: Peer,
   word: FrameOf<'replicate'>,
-  now: Moment,
+  now: Timestamp,
 ): Done => {
   const metadata = before.metadata;
-  if (metadata === undefined || metadata.fleet !== word.metadata.fleet) return step(before);
+  if (metadata === undefined || metadata.fleet !== word.metadata.fleet) return transition(before);
   const wanted = { to: from.address, metadata: word.metadata, stamp: word.stamp };
   if (word.metadata.epoch < metadata.epoch || word.metadata.epoch < heldEpoch(before.candidate))
-    return step(before, replicatedFrame(before, wanted, false, 'an older epoch'));
+    return transition(before, replicatedFrame(before, wanted, false, 'an older epoch'));
   const state = notePrimary(before, word.metadata, now);
   if (sameStamp(state.stamp, word.stamp) && metadata.epoch === word.metadata.epoch)
-    return step(state, replicatedFrame(state, wanted, true, ''));
-  if (state.backupWrite !== undefined) return step(queueReplicate(state, from, word));
-  if (state.primaryWrite !== undefined) return step(state);
+    return transition(state, replicatedFrame(state, wanted, true, ''));
+  if (state.backupWrite !== undefined) return transition(queueReplicate(state, from, word));
+  if (state.primaryWrite !== undefined) return transition(state);
   const required = word.metadata.inSyncSet.includes(ownId(state));
   // It may have the write itself already, from before the in-sync set changed.
   const next = sameStamp(state.stamp, word.prior) || sameStamp(state.stamp, word.stamp);
   if (!next)
-    return step(state, ...(required ? [replicatedFrame(state, wanted, false, 'a gap')] : []));
+    return transition(state, ...(required ? [replicatedFrame(state, wanted, false, 'a gap')] : []));
   return startBackupWrite(
     state,
     {
@@ -154,15 +154,15 @@
 };
 
 /** A mend or a copy lasts on this disk. */
-export const onBackupWriteSynced = (state: Store, id: number, now: Moment): Done => {
+export const onBackupWriteSynced = (state: Store, id: number, now: Timestamp): Done => {
   const backupWrite = state.backupWrite;
-  if (backupWrite?.id !== id) return step(state);
+  if (backupWrite?.id !== id) return transition(state);
   const base: Store = {
     ...state,
     backupWrite: undefined,
     mustWipe: false,
     diskFull: undefined,
-    standDownUntil: start,
+    standDownUntil: clockOrigin,
     metadata: backupWrite.metadata,
     trouble: '',
     phase: state.phase === 'empty' ? 'member' : state.phase,
@@ -180,7 +180,7 @@
               text: '',
             }),
           ];
-    return step(
+    return transition(
       { ...base, stamp: backupWrite.stamp },
       log('info', 'this store belongs to a fleet now', ['fleet', backupWrite.metadata.fleet]),
       ...told,
@@ -199,9 +199,9 @@
   };
   const resumed =
     backupWrite.after === 'replicated'
-      ? step(next, replicatedFrame(state, backupWrite, true, ''))
+      ? transition(next, replicatedFrame(state, backupWrite, true, ''))
       : continueResync(next, now);
-  return join(resumed.effects, continueReplication(resumed.state, now));
+  return prependEffects(resumed.effects, continueReplication(resumed.state, now));
 };
 
 export const onBackupWriteFailed = (
@@ -209,10 +209,10 @@
   id: number,
   text: string,
   full: boolean,
-  now: Moment,
+  now: Timestamp,
 ): Done => {
   const backupWrite = state.backupWrite;
-  if (backupWrite?.id !== id) return step(state);
+  if (backupWrite?.id !== id) return transition(state);
   const next: Store = {
     ...state,
     backupWrite: undefined,
@@ -221,9 +221,9 @@
     diskFull: full ? now : state.diskFull,
   };
   if (backupWrite.after === 'replicated')
-    return step(next, replicatedFrame(state, backupWrite, false, text));
+    return transition(next, replicatedFrame(state, backupWrite, false, text));
   if (backupWrite.after === 'bootstrapped' && backupWrite.call !== undefined) {
-    return step(
+    return transition(
       next,
       send(backupWrite.to, {
         kind: 'bootstrapped',
@@ -234,13 +234,13 @@
       }),
     );
   }
-  return step(next, log('error', 'the disk refused a mend', ['why', text]));
+  return transition(next, log('error', 'the disk refused a mend', ['why', text]));
 };
 
 /** Who is told where this store stands: everyone by the primary and while there is none, else those whom it concerns. */
 const statusTargets = (
   state: Store,
-  now: Moment,
+  now: Timestamp,
 ): readonly ClusterMetadata['stores'][number]['address'][] => {
   const leader = isPrimary(state, now)
     ? undefined
@@ -265,13 +265,13 @@
 };
 
 /** Tells the other stores where this one stands; a store out of sync is mended by the answer. */
-export const sendStatus = (state: Store, now: Moment): Done => {
+export const sendStatus = (state: Store, now: Timestamp): Done => {
   if (
     now - state.statusSentAt < statusInterval ||
     state.phase === 'reading' ||
     state.phase === 'stopping'
   )
-    return step(state);
+    return transition(state);
   const primary = isPrimary(state, now);
   const away =
     !primary &&
@@ -292,7 +292,7 @@
     digests: away ? digests(state.table) : [],
     ...(state.metadata === undefined ? {} : { metadata: state.metadata }),
   };
-  return step(
+  return transition(
     { ...state, statusSentAt: now },
     ...statusTargets(state, now).map((to) => send(to, word)),
   );
@@ -303,7 +303,7 @@
   state: Store,
   from: Peer,
   metadata: ClusterMetadata,
-  now: Moment,
+  now: Timestamp,
 ): ClusterMetadata['stores'] => [
   ...metadata.stores.filter(
     (one) =>
@@ -330,7 +330,7 @@
 };
 
 /** Chooses the one spare that is mended now. */
-const pickSpare = (state: Store, metadata: ClusterMetadata, now: Moment): Store => {
+const pickSpare = (state: Store, metadata: ClusterMetadata, now: Timestamp): Store => {
   const spares = [...state.peers.values()].filter(
     (one) =>
       !metadata.inSyncSet.includes(one.node) &&
@@ -355,8 +355,8 @@
 const progressOf = (
   before: PeerStatus | undefined,
   word: FrameOf<'replica-status'>,
-  now: Moment,
-): Moment => {
+  now: Timestamp,
+): Timestamp => {
   if (before === undefined || now - before.at >= peerTimeout) return now;
   const moved =
     !sameStamp(before.stamp, word.stamp) ||
@@ -369,7 +369,7 @@
   state: Store,
   from: Peer,
   word: FrameOf<'replica-status'>,
-  now: Moment,
+  now: Timestamp,
 ): Store => {
   const before = state.peers.get(word.node);
   const row: PeerStatus = {
@@ -389,7 +389,7 @@
   const left = !word.primary && before?.primary === true;
   return {
     ...led,
-    primaryHeardAt: left ? toMoment(now - primaryTimeout) : led.primaryHeardAt,
+    primaryHeardAt: left ? toTimestamp(now - primaryTimeout) : led.primaryHeardAt,
     peers: new Map([...state.peers, [word.node, row]]),
   };
 };
@@ -399,18 +399,19 @@
   state: Store,
   from: Peer,
   word: FrameOf<'replica-status'>,
-  now: Moment,
+  now: Timestamp,
 ): Done => {
   const noted = notePeer(state, from, word, now);
   const metadata = state.metadata;
-  if (metadata === undefined || !isPrimary(state, now)) return step(noted);
-  if (word.metadata !== undefined && word.metadata.fleet !== metadata.fleet) return step(noted);
+  if (metadata === undefined || !isPrimary(state, now)) return transition(noted);
+  if (word.metadata !== undefined && word.metadata.fleet !== metadata.fleet)
+    return transition(noted);
   // A store that counts as in sync and says that it holds nothing has lost its disk: it is replaced at once, and then mended.
   if (metadata.inSyncSet.includes(word.node) && word.metadata === undefined)
     return replaceBackups(noted, [word.node], now);
-  if (metadata.inSyncSet.includes(word.node) || word.digests.length === 0) return step(noted);
+  if (metadata.inSyncSet.includes(word.node) || word.digests.length === 0) return transition(noted);
   if (isFollowing(state, word.stamp) && !mayTakeIn(noted, word.node, now))
-    return step(endResyncOf(noted, word.node));
+    return transition(endResyncOf(noted, word.node));
   return resyncSpare(pickSpare(noted, metadata, now), from, word, metadata, now);
 };
 
@@ -424,19 +425,19 @@
   (state.primaryWrite !== undefined && sameStamp(stamp, state.primaryWrite.stamp));
 
 /** Whether a store helps where copies are lacking, and no write is open that would have to wait for it. */
-const mayTakeIn = (state: Store, node: NodeId, now: Moment): boolean =>
+const mayTakeIn = (state: Store, node: NodeId, now: Timestamp): boolean =>
   state.primaryWrite === undefined &&
   state.peers.get(node)?.leaving !== true &&
   chooseCopies(state, reachableInSync(state, now), [node]).includes(node);
 
 /** Takes a spare that is equal to this store into the in-sync set. */
-const takeIn = (state: Store, from: Peer, shown: ClusterMetadata, now: Moment): Done => {
+const takeIn = (state: Store, from: Peer, shown: ClusterMetadata, now: Timestamp): Done => {
   const stayed = [...reachableInSync(state, now), from.node];
   const set = hasEnoughCopies(state, stayed)
     ? stayed
     : [...reachableInSync(state, now, true), from.node];
   const next: Store = { ...state, metadata: shown, resyncing: undefined, resyncTried: new Set() };
-  return join(
+  return prependEffects(
     [log('info', 'a spare is mended', ['store', from.node])],
     requestInSyncSet(next, set, now),
   );
@@ -448,14 +449,15 @@
   from: Peer,
   word: FrameOf<'replica-status'>,
   metadata: ClusterMetadata,
-  now: Moment,
+  now: Timestamp,
 ): Done => {
-  if (state.resyncing?.node !== word.node && state.shortageSince === undefined) return step(state);
+  if (state.resyncing?.node !== word.node && state.shortageSince === undefined)
+    return transition(state);
   const mine = digests(state.table);
   const unlike = mine.flatMap((one, range) => (one === word.digests[range] ? [] : [range]));
   const shown: ClusterMetadata = { ...metadata, stores: withStore(state, from, metadata, now) };
   if (unlike.length > 0) {
-    return step(
+    return transition(
       state,
       ...unlike.slice(0, resyncRangesPerReply).map((range) =>
         send(from.address, {
@@ -469,7 +471,7 @@
     );
   }
   if (!sameStamp(word.stamp, state.stamp) || word.metadata?.epoch !== metadata.epoch) {
-    return step(
+    return transition(
       state,
       send(from.address, {
         kind: 'resync-entries',
@@ -482,7 +484,7 @@
     );
   }
   // Equal to the last entry and stamp, and nothing is being written: it is in sync from the next epoch on.
-  return mayTakeIn(state, word.node, now) ? takeIn(state, from, shown, now) : step(state);
+  return mayTakeIn(state, word.node, now) ? takeIn(state, from, shown, now) : transition(state);
 };
 
 /** Whether a store may be mended by the holder of this epoch. */
@@ -496,11 +498,11 @@
   state: Store,
   from: Peer,
   word: FrameOf<'range-listing'>,
-  now: Moment,
+  now: Timestamp,
 ): Done => {
-  if (!acceptsResync(state, word.epoch)) return step(state);
+  if (!acceptsResync(state, word.epoch)) return transition(state);
   // What came here since the listing was made is not in it.
-  if (newerStamp(state.stamp, word.stamp)) return step(state);
+  if (newerStamp(state.stamp, word.stamp)) return transition(state);
   const listed = new Map(word.keys.map((one) => [one.key, one.stamp]));
   const lacking = word.keys.filter((one) => {
     const mine = state.table.get(one.key);
@@ -519,9 +521,9 @@
           }),
         ];
   if (extra.length === 0 || state.metadata === undefined || state.backupWrite !== undefined)
-    return step(state, ...fetch);
+    return transition(state, ...fetch);
   const puts: readonly Put[] = extra.map((one) => ({ key: one.key, data: null }));
-  return join(
+  return prependEffects(
     fetch,
     startBackupWrite(
       state,
@@ -544,11 +546,11 @@
   state: Store,
   from: Peer,
   word: FrameOf<'fetch-entries'>,
-  now: Moment,
+  now: Timestamp,
 ): Done => {
   const metadata = state.metadata;
   if (metadata === undefined || !isPrimary(state, now) || word.epoch !== metadata.epoch)
-    return step(state);
+    return transition(state);
   const entries: FrameOf<'resync-entries'>['entries'] = [];
   let size = 0;
   for (const key of word.keys) {
@@ -560,7 +562,7 @@
   }
   const mending =
     state.resyncing?.node === word.node ? { node: word.node, since: now } : state.resyncing;
-  return step(
+  return transition(
     { ...state, resyncing: mending },
     send(from.address, { kind: 'resync-entries', epoch: metadata.epoch, metadata, entries }),
   );
@@ -579,22 +581,23 @@
   state: Store,
   from: Peer,
   word: FrameOf<'resync-entries'>,
-  now: Moment,
+  now: Timestamp,
 ): Done => {
   if (state.backupWrite !== undefined)
-    return step(
+    return transition(
       state.resyncQueue.length < maxQueuedResyncs
         ? { ...state, resyncQueue: [...state.resyncQueue, { from, word }] }
         : state,
     );
   if (!acceptsResync(state, word.epoch) || word.metadata.inSyncSet.includes(ownId(state)))
-    return step(state);
+    return transition(state);
   if (state.metadata !== undefined && state.metadata.fleet !== word.metadata.fleet)
-    return step(state);
+    return transition(state);
   const stamps = new Map(word.entries.map((one) => [one.key, one.stamp]));
   const puts = word.entries.map((one) => ({ key: one.key, data: one.data }));
   // What was equal when the primary compared may have changed since.
-  if (word.settled !== undefined && !isEqualTo(state, word.settled.digests)) return step(state);
+  if (word.settled !== undefined && !isEqualTo(state, word.settled.digests))
+    return transition(state);
   // Until it is settled, this store has no stamp: no write can follow, and it does not stand.
   const stamp = word.settled?.stamp ?? noStamp;
   return startBackupWrite(
@@ -614,11 +617,11 @@
 };
 
 /** After a mend was written the next one is, or the primary is asked at once what is still unlike. */
-const continueResync = (state: Store, now: Moment): Done => {
+const continueResync = (state: Store, now: Timestamp): Done => {
   const [next, ...rest] = state.resyncQueue;
   if (next !== undefined)
     return onResyncEntries({ ...state, resyncQueue: rest }, next.from, next.word, now);
-  return sendStatus({ ...state, statusSentAt: start }, now);
+  return sendStatus({ ...state, statusSentAt: clockOrigin }, now);
 };
 
 /** An operator founds a fleet on this store and its peer. */
@@ -626,17 +629,18 @@
   state: Store,
   from: Peer,
   word: FrameOf<'bootstrap'>,
-  now: Moment,
+  now: Timestamp,
 ): Done => {
   const answer = (ok: boolean, text: string): StoreEffect =>
     send(from.address, { kind: 'bootstrapped', id: word.id, node: ownId(state), ok, text });
   const known = state.metadata;
-  if (known?.fleet === word.fleet) return step(state, answer(true, ''));
+  if (known?.fleet === word.fleet) return transition(state, answer(true, ''));
   if (known !== undefined && known.epoch > 0)
-    return step(state, answer(false, `belongs to the fleet ${known.fleet}`));
-  if (!state.mayBootstrap) return step(state, answer(false, 'no fleet is founded on this store'));
+    return transition(state, answer(false, `belongs to the fleet ${known.fleet}`));
+  if (!state.mayBootstrap)
+    return transition(state, answer(false, 'no fleet is founded on this store'));
   if (state.phase === 'reading' || state.backupWrite !== undefined)
-    return step(state, answer(false, 'busy; found again'));
+    return transition(state, answer(false, 'busy; found again'));
   const metadata: ClusterMetadata = {
     fleet: word.fleet,
     epoch: noEpoch,
--- a/packages/replicated-store/src/state/event.ts
+++ b/packages/replicated-store/src/state/event.ts
@@ -1,4 +1,4 @@
-import type { Hash, Moment } from '@switchwheel/types';
+import type { Hash, Timestamp } from '@switchwheel/types';
 import type { ClusterMetadata, Stamp, WireEffect, WireEvent } from '@switchwheel/transport';
 import type { Fault } from '@switchwheel/configuration';
 import type { KeyedEntry } from '../table/table.js';
@@ -16,23 +16,23 @@
 
 export type StoreEvent =
   | WireEvent
-  | { readonly kind: 'read'; readonly now: Moment; readonly found: Found }
-  | { readonly kind: 'synced'; readonly now: Moment; readonly id: number }
+  | { readonly kind: 'read'; readonly now: Timestamp; readonly found: Found }
+  | { readonly kind: 'synced'; readonly now: Timestamp; readonly id: number }
   | {
       readonly kind: 'unsynced';
-      readonly now: Moment;
+      readonly now: Timestamp;
       readonly id: number;
       readonly text: string;
       readonly full: boolean;
     }
   | {
       readonly kind: 'compiled';
-      readonly now: Moment;
+      readonly now: Timestamp;
       readonly hash: Hash;
       readonly faults: readonly Fault[];
     }
   /** The process is asked to stop, within the grace if it is given. */
-  | { readonly kind: 'stop'; readonly now: Moment; readonly graceMs?: number };
+  | { readonly kind: 'stop'; readonly now: Timestamp; readonly graceMs?: number };
 
 /** One write to the disk: all of it lasts, or none. */
 export interface DiskWrite {
--- a/packages/replicated-store/src/state/forget.ts
+++ b/packages/replicated-store/src/state/forget.ts
@@ -2,21 +2,24 @@
  * Keeps a store's memory bounded: members that are gone are forgotten, so that what is kept depends
  * on the fleet as it is and not on how long it has run.
  */
-import { type Moment, sift } from '@switchwheel/types';
+import { type Timestamp, filterEntries } from '@switchwheel/types';
 import type { Store } from './state.js';
 
 /** How long a member of which nothing else is kept may be silent. */
 const forgetAfter = 60_000;
 
 /** Forgets silent registries, nodes without a record, and stores that the metadata does not name. */
-export const forgetGone = (state: Store, now: Moment): Store => {
-  const heard = (one: { readonly at: Moment }): boolean => now - one.at < forgetAfter;
+export const forgetGone = (state: Store, now: Timestamp): Store => {
+  const heard = (one: { readonly at: Timestamp }): boolean => now - one.at < forgetAfter;
   const epoch = state.metadata?.epoch ?? 0;
   const named = new Set(state.metadata?.stores.map((one) => one.node));
-  const subscribers = sift(state.subscribers, heard);
-  const contacts = sift(state.contacts, (one, node) => heard(one) || state.control.nodes.has(node));
+  const subscribers = filterEntries(state.subscribers, heard);
+  const contacts = filterEntries(
+    state.contacts,
+    (one, node) => heard(one) || state.control.nodes.has(node),
+  );
   // One that told of a later epoch still speaks against this store's candidacy.
-  const peers = sift(
+  const peers = filterEntries(
     state.peers,
     (one, node) => heard(one) || named.has(node) || (one.metadata?.epoch ?? 0) > epoch,
   );
--- a/packages/replicated-store/src/state/state.ts
+++ b/packages/replicated-store/src/state/state.ts
@@ -1,13 +1,13 @@
 import {
   type Address,
-  type AreaName,
+  type ZoneName,
   type CallId,
-  type Dice,
+  type RandomState,
   type Epoch,
   type Generation,
   type Hash,
   type Incarnation,
-  type Moment,
+  type Timestamp,
   type NodeId,
   type Release,
   type Seq,
@@ -16,8 +16,8 @@
   noEpoch,
   noSeq,
   noViolations,
-  primary,
-  start,
+  primaryLease,
+  clockOrigin,
 } from '@switchwheel/types';
 import type {
   Aim,
@@ -95,7 +95,7 @@
   readonly good: number;
   readonly seen: number;
   readonly state: 'trial' | 'good' | 'bad';
-  readonly at: Moment;
+  readonly at: Timestamp;
 }
 
 export interface CallResult {
@@ -110,7 +110,7 @@
   /** How many of them may be lost at once. */
   readonly tolerate: number;
   /** The domain of each area that is not one by itself. */
-  readonly ofArea: ReadonlyMap<AreaName, string>;
+  readonly ofArea: ReadonlyMap<ZoneName, string>;
 }
 
 /** How many copies of the state a fleet keeps, and how many machines with a disk it may lose at once. */
@@ -137,8 +137,8 @@
   readonly phase: 'disk' | 'copy' | 'orphan';
   /** Whether this disk has it already, from before the in-sync set changed: then it is never told as refused. */
   readonly onOwnDisk: boolean;
-  readonly since: Moment;
-  readonly sent: Moment;
+  readonly since: Timestamp;
+  readonly sent: Timestamp;
   readonly metadata: ClusterMetadata;
   /** The stores, learners too, that acknowledged it under this metadata. */
   readonly confirmed: ReadonlySet<NodeId>;
@@ -153,7 +153,7 @@
 /** A copy or a mend that this store is putting on its own disk for the primary. */
 export interface BackupWrite {
   readonly id: number;
-  readonly since: Moment;
+  readonly since: Timestamp;
   readonly after: 'replicated' | 'resynced' | 'bootstrapped';
   readonly to: Address;
   readonly metadata: ClusterMetadata;
@@ -174,25 +174,25 @@
   readonly full: boolean;
   /** Whether it is about to stop. */
   readonly leaving: boolean;
-  readonly at: Moment;
+  readonly at: Timestamp;
   readonly digests: readonly string[];
   /** When it was last seen to come closer to the primary's state, or came back. */
-  readonly progressAt: Moment;
+  readonly progressAt: Timestamp;
 }
 
 export interface Subscriber {
   readonly address: Address;
-  readonly area: AreaName;
+  readonly area: ZoneName;
   /** How far its vote may be relied on, by its own word. */
   readonly voter: FrameOf<'subscribe'>['voter'];
-  readonly at: Moment;
+  readonly at: Timestamp;
   readonly serial: Seq;
   readonly purged: Seq;
 }
 
 export interface Contact {
   readonly registry: NodeId;
-  readonly at: Moment;
+  readonly at: Timestamp;
 }
 
 /** The whole state of a store. */
@@ -201,7 +201,7 @@
   readonly settings: ReplicationSettings;
   readonly phase: 'reading' | 'empty' | 'member' | 'stopping';
   /** When this process had read its disk. */
-  readonly startedAt: Moment;
+  readonly startedAt: Timestamp;
   readonly trouble: string;
   /** Whether a fleet may be founded on this store: one that came back with an empty disk belongs to one already. */
   readonly mayBootstrap: boolean;
@@ -240,50 +240,50 @@
     CallId,
     {
       readonly command: Extract<Command, { kind: 'apply' }>;
-      readonly since: Moment;
-      readonly asked: Moment;
+      readonly since: Timestamp;
+      readonly asked: Timestamp;
       readonly awaited: number;
     }
   >;
   readonly peers: ReadonlyMap<NodeId, PeerStatus>;
   /** The spare that is being mended, and since when it made no progress. */
-  readonly resyncing: { readonly node: NodeId; readonly since: Moment } | undefined;
+  readonly resyncing: { readonly node: NodeId; readonly since: Timestamp } | undefined;
   /** Spares whose mending came to nothing: the others have their turn first. */
   readonly resyncTried: ReadonlySet<NodeId>;
   readonly subscribers: ReadonlyMap<NodeId, Subscriber>;
   readonly contacts: ReadonlyMap<NodeId, Contact>;
   /** Since when this primary has had fewer copies than losses to be tolerated ask for. */
-  readonly shortageSince: Moment | undefined;
+  readonly shortageSince: Timestamp | undefined;
   /** The highest epoch that is known to have left this store out. */
   readonly excludedAtEpoch: Epoch;
   /** When a primary was last heard. */
-  readonly primaryHeardAt: Moment;
-  readonly statusSentAt: Moment;
+  readonly primaryHeardAt: Timestamp;
+  readonly statusSentAt: Timestamp;
   /** When the origins were last looked at. */
-  readonly originsCheckedAt: Moment;
-  readonly plannedAt: Moment;
-  readonly engineRanAt: Moment;
+  readonly originsCheckedAt: Timestamp;
+  readonly plannedAt: Timestamp;
+  readonly engineRanAt: Timestamp;
   /** The electorate that this store polls, and since when: votes asked for before count for an older one. */
-  readonly polledElectorate: { readonly serial: Seq; readonly since: Moment };
+  readonly polledElectorate: { readonly serial: Seq; readonly since: Timestamp };
   /** Since when this store is leaving, and until when it may take. */
-  readonly leaving: { readonly since: Moment; readonly deadline: Moment } | undefined;
-  readonly engineDueAt: Moment | undefined;
+  readonly leaving: { readonly since: Timestamp; readonly deadline: Timestamp } | undefined;
+  readonly engineDueAt: Timestamp | undefined;
   /** The last write that changed what nodes are to run: registries that have it are not told of it again. */
   readonly lastNodeChange: Seq;
   /** The orders of releases as this holding watches them. */
   readonly watches: ReadonlyMap<ServiceName, Watch>;
   readonly seen: Seen;
-  readonly opened: Moment | undefined;
-  readonly diskFull: Moment | undefined;
+  readonly opened: Timestamp | undefined;
+  readonly diskFull: Timestamp | undefined;
   /** When registries were last asked for pieces that the description in force lacks. */
-  readonly repairAskedAt: Moment;
+  readonly repairAskedAt: Timestamp;
   /** How many pieces were asked for here that the table did not hold. */
   readonly missedPieceRequests: number;
   /** How often each invariant was found broken here. */
   readonly violations: Violations;
-  readonly standDownUntil: Moment;
+  readonly standDownUntil: Timestamp;
   readonly nextId: number;
-  readonly dice: Dice;
+  readonly dice: RandomState;
 }
 
 export const noStamp: Stamp = { epoch: noEpoch, seq: noSeq };
@@ -291,7 +291,7 @@
 export const newStore = (
   member: Member,
   seeds: readonly Address[],
-  dice: Dice,
+  dice: RandomState,
   limits = defaultReplication,
   foundable = true,
 ): Store => ({
@@ -299,14 +299,14 @@
   session: newNodeSession(member, seeds, { seed: dice.seed ^ 0x5bd1e995 }),
   settings: limits,
   phase: 'reading',
-  startedAt: start,
+  startedAt: clockOrigin,
   trouble: '',
   mustWipe: false,
   metadata: undefined,
   stamp: noStamp,
   table: new Map(),
   control: noControl,
-  candidate: newCandidate(member.node, primary, []),
+  candidate: newCandidate(member.node, primaryLease, []),
   serving: false,
   readOnly: false,
   primaryWrite: undefined,
@@ -324,23 +324,23 @@
   contacts: new Map(),
   shortageSince: undefined,
   excludedAtEpoch: noEpoch,
-  primaryHeardAt: start,
-  statusSentAt: start,
-  plannedAt: start,
-  engineRanAt: start,
-  polledElectorate: { serial: noSeq, since: start },
+  primaryHeardAt: clockOrigin,
+  statusSentAt: clockOrigin,
+  plannedAt: clockOrigin,
+  engineRanAt: clockOrigin,
+  polledElectorate: { serial: noSeq, since: clockOrigin },
   leaving: undefined,
-  originsCheckedAt: start,
+  originsCheckedAt: clockOrigin,
   engineDueAt: undefined,
   lastNodeChange: noSeq,
   watches: new Map(),
   seen: new Map(),
   opened: undefined,
   diskFull: undefined,
-  repairAskedAt: start,
+  repairAskedAt: clockOrigin,
   missedPieceRequests: 0,
   violations: noViolations,
-  standDownUntil: start,
+  standDownUntil: clockOrigin,
   nextId: 1,
   dice,
 });
--- a/packages/routing/src/line/line.test.ts
+++ b/packages/routing/src/line/line.test.ts
@@ -1,22 +1,22 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
-  type Moment,
+  type Timestamp,
   noGeneration,
   noSeq,
   toAddress,
-  toAreaName,
+  toZoneName,
   toEpoch,
   toFleetId,
   toGeneration,
   toIncarnation,
   toInstanceId,
-  toMoment,
+  toTimestamp,
   toNodeId,
   toRelease,
   toSeq,
   toServiceName,
-  toSpan,
+  toDurationMs,
 } from '@switchwheel/types';
 import type { Fields, FrameOf, ReleaseState } from '@switchwheel/transport';
 import { build, cut, finish } from '@switchwheel/configuration';
@@ -72,13 +72,13 @@
 
 /** A line with origins whose answers the test gives. */
 class Bench {
-  now: Moment = toMoment(100_000);
+  now: Timestamp = toTimestamp(100_000);
   readonly sent: Sent[] = [];
   readonly told: Word[] = [];
   readonly cache = new Cache(1_000_000);
   cabin: Cabin;
   readonly line: DirectLine;
-  readonly #confirmed = new Map<number, Moment>();
+  readonly #confirmed = new Map<number, Timestamp>();
 
   constructor(origins: readonly (readonly [string, string])[]) {
     const bundle = finish(cut(description));
@@ -95,7 +95,7 @@
     const member = {
       node: toNodeId('e1'),
       role: 'edge' as const,
-      area: toAreaName('a'),
+      area: toZoneName('a'),
       address: toAddress('10.0.0.1:1'),
       incarnation: toIncarnation(1),
     };
@@ -140,7 +140,7 @@
       { now: () => this.now, cabin: () => this.cabin },
       this.cache,
       legs,
-      { area: toAreaName('a'), words: plainWords, bounds: plainBounds, most: 100 },
+      { area: toZoneName('a'), words: plainWords, bounds: plainBounds, most: 100 },
       { seed: 7 },
     );
     this.line.learn(this.cabin);
@@ -160,7 +160,7 @@
   }
 
   pass(ms: number): void {
-    this.now = toMoment(this.now + ms);
+    this.now = toTimestamp(this.now + ms);
     this.cabin = {
       ...this.cabin,
       asOf: this.now,
@@ -170,7 +170,7 @@
   }
 
   /** When the core confirmed a generation. */
-  #newestSince(generation: number): Moment {
+  #newestSince(generation: number): Timestamp {
     const known = this.#confirmed.get(generation) ?? this.now;
     this.#confirmed.set(generation, known);
     return known;
@@ -184,9 +184,9 @@
       registry: toNodeId('r1'),
       incarnation: toIncarnation(1),
       epoch: toEpoch(1),
-      age: toSpan(0),
+      age: toDurationMs(0),
       newest: toGeneration(generation),
-      newestAge: toSpan(this.now - this.#newestSince(generation)),
+      newestAge: toDurationMs(this.now - this.#newestSince(generation)),
       purges: [],
       floor: noSeq,
       top: noSeq,
@@ -272,7 +272,7 @@
   const bench = new Bench(two);
   bench.ask('/clips/1');
   bench.answer(0);
-  bench.now = toMoment(bench.now + 1600);
+  bench.now = toTimestamp(bench.now + 1600);
   bench.cabin = {
     ...bench.cabin,
     nodeSession: { ...bench.cabin.nodeSession, registryHeardAt: bench.now },
@@ -280,7 +280,7 @@
   bench.ask('/clips/1');
   assert.equal(bench.sent.length, 2, 'its registry has no fresh word');
   bench.answer(1);
-  bench.now = toMoment(bench.now + 2000);
+  bench.now = toTimestamp(bench.now + 2000);
   bench.ask('/clips/1');
   assert.equal(bench.sent.length, 2, 'no registry is heard at all');
 });
@@ -333,7 +333,7 @@
   phase,
   share,
   shares: [],
-  leftMs: toSpan(9000),
+  leftMs: toDurationMs(9000),
   order: toSeq(1),
   serial: toSeq(2),
 });
@@ -391,7 +391,11 @@
   assert.equal(told({ generation, asOf: bench.now }), 'absent');
   assert.equal(told({ generation: noGeneration, asOf: undefined }), 'unready', 'provisional');
   assert.equal(told({ generation: next, asOf: bench.now }), 'unready', 'a newer one is known');
-  assert.equal(told({ generation, asOf: toMoment(bench.now - 2000) }), 'unready', 'out of touch');
+  assert.equal(
+    told({ generation, asOf: toTimestamp(bench.now - 2000) }),
+    'unready',
+    'out of touch',
+  );
   bench.ask('/edit/1', 'POST');
   assert.equal(bench.sent.length, 1, 'known routes are served all the same');
 });
--- a/packages/routing/src/line/line.ts
+++ b/packages/routing/src/line/line.ts
@@ -1,17 +1,17 @@
 import {
   type Address,
-  type AreaName,
-  type Dice,
+  type ZoneName,
+  type RandomState,
   type InstanceId,
-  type Kind,
-  type Moment,
+  type ErrorKind,
+  type Timestamp,
   type Release,
   type Seq,
   type ServiceName,
-  between,
-  later,
-  roll,
-  tally,
+  elapsedMs,
+  addMs,
+  nextRandom,
+  increment,
 } from '@switchwheel/types';
 import type { Fields, FrameOf, ObjectFrame } from '@switchwheel/transport';
 import { type Track, chooseRelease, match, pickService } from '@switchwheel/configuration';
@@ -61,7 +61,7 @@
 
 /** How an edge chooses and how much it takes on. */
 export interface Manner {
-  readonly area: AreaName;
+  readonly area: ZoneName;
   readonly words: Words;
   readonly bounds: Bounds;
   /** Requests under way at the most; more are told to come back. */
@@ -76,7 +76,7 @@
 interface Waiter {
   readonly call: Call;
   readonly tell: Tell;
-  readonly until: Moment;
+  readonly until: Timestamp;
   /** Whether another edge asks. */
   readonly forPeer: boolean;
   /** Set once it has been told, or its caller has left. */
@@ -87,7 +87,7 @@
 
 /** A fetch that later requests for the same object may join. */
 interface Flight {
-  readonly since: Moment;
+  readonly since: Timestamp;
   readonly epoch: number;
   readonly waiters: Waiter[];
 }
@@ -108,20 +108,20 @@
       readonly cut: () => void;
       readonly instance: InstanceId;
       readonly release: Release;
-      readonly since: Moment;
+      readonly since: Timestamp;
     }
   >;
   /** When each leg was sent, and the last purge that was acted on by then. */
-  readonly births: Map<number, { readonly since: Moment; readonly purged: Seq }>;
+  readonly births: Map<number, { readonly since: Timestamp; readonly purged: Seq }>;
   trip: Trip;
-  lateAt: Moment | undefined;
+  lateAt: Timestamp | undefined;
   left: boolean;
 }
 
 /** How a request is taken on. */
 interface Serving {
   /** When its time is over, for one that waited for another one's fetch in vain. */
-  readonly latest?: Moment;
+  readonly latest?: Timestamp;
   /** Whether another edge asks: its own callers count there, and nobody else is asked for it. */
   readonly forPeer: boolean;
 }
@@ -139,7 +139,7 @@
 const tagsIn = (fields: Fields, name: string): readonly string[] =>
   (fieldOf(fields, name) ?? '').split(/[\s,]+/).filter((one) => one !== '');
 
-const fault = (kind: Kind, text: string, retryMs: number): Word => ({
+const fault = (kind: ErrorKind, text: string, retryMs: number): Word => ({
   kind: 'fault',
   fault: kind,
   text,
@@ -160,9 +160,9 @@
 const freshSpan = 1500;
 
 /** When this edge gives a request up: a little before its caller does, or the route's timeout. */
-const deadlineOf = (call: Call, track: Track, now: Moment): Moment => {
+const deadlineOf = (call: Call, track: Track, now: Timestamp): Timestamp => {
   const spanMs = Math.min(track.timeoutMs, call.spanMs ?? track.timeoutMs);
-  return later(now, Math.max(1, spanMs - marginMs));
+  return addMs(now, Math.max(1, spanMs - marginMs));
 };
 
 /**
@@ -183,12 +183,12 @@
   readonly #tallies = new Tallies();
   readonly #sharing: ObjectSharing | undefined;
   readonly #uploads: Uploads;
-  #dice: Dice;
+  #dice: RandomState;
   #epoch = 0;
   #last = 0;
   #stopped = false;
 
-  constructor(cab: Cab, cache: Cache, legs: LegPort, manner: Manner, dice: Dice) {
+  constructor(cab: Cab, cache: Cache, legs: LegPort, manner: Manner, dice: RandomState) {
     this.#cab = cab;
     this.#desk = new Desk(cache);
     this.#legs = legs;
@@ -207,7 +207,7 @@
   }
 
   bump(name: string): void {
-    tally(this.counts, name);
+    increment(this.counts, name);
   }
 
   /** Purges came: nobody waits any more for fetches that began before. */
@@ -241,7 +241,7 @@
   }
 
   /** Lets time pass: what is late may get another origin, what is over is told. */
-  tick(now: Moment): void {
+  tick(now: Timestamp): void {
     this.#sharing?.tick(now);
     for (const run of [...this.#runs.values()]) {
       this.#expireWaiters(run.flight, now);
@@ -348,11 +348,11 @@
   }
 
   /** The fetch that a request may wait for, if there is one that is young enough and no purge came since. */
-  #flightFor(slip: Slip | undefined, now: Moment): Flight | undefined {
+  #flightFor(slip: Slip | undefined, now: Timestamp): Flight | undefined {
     const flight = slip === undefined ? undefined : this.#flights.get(slip.flight);
     if (flight === undefined || flight.epoch !== this.#epoch) return undefined;
     const oldest = Math.min(joinSpan, this.#manner.bounds.keptMs / 2);
-    return between(flight.since, now) < oldest ? flight : undefined;
+    return elapsedMs(flight.since, now) < oldest ? flight : undefined;
   }
 
   #join(flight: Flight, one: Pick<Waiter, 'call' | 'tell' | 'until' | 'forPeer'>): () => void {
@@ -365,7 +365,7 @@
     };
   }
 
-  #expireWaiters(flight: Flight | undefined, now: Moment): void {
+  #expireWaiters(flight: Flight | undefined, now: Timestamp): void {
     for (const waiter of flight?.waiters ?? []) {
       if (waiter.gone || now < waiter.until) continue;
       waiter.gone = true;
@@ -375,10 +375,10 @@
 
   #start(
     one: Pick<Run, 'call' | 'track' | 'service' | 'slip' | 'tell'> & {
-      readonly until: Moment;
+      readonly until: Timestamp;
       readonly forPeer: boolean;
     },
-    now: Moment,
+    now: Timestamp,
   ): () => void {
     const { track, call } = one;
     this.#last += 1;
@@ -413,13 +413,13 @@
   }
 
   /** Sends a request to an origin for the first time. */
-  #begin(run: Run, now: Moment): void {
-    run.lateAt = later(now, this.#lateSpan(run.service, run.track));
+  #begin(run: Run, now: Timestamp): void {
+    run.lateAt = addMs(now, this.#lateSpan(run.service, run.track));
     this.#event(run, { kind: 'start', now });
   }
 
   /** Asks the edge that owns the object, where this edge's own part of the rate is too small to fetch all of them. */
-  #askOwner(run: Run, now: Moment): boolean {
+  #askOwner(run: Run, now: Timestamp): boolean {
     const { slip, track, call } = run;
     const cabin = this.#cab.cabin();
     const service = cabin.table?.services.get(run.service);
@@ -434,7 +434,7 @@
       host: call.host,
       target: call.target,
       fields: slip.fields.filter(([name]) => isVaryField(name, track)),
-      left: between(now, run.trip.until),
+      left: elapsedMs(now, run.trip.until),
     };
     this.bump('owner_asked');
     this.#sharing?.ask(owner, query, now, (outcome) => this.#onShared(run, outcome));
@@ -462,7 +462,7 @@
   }
 
   /** Goes on without the owner; what it may have sent to an origin counts as a first try of the request. */
-  #beginAfterOwner(run: Run, mayHaveFetched: boolean, now: Moment): void {
+  #beginAfterOwner(run: Run, mayHaveFetched: boolean, now: Timestamp): void {
     this.bump('owner_silent');
     if (!mayHaveFetched) {
       this.#begin(run, now);
@@ -480,12 +480,12 @@
   }
 
   /** A shared object as an entry of this edge's own cache; none if it is too old, or was purged since. */
-  #entryOf(run: Run, object: SharedObject, now: Moment): Entry | undefined {
+  #entryOf(run: Run, object: SharedObject, now: Timestamp): Entry | undefined {
     const { slip } = run;
     if (slip === undefined) return undefined;
     const lifetime = slip.track.cache?.lifetimeMs ?? 0;
     const tags = tagsIn(object.fields, this.#manner.words.tags);
-    const isOld = between(object.born, now) >= lifetime;
+    const isOld = elapsedMs(object.born, now) >= lifetime;
     if (isOld || this.#desk.cache.purgedSince(slip.key, tags, object.purged)) return undefined;
     const entry: Entry = {
       key: slip.key,
@@ -519,7 +519,7 @@
     if (run.trip.phase === 'over') this.#runs.delete(run.number);
   }
 
-  #run(run: Run, effect: TripEffect, now: Moment): TripEvent | undefined {
+  #run(run: Run, effect: TripEffect, now: Timestamp): TripEvent | undefined {
     switch (effect.kind) {
       case 'pick':
         return this.#pick(run, effect.extra, now);
@@ -531,12 +531,12 @@
         run.cuts.delete(effect.leg);
         if (out === undefined) return undefined;
         const nodeSession = this.book.get(out.instance);
-        this.#count(run, out.release, 'cut', between(out.since, now));
+        this.#count(run, out.release, 'cut', elapsedMs(out.since, now));
         // A leg that is cut took at least this long: a slow origin is known by it.
         if (nodeSession !== undefined)
           this.book.ended(
             nodeSession,
-            Math.max(nodeSession.typicalMs, between(out.since, now)),
+            Math.max(nodeSession.typicalMs, elapsedMs(out.since, now)),
             true,
             now,
           );
@@ -549,7 +549,7 @@
     }
   }
 
-  #pick(run: Run, extra: boolean, now: Moment): TripEvent {
+  #pick(run: Run, extra: boolean, now: Timestamp): TripEvent {
     const service = this.#cab.cabin().table?.services.get(run.service);
     if (service === undefined)
       return { kind: 'none', now, text: 'the service is gone', retryMs: shortWait };
@@ -582,19 +582,19 @@
   }
 
   /** The release to send to: any if there is but one, none if only one that was judged bad is left. Further legs try no release. */
-  #release(run: Run, extra: boolean, now: Moment): Release | undefined | null {
+  #release(run: Run, extra: boolean, now: Timestamp): Release | undefined | null {
     const releases = this.book.releases(run.service);
     const cabin = this.#cab.cabin();
     const state = cabin.releases.get(run.service);
     if (releases.size <= 1 && state === undefined) return undefined;
-    const fresh = between(cabin.releasesAt, now) < freshSpan;
+    const fresh = elapsedMs(cabin.releasesAt, now) < freshSpan;
     return (
       chooseRelease(state, releases, run.track.group, extra ? 1 : this.#roll(), fresh) ??
       (releases.size === 0 ? undefined : null)
     );
   }
 
-  #send(run: Run, leg: number, instance: InstanceId, now: Moment): void {
+  #send(run: Run, leg: number, instance: InstanceId, now: Timestamp): void {
     const nodeSession = this.book.get(instance);
     if (nodeSession === undefined) return;
     const { call, track } = run;
@@ -608,7 +608,7 @@
       'expect',
       ...(run.slip === undefined ? [] : conditional),
     ];
-    const spanMs = Math.max(1, Math.floor(between(now, run.trip.until)));
+    const spanMs = Math.max(1, Math.floor(elapsedMs(now, run.trip.until)));
     const fields: Fields = [
       ...handOn(call.fields, drop),
       [this.#manner.words.timeLeft, String(spanMs)],
@@ -641,17 +641,17 @@
             run,
             release,
             answer.unrun ? 'cut' : answer.status < 500 ? 'good' : 'bad',
-            answer.unrun ? 0 : between(now, at),
+            answer.unrun ? 0 : elapsedMs(now, at),
           );
           if (answer.unrun) this.book.full(nodeSession, at);
-          else this.book.ended(nodeSession, between(now, at), answer.status < 500, at);
+          else this.book.ended(nodeSession, elapsedMs(now, at), answer.status < 500, at);
           this.#event(run, { kind: 'answered', now: at, leg, answer });
         },
         broke: (sent, text) => {
           if (!ended()) return;
           const at = this.#cab.now();
           this.bump(sent ? 'broke' : 'unopened');
-          this.#count(run, release, sent ? 'bad' : 'cut', sent ? between(now, at) : 0);
+          this.#count(run, release, sent ? 'bad' : 'cut', sent ? elapsedMs(now, at) : 0);
           this.book.ended(nodeSession, undefined, false, at);
           this.#event(run, { kind: 'broke', now: at, leg, sent, text });
         },
@@ -672,14 +672,15 @@
     );
   }
 
-  #kept(slip: Slip, cabin: Cabin, now: Moment): Entry | undefined {
+  #kept(slip: Slip, cabin: Cabin, now: Timestamp): Entry | undefined {
     // An edge that is cut off from all registries is out of touch, and serves what it has.
-    const sure = cabin.asOf !== undefined && between(cabin.asOf, now) < this.#manner.bounds.keptMs;
+    const sure =
+      cabin.asOf !== undefined && elapsedMs(cabin.asOf, now) < this.#manner.bounds.keptMs;
     if (!sure && isConnected(cabin.nodeSession, now)) return undefined;
     return this.#desk.cache.find(slip.key, slip.fields, now);
   }
 
-  #told(run: Run, told: Told, now: Moment): void {
+  #told(run: Run, told: Told, now: Timestamp): void {
     this.#settle(run, this.#wordOf(run, told, now));
   }
 
@@ -700,7 +701,7 @@
     }
   }
 
-  #wordOf(run: Run, told: Told, now: Moment): Word {
+  #wordOf(run: Run, told: Told, now: Timestamp): Word {
     if (told.kind === 'fault')
       return { kind: 'fault', fault: told.fault, text: told.text, retryMs: told.retryMs };
     const { answer } = told;
@@ -736,7 +737,7 @@
   }
 
   #roll(): number {
-    const [chance, dice] = roll(this.#dice);
+    const [chance, dice] = nextRandom(this.#dice);
     this.#dice = dice;
     return chance;
   }
--- a/packages/routing/src/line/port.ts
+++ b/packages/routing/src/line/port.ts
@@ -1,4 +1,11 @@
-import type { Address, InstanceId, Kind, Moment, Seq, ServiceName } from '@switchwheel/types';
+import type {
+  Address,
+  InstanceId,
+  ErrorKind,
+  Timestamp,
+  Seq,
+  ServiceName,
+} from '@switchwheel/types';
 import type { Fields } from '@switchwheel/transport';
 import type { Cabin, Entry } from '@switchwheel/proxy-core';
 import type { Answer } from '../trip/trip.js';
@@ -66,7 +73,7 @@
 export type Word =
   | {
       readonly kind: 'fault';
-      readonly fault: Kind;
+      readonly fault: ErrorKind;
       readonly text: string;
       readonly retryMs: number;
     }
@@ -108,6 +115,6 @@
 
 /** What the way of a request stands on. */
 export interface Cab {
-  readonly now: () => Moment;
+  readonly now: () => Timestamp;
   readonly cabin: () => Cabin;
 }
--- a/packages/routing/src/line/quota.test.ts
+++ b/packages/routing/src/line/quota.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { type Moment, toMoment, toServiceName } from '@switchwheel/types';
+import { type Timestamp, toTimestamp, toServiceName } from '@switchwheel/types';
 import type { Service } from '@switchwheel/configuration';
 import { plainBounds } from './port.js';
 import { Edges, Quota } from './quota.js';
@@ -19,7 +19,7 @@
   edges: Edges;
   quota: Quota;
 }
-const start = (many: number, now: Moment): Node => {
+const start = (many: number, now: Timestamp): Node => {
   const edges = new Edges();
   edges.note(many, now);
   return { edges, quota: new Quota(plainBounds, edges) };
@@ -46,11 +46,11 @@
 void test('the extra legs of all edges together keep the rule in every window, whoever restarts', () => {
   fc.assert(
     fc.property(fleet, ({ many, perStep, restarts, seed }) => {
-      const nodes = Array.from({ length: many }, () => start(many, toMoment(0)));
+      const nodes = Array.from({ length: many }, () => start(many, toTimestamp(0)));
       const asked: number[] = [];
       const extra: number[] = [];
       for (let step = 0; step < 1000; step += 1) {
-        const now = toMoment(step * stepMs);
+        const now = toTimestamp(step * stepMs);
         if (restarts.includes(step)) nodes[step % many] = start(many, now);
         for (let one = 0; one < perStep; one += 1) {
           const node = nodes[(step * 7 + one * seed) % many];
@@ -80,10 +80,10 @@
 void test('what all edges send together keeps the ceiling in every window, whoever restarts', () => {
   fc.assert(
     fc.property(fleet, fc.integer({ min: 5, max: 900 }), ({ many, restarts }, perSecond) => {
-      const nodes = Array.from({ length: many }, () => start(many, toMoment(0)));
+      const nodes = Array.from({ length: many }, () => start(many, toTimestamp(0)));
       const sent: number[] = [];
       for (let step = 0; step < 800; step += 1) {
-        const now = toMoment(step * stepMs);
+        const now = toTimestamp(step * stepMs);
         if (restarts.includes(step)) nodes[step % many] = start(many, now);
         for (const node of nodes)
           while (node.quota.wait(service(perSecond), now) === 0) sent.push(now);
@@ -106,9 +106,9 @@
 
 void test('an edge counts the most edges it saw of late: those that are no longer seen may still use their part', () => {
   const edges = new Edges();
-  edges.note(10, toMoment(0));
-  edges.note(3, toMoment(1000));
+  edges.note(10, toTimestamp(0));
+  edges.note(3, toTimestamp(1000));
   assert.equal(edges.many, 10);
-  edges.note(4, toMoment(40_000));
+  edges.note(4, toTimestamp(40_000));
   assert.equal(edges.many, 4);
 });
--- a/packages/routing/src/line/quota.ts
+++ b/packages/routing/src/line/quota.ts
@@ -1,4 +1,10 @@
-import { type Moment, type ServiceName, earlier, later, start } from '@switchwheel/types';
+import {
+  type Timestamp,
+  type ServiceName,
+  subtractMs,
+  addMs,
+  clockOrigin,
+} from '@switchwheel/types';
 import type { Service } from '@switchwheel/configuration';
 import { type Bucket, type Rate, earn, fill, newBucket, take, waitOf } from '../bucket/bucket.js';
 import type { Bounds } from './port.js';
@@ -12,14 +18,14 @@
 
 /** How many edges share what a service may be sent: the most seen of late. */
 export class Edges {
-  #seen: readonly { readonly many: number; readonly at: Moment }[] = [];
+  #seen: readonly { readonly many: number; readonly at: Timestamp }[] = [];
 
-  note(many: number, now: Moment): void {
+  note(many: number, now: Timestamp): void {
     const last = this.#seen.at(-1);
     if (last?.many === many) this.#seen = [...this.#seen.slice(0, -1), { many, at: now }];
     else
       this.#seen = [
-        ...this.#seen.filter((one) => one.at > earlier(now, memorySpan)),
+        ...this.#seen.filter((one) => one.at > subtractMs(now, memorySpan)),
         { many, at: now },
       ];
   }
@@ -39,7 +45,7 @@
   readonly #extra = new Map<ServiceName, Bucket>();
   readonly #rate = new Map<ServiceName, Bucket>();
   /** Until when a service counts as one whose part ran out here. */
-  readonly #scarceUntil = new Map<ServiceName, Moment>();
+  readonly #scarceUntil = new Map<ServiceName, Timestamp>();
 
   constructor(bounds: Bounds, edges: Edges) {
     this.#bounds = bounds;
@@ -47,7 +53,7 @@
   }
 
   /** A caller's request came for a service: it earns a part of an extra leg. */
-  asked(service: ServiceName, now: Moment): void {
+  asked(service: ServiceName, now: Timestamp): void {
     const rate = this.#extraRate();
     this.#extra.set(
       service,
@@ -59,7 +65,7 @@
     );
   }
 
-  extra(service: ServiceName, now: Moment): boolean {
+  extra(service: ServiceName, now: Timestamp): boolean {
     const next = take(this.#extra.get(service) ?? newBucket(now), this.#extraRate(), now);
     if (next === undefined) return false;
     this.#extra.set(service, next);
@@ -67,13 +73,13 @@
   }
 
   /** Milliseconds until a request may go to the service; 0 takes one now. */
-  wait(service: Service, now: Moment): number {
+  wait(service: Service, now: Timestamp): number {
     if (service.perSecond === undefined) return 0;
     const rate = this.#ceilingRate(service.perSecond);
     const bucket = this.#rate.get(service.name) ?? newBucket(now);
     const next = take(bucket, rate, now);
     this.#rate.set(service.name, next ?? fill(bucket, rate, now));
-    if (next === undefined) this.#scarceUntil.set(service.name, later(now, scarceSpan));
+    if (next === undefined) this.#scarceUntil.set(service.name, addMs(now, scarceSpan));
     return next === undefined ? Math.max(1, waitOf(bucket, rate, now)) : 0;
   }
 
@@ -81,10 +87,10 @@
    * Whether this edge's part of a service's rate is too small to fetch what its callers ask for: it ran out
    * of late, or would fill a cache too slowly.
    */
-  isScarce(service: Service, now: Moment): boolean {
+  isScarce(service: Service, now: Timestamp): boolean {
     if (service.perSecond === undefined) return false;
     if (this.#ceilingRate(service.perSecond).perSecond < leastFillingRate) return true;
-    return (this.#scarceUntil.get(service.name) ?? start) > now;
+    return (this.#scarceUntil.get(service.name) ?? clockOrigin) > now;
   }
 
   /** How many connections this edge may have to one origin. */
--- a/packages/routing/src/origin/book.ts
+++ b/packages/routing/src/origin/book.ts
@@ -1,15 +1,15 @@
 import {
-  type AreaName,
-  type Dice,
+  type ZoneName,
+  type RandomState,
   type InstanceId,
-  type Moment,
+  type Timestamp,
   type Release,
   type ServiceName,
   type Address,
-  earlier,
-  later,
-  roll,
-  start,
+  subtractMs,
+  addMs,
+  nextRandom,
+  clockOrigin,
 } from '@switchwheel/types';
 import { type Origins, standing } from '@switchwheel/membership';
 
@@ -19,21 +19,21 @@
   readonly service: ServiceName;
   address: Address;
   release: Release;
-  area: AreaName | undefined;
+  area: ZoneName | undefined;
   slots: number;
-  coldUntil: Moment;
+  coldUntil: Timestamp;
   /** Requests of this edge that are there now. */
   busy: number;
   /** What an answer takes, in milliseconds; moving. */
   typicalMs: number;
   answers: number;
   faults: number;
-  barredUntil: Moment;
+  barredUntil: Timestamp;
 }
 
 /** How an origin is chosen. */
 export interface Taste {
-  readonly area: AreaName;
+  readonly area: ZoneName;
   /** How much dearer an origin of another area counts. */
   readonly far: number;
   /** How strongly the quicker is preferred. */
@@ -49,9 +49,9 @@
 export class Book {
   readonly #berths = new Map<InstanceId, Berth>();
   readonly #services = new Map<ServiceName, Berth[]>();
-  #dice: Dice;
+  #dice: RandomState;
 
-  constructor(dice: Dice) {
+  constructor(dice: RandomState) {
     this.#dice = dice;
   }
 
@@ -64,13 +64,13 @@
   }
 
   /** Takes over which origins stand; gives those that do not any more. */
-  learn(origins: Origins, now: Moment): readonly InstanceId[] {
+  learn(origins: Origins, now: Timestamp): readonly InstanceId[] {
     const seen = new Set<InstanceId>();
     for (const one of origins.values()) {
       if (!standing(one, now)) continue;
       seen.add(one.instance);
       const coldUntil =
-        one.coldMs === undefined || one.coldMs <= 0 ? start : later(one.at, one.coldMs);
+        one.coldMs === undefined || one.coldMs <= 0 ? clockOrigin : addMs(one.at, one.coldMs);
       const known = this.#berths.get(one.instance);
       if (known === undefined) {
         const nodeSession: Berth = {
@@ -85,7 +85,7 @@
           typicalMs: this.#usual(one.service),
           answers: 0,
           faults: 0,
-          barredUntil: start,
+          barredUntil: clockOrigin,
         };
         this.#berths.set(one.instance, nodeSession);
         this.#services.set(one.service, [...this.of(one.service), nodeSession]);
@@ -107,7 +107,7 @@
     taste: Taste,
     room: number,
     fits: (one: Berth) => boolean,
-    now: Moment,
+    now: Timestamp,
   ): Berth | undefined {
     const all = this.of(service).filter((one) => one.busy < room && fits(one));
     const fresh = all.filter((one) => !tried.has(one.instance));
@@ -134,7 +134,7 @@
   }
 
   /** A leg ended; `ms` is given for a whole answer that ran. */
-  ended(one: Berth, ms: number | undefined, good: boolean, now: Moment): void {
+  ended(one: Berth, ms: number | undefined, good: boolean, now: Timestamp): void {
     one.busy = Math.max(0, one.busy - 1);
     if (ms !== undefined) {
       const part = Math.max(weightOfNew, 1 / (one.answers + 1));
@@ -146,9 +146,9 @@
   }
 
   /** An origin that turned a request away has no room now. */
-  full(one: Berth, now: Moment): void {
+  full(one: Berth, now: Timestamp): void {
     one.busy = Math.max(0, one.busy - 1);
-    one.barredUntil = later(now, 40);
+    one.barredUntil = addMs(now, 40);
   }
 
   /** The usual span of an answer of a service, or of one release of it. */
@@ -161,10 +161,10 @@
     return new Set(this.of(service).map((one) => one.release));
   }
 
-  #fault(one: Berth, now: Moment): void {
+  #fault(one: Berth, now: Timestamp): void {
     one.faults += 1;
     if (one.faults >= 2)
-      one.barredUntil = later(now, Math.min(longBar, shortBar * 2 ** Math.min(6, one.faults - 2)));
+      one.barredUntil = addMs(now, Math.min(longBar, shortBar * 2 ** Math.min(6, one.faults - 2)));
   }
 
   #usual(service: ServiceName, release?: Release): number {
@@ -175,14 +175,14 @@
     return known[Math.floor(known.length / 2)] ?? firstMs;
   }
 
-  #cost(one: Berth, taste: Taste, now: Moment): number {
-    const cold = one.coldUntil > earlier(now, 0) ? 2 : 1;
+  #cost(one: Berth, taste: Taste, now: Timestamp): number {
+    const cold = one.coldUntil > subtractMs(now, 0) ? 2 : 1;
     const far = one.area === undefined || one.area === taste.area ? 1 : taste.far;
     return Math.max(1, one.typicalMs) * cold * far;
   }
 
   #draw(open: readonly Berth[], weights: readonly number[]): Berth | undefined {
-    const [chance, dice] = roll(this.#dice);
+    const [chance, dice] = nextRandom(this.#dice);
     this.#dice = dice;
     let left = chance * weights.reduce((sum, one) => sum + one, 0);
     for (const [at, one] of open.entries()) {
--- a/packages/routing/src/release/tally.ts
+++ b/packages/routing/src/release/tally.ts
@@ -1,4 +1,10 @@
-import { type Moment, type Release, type ServiceName, between, toSpan } from '@switchwheel/types';
+import {
+  type Timestamp,
+  type Release,
+  type ServiceName,
+  elapsedMs,
+  toDurationMs,
+} from '@switchwheel/types';
 import type { FrameOf, ReleaseState, TallyRow } from '@switchwheel/transport';
 
 /** What a leg that ended counts as. */
@@ -16,7 +22,7 @@
 
 interface Order {
   readonly order: number;
-  readonly since: Moment;
+  readonly since: Timestamp;
   readonly counts: Map<string, Count>;
 }
 
@@ -30,7 +36,7 @@
   readonly #open = new Map<string, number>();
 
   /** Takes note of the orders that stand. */
-  note(states: Iterable<ReleaseState>, now: Moment): void {
+  note(states: Iterable<ReleaseState>, now: Timestamp): void {
     for (const one of states) {
       if (one.target === undefined || this.#orders.get(one.service)?.order === one.order) continue;
       this.#orders.set(one.service, { order: one.order, since: now, counts: new Map() });
@@ -68,7 +74,7 @@
   /** The word for the primary on one service. */
   tell(
     state: ReleaseState,
-    now: Moment,
+    now: Timestamp,
   ):
     | Pick<FrameOf<'tally'>, 'service' | 'order' | 'serial' | 'rows' | 'inFlightOld' | 'spentMs'>
     | undefined {
@@ -95,7 +101,7 @@
       serial: state.serial,
       rows,
       inFlightOld,
-      spentMs: toSpan(Math.max(0, between(own.since, now))),
+      spentMs: toDurationMs(Math.max(0, elapsedMs(own.since, now))),
     };
   }
 
--- a/packages/routing/src/sharing/sharing.test.ts
+++ b/packages/routing/src/sharing/sharing.test.ts
@@ -3,14 +3,14 @@
 import fc from 'fast-check';
 import {
   type Address,
-  type Moment,
+  type Timestamp,
   type Seq,
   toAddress,
-  toAreaName,
+  toZoneName,
   toGeneration,
   toIncarnation,
   toInstanceId,
-  toMoment,
+  toTimestamp,
   toNodeId,
   toRelease,
   toSeq,
@@ -26,7 +26,7 @@
 
 const service = toServiceName('clips');
 const host = 'one.example';
-const area = toAreaName('a');
+const area = toZoneName('a');
 const lifetimeMs = 5000;
 const edgeCount = 6;
 /** So few that each edge's part is one fetch in two seconds. */
@@ -192,8 +192,8 @@
     this.line.learn(this.cabin);
   }
 
-  get now(): Moment {
-    return toMoment(this.clockStart + this.area.now);
+  get now(): Timestamp {
+    return toTimestamp(this.clockStart + this.area.now);
   }
 
   tick(): void {
@@ -321,7 +321,7 @@
   const { owner, others } = run.split('/clips/1');
   owner.ask('/clips/1');
   run.answer(0, 'old');
-  owner.cabin = { ...owner.cabin, asOf: toMoment(owner.now - 2 * plainBounds.keptMs) };
+  owner.cabin = { ...owner.cabin, asOf: toTimestamp(owner.now - 2 * plainBounds.keptMs) };
   others[0]?.ask('/clips/1');
   run.deliver();
   assert.deepEqual(others[0]?.kinds(), [], 'nothing is told from what it keeps');
--- a/packages/routing/src/sharing/sharing.ts
+++ b/packages/routing/src/sharing/sharing.ts
@@ -6,14 +6,14 @@
 import {
   type Address,
   type Generation,
-  type Moment,
+  type Timestamp,
   type RouteName,
   type Seq,
-  type Span,
-  between,
-  earlier,
-  later,
-  start,
+  type DurationMs,
+  elapsedMs,
+  subtractMs,
+  addMs,
+  clockOrigin,
 } from '@switchwheel/types';
 import type { Fields, FrameOf, ObjectFrame } from '@switchwheel/transport';
 import { Owners } from './owner.js';
@@ -44,12 +44,12 @@
   readonly host: string;
   readonly target: string;
   readonly fields: Fields;
-  readonly left: Span;
+  readonly left: DurationMs;
 }
 
 /** An object as its owner told it; `born` is no later than the object was made, by this edge's clock. */
 export interface SharedObject {
-  readonly born: Moment;
+  readonly born: Timestamp;
   readonly purged: Seq;
   readonly fields: Fields;
   readonly body: Buffer;
@@ -62,9 +62,9 @@
 
 interface OpenQuery {
   readonly owner: Address;
-  readonly askedAt: Moment;
+  readonly askedAt: Timestamp;
   readonly done: (outcome: ObjectOutcome) => void;
-  until: Moment;
+  until: Timestamp;
   fetching: boolean;
 }
 
@@ -73,7 +73,7 @@
   readonly #port: PeerPort;
   readonly #self: Address;
   readonly #open = new Map<number, OpenQuery>();
-  readonly #barred = new Map<Address, Moment>();
+  readonly #barred = new Map<Address, Timestamp>();
   #owners = new Owners([]);
   #key = '';
   #last = 0;
@@ -93,11 +93,11 @@
   }
 
   /** The other edge that owns an object; undefined if this one does, or nobody can be asked. */
-  ownerOf(object: string, now: Moment): Address | undefined {
+  ownerOf(object: string, now: Timestamp): Address | undefined {
     if (this.#open.size >= maxOpen) return undefined;
     const owner = this.#owners.ownerOf(
       object,
-      (address) => address === this.#self || (this.#barred.get(address) ?? start) <= now,
+      (address) => address === this.#self || (this.#barred.get(address) ?? clockOrigin) <= now,
     );
     return owner === this.#self ? undefined : owner;
   }
@@ -106,7 +106,7 @@
   ask(
     owner: Address,
     query: ObjectQuery,
-    now: Moment,
+    now: Timestamp,
     done: (outcome: ObjectOutcome) => void,
   ): void {
     this.#last += 1;
@@ -114,35 +114,35 @@
       owner,
       askedAt: now,
       done,
-      until: later(now, answerLimit),
+      until: addMs(now, answerLimit),
       fetching: false,
     });
     this.#port.send(owner, { kind: 'object-request', id: this.#last, ...query });
   }
 
   /** Takes an owner's word. */
-  hear(from: Address, frame: FrameOf<'object'> | FrameOf<'object-status'>, now: Moment): void {
+  hear(from: Address, frame: FrameOf<'object'> | FrameOf<'object-status'>, now: Timestamp): void {
     const query = this.#open.get(frame.id);
     if (query?.owner !== from) return;
     if (frame.kind === 'object') {
       const { purged, fields } = frame;
-      const born = earlier(query.askedAt, frame.age);
+      const born = subtractMs(query.askedAt, frame.age);
       const object = { born, purged, fields, body: Buffer.from(frame.body) };
       this.#end(frame.id, query, { found: true, object });
     } else if (frame.state === 'refused')
       this.#end(frame.id, query, { found: false, mayHaveFetched: query.fetching });
     else {
       query.fetching = true;
-      query.until = later(now, fetchLimit);
+      query.until = addMs(now, fetchLimit);
     }
   }
 
   /** Lets time pass: owners that are silent are done without. */
-  tick(now: Moment): void {
+  tick(now: Timestamp): void {
     for (const [address, until] of this.#barred) if (until <= now) this.#barred.delete(address);
     for (const [id, query] of this.#open) {
       if (now < query.until) continue;
-      if (!query.fetching) this.#barred.set(query.owner, later(now, silentBar));
+      if (!query.fetching) this.#barred.set(query.owner, addMs(now, silentBar));
       // Its word may have been lost, not the request.
       this.#end(id, query, { found: false, mayHaveFetched: true });
     }
@@ -154,21 +154,21 @@
     id: number,
     object:
       | {
-          readonly born: Moment;
+          readonly born: Timestamp;
           readonly purged: Seq;
           readonly fields: Fields;
           readonly body: Buffer;
         }
       | 'fetching'
       | 'refused',
-    now: Moment,
+    now: Timestamp,
   ): void {
     if (object === 'fetching' || object === 'refused') {
       this.#port.send(to, { kind: 'object-status', id, state: object });
       return;
     }
     const { born, purged, fields, body } = object;
-    this.#port.send(to, { kind: 'object', id, age: between(born, now), purged, fields, body });
+    this.#port.send(to, { kind: 'object', id, age: elapsedMs(born, now), purged, fields, body });
   }
 
   #end(id: number, query: OpenQuery, outcome: ObjectOutcome): void {
