--- a/packages/routing/src/sharing/uploads.test.ts
+++ b/packages/routing/src/sharing/uploads.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { toMoment } from '@switchwheel/types';
+import { toTimestamp } from '@switchwheel/types';
 import { Uploads } from './uploads.js';
 
 const linkRate = 1_600_000;
@@ -23,7 +23,7 @@
         let sent = 0;
         for (const one of asked) {
           now += one.gapMs;
-          if (!uploads.reserve(toMoment(now))) continue;
+          if (!uploads.reserve(toTimestamp(now))) continue;
           uploads.settle(one.bytes);
           sent += one.bytes;
         }
@@ -37,7 +37,7 @@
 
 void test('many that wait for one fetch are reserved for: those beyond the part are refused at once', () => {
   const uploads = new Uploads(linkRate);
-  const now = toMoment(1000);
+  const now = toTimestamp(1000);
   let taken = 0;
   while (taken < 1000 && uploads.reserve(now)) taken += 1;
   assert.ok(taken > 1 && taken < 30, `${taken} reserved`);
@@ -46,7 +46,7 @@
 void test('a link of unknown rate is not limited', () => {
   const uploads = new Uploads(Infinity);
   for (let at = 0; at < 1000; at += 1) {
-    assert.ok(uploads.reserve(toMoment(1000)));
+    assert.ok(uploads.reserve(toTimestamp(1000)));
     uploads.settle(largest);
   }
 });
--- a/packages/routing/src/sharing/uploads.ts
+++ b/packages/routing/src/sharing/uploads.ts
@@ -2,7 +2,7 @@
  * How much of its link an edge gives to other edges: objects that it owns leave on the same link as the answers to its
  * own callers, and a sought-after large object would hold all of them up.
  */
-import { type Moment, between, start } from '@switchwheel/types';
+import { type Timestamp, elapsedMs, clockOrigin } from '@switchwheel/types';
 
 /** Which part of the link's rate other edges may take. */
 const peerPart = 0.3;
@@ -16,7 +16,7 @@
 export class Uploads {
   readonly #bytesPerMs: number;
   #level: number;
-  #at: Moment = start;
+  #at: Timestamp = clockOrigin;
   #usualBytes = firstGuess;
 
   /** The rate of the link in bytes a second; infinite if it is not known. */
@@ -26,11 +26,11 @@
   }
 
   /** Reserves room for one object; false if other edges have had their part for now. */
-  reserve(now: Moment): boolean {
+  reserve(now: Timestamp): boolean {
     if (!Number.isFinite(this.#bytesPerMs)) return true;
     this.#level = Math.min(
       this.#most,
-      this.#level + Math.max(0, between(this.#at, now)) * this.#bytesPerMs,
+      this.#level + Math.max(0, elapsedMs(this.#at, now)) * this.#bytesPerMs,
     );
     this.#at = now;
     if (this.#level <= 0) return false;
--- a/packages/routing/src/trip/trip.test.ts
+++ b/packages/routing/src/trip/trip.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
-import { type InstanceId, toInstanceId, toMoment } from '@switchwheel/types';
+import { type InstanceId, toInstanceId, toTimestamp } from '@switchwheel/types';
 import {
   type Answer,
   type Told,
@@ -12,8 +12,8 @@
   tripStep,
 } from './trip.js';
 
-const at = toMoment(1000);
-const until = toMoment(3000);
+const at = toTimestamp(1000);
+const until = toTimestamp(3000);
 const answer = (status: number, unrun = false): Answer => ({
   status,
   fields: [],
--- a/packages/routing/src/trip/trip.ts
+++ b/packages/routing/src/trip/trip.ts
@@ -1,11 +1,11 @@
 import {
   type InstanceId,
-  type Kind,
-  type Moment,
-  type Step,
-  drop,
-  put,
-  step,
+  type ErrorKind,
+  type Timestamp,
+  type Transition,
+  withoutEntry,
+  withEntry,
+  transition,
 } from '@switchwheel/types';
 import type { Fields } from '@switchwheel/transport';
 
@@ -28,14 +28,14 @@
     }
   | {
       readonly kind: 'fault';
-      readonly fault: Kind;
+      readonly fault: ErrorKind;
       readonly text: string;
       readonly retryMs: number;
     };
 
 interface Leg {
   readonly instance: InstanceId;
-  readonly since: Moment;
+  readonly since: Timestamp;
 }
 
 /** One request from when it is read until its caller is told. */
@@ -43,7 +43,7 @@
   readonly repeatable: boolean;
   /** The largest number of origins that it may be sent to. */
   readonly most: number;
-  readonly until: Moment;
+  readonly until: Timestamp;
   readonly phase: 'choosing' | 'out' | 'over';
   readonly legs: ReadonlyMap<number, Leg>;
   readonly next: number;
@@ -59,28 +59,33 @@
 }
 
 export type TripEvent =
-  | { readonly kind: 'start'; readonly now: Moment }
-  | { readonly kind: 'picked'; readonly now: Moment; readonly instance: InstanceId }
+  | { readonly kind: 'start'; readonly now: Timestamp }
+  | { readonly kind: 'picked'; readonly now: Timestamp; readonly instance: InstanceId }
   /** No origin may be had now. */
-  | { readonly kind: 'none'; readonly now: Moment; readonly text: string; readonly retryMs: number }
+  | {
+      readonly kind: 'none';
+      readonly now: Timestamp;
+      readonly text: string;
+      readonly retryMs: number;
+    }
   | {
       readonly kind: 'answered';
-      readonly now: Moment;
+      readonly now: Timestamp;
       readonly leg: number;
       readonly answer: Answer;
     }
   /** A leg ended without a whole answer; `sent` tells whether the request may have reached the origin. */
   | {
       readonly kind: 'broke';
-      readonly now: Moment;
+      readonly now: Timestamp;
       readonly leg: number;
       readonly sent: boolean;
       readonly text: string;
     }
   /** The answer is late: another origin may be quicker. */
-  | { readonly kind: 'late'; readonly now: Moment }
-  | { readonly kind: 'expired'; readonly now: Moment }
-  | { readonly kind: 'left'; readonly now: Moment };
+  | { readonly kind: 'late'; readonly now: Timestamp }
+  | { readonly kind: 'expired'; readonly now: Timestamp }
+  | { readonly kind: 'left'; readonly now: Timestamp };
 
 export type TripEffect =
   /** Choose an origin; an extra one is charged to the budget. */
@@ -89,12 +94,12 @@
   | { readonly kind: 'cut'; readonly leg: number }
   | { readonly kind: 'tell'; readonly told: Told };
 
-type Done = Step<Trip, TripEffect>;
+type Done = Transition<Trip, TripEffect>;
 const mostUnopened = 3;
 /** Statuses that promise the caller that nothing has run. */
 const promises: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 
-export const newTrip = (repeatable: boolean, most: number, until: Moment): Trip => ({
+export const newTrip = (repeatable: boolean, most: number, until: Timestamp): Trip => ({
   repeatable,
   most,
   until,
@@ -108,7 +113,7 @@
   held: undefined,
 });
 
-const fault = (kind: Kind, text: string, retryMs: number): Told => ({
+const fault = (kind: ErrorKind, text: string, retryMs: number): Told => ({
   kind: 'fault',
   fault: kind,
   text,
@@ -116,7 +121,7 @@
 });
 
 const end = (trip: Trip, told: Told | undefined): Done =>
-  step<Trip, TripEffect>(
+  transition<Trip, TripEffect>(
     { ...trip, phase: 'over', legs: new Map() },
     ...[...trip.legs.keys()].map((leg) => ({ kind: 'cut' as const, leg })),
     ...(told === undefined ? [] : [{ kind: 'tell' as const, told }]),
@@ -133,16 +138,16 @@
 const goOn = (trip: Trip, text: string, retryMs: number): Done => {
   const mayRepeat = trip.repeatable || !trip.ran;
   if (mayRepeat && trip.sent < trip.most && trip.unopened <= mostUnopened)
-    return step({ ...trip, phase: 'choosing' }, { kind: 'pick', extra: trip.sent > 0 });
+    return transition({ ...trip, phase: 'choosing' }, { kind: 'pick', extra: trip.sent > 0 });
   return trip.legs.size > 0
-    ? step({ ...trip, phase: 'out' })
+    ? transition({ ...trip, phase: 'out' })
     : end(trip, lastWord(trip, text, retryMs));
 };
 
 const onAnswered = (trip: Trip, leg: number, answer: Answer): Done => {
   const own = trip.legs.get(leg);
-  if (own === undefined) return step(trip);
-  const rest: Trip = { ...trip, legs: drop(trip.legs, leg) };
+  if (own === undefined) return transition(trip);
+  const rest: Trip = { ...trip, legs: withoutEntry(trip.legs, leg) };
   if (answer.unrun) return goOn(rest, 'origins turn requests away', 200);
   const ran: Trip = { ...rest, ran: true };
   if (answer.status < 500) {
@@ -157,8 +162,8 @@
 };
 
 const onBroke = (trip: Trip, leg: number, sent: boolean, text: string): Done => {
-  if (!trip.legs.has(leg)) return step(trip);
-  const rest: Trip = { ...trip, legs: drop(trip.legs, leg) };
+  if (!trip.legs.has(leg)) return transition(trip);
+  const rest: Trip = { ...trip, legs: withoutEntry(trip.legs, leg) };
   // What never left is no leg: nothing ran.
   if (!sent) return goOn({ ...rest, sent: rest.sent - 1, unopened: rest.unopened + 1 }, text, 200);
   return goOn({ ...rest, ran: true }, text, 200);
@@ -166,15 +171,15 @@
 
 /** The life of a request: one function for every change of it. */
 export const tripStep = (trip: Trip, event: TripEvent): Done => {
-  if (trip.phase === 'over') return step(trip);
+  if (trip.phase === 'over') return transition(trip);
   switch (event.kind) {
     case 'start':
-      return step(trip, { kind: 'pick', extra: false });
+      return transition(trip, { kind: 'pick', extra: false });
     case 'picked': {
-      if (trip.phase !== 'choosing') return step(trip);
+      if (trip.phase !== 'choosing') return transition(trip);
       const leg = trip.next;
-      const legs = put(trip.legs, leg, { instance: event.instance, since: event.now });
-      return step(
+      const legs = withEntry(trip.legs, leg, { instance: event.instance, since: event.now });
+      return transition(
         {
           ...trip,
           phase: 'out',
@@ -187,9 +192,9 @@
       );
     }
     case 'none':
-      if (trip.phase !== 'choosing') return step(trip);
+      if (trip.phase !== 'choosing') return transition(trip);
       return trip.legs.size > 0
-        ? step({ ...trip, phase: 'out' })
+        ? transition({ ...trip, phase: 'out' })
         : end(trip, lastWord(trip, event.text, event.retryMs));
     case 'answered':
       return onAnswered(trip, event.leg, event.answer);
@@ -202,8 +207,8 @@
         trip.legs.size !== 1 ||
         trip.sent >= trip.most
       )
-        return step(trip);
-      return step({ ...trip, phase: 'choosing' }, { kind: 'pick', extra: true });
+        return transition(trip);
+      return transition({ ...trip, phase: 'choosing' }, { kind: 'pick', extra: true });
     case 'expired':
       // A leg under way may run yet.
       return end(
--- a/packages/runtime/src/boot/boot.ts
+++ b/packages/runtime/src/boot/boot.ts
@@ -7,7 +7,7 @@
 /** What every program of the fleet needs to know of its place. */
 export const common = {
   node: g.nodeId,
-  area: g.areaName,
+  area: g.zoneName,
   listen: g.address,
   seeds: v.pipe(v.array(g.address), v.maxLength(3, 'three seeds at most')),
   log: v.optional(
--- a/packages/runtime/src/run/loop.ts
+++ b/packages/runtime/src/run/loop.ts
@@ -1,4 +1,4 @@
-import { type Moment, type Step, type Store, createStore } from '@switchwheel/types';
+import { type Timestamp, type Transition, type Store, createStore } from '@switchwheel/types';
 import type { WireEffect, WireEvent, ChannelPool } from '@switchwheel/transport';
 import type { Log } from '../log/log.js';
 import { now } from './clock.js';
@@ -10,7 +10,7 @@
 export interface Loop<S, E> {
   readonly store: Store<S, E>;
   /** Hands an event over with the time at which it is acted on. */
-  readonly tell: (make: (now: Moment) => E) => void;
+  readonly tell: (make: (now: Timestamp) => E) => void;
   readonly end: () => void;
   /** The longest time in milliseconds that the loop was held up since last asked. */
   readonly lag: () => number;
@@ -18,7 +18,7 @@
 
 /** Runs a machine: time, frames and channels go in, effects go out. */
 export const runLoop = <S, E, F>(
-  reduce: (state: S, event: E | WireEvent) => Step<S, F | WireEffect>,
+  reduce: (state: S, event: E | WireEvent) => Transition<S, F | WireEffect>,
   first: S,
   yard: ChannelPool,
   log: Log,
@@ -33,7 +33,7 @@
     else log.write(one.level, one.text, one.facts);
   };
   const store = createStore<S, E | WireEvent, F | WireEffect>(reduce, first, effect);
-  const tell = (make: (now: Moment) => E | WireEvent): void => store.dispatch(make(now()));
+  const tell = (make: (now: Timestamp) => E | WireEvent): void => store.dispatch(make(now()));
   yard.on('frame', (from, frame) => tell((at) => ({ kind: 'frame', now: at, from, frame })));
   yard.on('gone', (address) => tell((at) => ({ kind: 'gone', now: at, address })));
   yard.on('fault', (text) => log.write('warn', text));
--- a/packages/simulator/src/cast/origin.ts
+++ b/packages/simulator/src/cast/origin.ts
@@ -4,7 +4,7 @@
   type InstanceId,
   type Release,
   type ServiceName,
-  tally,
+  increment,
 } from '@switchwheel/types';
 import type { Fields } from '@switchwheel/transport';
 import { type Broke, type LegEars, type LegRequest, fieldOf } from '@switchwheel/proxy-core';
@@ -192,12 +192,12 @@
       return;
     }
     this.used += 1;
-    tally(this.#working, request.target);
+    increment(this.#working, request.target);
     const span = this.workMs * (0.5 + -Math.log(1 - chance.next()) * 0.7) + this.slowMs;
     const revision = this.revisionOf(request.target);
     agenda.after(span, () => {
       this.used -= 1;
-      tally(this.#working, request.target, -1);
+      increment(this.#working, request.target, -1);
       if (!this.alive) {
         if (unsafe) this.stage.tried.note('R1: an origin died with an unsafe request in hand');
         // It may have died just before or just after the work.
--- a/packages/simulator/src/cast/proxy.ts
+++ b/packages/simulator/src/cast/proxy.ts
@@ -1,10 +1,10 @@
 import {
   type Address,
-  type Kind,
-  type Moment,
+  type ErrorKind,
+  type Timestamp,
   type NodeId,
   type Store,
-  toAreaName,
+  toZoneName,
 } from '@switchwheel/types';
 import type { Fields, Member, WireEvent } from '@switchwheel/transport';
 import { heldEpoch, holdsLease } from '@switchwheel/election';
@@ -38,7 +38,7 @@
 /** What a caller is told in the end. */
 export interface CallerResult {
   /** A result, a fault by its kind, or one that visibly broke off. */
-  readonly kind: 'result' | 'broken' | Kind;
+  readonly kind: 'result' | 'broken' | ErrorKind;
   readonly text: string;
   readonly status: number;
   readonly revision: number;
@@ -63,7 +63,7 @@
 /** Small measures, so that simulated results come in several parts and the larger ones stream. */
 const sizes: Measures = { whole: 4000, chunk: 900, ahead: 2500, joiners: 64 };
 
-const faultOf = (kind: 'broken' | Kind, text: string, retryMs = 0): CallerResult => ({
+const faultOf = (kind: 'broken' | ErrorKind, text: string, retryMs = 0): CallerResult => ({
   kind,
   text,
   status: 0,
@@ -171,7 +171,7 @@
     const member: Member = {
       node: this.node,
       role: this.role,
-      area: toAreaName(this.area),
+      area: toZoneName(this.area),
       address: this.address,
       door: this.address,
       incarnation: this.incarnation,
@@ -191,9 +191,9 @@
     this.#store = store;
     const desk = new Desk(this.#cache);
     const cab = {
-      now: (): Moment => this.clock,
+      now: (): Timestamp => this.clock,
       state: store.state,
-      tell: (make: (now: Moment) => ProxyEvent): void => this.#tell(make),
+      tell: (make: (now: Timestamp) => ProxyEvent): void => this.#tell(make),
     };
     this.#edge = new EdgeLine(
       `${this.node}.${this.life}`,
@@ -243,7 +243,7 @@
     this.#shield = undefined;
   }
 
-  event(make: (now: Moment) => WireEvent): void {
+  event(make: (now: Timestamp) => WireEvent): void {
     this.#tell(make);
   }
 
@@ -295,7 +295,7 @@
     return (this.#edge?.open ?? 0) + (this.#shield?.dock.size ?? 0) + legs;
   }
 
-  #tell(make: (now: Moment) => ProxyEvent): void {
+  #tell(make: (now: Timestamp) => ProxyEvent): void {
     this.#store?.dispatch(make(this.clock));
   }
 
--- a/packages/simulator/src/cast/registry.ts
+++ b/packages/simulator/src/cast/registry.ts
@@ -1,4 +1,10 @@
-import { type Address, type Moment, type NodeId, type Store, toAreaName } from '@switchwheel/types';
+import {
+  type Address,
+  type Timestamp,
+  type NodeId,
+  type Store,
+  toZoneName,
+} from '@switchwheel/types';
 import type { Member, WireEvent } from '@switchwheel/transport';
 import {
   type Outside,
@@ -45,7 +51,7 @@
     const member: Member = {
       node: this.node,
       role: 'registry',
-      area: toAreaName(this.area),
+      area: toZoneName(this.area),
       address: this.address,
       door: this.address,
       incarnation: this.incarnation,
@@ -69,7 +75,7 @@
     this.#waiting.clear();
   }
 
-  event(make: (now: Moment) => WireEvent): void {
+  event(make: (now: Timestamp) => WireEvent): void {
     this.#store?.dispatch(make(this.clock));
   }
 
--- a/packages/simulator/src/cast/store.ts
+++ b/packages/simulator/src/cast/store.ts
@@ -1,10 +1,10 @@
 import {
   type Address,
   type CallId,
-  type Moment,
+  type Timestamp,
   type NodeId,
   type Store,
-  toAreaName,
+  toZoneName,
   toGeneration,
 } from '@switchwheel/types';
 import type { Member, WireEvent } from '@switchwheel/transport';
@@ -53,7 +53,7 @@
     const member: Member = {
       node: this.node,
       role: 'store',
-      area: toAreaName(this.area),
+      area: toZoneName(this.area),
       address: this.address,
       incarnation: this.incarnation,
     };
@@ -113,11 +113,11 @@
     };
   }
 
-  #tell(make: (now: Moment) => StoreEvent): void {
+  #tell(make: (now: Timestamp) => StoreEvent): void {
     this.#store?.dispatch(make(this.clock));
   }
 
-  event(make: (now: Moment) => WireEvent): void {
+  event(make: (now: Timestamp) => WireEvent): void {
     this.#tell(make);
   }
 
--- a/packages/simulator/src/digest/fleet.ts
+++ b/packages/simulator/src/digest/fleet.ts
@@ -1,5 +1,5 @@
 /** Digests of whole simulated fleets under random faults. */
-import { kinds } from '@switchwheel/types';
+import { errorKinds } from '@switchwheel/types';
 import type { Asked, SimCallers } from '../cast/callers.js';
 import type { SimOrigin } from '../cast/origin.js';
 import type { CallerResult } from '../cast/proxy.js';
@@ -68,7 +68,7 @@
 /** The kind of a result as a number: an error by its place in the list of errors. */
 const resultNumber = (kind: CallerResult['kind']): number => {
   if (kind === 'result') return -1;
-  return kind === 'broken' ? -2 : kinds.indexOf(kind);
+  return kind === 'broken' ? -2 : errorKinds.indexOf(kind);
 };
 
 const addRequest = (digest: RunDigest, request: Asked): void => {
--- a/packages/simulator/src/direct/run.ts
+++ b/packages/simulator/src/direct/run.ts
@@ -2,11 +2,11 @@
   type InstanceId,
   type ServiceName,
   toAddress,
-  toAreaName,
+  toZoneName,
   toGeneration,
   toIncarnation,
   toInstanceId,
-  toMoment,
+  toTimestamp,
   toNodeId,
   toRelease,
   toSeq,
@@ -107,7 +107,7 @@
     const member = {
       node: toNodeId('e1'),
       role: 'edge' as const,
-      area: toAreaName('a'),
+      area: toZoneName('a'),
       address: toAddress('10.0.0.1:1'),
       incarnation: toIncarnation(1),
     };
@@ -120,7 +120,7 @@
       { now: () => this.#now(), cabin: () => this.#cabin },
       this.cache,
       this.legs,
-      { area: toAreaName('a'), words: plainWords, bounds: plainBounds, most: 60 },
+      { area: toZoneName('a'), words: plainWords, bounds: plainBounds, most: 60 },
       { seed: seed ^ 0x5bd1e995 },
     );
   }
@@ -142,8 +142,8 @@
     while (this.agenda.step(runMs + stopMs + 100));
   }
 
-  #now(): ReturnType<typeof toMoment> {
-    return toMoment(100_000 + this.agenda.now);
+  #now(): ReturnType<typeof toTimestamp> {
+    return toTimestamp(100_000 + this.agenda.now);
   }
 
   #repeat(act: () => void, least: number, most: number): void {
--- a/packages/simulator/src/guard/list.ts
+++ b/packages/simulator/src/guard/list.ts
@@ -109,7 +109,7 @@
     name: 'only stores in sync are elected',
     rule: 'lost write',
     file: voter,
-    from: 'if (ballot.duty === primary && !mine.inSyncSet.includes(ballot.node))',
+    from: 'if (ballot.duty === primaryLease && !mine.inSyncSet.includes(ballot.node))',
     to: 'if (false)',
   },
   {
@@ -123,8 +123,8 @@
     name: 'the backup has it before the answer',
     rule: 'lost write',
     file: primaryWrite,
-    from: 'const whole = unconfirmedBackups(state, next).length === 0; if (whole) return join(',
-    to: 'if (true) return join(',
+    from: 'const whole = unconfirmedBackups(state, next).length === 0; if (whole) return prependEffects(',
+    to: 'if (true) return prependEffects(',
   },
   {
     name: 'every backup in sync has it before the answer',
@@ -137,8 +137,8 @@
     name: 'the own disk has it before the answer',
     rule: 'lost write',
     file: primaryWrite,
-    from: 'return step({ ...next, primaryWrite, nextId: state.nextId + 1 }, ...told, diskWrite(primaryWrite.id, primaryWrite.metadata, stamp, puts));',
-    to: 'return join([...told, diskWrite(primaryWrite.id, primaryWrite.metadata, stamp, puts)], commitWrite({ ...next, primaryWrite, nextId: state.nextId + 1 }, primaryWrite, now));',
+    from: 'return transition({ ...next, primaryWrite, nextId: state.nextId + 1 }, ...told, diskWrite(primaryWrite.id, primaryWrite.metadata, stamp, puts));',
+    to: 'return prependEffects([...told, diskWrite(primaryWrite.id, primaryWrite.metadata, stamp, puts)], commitWrite({ ...next, primaryWrite, nextId: state.nextId + 1 }, primaryWrite, now));',
   },
   {
     name: 'what lasts is never told as refused',
@@ -151,7 +151,7 @@
     name: 'a primary answers only while it holds',
     rule: 'lost write',
     file: primaryWrite,
-    from: 'if (!holdsLease(state.candidate, now) || heldEpoch(state.candidate) !== primaryWrite.metadata.epoch) return step(state); const next',
+    from: 'if (!holdsLease(state.candidate, now) || heldEpoch(state.candidate) !== primaryWrite.metadata.epoch) return transition(state); const next',
     to: 'const next',
   },
   {
--- a/packages/simulator/src/history/checker.ts
+++ b/packages/simulator/src/history/checker.ts
@@ -5,7 +5,7 @@
  * those of linearizability: every operation can be placed at one moment between its start and its
  * end so that each read returns the highest number written before it.
  */
-import { tally } from '@switchwheel/types';
+import { increment } from '@switchwheel/types';
 import type {
   ConfigurationRead,
   ConfigurationWrite,
@@ -100,7 +100,7 @@
   }
 
   #note(point: HistoryPoint): void {
-    tally(this.counts, point);
+    increment(this.counts, point);
   }
 
   #break(text: string): void {
--- a/packages/simulator/src/rules/bites.test.ts
+++ b/packages/simulator/src/rules/bites.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { toGeneration, toMoment, toRelease } from '@switchwheel/types';
+import { toGeneration, toTimestamp, toRelease } from '@switchwheel/types';
 import { acts, clips, scene, type Scene } from '../run/stage.js';
 
 /** Runs a small calm fleet, breaks one rule on purpose in what happened, and gives what the checkers found. */
@@ -131,7 +131,7 @@
       phase: 'holdingLease' as const,
       epoch: held.highest,
       votes: new Map(),
-      until: toMoment(shield.clock + 10_000),
+      until: toTimestamp(shield.clock + 10_000),
       asked: shield.clock,
       won: shield.clock,
     };
--- a/packages/simulator/src/rules/rules.ts
+++ b/packages/simulator/src/rules/rules.ts
@@ -1,4 +1,4 @@
-import { type Duty, tally, toServiceName } from '@switchwheel/types';
+import { type LeaseName, increment, toServiceName } from '@switchwheel/types';
 import { holdsLease } from '@switchwheel/election';
 import { mayExtra } from '@switchwheel/proxy-core';
 import type { Asked, SimCallers } from '../cast/callers.js';
@@ -41,7 +41,7 @@
   readonly #world: World;
   readonly #callers: SimCallers;
   readonly #highest = new Map<string, number>();
-  readonly #holders = new Map<Duty, Set<Actor>>();
+  readonly #holders = new Map<LeaseName, Set<Actor>>();
   readonly #hashes = new Map<number, string>();
   readonly #late = new Set<string>();
   /** The highest generation that was accepted, by when. */
@@ -123,7 +123,7 @@
     }
   }
 
-  #hold(duty: Duty, actor: Actor, holding: boolean): void {
+  #hold(duty: LeaseName, actor: Actor, holding: boolean): void {
     const set = this.#holders.get(duty) ?? new Set<Actor>();
     this.#holders.set(duty, set);
     if (!holding) {
@@ -139,7 +139,7 @@
     }
   }
 
-  #stillHolds(actor: Actor, duty: Duty): boolean {
+  #stillHolds(actor: Actor, duty: LeaseName): boolean {
     if (!actor.alive) return false;
     if (actor instanceof SimStore)
       return (
@@ -288,7 +288,7 @@
     const runs = new Map<string, number>();
     const { tried } = this.#world;
     for (const origin of this.#world.origins)
-      for (const run of origin.runs) tally(runs, run.request);
+      for (const run of origin.runs) increment(runs, run.request);
     for (const asked of this.#callers.asked) {
       const many = runs.get(asked.id) ?? 0;
       if (asked.unsafe && many > 1)
--- a/packages/simulator/src/rules/tried.ts
+++ b/packages/simulator/src/rules/tried.ts
@@ -1,4 +1,4 @@
-import { tally } from '@switchwheel/types';
+import { increment } from '@switchwheel/types';
 
 /** What a run must have done for its verdict on each rule to mean anything. */
 export const trials = [
@@ -52,12 +52,12 @@
   readonly counts = new Map<Trial, number>();
 
   note(trial: Trial, many = 1): void {
-    tally(this.counts, trial, many);
+    increment(this.counts, trial, many);
   }
 }
 
 export const addCounts = (sum: Map<Trial, number>, counts: ReadonlyMap<Trial, number>): void => {
-  for (const [name, many] of counts) tally(sum, name, many);
+  for (const [name, many] of counts) increment(sum, name, many);
 };
 
 /** Those that never came about. */
--- a/packages/simulator/src/run/releases.test.ts
+++ b/packages/simulator/src/run/releases.test.ts
@@ -9,7 +9,7 @@
   toIncarnation,
   toNodeId,
   toRelease,
-  toSpan,
+  toDurationMs,
 } from '@switchwheel/types';
 import type { Peer, FrameOf, ReleaseState } from '@switchwheel/transport';
 import type { ReleaseOrder } from '@switchwheel/configuration';
@@ -166,7 +166,7 @@
       order: opened.order,
       serial: noSeq,
       inFlightOld: 0,
-      spentMs: toSpan(2500),
+      spentMs: toDurationMs(2500),
       rows: [
         { release: before, group: 'a', sent: 200, good: 199, bad: 1, slow: 0, sumMs: 16_000 },
         { release: r2, group: 'a', sent: 14, good: 7, bad: 7, slow: 0, sumMs: 1100 },
--- a/packages/simulator/src/run/replacement-copies.test.ts
+++ b/packages/simulator/src/run/replacement-copies.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { type AreaName, toAreaName } from '@switchwheel/types';
+import { type ZoneName, toZoneName } from '@switchwheel/types';
 import type { ReplicationSettings } from '@switchwheel/replicated-store';
 import type { SimStore } from '../cast/store.js';
 import type { Write } from '../world/world.js';
@@ -224,14 +224,14 @@
   new Set(holders(run, write).map((one) => one.area));
 
 void test('zones and regions are counted: a replacement stands where a copy is lacking', () => {
-  const regions = new Map<AreaName, string>(
+  const regions = new Map<ZoneName, string>(
     (['one', 'two', 'three', 'four'] as const).map((area) => [
-      toAreaName(area),
+      toZoneName(area),
       area === 'two' || area === 'three' ? 'east' : 'west',
     ]),
   );
-  const regionOf = (store: SimStore): string => regions.get(toAreaName(store.area)) ?? '';
-  for (const ofArea of [new Map<AreaName, string>(), regions])
+  const regionOf = (store: SimStore): string => regions.get(toZoneName(store.area)) ?? '';
+  for (const ofArea of [new Map<ZoneName, string>(), regions])
     for (const seed of seeds(4)) {
       const run = fleet(seed, 7, { copies: 2, failureDomains: { tolerate: 1, ofArea } });
       const primary = primaryOf(run);
@@ -247,8 +247,8 @@
 });
 
 void test('a domain that is lacking is not made up for by more copies in the others', () => {
-  const ofArea = new Map<AreaName, string>(
-    (['one', 'two', 'three', 'four'] as const).map((area) => [toAreaName(area), 'same']),
+  const ofArea = new Map<ZoneName, string>(
+    (['one', 'two', 'three', 'four'] as const).map((area) => [toZoneName(area), 'same']),
   );
   const run = fleet(5000, 6, { copies: 3, failureDomains: { tolerate: 1, ofArea } });
   // At first the operator names all stores; one loss later there are as many as are wanted.
--- a/packages/simulator/src/run/second-loss.test.ts
+++ b/packages/simulator/src/run/second-loss.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { type AreaName, toAreaName } from '@switchwheel/types';
+import { type ZoneName, toZoneName } from '@switchwheel/types';
 import type { ReplicationSettings } from '@switchwheel/replicated-store';
 import type { SimRegistry } from '../cast/registry.js';
 import type { SimStore } from '../cast/store.js';
@@ -262,20 +262,20 @@
   }
 });
 
-const zones: ReadonlyMap<AreaName, string> = new Map();
-const regions: ReadonlyMap<AreaName, string> = new Map(
-  [0, 1, 2, 3, 4, 5].map((at) => [toAreaName(`zone-${at}`), `region-${Math.floor(at / 2)}`]),
+const zones: ReadonlyMap<ZoneName, string> = new Map();
+const regions: ReadonlyMap<ZoneName, string> = new Map(
+  [0, 1, 2, 3, 4, 5].map((at) => [toZoneName(`zone-${at}`), `region-${Math.floor(at / 2)}`]),
 );
 
 /** Loses every machine of one domain. */
 const loseDomain = (
   core: Core,
   domain: string,
-  ofArea: ReadonlyMap<AreaName, string>,
+  ofArea: ReadonlyMap<ZoneName, string>,
   loss: Loss,
 ): readonly Machine[] => {
   const lost = core.machines.filter(
-    (one) => (ofArea.get(toAreaName(one.store.area)) ?? one.store.area) === domain,
+    (one) => (ofArea.get(toZoneName(one.store.area)) ?? one.store.area) === domain,
   );
   for (const one of lost) core.lose(one, loss);
   return lost;
--- a/packages/simulator/src/run/soak.ts
+++ b/packages/simulator/src/run/soak.ts
@@ -1,5 +1,5 @@
 import meow from 'meow';
-import { tally } from '@switchwheel/types';
+import { increment } from '@switchwheel/types';
 import { type HistoryPoint, historyPoints } from '../history/checker.js';
 import { type Trial, addCounts, trials } from '../rules/tried.js';
 import { type StormOptions, type StormReport, storm } from './storm.js';
@@ -85,10 +85,10 @@
   };
   const report = storm(options);
   addCounts(tried, report.tried);
-  for (const [point, many] of report.history) tally(historyTried, point, many);
+  for (const [point, many] of report.history) increment(historyTried, point, many);
   requests += report.requests;
   results += report.results;
-  for (const [name, many] of report.faults) tally(total, name, many);
+  for (const [name, many] of report.faults) increment(total, name, many);
   if (report.broken.length === 0) continue;
   failing += 1;
   say(`seed ${options.seed}, ${options.steps} steps:`);
--- a/packages/simulator/src/run/stage.ts
+++ b/packages/simulator/src/run/stage.ts
@@ -1,4 +1,4 @@
-import { tally as add, toServiceName } from '@switchwheel/types';
+import { increment as add, toServiceName } from '@switchwheel/types';
 import { SimCallers } from '../cast/callers.js';
 import { Ground } from '../fault/faults.js';
 import { Rules } from '../rules/rules.js';
--- a/packages/simulator/src/run/storm.test.ts
+++ b/packages/simulator/src/run/storm.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { tally } from '@switchwheel/types';
+import { increment } from '@switchwheel/types';
 import { type HistoryPoint, historyPoints, untestedPoints } from '../history/checker.js';
 import { type Trial, addCounts, untried } from '../rules/tried.js';
 import { seeds } from './stage.js';
@@ -65,7 +65,7 @@
   void test(`a storm of operators' orders beside ${name}: their history is linearizable`, () => {
     for (const seed of [540 + at, 640 + at, 740 + at]) {
       const report = storm({ seed, steps: 40, only: [...orders, ...only], skip: new Set() });
-      for (const [point, many] of report.history) tally(historyTried, point, many);
+      for (const [point, many] of report.history) increment(historyTried, point, many);
       assert.deepEqual(report.broken, []);
     }
   });
--- a/packages/simulator/src/run/storm.ts
+++ b/packages/simulator/src/run/storm.ts
@@ -1,4 +1,4 @@
-import { tally, toServiceName } from '@switchwheel/types';
+import { increment, toServiceName } from '@switchwheel/types';
 import { SimCallers } from '../cast/callers.js';
 import { type Fault, Ground, faults, numberedOrderFaults, pickFault } from '../fault/faults.js';
 import { type HistoryPoint, checkHistory } from '../history/checker.js';
@@ -86,7 +86,7 @@
     const fault = pickFault(ground, list);
     if (fault === undefined || options.skip.has(step)) continue;
     acted.push(step);
-    tally(counts, fault.name);
+    increment(counts, fault.name);
     fault.act(ground);
     if (rules.broken.length > 0) break;
   }
--- a/packages/simulator/src/scale/node.ts
+++ b/packages/simulator/src/scale/node.ts
@@ -1,4 +1,10 @@
-import { type Address, type Moment, type NodeId, type Store, toAreaName } from '@switchwheel/types';
+import {
+  type Address,
+  type Timestamp,
+  type NodeId,
+  type Store,
+  toZoneName,
+} from '@switchwheel/types';
 import type { Member, WireEvent } from '@switchwheel/transport';
 import { type Table, build, finish } from '@switchwheel/configuration';
 import {
@@ -48,7 +54,7 @@
     const member: Member = {
       node: this.node,
       role: 'edge',
-      area: toAreaName(this.area),
+      area: toZoneName(this.area),
       address: this.address,
       door: this.address,
       incarnation: this.incarnation,
@@ -65,7 +71,7 @@
     this.#store = undefined;
   }
 
-  event(make: (now: Moment) => WireEvent): void {
+  event(make: (now: Timestamp) => WireEvent): void {
     this.#store?.dispatch(make(this.clock));
   }
 
--- a/packages/simulator/src/scale/parts.ts
+++ b/packages/simulator/src/scale/parts.ts
@@ -1,5 +1,11 @@
 import { createHash } from 'node:crypto';
-import { type Moment, noSeq, toMoment, toServiceName, toSpan } from '@switchwheel/types';
+import {
+  type Timestamp,
+  noSeq,
+  toTimestamp,
+  toServiceName,
+  toDurationMs,
+} from '@switchwheel/types';
 import type { Service } from '@switchwheel/configuration';
 import { Edges, Quota, plainBounds } from '@switchwheel/routing';
 import { Cache } from '@switchwheel/proxy-core';
@@ -17,7 +23,7 @@
   waitlist: 256,
 };
 
-const newQuota = (many: number, now: Moment): Quota => {
+const newQuota = (many: number, now: Timestamp): Quota => {
   const edges = new Edges();
   edges.note(many, now);
   return new Quota(plainBounds, edges);
@@ -25,12 +31,12 @@
 
 /** What so many edges together let through after a long rest, and what they may. */
 export const quotaOf = (many: number): string => {
-  const quotas = Array.from({ length: many }, () => newQuota(many, toMoment(0)));
+  const quotas = Array.from({ length: many }, () => newQuota(many, toTimestamp(0)));
   for (const one of quotas) {
-    one.asked(name, toMoment(0));
-    one.wait(service, toMoment(0));
+    one.asked(name, toTimestamp(0));
+    one.wait(service, toTimestamp(0));
   }
-  const now = toMoment(restMs);
+  const now = toTimestamp(restMs);
   let extra = 0;
   for (const one of quotas) {
     one.asked(name, now);
@@ -38,7 +44,7 @@
   }
   let sent = 0;
   for (let at = restMs; at < restMs + plainBounds.ceilingWindowMs; at += 20) {
-    for (const one of quotas) while (one.wait(service, toMoment(at)) === 0) sent += 1;
+    for (const one of quotas) while (one.wait(service, toTimestamp(at)) === 0) sent += 1;
   }
   const mayExtra = Math.round(plainBounds.extraShare * many + plainBounds.extraSlack);
   const maySend = Math.round(
@@ -73,14 +79,14 @@
         fields,
         body: Buffer.alloc(0),
         digest,
-        born: toMoment(1000),
-        lifetime: toSpan(86_400_000),
+        born: toTimestamp(1000),
+        lifetime: toDurationMs(86_400_000),
         tags: [`t${at % 1000}`],
       },
       [],
       [],
       noSeq,
-      toMoment(1000),
+      toTimestamp(1000),
     );
   }
   globalThis.gc?.();
--- a/packages/simulator/src/world/actor.ts
+++ b/packages/simulator/src/world/actor.ts
@@ -1,12 +1,12 @@
 import {
   type Address,
   type Incarnation,
-  type Moment,
+  type Timestamp,
   type NodeId,
   type Store,
   createStore,
   toIncarnation,
-  toMoment,
+  toTimestamp,
 } from '@switchwheel/types';
 import {
   type Peer,
@@ -16,7 +16,7 @@
   decode,
   encode,
 } from '@switchwheel/transport';
-import type { Step } from '@switchwheel/types';
+import type { Transition } from '@switchwheel/types';
 import type { Agenda } from './agenda.js';
 import type { Chance } from './chance.js';
 import type { Tried } from '../rules/tried.js';
@@ -87,8 +87,8 @@
   }
 
   /** The time by this machine's own clock. */
-  get clock(): Moment {
-    return toMoment(this.#skew + this.stage.agenda.now * this.#rate);
+  get clock(): Timestamp {
+    return toTimestamp(this.#skew + this.stage.agenda.now * this.#rate);
   }
 
   get peer(): Peer {
@@ -206,10 +206,10 @@
 
   protected abstract boot(): void;
   protected abstract ended(): void;
-  abstract event(make: (now: Moment) => WireEvent): void;
+  abstract event(make: (now: Timestamp) => WireEvent): void;
 
   protected makeStore<S, E, F>(
-    reduce: (state: S, event: E) => Step<S, F>,
+    reduce: (state: S, event: E) => Transition<S, F>,
     first: S,
     run: (effect: F) => void,
   ): Store<S, E> {
--- a/packages/simulator/src/world/chance.ts
+++ b/packages/simulator/src/world/chance.ts
@@ -1,8 +1,8 @@
-import { type Dice, roll } from '@switchwheel/types';
+import { type RandomState, nextRandom } from '@switchwheel/types';
 
 /** The simulator's own chance: all of it from one seed. */
 export class Chance {
-  #dice: Dice;
+  #dice: RandomState;
 
   constructor(seed: number) {
     this.#dice = { seed: seed >>> 0 };
@@ -10,7 +10,7 @@
 
   /** From 0 up to 1. */
   next(): number {
-    const [value, dice] = roll(this.#dice);
+    const [value, dice] = nextRandom(this.#dice);
     this.#dice = dice;
     return value;
   }
--- a/packages/store/src/run-forms.test.ts
+++ b/packages/store/src/run-forms.test.ts
@@ -2,7 +2,7 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { test } from 'node:test';
-import { toAreaName, toNodeId } from '@switchwheel/types';
+import { toZoneName, toNodeId } from '@switchwheel/types';
 import {
   freeAddress,
   httpExchange,
@@ -21,7 +21,7 @@
   const store = await startStore(
     {
       node: toNodeId('s1'),
-      area: toAreaName('a'),
+      area: toZoneName('a'),
       listen: await freeAddress(),
       seeds: [],
       data: folder,
--- a/packages/store/src/run.ts
+++ b/packages/store/src/run.ts
@@ -1,6 +1,6 @@
 import {
   type Address,
-  type AreaName,
+  type ZoneName,
   type NodeId,
   toGeneration,
   totalViolations,
@@ -41,7 +41,7 @@
 /** What a store needs to know of its place. */
 export interface StoreBoot {
   readonly node: NodeId;
-  readonly area: AreaName;
+  readonly area: ZoneName;
   readonly listen: Address;
   readonly seeds: readonly Address[];
   readonly data: string;
--- a/packages/store/src/stored-data.test.ts
+++ b/packages/store/src/stored-data.test.ts
@@ -4,9 +4,9 @@
 import {
   type Address,
   toAddress,
-  toAreaName,
+  toZoneName,
   toIncarnation,
-  toMoment,
+  toTimestamp,
   toNodeId,
 } from '@switchwheel/types';
 import { bundleHash, hashOf } from '@switchwheel/configuration';
@@ -45,7 +45,7 @@
     {
       node: toNodeId('c1-store'),
       role: 'store',
-      area: toAreaName('north'),
+      area: toZoneName('north'),
       address: toAddress('127.0.0.1:1'),
       incarnation: toIncarnation(1),
     },
@@ -66,7 +66,7 @@
     withDataFolder(name, (folder) =>
       withDisk(folder, (disk) => {
         const found = findOn(disk);
-        const loaded = storeStep(startedStore(), { kind: 'read', now: toMoment(1), found });
+        const loaded = storeStep(startedStore(), { kind: 'read', now: toTimestamp(1), found });
         assert.equal(loaded.state.phase, 'member');
         assert.equal(loaded.state.trouble, '');
         assert.equal(loaded.state.mustWipe, false);
@@ -80,7 +80,7 @@
         const found = findOn(disk);
         const { control } = storeStep(startedStore(), {
           kind: 'read',
-          now: toMoment(1),
+          now: toTimestamp(1),
           found,
         }).state;
         assert.ok(control.stored !== undefined);
@@ -108,7 +108,7 @@
       const running = await startStore(
         {
           node: toNodeId('c1-store'),
-          area: toAreaName('north'),
+          area: toZoneName('north'),
           listen: anyPort,
           seeds: [],
           data: folder,
--- a/packages/switchwheel/src/command/show.ts
+++ b/packages/switchwheel/src/command/show.ts
@@ -1,4 +1,4 @@
-import { columns } from '@switchwheel/types';
+import { formatColumns } from '@switchwheel/types';
 
 /** Whether a value is an object that can be looked into. */
 export const isObject = (raw: unknown): raw is object => typeof raw === 'object' && raw !== null;
@@ -23,7 +23,7 @@
 
 /** Rows under headings, each column as wide as it must be. */
 export const table = (heads: readonly string[], rows: readonly (readonly string[])[]): string =>
-  columns([heads, ...rows]);
+  formatColumns([heads, ...rows]);
 
 const faultLines = (body: unknown): readonly string[] =>
   listAt(body, 'faults').map((one) => `  ${text(at(one, 'path'))}: ${text(at(one, 'text'))}`);
--- a/packages/transport/src/channel/channel.test.ts
+++ b/packages/transport/src/channel/channel.test.ts
@@ -4,7 +4,14 @@
 import { test } from 'node:test';
 import { Encoder } from 'cbor-x';
 import * as fc from 'fast-check';
-import { primary, toAddress, toEpoch, toHash, toIncarnation, toNodeId } from '@switchwheel/types';
+import {
+  primaryLease,
+  toAddress,
+  toEpoch,
+  toHash,
+  toIncarnation,
+  toNodeId,
+} from '@switchwheel/types';
 import { Channel, protocol } from './channel.js';
 import { FrameAge, frameLifetime, stampFrame } from './frame-age.js';
 import { FrameDecoder, encodeFrame } from './frame-decoder.js';
@@ -142,7 +149,7 @@
   });
   const handover = (epoch: number): Parameters<Channel['send']>[0] => ({
     kind: 'handover',
-    duty: primary,
+    duty: primaryLease,
     epoch: toEpoch(epoch),
   });
   one.on('up', () => {
--- a/packages/transport/src/channel/wire.ts
+++ b/packages/transport/src/channel/wire.ts
@@ -1,4 +1,4 @@
-import type { Address, Incarnation, Moment, NodeId } from '@switchwheel/types';
+import type { Address, Incarnation, Timestamp, NodeId } from '@switchwheel/types';
 import type { Frame } from '../frame/frame.js';
 
 /** Who is at the other end of a channel. */
@@ -10,14 +10,14 @@
 
 /** What reaches a machine from the outside, each with the time it is acted on. */
 export type WireEvent =
-  | { readonly kind: 'tick'; readonly now: Moment }
+  | { readonly kind: 'tick'; readonly now: Timestamp }
   | {
       readonly kind: 'frame';
-      readonly now: Moment;
+      readonly now: Timestamp;
       readonly from: Peer;
       readonly frame: Frame;
     }
-  | { readonly kind: 'gone'; readonly now: Moment; readonly address: Address };
+  | { readonly kind: 'gone'; readonly now: Timestamp; readonly address: Address };
 
 /** What every machine may ask of its shell. */
 export type WireEffect =
--- a/packages/transport/src/frame/control.ts
+++ b/packages/transport/src/frame/control.ts
@@ -35,7 +35,7 @@
 export type ClusterMetadata = v.InferOutput<typeof clusterMetadata>;
 
 export const grantRecord = v.object({
-  duty: g.duty,
+  duty: g.leaseName,
   epoch: g.epoch,
   node: g.nodeId,
   inSyncSet: v.array(g.nodeId),
@@ -48,7 +48,7 @@
   address: g.address,
   incarnation: g.incarnation,
   /** When the store said it, by its own clock. */
-  at: g.moment,
+  at: g.timestamp,
   metadata: clusterMetadata,
   offer: v.optional(offer),
   origins: v.array(origin),
@@ -59,7 +59,7 @@
     kind: kind('heartbeat'),
     member,
     seq: g.seq,
-    at: g.moment,
+    at: g.timestamp,
     report,
     bye: v.boolean(),
     held: v.array(holder),
@@ -69,27 +69,27 @@
   }),
   v.object({
     kind: kind('heartbeat-reply'),
-    at: g.moment,
+    at: g.timestamp,
     registry: g.nodeId,
     incarnation: g.incarnation,
     /** How old this registry's word of the primary is; absent when it has none that counts. */
-    age: v.optional(g.span),
+    age: v.optional(g.durationMs),
     epoch: g.epoch,
     offer: v.optional(offer),
     /** The newest confirmed generation, and how long ago this registry first heard of it. */
     newest: g.generation,
-    newestAge: g.span,
+    newestAge: g.durationMs,
     purges: v.array(purge),
     floor: g.seq,
     top: g.seq,
     verdicts: v.array(verdict),
     releases: v.array(releaseState),
     /** Duties whose lease this registry, as a voter, knows to be over. */
-    vacant: v.array(g.duty),
+    vacant: v.array(g.leaseName),
     electorate: v.optional(electorate),
     fleet: v.optional(g.fleetId),
   }),
-  v.object({ kind: kind('handover'), duty: g.duty, epoch: g.epoch }),
+  v.object({ kind: kind('handover'), duty: g.leaseName, epoch: g.epoch }),
   /** An origin leaves or is gone: a registry tells its peers, and each answers that it took the word. */
   v.object({ kind: kind('departure'), origin }),
   v.object({
@@ -113,21 +113,21 @@
     holders: v.array(holder),
     memories: v.array(grantRecord),
     recovering: v.boolean(),
-    at: g.moment,
+    at: g.timestamp,
     /** The newest gossip that the sender has from each registry, by that registry's own clock. */
-    heard: v.array(v.object({ node: g.nodeId, incarnation: g.incarnation, at: g.moment })),
+    heard: v.array(v.object({ node: g.nodeId, incarnation: g.incarnation, at: g.timestamp })),
     /** How old the sender's word of the primary is; absent when it has none that counts. */
-    feedAge: v.optional(g.span),
+    feedAge: v.optional(g.durationMs),
   }),
   v.object({
     kind: kind('vote-request'),
     fleet: g.fleetId,
     electorate,
-    duty: g.duty,
+    duty: g.leaseName,
     epoch: g.epoch,
     node: g.nodeId,
-    at: g.moment,
-    lease: g.span,
+    at: g.timestamp,
+    lease: g.durationMs,
     /** A sounding: asks what the vote would be and changes nothing. */
     preVote: v.boolean(),
     renew: v.boolean(),
@@ -141,19 +141,19 @@
   }),
   v.object({
     kind: kind('vote'),
-    duty: g.duty,
+    duty: g.leaseName,
     epoch: g.epoch,
     voter: g.nodeId,
     /** Which life of the voter's process votes. */
     life: g.incarnation,
-    at: g.moment,
+    at: g.timestamp,
     preVote: v.boolean(),
     granted: v.boolean(),
     recovering: v.boolean(),
     highest: g.epoch,
     electorate: v.optional(electorate),
     /** How long the lease that stands in the way still lasts. */
-    left: v.optional(g.span),
+    left: v.optional(g.durationMs),
   }),
   v.object({
     kind: kind('bootstrap'),
@@ -196,7 +196,7 @@
     /** Set once this store was asked to stop: its place among the copies goes to another. */
     leaving: v.optional(v.boolean()),
     digests: v.array(v.string()),
-    at: g.moment,
+    at: g.timestamp,
   }),
   v.object({
     kind: kind('range-listing'),
@@ -224,7 +224,7 @@
     registry: member,
     /** Whether its vote may be relied on: it remembers what it granted and is past its abstention. */
     voter: v.picklist(['ready', 'recovering', 'leaving']),
-    at: g.moment,
+    at: g.timestamp,
     epoch: g.epoch,
     serial: g.seq,
     purged: g.seq,
@@ -240,7 +240,7 @@
   }),
   v.object({
     kind: kind('feed'),
-    at: g.moment,
+    at: g.timestamp,
     epoch: g.epoch,
     serial: g.seq,
     desired: v.optional(
@@ -284,10 +284,10 @@
     good: v.number(),
     seen: v.number(),
     state: v.picklist(['trial', 'good', 'bad']),
-    at: g.moment,
+    at: g.timestamp,
     node: g.nodeId,
   }),
-  v.object({ kind: kind('tried'), verdict, at: g.moment }),
+  v.object({ kind: kind('tried'), verdict, at: g.timestamp }),
   /** Cumulative counts of an edge's life since it heard of the order; sent while one stands and its term is not over. */
   v.object({
     kind: kind('tally'),
@@ -301,6 +301,6 @@
     /** Requests under way at origins of other releases than the target. */
     inFlightOld: v.pipe(v.number(), v.integer(), v.minValue(0)),
     /** How much of the order's span is over by this edge's own clock; lets a new primary go on in time. */
-    spentMs: g.span,
+    spentMs: g.durationMs,
   }),
 ] as const;
--- a/packages/transport/src/frame/data.ts
+++ b/packages/transport/src/frame/data.ts
@@ -11,7 +11,7 @@
 /** A request on its way from an edge to a keeper. */
 export const ask = v.object({
   kind: kind('ask'),
-  id: g.askId,
+  id: g.requestId,
   service: g.serviceName,
   generation: g.generation,
   route: g.routeName,
@@ -28,7 +28,7 @@
   again: v.boolean(),
   /** Whether an earlier leg of it is known to have begun: this one counts as extra. */
   extra: v.boolean(),
-  left: g.span,
+  left: g.durationMs,
   /** The last purge the asking edge heard: nothing older may be told it. */
   purged: g.seq,
 });
@@ -38,11 +38,11 @@
   ask,
   v.object({
     kind: kind('result'),
-    id: g.askId,
+    id: g.requestId,
     status: v.number(),
     fields,
     length: v.optional(v.number()),
-    age: g.span,
+    age: g.durationMs,
     instance: v.optional(g.instanceId),
     release: v.optional(g.release),
     from: v.picklist(['origin', 'cache']),
@@ -50,17 +50,17 @@
     streamed: v.boolean(),
   }),
   /** The first leg of it goes out now. */
-  v.object({ kind: kind('begun'), id: g.askId }),
-  v.object({ kind: kind('chunk'), id: g.askId, bytes }),
-  v.object({ kind: kind('done'), id: g.askId, digest: v.string(), length: v.number() }),
+  v.object({ kind: kind('begun'), id: g.requestId }),
+  v.object({ kind: kind('chunk'), id: g.requestId, bytes }),
+  v.object({ kind: kind('done'), id: g.requestId, digest: v.string(), length: v.number() }),
   v.object({
     kind: kind('reject'),
-    id: g.askId,
-    errorKind: v.picklist(g.kinds),
+    id: g.requestId,
+    errorKind: v.picklist(g.errorKinds),
     text: v.string(),
     retryAfter: v.number(),
     moved: v.boolean(),
   }),
-  v.object({ kind: kind('quit'), id: g.askId }),
-  v.object({ kind: kind('credit'), id: g.askId, bytes: v.number() }),
+  v.object({ kind: kind('quit'), id: g.requestId }),
+  v.object({ kind: kind('credit'), id: g.requestId, bytes: v.number() }),
 ] as const;
--- a/packages/transport/src/frame/member.ts
+++ b/packages/transport/src/frame/member.ts
@@ -32,7 +32,7 @@
 export const member = v.object({
   node: g.nodeId,
   role,
-  area: g.areaName,
+  area: g.zoneName,
   address: g.address,
   door: v.optional(g.address),
   /** Where the operators' tools may look at its state. */
@@ -47,7 +47,7 @@
   report,
   registry: g.nodeId,
   seq: g.seq,
-  age: g.span,
+  age: g.durationMs,
   open: v.boolean(),
 });
 export type Session = v.InferOutput<typeof session>;
@@ -60,18 +60,18 @@
   release: g.release,
   slots: v.pipe(v.number(), v.integer(), v.minValue(1), v.maxValue(10000)),
   state: v.picklist(['up', 'leaving', 'gone']),
-  area: v.optional(g.areaName),
+  area: v.optional(g.zoneName),
   /** Grows with every word of the instance, so that a late one is known as such. */
   calls: v.optional(g.seq),
   /** For how long after this word it is slow, as it has just started. */
-  coldMs: v.optional(g.span),
-  age: g.span,
+  coldMs: v.optional(g.durationMs),
+  age: g.durationMs,
 });
 export type Origin = v.InferOutput<typeof origin>;
 
 /** Who holds a duty, by its own word after it won. */
 export const holder = v.object({
-  duty: g.duty,
+  duty: g.leaseName,
   epoch: g.epoch,
   node: g.nodeId,
   address: g.address,
@@ -133,7 +133,7 @@
   share,
   /** Classes with another share than that: each needs enough answers to be judged by. */
   shares: v.array(v.object({ group: v.string(), share })),
-  leftMs: g.span,
+  leftMs: g.durationMs,
   /** The number of the order: edges count anew with each. */
   order: g.seq,
   /** Grows with each change of the state; only the highest counts. */
--- a/packages/transport/src/frame/object.ts
+++ b/packages/transport/src/frame/object.ts
@@ -21,13 +21,13 @@
     target: v.string(),
     /** The request's fields on which the object may depend. */
     fields,
-    left: g.span,
+    left: g.durationMs,
   }),
   /** The object, with its age and the last purge that it is known to have outlived. */
   v.object({
     kind: kind('object'),
     id: requestId,
-    age: g.span,
+    age: g.durationMs,
     purged: g.seq,
     fields,
     body: bytes,
--- a/packages/types/src/failure/failure.ts
+++ b/packages/types/src/failure/failure.ts
@@ -1,5 +1,5 @@
 /** The closed list of what can go wrong, each with the answer it turns into. */
-export const kinds = [
+export const errorKinds = [
   'rejected',
   'unknown',
   'malformed',
@@ -15,7 +15,7 @@
   'foreign',
   'broken',
 ] as const;
-export type Kind = (typeof kinds)[number];
+export type ErrorKind = (typeof errorKinds)[number];
 
 /** How a kind is told to a caller or an operator. */
 export interface ErrorResponse {
@@ -26,7 +26,7 @@
   readonly retryAfter?: number;
 }
 
-const responses: ReadonlyMap<Kind, ErrorResponse> = new Map<Kind, ErrorResponse>([
+const responses: ReadonlyMap<ErrorKind, ErrorResponse> = new Map<ErrorKind, ErrorResponse>([
   ['rejected', { status: 503, unrun: true, retryAfter: 1 }],
   ['unknown', { status: 502, unrun: false }],
   ['slow', { status: 504, unrun: false }],
@@ -44,11 +44,11 @@
 ]);
 
 const worst: ErrorResponse = { status: 500, unrun: false };
-export const responseFor = (kind: Kind): ErrorResponse => responses.get(kind) ?? worst;
+export const responseFor = (kind: ErrorKind): ErrorResponse => responses.get(kind) ?? worst;
 
 /** One thing that went wrong. */
 export interface Failure {
-  readonly kind: Kind;
+  readonly kind: ErrorKind;
   readonly text: string;
 }
-export const failure = (kind: Kind, text: string): Failure => ({ kind, text });
+export const failure = (kind: ErrorKind, text: string): Failure => ({ kind, text });
--- a/packages/types/src/id/name.ts
+++ b/packages/types/src/id/name.ts
@@ -4,7 +4,7 @@
 /** The name of a node: one process of the fleet. */
 export type NodeId = Brand<string, 'NodeId'>;
 /** The name of an area (a zone of machines). */
-export type AreaName = Brand<string, 'AreaName'>;
+export type ZoneName = Brand<string, 'ZoneName'>;
 /** The name of a service that origins stand behind. */
 export type ServiceName = Brand<string, 'ServiceName'>;
 /** The name of a service class. */
@@ -16,7 +16,7 @@
 /** The id of a fleet, made once when it is founded. */
 export type FleetId = Brand<string, 'FleetId'>;
 /** A duty that one node does at a time: `primary` or `keeper:<service>`. */
-export type Duty = Brand<string, 'Duty'>;
+export type LeaseName = Brand<string, 'LeaseName'>;
 /** An IP number and a port. */
 export type Address = Brand<string, 'Address'>;
 /** The id an operator's call bears, so that asking twice is safe. */
@@ -26,7 +26,7 @@
 /** A version of an origin's program, as the origin names it. */
 export type Release = Brand<string, 'Release'>;
 /** The id of one request on its way through the fleet. */
-export type AskId = Brand<string, 'AskId'>;
+export type RequestId = Brand<string, 'RequestId'>;
 
 const word = /^[A-Za-z0-9][A-Za-z0-9._:@/+-]{0,127}$/;
 const plain = /^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$/;
@@ -37,16 +37,16 @@
 const isPlain = (raw: unknown): raw is string => typeof raw === 'string' && plain.test(raw);
 
 export const isNodeId = (raw: unknown): raw is NodeId => isPlain(raw);
-export const isAreaName = (raw: unknown): raw is AreaName => isPlain(raw);
+export const isZoneName = (raw: unknown): raw is ZoneName => isPlain(raw);
 export const isServiceName = (raw: unknown): raw is ServiceName => isPlain(raw);
 export const isClassName = (raw: unknown): raw is ClassName => isPlain(raw);
 export const isRouteName = (raw: unknown): raw is RouteName => isPlain(raw);
 export const isInstanceId = (raw: unknown): raw is InstanceId => isWord(raw);
 export const isFleetId = (raw: unknown): raw is FleetId => isWord(raw);
-export const isDuty = (raw: unknown): raw is Duty => isWord(raw);
+export const isLeaseName = (raw: unknown): raw is LeaseName => isWord(raw);
 export const isCallId = (raw: unknown): raw is CallId => isWord(raw);
 export const isRelease = (raw: unknown): raw is Release => isWord(raw);
-export const isAskId = (raw: unknown): raw is AskId => isWord(raw);
+export const isRequestId = (raw: unknown): raw is RequestId => isWord(raw);
 export const isHash = (raw: unknown): raw is Hash => typeof raw === 'string' && hex.test(raw);
 export const isAddress = (raw: unknown): raw is Address => {
   if (typeof raw !== 'string' || !spot.test(raw)) return false;
@@ -65,8 +65,8 @@
   isNodeId,
   'a node name: letters, digits, dot, dash, at most 64',
 );
-export const areaName = v.custom<AreaName>(
-  isAreaName,
+export const zoneName = v.custom<ZoneName>(
+  isZoneName,
   'an area name: letters, digits, dot, dash, at most 64',
 );
 export const serviceName = v.custom<ServiceName>(
@@ -86,10 +86,10 @@
   'an instance id of at most 128 plain signs',
 );
 export const fleetId = v.custom<FleetId>(isFleetId, 'a fleet id of at most 128 plain signs');
-export const duty = v.custom<Duty>(isDuty, 'a duty');
+export const leaseName = v.custom<LeaseName>(isLeaseName, 'a duty');
 export const callId = v.custom<CallId>(isCallId, 'a call id of at most 128 plain signs');
 export const release = v.custom<Release>(isRelease, 'a release of at most 128 plain signs');
-export const askId = v.custom<AskId>(isAskId, 'an ask id');
+export const requestId = v.custom<RequestId>(isRequestId, 'an ask id');
 export const hash = v.custom<Hash>(isHash, 'a SHA-256 in hex');
 export const address = v.custom<Address>(
   isAddress,
@@ -105,7 +105,7 @@
 
 /** For names the program itself makes; throws on a bad one, which is a mistake of the program. */
 export const toNodeId = need(isNodeId, 'a node name');
-export const toAreaName = need(isAreaName, 'an area name');
+export const toZoneName = need(isZoneName, 'an area name');
 export const toServiceName = need(isServiceName, 'a service name');
 export const toClassName = need(isClassName, 'a class name');
 export const toInstanceId = need(isInstanceId, 'an instance id');
@@ -113,9 +113,9 @@
 export const toAddress = need(isAddress, 'an address');
 export const toCallId = need(isCallId, 'a call id');
 export const toHash = need(isHash, 'a hash');
-export const toAskId = need(isAskId, 'an ask id');
+export const toRequestId = need(isRequestId, 'an ask id');
 export const toRelease = need(isRelease, 'a release');
-const toDuty = need(isDuty, 'a duty');
+const toLeaseName = need(isLeaseName, 'a duty');
 
-export const primary: Duty = toDuty('primary');
-export const keeperOf = (service: ServiceName): Duty => toDuty(`keeper:${service}`);
+export const primaryLease: LeaseName = toLeaseName('primary');
+export const serviceLeaseOf = (service: ServiceName): LeaseName => toLeaseName(`keeper:${service}`);
--- a/packages/types/src/store/store.ts
+++ b/packages/types/src/state-machine/store.ts
@@ -1,4 +1,4 @@
-import type { Step } from './step.js';
+import type { Transition } from './transition.js';
 
 /** Holds one state; every change of it goes through the reducer, every effect through the runner. */
 export interface Store<S, E> {
@@ -8,7 +8,7 @@
 
 /** A redux-like store with effects: events that effects raise at once wait their turn. */
 export const createStore = <S, E, F>(
-  reduce: (state: S, event: E) => Step<S, F>,
+  reduce: (state: S, event: E) => Transition<S, F>,
   first: S,
   run: (effect: F, dispatch: (event: E) => void) => void,
 ): Store<S, E> => {
--- a/packages/types/src/table/columns.ts
+++ b/packages/types/src/table/format-columns.ts
@@ -1,5 +1,5 @@
 /** Lines of cells as text, each column as wide as it must be. */
-export const columns = (lines: readonly (readonly string[])[]): string => {
+export const formatColumns = (lines: readonly (readonly string[])[]): string => {
   const wide = (lines[0] ?? []).map((_, column) =>
     Math.max(...lines.map((line) => line[column]?.length ?? 0)),
   );
