--- a/packages/store/src/stored-data.test.ts
+++ b/packages/store/src/stored-data.test.ts
@@ -105,6 +105,11 @@
 
   void test(`a store program starts on the data folder of the ${name} and has all of it`, () =>
     withDataFolder(name, async (folder) => {
+      // A store that fails while it starts keeps its sockets, and the test's process would never end.
+      await withDisk(folder, (disk) => {
+        const read = { kind: 'read', now: toMoment(1), found: findOn(disk) } as const;
+        assert.equal(storeStep(startedStore(), read).state.phase, 'member');
+      });
       const running = await startStore(
         {
           node: toNodeId('c1-store'),
