--- a/packages/config-import/src/index.ts
+++ b/packages/config-import/src/index.ts
@@ -1,2 +1,2 @@
-export * from './nginx/read.js';
-export * from './nginx/carry.js';
+export * from './nginx/parse.js';
+export * from './nginx/convert.js';
--- a/packages/config-import/src/nginx/carry.test.ts
+++ b/packages/config-import/src/nginx/convert.test.ts
@@ -4,9 +4,9 @@
 import { join } from 'node:path';
 import { test } from 'node:test';
 import { noGeneration } from '@switchwheel/types';
-import { build, cut, finish } from '@switchwheel/configuration';
-import { carry } from './carry.js';
-import { readNginx } from './read.js';
+import { buildConfiguration, splitIntoChunks, runToCompletion } from '@switchwheel/configuration';
+import { convertNginx } from './convert.js';
+import { readNginx } from './parse.js';
 
 const inFolder = (files: ReadonlyMap<string, string>, work: (main: string) => void): void => {
   const folder = mkdtempSync(join(tmpdir(), 'nginx-'));
@@ -50,23 +50,23 @@
     (file) => {
       const read = readNginx(file);
       assert.ok(read.isOk);
-      const { description, left } = carry(read.value);
-      const bundle = finish(cut(description)).unwrapOrElse((faults) =>
+      const { description, skipped } = convertNginx(read.value);
+      const bundle = runToCompletion(splitIntoChunks(description)).unwrapOrElse((faults) =>
         assert.fail(JSON.stringify(faults)),
       );
-      const table = finish(
-        build(
-          bundle.order.map((hash) => bundle.pieces.get(hash) ?? ''),
+      const table = runToCompletion(
+        buildConfiguration(
+          bundle.chunkHashes.map((hash) => bundle.chunks.get(hash) ?? ''),
           noGeneration,
           bundle.hash,
         ),
       ).unwrapOrElse((faults) => assert.fail(JSON.stringify(faults)));
       assert.deepEqual([...table.services.keys()], ['shop']);
-      const kept = [...table.tracks.values()].filter((one) => one.cache !== undefined);
+      const kept = [...table.routesByName.values()].filter((one) => one.cache !== undefined);
       assert.equal(kept.length, 4, 'two hosts, path and prefix');
       assert.ok(kept.every((one) => one.cache?.lifetimeMs === 600_000 && !one.methods.has('POST')));
-      assert.ok([...table.tracks.values()].some((one) => one.timeoutMs === 3000));
-      const told = left.map(
+      assert.ok([...table.routesByName.values()].some((one) => one.timeoutMs === 3000));
+      const told = skipped.map(
         (one) => `${one.file.slice(one.file.lastIndexOf('/') + 1)}:${one.line} ${one.name}`,
       );
       for (const line of [
--- a/packages/config-import/src/nginx/carry.ts
+++ b/packages/config-import/src/nginx/convert.ts
@@ -1,17 +1,17 @@
-import type { Directive } from './read.js';
+import type { Directive } from './parse.js';
 
 /** A directive that was not carried over, and why. */
-export interface Left {
+export interface SkippedDirective {
   readonly file: string;
   readonly line: number;
   readonly name: string;
-  readonly why: string;
+  readonly reason: string;
 }
 
 /** What an import came to. */
-export interface Carried {
+export interface ConversionResult {
   readonly description: object;
-  readonly left: readonly Left[];
+  readonly skipped: readonly SkippedDirective[];
 }
 
 const units: ReadonlyMap<string, number> = new Map([
@@ -22,19 +22,19 @@
   ['h', 3_600_000],
   ['d', 86_400_000],
 ]);
-const spanOf = (raw: string | undefined): number | undefined => {
+const durationMsOf = (raw: string | undefined): number | undefined => {
   const found = /^(\d+)(ms|s|m|h|d)?$/.exec(raw ?? '');
   return found === null ? undefined : Number(found[1]) * (units.get(found[2] ?? '') ?? 1000);
 };
-const nameOf = (raw: string): string =>
+const identifierOf = (raw: string): string =>
   raw
     .replace(/[^A-Za-z0-9._-]+/g, '-')
     .replace(/^[^A-Za-z0-9]+/, '')
     .slice(0, 60) || 'unnamed';
 
-const reading = ['GET', 'HEAD'] as const;
-const writing = ['POST', 'PUT', 'PATCH', 'DELETE', 'OPTIONS'] as const;
-const quiet: ReadonlySet<string> = new Set([
+const readMethods = ['GET', 'HEAD'] as const;
+const writeMethods = ['POST', 'PUT', 'PATCH', 'DELETE', 'OPTIONS'] as const;
+const structuralDirectives: ReadonlySet<string> = new Set([
   'events',
   'worker_processes',
   'user',
@@ -47,25 +47,25 @@
   'upstream',
 ]);
 
-interface Scope {
+interface InheritedSettings {
   readonly cache: boolean;
   readonly lifetimeMs: number | undefined;
   readonly timeoutMs: number | undefined;
   readonly query: boolean;
 }
 
-class Carrier {
-  readonly left: Left[] = [];
+class NginxConverter {
+  readonly skipped: SkippedDirective[] = [];
   readonly services = new Set<string>();
   readonly routes: object[] = [];
   readonly #names = new Map<string, number>();
 
-  leave(one: Directive, why: string): void {
-    this.left.push({
+  skip(one: Directive, why: string): void {
+    this.skipped.push({
       file: one.file,
       line: one.line,
       name: [one.name, ...one.args].join(' '),
-      why,
+      reason: why,
     });
   }
 
@@ -76,21 +76,22 @@
   }
 
   /** Settings that hold for what stands within. */
-  #scope(outer: Scope, list: readonly Directive[]): Scope {
+  #scope(outer: InheritedSettings, list: readonly Directive[]): InheritedSettings {
     let scope = outer;
     for (const one of list) {
       if (one.name === 'proxy_cache') scope = { ...scope, cache: one.args[0] !== 'off' };
       else if (one.name === 'proxy_read_timeout')
-        scope = { ...scope, timeoutMs: spanOf(one.args[0]) ?? scope.timeoutMs };
+        scope = { ...scope, timeoutMs: durationMsOf(one.args[0]) ?? scope.timeoutMs };
       else if (one.name === 'proxy_cache_valid') {
         const good = one.args.length === 1 || one.args.includes('200') || one.args.includes('any');
-        if (good) scope = { ...scope, lifetimeMs: spanOf(one.args.at(-1)) ?? scope.lifetimeMs };
-        else this.leave(one, 'one lifetime holds for all kept results');
+        if (good)
+          scope = { ...scope, lifetimeMs: durationMsOf(one.args.at(-1)) ?? scope.lifetimeMs };
+        else this.skip(one, 'one lifetime holds for all kept results');
       } else if (one.name === 'proxy_cache_key') {
         if (/\$(request_uri|args|is_args|query_string)/.test(one.args.join('')))
           scope = { ...scope, query: true };
         else if (/\$uri/.test(one.args.join(''))) scope = { ...scope, query: false };
-        else this.leave(one, 'keys are made of route, host, path and query');
+        else this.skip(one, 'keys are made of route, host, path and query');
       }
     }
     return scope;
@@ -120,14 +121,14 @@
       ].includes(one.name)
     )
       return;
-    if (quiet.has(one.name) && one.block === undefined) return;
-    this.leave(one, 'has no counterpart here');
+    if (structuralDirectives.has(one.name) && one.block === undefined) return;
+    this.skip(one, 'has no counterpart here');
   }
 
   #upstream(one: Directive): void {
-    this.services.add(nameOf(one.args[0] ?? ''));
+    this.services.add(identifierOf(one.args[0] ?? ''));
     for (const row of one.block ?? [])
-      this.leave(
+      this.skip(
         row,
         row.name === 'server'
           ? 'origins announce themselves; start them with their own announcements'
@@ -135,7 +136,7 @@
       );
   }
 
-  #server(one: Directive, outer: Scope): void {
+  #server(one: Directive, outer: InheritedSettings): void {
     const list = one.block ?? [];
     const scope = this.#scope(outer, list);
     const names = list.filter((row) => row.name === 'server_name').flatMap((row) => row.args);
@@ -144,22 +145,26 @@
       if (row.name === 'server_name') {
         for (const name of row.args)
           if (name !== '_' && !/^[a-z0-9.-]+$/.test(name))
-            this.leave(row, `the host ${name} is a pattern; name the hosts`);
+            this.skip(row, `the host ${name} is a pattern; name the hosts`);
       } else if (row.name === 'listen') {
         if (row.args.includes('ssl'))
-          this.leave(row, 'callers are spoken to over HTTP/1.1 without TLS');
+          this.skip(row, 'callers are spoken to over HTTP/1.1 without TLS');
       } else if (row.name === 'location')
         this.#location(row, scope, hosts.length === 0 ? [undefined] : hosts);
       else this.#other(row);
     }
   }
 
-  #location(one: Directive, outer: Scope, hosts: readonly (string | undefined)[]): void {
+  #location(
+    one: Directive,
+    outer: InheritedSettings,
+    hosts: readonly (string | undefined)[],
+  ): void {
     const list = one.block ?? [];
     const [sign, given] = one.args.length > 1 ? [one.args[0], one.args[1]] : ['', one.args[0]];
     const place = given ?? '';
     if (sign === '~' || sign === '~*' || place.startsWith('@') || !place.startsWith('/')) {
-      this.leave(
+      this.skip(
         one,
         'patterns and named locations have no counterpart; routes go by path or prefix',
       );
@@ -172,23 +177,23 @@
       else this.#other(row);
     }
     if (pass === undefined) {
-      if (!list.some((row) => row.name === 'location')) this.leave(one, 'no proxy_pass in it');
+      if (!list.some((row) => row.name === 'location')) this.skip(one, 'no proxy_pass in it');
       return;
     }
     const target = /^https?:\/\/([^/]+)(\/.*)?$/.exec(pass.args[0] ?? '');
     if (target === null || (pass.args[0] ?? '').includes('$')) {
-      this.leave(pass, 'the target is not a fixed one');
+      this.skip(pass, 'the target is not a fixed one');
       return;
     }
     if (target[2] !== undefined && target[2] !== place)
-      this.leave(pass, 'paths are handed on as they are; the change of path is left out');
-    const service = nameOf(target[1] ?? '');
+      this.skip(pass, 'paths are handed on as they are; the change of path is left out');
+    const service = identifierOf(target[1] ?? '');
     this.services.add(service);
     const only = list.find((row) => row.name === 'limit_except');
     const methods =
       only === undefined
-        ? [...reading, ...writing]
-        : [...new Set(only.args.flatMap((name) => (name === 'GET' ? [...reading] : [name])))];
+        ? [...readMethods, ...writeMethods]
+        : [...new Set(only.args.flatMap((name) => (name === 'GET' ? [...readMethods] : [name])))];
     const places =
       sign === '='
         ? [{ path: place }]
@@ -204,7 +209,7 @@
     host: string | undefined,
     service: string,
     methods: readonly string[],
-    scope: Scope,
+    scope: InheritedSettings,
     place: string,
   ): void {
     const base = {
@@ -216,7 +221,7 @@
         ? {}
         : { timeoutMs: Math.max(10, Math.min(600_000, scope.timeoutMs)) }),
     };
-    const name = (): string => this.#unique(nameOf(`${host ?? 'any'}${place}`));
+    const name = (): string => this.#unique(identifierOf(`${host ?? 'any'}${place}`));
     const keeps = scope.cache && methods.some((one) => one === 'GET' || one === 'HEAD');
     if (!keeps) {
       this.routes.push({ name: name(), ...base, methods });
@@ -237,11 +242,11 @@
 }
 
 /** Turns directives into a description; what has no counterpart is listed. */
-export const carry = (list: readonly Directive[]): Carried => {
-  const carrier = new Carrier();
+export const convertNginx = (list: readonly Directive[]): ConversionResult => {
+  const carrier = new NginxConverter();
   for (const one of list) {
     if (one.name === 'http') carrier.http(one.block ?? []);
-    else if (!quiet.has(one.name)) carrier.leave(one, 'has no counterpart here');
+    else if (!structuralDirectives.has(one.name)) carrier.skip(one, 'has no counterpart here');
   }
   return {
     description: {
@@ -250,7 +255,7 @@
       services: [...carrier.services].map((name) => ({ name })),
       routes: carrier.routes,
     },
-    left: [...carrier.left].sort((one, two) =>
+    skipped: [...carrier.skipped].sort((one, two) =>
       one.file === two.file ? one.line - two.line : one.file < two.file ? -1 : 1,
     ),
   };
--- a/packages/config-import/src/nginx/read.ts
+++ b/packages/config-import/src/nginx/parse.ts
@@ -13,7 +13,7 @@
 }
 
 /** What made a file unreadable, and where. */
-export interface Unread {
+export interface NginxReadError {
   readonly file: string;
   readonly line: number;
   readonly text: string;
@@ -77,7 +77,7 @@
 const argsOf = (value: string): readonly string[] =>
   [...value.matchAll(/"([^"]*)"|'([^']*)'|\S+/g)].map((found) => found[1] ?? found[2] ?? found[0]);
 
-const endsTooEarly = (text: string): boolean => {
+const blocksAreClosed = (text: string): boolean => {
   try {
     new NginxParser().parse(`${text}\n}\nend;`);
     return false;
@@ -86,14 +86,21 @@
   }
 };
 
-const parse = (file: string, text: string): Result<readonly Directive[], Unread> => {
+const parseDirectives = (
+  file: string,
+  text: string,
+): Result<readonly Directive[], NginxReadError> => {
   const parser = new PlacedParser(text);
-  const fail = (line: number, why: string): Result<readonly Directive[], Unread> =>
+  const fail = (line: number, why: string): Result<readonly Directive[], NginxReadError> =>
     err({ file, line, text: why });
-  let result: Result<readonly Directive[], Unread> = err({ file, line: 1, text: 'nothing in it' });
+  let result: Result<readonly Directive[], NginxReadError> = err({
+    file,
+    line: 1,
+    text: 'nothing in it',
+  });
   try {
     // The library does not mind a block that is left open: where all are closed, one more closing brace is one too many.
-    if (!endsTooEarly(text)) return fail(text.split('\n').length, 'a block is not closed');
+    if (!blocksAreClosed(text)) return fail(text.split('\n').length, 'a block is not closed');
     parser.parse(text, (fault, tree) => {
       if (fault !== null || tree === undefined) {
         const line =
@@ -123,7 +130,7 @@
   return result;
 };
 
-const filesOf = (base: string, pattern: string): readonly string[] => {
+const includedFiles = (base: string, pattern: string): readonly string[] => {
   const full = isAbsolute(pattern) ? pattern : join(dirname(base), pattern);
   if (!pattern.includes('*')) return [full];
   const name = new RegExp(
@@ -148,7 +155,7 @@
   file: string,
   from: Pick<Directive, 'file' | 'line'> = { file, line: 1 },
   depth = 0,
-): Result<readonly Directive[], Unread> => {
+): Result<readonly Directive[], NginxReadError> => {
   if (depth > maxDepth) return err({ ...from, text: 'includes go too deep' });
   let text: string;
   try {
@@ -159,25 +166,25 @@
       text: depth === 0 ? "the file can't be read" : `the included file ${file} can't be read`,
     });
   }
-  const parsed = parse(file, text);
-  return parsed.isErr ? parsed : expand(parsed.value, depth);
+  const parsed = parseDirectives(file, text);
+  return parsed.isErr ? parsed : expandIncludes(parsed.value, depth);
 };
 
-const expand = (
+const expandIncludes = (
   list: readonly Directive[],
   depth: number,
-): Result<readonly Directive[], Unread> => {
+): Result<readonly Directive[], NginxReadError> => {
   const out: Directive[] = [];
   for (const one of list) {
     if (one.name === 'include') {
-      for (const file of filesOf(one.file, one.args[0] ?? '')) {
+      for (const file of includedFiles(one.file, one.args[0] ?? '')) {
         const inner = readNginx(file, one, depth + 1);
         if (inner.isErr) return inner;
         out.push(...inner.value);
       }
     } else if (one.block === undefined) out.push(one);
     else {
-      const block = expand(one.block, depth);
+      const block = expandIncludes(one.block, depth);
       if (block.isErr) return block;
       out.push({ ...one, block: block.value });
     }
--- a/packages/configuration/src/description/patch.test.ts
+++ b/packages/configuration/src/compiled/patch.test.ts
@@ -2,9 +2,9 @@
 import { test } from 'node:test';
 import * as fc from 'fast-check';
 import { noGeneration } from '@switchwheel/types';
-import { build, cut } from './piece.js';
-import { finish } from './compile.js';
-import type { Table } from './table.js';
+import { buildConfiguration, splitIntoChunks } from '../document/chunks.js';
+import { runToCompletion } from './compile.js';
+import type { CompiledConfiguration } from './compiled-configuration.js';
 
 interface Row {
   readonly name: string;
@@ -32,14 +32,14 @@
 
 const made = (
   rows: readonly Row[],
-  before?: Table,
-): ReturnType<typeof build> extends Generator<undefined, infer T> ? T : never => {
-  const bundle = finish(cut(describe(rows))).unwrapOrElse((faults) => {
+  before?: CompiledConfiguration,
+): ReturnType<typeof buildConfiguration> extends Generator<undefined, infer T> ? T : never => {
+  const bundle = runToCompletion(splitIntoChunks(describe(rows))).unwrapOrElse((faults) => {
     throw new Error(JSON.stringify(faults));
   });
-  return finish(
-    build(
-      bundle.order.map((hash) => bundle.pieces.get(hash) ?? ''),
+  return runToCompletion(
+    buildConfiguration(
+      bundle.chunkHashes.map((hash) => bundle.chunks.get(hash) ?? ''),
       noGeneration,
       bundle.hash,
       before,
@@ -110,24 +110,24 @@
             );
             return;
           }
-          const shared = [...onTop.value.portions.values()].filter((one) =>
-            [...before.portions.values()].includes(one),
+          const shared = [...onTop.value.routesByChunk.values()].filter((one) =>
+            [...before.routesByChunk.values()].includes(one),
           ).length;
           if (shared > 0) patched += 1;
           for (const part of [
-            'tracks',
-            'exact',
-            'prefix',
-            'meeting',
-            'routes',
+            'routesByName',
+            'exactRoutes',
+            'prefixRoutes',
+            'classesByService',
+            'routeCount',
             'services',
-            'groups',
+            'classes',
           ] as const)
             assert.deepEqual(onTop.value[part], alone.value[part], part);
           before = onTop.value;
         }
         // What was taken over is as it was.
-        assert.deepEqual(first.value.tracks.size, base.length);
+        assert.deepEqual(first.value.routesByName.size, base.length);
       },
     ),
     { seed: 11, numRuns: 30 },
--- a/packages/configuration/src/control/stored-rows.test.ts
+++ b/packages/configuration/src/control-state/stored-rows.test.ts
@@ -6,7 +6,14 @@
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
 import * as v from 'valibot';
-import { type Control, absorb, absorbAll, keyOf, noControl, write } from './control.js';
+import {
+  type ControlState,
+  applyPut,
+  applyPuts,
+  controlKeys,
+  emptyControlState,
+  putRecord,
+} from './control-state.js';
 
 const rowForm = v.strictObject({
   key: v.string(),
@@ -25,27 +32,33 @@
 
 const members = v.record(v.string(), v.unknown());
 
-const load = (key: string, value: unknown): Control =>
-  absorb(noControl, { key, data: JSON.stringify(value) });
+const load = (key: string, value: unknown): ControlState =>
+  applyPut(emptyControlState, { key, data: JSON.stringify(value) });
 
 /** The rows that a control state writes, by key: chunks are texts of their own. */
-const rowsOf = (control: Control): Readonly<Record<string, unknown>> => {
+const rowsOf = (control: ControlState): Readonly<Record<string, unknown>> => {
   const puts = [
-    ...(control.stored === undefined ? [] : [write(keyOf.stored, control.stored)]),
-    ...[...control.nodes].map(([node, row]) => write(keyOf.node(node), row)),
-    ...[...control.rollouts].map(([generation, row]) => write(keyOf.rollout(generation), row)),
+    ...(control.configuration === undefined
+      ? []
+      : [putRecord(controlKeys.stored, control.configuration)]),
+    ...[...control.nodes].map(([node, row]) => putRecord(controlKeys.node(node), row)),
+    ...[...control.rollouts].map(([generation, row]) =>
+      putRecord(controlKeys.rollout(generation), row),
+    ),
     ...[...control.targets.values()].map((row) =>
-      write(keyOf.target(row.generation, row.node), row),
+      putRecord(controlKeys.target(row.generation, row.node), row),
+    ),
+    ...control.purges.map((row) => putRecord(controlKeys.purge(row.seq), row)),
+    ...[...control.canaryResults.values()].map((row) =>
+      putRecord(controlKeys.verdict(row.service, row.release), row),
     ),
-    ...control.purges.map((row) => write(keyOf.purge(row.seq), row)),
-    ...[...control.verdicts.values()].map((row) =>
-      write(keyOf.verdict(row.service, row.release), row),
+    ...[...control.releases].map(([service, row]) => putRecord(controlKeys.release(service), row)),
+    ...[...control.origins].map(([instance, row]) => putRecord(controlKeys.origin(instance), row)),
+    ...[...control.commandOutcomes].map(([id, row]) => putRecord(controlKeys.call(id), row)),
+    ...[...control.hashByGeneration].map(([number, hash]) =>
+      putRecord(controlKeys.number(number), { hash }),
     ),
-    ...[...control.releases].map(([service, row]) => write(keyOf.release(service), row)),
-    ...[...control.origins].map(([instance, row]) => write(keyOf.origin(instance), row)),
-    ...[...control.calls].map(([id, row]) => write(keyOf.call(id), row)),
-    ...[...control.numbers].map(([number, hash]) => write(keyOf.number(number), { hash })),
-    ...[...control.pieces].map(([hash, data]) => ({ key: keyOf.piece(hash), data })),
+    ...[...control.chunks].map(([hash, data]) => ({ key: controlKeys.piece(hash), data })),
   ];
   return Object.fromEntries(puts.map(({ key, data }) => [key, JSON.parse(data ?? 'null')]));
 };
@@ -87,8 +100,8 @@
 const isParsed = (row: StoredRow): boolean => !row.key.startsWith('piece/');
 
 void test('rows of all families are loaded and written again as they were', () => {
-  const control = absorbAll(
-    noControl,
+  const control = applyPuts(
+    emptyControlState,
     rows.map(({ key, value }) => ({ key, data: JSON.stringify(value) })),
   );
   assert.deepEqual(rowsOf(control), Object.fromEntries(rows.map(({ key, value }) => [key, value])));
--- a/packages/configuration/src/description/check.ts
+++ b/packages/configuration/src/document/checks.ts
@@ -1,24 +1,31 @@
 import type { ClassName, ServiceName } from '@switchwheel/types';
-import { type Fault, fault } from './fault.js';
-import type { Group, Head } from './schema.js';
+import { type ValidationIssue, validationIssue } from './validation-issue.js';
+import type { ServiceClass, ConfigurationHeader } from './schema.js';
 
-const twice = (list: readonly { readonly name: string }[], at: string, faults: Fault[]): void => {
+const checkUniqueNames = (
+  list: readonly { readonly name: string }[],
+  at: string,
+  faults: ValidationIssue[],
+): void => {
   const seen = new Map<string, number>();
   for (const [index, one] of list.entries()) {
     const first = seen.get(one.name);
     if (first === undefined) seen.set(one.name, index);
     else
       faults.push(
-        fault(`${at}.${index}.name`, `the name ${one.name} is also that of ${at}.${first}`),
+        validationIssue(
+          `${at}.${index}.name`,
+          `the name ${one.name} is also that of ${at}.${first}`,
+        ),
       );
   }
 };
 
 /** Rings of lending in which some lender would wait for answers longer than its promise. */
-const rings = (
-  groups: ReadonlyMap<ClassName, Group>,
-  order: readonly Group[],
-  faults: Fault[],
+const checkLendingCycles = (
+  groups: ReadonlyMap<ClassName, ServiceClass>,
+  order: readonly ServiceClass[],
+  faults: ValidationIssue[],
 ): void => {
   const reach = (
     from: ClassName,
@@ -44,7 +51,7 @@
     if (slow !== undefined) {
       const long = groups.get(slow)?.latencyMs;
       faults.push(
-        fault(
+        validationIssue(
           `classes.${index}.lendsTo`,
           `the ring ${ring.join(' > ')} breaks the promise of ${one.latencyMs} ms: ${slow} ${long === undefined ? 'promises nothing' : `takes up to ${long} ms`}`,
         ),
@@ -54,37 +61,45 @@
 };
 
 /** Checks the head against itself. */
-export const checkHead = (head: Head, faults: Fault[]): void => {
-  twice(head.classes, 'classes', faults);
-  twice(head.services, 'services', faults);
+export const checkHeader = (head: ConfigurationHeader, faults: ValidationIssue[]): void => {
+  checkUniqueNames(head.classes, 'classes', faults);
+  checkUniqueNames(head.services, 'services', faults);
   const groups = new Map(head.classes.map((one) => [one.name, one]));
   for (const [index, one] of head.classes.entries()) {
     for (const [place, name] of one.lendsTo.entries()) {
       if (!groups.has(name))
-        faults.push(fault(`classes.${index}.lendsTo.${place}`, `no class is named ${name}`));
+        faults.push(
+          validationIssue(`classes.${index}.lendsTo.${place}`, `no class is named ${name}`),
+        );
       else if (name === one.name)
-        faults.push(fault(`classes.${index}.lendsTo.${place}`, 'a class does not lend to itself'));
+        faults.push(
+          validationIssue(`classes.${index}.lendsTo.${place}`, 'a class does not lend to itself'),
+        );
     }
   }
-  rings(groups, head.classes, faults);
+  checkLendingCycles(groups, head.classes, faults);
   const policy = head.rollout;
   if ((policy.waves.length - 1) * policy.gateMs > 500)
-    faults.push(fault('rollout.gateMs', 'the gates of all waves may take 500 ms at most'));
+    faults.push(
+      validationIssue('rollout.gateMs', 'the gates of all waves may take 500 ms at most'),
+    );
   if (policy.waves.at(-1) !== 1)
-    faults.push(fault('rollout.waves', 'the last wave reaches all nodes: its share is 1'));
+    faults.push(
+      validationIssue('rollout.waves', 'the last wave reaches all nodes: its share is 1'),
+    );
 };
 
 /** The shares of the classes that meet at one service may not be more than the whole. */
-export const checkShares = (
+export const checkClassShares = (
   used: ReadonlyMap<ServiceName, ReadonlySet<ClassName>>,
-  groups: ReadonlyMap<ClassName, Group>,
-  faults: Fault[],
+  groups: ReadonlyMap<ClassName, ServiceClass>,
+  faults: ValidationIssue[],
 ): void => {
   for (const [service, names] of used) {
     const sum = [...names].reduce((total, name) => total + (groups.get(name)?.share ?? 0), 0);
     if (sum > 1 + 1e-9)
       faults.push(
-        fault(
+        validationIssue(
           'classes',
           `at the service ${service} the shares of ${[...names].join(', ')} add up to ${sum.toFixed(3)}, over the whole`,
         ),
--- a/packages/configuration/src/description/configuration-schemas.test.ts
+++ b/packages/configuration/src/document/configuration-schemas.test.ts
@@ -6,7 +6,7 @@
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
 import { outlineSchemas } from '@switchwheel/types/testing';
-import { releaseOrder } from '../release/order.js';
+import { releaseRollout } from '../release/release-rollout.js';
 import * as schemas from './schema.js';
 
 const fixture: unknown = JSON.parse(
@@ -15,14 +15,14 @@
 
 void test('configurations and release orders have the form that disks and operators know', () => {
   const outlines = outlineSchemas({
-    configurationHead: schemas.head,
-    serviceClass: schemas.group,
+    configurationHead: schemas.configurationHeader,
+    serviceClass: schemas.serviceClass,
     service: schemas.service,
     route: schemas.route,
-    cachePolicy: schemas.keep,
+    cachePolicy: schemas.cachePolicy,
     rolloutPolicy: schemas.policy,
-    callerLimits: schemas.limits,
-    releaseOrder,
+    callerLimits: schemas.clientLimits,
+    releaseOrder: releaseRollout,
   });
   assert.deepEqual(outlines, fixture);
 });
--- a/packages/configuration/src/release/choose.ts
+++ b/packages/configuration/src/release/pick-release.ts
@@ -1,12 +1,12 @@
 import type { Release } from '@switchwheel/types';
-import type { ReleaseState } from '@switchwheel/transport';
+import type { RolloutState } from '@switchwheel/transport';
 
 /** The share of a class's requests that go to the release on trial. */
-export const shareOf = (state: ReleaseState, group: string): number =>
+export const canaryShareOf = (state: RolloutState, group: string): number =>
   state.shares.find((one) => one.group === group)?.share ?? state.share;
 
-const wanted = (
-  state: ReleaseState,
+const preferredRelease = (
+  state: RolloutState,
   group: string,
   chance: number,
   fresh: boolean,
@@ -16,7 +16,7 @@
     case 'bad':
       return state.settled;
     case 'trial':
-      return fresh && chance < shareOf(state, group) ? state.target : state.settled;
+      return fresh && chance < canaryShareOf(state, group) ? state.target : state.settled;
     case 'moving':
     case 'good':
       return state.target;
@@ -28,8 +28,8 @@
  * that is not on trial, else the one on trial. Nothing goes to a bad one. `chance` is a throw of the dice; `fresh` tells
  * whether the word of the primary is new enough for a trial: an old share may be one that was long withdrawn.
  */
-export const chooseRelease = (
-  state: ReleaseState | undefined,
+export const pickRelease = (
+  state: RolloutState | undefined,
   standing: ReadonlySet<Release>,
   group: string,
   chance: number,
@@ -37,7 +37,7 @@
 ): Release | undefined => {
   const first = [...standing][0];
   if (state === undefined) return first;
-  const want = wanted(state, group, chance, fresh);
+  const want = preferredRelease(state, group, chance, fresh);
   if (want !== undefined && standing.has(want)) return want;
   if (state.settled !== undefined && standing.has(state.settled)) return state.settled;
   const other = [...standing].find((one) => one !== state.target);
--- a/packages/configuration/src/release/release.test.ts
+++ b/packages/configuration/src/release/release-rollout.test.ts
@@ -14,19 +14,19 @@
   toRelease,
   toDurationMs,
 } from '@switchwheel/types';
-import type { FrameOf, ReleaseState, TallyRow } from '@switchwheel/transport';
-import { chooseRelease } from './choose.js';
-import { advance } from './machine.js';
+import type { FrameOf, RolloutState, ReleaseCountsRow } from '@switchwheel/transport';
+import { pickRelease } from './pick-release.js';
+import { advanceReleaseRollout } from './rollout-controller.js';
 import {
-  type Ordered,
-  type ReleaseOrder,
-  counts,
-  order,
+  type RolloutRequestResult,
+  type ReleaseRollout,
+  needsCounts,
+  requestReleaseRollout,
   releaseStateOf,
-  settledOn,
-} from './order.js';
+  settledRollout,
+} from './release-rollout.js';
 import { releaseSettings } from './settings.js';
-import { type Watch, spentAt, takeTally, watch } from './tally.js';
+import { type RolloutWatch, elapsedAt, recordCounts, newRolloutWatch } from './canary-counts.js';
 
 const service = v.parse(serviceName, 'shop');
 const old = toRelease('r1');
@@ -57,7 +57,7 @@
 }
 
 interface Outcome {
-  readonly order: ReleaseOrder;
+  readonly order: ReleaseRollout;
   readonly total: number;
   readonly exposed: number;
   readonly judgedMs: number;
@@ -77,7 +77,7 @@
 }
 interface SimEdge {
   incarnation: number;
-  state: ReleaseState;
+  state: RolloutState;
   heard: number;
   /** When the order began by this edge's clock. */
   since: number;
@@ -89,7 +89,7 @@
 const usualMs = 80;
 const stepMs = 5;
 
-const openedOrder = (one: Ordered): ReleaseOrder => {
+const openedOrder = (one: RolloutRequestResult): ReleaseRollout => {
   if (one.kind !== 'opened') throw new Error(`not opened: ${one.kind}`);
   return one.order;
 };
@@ -108,8 +108,10 @@
     if (list === undefined) queue.set(turn, [run]);
     else list.push(run);
   };
-  let stored = openedOrder(order(settledOn(service, old), old, fresh, scene.spanMs, 0));
-  let known: Watch | undefined = watch(stored.order, 0, toTimestamp(0));
+  let stored = openedOrder(
+    requestReleaseRollout(settledRollout(service, old), old, fresh, scene.spanMs, 0),
+  );
+  let known: RolloutWatch | undefined = newRolloutWatch(stored.order, 0, toTimestamp(0));
   let writing = false;
   let writes = 0;
   let judgedMs = NaN;
@@ -129,14 +131,14 @@
   const stands = new Set(standing.keys());
   const edges: SimEdge[] = Array.from({ length: edgesMany }, () => ({
     incarnation: 1,
-    state: releaseStateOf(settledOn(service, old), 0),
+    state: releaseStateOf(settledRollout(service, old), 0),
     heard: 0,
     since: 0,
     rows: new Map(),
     under: 0,
   }));
 
-  const hear = (edge: SimEdge, word: ReleaseState): void => {
+  const hear = (edge: SimEdge, word: RolloutState): void => {
     edge.heard = now;
     if (word.serial <= edge.state.serial) return;
     if (word.order !== edge.state.order) {
@@ -148,19 +150,20 @@
   const push = (most: number): void => {
     const word = releaseStateOf(
       stored,
-      known === undefined ? stored.spentMs : spentAt(known, toTimestamp(now)),
+      known === undefined ? stored.spentMs : elapsedAt(known, toTimestamp(now)),
     );
     for (const edge of edges) later(now + 10 + chance() * most, () => hear(edge, word));
   };
   const consider = (): void => {
-    if (known === undefined || writing || !counts(stored, spentAt(known, toTimestamp(now)))) return;
-    const next = advance(stored, known, standing, toTimestamp(now), releaseSettings);
+    if (known === undefined || writing || !needsCounts(stored, elapsedAt(known, toTimestamp(now))))
+      return;
+    const next = advanceReleaseRollout(stored, known, standing, toTimestamp(now), releaseSettings);
     if (next === stored) return;
     writing = true;
-    const own = known.opened;
+    const own = known.watchedSince;
     later(now + 10 + chance() * 20, () => {
       writing = false;
-      if (known?.opened !== own) return;
+      if (known?.watchedSince !== own) return;
       if (next.phase === 'good' && stored.phase !== 'good') cutOff = atOld;
       if (next.phase !== stored.phase && (next.phase === 'good' || next.phase === 'bad'))
         judgedMs = now;
@@ -208,7 +211,7 @@
   const request = (edge: SimEdge): void => {
     const group = chance() < 0.2 ? 'b' : 'a';
     const release =
-      chooseRelease(edge.state, stands, group, chance(), now - edge.heard < 1500) ?? old;
+      pickRelease(edge.state, stands, group, chance(), now - edge.heard < 1500) ?? old;
     const key = `${release} ${group}`;
     const row = edge.rows.get(key) ?? { sent: 0, good: 0, bad: 0, slow: 0, sumMs: 0 };
     row.sent += 1;
@@ -220,7 +223,7 @@
     if (release === fresh && now > badAt) after50 = now - badAt;
     answer(edge, release, group, now);
   };
-  const rowOf = ([key, row]: readonly [string, EdgeCount]): TallyRow => {
+  const rowOf = ([key, row]: readonly [string, EdgeCount]): ReleaseCountsRow => {
     const [release = '', group = ''] = key.split(' ');
     return { release: toRelease(release), group, ...row };
   };
@@ -239,7 +242,7 @@
     };
     later(now + 5 + chance() * 30, () => {
       if (known === undefined) return;
-      known = takeTally(known, word, toTimestamp(now));
+      known = recordCounts(known, word, toTimestamp(now));
       consider();
     });
   };
@@ -251,7 +254,7 @@
     if (scene.lossAt !== undefined && now === scene.lossAt) known = undefined;
     if (scene.lossAt !== undefined && now === scene.lossAt + 1200) {
       writing = false;
-      known = watch(stored.order, stored.spentMs, toTimestamp(now));
+      known = newRolloutWatch(stored.order, stored.spentMs, toTimestamp(now));
     }
     if (scene.edgeLossAt !== undefined && now === scene.edgeLossAt) {
       for (const edge of edges.slice(0, 3))
@@ -260,7 +263,7 @@
           rows: new Map(),
           under: 0,
           since: now,
-          state: releaseStateOf(settledOn(service, old), 0),
+          state: releaseStateOf(settledRollout(service, old), 0),
         });
     }
     if (known !== undefined && now % 50 === 0) consider();
@@ -394,13 +397,13 @@
       fc.boolean(),
       (settled, target, is, share, chance, all, isFresh) => {
         const state = {
-          ...releaseStateOf(settledOn(service, settled), 0),
+          ...releaseStateOf(settledRollout(service, settled), 0),
           target,
           phase: is,
           share,
         };
         const standing = new Set(all);
-        const chosen = chooseRelease(state, standing, 'a', chance, isFresh);
+        const chosen = pickRelease(state, standing, 'a', chance, isFresh);
         const barred = is === 'bad' && settled !== target ? target : undefined;
         const open = all.filter((one) => one !== barred);
         assert.equal(chosen === undefined, open.length === 0);
@@ -418,15 +421,20 @@
 });
 
 void test('the same order repeated changes nothing, another one waits while one is under way', () => {
-  const first = openedOrder(order(settledOn(service, old), old, fresh, 16_000, 0));
-  assert.equal(order(first, old, fresh, 9000, 500).kind, 'stands');
-  assert.equal(order(first, old, toRelease('r3'), 9000, 500).kind, 'busy');
-  const bad: ReleaseOrder = { ...first, phase: 'bad', spentMs: 4000 };
-  assert.equal(order(bad, old, fresh, 16_000, 4000).kind, 'stands');
+  const first = openedOrder(
+    requestReleaseRollout(settledRollout(service, old), old, fresh, 16_000, 0),
+  );
+  assert.equal(requestReleaseRollout(first, old, fresh, 9000, 500).kind, 'stands');
+  assert.equal(requestReleaseRollout(first, old, toRelease('r3'), 9000, 500).kind, 'busy');
+  const bad: ReleaseRollout = { ...first, phase: 'bad', spentMs: 4000 };
+  assert.equal(requestReleaseRollout(bad, old, fresh, 16_000, 4000).kind, 'stands');
   // Its term is over, but who did not hear the answer may still send it again.
-  assert.equal(order(bad, old, fresh, 16_000, 17_000).kind, 'stands');
-  assert.equal(order(bad, old, fresh, 16_000, releaseSettings.repeatMs + 1).kind, 'opened');
-  const third = order(bad, old, toRelease('r3'), 16_000, 4000);
+  assert.equal(requestReleaseRollout(bad, old, fresh, 16_000, 17_000).kind, 'stands');
+  assert.equal(
+    requestReleaseRollout(bad, old, fresh, 16_000, releaseSettings.duplicateWindowMs + 1).kind,
+    'opened',
+  );
+  const third = requestReleaseRollout(bad, old, toRelease('r3'), 16_000, 4000);
   assert.ok(
     third.kind === 'opened' && third.order.order > bad.order && third.order.serial > bad.serial,
   );
@@ -434,30 +442,38 @@
 
 void test('orders that others followed are known again for a bounded time, by target and span', () => {
   const r3 = toRelease('r3');
-  const first = openedOrder(order(settledOn(service, old), old, fresh, 16_000, 0));
-  const good: ReleaseOrder = { ...first, phase: 'good', settled: fresh, spentMs: 16_000 };
-  const second = openedOrder(order(good, fresh, r3, 16_000, 20_000));
-  assert.deepEqual(order(second, fresh, fresh, 16_000, 1000), {
+  const first = openedOrder(
+    requestReleaseRollout(settledRollout(service, old), old, fresh, 16_000, 0),
+  );
+  const good: ReleaseRollout = { ...first, phase: 'good', settled: fresh, spentMs: 16_000 };
+  const second = openedOrder(requestReleaseRollout(good, fresh, r3, 16_000, 20_000));
+  assert.deepEqual(requestReleaseRollout(second, fresh, fresh, 16_000, 1000), {
     kind: 'stands',
     order: first.order,
   });
   assert.equal(
-    order(second, fresh, fresh, 12_000, 1000).kind,
+    requestReleaseRollout(second, fresh, fresh, 12_000, 1000).kind,
     'busy',
     'another span is another order',
   );
-  const moved: ReleaseOrder = { ...second, phase: 'good', settled: r3, spentMs: 16_000 };
-  assert.deepEqual(order(moved, r3, fresh, 16_000, 30_000), { kind: 'stands', order: first.order });
-  assert.equal(order(moved, r3, fresh, 12_000, 30_000).kind, 'opened');
-  assert.equal(order(moved, r3, fresh, 16_000, releaseSettings.repeatMs).kind, 'opened');
+  const moved: ReleaseRollout = { ...second, phase: 'good', settled: r3, spentMs: 16_000 };
+  assert.deepEqual(requestReleaseRollout(moved, r3, fresh, 16_000, 30_000), {
+    kind: 'stands',
+    order: first.order,
+  });
+  assert.equal(requestReleaseRollout(moved, r3, fresh, 12_000, 30_000).kind, 'opened');
+  assert.equal(
+    requestReleaseRollout(moved, r3, fresh, 16_000, releaseSettings.duplicateWindowMs).kind,
+    'opened',
+  );
 });
 
 void test('of many orders of a service a bounded number is kept', () => {
-  let known = settledOn(service, old);
+  let known = settledRollout(service, old);
   for (let at = 0; at < 100; at += 1) {
-    const next = openedOrder(order(known, old, toRelease(`v${at}`), 1000, 1));
+    const next = openedOrder(requestReleaseRollout(known, old, toRelease(`v${at}`), 1000, 1));
     known = { ...next, phase: 'good' };
   }
   assert.equal(known.earlier.length, 16);
-  assert.equal(order(known, old, toRelease('v90'), 1000, 1).kind, 'stands');
+  assert.equal(requestReleaseRollout(known, old, toRelease('v90'), 1000, 1).kind, 'stands');
 });
--- a/packages/configuration/src/rollout/planner.ts
+++ b/packages/configuration/src/rollout/planner.ts
@@ -1,54 +1,58 @@
 import { type NodeId, nextSeq, noSeq } from '@switchwheel/types';
-import type { Put } from '@switchwheel/transport';
+import type { TableMutation } from '@switchwheel/transport';
 import {
-  type Control,
-  type NodeRow,
+  type ControlState,
+  type NodeRecord,
   type Rollout,
-  type Target,
-  keyOf,
-  placeOf,
-  samePlace,
-  write,
-} from '../control/control.js';
-import type { Policy } from '../description/schema.js';
+  type RolloutTarget,
+  controlKeys,
+  configVersionOf,
+  isSameVersion,
+  putRecord,
+} from '../control-state/control-state.js';
+import type { RolloutPolicy } from '../document/schema.js';
 
-const active = (one: Rollout): boolean => one.status === 'pending' || one.status === 'running';
-export const activeRollout = (control: Control): Rollout | undefined =>
+const isActive = (one: Rollout): boolean => one.status === 'pending' || one.status === 'running';
+export const activeRollout = (control: ControlState): Rollout | undefined =>
   [...control.rollouts.values()]
-    .filter(active)
+    .filter(isActive)
     .sort((one, two) => two.generation - one.generation)[0];
 
 /** In which wave each node goes: the order is by name, the shares are the policy's. */
-const waveOf = (index: number, total: number, policy: Policy): number => {
+const waveOf = (index: number, total: number, policy: RolloutPolicy): number => {
   const place = (index + 1) / total;
   const found = policy.waves.findIndex((share) => place <= share + 1e-9);
   return found < 0 ? policy.waves.length - 1 : found;
 };
 
-const isRunner = (row: NodeRow): boolean => row.role === 'edge' || row.role === 'shield';
+const runsConfiguration = (row: NodeRecord): boolean =>
+  row.role === 'edge' || row.role === 'shield';
 
 /**
  * The planner: assigns the stored description to every node, supersedes an older rollout and opens the new one.
  * It is the only creator of rollouts; what it returns is one write.
  */
-export const plan = (control: Control, policy: Policy): readonly Put[] => {
-  const stored = control.stored;
+export const planRollout = (
+  control: ControlState,
+  policy: RolloutPolicy,
+): readonly TableMutation[] => {
+  const stored = control.configuration;
   if (stored === undefined) return [];
-  const goal = placeOf(stored.offer);
-  const puts: Put[] = [];
-  const behind: (readonly [NodeId, NodeRow])[] = [];
+  const goal = configVersionOf(stored.offer);
+  const puts: TableMutation[] = [];
+  const behind: (readonly [NodeId, NodeRecord])[] = [];
   for (const [node, row] of [...control.nodes].sort(([one], [two]) => (one < two ? -1 : 1))) {
-    if (!isRunner(row)) continue;
+    if (!runsConfiguration(row)) continue;
     // A node without a desired state is new: it gets its configuration at once.
-    const next: NodeRow = { ...row, assigned: goal, desired: row.desired ?? goal };
-    if (!samePlace(row.assigned, goal) || row.desired === undefined)
-      puts.push(write(keyOf.node(node), next));
-    if (!samePlace(next.desired, goal)) behind.push([node, next]);
+    const next: NodeRecord = { ...row, assigned: goal, desired: row.desired ?? goal };
+    if (!isSameVersion(row.assigned, goal) || row.desired === undefined)
+      puts.push(putRecord(controlKeys.node(node), next));
+    if (!isSameVersion(next.desired, goal)) behind.push([node, next]);
   }
   const running = activeRollout(control);
   if (running !== undefined && running.generation < goal.generation) {
     puts.push(
-      write(keyOf.rollout(running.generation), {
+      putRecord(controlKeys.rollout(running.generation), {
         ...running,
         status: 'superseded',
         rev: nextSeq(running.rev),
@@ -56,15 +60,17 @@
     );
   }
   const known = control.rollouts.get(goal.generation);
-  if (behind.length === 0 || (known !== undefined && active(known))) {
+  if (behind.length === 0 || (known !== undefined && isActive(known))) {
     const late =
       known === undefined
         ? []
-        : behind.filter(([node]) => !control.targets.has(keyOf.target(goal.generation, node)));
+        : behind.filter(
+            ([node]) => !control.targets.has(controlKeys.target(goal.generation, node)),
+          );
     puts.push(
       ...late.map(([node]) =>
-        write(
-          keyOf.target(goal.generation, node),
+        putRecord(
+          controlKeys.target(goal.generation, node),
           newTarget(node, goal.generation, known?.wave ?? 0),
         ),
       ),
@@ -80,11 +86,11 @@
     troubled: known?.troubled ?? false,
     rev: noSeq,
   };
-  puts.push(write(keyOf.rollout(goal.generation), opened));
+  puts.push(putRecord(controlKeys.rollout(goal.generation), opened));
   behind.forEach(([node], index) => {
     puts.push(
-      write(
-        keyOf.target(goal.generation, node),
+      putRecord(
+        controlKeys.target(goal.generation, node),
         newTarget(node, goal.generation, waveOf(index, behind.length, policy)),
       ),
     );
@@ -92,7 +98,11 @@
   return puts;
 };
 
-const newTarget = (node: NodeId, generation: Target['generation'], wave: number): Target => ({
+const newTarget = (
+  node: NodeId,
+  generation: RolloutTarget['generation'],
+  wave: number,
+): RolloutTarget => ({
   node,
   generation,
   wave,
--- a/packages/configuration/src/rollout/engine.ts
+++ b/packages/configuration/src/rollout/progress.ts
@@ -1,40 +1,40 @@
 import { type Timestamp, nextSeq } from '@switchwheel/types';
-import type { Put } from '@switchwheel/transport';
+import type { TableMutation } from '@switchwheel/transport';
 import {
-  type Control,
-  type NodeRow,
+  type ControlState,
+  type NodeRecord,
   type Rollout,
-  type Target,
-  keyOf,
-  samePlace,
-  write,
-} from '../control/control.js';
+  type RolloutTarget,
+  controlKeys,
+  isSameVersion,
+  putRecord,
+} from '../control-state/control-state.js';
 import { activeRollout } from './planner.js';
 
 /** How long a started target may take before it counts as failed. */
-export const applyTimeout = 5000;
+export const applyTimeoutMs = 5000;
 /** How long a pending target that is not in touch is waited for before it is skipped. */
-export const graceSpan = 10_000;
+export const offlineGraceMs = 10_000;
 
 /** When a target was first seen in its status: only a cache, made anew by a new primary. */
-export type Seen = ReadonlyMap<
+export type StatusSince = ReadonlyMap<
   string,
-  { readonly status: Target['status']; readonly at: Timestamp }
+  { readonly status: RolloutTarget['status']; readonly at: Timestamp }
 >;
 
-const done = (one: Target): boolean =>
+const isFinished = (one: RolloutTarget): boolean =>
   one.status === 'succeeded' || one.status === 'failed' || one.status === 'skipped';
-const settled = (one: Target): boolean => done(one) || one.status === 'verifying';
+const isSettled = (one: RolloutTarget): boolean => isFinished(one) || one.status === 'verifying';
 
-const judge = (
-  target: Target,
-  row: NodeRow | undefined,
+const nextTargetStatus = (
+  target: RolloutTarget,
+  row: NodeRecord | undefined,
   rollout: Rollout,
   age: number,
-): readonly [Target['status'], string] => {
+): readonly [RolloutTarget['status'], string] => {
   const goal = { generation: rollout.generation, hash: rollout.hash };
   if (row === undefined)
-    return target.status === 'pending' && age > graceSpan
+    return target.status === 'pending' && age > offlineGraceMs
       ? ['skipped', 'not known any more']
       : [target.status, target.text];
   const reported = row.reported;
@@ -45,7 +45,7 @@
   switch (target.status) {
     case 'pending':
       if (!row.online)
-        return age > graceSpan ? ['skipped', 'not in touch'] : ['pending', 'not in touch'];
+        return age > offlineGraceMs ? ['skipped', 'not in touch'] : ['pending', 'not in touch'];
       return target.wave <= rollout.wave
         ? ['in_progress', 'offered']
         : ['pending', 'waits for its wave'];
@@ -53,7 +53,7 @@
       if (runs) return ['verifying', 'health wait'];
       if (reported.failed?.hash === goal.hash && reported.failed.generation === goal.generation)
         return ['failed', reported.failed.text];
-      return age > applyTimeout
+      return age > applyTimeoutMs
         ? ['failed', 'no report in time']
         : ['in_progress', reported.phase === 'applying' ? 'applying' : 'offered'];
     case 'verifying':
@@ -73,40 +73,45 @@
 };
 
 /** One tick of the engine: what it would write. Nothing is kept between ticks but the cache of first sights. */
-export const turn = (
-  control: Control,
-  seen: Seen,
+export const tickRollout = (
+  control: ControlState,
+  seen: StatusSince,
   opened: Timestamp | undefined,
   now: Timestamp,
 ): {
-  readonly puts: readonly Put[];
-  readonly seen: Seen;
+  readonly puts: readonly TableMutation[];
+  readonly seen: StatusSince;
   readonly opened: Timestamp | undefined;
 } => {
   const rollout = activeRollout(control);
   if (rollout === undefined) return { puts: [], seen: new Map(), opened: undefined };
   const since = opened ?? now;
-  const puts: Put[] = [];
-  const kept = new Map<string, { readonly status: Target['status']; readonly at: Timestamp }>();
-  const after: Target[] = [];
+  const puts: TableMutation[] = [];
+  const kept = new Map<
+    string,
+    { readonly status: RolloutTarget['status']; readonly at: Timestamp }
+  >();
+  const after: RolloutTarget[] = [];
   for (const [key, target] of control.targets) {
     if (target.generation !== rollout.generation) continue;
     const mark = seen.get(key);
     const at = mark?.status === target.status ? mark.at : now;
     const row = control.nodes.get(target.node);
-    const [status, text] = judge(target, row, rollout, now - at);
+    const [status, text] = nextTargetStatus(target, row, rollout, now - at);
     const moved = status !== target.status;
     kept.set(key, { status, at: moved ? now : at });
-    const next: Target = moved ? { ...target, status, text, rev: nextSeq(target.rev) } : target;
+    const next: RolloutTarget = moved
+      ? { ...target, status, text, rev: nextSeq(target.rev) }
+      : target;
     after.push(next);
-    if (moved) puts.push(write(key, next));
+    if (moved) puts.push(putRecord(key, next));
     if (row !== undefined && status === 'in_progress' && moved) {
       const goal = { generation: rollout.generation, hash: rollout.hash };
-      if (!samePlace(row.desired, goal))
-        puts.push(write(keyOf.node(target.node), { ...row, desired: goal }));
+      if (!isSameVersion(row.desired, goal))
+        puts.push(putRecord(controlKeys.node(target.node), { ...row, desired: goal }));
     }
     if (row !== undefined && status === 'failed' && moved && row.failed !== rollout.hash) {
-      puts.push(write(keyOf.node(target.node), { ...row, failed: rollout.hash }));
+      puts.push(putRecord(controlKeys.node(target.node), { ...row, failed: rollout.hash }));
     }
   }
   const here = after.filter((one) => one.wave <= rollout.wave);
@@ -115,11 +120,12 @@
   const bad = after.filter((one) => one.status === 'failed').length;
   const troubled = after.length > 0 && bad / after.length > rollout.policy.threshold;
   // The threshold marks and never holds back; a gate opens when its time is over, whatever its wave reports.
-  const wave = !last && (here.every(settled) || gate) ? rollout.wave + 1 : rollout.wave;
-  const status = last && after.every(done) ? (troubled ? 'failed' : 'completed') : rollout.status;
+  const wave = !last && (here.every(isSettled) || gate) ? rollout.wave + 1 : rollout.wave;
+  const status =
+    last && after.every(isFinished) ? (troubled ? 'failed' : 'completed') : rollout.status;
   if (wave !== rollout.wave || status !== rollout.status || troubled !== rollout.troubled) {
     puts.push(
-      write(keyOf.rollout(rollout.generation), {
+      putRecord(controlKeys.rollout(rollout.generation), {
         ...rollout,
         wave,
         status,
--- a/packages/election/src/candidate/candidate.ts
+++ b/packages/election/src/candidate/candidate.ts
@@ -20,14 +20,14 @@
 import {
   type Electorate,
   type FrameOf,
-  type Holder,
-  type WireEffect,
+  type LeaseHolder,
+  type ProcessEffect,
   send,
 } from '@switchwheel/transport';
-import { leaseSpan, majority } from '../voter/voter.js';
+import { maxLeaseMs, quorumSize } from '../voter/voter.js';
 
 /** What a holder ends its lease early by, against clocks that run unlike. */
-export const leaseMargin = 50;
+export const leaseSafetyMarginMs = 50;
 const roundTimeout = 300;
 
 /** The newest vote of a voter in an epoch: when it was asked for, and which life of the voter gave it. */
@@ -43,62 +43,62 @@
 }
 
 /** Where a node stands towards one duty. */
-export type Phase =
-  | { readonly phase: 'idle'; readonly retry: Timestamp }
+export type CandidatePhase =
+  | { readonly phase: 'idle'; readonly retryAt: Timestamp }
   /** Asks first whether a round could be won: one that can't would only drive the epoch up. */
   | ({
       readonly phase: 'preVote';
-      readonly since: Timestamp;
+      readonly startedAt: Timestamp;
       readonly refusals: ReadonlyMap<NodeId, number>;
     } & VoteCount)
   | ({
       readonly phase: 'requestingVotes';
-      readonly since: Timestamp;
+      readonly startedAt: Timestamp;
       readonly refusals: ReadonlyMap<NodeId, number>;
     } & VoteCount)
   | ({
       readonly phase: 'holdingLease';
-      readonly until: Timestamp;
-      readonly asked: Timestamp;
-      readonly won: Timestamp;
+      readonly leaseEndsAt: Timestamp;
+      readonly renewalRequestedAt: Timestamp;
+      readonly wonAt: Timestamp;
     } & VoteCount);
 
 export interface Candidate {
-  readonly me: NodeId;
-  readonly duty: LeaseName;
-  readonly phase: Phase;
+  readonly self: NodeId;
+  readonly leaseName: LeaseName;
+  readonly phase: CandidatePhase;
   /** The highest epoch heard of for this duty. */
   readonly highest: Epoch;
   readonly inSyncSet: readonly NodeId[];
   /** How long a lease is asked for; it is renewed four times within it. */
-  readonly lease: number;
+  readonly leaseMs: number;
 }
 
 /** What a candidate needs to know of its fleet. */
 export interface ElectionContext {
   readonly fleet: FleetId;
   readonly electorate: Electorate;
-  readonly held?: Holder;
+  readonly holderRecord?: LeaseHolder;
   /** Whether votes of voters without memory count. */
-  readonly countRecovering: boolean;
+  readonly countsRecoveringVoters: boolean;
 }
 
 export const newCandidate = (
   me: NodeId,
   duty: LeaseName,
   inSyncSet: readonly NodeId[],
-  lease = leaseSpan,
+  lease = maxLeaseMs,
 ): Candidate => ({
-  me,
-  duty,
-  lease,
-  phase: { phase: 'idle', retry: toTimestamp(0) },
+  self: me,
+  leaseName: duty,
+  leaseMs: lease,
+  phase: { phase: 'idle', retryAt: toTimestamp(0) },
   highest: noEpoch,
   inSyncSet,
 });
 
 export const holdsLease = (candidate: Candidate, now: Timestamp): boolean =>
-  candidate.phase.phase === 'holdingLease' && now < candidate.phase.until;
+  candidate.phase.phase === 'holdingLease' && now < candidate.phase.leaseEndsAt;
 export const heldEpoch = (candidate: Candidate): Epoch =>
   candidate.phase.phase === 'idle' || candidate.phase.phase === 'preVote'
     ? noEpoch
@@ -121,41 +121,47 @@
   stepDown = false,
   preVote = false,
   abandoned = false,
-): readonly WireEffect[] =>
+): readonly ProcessEffect[] =>
   context.electorate.members.map((one) => {
     const voterLife = renew ? lifeOf(candidate, one.node) : undefined;
     return send(one.address, {
       kind: 'vote-request',
       fleet: context.fleet,
       electorate: context.electorate,
-      duty: candidate.duty,
+      duty: candidate.leaseName,
       epoch,
-      node: candidate.me,
+      node: candidate.self,
       at: now,
-      lease: toDurationMs(candidate.lease),
+      lease: toDurationMs(candidate.leaseMs),
       renew,
       preVote,
       inSyncSet: [...candidate.inSyncSet],
       stepDown,
-      ...(context.held === undefined ? {} : { held: { ...context.held, epoch } }),
+      ...(context.holderRecord === undefined ? {} : { held: { ...context.holderRecord, epoch } }),
       ...(voterLife === undefined ? {} : { voterLife }),
       ...(abandoned ? { abandoned } : {}),
     });
   });
 
 /** Opens a round of ballots for a new epoch; a holder may do so to change the in-sync set. */
-export const requestVotes = (
+export const startElection = (
   candidate: Candidate,
   context: ElectionContext,
   inSyncSet: readonly NodeId[],
   now: Timestamp,
-): Transition<Candidate, WireEffect> => {
+): Transition<Candidate, ProcessEffect> => {
   const epoch = nextEpoch(toEpoch(Math.max(candidate.highest, heldEpoch(candidate))));
   const next: Candidate = {
     ...candidate,
     highest: epoch,
     inSyncSet,
-    phase: { phase: 'requestingVotes', since: now, epoch, votes: new Map(), refusals: new Map() },
+    phase: {
+      phase: 'requestingVotes',
+      startedAt: now,
+      epoch,
+      votes: new Map(),
+      refusals: new Map(),
+    },
   };
   return transition(next, ...voteRequests(next, context, epoch, now, false));
 };
@@ -165,11 +171,11 @@
   candidate: Candidate,
   context: ElectionContext,
   now: Timestamp,
-): Transition<Candidate, WireEffect> => {
+): Transition<Candidate, ProcessEffect> => {
   const epoch = nextEpoch(candidate.highest);
   const next: Candidate = {
     ...candidate,
-    phase: { phase: 'preVote', since: now, epoch, votes: new Map(), refusals: new Map() },
+    phase: { phase: 'preVote', startedAt: now, epoch, votes: new Map(), refusals: new Map() },
   };
   return transition(next, ...voteRequests(next, context, epoch, now, false, false, true));
 };
@@ -180,12 +186,12 @@
   context: ElectionContext | undefined,
   now: Timestamp,
   rest: number,
-): Transition<Candidate, WireEffect> => {
+): Transition<Candidate, ProcessEffect> => {
   const told =
     context !== undefined && holdsLease(candidate, now)
       ? voteRequests(candidate, context, heldEpoch(candidate), now, true, true)
       : [];
-  return transition({ ...candidate, phase: { phase: 'idle', retry: addMs(now, rest) } }, ...told);
+  return transition({ ...candidate, phase: { phase: 'idle', retryAt: addMs(now, rest) } }, ...told);
 };
 
 /** The lease that enough votes give: counted from before the asking. */
@@ -196,11 +202,11 @@
 ): Timestamp | undefined => {
   const times = context.electorate.members
     .map((one) => own.votes.get(one.node))
-    .filter((one) => one !== undefined && (context.countRecovering || !one.recovering))
+    .filter((one) => one !== undefined && (context.countsRecoveringVoters || !one.recovering))
     .map((one) => (one === undefined ? 0 : one.at))
     .sort((one, two) => two - one);
-  const last = times[majority(context.electorate.members.length) - 1];
-  return last === undefined ? undefined : toTimestamp(last + lease - leaseMargin);
+  const last = times[quorumSize(context.electorate.members.length) - 1];
+  return last === undefined ? undefined : toTimestamp(last + lease - leaseSafetyMarginMs);
 };
 
 /** Counts a vote. */
@@ -219,8 +225,8 @@
   )
     return known;
   // A lease that ran out is over for good, whatever votes are still on their way.
-  if (own.phase === 'holdingLease' && now >= own.until)
-    return { ...known, phase: { phase: 'idle', retry: now } };
+  if (own.phase === 'holdingLease' && now >= own.leaseEndsAt)
+    return { ...known, phase: { phase: 'idle', retryAt: now } };
   if (!word.granted)
     return own.phase === 'requestingVotes' || own.phase === 'preVote'
       ? {
@@ -237,7 +243,7 @@
   });
   if (own.phase === 'preVote') return { ...known, phase: { ...own, votes } };
   if (own.phase === 'requestingVotes') {
-    const until = leaseEnd(context, { epoch: own.epoch, votes }, known.lease);
+    const until = leaseEnd(context, { epoch: own.epoch, votes }, known.leaseMs);
     if (until === undefined || until <= now) return { ...known, phase: { ...own, votes } };
     return {
       ...known,
@@ -245,24 +251,25 @@
         phase: 'holdingLease',
         epoch: own.epoch,
         votes,
-        until,
-        asked: toTimestamp(now - known.lease),
-        won: now,
+        leaseEndsAt: until,
+        renewalRequestedAt: toTimestamp(now - known.leaseMs),
+        wonAt: now,
       },
     };
   }
   // Once won, a renewal by any voter counts: memory only matters for the winning.
   const until = leaseEnd(
-    { ...context, countRecovering: true },
+    { ...context, countsRecoveringVoters: true },
     { epoch: own.epoch, votes },
-    known.lease,
+    known.leaseMs,
   );
   return {
     ...known,
     phase: {
       ...own,
       votes,
-      until: until === undefined ? own.until : toTimestamp(Math.max(until, own.until)),
+      leaseEndsAt:
+        until === undefined ? own.leaseEndsAt : toTimestamp(Math.max(until, own.leaseEndsAt)),
     },
   };
 };
@@ -273,7 +280,7 @@
   refusals: ReadonlyMap<NodeId, number>,
 ): number | undefined => {
   const size = context.electorate.members.length;
-  const need = majority(size);
+  const need = quorumSize(size);
   const lefts = context.electorate.members
     .flatMap((one) => {
       const left = refusals.get(one.node);
@@ -281,7 +288,7 @@
     })
     .sort((one, two) => one - two);
   const over = lefts.length - (size - need);
-  return over <= 0 ? undefined : Math.min(leaseSpan, lefts[over - 1] ?? 0);
+  return over <= 0 ? undefined : Math.min(maxLeaseMs, lefts[over - 1] ?? 0);
 };
 
 /** Lets time pass: renews a lease that stands, ends one that is over, opens a round when `keen`. */
@@ -291,29 +298,33 @@
   wantsElection: boolean,
   dice: RandomState,
   now: Timestamp,
-): Transition<{ readonly candidate: Candidate; readonly dice: RandomState }, WireEffect> => {
+): Transition<{ readonly candidate: Candidate; readonly dice: RandomState }, ProcessEffect> => {
   const own = candidate.phase;
   if (own.phase === 'holdingLease') {
-    if (now >= own.until) {
+    if (now >= own.leaseEndsAt) {
       const [chance, rest] = nextRandom(dice);
       return transition({
-        candidate: { ...candidate, phase: { phase: 'idle', retry: addMs(now, 50 + 200 * chance) } },
+        candidate: {
+          ...candidate,
+          phase: { phase: 'idle', retryAt: addMs(now, 50 + 200 * chance) },
+        },
         dice: rest,
       });
     }
-    if (now - own.asked < candidate.lease / 4) return transition({ candidate, dice });
+    if (now - own.renewalRequestedAt < candidate.leaseMs / 4)
+      return transition({ candidate, dice });
     return transition(
-      { candidate: { ...candidate, phase: { ...own, asked: now } }, dice },
+      { candidate: { ...candidate, phase: { ...own, renewalRequestedAt: now } }, dice },
       ...voteRequests(candidate, context, own.epoch, now, true),
     );
   }
-  if (own.phase === 'preVote' && leaseEnd(context, own, candidate.lease) !== undefined) {
-    const opened = requestVotes(candidate, context, candidate.inSyncSet, now);
+  if (own.phase === 'preVote' && leaseEnd(context, own, candidate.leaseMs) !== undefined) {
+    const opened = startElection(candidate, context, candidate.inSyncSet, now);
     return { state: { candidate: opened.state, dice }, effects: opened.effects };
   }
   if (own.phase === 'requestingVotes' || own.phase === 'preVote') {
     const wait = retryDelay(context, own.refusals);
-    if (wait === undefined && now - own.since < roundTimeout)
+    if (wait === undefined && now - own.startedAt < roundTimeout)
       return transition({ candidate, dice });
     const [chance, rest] = nextRandom(dice);
     // What was granted in a round that is lost is given back, so that nobody waits for it to run out.
@@ -325,14 +336,14 @@
       {
         candidate: {
           ...candidate,
-          phase: { phase: 'idle', retry: addMs(now, (wait ?? 50) + 10 + 150 * chance) },
+          phase: { phase: 'idle', retryAt: addMs(now, (wait ?? 50) + 10 + 150 * chance) },
         },
         dice: rest,
       },
       ...back,
     );
   }
-  if (!wantsElection || now < own.retry) return transition({ candidate, dice });
+  if (!wantsElection || now < own.retryAt) return transition({ candidate, dice });
   const opened = startPreVote(candidate, context, now);
   return { state: { candidate: opened.state, dice }, effects: opened.effects };
 };
--- a/packages/election/src/voter/voter.test.ts
+++ b/packages/election/src/voter/voter.test.ts
@@ -13,7 +13,7 @@
   toDurationMs,
 } from '@switchwheel/types';
 import type { FrameOf } from '@switchwheel/transport';
-import { type Voter, leaseSpan, newVoter, recoverGrants, vote } from './voter.js';
+import { type Voter, maxLeaseMs, newVoter, recoverGrants, handleVoteRequest } from './voter.js';
 
 const voterNames = ['voter-1', 'voter-2', 'voter-3'].map((one) => toNodeId(one));
 const [me, second, third] = voterNames;
@@ -33,7 +33,7 @@
   epoch: toEpoch(5),
   node: oldHolder,
   at: toTimestamp(1),
-  lease: toDurationMs(leaseSpan),
+  lease: toDurationMs(maxLeaseMs),
   preVote: false,
   renew: false,
   inSyncSet: [oldHolder, newHolder],
@@ -48,20 +48,23 @@
 const after = (span: number): Timestamp => toTimestamp(born + span);
 
 void test('a voter that restarted abstains from everything for a lease, renewals too', () => {
-  const early = after(leaseSpan - 1);
+  const early = after(maxLeaseMs - 1);
   for (const change of [{}, { preVote: true }, { renew: true }, { renew: true, voterLife: life }]) {
-    const [next, told] = vote(restarted(), request(change), early);
+    const [next, told] = handleVoteRequest(restarted(), request(change), early);
     assert.equal(told.granted, false, JSON.stringify(change));
     assert.equal(next.grants.size, 0);
-    assert.equal(vote(restarted(), request(change), after(leaseSpan))[1].granted, true);
+    assert.equal(
+      handleVoteRequest(restarted(), request(change), after(maxLeaseMs))[1].granted,
+      true,
+    );
   }
 });
 
 void test('its earlier vote for a new holder and a renewal of the old one never count at once', () => {
   // Before its restart it voted for the new holder, who asked 1 ms before that and wins within 950 ms.
-  const wonUntil = after(-1 + leaseSpan - 50);
-  for (let at = 0; at < leaseSpan; at += 10) {
-    const [, told] = vote(restarted(), request({ renew: true }), after(at));
+  const wonUntil = after(-1 + maxLeaseMs - 50);
+  for (let at = 0; at < maxLeaseMs; at += 10) {
+    const [, told] = handleVoteRequest(restarted(), request({ renew: true }), after(at));
     assert.ok(!told.granted || after(at) >= wonUntil, `granted after ${at} ms`);
   }
 });
@@ -70,54 +73,66 @@
   const renewal = request({ renew: true });
   let voter = restarted();
   for (let turn = 0; turn < 3; turn += 1) {
-    voter = vote(voter, renewal, after(leaseSpan + 10 * turn))[0];
-    assert.equal(voter.recovering, true, `delivery ${turn + 1}`);
+    voter = handleVoteRequest(voter, renewal, after(maxLeaseMs + 10 * turn))[0];
+    assert.equal(voter.isRecovering, true, `delivery ${turn + 1}`);
   }
   const earlierLife = request({ renew: true, voterLife: toIncarnation(6) });
-  voter = vote(voter, earlierLife, after(leaseSpan + 50))[0];
-  assert.equal(voter.recovering, true, 'an echo of an earlier life');
-  const [next, told] = vote(voter, request({ renew: true, voterLife: life }), after(1100));
+  voter = handleVoteRequest(voter, earlierLife, after(maxLeaseMs + 50))[0];
+  assert.equal(voter.isRecovering, true, 'an echo of an earlier life');
+  const [next, told] = handleVoteRequest(
+    voter,
+    request({ renew: true, voterLife: life }),
+    after(1100),
+  );
   assert.equal(told.life, life);
-  assert.equal(next.recovering, false);
+  assert.equal(next.isRecovering, false);
 });
 
 void test('memories count once the peer is known to have spoken after the abstention', () => {
   assert.ok(second !== undefined && third !== undefined);
-  const [known] = vote(restarted(), request({ renew: true }), after(leaseSpan));
+  const [known] = handleVoteRequest(restarted(), request({ renew: true }), after(maxLeaseMs));
   const memory = (from: typeof second, at: number, incarnation = life) => ({
     from,
-    recovering: false,
+    isRecovering: false,
     records: [{ duty: primaryLease, epoch: toEpoch(6), node: newHolder, inSyncSet: [newHolder] }],
-    heard: { incarnation, at: after(at) },
+    lastGossipHeard: { incarnation, at: after(at) },
   });
-  const now = after(leaseSpan + 300);
+  const now = after(maxLeaseMs + 300);
   const both = (...heard: readonly [number, number]): Voter =>
     recoverGrants(
       recoverGrants(known, memory(second, heard[0]), now),
       memory(third, heard[1]),
       now,
     );
-  assert.equal(both(900, 1000).recovering, true, 'one spoke too early');
-  assert.equal(both(1000, 1000).recovering, false);
+  assert.equal(both(900, 1000).isRecovering, true, 'one spoke too early');
+  assert.equal(both(1000, 1000).isRecovering, false);
   assert.equal(
     both(900, 900).grants.get(primaryLease)?.epoch,
     6,
     'the epoch is taken all the same',
   );
   const other = recoverGrants(known, memory(second, 1000, toIncarnation(6)), now);
-  assert.equal(other.heardFrom.size, 0, 'what was said to an earlier life');
+  assert.equal(other.recoveredFrom.size, 0, 'what was said to an earlier life');
 });
 
 void test('a round that its candidate gave up leaves the in-sync set as it was; one that may have been won does not', () => {
-  const first = vote(restarted(), request({ renew: true }), after(leaseSpan))[0];
+  const first = handleVoteRequest(restarted(), request({ renew: true }), after(maxLeaseMs))[0];
   const alone = { epoch: toEpoch(6), inSyncSet: [oldHolder] };
-  const asked = vote(first, request(alone), after(1100))[0];
+  const asked = handleVoteRequest(first, request(alone), after(1100))[0];
   const rival = request({ epoch: toEpoch(7), node: newHolder });
-  assert.equal(vote(asked, rival, after(3000))[1].granted, false, 'it may have won alone');
+  assert.equal(
+    handleVoteRequest(asked, rival, after(3000))[1].granted,
+    false,
+    'it may have won alone',
+  );
   const back = request({ ...alone, renew: true, stepDown: true });
-  const resigned = vote(asked, back, after(1200))[0];
-  assert.equal(vote(resigned, rival, after(1300))[1].granted, false, 'it won and resigned');
-  const abandoned = vote(asked, { ...back, abandoned: true }, after(1200))[0];
-  assert.equal(vote(abandoned, rival, after(1300))[1].granted, true);
+  const resigned = handleVoteRequest(asked, back, after(1200))[0];
+  assert.equal(
+    handleVoteRequest(resigned, rival, after(1300))[1].granted,
+    false,
+    'it won and resigned',
+  );
+  const abandoned = handleVoteRequest(asked, { ...back, abandoned: true }, after(1200))[0];
+  assert.equal(handleVoteRequest(abandoned, rival, after(1300))[1].granted, true);
   assert.equal(abandoned.grants.get(primaryLease)?.epoch, 6, 'the epoch stays taken');
 });
--- a/packages/election/src/voter/voter.ts
+++ b/packages/election/src/voter/voter.ts
@@ -11,56 +11,56 @@
   withEntry,
   toDurationMs,
 } from '@switchwheel/types';
-import type { Electorate, FrameOf, GrantRecord } from '@switchwheel/transport';
+import type { Electorate, FrameOf, LeaseGrantRecord } from '@switchwheel/transport';
 
 /** The longest lease a voter grants; one that restarted abstains for as long. */
-export const leaseSpan = 1000;
+export const maxLeaseMs = 1000;
 
 /** What a voter keeps of one duty: the highest epoch it granted, to whom, and until when. */
-export interface Grant {
+export interface LeaseGrant {
   readonly epoch: Epoch;
   readonly node: NodeId;
   /** Whose lease it is that stands until then: what is recalled of a higher epoch does not end a lease. */
-  readonly lessee: NodeId;
-  readonly until: Timestamp;
+  readonly leaseHolder: NodeId;
+  readonly leaseEndsAt: Timestamp;
   /** For `primary`: the stores that hold every confirmed write under this epoch. */
   readonly inSyncSet: readonly NodeId[];
   /** The in-sync set of the grant before: it counts again if the candidate gives its round up. */
-  readonly inSyncSetBefore?: readonly NodeId[] | undefined;
+  readonly previousInSyncSet?: readonly NodeId[] | undefined;
 }
 
 export interface Voter {
-  readonly me: NodeId;
+  readonly self: NodeId;
   /** This life of the process: votes bear it, and only a renewal that echoes it proves a win. */
-  readonly life: Incarnation;
-  readonly born: Timestamp;
+  readonly incarnation: Incarnation;
+  readonly startedAt: Timestamp;
   readonly fleet: FleetId | undefined;
   readonly electorate: Electorate | undefined;
-  readonly grants: ReadonlyMap<LeaseName, Grant>;
+  readonly grants: ReadonlyMap<LeaseName, LeaseGrant>;
   /** While set, this voter restarted and does not yet know what it once granted. */
-  readonly recovering: boolean;
+  readonly isRecovering: boolean;
   /** The peers that told what they remember since this voter's abstention ended. */
-  readonly heardFrom: ReadonlySet<NodeId>;
+  readonly recoveredFrom: ReadonlySet<NodeId>;
 }
 
 export const newVoter = (me: NodeId, born: Timestamp, life: Incarnation): Voter => ({
-  me,
-  life,
-  born,
+  self: me,
+  incarnation: life,
+  startedAt: born,
   fleet: undefined,
   electorate: undefined,
   grants: new Map(),
-  recovering: true,
-  heardFrom: new Set(),
+  isRecovering: true,
+  recoveredFrom: new Set(),
 });
 
 /**
  * When a voter's abstention ends: by then every vote that an earlier life of the process gave is
  * too old to win anything, and every lease that it granted is over.
  */
-export const abstainsUntil = (state: Voter): Timestamp => addMs(state.born, leaseSpan);
+export const abstentionEnd = (state: Voter): Timestamp => addMs(state.startedAt, maxLeaseMs);
 
-export const majority = (size: number): number => Math.floor(size / 2) + 1;
+export const quorumSize = (size: number): number => Math.floor(size / 2) + 1;
 
 const newestElectorate = (mine: Electorate | undefined, theirs: Electorate): Electorate =>
   mine === undefined || theirs.serial > mine.serial ? theirs : mine;
@@ -77,13 +77,13 @@
 ): string | undefined => {
   if (state.fleet !== undefined && state.fleet !== ballot.fleet) return 'another fleet';
   if (ballot.electorate.serial < set.serial) return 'an older electorate';
-  if (!isMember(set, state.me)) return 'not a voter';
+  if (!isMember(set, state.self)) return 'not a voter';
   const mine = state.grants.get(ballot.duty);
   if (ballot.stepDown)
     return mine?.epoch === ballot.epoch && mine.node === ballot.node
       ? undefined
       : 'not the grant that stands';
-  if (now < abstainsUntil(state)) return 'too young';
+  if (now < abstentionEnd(state)) return 'too young';
   if (ballot.renew) {
     if (mine === undefined) return undefined;
     if (mine.epoch > ballot.epoch) return 'a higher epoch';
@@ -91,7 +91,7 @@
   }
   if (mine === undefined) return undefined;
   if (ballot.epoch <= mine.epoch) return 'not a higher epoch';
-  if (mine.lessee !== ballot.node && now < mine.until) return 'the lease stands';
+  if (mine.leaseHolder !== ballot.node && now < mine.leaseEndsAt) return 'the lease stands';
   if (ballot.duty === primaryLease && !mine.inSyncSet.includes(ballot.node)) return 'not in sync';
   return undefined;
 };
@@ -103,37 +103,37 @@
  */
 const provesWinOf = (
   state: Voter,
-  mine: Grant | undefined,
+  mine: LeaseGrant | undefined,
   ballot: FrameOf<'vote-request'>,
 ): boolean =>
   ballot.renew &&
   !ballot.stepDown &&
   ballot.duty === primaryLease &&
-  ballot.voterLife === state.life &&
+  ballot.voterLife === state.incarnation &&
   mine?.epoch === ballot.epoch &&
   mine.node === ballot.node;
 
 /** The grant that a ballot leaves behind. */
 const grantFor = (
-  mine: Grant | undefined,
+  mine: LeaseGrant | undefined,
   ballot: FrameOf<'vote-request'>,
   now: Timestamp,
-): Grant => {
-  const base = { epoch: ballot.epoch, node: ballot.node, lessee: ballot.node };
+): LeaseGrant => {
+  const base = { epoch: ballot.epoch, node: ballot.node, leaseHolder: ballot.node };
   if (ballot.stepDown) {
-    const before = ballot.abandoned === true ? mine?.inSyncSetBefore : undefined;
-    return { ...base, until: now, inSyncSet: before ?? ballot.inSyncSet };
+    const before = ballot.abandoned === true ? mine?.previousInSyncSet : undefined;
+    return { ...base, leaseEndsAt: now, inSyncSet: before ?? ballot.inSyncSet };
   }
   return {
     ...base,
-    until: addMs(now, Math.min(ballot.lease, leaseSpan)),
+    leaseEndsAt: addMs(now, Math.min(ballot.lease, maxLeaseMs)),
     inSyncSet: ballot.inSyncSet,
-    inSyncSetBefore: ballot.renew ? mine?.inSyncSetBefore : mine?.inSyncSet,
+    previousInSyncSet: ballot.renew ? mine?.previousInSyncSet : mine?.inSyncSet,
   };
 };
 
 /** Takes a ballot: the one place where a voter's memory changes by a vote. */
-export const vote = (
+export const handleVoteRequest = (
   state: Voter,
   ballot: FrameOf<'vote-request'>,
   now: Timestamp,
@@ -145,21 +145,21 @@
   const base = {
     kind: 'vote' as const,
     duty: ballot.duty,
-    voter: state.me,
-    life: state.life,
+    voter: state.self,
+    life: state.incarnation,
     at: ballot.at,
     preVote: ballot.preVote,
   };
   if (why !== undefined) {
     const told = set.serial > ballot.electorate.serial ? { electorate: set } : {};
-    const left = Math.max(0, (mine?.until ?? now) - now, abstainsUntil(state) - now);
+    const left = Math.max(0, (mine?.leaseEndsAt ?? now) - now, abstentionEnd(state) - now);
     return [
       state,
       {
         ...base,
         epoch: ballot.epoch,
         granted: false,
-        recovering: state.recovering,
+        recovering: state.isRecovering,
         highest,
         left: toDurationMs(left),
         ...told,
@@ -169,7 +169,7 @@
   if (ballot.preVote)
     return [
       state,
-      { ...base, epoch: ballot.epoch, granted: true, recovering: state.recovering, highest },
+      { ...base, epoch: ballot.epoch, granted: true, recovering: state.isRecovering, highest },
     ];
   const grant = grantFor(mine, ballot, now);
   const provesWin = provesWinOf(state, mine, ballot);
@@ -178,7 +178,7 @@
     fleet: ballot.fleet,
     electorate: set,
     grants: withEntry(state.grants, ballot.duty, grant),
-    recovering: state.recovering && !provesWin,
+    isRecovering: state.isRecovering && !provesWin,
   };
   return [
     next,
@@ -186,35 +186,37 @@
       ...base,
       epoch: ballot.epoch,
       granted: true,
-      recovering: state.recovering,
+      recovering: state.isRecovering,
       highest: ballot.epoch,
     },
   ];
 };
 
 /** What a peer remembers, and the newest gossip of this voter's registry that it had by then. */
-export interface PeerMemory {
+export interface PeerGrants {
   readonly from: NodeId;
-  readonly recovering: boolean;
-  readonly records: readonly GrantRecord[];
-  readonly heard: { readonly incarnation: Incarnation; readonly at: Timestamp } | undefined;
+  readonly isRecovering: boolean;
+  readonly records: readonly LeaseGrantRecord[];
+  readonly lastGossipHeard:
+    { readonly incarnation: Incarnation; readonly at: Timestamp } | undefined;
 }
 
 /** Whether a peer spoke after this voter's abstention ended: only then does it remember all that matters. */
-const spokeInTime = (state: Voter, memory: PeerMemory): boolean =>
-  memory.heard?.incarnation === state.life && memory.heard.at >= abstainsUntil(state);
+const spokeInTime = (state: Voter, memory: PeerGrants): boolean =>
+  memory.lastGossipHeard?.incarnation === state.incarnation &&
+  memory.lastGossipHeard.at >= abstentionEnd(state);
 
 /** Takes what a peer remembers; enough of them make a recovering voter whole. */
-export const recoverGrants = (state: Voter, memory: PeerMemory, now: Timestamp): Voter => {
-  if (!state.recovering || memory.recovering) return state;
+export const recoverGrants = (state: Voter, memory: PeerGrants, now: Timestamp): Voter => {
+  if (!state.isRecovering || memory.isRecovering) return state;
   let grants = state.grants;
   for (const word of memory.records) {
     const mine = grants.get(word.duty);
     if (mine !== undefined && mine.epoch >= word.epoch) continue;
     const lease =
-      mine !== undefined && now < mine.until
-        ? { lessee: mine.lessee, until: mine.until }
-        : { lessee: word.node, until: addMs(now, leaseSpan) };
+      mine !== undefined && now < mine.leaseEndsAt
+        ? { leaseHolder: mine.leaseHolder, leaseEndsAt: mine.leaseEndsAt }
+        : { leaseHolder: word.node, leaseEndsAt: addMs(now, maxLeaseMs) };
     grants = withEntry(grants, word.duty, {
       epoch: word.epoch,
       node: word.node,
@@ -223,16 +225,16 @@
     });
   }
   const heardFrom = spokeInTime(state, memory)
-    ? new Set([...state.heardFrom, memory.from])
-    : state.heardFrom;
+    ? new Set([...state.recoveredFrom, memory.from])
+    : state.recoveredFrom;
   const set = state.electorate;
   const others =
     set === undefined
       ? 0
-      : set.members.filter((one) => one.node !== state.me && heardFrom.has(one.node)).length;
+      : set.members.filter((one) => one.node !== state.self && heardFrom.has(one.node)).length;
   const enough =
-    set !== undefined && others >= set.members.length - majority(set.members.length) + 1;
-  return { ...state, grants, heardFrom, recovering: !enough };
+    set !== undefined && others >= set.members.length - quorumSize(set.members.length) + 1;
+  return { ...state, grants, recoveredFrom: heardFrom, isRecovering: !enough };
 };
 
 /** Takes a newer electorate that the primary published. */
@@ -244,7 +246,7 @@
     : { ...state, fleet, electorate: next };
 };
 
-export const grantRecords = (state: Voter): readonly GrantRecord[] =>
+export const grantRecords = (state: Voter): readonly LeaseGrantRecord[] =>
   [...state.grants].map(([duty, grant]) => ({
     duty,
     epoch: grant.epoch,
--- a/packages/membership/src/registry/departures.ts
+++ b/packages/membership/src/registry/departures.ts
@@ -8,33 +8,33 @@
   transition,
 } from '@switchwheel/types';
 import { type Peer, type FrameOf, send } from '@switchwheel/transport';
-import { majority } from '@switchwheel/election';
-import { learn, learnAll, rankOf, tellOrigin } from '../origins/origins.js';
-import { type Outside, type RegistryEffect, reply } from './event.js';
-import type { Departure, Registry } from './state.js';
+import { quorumSize } from '@switchwheel/election';
+import { learnOrigin, learnOrigins, departureRank, originRecord } from '../origins/origins.js';
+import { type ExternalRequest, type RegistryEffect, reply } from './event.js';
+import type { Departure, RegistryState } from './state.js';
 import { broadcastTargets, hasMajorityContact, broadcast, sendMemberList } from './queries.js';
 
-type Done = Transition<Registry, RegistryEffect>;
-type Announced = Extract<Outside, { verb: 'announce' }>['origin'];
+type RegistryTransition = Transition<RegistryState, RegistryEffect>;
+type AnnouncedOrigin = Extract<ExternalRequest, { verb: 'announce' }>['origin'];
 /** How long a majority may take to confirm that an origin leaves. */
-const confirmTimeout = 700;
-const resendInterval = 150;
+const confirmTimeoutMs = 700;
+const resendIntervalMs = 150;
 
 const announcedReply = (ref: number): RegistryEffect =>
   reply(ref, 200, { kind: 'announced', againMs: 2000 });
 
 /** Whether enough registries know of a departure for the word to outlive this one. */
-const isDurable = (state: Registry, one: Departure): boolean => {
+const isDurable = (state: RegistryState, one: Departure): boolean => {
   const set = state.electorate;
   if (set === undefined) return true;
   const knowing = set.members.filter(
-    (row) => row.node === state.member.node || one.noted.has(row.node),
+    (row) => row.node === state.member.node || one.acknowledgedBy.has(row.node),
   );
-  return knowing.length >= majority(set.members.length);
+  return knowing.length >= quorumSize(set.members.length);
 };
 
 const departureFrames = (
-  state: Registry,
+  state: RegistryState,
   instance: InstanceId,
   one: Departure,
   now: Timestamp,
@@ -44,39 +44,48 @@
   return known === undefined
     ? []
     : members
-        .filter((row) => row.node !== state.member.node && !one.noted.has(row.node))
-        .map((row) => send(row.address, { kind: 'departure', origin: tellOrigin(known, now) }));
+        .filter((row) => row.node !== state.member.node && !one.acknowledgedBy.has(row.node))
+        .map((row) => send(row.address, { kind: 'departure', origin: originRecord(known, now) }));
 };
 
 /** Tells all who wait for a departure once it lasts. */
-const replyIfDurable = (state: Registry, instance: InstanceId, one: Departure): Done => {
-  const whole = !one.confirmed && isDurable(state, one);
-  const next: Departure = whole ? { ...one, confirmed: true, waiting: [] } : one;
+const replyIfDurable = (
+  state: RegistryState,
+  instance: InstanceId,
+  one: Departure,
+): RegistryTransition => {
+  const whole = !one.isConfirmed && isDurable(state, one);
+  const next: Departure = whole ? { ...one, isConfirmed: true, waiters: [] } : one;
   return transition(
     { ...state, departures: withEntry(state.departures, instance, next) },
-    ...(whole ? one.waiting.map((row) => announcedReply(row.ref)) : []),
+    ...(whole ? one.waiters.map((row) => announcedReply(row.ref)) : []),
   );
 };
 
 /** An origin leaves or is gone: told as known only once a majority of the voters' registries took the word. */
-const recordDeparture = (state: Registry, ref: number, origin: Announced, now: Timestamp): Done => {
+const recordDeparture = (
+  state: RegistryState,
+  ref: number,
+  origin: AnnouncedOrigin,
+  now: Timestamp,
+): RegistryTransition => {
   const before = state.departures.get(origin.instance);
-  if (before !== undefined && rankOf(before.state) >= rankOf(origin.state)) {
-    if (before.confirmed) return transition(state, announcedReply(ref));
+  if (before !== undefined && departureRank(before.state) >= departureRank(origin.state)) {
+    if (before.isConfirmed) return transition(state, announcedReply(ref));
     return transition({
       ...state,
       departures: withEntry(state.departures, origin.instance, {
         ...before,
-        waiting: [...before.waiting, { ref, since: now }],
+        waiters: [...before.waiters, { ref, since: now }],
       }),
     });
   }
   const one: Departure = {
     state: origin.state,
-    confirmed: false,
-    sent: now,
-    noted: new Set(),
-    waiting: [...(before?.waiting ?? []), { ref, since: now }],
+    isConfirmed: false,
+    sentAt: now,
+    acknowledgedBy: new Set(),
+    waiters: [...(before?.waiters ?? []), { ref, since: now }],
   };
   return prependEffects(
     departureFrames(state, origin.instance, one, now),
@@ -85,7 +94,12 @@
 };
 
 /** An origin tells of itself. */
-export const announce = (state: Registry, ref: number, origin: Announced, now: Timestamp): Done => {
+export const onAnnouncement = (
+  state: RegistryState,
+  ref: number,
+  origin: AnnouncedOrigin,
+  now: Timestamp,
+): RegistryTransition => {
   if (!hasMajorityContact(state, now)) {
     return transition(
       state,
@@ -105,7 +119,7 @@
       }),
     );
   }
-  const learned = learn(state.origins, { ...origin, at: now });
+  const learned = learnOrigin(state.origins, { ...origin, lastHeardAt: now });
   const next = { ...state, origins: learned.origins };
   const told = learned.news ? broadcast(next, now) : [];
   return origin.state === 'up'
@@ -115,12 +129,12 @@
 
 /** A peer was told that an origin leaves, and wants to know that this registry took the word. */
 export const onDeparture = (
-  state: Registry,
+  state: RegistryState,
   from: Peer,
   word: FrameOf<'departure'>,
   now: Timestamp,
-): Done => {
-  const learned = learnAll(state.origins, [word.origin], now);
+): RegistryTransition => {
+  const learned = learnOrigins(state.origins, [word.origin], now);
   const next = { ...state, origins: learned.origins };
   const noted: RegistryEffect = send(from.address, {
     kind: 'departure-ack',
@@ -135,34 +149,37 @@
   );
 };
 
-export const onDepartureAck = (state: Registry, word: FrameOf<'departure-ack'>): Done => {
+export const onDepartureAck = (
+  state: RegistryState,
+  word: FrameOf<'departure-ack'>,
+): RegistryTransition => {
   const one = state.departures.get(word.instance);
-  if (one === undefined || one.confirmed || rankOf(word.state) < rankOf(one.state))
+  if (one === undefined || one.isConfirmed || departureRank(word.state) < departureRank(one.state))
     return transition(state);
   return replyIfDurable(state, word.instance, {
     ...one,
-    noted: new Set([...one.noted, word.node]),
+    acknowledgedBy: new Set([...one.acknowledgedBy, word.node]),
   });
 };
 
 /** Lets time pass over departures: asks again, ends what took too long, forgets those of origins long forgotten. */
-export const tickDepartures = (state: Registry, now: Timestamp): Done => {
-  let next: Done = transition(state);
+export const tickDepartures = (state: RegistryState, now: Timestamp): RegistryTransition => {
+  let next: RegistryTransition = transition(state);
   for (const [instance, one] of state.departures) {
-    if (!state.origins.has(instance) && one.waiting.length === 0) {
+    if (!state.origins.has(instance) && one.waiters.length === 0) {
       next = transition(
         { ...next.state, departures: withoutEntry(next.state.departures, instance) },
         ...next.effects,
       );
       continue;
     }
-    if (one.confirmed || one.waiting.length === 0) continue;
-    const late = one.waiting.filter((row) => now - row.since > confirmTimeout);
-    const again = now - one.sent > resendInterval;
+    if (one.isConfirmed || one.waiters.length === 0) continue;
+    const late = one.waiters.filter((row) => now - row.since > confirmTimeoutMs);
+    const again = now - one.sentAt > resendIntervalMs;
     const kept: Departure = {
       ...one,
-      sent: again ? now : one.sent,
-      waiting: one.waiting.filter((row) => !late.includes(row)),
+      sentAt: again ? now : one.sentAt,
+      waiters: one.waiters.filter((row) => !late.includes(row)),
     };
     const told = late.map((row) =>
       reply(row.ref, 503, {
--- a/packages/membership/src/registry/hint.test.ts
+++ b/packages/membership/src/registry/disk-hints.test.ts
@@ -14,8 +14,8 @@
   noSeq,
 } from '@switchwheel/types';
 import type { Frame, FrameOf, Member, Peer } from '@switchwheel/transport';
-import { type Registry, newRegistry } from './state.js';
-import { registryStep } from './machine.js';
+import { type RegistryState, newRegistryState } from './state.js';
+import { registryTransition } from './transition.js';
 
 const member = (role: Member['role'], node: string, port: number): Member => ({
   node: toNodeId(node),
@@ -73,11 +73,11 @@
   address: one.address,
   incarnation: one.incarnation,
 });
-const hear = (state: Registry, from: Member, frame: Frame, now: Timestamp): Registry =>
-  registryStep(state, { kind: 'frame', now, from: peerOf(from), frame }).state;
+const hear = (state: RegistryState, from: Member, frame: Frame, now: Timestamp): RegistryState =>
+  registryTransition(state, { kind: 'frameReceived', now, from: peerOf(from), frame }).state;
 
 /** A registry that heard some peers, which say that they heard it just now. */
-const inTouchWith = (count: number, eager = true): Registry =>
+const inTouchWith = (count: number, eager = true): RegistryState =>
   peers.slice(0, count).reduce(
     (state, peer) => {
       const word: FrameOf<'gossip'> = {
@@ -94,13 +94,13 @@
       };
       return hear(state, peer, word, born);
     },
-    newRegistry(registry, [], born, { seed: 1 }, undefined, eager),
+    newRegistryState(registry, [], born, { seed: 1 }, undefined, eager),
   );
 
-const withHints = (state: Registry, ...words: readonly FrameOf<'hint'>[]): Registry =>
+const withHints = (state: RegistryState, ...words: readonly FrameOf<'hint'>[]): RegistryState =>
   words.reduce((next, word) => hear(next, store, word, born), state);
 
-const offered = (state: Registry, generation: number, now: Timestamp): number | undefined => {
+const offered = (state: RegistryState, generation: number, now: Timestamp): number | undefined => {
   const frame: FrameOf<'heartbeat'> = {
     kind: 'heartbeat',
     member: edge,
@@ -116,7 +116,7 @@
       health: { name: 'proxy', healthy: true, text: '', parts: [] },
     },
   };
-  const done = registryStep(state, { kind: 'frame', now, from: peerOf(edge), frame });
+  const done = registryTransition(state, { kind: 'frameReceived', now, from: peerOf(edge), frame });
   const heard = done.effects.map((one) =>
     one.kind === 'send' && one.frame.kind === 'heartbeat-reply'
       ? one.frame.offer?.generation
--- a/packages/membership/src/registry/hints.ts
+++ b/packages/membership/src/registry/disk-hints.ts
@@ -3,37 +3,41 @@
  * start on them, but only where no newer description can have been confirmed.
  */
 import { type Timestamp, withEntry } from '@switchwheel/types';
-import type { ClusterMetadata, FrameOf, Offer } from '@switchwheel/transport';
-import { hasMajorityContact, feedAge } from './queries.js';
-import type { Registry, StoreHint } from './state.js';
+import type { ClusterMetadata, FrameOf, ConfigManifest } from '@switchwheel/transport';
+import { hasMajorityContact, feedAgeMs } from './queries.js';
+import type { RegistryState, StoreHint } from './state.js';
 
 /** How long a registry listens for what disks hold before it tells of it. */
-const hintDelay = 250;
+const hintDelayMs = 250;
 /** How old a store's word of its disk may be to count. */
-const hintLimit = 1000;
+const maxHintAgeMs = 1000;
 
 /** Where the description that a hint names can be had. */
-export type ProvenHint = FrameOf<'hint'> & { readonly offer: Offer };
+export type ProvenHint = FrameOf<'hint'> & { readonly offer: ConfigManifest };
 
 /** Keeps the newest word of each store. */
-export const learnHint = (state: Registry, word: FrameOf<'hint'>, now: Timestamp): Registry => {
+export const learnHint = (
+  state: RegistryState,
+  word: FrameOf<'hint'>,
+  now: Timestamp,
+): RegistryState => {
   if (state.fleet !== undefined && state.fleet !== word.metadata.fleet) return state;
-  const known = state.hints.get(word.node);
+  const known = state.diskHints.get(word.node);
   const late =
     known !== undefined &&
-    (word.incarnation < known.word.incarnation ||
-      (word.incarnation === known.word.incarnation && word.at < known.word.at));
+    (word.incarnation < known.frame.incarnation ||
+      (word.incarnation === known.frame.incarnation && word.at < known.frame.at));
   return late
     ? state
-    : { ...state, hints: withEntry(state.hints, word.node, { word, heardAt: now }) };
+    : { ...state, diskHints: withEntry(state.diskHints, word.node, { frame: word, heardAt: now }) };
 };
 
-const freshHints = (state: Registry, now: Timestamp): readonly StoreHint[] =>
-  [...state.hints.values()].filter((one) => now - one.heardAt < hintLimit);
+const freshHints = (state: RegistryState, now: Timestamp): readonly StoreHint[] =>
+  [...state.diskHints.values()].filter((one) => now - one.heardAt < maxHintAgeMs);
 
 const newestMetadata = (hints: readonly StoreHint[]): ClusterMetadata | undefined =>
   hints
-    .map((one) => one.word.metadata)
+    .map((one) => one.frame.metadata)
     .reduce<ClusterMetadata | undefined>(
       (best, one) => (best === undefined || one.epoch > best.epoch ? one : best),
       undefined,
@@ -46,8 +50,12 @@
  * member of the newest in-sync set has spoken. What was confirmed is on the disk of each of them,
  * so the lowest of what they hold is no older; and whoever of them is elected has it.
  */
-export const provenHint = (state: Registry, now: Timestamp): ProvenHint | undefined => {
-  if (!state.eager || now - state.voter.born <= hintDelay || feedAge(state, now) !== undefined)
+export const provenHint = (state: RegistryState, now: Timestamp): ProvenHint | undefined => {
+  if (
+    !state.offersDiskHints ||
+    now - state.voter.startedAt <= hintDelayMs ||
+    feedAgeMs(state, now) !== undefined
+  )
     return undefined;
   const hints = freshHints(state, now);
   const metadata = newestMetadata(hints);
@@ -57,7 +65,7 @@
     known !== undefined && known.serial > metadata.electorate.serial ? known : metadata.electorate;
   if (!hasMajorityContact({ ...state, electorate }, now)) return undefined;
   const inSync = hints
-    .map((one) => one.word)
+    .map((one) => one.frame)
     .filter((one) => metadata.inSyncSet.includes(one.node));
   const offering = inSync.filter(hasOffer);
   if (offering.length < metadata.inSyncSet.length) return undefined;
--- a/packages/membership/src/registry/event.ts
+++ b/packages/membership/src/registry/event.ts
@@ -1,5 +1,5 @@
 import type {
-  CallId,
+  CommandId,
   FleetId,
   Generation,
   Hash,
@@ -8,39 +8,44 @@
   Release,
   ServiceName,
 } from '@switchwheel/types';
-import type { Aim, Origin, WireEffect, WireEvent } from '@switchwheel/transport';
+import type {
+  PurgeTarget,
+  OriginInstance,
+  ProcessEffect,
+  ProcessEvent,
+} from '@switchwheel/transport';
 
 /** An outside call, already read and checked for its form. */
-export type Outside =
-  | { readonly verb: 'announce'; readonly origin: Omit<Origin, 'age'> }
+export type ExternalRequest =
+  | { readonly verb: 'announce'; readonly origin: Omit<OriginInstance, 'age'> }
   | {
       readonly verb: 'apply';
-      readonly id: CallId;
-      readonly base: Generation | undefined;
-      readonly number?: Generation | undefined;
+      readonly id: CommandId;
+      readonly baseGeneration: Generation | undefined;
+      readonly requestedGeneration?: Generation | undefined;
       readonly hash: Hash;
-      readonly order: readonly Hash[];
-      readonly pieces: ReadonlyMap<Hash, string>;
+      readonly chunkHashes: readonly Hash[];
+      readonly chunks: ReadonlyMap<Hash, string>;
     }
-  | { readonly verb: 'purge'; readonly id: CallId; readonly aims: readonly Aim[] }
-  | { readonly verb: 'ask'; readonly id: CallId; readonly about: CallId }
-  | { readonly verb: 'view'; readonly id: CallId; readonly what: string }
+  | { readonly verb: 'purge'; readonly id: CommandId; readonly aims: readonly PurgeTarget[] }
+  | { readonly verb: 'outcome'; readonly id: CommandId; readonly commandId: CommandId }
+  | { readonly verb: 'view'; readonly id: CommandId; readonly what: string }
   | {
       readonly verb: 'electorate';
-      readonly id: CallId;
+      readonly id: CommandId;
       readonly add: NodeId | undefined;
       readonly remove: NodeId | undefined;
     }
   | {
       readonly verb: 'release';
-      readonly id: CallId;
+      readonly id: CommandId;
       readonly service: ServiceName;
       readonly target: Release;
       readonly spanMs: number;
     }
   | {
-      readonly verb: 'found';
-      readonly id: CallId;
+      readonly verb: 'bootstrap';
+      readonly id: CommandId;
       readonly fleet: FleetId;
       readonly stores: readonly NodeId[];
       readonly voters: readonly NodeId[];
@@ -48,33 +53,33 @@
   | { readonly verb: 'fleet' };
 
 export type RegistryEvent =
-  | WireEvent
+  | ProcessEvent
   | {
-      readonly kind: 'outside';
+      readonly kind: 'requestReceived';
       readonly now: Timestamp;
-      readonly ref: number;
-      readonly call: Outside;
+      readonly correlationId: number;
+      readonly request: ExternalRequest;
     }
-  | { readonly kind: 'stop'; readonly now: Timestamp };
+  | { readonly kind: 'stopRequested'; readonly now: Timestamp };
 
 export type RegistryEffect =
-  | WireEffect
+  | ProcessEffect
   | {
       readonly kind: 'reply';
-      readonly ref: number;
+      readonly correlationId: number;
       readonly status: number;
       readonly body: string;
     };
 
 export const reply = (ref: number, status: number, body: object): RegistryEffect => ({
   kind: 'reply',
-  ref,
+  correlationId: ref,
   status,
   body: JSON.stringify(body),
 });
 export const replyText = (ref: number, status: number, body: string): RegistryEffect => ({
   kind: 'reply',
-  ref,
+  correlationId: ref,
   status,
   body,
 });
--- a/packages/membership/src/registry/fleet-view-forms.test.ts
+++ b/packages/membership/src/registry/fleet-view-forms.test.ts
@@ -17,8 +17,8 @@
 } from '@switchwheel/types';
 import { jsonShape, snapshotsFor } from '@switchwheel/types/testing';
 import type { Member } from '@switchwheel/transport';
-import { fleetView } from './calls.js';
-import { newRegistry } from './state.js';
+import { fleetView } from './operator-commands.js';
+import { newRegistryState } from './state.js';
 
 const matchSnapshot = snapshotsFor(import.meta.dirname);
 const now = toTimestamp(5000);
@@ -37,7 +37,7 @@
 
 void test('what a registry shows of the fleet keeps its keys', () => {
   const edge = member('edge', 'e1');
-  const fresh = newRegistry(member('registry', 'r1'), [], now, { seed: 1 });
+  const fresh = newRegistryState(member('registry', 'r1'), [], now, { seed: 1 });
   const session = {
     member: edge,
     report: {
@@ -50,7 +50,7 @@
     registry: fresh.member.node,
     seq: toSeq(1),
     open: true,
-    at: now,
+    lastHeardAt: now,
   };
   const instance = toInstanceId('i1');
   const origin = {
@@ -63,14 +63,14 @@
     area: edge.area,
     calls: toSeq(1),
     coldMs: toDurationMs(0),
-    at: now,
+    lastHeardAt: now,
   };
   const grant = {
     epoch: toEpoch(2),
     node: edge.node,
-    lessee: edge.node,
+    leaseHolder: edge.node,
     inSyncSet: [edge.node],
-    until: now,
+    leaseEndsAt: now,
   };
   const holder = { duty: primaryLease, epoch: toEpoch(2), node: edge.node, address: edge.address };
   const verdict = {
@@ -95,7 +95,7 @@
         ...fresh.feed,
         asOf: now,
         desired: new Map([[edge.node, place]]),
-        verdicts: [verdict],
+        canaryResults: [verdict],
       },
     },
     now,
--- a/packages/membership/src/registry/newest-offer.test.ts
+++ b/packages/membership/src/registry/newest-offer.test.ts
@@ -17,9 +17,9 @@
   toNodeId,
   toSeq,
 } from '@switchwheel/types';
-import type { FrameOf, Member, Offer } from '@switchwheel/transport';
-import { registryStep } from './machine.js';
-import { type Registry, newRegistry } from './state.js';
+import type { FrameOf, Member, ConfigManifest } from '@switchwheel/transport';
+import { registryTransition } from './transition.js';
+import { type RegistryState, newRegistryState } from './state.js';
 
 /** Well under the time within which a confirmed description has to be in force. */
 const longestHold = 1000;
@@ -34,7 +34,7 @@
 const edge = member('edge', 'e1', 7001);
 const store = member('store', 's1', 7002);
 
-const offer = (generation: number): Offer => ({
+const offer = (generation: number): ConfigManifest => ({
   generation: toGeneration(generation),
   hash: toHash(String(generation).repeat(64).slice(0, 64)),
   pieces: [],
@@ -76,13 +76,15 @@
 
 /** A registry and the answers that the edge gets from it. */
 class Conversation {
-  state: Registry = newRegistry(member('registry', 'r1', 7000), [], toTimestamp(900), { seed: 1 });
+  state: RegistryState = newRegistryState(member('registry', 'r1', 7000), [], toTimestamp(900), {
+    seed: 1,
+  });
   readonly replies: FrameOf<'heartbeat-reply'>[] = [];
 
   hear(by: Member, frame: FrameOf<'heartbeat'> | FrameOf<'feed'>, now: number): void {
     const { node, address, incarnation } = by;
-    const done = registryStep(this.state, {
-      kind: 'frame',
+    const done = registryTransition(this.state, {
+      kind: 'frameReceived',
       now: toTimestamp(now),
       from: { node, address, incarnation },
       frame,
--- a/packages/membership/src/registry/nodes.ts
+++ b/packages/membership/src/registry/node-sessions.ts
@@ -1,4 +1,4 @@
-import { leaseSpan } from '@switchwheel/election';
+import { maxLeaseMs } from '@switchwheel/election';
 import {
   type LeaseName,
   type Generation,
@@ -18,25 +18,25 @@
 import {
   type Peer,
   type FrameOf,
-  type Offer,
-  type ReleaseState,
-  type WireEffect,
+  type ConfigManifest,
+  type RolloutState,
+  type ProcessEffect,
   send,
 } from '@switchwheel/transport';
 import { learnHolder } from '../session/node-session.js';
-import { isSettled, releasesDigest } from '../releases/digest.js';
-import { advanceReads } from './description-read.js';
+import { isSettled, releasesDigest } from '../releases/releases-digest.js';
+import { advanceReads } from './configuration-read.js';
 import type { RegistryEffect } from './event.js';
-import type { KnownSession, Registry } from './state.js';
-import { provenHint } from './hints.js';
-import { servableFeedAge, primaryHolder, memberListFrame, broadcast } from './queries.js';
+import type { KnownSession, RegistryState } from './state.js';
+import { provenHint } from './disk-hints.js';
+import { servableFeedAgeMs, primaryHolder, memberListFrame, broadcast } from './queries.js';
 
-type Done = Transition<Registry, WireEffect>;
-const firstRetryDelay = 1000;
-const longestRetryDelay = 15_000;
-const resendInterval = 400;
+type RegistryTransition = Transition<RegistryState, ProcessEffect>;
+const firstRetryDelayMs = 1000;
+const maxRetryDelayMs = 15_000;
+const resendIntervalMs = 400;
 /** How long a roll-out may hold the newest description back from a node in touch, whatever the primary's row names. */
-const longestRolloutHold = 800;
+const maxRolloutHoldMs = 800;
 
 const isNewer = (known: KnownSession | undefined, word: KnownSession): boolean =>
   known === undefined ||
@@ -45,9 +45,9 @@
 
 /** Takes a word on a session, whoever tells it: the node's own order decides. */
 export const learnSession = (
-  state: Registry,
+  state: RegistryState,
   word: KnownSession,
-): { readonly state: Registry; readonly news: boolean } => {
+): { readonly state: RegistryState; readonly news: boolean } => {
   const known = state.sessions.get(word.member.node);
   if (!isNewer(known, word)) return { state, news: false };
   const news =
@@ -59,30 +59,38 @@
   return { state: { ...state, sessions: withEntry(state.sessions, word.member.node, word) }, news };
 };
 
-const offerFromHint = (state: Registry, known: KnownSession, now: Timestamp): Offer | undefined =>
+const offerFromHint = (
+  state: RegistryState,
+  known: KnownSession,
+  now: Timestamp,
+): ConfigManifest | undefined =>
   known.report.phase === 'none' ? provenHint(state, now)?.offer : undefined;
 
 /** What a node is to run, if this registry's word of the primary counts. */
-const desiredOffer = (state: Registry, known: KnownSession, now: Timestamp): Offer | undefined => {
-  if (servableFeedAge(state, now) === undefined) return offerFromHint(state, known, now);
+const desiredOffer = (
+  state: RegistryState,
+  known: KnownSession,
+  now: Timestamp,
+): ConfigManifest | undefined => {
+  if (servableFeedAgeMs(state, now) === undefined) return offerFromHint(state, known, now);
   const { current, currentSince, desired, offers } = state.feed;
   const row = desired.get(known.member.node);
-  const held = row !== undefined && now - currentSince < longestRolloutHold;
+  const held = row !== undefined && now - currentSince < maxRolloutHoldMs;
   // A node that runs nothing yet gets the newest at once.
   const offer = held && known.report.phase !== 'none' ? offers.get(row.hash) : current;
   return offer !== undefined && offer.generation >= known.report.generation ? offer : undefined;
 };
 
 /** The newest confirmed generation: a node that runs an older one may not deny a route, and not go on with its own for long. */
-const newestGeneration = (state: Registry): Generation =>
+const newestGeneration = (state: RegistryState): Generation =>
   state.feed.current?.generation ?? noGeneration;
 
 /** The reconcile of every message: the offer to send with the answer, if any. */
 const reconcile = (
-  state: Registry,
+  state: RegistryState,
   known: KnownSession,
   now: Timestamp,
-): { readonly state: Registry; readonly offer: Offer | undefined } => {
+): { readonly state: RegistryState; readonly offer: ConfigManifest | undefined } => {
   const node = known.member.node;
   const offer = desiredOffer(state, known, now);
   const report = known.report;
@@ -93,58 +101,60 @@
     report.hash === offer.hash
   ) {
     return {
-      state: state.offered.has(node)
-        ? { ...state, offered: withoutEntry(state.offered, node) }
+      state: state.offersSent.has(node)
+        ? { ...state, offersSent: withoutEntry(state.offersSent, node) }
         : state,
       offer: undefined,
     };
   }
-  const before = state.offered.get(node);
+  const before = state.offersSent.get(node);
   const again = before !== undefined && before.hash === offer.hash;
   const failed =
     report.failed?.hash === offer.hash && report.failed.generation === offer.generation;
   const rest = failed
-    ? Math.min(longestRetryDelay, firstRetryDelay * 2 ** Math.min(10, before?.tries ?? 0))
-    : resendInterval;
+    ? Math.min(maxRetryDelayMs, firstRetryDelayMs * 2 ** Math.min(10, before?.tries ?? 0))
+    : resendIntervalMs;
   if (again && now < addMs(before.at, rest)) return { state, offer: undefined };
   const tries = again && failed ? before.tries + 1 : 0;
   return {
     state: {
       ...state,
-      offered: withEntry(state.offered, node, { hash: offer.hash, at: now, tries }),
+      offersSent: withEntry(state.offersSent, node, { hash: offer.hash, at: now, tries }),
     },
     offer,
   };
 };
 
 /** Duties whose lease is over as far as this voter knows: it would have seen their renewals. */
-export const vacantDuties = (state: Registry, now: Timestamp): LeaseName[] => {
-  if (now < addMs(state.voter.born, 1.2 * leaseSpan)) return [];
+export const vacantLeases = (state: RegistryState, now: Timestamp): LeaseName[] => {
+  if (now < addMs(state.voter.startedAt, 1.2 * maxLeaseMs)) return [];
   const duties = new Set([...state.voter.grants.keys(), ...state.holders.keys()]);
-  return [...duties].filter((duty) => (state.voter.grants.get(duty)?.until ?? clockOrigin) <= now);
+  return [...duties].filter(
+    (duty) => (state.voter.grants.get(duty)?.leaseEndsAt ?? clockOrigin) <= now,
+  );
 };
 
 /** The records of releases with what is left of their spans by now, and their digest. */
-interface Records {
-  readonly releases: readonly ReleaseState[];
+interface ReleaseRecords {
+  readonly releases: readonly RolloutState[];
   readonly digest: string;
 }
 // A digest holds for a feed's records until one of their spans is over.
-const digests = new WeakMap<
-  readonly ReleaseState[],
+const digestCache = new WeakMap<
+  readonly RolloutState[],
   { readonly digest: string; readonly until: number }
 >();
 
-const releaseRecords = (state: Registry, now: Timestamp): Records => {
-  const { releases: told, releasesAt } = state.feed;
+const releaseRecords = (state: RegistryState, now: Timestamp): ReleaseRecords => {
+  const { releases: told, releasesReceivedAt } = state.feed;
   const releases = told.map((one) => ({
     ...one,
-    leftMs: toDurationMs(Math.max(0, one.leftMs - (now - releasesAt))),
+    leftMs: toDurationMs(Math.max(0, one.leftMs - (now - releasesReceivedAt))),
   }));
-  const before = digests.get(told);
+  const before = digestCache.get(told);
   if (before !== undefined && now < before.until) return { releases, digest: before.digest };
   const digest = releasesDigest(releases);
-  digests.set(told, {
+  digestCache.set(told, {
     digest,
     until: Math.min(
       Infinity,
@@ -155,18 +165,18 @@
 };
 
 /** What a node is told of releases: all, or only what moves if it knows the others. */
-const unknownReleases = (all: Records, known: string | undefined): ReleaseState[] =>
+const unknownReleases = (all: ReleaseRecords, known: string | undefined): RolloutState[] =>
   all.releases.filter((one) => known !== all.digest || !isSettled(one));
 
 const heartbeatReply = (
-  state: Registry,
+  state: RegistryState,
   at: Timestamp,
   purged: number,
-  offer: Offer | undefined,
-  releases: ReleaseState[],
+  offer: ConfigManifest | undefined,
+  releases: RolloutState[],
   now: Timestamp,
 ): FrameOf<'heartbeat-reply'> => {
-  const age = servableFeedAge(state, now);
+  const age = servableFeedAgeMs(state, now);
   return {
     kind: 'heartbeat-reply',
     at,
@@ -178,11 +188,11 @@
     newest: newestGeneration(state),
     newestAge: elapsedMs(state.feed.currentSince, now),
     purges: state.feed.purges.filter((one) => one.seq > purged),
-    floor: state.feed.floor,
-    top: state.feed.top,
-    verdicts: [...state.feed.verdicts],
+    floor: state.feed.oldestPurge,
+    top: state.feed.latestPurge,
+    verdicts: [...state.feed.canaryResults],
     releases,
-    vacant: vacantDuties(state, now),
+    vacant: vacantLeases(state, now),
     ...(state.electorate === undefined ? {} : { electorate: state.electorate }),
     ...(state.fleet === undefined ? {} : { fleet: state.fleet }),
   };
@@ -190,20 +200,20 @@
 
 /** A node spoke: its session stands, and desired is held against reported. */
 export const onHeartbeat = (
-  state: Registry,
+  state: RegistryState,
   from: Peer,
   word: FrameOf<'heartbeat'>,
   now: Timestamp,
-): Done => {
+): RegistryTransition => {
   const before = state.sessions.get(word.member.node);
   const known: KnownSession = {
     member: word.member,
     report: word.report,
     registry: state.member.node,
     seq: word.seq,
-    at: now,
+    lastHeardAt: now,
     open: !word.bye,
-    releases: word.releases,
+    releasesDigest: word.releases,
   };
   const learned = learnSession(state, known);
   const holders = word.held.reduce(learnHolder, learned.state.holders);
@@ -230,8 +240,12 @@
 };
 
 /** Pushes to every node with a session here: after news of the primary. */
-export const pushToNodes = (state: Registry, purged: number, now: Timestamp): Done => {
-  let next: Done = transition(state);
+export const pushToNodes = (
+  state: RegistryState,
+  purged: number,
+  now: Timestamp,
+): RegistryTransition => {
+  let next: RegistryTransition = transition(state);
   const all = releaseRecords(state, now);
   for (const known of state.sessions.values()) {
     if (
@@ -254,7 +268,7 @@
             clockOrigin,
             purged,
             checked.offer,
-            unknownReleases(all, known.releases),
+            unknownReleases(all, known.releasesDigest),
             now,
           ),
         ),
@@ -265,24 +279,24 @@
 };
 
 /** A node lacks pieces: those here are sent, the others asked of the primary. */
-export const onWant = (
-  state: Registry,
+export const onNodeChunkRequest = (
+  state: RegistryState,
   from: Peer,
   word: FrameOf<'piece-request'>,
   now: Timestamp,
-): Done => {
-  const effects: WireEffect[] = [];
-  let wanted = state.wanted;
-  let asked = state.asked;
+): RegistryTransition => {
+  const effects: ProcessEffect[] = [];
+  let wanted = state.chunkWaiters;
+  let asked = state.chunkRequestedAt;
   const missing: Hash[] = [];
   for (const hash of word.hashes) {
-    const data = state.pieces.get(hash);
+    const data = state.chunks.get(hash);
     if (data !== undefined) {
       effects.push(send(from.address, { kind: 'piece', hash, data }));
       continue;
     }
     wanted = withEntry(wanted, hash, new Set([...(wanted.get(hash) ?? []), from.address]));
-    if (now - (asked.get(hash) ?? -Infinity) > resendInterval) {
+    if (now - (asked.get(hash) ?? -Infinity) > resendIntervalMs) {
       asked = withEntry(asked, hash, now);
       missing.push(hash);
     }
@@ -292,20 +306,20 @@
     effects.push(
       send(store.address, { kind: 'piece-request', node: state.member.node, hashes: missing }),
     );
-  return transition({ ...state, wanted, asked }, ...effects);
+  return transition({ ...state, chunkWaiters: wanted, chunkRequestedAt: asked }, ...effects);
 };
 
-export const onPiece = (
-  state: Registry,
+export const onChunk = (
+  state: RegistryState,
   word: FrameOf<'piece'>,
   now: Timestamp,
-): Transition<Registry, RegistryEffect> => {
-  const waiting = [...(state.wanted.get(word.hash) ?? [])];
-  const next: Registry = {
+): Transition<RegistryState, RegistryEffect> => {
+  const waiting = [...(state.chunkWaiters.get(word.hash) ?? [])];
+  const next: RegistryState = {
     ...state,
-    pieces: withEntry(state.pieces, word.hash, word.data),
-    wanted: withoutEntry(state.wanted, word.hash),
-    asked: withoutEntry(state.asked, word.hash),
+    chunks: withEntry(state.chunks, word.hash, word.data),
+    chunkWaiters: withoutEntry(state.chunkWaiters, word.hash),
+    chunkRequestedAt: withoutEntry(state.chunkRequestedAt, word.hash),
   };
   return prependEffects(
     waiting.map((to) => send(to, word)),
--- a/packages/membership/src/registry/calls.ts
+++ b/packages/membership/src/registry/operator-commands.ts
@@ -1,5 +1,5 @@
 import {
-  type CallId,
+  type CommandId,
   type Timestamp,
   type NodeId,
   type Transition,
@@ -9,26 +9,26 @@
   transition,
 } from '@switchwheel/types';
 import { type FrameOf, send } from '@switchwheel/transport';
-import { announce } from './departures.js';
-import { onOfferNamed, readsDescription } from './description-read.js';
-import { type Outside, type RegistryEffect, reply, replyText } from './event.js';
-import type { Pending, Registry } from './state.js';
+import { onAnnouncement } from './departures.js';
+import { onOfferNamed, readsConfiguration } from './configuration-read.js';
+import { type ExternalRequest, type RegistryEffect, reply, replyText } from './event.js';
+import type { PendingCommand, RegistryState } from './state.js';
 import { hasMajorityContact, isAlive, onlyPeersHearPrimary, primaryHolder } from './queries.js';
 
-type Done = Transition<Registry, RegistryEffect>;
-const resendInterval = 400;
-const maxPendingCalls = 256;
+type RegistryTransition = Transition<RegistryState, RegistryEffect>;
+const resendIntervalMs = 400;
+const maxPendingCommands = 256;
 /** How long a call waits for a primary that others hear and this registry does not, or without a majority. */
-const contactTimeout = 900;
+const contactTimeoutMs = 900;
 /** How old a call is that is ended without such contact, though the primary on this machine still has its lease. */
-const doubtfulAfter = 600;
+const doubtfulAfterMs = 600;
 
 const startBootstrap = (
-  state: Registry,
+  state: RegistryState,
   ref: number,
-  call: Extract<Outside, { verb: 'found' }>,
+  call: Extract<ExternalRequest, { verb: 'bootstrap' }>,
   now: Timestamp,
-): Done => {
+): RegistryTransition => {
   const near = [...state.sessions.values()].filter((one) => isAlive(one, now));
   const stores = near
     .filter(
@@ -77,11 +77,11 @@
     },
   };
   const founding = withEntry(state.bootstraps, call.id, {
-    ref,
-    since: now,
+    correlationId: ref,
+    startedAt: now,
     stores: stores.map((one) => one.node),
     voters: word.electorate.members.map((one) => one.node),
-    agreed: new Set<NodeId>(),
+    agreedStores: new Set<NodeId>(),
   });
   return transition(
     { ...state, bootstraps: founding },
@@ -90,28 +90,35 @@
 };
 
 /** A store agreed to a founding, or did not. */
-export const onBootstrapped = (state: Registry, word: FrameOf<'bootstrapped'>): Done => {
+export const onBootstrapped = (
+  state: RegistryState,
+  word: FrameOf<'bootstrapped'>,
+): RegistryTransition => {
   const open = state.bootstraps.get(word.id);
   if (open === undefined) return transition(state);
   const without = { ...state, bootstraps: withoutEntry(state.bootstraps, word.id) };
   if (!word.ok)
     return transition(
       without,
-      reply(open.ref, 409, { kind: 'stale', text: `${word.node}: ${word.text}` }),
+      reply(open.correlationId, 409, { kind: 'stale', text: `${word.node}: ${word.text}` }),
     );
-  const agreed = new Set([...open.agreed, word.node]);
+  const agreed = new Set([...open.agreedStores, word.node]);
   if (open.stores.every((one) => agreed.has(one)))
     return transition(
       without,
-      reply(open.ref, 200, { kind: 'bootstrapped', stores: open.stores, voters: open.voters }),
+      reply(open.correlationId, 200, {
+        kind: 'bootstrapped',
+        stores: open.stores,
+        voters: open.voters,
+      }),
     );
   return transition({
     ...state,
-    bootstraps: withEntry(state.bootstraps, word.id, { ...open, agreed }),
+    bootstraps: withEntry(state.bootstraps, word.id, { ...open, agreedStores: agreed }),
   });
 };
 
-const callFrame = (id: CallId, one: Pending): FrameOf<'call'> => ({
+const commandFrame = (id: CommandId, one: PendingCommand): FrameOf<'call'> => ({
   kind: 'call',
   id,
   verb: one.verb,
@@ -124,21 +131,24 @@
  * no contact with the majority, or the primary is silent here while peers hear it. While nobody
  * hears one, a new primary is being elected, and the call waits for it.
  */
-const isCutOff = (state: Registry, one: Pending, now: Timestamp): boolean => {
+const isCutOff = (state: RegistryState, one: PendingCommand, now: Timestamp): boolean => {
   if (!hasMajorityContact(state, now)) return true;
-  if (now - one.since > doubtfulAfter && !hasMajorityContact(state, now, contactTimeout))
+  if (now - one.receivedAt > doubtfulAfterMs && !hasMajorityContact(state, now, contactTimeoutMs))
     return true;
-  const primaryHeardAt = Math.max(one.since, state.feed.asOf ?? -Infinity);
-  if (now - primaryHeardAt <= contactTimeout) return false;
+  const primaryHeardAt = Math.max(one.receivedAt, state.feed.asOf ?? -Infinity);
+  if (now - primaryHeardAt <= contactTimeoutMs) return false;
   // One that restarted where it is cut off does not even know the electorate.
   if (state.electorate === undefined) return true;
-  return !hasMajorityContact(state, now, contactTimeout) || onlyPeersHearPrimary(state);
+  return !hasMajorityContact(state, now, contactTimeoutMs) || onlyPeersHearPrimary(state);
 };
 
 /** All who wait for the answer to a call. */
-const callers = (one: Pending): readonly number[] => [one.ref, ...one.repeats];
+const correlationIdsOf = (one: PendingCommand): readonly number[] => [
+  one.correlationId,
+  ...one.duplicates,
+];
 
-const notForwarded = (ref: number, id: CallId): RegistryEffect =>
+const notForwarded = (ref: number, id: CommandId): RegistryEffect =>
   reply(ref, 503, {
     kind: 'rejected',
     id,
@@ -146,7 +156,7 @@
     retryAfterMs: 1000,
   });
 
-const outcomeUnknown = (ref: number, id: CallId): RegistryEffect =>
+const outcomeUnknown = (ref: number, id: CommandId): RegistryEffect =>
   reply(ref, 504, {
     kind: 'unknown',
     id,
@@ -154,13 +164,13 @@
   });
 
 /** The same order again while it is under way here waits for the one answer; other content under its id is refused. */
-const joinCall = (
-  state: Registry,
+const joinPendingCommand = (
+  state: RegistryState,
   ref: number,
-  id: CallId,
-  underWay: Pending,
-  again: Pick<Pending, 'verb' | 'body'>,
-): Done => {
+  id: CommandId,
+  underWay: PendingCommand,
+  again: Pick<PendingCommand, 'verb' | 'body'>,
+): RegistryTransition => {
   const isSame = underWay.verb === again.verb && underWay.body === again.body;
   const isRead = again.verb === 'ask' || again.verb === 'view';
   if (!isSame || isRead)
@@ -168,36 +178,36 @@
       state,
       reply(ref, 409, { kind: 'stale', id, text: 'a call with this id is under way here' }),
     );
-  const joined: Pending = { ...underWay, repeats: [...underWay.repeats, ref] };
-  return transition({ ...state, pending: withEntry(state.pending, id, joined) });
+  const joined: PendingCommand = { ...underWay, duplicates: [...underWay.duplicates, ref] };
+  return transition({ ...state, pendingCommands: withEntry(state.pendingCommands, id, joined) });
 };
 
 /** Sends waiting calls on to the primary, and ends those whose time is over. */
-export const tickPendingCalls = (state: Registry, now: Timestamp): Done => {
-  let pending = state.pending;
+export const tickPendingCommands = (state: RegistryState, now: Timestamp): RegistryTransition => {
+  let pending = state.pendingCommands;
   const effects: RegistryEffect[] = [];
   // Who holds the duty may be old news: a call leaves once the primary was heard in this life.
   const store = state.feed.asOf === undefined ? undefined : primaryHolder(state);
-  for (const [id, one] of state.pending) {
-    if (now - one.since > one.span || isCutOff(state, one, now)) {
+  for (const [id, one] of state.pendingCommands) {
+    if (now - one.receivedAt > one.span || isCutOff(state, one, now)) {
       pending = withoutEntry(pending, id);
       // A call that never left this registry certainly did not run.
-      const unrun = one.sent === undefined || one.verb === 'ask' || one.verb === 'view';
-      const answers = callers(one).map((ref) =>
+      const unrun = one.forwardedAt === undefined || one.verb === 'ask' || one.verb === 'view';
+      const answers = correlationIdsOf(one).map((ref) =>
         unrun ? notForwarded(ref, id) : outcomeUnknown(ref, id),
       );
       effects.push(...answers);
-    } else if (store !== undefined && now - (one.sent ?? -Infinity) > resendInterval) {
-      pending = withEntry(pending, id, { ...one, sent: now });
-      effects.push(send(store.address, callFrame(id, one)));
+    } else if (store !== undefined && now - (one.forwardedAt ?? -Infinity) > resendIntervalMs) {
+      pending = withEntry(pending, id, { ...one, forwardedAt: now });
+      effects.push(send(store.address, commandFrame(id, one)));
     }
   }
   let founding = state.bootstraps;
   for (const [id, one] of state.bootstraps) {
-    if (now - one.since < 3000) continue;
+    if (now - one.startedAt < 3000) continue;
     founding = withoutEntry(founding, id);
     effects.push(
-      reply(one.ref, 504, {
+      reply(one.correlationId, 504, {
         kind: 'unknown',
         id,
         text: 'not every store agreed in time; found again with the same names',
@@ -205,21 +215,22 @@
     );
   }
   return transition(
-    pending === state.pending && founding === state.bootstraps
+    pending === state.pendingCommands && founding === state.bootstraps
       ? state
-      : { ...state, pending, bootstraps: founding },
+      : { ...state, pendingCommands: pending, bootstraps: founding },
     ...effects,
   );
 };
 
 const forwardToPrimary = (
-  state: Registry,
+  state: RegistryState,
   ref: number,
-  id: CallId,
-  row: Pick<Pending, 'verb' | 'body' | 'span'> & Partial<Pick<Pending, 'base' | 'pieces'>>,
+  id: CommandId,
+  row: Pick<PendingCommand, 'verb' | 'body' | 'span'> &
+    Partial<Pick<PendingCommand, 'base' | 'pieces'>>,
   now: Timestamp,
-): Done => {
-  if (state.stopping)
+): RegistryTransition => {
+  if (state.isStopping)
     return transition(
       state,
       reply(ref, 503, { kind: 'rejected', id, text: 'this registry is stopping', retryAfterMs: 0 }),
@@ -234,30 +245,38 @@
         retryAfterMs: 0,
       }),
     );
-  if (state.pending.size >= maxPendingCalls)
+  if (state.pendingCommands.size >= maxPendingCommands)
     return transition(
       state,
       reply(ref, 503, { kind: 'rejected', id, text: 'too many calls wait', retryAfterMs: 1000 }),
     );
-  const underWay = state.pending.get(id);
-  if (underWay !== undefined) return joinCall(state, ref, id, underWay, row);
-  const one: Pending = {
-    ref,
-    repeats: [],
-    since: now,
-    sent: undefined,
+  const underWay = state.pendingCommands.get(id);
+  if (underWay !== undefined) return joinPendingCommand(state, ref, id, underWay, row);
+  const one: PendingCommand = {
+    correlationId: ref,
+    duplicates: [],
+    receivedAt: now,
+    forwardedAt: undefined,
     base: undefined,
     pieces: new Map(),
     ...row,
   };
-  return tickPendingCalls({ ...state, pending: withEntry(state.pending, id, one) }, now);
+  return tickPendingCommands(
+    { ...state, pendingCommands: withEntry(state.pendingCommands, id, one) },
+    now,
+  );
 };
 
-export const onOutside = (state: Registry, ref: number, call: Outside, now: Timestamp): Done => {
+export const onExternalRequest = (
+  state: RegistryState,
+  ref: number,
+  call: ExternalRequest,
+  now: Timestamp,
+): RegistryTransition => {
   switch (call.verb) {
     case 'announce':
-      return announce(state, ref, call.origin, now);
-    case 'found':
+      return onAnnouncement(state, ref, call.origin, now);
+    case 'bootstrap':
       return startBootstrap(state, ref, call, now);
     case 'apply':
       return forwardToPrimary(
@@ -266,9 +285,13 @@
         call.id,
         {
           verb: 'apply',
-          body: JSON.stringify({ hash: call.hash, order: call.order, number: call.number }),
-          base: call.base,
-          pieces: call.pieces,
+          body: JSON.stringify({
+            hash: call.hash,
+            order: call.chunkHashes,
+            number: call.requestedGeneration,
+          }),
+          base: call.baseGeneration,
+          pieces: call.chunks,
           span: 8000,
         },
         now,
@@ -291,12 +314,12 @@
         now,
       );
     }
-    case 'ask':
+    case 'outcome':
       return forwardToPrimary(
         state,
         ref,
         call.id,
-        { verb: 'ask', body: call.about, span: 2500 },
+        { verb: 'ask', body: call.commandId, span: 2500 },
         now,
       );
     case 'view':
@@ -315,11 +338,11 @@
 };
 
 const changeElectorate = (
-  state: Registry,
+  state: RegistryState,
   ref: number,
-  call: Extract<Outside, { verb: 'electorate' }>,
+  call: Extract<ExternalRequest, { verb: 'electorate' }>,
   now: Timestamp,
-): Done => {
+): RegistryTransition => {
   const set = state.electorate;
   if (set === undefined)
     return transition(state, reply(ref, 409, { kind: 'unready', text: 'no fleet stands yet' }));
@@ -348,24 +371,28 @@
 };
 
 /** The store answered a call. */
-export const onCalled = (state: Registry, word: FrameOf<'called'>, now: Timestamp): Done => {
-  const open = state.pending.get(word.id);
+export const onCommandResult = (
+  state: RegistryState,
+  word: FrameOf<'called'>,
+  now: Timestamp,
+): RegistryTransition => {
+  const open = state.pendingCommands.get(word.id);
   if (open === undefined) return transition(state);
-  if (word.status === 200 && readsDescription(open)) return onOfferNamed(state, open, word, now);
+  if (word.status === 200 && readsConfiguration(open)) return onOfferNamed(state, open, word, now);
   return transition(
-    { ...state, pending: withoutEntry(state.pending, word.id) },
-    ...callers(open).map((ref) => replyText(ref, word.status, word.body)),
+    { ...state, pendingCommands: withoutEntry(state.pendingCommands, word.id) },
+    ...correlationIdsOf(open).map((ref) => replyText(ref, word.status, word.body)),
   );
 };
 
 /** The store lacks pieces of a description: one that came in here, or the one in force. */
-export const onStoreWant = (
-  state: Registry,
+export const onStoreChunkRequest = (
+  state: RegistryState,
   word: FrameOf<'piece-request'>,
   to: Parameters<typeof send>[0],
-): Done => {
+): RegistryTransition => {
   const effects: RegistryEffect[] = [];
-  const sources = [...[...state.pending.values()].map((one) => one.pieces), state.pieces];
+  const sources = [...[...state.pendingCommands.values()].map((one) => one.pieces), state.chunks];
   for (const hash of word.hashes) {
     const data = sources.find((one) => one.has(hash))?.get(hash);
     if (data !== undefined) effects.push(send(to, { kind: 'piece', hash, data }));
@@ -374,23 +401,23 @@
 };
 
 /** What this registry knows of the fleet by itself. */
-export const fleetView = (state: Registry, now: Timestamp): object => ({
+export const fleetView = (state: RegistryState, now: Timestamp): object => ({
   registry: state.member.node,
   fleet: state.fleet ?? null,
   inTouch: hasMajorityContact(state, now),
   feedAgeMs: state.feed.asOf === undefined ? null : Math.round(now - state.feed.asOf),
   epoch: state.feed.epoch,
   generation: state.feed.current?.generation ?? 0,
-  purges: { top: state.feed.top, floor: state.feed.floor },
+  purges: { top: state.feed.latestPurge, floor: state.feed.oldestPurge },
   electorate: state.electorate ?? null,
   voter: {
-    recovering: state.voter.recovering,
+    recovering: state.voter.isRecovering,
     grants: [...state.voter.grants].map(([duty, one]) => ({
       duty,
       epoch: one.epoch,
       node: one.node,
       inSyncSet: one.inSyncSet,
-      leftMs: Math.round(one.until - now),
+      leftMs: Math.round(one.leaseEndsAt - now),
     })),
   },
   nodes: [
@@ -414,7 +441,7 @@
       admin: one.member.admin ?? null,
       registry: one.registry,
       open: isAlive(one, now),
-      ageMs: Math.round(now - one.at),
+      ageMs: Math.round(now - one.lastHeardAt),
       incarnation: one.member.incarnation,
       generation: one.report.generation,
       hash: one.report.hash ?? null,
@@ -426,9 +453,9 @@
   ],
   desired: [...state.feed.desired].map(([node, one]) => ({ node, ...one })),
   holders: [...state.holders.values()],
-  origins: [...state.origins.values()].map(({ at, ...one }) => ({
+  origins: [...state.origins.values()].map(({ lastHeardAt, ...one }) => ({
     ...one,
-    ageMs: Math.round(now - at),
+    ageMs: Math.round(now - lastHeardAt),
   })),
-  verdicts: state.feed.verdicts,
+  verdicts: state.feed.canaryResults,
 });
--- a/packages/membership/src/registry/releases.test.ts
+++ b/packages/membership/src/registry/releases.test.ts
@@ -16,10 +16,10 @@
   toServiceName,
   toDurationMs,
 } from '@switchwheel/types';
-import type { FrameOf, Member, ReleaseState } from '@switchwheel/transport';
-import { releasesDigest } from '../releases/digest.js';
-import { registryStep } from './machine.js';
-import { type Registry, newRegistry } from './state.js';
+import type { FrameOf, Member, RolloutState } from '@switchwheel/transport';
+import { releasesDigest } from '../releases/releases-digest.js';
+import { registryTransition } from './transition.js';
+import { type RegistryState, newRegistryState } from './state.js';
 
 const member = (role: Member['role'], node: string, port: number): Member => ({
   node: toNodeId(node),
@@ -36,7 +36,7 @@
   incarnation,
 }: Member): Pick<Member, 'node' | 'address' | 'incarnation'> => ({ node, address, incarnation });
 
-const record = (service: string, change: Partial<ReleaseState> = {}): ReleaseState => ({
+const record = (service: string, change: Partial<RolloutState> = {}): RolloutState => ({
   service: toServiceName(service),
   settled: toRelease('r1'),
   target: undefined,
@@ -55,9 +55,9 @@
   order: toSeq(1),
   serial: toSeq(2),
 });
-const good: ReleaseState = { ...moving, phase: 'good', serial: toSeq(3) };
+const good: RolloutState = { ...moving, phase: 'good', serial: toSeq(3) };
 
-const feed = (releases: ReleaseState[], serial = 1, top = 0): FrameOf<'feed'> => ({
+const feed = (releases: RolloutState[], serial = 1, top = 0): FrameOf<'feed'> => ({
   kind: 'feed',
   at: toTimestamp(1),
   epoch: toEpoch(1),
@@ -72,7 +72,7 @@
   releases,
 });
 /** A feed of a write that does not touch what nodes are to run. */
-const lean = (releases: ReleaseState[], serial: number, top = 0): FrameOf<'feed'> => {
+const lean = (releases: RolloutState[], serial: number, top = 0): FrameOf<'feed'> => {
   const { desired, ...rest } = feed(releases, serial, top);
   return desired === undefined ? feed(releases, serial, top) : rest;
 };
@@ -94,18 +94,18 @@
 });
 
 interface Told {
-  readonly state: Registry;
+  readonly state: RegistryState;
   /** The services whose records the edge was told, or undefined if it was told nothing. */
   readonly services: readonly string[] | undefined;
 }
 const act = (
-  state: Registry,
+  state: RegistryState,
   by: Member,
   frame: FrameOf<'heartbeat'> | FrameOf<'feed'>,
   now: number,
 ): Told => {
   const at: Timestamp = toTimestamp(now);
-  const done = registryStep(state, { kind: 'frame', now: at, from: from(by), frame });
+  const done = registryTransition(state, { kind: 'frameReceived', now: at, from: from(by), frame });
   const heard = done.effects.flatMap((one) =>
     one.kind === 'send' && one.to === edge.address && one.frame.kind === 'heartbeat-reply'
       ? [one.frame]
@@ -113,9 +113,9 @@
   );
   return { state: done.state, services: heard.at(-1)?.releases.map((one) => one.service) };
 };
-const fresh = (releases: ReleaseState[]): Registry =>
+const fresh = (releases: RolloutState[]): RegistryState =>
   act(
-    newRegistry(member('registry', 'r1', 7000), [], toTimestamp(900), { seed: 1 }),
+    newRegistryState(member('registry', 'r1', 7000), [], toTimestamp(900), { seed: 1 }),
     store,
     feed(releases),
     1000,
@@ -190,7 +190,7 @@
   const next = record('clips', { settled: toRelease('r2'), serial: toSeq(2) });
   const changed = act(state, store, lean([next], 5), 1020);
   assert.deepEqual(changed.services, ['clips']);
-  assert.equal(changed.state.feed.serial, 1, 'the desired state is as of the first write');
+  assert.equal(changed.state.feed.desiredSerial, 1, 'the desired state is as of the first write');
   const late = act(changed.state, store, lean([record('clips')], 4), 1030);
   assert.equal(late.services, undefined);
   assert.equal(late.state.feed.releases[0]?.settled, 'r2');
--- a/packages/membership/src/registry/machine.ts
+++ b/packages/membership/src/registry/transition.ts
@@ -9,40 +9,58 @@
   withEntry,
   filterEntries,
   transition,
-  toCallId,
+  toCommandId,
   toTimestamp,
 } from '@switchwheel/types';
 import {
   type Peer,
   type Frame,
   type FrameOf,
-  type Offer,
-  type WireEffect,
+  type ConfigManifest,
+  type ProcessEffect,
   log,
   send,
 } from '@switchwheel/transport';
-import { abstainsUntil, recoverGrants, adoptElectorate, vote } from '@switchwheel/election';
+import {
+  abstentionEnd,
+  recoverGrants,
+  adoptElectorate,
+  handleVoteRequest,
+} from '@switchwheel/election';
 import { learnHolder } from '../session/node-session.js';
-import { learnAll } from '../origins/origins.js';
+import { learnOrigins } from '../origins/origins.js';
 import { onDeparture, onDepartureAck, tickDepartures } from './departures.js';
-import { tickPendingCalls, onCalled, onBootstrapped, onOutside, onStoreWant } from './calls.js';
-import { forgetGone } from './forget.js';
+import {
+  tickPendingCommands,
+  onCommandResult,
+  onBootstrapped,
+  onExternalRequest,
+  onStoreChunkRequest,
+} from './operator-commands.js';
+import { forgetExpired } from './retention.js';
 import type { RegistryEffect, RegistryEvent } from './event.js';
-import { learnHint } from './hints.js';
-import { learnSession, onHeartbeat, onPiece, onWant, pushToNodes, vacantDuties } from './nodes.js';
+import { learnHint } from './disk-hints.js';
+import {
+  learnSession,
+  onHeartbeat,
+  onChunk,
+  onNodeChunkRequest,
+  pushToNodes,
+  vacantLeases,
+} from './node-sessions.js';
 import {
   type Feed,
   type KnownSession,
   type PeerContact,
-  type Registry,
-  newRegistry,
+  type RegistryState,
+  newRegistryState,
 } from './state.js';
-import { piecesOfReads } from './description-read.js';
+import { chunksOfReads } from './configuration-read.js';
 import {
   isAlive,
   broadcastTargets,
   peerAddresses,
-  feedAge,
+  feedAgeMs,
   gossipFrame,
   hasMajorityContact,
   emptyReport,
@@ -51,22 +69,22 @@
   sendMemberList,
 } from './queries.js';
 
-type Done = Transition<Registry, RegistryEffect>;
-const gossipInterval = 300;
-const subscribeInterval = 250;
+type RegistryTransition = Transition<RegistryState, RegistryEffect>;
+const gossipIntervalMs = 300;
+const subscribeIntervalMs = 250;
 /** How often nodes are told of the fleet without news: an origin that nobody speaks of counts as silent. */
-const memberListInterval = 1000;
-const proposeInterval = 300;
-const bootstrapWindow = 30_000;
+const memberListIntervalMs = 1000;
+const proposeIntervalMs = 300;
+const bootstrapWindowMs = 30_000;
 
 const onVoteRequest = (
-  state: Registry,
+  state: RegistryState,
   from: Peer,
   word: FrameOf<'vote-request'>,
   now: Timestamp,
-): Done => {
-  const [voter, ballot] = vote(state.voter, word, now);
-  const base: Registry = {
+): RegistryTransition => {
+  const [voter, ballot] = handleVoteRequest(state.voter, word, now);
+  const base: RegistryState = {
     ...state,
     voter: voter,
     fleet: voter.fleet ?? state.fleet,
@@ -87,7 +105,7 @@
 
 /** The gossip of this registry's own life that a peer shows to have. */
 const echoOf = (
-  state: Registry,
+  state: RegistryState,
   word: FrameOf<'gossip'>,
 ): FrameOf<'gossip'>['heard'][number] | undefined =>
   word.heard.find(
@@ -96,7 +114,7 @@
 
 /** What a gossip tells of the ways between this registry and the peer; undefined if it is older than what is known. */
 const contactOf = (
-  state: Registry,
+  state: RegistryState,
   word: FrameOf<'gossip'>,
   now: Timestamp,
 ): PeerContact | undefined => {
@@ -104,27 +122,31 @@
   const known = state.peers.get(word.from.node);
   const sameLife = known?.incarnation === incarnation;
   if (known !== undefined && incarnation < known.incarnation) return undefined;
-  if (sameLife && word.at <= known.sentAt) return undefined;
+  if (sameLife && word.at <= known.gossipSentAt) return undefined;
   const echoed = echoOf(state, word)?.at;
   return {
     incarnation,
-    sentAt: word.at,
-    echoedAt: echoed ?? (sameLife ? known.echoedAt : undefined),
+    gossipSentAt: word.at,
+    gossipEchoedAt: echoed ?? (sameLife ? known.gossipEchoedAt : undefined),
     primaryAsOf: word.feedAge === undefined ? undefined : subtractMs(now, word.feedAge),
   };
 };
 
 /** A peer that restarted waits for what this registry remembers: it is told at once. */
 const answerRecovering = (
-  state: Registry,
+  state: RegistryState,
   word: FrameOf<'gossip'>,
   now: Timestamp,
-): readonly WireEffect[] =>
-  word.recovering && !state.voter.recovering
+): readonly ProcessEffect[] =>
+  word.recovering && !state.voter.isRecovering
     ? [send(word.from.address, gossipFrame(state, now))]
     : [];
 
-const onGossip = (state: Registry, word: FrameOf<'gossip'>, now: Timestamp): Done => {
+const onGossip = (
+  state: RegistryState,
+  word: FrameOf<'gossip'>,
+  now: Timestamp,
+): RegistryTransition => {
   const node = word.from.node;
   if (node === state.member.node) return transition(state);
   const contact = contactOf(state, word, now);
@@ -135,10 +157,10 @@
     report: emptyReport(true),
     registry: node,
     seq: noSeq,
-    at: now,
+    lastHeardAt: now,
     open: true,
   };
-  let next: Registry = {
+  let next: RegistryState = {
     ...state,
     peers: withEntry(state.peers, node, contact),
     sessions: withEntry(state.sessions, node, self),
@@ -152,24 +174,24 @@
           ...next,
           sessions: withEntry(next.sessions, session.member.node, {
             ...session,
-            at: toTimestamp(now - age - 1000),
+            lastHeardAt: toTimestamp(now - age - 1000),
           }),
         };
       }
       continue;
     }
-    const learned = learnSession(next, { ...session, at: subtractMs(now, age) });
+    const learned = learnSession(next, { ...session, lastHeardAt: subtractMs(now, age) });
     next = learned.state;
     news ||= learned.news;
   }
-  const origins = learnAll(next.origins, word.origins, now);
+  const origins = learnOrigins(next.origins, word.origins, now);
   const holders = word.holders.reduce(learnHolder, next.holders);
   news ||= origins.news || holders !== next.holders;
   const memory = {
     from: node,
-    recovering: word.recovering,
+    isRecovering: word.recovering,
     records: word.memories,
-    heard: echoOf(state, word),
+    lastGossipHeard: echoOf(state, word),
   };
   const voter = recoverGrants(next.voter, memory, now);
   next = { ...next, origins: origins.origins, holders, voter: voter };
@@ -181,15 +203,21 @@
   );
 };
 
-const isNewerOffer = (next: Offer | undefined, known: Offer | undefined): boolean =>
-  next !== undefined && next.generation > (known?.generation ?? noGeneration);
+const isNewerOffer = (
+  next: ConfigManifest | undefined,
+  known: ConfigManifest | undefined,
+): boolean => next !== undefined && next.generation > (known?.generation ?? noGeneration);
 
-const onFeed = (state: Registry, word: FrameOf<'feed'>, now: Timestamp): Done => {
+const onFeed = (
+  state: RegistryState,
+  word: FrameOf<'feed'>,
+  now: Timestamp,
+): RegistryTransition => {
   if (word.epoch < state.feed.epoch) return transition(state);
   if (state.fleet !== undefined && state.fleet !== word.fleet)
     return transition(state, log('error', 'a feed of another fleet', ['fleet', word.fleet]));
   const old = state.feed;
-  const back = word.epoch === old.epoch && word.serial < old.latest;
+  const back = word.epoch === old.epoch && word.serial < old.latestSerial;
   const asOf = word.at > 0 && !back ? toTimestamp(Math.max(word.at, old.asOf ?? 0)) : old.asOf;
   if (back) return transition(state);
   const known = new Set(old.purges.map((one) => one.seq));
@@ -198,8 +226,8 @@
   );
   const feed: Feed = {
     epoch: word.epoch,
-    serial: word.desired === undefined ? old.serial : word.serial,
-    latest: word.serial,
+    desiredSerial: word.desired === undefined ? old.desiredSerial : word.serial,
+    latestSerial: word.serial,
     asOf,
     desired:
       word.desired === undefined
@@ -210,48 +238,50 @@
     current: word.current ?? old.current,
     currentSince: isNewerOffer(word.current, old.current) ? now : old.currentSince,
     purges,
-    floor: word.floor,
-    top: word.top,
-    verdicts: word.verdicts,
+    oldestPurge: word.floor,
+    latestPurge: word.top,
+    canaryResults: word.verdicts,
     releases: word.releases,
-    releasesAt: now,
+    releasesReceivedAt: now,
   };
   const kept = new Set(
     [...feed.offers.values(), ...(feed.current === undefined ? [] : [feed.current])]
       .flatMap((one) => one.pieces)
-      .concat(piecesOfReads(state)),
+      .concat(chunksOfReads(state)),
   );
   const voter =
     word.electorate === undefined
       ? state.voter
       : adoptElectorate(state.voter, word.fleet, word.electorate);
-  const next: Registry = {
+  const next: RegistryState = {
     ...state,
     feed,
     voter: voter,
     fleet: word.fleet,
     electorate: voter.electorate ?? state.electorate,
-    pieces:
+    chunks:
       feed.current?.hash === old.current?.hash
-        ? state.pieces
-        : filterEntries(state.pieces, (_, hash) => kept.has(hash)),
+        ? state.chunks
+        : filterEntries(state.chunks, (_, hash) => kept.has(hash)),
   };
   const news =
-    feed.latest !== old.latest ||
-    feed.top !== old.top ||
+    feed.latestSerial !== old.latestSerial ||
+    feed.latestPurge !== old.latestPurge ||
     feed.epoch !== old.epoch ||
     feed.current?.generation !== old.current?.generation;
   const checked = checkConfirmed(next, old.current, feed.current);
-  const told: Done = news ? pushToNodes(checked.state, old.top, now) : transition(checked.state);
+  const told: RegistryTransition = news
+    ? pushToNodes(checked.state, old.latestPurge, now)
+    : transition(checked.state);
   return prependEffects(checked.effects, told);
 };
 
 /** A primary that tells of an older description than the one before has lost a confirmed order. */
 const checkConfirmed = (
-  state: Registry,
-  known: Offer | undefined,
-  told: Offer | undefined,
-): Done =>
+  state: RegistryState,
+  known: ConfigManifest | undefined,
+  told: ConfigManifest | undefined,
+): RegistryTransition =>
   (told?.generation ?? noGeneration) >= (known?.generation ?? noGeneration)
     ? transition(state)
     : transition(
@@ -260,14 +290,14 @@
       );
 
 /** How far the primary may rely on this registry's vote. */
-const voterReadiness = (state: Registry, now: Timestamp): FrameOf<'subscribe'>['voter'] => {
-  if (state.stopping) return 'leaving';
-  const abstains = now < abstainsUntil(state.voter);
-  return state.voter.recovering || abstains ? 'recovering' : 'ready';
+const voterReadiness = (state: RegistryState, now: Timestamp): FrameOf<'subscribe'>['voter'] => {
+  if (state.isStopping) return 'leaving';
+  const abstains = now < abstentionEnd(state.voter);
+  return state.voter.isRecovering || abstains ? 'recovering' : 'ready';
 };
 
 /** Tells the primary which nodes have their session here and what they report. */
-const subscribe = (state: Registry, now: Timestamp): Done => {
+const subscribe = (state: RegistryState, now: Timestamp): RegistryTransition => {
   const store = primaryHolder(state);
   if (store === undefined) return transition(state);
   const reports = [...state.sessions.values()]
@@ -287,26 +317,26 @@
       voter: voterReadiness(state, now),
       at: now,
       epoch: state.feed.epoch,
-      serial: state.feed.serial,
-      purged: state.feed.top,
+      serial: state.feed.desiredSerial,
+      purged: state.feed.latestPurge,
       reports,
     }),
   );
 };
 
 /** Proposes the fleet to its stores until one stands; not long after, as a store may come back with an empty disk. */
-const proposeCluster = (state: Registry, now: Timestamp): Done => {
+const proposeCluster = (state: RegistryState, now: Timestamp): RegistryTransition => {
   const { proposal, voter: voter } = state;
   if (
     proposal === undefined ||
     state.fleet !== undefined ||
-    now - state.proposedAt < proposeInterval ||
-    now - voter.born > bootstrapWindow
+    now - state.proposedAt < proposeIntervalMs ||
+    now - voter.startedAt > bootstrapWindowMs
   )
     return transition(state);
   const word = {
     kind: 'bootstrap' as const,
-    id: toCallId(`${proposal.fleet}.${state.member.node}`),
+    id: toCommandId(`${proposal.fleet}.${state.member.node}`),
     fleet: proposal.fleet,
     stores: [...proposal.stores],
     electorate: proposal.electorate,
@@ -318,41 +348,44 @@
 };
 
 /** Whether the voter's abstention has just ended: peers are asked at once for what they remember. */
-const recoversNow = (state: Registry, now: Timestamp): boolean =>
-  state.voter.recovering &&
-  now >= abstainsUntil(state.voter) &&
-  state.gossipedAt < abstainsUntil(state.voter);
+const abstentionHasEnded = (state: RegistryState, now: Timestamp): boolean =>
+  state.voter.isRecovering &&
+  now >= abstentionEnd(state.voter) &&
+  state.gossipedAt < abstentionEnd(state.voter);
 
-const onTick = (state: Registry, now: Timestamp): Done => {
-  let next: Done = transition(state);
-  if (now - state.subscribedAt >= subscribeInterval)
+const onTick = (state: RegistryState, now: Timestamp): RegistryTransition => {
+  let next: RegistryTransition = transition(state);
+  if (now - state.subscribedAt >= subscribeIntervalMs)
     next = prependEffects(next.effects, subscribe(next.state, now));
-  if (now - state.gossipedAt >= gossipInterval || recoversNow(state, now)) {
+  if (now - state.gossipedAt >= gossipIntervalMs || abstentionHasEnded(state, now)) {
     const word = gossipFrame(next.state, now);
     next = prependEffects(
       next.effects,
       transition(
         {
-          ...forgetGone(next.state, now),
+          ...forgetExpired(next.state, now),
           gossipedAt: now,
         },
         ...peerAddresses(next.state, now).map((to) => send(to, word)),
       ),
     );
   }
-  const open = new Set(vacantDuties(next.state, now));
+  const open = new Set(vacantLeases(next.state, now));
   if (
-    open.size !== state.vacantDuties.size ||
-    [...open].some((one) => !state.vacantDuties.has(one))
+    open.size !== state.vacantLeases.size ||
+    [...open].some((one) => !state.vacantLeases.has(one))
   ) {
-    const fresh = [...open].some((one) => !state.vacantDuties.has(one));
-    next = transition({ ...next.state, vacantDuties: open }, ...next.effects);
+    const fresh = [...open].some((one) => !state.vacantLeases.has(one));
+    next = transition({ ...next.state, vacantLeases: open }, ...next.effects);
     // Whoever may take a duty over hears of it at once.
     if (fresh)
-      next = prependEffects(next.effects, pushToNodes(next.state, next.state.feed.top, now));
+      next = prependEffects(
+        next.effects,
+        pushToNodes(next.state, next.state.feed.latestPurge, now),
+      );
   }
   next = prependEffects(next.effects, proposeCluster(next.state, now));
-  if (now - state.memberListSentAt >= memberListInterval) {
+  if (now - state.memberListSentAt >= memberListIntervalMs) {
     const near = [...next.state.sessions.values()].filter(
       (one) =>
         isAlive(one, now) && one.member.role !== 'registry' && one.registry === state.member.node,
@@ -370,19 +403,23 @@
     );
   }
   next = prependEffects(next.effects, tickDepartures(next.state, now));
-  return prependEffects(next.effects, tickPendingCalls(next.state, now));
+  return prependEffects(next.effects, tickPendingCommands(next.state, now));
 };
 
-const onHint = (state: Registry, word: FrameOf<'hint'>, now: Timestamp): Done => {
+const onHint = (
+  state: RegistryState,
+  word: FrameOf<'hint'>,
+  now: Timestamp,
+): RegistryTransition => {
   const noted = learnHint(state, word, now);
   if (
-    !state.eager ||
-    feedAge(state, now) !== undefined ||
+    !state.offersDiskHints ||
+    feedAgeMs(state, now) !== undefined ||
     !hasMajorityContact(state, now) ||
     (state.fleet !== undefined && state.fleet !== word.metadata.fleet)
   )
     return transition(noted);
-  const learned = learnAll(noted.origins, word.origins, now);
+  const learned = learnOrigins(noted.origins, word.origins, now);
   const next = { ...noted, origins: learned.origins };
   return transition(
     next,
@@ -390,7 +427,12 @@
   );
 };
 
-const onFrame = (state: Registry, from: Peer, frame: Frame, now: Timestamp): Done => {
+const onFrame = (
+  state: RegistryState,
+  from: Peer,
+  frame: Frame,
+  now: Timestamp,
+): RegistryTransition => {
   switch (frame.kind) {
     case 'heartbeat':
       return onHeartbeat(state, from, frame, now);
@@ -406,12 +448,12 @@
       return onFeed(state, frame, now);
     case 'piece-request':
       return primaryHolder(state)?.node === frame.node
-        ? onStoreWant(state, frame, from.address)
-        : onWant(state, from, frame, now);
+        ? onStoreChunkRequest(state, frame, from.address)
+        : onNodeChunkRequest(state, from, frame, now);
     case 'piece':
-      return onPiece(state, frame, now);
+      return onChunk(state, frame, now);
     case 'called':
-      return onCalled(state, frame, now);
+      return onCommandResult(state, frame, now);
     case 'bootstrapped':
       return onBootstrapped(state, frame);
     case 'hint':
@@ -430,19 +472,22 @@
 };
 
 /** The registry: one function for every change of its state. */
-export const registryStep = (state: Registry, event: RegistryEvent): Done => {
+export const registryTransition = (
+  state: RegistryState,
+  event: RegistryEvent,
+): RegistryTransition => {
   switch (event.kind) {
     case 'tick':
       return onTick(state, event.now);
-    case 'frame':
+    case 'frameReceived':
       return onFrame(state, event.from, event.frame, event.now);
-    case 'gone':
+    case 'peerDisconnected':
       return transition(state);
-    case 'outside':
-      return onOutside(state, event.ref, event.call, event.now);
-    case 'stop':
-      return subscribe({ ...state, stopping: true }, event.now);
+    case 'requestReceived':
+      return onExternalRequest(state, event.correlationId, event.request, event.now);
+    case 'stopRequested':
+      return subscribe({ ...state, isStopping: true }, event.now);
   }
 };
 
-export { newRegistry };
+export { newRegistryState };
--- a/packages/membership/src/session/node-session.ts
+++ b/packages/membership/src/session/node-session.ts
@@ -21,30 +21,30 @@
   type Peer,
   type Electorate,
   type FrameOf,
-  type Holder,
+  type LeaseHolder,
   type Member,
-  type Report,
-  type WireEffect,
+  type NodeStatus,
+  type ProcessEffect,
   log,
   send,
 } from '@switchwheel/transport';
-import { type Origins, forget, learnAll } from '../origins/origins.js';
+import { type OriginTable, forgetOrigins, learnOrigins } from '../origins/origins.js';
 
 /** How often a node speaks to its registry. */
-export const heartbeatInterval = 250;
+export const heartbeatIntervalMs = 250;
 /** How long a registry may be silent before the node goes to another. */
-export const registryTimeout = 700;
+export const registryTimeoutMs = 700;
 /** How long a registry may have no fresh word of the primary before the node goes to another, and how long it stays at least. */
-const staleTimeout = 500;
-const sessionTimeout = 1200;
+const staleTimeoutMs = 500;
+const sessionTimeoutMs = 1200;
 /** How often a node without a fresh word of the primary asks other registries, and how many at a time. */
-const probeInterval = 250;
+const probeIntervalMs = 250;
 const probeWidth = 3;
 
 interface RegistryLink {
   readonly address: Address;
-  readonly since: Timestamp;
-  readonly heard: Timestamp | undefined;
+  readonly connectedAt: Timestamp;
+  readonly lastHeardAt: Timestamp | undefined;
   /** Since when it has no fresh word of the primary. */
   readonly staleSince: Timestamp | undefined;
 }
@@ -57,16 +57,16 @@
   readonly heartbeatSentAt: Timestamp;
   /** When other registries than its own were last asked, and which of them is the next. */
   readonly probedAt: Timestamp;
-  readonly probeNext: number;
+  readonly nextProbeIndex: number;
   /** When any registry was last heard: a session outlives the change of its registry. */
   readonly registryHeardAt: Timestamp;
   readonly seq: Seq;
   readonly members: readonly Member[];
-  readonly origins: Origins;
-  readonly holders: ReadonlyMap<LeaseName, Holder>;
+  readonly origins: OriginTable;
+  readonly holders: ReadonlyMap<LeaseName, LeaseHolder>;
   readonly electorate: Electorate | undefined;
   readonly fleet: FleetId | undefined;
-  readonly dice: RandomState;
+  readonly randomState: RandomState;
 }
 
 export const newNodeSession = (
@@ -78,8 +78,8 @@
   seeds,
   registryLink: undefined,
   heartbeatSentAt: clockOrigin,
-  probedAt: toTimestamp(-probeInterval),
-  probeNext: 0,
+  probedAt: toTimestamp(-probeIntervalMs),
+  nextProbeIndex: 0,
   registryHeardAt: clockOrigin,
   seq: noSeq,
   members: [],
@@ -87,7 +87,7 @@
   holders: new Map(),
   electorate: undefined,
   fleet: undefined,
-  dice,
+  randomState: dice,
 });
 
 /** The registries that this node knows: those of the fleet, and the seeds while it knows none. */
@@ -103,43 +103,43 @@
     (one) => one !== nodeSession.registryLink?.address,
   );
   const pool = others.length > 0 ? others : knownRegistries(nodeSession);
-  const [chance, dice] = nextRandom(nodeSession.dice);
+  const [chance, dice] = nextRandom(nodeSession.randomState);
   const address = pool[Math.floor(chance * pool.length)];
   return {
     ...nodeSession,
-    dice,
+    randomState: dice,
     registryLink:
       address === undefined
         ? undefined
-        : { address, since: now, heard: undefined, staleSince: undefined },
+        : { address, connectedAt: now, lastHeardAt: undefined, staleSince: undefined },
   };
 };
 
 const isSilent = (registryLink: RegistryLink, now: Timestamp): boolean =>
-  now - (registryLink.heard ?? registryLink.since) > registryTimeout;
+  now - (registryLink.lastHeardAt ?? registryLink.connectedAt) > registryTimeoutMs;
 
 /** Whether this registry has been without word of the primary for too long, and there is another one to go to. */
 const isStale = (nodeSession: NodeSession, registryLink: RegistryLink, now: Timestamp): boolean =>
   registryLink.staleSince !== undefined &&
-  now - registryLink.staleSince > staleTimeout &&
-  now - registryLink.since >= staleTimeout &&
+  now - registryLink.staleSince > staleTimeoutMs &&
+  now - registryLink.connectedAt >= staleTimeoutMs &&
   knownRegistries(nodeSession).some((one) => one !== registryLink.address);
 
 /** Whether the session stands. */
 export const isConnected = (nodeSession: NodeSession, now: Timestamp): boolean =>
-  nodeSession.registryHeardAt > clockOrigin && now - nodeSession.registryHeardAt < sessionTimeout;
+  nodeSession.registryHeardAt > clockOrigin && now - nodeSession.registryHeardAt < sessionTimeoutMs;
 
 export const highestEpoch = (nodeSession: NodeSession, duty: LeaseName): Epoch =>
   nodeSession.holders.get(duty)?.epoch ?? noEpoch;
 
 /** What a node adds to its word of itself. */
 export interface HeartbeatContent {
-  readonly report: Report;
-  readonly held: readonly Holder[];
-  readonly purged: Seq;
-  readonly bye: boolean;
+  readonly report: NodeStatus;
+  readonly heldLeases: readonly LeaseHolder[];
+  readonly latestPurge: Seq;
+  readonly isLeaving: boolean;
   /** The digest of the records of releases that it knows; undefined to be told all. */
-  readonly releases?: string | undefined;
+  readonly releasesDigest?: string | undefined;
 }
 
 const heartbeatTo = (
@@ -147,7 +147,7 @@
   address: Address,
   words: HeartbeatContent,
   now: Timestamp,
-): Transition<NodeSession, WireEffect> => {
+): Transition<NodeSession, ProcessEffect> => {
   const seq = nextSeq(nodeSession.seq);
   return transition(
     { ...nodeSession, seq },
@@ -157,10 +157,10 @@
       seq,
       at: now,
       report: words.report,
-      bye: words.bye,
-      held: [...words.held],
-      purged: words.purged,
-      ...(words.releases === undefined ? {} : { releases: words.releases }),
+      bye: words.isLeaving,
+      held: [...words.heldLeases],
+      purged: words.latestPurge,
+      ...(words.releasesDigest === undefined ? {} : { releases: words.releasesDigest }),
     }),
   );
 };
@@ -170,7 +170,7 @@
   nodeSession: NodeSession,
   words: HeartbeatContent,
   now: Timestamp,
-): Transition<NodeSession, WireEffect> =>
+): Transition<NodeSession, ProcessEffect> =>
   nodeSession.registryLink === undefined
     ? transition(nodeSession)
     : heartbeatTo(
@@ -184,7 +184,9 @@
 const followsPrimary = (nodeSession: NodeSession, now: Timestamp): boolean => {
   const link = nodeSession.registryLink;
   return (
-    link?.heard !== undefined && link.staleSince === undefined && now - link.heard < registryTimeout
+    link?.lastHeardAt !== undefined &&
+    link.staleSince === undefined &&
+    now - link.lastHeardAt < registryTimeoutMs
   );
 };
 
@@ -192,12 +194,12 @@
  * Asks some other registries too, while this node's own has no fresh word of the primary: one that
  * is dead, cut off or without a majority costs no more than a round trip to the others.
  */
-const probe = (
+const probeOtherRegistries = (
   nodeSession: NodeSession,
   words: HeartbeatContent,
   now: Timestamp,
-): Transition<NodeSession, WireEffect> => {
-  if (followsPrimary(nodeSession, now) || now - nodeSession.probedAt < probeInterval)
+): Transition<NodeSession, ProcessEffect> => {
+  if (followsPrimary(nodeSession, now) || now - nodeSession.probedAt < probeIntervalMs)
     return transition(nodeSession);
   const others = knownRegistries(nodeSession).filter(
     (one) => one !== nodeSession.registryLink?.address,
@@ -205,12 +207,12 @@
   const width = Math.min(probeWidth, others.length);
   const chosen = Array.from(
     { length: width },
-    (_, at) => (nodeSession.probeNext + at) % others.length,
+    (_, at) => (nodeSession.nextProbeIndex + at) % others.length,
   );
-  let next: Transition<NodeSession, WireEffect> = transition({
+  let next: Transition<NodeSession, ProcessEffect> = transition({
     ...nodeSession,
     probedAt: now,
-    probeNext: nodeSession.probeNext + width,
+    nextProbeIndex: nodeSession.nextProbeIndex + width,
   });
   for (const at of chosen) {
     const address = others[at];
@@ -225,9 +227,9 @@
   nodeSession: NodeSession,
   words: HeartbeatContent,
   now: Timestamp,
-): Transition<NodeSession, WireEffect> => {
+): Transition<NodeSession, ProcessEffect> => {
   const spoken = tickOwnRegistry(nodeSession, words, now);
-  return prependEffects(spoken.effects, probe(spoken.state, words, now));
+  return prependEffects(spoken.effects, probeOtherRegistries(spoken.state, words, now));
 };
 
 /** Heartbeats when it is due, goes to another registry when this one is silent or knows nothing new. */
@@ -235,10 +237,10 @@
   nodeSession: NodeSession,
   words: HeartbeatContent,
   now: Timestamp,
-): Transition<NodeSession, WireEffect> => {
+): Transition<NodeSession, ProcessEffect> => {
   if (nodeSession.registryLink === undefined || isSilent(nodeSession.registryLink, now)) {
     const lost =
-      nodeSession.registryLink?.heard === undefined
+      nodeSession.registryLink?.lastHeardAt === undefined
         ? []
         : [
             log('warn', 'registry is silent, going to another', [
@@ -252,7 +254,7 @@
   // The session stands meanwhile: the next registry takes it on where this one had it.
   if (isStale(nodeSession, nodeSession.registryLink, now))
     return sendHeartbeat(switchRegistry(nodeSession, now), words, now);
-  return now - nodeSession.heartbeatSentAt >= heartbeatInterval
+  return now - nodeSession.heartbeatSentAt >= heartbeatIntervalMs
     ? sendHeartbeat(nodeSession, words, now)
     : transition(nodeSession);
 };
@@ -266,9 +268,9 @@
   nodeSession.registryLink?.address === address ? switchRegistry(nodeSession, now) : nodeSession;
 
 export const learnHolder = (
-  holders: ReadonlyMap<LeaseName, Holder>,
-  word: Holder,
-): ReadonlyMap<LeaseName, Holder> => {
+  holders: ReadonlyMap<LeaseName, LeaseHolder>,
+  word: LeaseHolder,
+): ReadonlyMap<LeaseName, LeaseHolder> => {
   const known = holders.get(word.duty);
   return known !== undefined && known.epoch >= word.epoch
     ? holders
@@ -286,7 +288,7 @@
   return {
     ...nodeSession,
     members: mine ? word.members : nodeSession.members,
-    origins: forget(learnAll(nodeSession.origins, word.origins, now).origins, now),
+    origins: forgetOrigins(learnOrigins(nodeSession.origins, word.origins, now).origins, now),
     holders: word.holders.reduce(learnHolder, nodeSession.holders),
   };
 };
@@ -307,7 +309,7 @@
   const better =
     word.age !== undefined && word.at > clockOrigin && !followsPrimary(nodeSession, now);
   return better
-    ? { address: from.address, since: now, heard: now, staleSince: undefined }
+    ? { address: from.address, connectedAt: now, lastHeardAt: now, staleSince: undefined }
     : undefined;
 };
 
@@ -328,7 +330,7 @@
   return {
     ...nodeSession,
     registryHeardAt: now,
-    registryLink: { ...link, heard: now, staleSince: stale },
+    registryLink: { ...link, lastHeardAt: now, staleSince: stale },
     electorate:
       next !== undefined && (known === undefined || next.serial > known.serial) ? next : known,
     fleet,
--- a/packages/model-checker/src/cluster/disk.ts
+++ b/packages/model-checker/src/cluster/disk.ts
@@ -1,29 +1,29 @@
-import type { ClusterMetadata, Stamp } from '@switchwheel/transport';
-import { keyOf } from '@switchwheel/configuration';
-import type { DiskWrite, Found, KeyedEntry } from '@switchwheel/replicated-store';
+import type { ClusterMetadata, LogPosition } from '@switchwheel/transport';
+import { controlKeys } from '@switchwheel/configuration';
+import type { DiskWrite, DiskContents, KeyedEntry } from '@switchwheel/replicated-store';
 
 /** What a virtual disk holds durably; never changed in place. */
 export interface DiskImage {
   readonly metadata: ClusterMetadata;
-  readonly stamp: Stamp;
+  readonly stamp: LogPosition;
   readonly entries: ReadonlyMap<string, KeyedEntry>;
 }
 
 /** The image after a write, which is taken as a whole. */
 export const applyWrite = (image: DiskImage | undefined, write: DiskWrite): DiskImage => {
-  const before = write.wipe ? [] : (image?.entries ?? []);
+  const before = write.wipesFirst ? [] : (image?.entries ?? []);
   const entries = new Map<string, KeyedEntry>(before);
-  for (const key of write.drops) entries.delete(key);
-  for (const entry of write.sets) entries.set(entry.key, entry);
+  for (const key of write.deletedKeys) entries.delete(key);
+  for (const entry of write.entries) entries.set(entry.key, entry);
   return { metadata: write.metadata, stamp: write.stamp, entries };
 };
 
 /** What a store that starts reads from a disk. */
-export const readImage = (image: DiskImage | undefined): Found =>
+export const readImage = (image: DiskImage | undefined): DiskContents =>
   image === undefined
-    ? { found: 'nothing' }
+    ? { status: 'empty' }
     : {
-        found: 'whole',
+        status: 'complete',
         metadata: image.metadata,
         stamp: image.stamp,
         entries: [...image.entries.values()],
@@ -33,6 +33,6 @@
 
 /** The number of the configuration on a disk; 0 if there is none. */
 export const storedGeneration = (image: DiskImage | undefined): number => {
-  const data = image?.entries.get(keyOf.stored)?.data;
+  const data = image?.entries.get(controlKeys.stored)?.data;
   return Number(generationPattern.exec(data ?? '')?.[1] ?? 0);
 };
--- a/packages/model-checker/src/cluster/invariants.ts
+++ b/packages/model-checker/src/cluster/invariants.ts
@@ -1,7 +1,7 @@
 import { type Timestamp, type NodeId, noGeneration } from '@switchwheel/types';
 import type { Electorate } from '@switchwheel/transport';
 import { heldEpoch, holdsLease } from '@switchwheel/election';
-import { type DiskWrite, type Store, isPrimary } from '@switchwheel/replicated-store';
+import { type DiskWrite, type StoreState, isPrimary } from '@switchwheel/replicated-store';
 import { type DiskImage, storedGeneration } from './disk.js';
 
 /** What must hold in each state. */
@@ -93,7 +93,11 @@
 
   /** Checks leases and the state that a primary serves, after any event. */
   onStores(
-    stores: readonly { readonly store: Store; readonly clock: Timestamp; readonly node: NodeId }[],
+    stores: readonly {
+      readonly store: StoreState;
+      readonly clock: Timestamp;
+      readonly node: NodeId;
+    }[],
     at: number,
   ): void {
     const holders = stores.filter((one) => holdsLease(one.store.candidate, one.clock));
@@ -111,8 +115,8 @@
     }
   }
 
-  #checkServed(store: Store, node: NodeId, at: number): void {
-    const offer = store.control.stored?.offer;
+  #checkServed(store: StoreState, node: NodeId, at: number): void {
+    const offer = store.control.configuration?.offer;
     const generation = offer?.generation ?? noGeneration;
     if (generation < this.#highest)
       this.#fail(
--- a/packages/model-checker/src/cluster/machine.ts
+++ b/packages/model-checker/src/cluster/machine.ts
@@ -8,8 +8,12 @@
   toTimestamp,
 } from '@switchwheel/types';
 import type { Member, Peer } from '@switchwheel/transport';
-import { type ClusterProposal, type Registry, newRegistry } from '@switchwheel/membership';
-import { type Store, newStore } from '@switchwheel/replicated-store';
+import {
+  type ClusterProposal,
+  type RegistryState,
+  newRegistryState,
+} from '@switchwheel/membership';
+import { type StoreState, newStoreState } from '@switchwheel/replicated-store';
 import type { Role } from '../schedule/deviation.js';
 import type { ClusterLayout } from '../schedule/scenario.js';
 import type { DiskImage } from './disk.js';
@@ -24,8 +28,8 @@
   readonly life: number;
   readonly clockOffset: number;
   readonly clockRate: number;
-  readonly registry: Registry | undefined;
-  readonly store: Store | undefined;
+  readonly registry: RegistryState | undefined;
+  readonly store: StoreState | undefined;
   readonly disk: DiskImage | undefined;
   readonly diskTrouble: 'none' | 'stalled' | 'full';
   /** When the last trouble that a fault caused here was over; -Infinity if there was none. */
@@ -97,7 +101,7 @@
   const next: Machine = { ...machine, life: machine.life + 1, running: true, paused: false };
   const founds = next.life === 1 && machine.index < layout.founders;
   const seed = (layout.seed * 7919 + machine.index * 104_729 + next.life * 1_299_709) >>> 0;
-  const registry = newRegistry(
+  const registry = newRegistryState(
     memberOf(next, 'registry'),
     seedsOf(layout),
     clockOf(next, at),
@@ -106,11 +110,11 @@
     true,
   );
   const { copies, tolerate } = layout;
-  const store = newStore(
+  const store = newStoreState(
     memberOf(next, 'store'),
     seedsOf(layout),
     { seed: seed ^ 0x2545f491 },
-    { copies, tolerate, follow: true },
+    { copies, tolerate, electorateFollowsRegistries: true },
     founds,
   );
   return { ...next, registry, store };
--- a/packages/model-checker/src/cluster/operator.ts
+++ b/packages/model-checker/src/cluster/operator.ts
@@ -1,6 +1,6 @@
-import { type CallId, type Hash, toCallId, toGeneration } from '@switchwheel/types';
-import type { Outside } from '@switchwheel/membership';
-import { bundleHash, hashOf } from '@switchwheel/configuration';
+import { type CommandId, type Hash, toCommandId, toGeneration } from '@switchwheel/types';
+import type { ExternalRequest } from '@switchwheel/membership';
+import { configurationHash, contentHash } from '@switchwheel/configuration';
 
 /** How often the operator acts. */
 export const operatorInterval = 110;
@@ -14,7 +14,7 @@
 /** A call that a registry is to be given, and what the operator keeps to judge the answer. */
 export interface OperatorCall {
   readonly machine: number;
-  readonly call: Outside;
+  readonly call: ExternalRequest;
   readonly expected:
     | { readonly kind: 'write'; readonly number: number; readonly hash: Hash }
     | { readonly kind: 'read' };
@@ -30,17 +30,21 @@
 type Author = 'write' | 'rival';
 const rivalTurns = 6;
 
-const writeCall = (number: number, author: Author, id: CallId): Outside & { verb: 'apply' } => {
+const writeCall = (
+  number: number,
+  author: Author,
+  id: CommandId,
+): ExternalRequest & { verb: 'apply' } => {
   const text = JSON.stringify({ author, content: number });
-  const piece = hashOf(text);
+  const piece = contentHash(text);
   return {
     verb: 'apply',
     id,
-    base: undefined,
-    number: toGeneration(number),
-    hash: bundleHash([piece]),
-    order: [piece],
-    pieces: new Map([[piece, text]]),
+    baseGeneration: undefined,
+    requestedGeneration: toGeneration(number),
+    hash: configurationHash([piece]),
+    chunkHashes: [piece],
+    chunks: new Map([[piece, text]]),
   };
 };
 
@@ -53,7 +57,7 @@
 export const newOperator: Operator = { turn: 0, nextNumber: 1, open: [] };
 
 const toWrite = (number: number, machine: number, author: Author = 'write'): OperatorCall => {
-  const call = writeCall(number, author, toCallId(`${author}-${number}`));
+  const call = writeCall(number, author, toCommandId(`${author}-${number}`));
   return { machine, call, expected: { kind: 'write', number, hash: call.hash } };
 };
 
@@ -83,7 +87,7 @@
     calls.push(toWrite(nextNumber - 1, operator.turn % machines, 'rival'));
   calls.push({
     machine: operator.turn % machines,
-    call: { verb: 'view', id: toCallId(`read-${operator.turn}`), what: 'description' },
+    call: { verb: 'view', id: toCommandId(`read-${operator.turn}`), what: 'description' },
     expected: { kind: 'read' },
   });
   return [{ turn: operator.turn + 1, nextNumber, open }, calls];
--- a/packages/model-checker/src/cluster/simulation.ts
+++ b/packages/model-checker/src/cluster/simulation.ts
@@ -1,12 +1,16 @@
 import { type NodeId, toTimestamp } from '@switchwheel/types';
-import type { Frame, Peer, WireEffect, WireEvent } from '@switchwheel/transport';
+import type { Frame, Peer, ProcessEffect, ProcessEvent } from '@switchwheel/transport';
 import {
   type DiskWrite,
   type StoreEffect,
   type StoreEvent,
-  storeStep,
+  storeTransition,
 } from '@switchwheel/replicated-store';
-import { type RegistryEffect, type RegistryEvent, registryStep } from '@switchwheel/membership';
+import {
+  type RegistryEffect,
+  type RegistryEvent,
+  registryTransition,
+} from '@switchwheel/membership';
 import type { Crash, Cut, Deviation, Endpoint, MessageFault, Role } from '../schedule/deviation.js';
 import type { ClusterLayout } from '../schedule/scenario.js';
 import { Agenda } from './agenda.js';
@@ -247,24 +251,33 @@
         break;
       case 'message':
         this.#deliver(machine, item.to.role, {
-          kind: 'frame',
+          kind: 'frameReceived',
           now,
           from: item.from,
           frame: item.frame,
         });
         break;
       case 'gone':
-        this.#deliver(machine, item.to.role, { kind: 'gone', now, address: addressOf(item.of) });
+        this.#deliver(machine, item.to.role, {
+          kind: 'peerDisconnected',
+          now,
+          address: addressOf(item.of),
+        });
         break;
       case 'read disk':
-        this.#stepStore(machine, { kind: 'read', now, found: readImage(machine.disk) });
+        this.#stepStore(machine, { kind: 'diskRead', now, contents: readImage(machine.disk) });
         break;
       case 'store event':
         this.#stepStore(machine, item.event(now));
         break;
       case 'call':
         this.#waiting.set(item.ref, { call: item.call, floor: item.floor });
-        this.#stepRegistry(machine, { kind: 'outside', now, ref: item.ref, call: item.call.call });
+        this.#stepRegistry(machine, {
+          kind: 'requestReceived',
+          now,
+          correlationId: item.ref,
+          request: item.call.call,
+        });
         break;
       default:
         break;
@@ -288,21 +301,21 @@
     this.#monitor.onStores(stores, this.#now);
   }
 
-  #deliver(machine: Machine, role: Role, event: WireEvent): void {
+  #deliver(machine: Machine, role: Role, event: ProcessEvent): void {
     if (role === 'store') this.#stepStore(machine, event);
     else this.#stepRegistry(machine, event);
   }
 
   #stepStore(machine: Machine, event: StoreEvent): void {
     if (machine.store === undefined) return;
-    const result = storeStep(machine.store, event);
+    const result = storeTransition(machine.store, event);
     this.#change(machine.index, { store: result.state });
     for (const effect of result.effects) this.#runStoreEffect(machine, effect);
   }
 
   #stepRegistry(machine: Machine, event: RegistryEvent): void {
     if (machine.registry === undefined) return;
-    const result = registryStep(machine.registry, event);
+    const result = registryTransition(machine.registry, event);
     this.#change(machine.index, { registry: result.state });
     this.#monitor.onVoter(
       nodeOf({ machine: machine.index, role: 'registry' }),
@@ -314,18 +327,18 @@
   #runStoreEffect(machine: Machine, effect: StoreEffect): void {
     const { index, life } = machine;
     switch (effect.kind) {
-      case 'sync':
+      case 'writeToDisk':
         this.#after(diskLatency, { kind: 'disk write', machine: index, life, write: effect.write });
         break;
-      case 'compile':
+      case 'compileConfiguration':
         this.#after(compileLatency, {
           kind: 'store event',
           machine: index,
           life,
-          event: (now) => ({ kind: 'compiled', now, hash: effect.hash, faults: [] }),
+          event: (now) => ({ kind: 'configurationCompiled', now, hash: effect.hash, faults: [] }),
         });
         break;
-      case 'stopped':
+      case 'completeStop':
         break;
       default:
         this.#runWireEffect(machine, 'store', effect);
@@ -333,11 +346,11 @@
   }
 
   #runRegistryEffect(machine: Machine, effect: RegistryEffect): void {
-    if (effect.kind === 'reply') this.#onReply(effect.ref, effect.status, effect.body);
+    if (effect.kind === 'reply') this.#onReply(effect.correlationId, effect.status, effect.body);
     else this.#runWireEffect(machine, 'registry', effect);
   }
 
-  #runWireEffect(machine: Machine, role: Role, effect: WireEffect): void {
+  #runWireEffect(machine: Machine, role: Role, effect: ProcessEffect): void {
     if (effect.kind === 'log') return;
     const to = endpointAt(effect.to);
     if (to === undefined) return;
@@ -398,8 +411,8 @@
       life: item.life,
       event: (now) =>
         full
-          ? { kind: 'unsynced', now, id, text: 'no room', full: true }
-          : { kind: 'synced', now, id },
+          ? { kind: 'writeFailed', now, writeId: id, reason: 'no room', isDiskFull: true }
+          : { kind: 'writeSynced', now, writeId: id },
     });
   }
 
--- a/packages/model-checker/src/seeded-bugs/list.ts
+++ b/packages/model-checker/src/seeded-bugs/list.ts
@@ -2,10 +2,10 @@
 
 const candidate = 'election/dist/candidate/candidate.js';
 const voter = 'election/dist/voter/voter.js';
-const write = 'replicated-store/dist/primary-write/primary-write.js';
+const write = 'replicated-store/dist/log-write/primary-write.js';
 const candidacy = 'replicated-store/dist/leadership/candidacy.js';
 const resync = 'replicated-store/dist/resync/resync.js';
-const apply = 'replicated-store/dist/command/apply.js';
+const apply = 'replicated-store/dist/commands/apply-configuration.js';
 
 /** Guards of the control side whose absence the model checker is to find. */
 export const seededBugs: readonly Guard[] = [
@@ -13,35 +13,35 @@
     name: 'a voter that restarted abstains',
     rule: 'one valid lease',
     file: voter,
-    from: 'if (now < abstainsUntil(state))',
+    from: 'if (now < abstentionEnd(state))',
     to: 'if (false)',
   },
   {
     name: 'a young voter renews no lease',
     rule: 'one valid lease',
     file: voter,
-    from: 'if (now < abstainsUntil(state))',
-    to: 'if (!ballot.renew && now < abstainsUntil(state))',
+    from: 'if (now < abstentionEnd(state))',
+    to: 'if (!ballot.renew && now < abstentionEnd(state))',
   },
   {
     name: 'a recovering voter believes only an echo of its own life',
     rule: 'a primary has every confirmed write',
     file: voter,
-    from: 'ballot.voterLife === state.life &&',
+    from: 'ballot.voterLife === state.incarnation &&',
     to: '',
   },
   {
     name: 'a peer remembers for a recovering voter only what it said after the abstention',
     rule: 'a primary has every confirmed write',
     file: voter,
-    from: 'memory.heard?.incarnation === state.life && memory.heard.at >= abstainsUntil(state)',
+    from: 'memory.lastGossipHeard?.incarnation === state.incarnation && memory.lastGossipHeard.at >= abstentionEnd(state)',
     to: 'true',
   },
   {
     name: 'the margin of a lease',
     rule: 'one valid lease',
     file: candidate,
-    from: 'last + lease - leaseMargin',
+    from: 'last + lease - leaseSafetyMarginMs',
     to: 'last + lease + 100',
   },
   {
@@ -55,14 +55,14 @@
     name: 'a lease that ran out stays over',
     rule: 'one valid lease',
     file: candidate,
-    from: "if (own.phase === 'holdingLease' && now >= own.until)",
+    from: "if (own.phase === 'holdingLease' && now >= own.leaseEndsAt)",
     to: 'if (false)',
   },
   {
     name: 'a lease that stands is respected',
     rule: 'one valid lease',
     file: voter,
-    from: 'if (mine.lessee !== ballot.node && now < mine.until)',
+    from: 'if (mine.leaseHolder !== ballot.node && now < mine.leaseEndsAt)',
     to: 'if (false)',
   },
   {
@@ -76,14 +76,14 @@
     name: 'a lease needs a majority',
     rule: 'one valid lease',
     file: voter,
-    from: 'export const majority = (size) => Math.floor(size / 2) + 1;',
-    to: 'export const majority = (size) => Math.floor(size / 2);',
+    from: 'export const quorumSize = (size) => Math.floor(size / 2) + 1;',
+    to: 'export const quorumSize = (size) => Math.floor(size / 2);',
   },
   {
     name: 'recovering votes do not count',
     rule: 'a primary has every confirmed write',
     file: candidate,
-    from: 'one !== undefined && (context.countRecovering || !one.recovering)',
+    from: 'one !== undefined && (context.countsRecoveringVoters || !one.recovering)',
     to: 'one !== undefined',
   },
   {
@@ -104,42 +104,42 @@
     name: 'the backup has it before the answer',
     rule: 'in-sync members hold a confirmed write',
     file: write,
-    from: 'const whole = unconfirmedBackups(state, next).length === 0; if (whole) return prependEffects(',
+    from: 'const whole = unacknowledgedBackups(state, next).length === 0; if (whole) return prependEffects(',
     to: 'if (true) return prependEffects(',
   },
   {
     name: 'every backup in sync has it before the answer',
     rule: 'in-sync members hold a confirmed write',
     file: write,
-    from: 'const whole = isRequired && unconfirmedBackups(state, next).length === 0; return whole ?',
+    from: 'const whole = isRequired && unacknowledgedBackups(state, next).length === 0; return whole ?',
     to: 'return true ?',
   },
   {
     name: 'the own disk has it before the answer',
     rule: 'in-sync members hold a confirmed write',
     file: write,
-    from: 'return transition({ ...next, primaryWrite, nextId: state.nextId + 1 }, ...told, diskWrite(primaryWrite.id, primaryWrite.metadata, stamp, puts));',
-    to: 'return prependEffects([...told, diskWrite(primaryWrite.id, primaryWrite.metadata, stamp, puts)], commitWrite({ ...next, primaryWrite, nextId: state.nextId + 1 }, primaryWrite, now));',
+    from: 'return transition({ ...next, primaryWrite, nextWriteId: state.nextWriteId + 1 }, ...told, diskWrite(primaryWrite.id, primaryWrite.metadata, stamp, puts));',
+    to: 'return prependEffects([...told, diskWrite(primaryWrite.id, primaryWrite.metadata, stamp, puts)], commitWrite({ ...next, primaryWrite, nextWriteId: state.nextWriteId + 1 }, primaryWrite, now));',
   },
   {
     name: 'a primary answers only while it holds the lease',
     rule: 'reads are never older than a write confirmed before',
     file: candidacy,
-    from: 'state.serving && holdsLease(state.candidate, now);',
-    to: "state.serving && state.candidate.phase.phase === 'holdingLease';",
+    from: 'state.isServing && holdsLease(state.candidate, now);',
+    to: "state.isServing && state.candidate.phase.phase === 'holdingLease';",
   },
   {
     name: 'a backup takes no copy of an older epoch',
     rule: 'epochs on a disk only go up',
     file: resync,
-    from: 'if (word.metadata.epoch < metadata.epoch || word.metadata.epoch < heldEpoch(before.candidate))',
+    from: 'if (write.metadata.epoch < metadata.epoch || write.metadata.epoch < heldEpoch(before.candidate))',
     to: 'if (false)',
   },
   {
     name: 'a backup takes no copy past a gap',
     rule: 'a primary has every confirmed write',
     file: resync,
-    from: 'const next = sameStamp(state.stamp, word.prior) || sameStamp(state.stamp, word.stamp);',
+    from: 'const next = isSameStamp(state.stamp, write.prior) || isSameStamp(state.stamp, write.stamp);',
     to: 'const next = true;',
   },
   {
--- a/packages/proxy-core/src/cache/cache.test.ts
+++ b/packages/proxy-core/src/cache/cache.test.ts
@@ -1,9 +1,9 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { type Timestamp, addMs, toTimestamp, toSeq } from '@switchwheel/types';
-import type { Fields } from '@switchwheel/transport';
-import { Cache, type CacheKey, digestOf } from './cache.js';
-import { lifetimeOf } from './fields.js';
+import type { HeaderFields } from '@switchwheel/transport';
+import { Cache, type CacheKey, bodyDigest } from './cache.js';
+import { freshnessLifetimeMs } from './header-fields.js';
 
 const now = toTimestamp(1000);
 const key: CacheKey = { route: 'r', host: 'h', path: '/p', query: '' };
@@ -11,8 +11,8 @@
   cache: Cache,
   text: string,
   change: {
-    readonly fields?: Fields;
-    readonly request?: Fields;
+    readonly fields?: HeaderFields;
+    readonly request?: HeaderFields;
     readonly key?: CacheKey;
     readonly tags?: readonly string[];
     readonly since?: number;
@@ -25,9 +25,9 @@
       status: 200,
       fields: change.fields ?? [],
       body: Buffer.from(text),
-      digest: digestOf(Buffer.from(text)),
-      born: change.born ?? now,
-      lifetime: 1000,
+      digest: bodyDigest(Buffer.from(text)),
+      createdAt: change.born ?? now,
+      lifetimeMs: 1000,
       tags: change.tags ?? [],
     },
     change.request ?? [],
@@ -35,7 +35,7 @@
     toSeq(change.since ?? 0),
     now,
   ) !== undefined;
-const find = (cache: Cache, request: Fields = [], at = now): string | undefined =>
+const find = (cache: Cache, request: HeaderFields = [], at = now): string | undefined =>
   cache.find(key, request, at)?.body.toString();
 
 void test('results that vary are told only to requests with the same values; lifetimes count from when they were made', () => {
@@ -82,8 +82,8 @@
 });
 
 void test('what may be kept: never private, authorised or set-cookie results, the shorter of two lifetimes', () => {
-  const kept = (fields: Fields, authorised = false, own?: number): number | undefined =>
-    lifetimeOf(200, fields, authorised, own);
+  const kept = (fields: HeaderFields, authorised = false, own?: number): number | undefined =>
+    freshnessLifetimeMs(200, fields, authorised, own);
   assert.equal(kept([['cache-control', 'max-age=5']]), 5000);
   assert.equal(kept([['cache-control', 'max-age=60, s-maxage=9']], false, 4000), 4000);
   assert.equal(kept([], false, 700), 700);
@@ -93,11 +93,14 @@
     [['set-cookie', 'a=b']],
     [['vary', '*']],
     [],
-  ] satisfies Fields[])
+  ] satisfies HeaderFields[])
     assert.equal(kept(fields, false, fields.length === 0 ? undefined : 500), undefined);
   assert.equal(kept([['cache-control', 'max-age=5']], true), undefined);
   assert.equal(kept([['cache-control', 'public, max-age=5']], true), 5000);
-  assert.equal(lifetimeOf(500, [['cache-control', 'max-age=5']], false, undefined), undefined);
+  assert.equal(
+    freshnessLifetimeMs(500, [['cache-control', 'max-age=5']], false, undefined),
+    undefined,
+  );
 });
 
 void test('the least recently used go first when room runs out', () => {
