--- a/packages/proxy-core/src/cache/cache.ts
+++ b/packages/proxy-core/src/cache/cache.ts
@@ -1,7 +1,7 @@
 import { createHash } from 'node:crypto';
 import { type Timestamp, type Seq, noSeq } from '@switchwheel/types';
-import type { Aim, Fields, Purge } from '@switchwheel/transport';
-import { fieldOf, varyOf } from './fields.js';
+import type { PurgeTarget, HeaderFields, Purge } from '@switchwheel/transport';
+import { fieldValue, varyNames } from './header-fields.js';
 
 /** What a stored result is known by. */
 export interface CacheKey {
@@ -12,24 +12,25 @@
 }
 
 /** A stored result: whole, with its digest. */
-export interface Entry {
+export interface CacheEntry {
   readonly key: CacheKey;
   readonly vary: ReadonlyMap<string, string>;
   readonly status: number;
-  readonly fields: Fields;
+  readonly fields: HeaderFields;
   readonly body: Buffer;
   readonly digest: string;
   /** When the origin made it, at the latest guess that is safe. */
-  readonly born: Timestamp;
-  readonly lifetime: number;
+  readonly createdAt: Timestamp;
+  readonly lifetimeMs: number;
   readonly tags: readonly string[];
 }
 
-const idOf = (key: CacheKey): string => `${key.route}\n${key.host}\n${key.path}\n${key.query}`;
-export const digestOf = (body: Uint8Array): string =>
+const cacheKeyString = (key: CacheKey): string =>
+  `${key.route}\n${key.host}\n${key.path}\n${key.query}`;
+export const bodyDigest = (body: Uint8Array): string =>
   createHash('sha256').update(body).digest('base64');
 
-const matches = (key: CacheKey, tags: readonly string[], aim: Aim): boolean => {
+const matches = (key: CacheKey, tags: readonly string[], aim: PurgeTarget): boolean => {
   switch (aim.by) {
     case 'all':
       return true;
@@ -41,25 +42,25 @@
 };
 
 /** The values of the request that a result depends on. */
-const varyValues = (names: readonly string[], request: Fields): ReadonlyMap<string, string> =>
-  new Map(names.map((name) => [name, fieldOf(request, name) ?? '']));
+const varyValues = (names: readonly string[], request: HeaderFields): ReadonlyMap<string, string> =>
+  new Map(names.map((name) => [name, fieldValue(request, name) ?? '']));
 
 /**
  * A cache of whole results, in the order of their last use. It is a class with tables that change in place:
  * copying thousands of entries for each request would cost more than the request.
  */
 export class Cache {
-  readonly #rows = new Map<string, Entry[]>();
-  readonly #byPath = new Map<string, Set<string>>();
-  readonly #byTag = new Map<string, Set<string>>();
-  readonly #recent: Purge[] = [];
-  readonly #most: number;
+  readonly #entriesByKey = new Map<string, CacheEntry[]>();
+  readonly #keysByPath = new Map<string, Set<string>>();
+  readonly #keysByTag = new Map<string, Set<string>>();
+  readonly #recentPurges: Purge[] = [];
+  readonly #maxBytes: number;
   #bytes = 0;
-  #flushed: Seq = noSeq;
-  #top: Seq = noSeq;
+  #flushedUpTo: Seq = noSeq;
+  #lastPurgeSeq: Seq = noSeq;
 
   constructor(most: number) {
-    this.#most = most;
+    this.#maxBytes = most;
   }
 
   get bytes(): number {
@@ -67,73 +68,73 @@
   }
 
   get size(): number {
-    return this.#rows.size;
+    return this.#entriesByKey.size;
   }
 
   /** The last purge acted on. */
-  get top(): Seq {
-    return this.#top;
+  get lastPurgeSeq(): Seq {
+    return this.#lastPurgeSeq;
   }
 
   /** Finds a result that is still good for this request. */
-  find(key: CacheKey, request: Fields, now: Timestamp): Entry | undefined {
-    const id = idOf(key);
-    const row = this.#rows.get(id);
+  find(key: CacheKey, request: HeaderFields, now: Timestamp): CacheEntry | undefined {
+    const id = cacheKeyString(key);
+    const row = this.#entriesByKey.get(id);
     if (row === undefined) return undefined;
     const found = row.find((one) =>
-      [...one.vary].every(([name, value]) => (fieldOf(request, name) ?? '') === value),
+      [...one.vary].every(([name, value]) => (fieldValue(request, name) ?? '') === value),
     );
     if (found === undefined) return undefined;
-    if (now - found.born >= found.lifetime) {
+    if (now - found.createdAt >= found.lifetimeMs) {
       this.#remove(id, found);
       return undefined;
     }
-    this.#rows.delete(id);
-    this.#rows.set(id, row);
+    this.#entriesByKey.delete(id);
+    this.#entriesByKey.set(id, row);
     return found;
   }
 
   /** Stores a result, unless a purge that came since it was fetched is meant for it. */
   store(
-    entry: Omit<Entry, 'vary'>,
-    request: Fields,
+    entry: Omit<CacheEntry, 'vary'>,
+    request: HeaderFields,
     extraVary: readonly string[],
     fetchedAt: Seq,
     now: Timestamp,
-  ): Entry | undefined {
+  ): CacheEntry | undefined {
     const { key, tags } = entry;
     if (
-      entry.body.length > this.#most / 8 ||
-      now - entry.born >= entry.lifetime ||
-      this.purgedSince(key, tags, fetchedAt)
+      entry.body.length > this.#maxBytes / 8 ||
+      now - entry.createdAt >= entry.lifetimeMs ||
+      this.isPurgedSince(key, tags, fetchedAt)
     )
       return undefined;
-    const whole: Entry = {
+    const whole: CacheEntry = {
       ...entry,
-      vary: varyValues([...new Set([...varyOf(entry.fields), ...extraVary])], request),
+      vary: varyValues([...new Set([...varyNames(entry.fields), ...extraVary])], request),
     };
-    const id = idOf(key);
-    const row = this.#rows.get(id) ?? [];
+    const id = cacheKeyString(key);
+    const row = this.#entriesByKey.get(id) ?? [];
     const same = row.find(
       (one) =>
         one.vary.size === whole.vary.size &&
         [...one.vary].every(([name, value]) => whole.vary.get(name) === value),
     );
     if (same !== undefined) this.#remove(id, same);
-    const rest = this.#rows.get(id) ?? [];
-    this.#rows.delete(id);
-    this.#rows.set(id, [...rest, whole].slice(-32));
-    this.#index(this.#byPath, key.path, id);
-    for (const tag of tags) this.#index(this.#byTag, tag, id);
+    const rest = this.#entriesByKey.get(id) ?? [];
+    this.#entriesByKey.delete(id);
+    this.#entriesByKey.set(id, [...rest, whole].slice(-32));
+    this.#index(this.#keysByPath, key.path, id);
+    for (const tag of tags) this.#index(this.#keysByTag, tag, id);
     this.#bytes += whole.body.length + 512;
-    this.#trim();
+    this.#evict();
     return whole;
   }
 
   /** Whether a purge after the one named is meant for an object. */
-  purgedSince(key: CacheKey, tags: readonly string[], since: Seq): boolean {
-    if (since < this.#flushed) return true;
-    return this.#recent.some(
+  isPurgedSince(key: CacheKey, tags: readonly string[], since: Seq): boolean {
+    if (since < this.#flushedUpTo) return true;
+    return this.#recentPurges.some(
       (purge) => purge.seq > since && purge.aims.some((aim) => matches(key, tags, aim)),
     );
   }
@@ -141,36 +142,40 @@
   /** Acts on purges; `flush` empties the cache, as some were missed. */
   purge(purges: readonly Purge[], flush: boolean, top: Seq): void {
     if (flush) {
-      this.#rows.clear();
-      this.#byPath.clear();
-      this.#byTag.clear();
+      this.#entriesByKey.clear();
+      this.#keysByPath.clear();
+      this.#keysByTag.clear();
       this.#bytes = 0;
-      this.#recent.splice(0);
-      this.#flushed = top;
+      this.#recentPurges.splice(0);
+      this.#flushedUpTo = top;
     }
     for (const purge of purges) {
-      for (const aim of purge.aims) this.#aimAt(aim);
-      this.#recent.push(purge);
+      for (const aim of purge.aims) this.#purgeMatching(aim);
+      this.#recentPurges.push(purge);
     }
-    while (this.#recent.length > 256) {
-      const old = this.#recent.shift();
-      if (old !== undefined) this.#flushed = old.seq;
+    while (this.#recentPurges.length > 256) {
+      const old = this.#recentPurges.shift();
+      if (old !== undefined) this.#flushedUpTo = old.seq;
     }
-    this.#top = top;
+    this.#lastPurgeSeq = top;
   }
 
   /** Drops one result. */
-  forget(entry: Entry): void {
-    this.#remove(idOf(entry.key), entry);
+  remove(entry: CacheEntry): void {
+    this.#remove(cacheKeyString(entry.key), entry);
   }
 
-  #aimAt(aim: Aim): void {
+  #purgeMatching(aim: PurgeTarget): void {
     const ids =
       aim.by === 'all'
-        ? [...this.#rows.keys()]
-        : [...((aim.by === 'tag' ? this.#byTag.get(aim.tag) : this.#byPath.get(aim.path)) ?? [])];
+        ? [...this.#entriesByKey.keys()]
+        : [
+            ...((aim.by === 'tag'
+              ? this.#keysByTag.get(aim.tag)
+              : this.#keysByPath.get(aim.path)) ?? []),
+          ];
     for (const id of ids) {
-      for (const one of [...(this.#rows.get(id) ?? [])])
+      for (const one of [...(this.#entriesByKey.get(id) ?? [])])
         if (matches(one.key, one.tags, aim)) this.#remove(id, one);
     }
   }
@@ -187,23 +192,23 @@
     if (set?.size === 0) table.delete(name);
   }
 
-  #remove(id: string, entry: Entry): void {
-    const row = this.#rows.get(id) ?? [];
+  #remove(id: string, entry: CacheEntry): void {
+    const row = this.#entriesByKey.get(id) ?? [];
     const rest = row.filter((one) => one !== entry);
     if (rest.length === row.length) return;
     this.#bytes -= entry.body.length + 512;
-    if (rest.length > 0) this.#rows.set(id, rest);
+    if (rest.length > 0) this.#entriesByKey.set(id, rest);
     else {
-      this.#rows.delete(id);
-      this.#unindex(this.#byPath, entry.key.path, id);
+      this.#entriesByKey.delete(id);
+      this.#unindex(this.#keysByPath, entry.key.path, id);
     }
     for (const tag of entry.tags)
-      if (!rest.some((one) => one.tags.includes(tag))) this.#unindex(this.#byTag, tag, id);
+      if (!rest.some((one) => one.tags.includes(tag))) this.#unindex(this.#keysByTag, tag, id);
   }
 
-  #trim(): void {
-    for (const [id, row] of this.#rows) {
-      if (this.#bytes <= this.#most) return;
+  #evict(): void {
+    for (const [id, row] of this.#entriesByKey) {
+      if (this.#bytes <= this.#maxBytes) return;
       for (const one of [...row]) this.#remove(id, one);
     }
   }
--- a/packages/proxy-core/src/forward/forward.test.ts
+++ b/packages/proxy-core/src/forwarding/forwarding.test.ts
@@ -15,19 +15,24 @@
   toServiceName,
   isRouteName,
 } from '@switchwheel/types';
-import type { Holder } from '@switchwheel/transport';
-import { forwardStep } from './forward.js';
-import { type Forward, type ForwardEffect, type ForwardEvent, newForward } from './state.js';
+import type { LeaseHolder } from '@switchwheel/transport';
+import { forwardingTransition } from './forwarding.js';
+import {
+  type Forwarding,
+  type ForwardingEffect,
+  type ForwardingEvent,
+  initialForwarding,
+} from './state.js';
 
 const service = toServiceName('shop');
 const start = toTimestamp(10_000);
 
 class Bench {
-  state: Forward = newForward;
-  effects: readonly ForwardEffect[] = [];
+  state: Forwarding = initialForwarding;
+  effects: readonly ForwardingEffect[] = [];
 
-  tell(event: ForwardEvent): readonly ForwardEffect[] {
-    const done = forwardStep(this.state, event);
+  tell(event: ForwardingEvent): readonly ForwardingEffect[] {
+    const done = forwardingTransition(this.state, event);
     this.state = done.state;
     this.effects = [...this.effects, ...done.effects];
     return done.effects;
@@ -37,48 +42,48 @@
     const route = 'route';
     assert.ok(isRouteName(route));
     this.tell({
-      kind: 'take',
+      kind: 'requestAccepted',
       now: start,
-      wagon: {
+      request: {
         id: toRequestId(name),
         service,
         generation: noGeneration,
         route,
-        group: toClassName('any'),
+        className: toClassName('any'),
         method: 'GET',
         host: 'h',
         path: '/',
         fields: [],
-        repeatable,
-        storable: false,
-        until: addMs(start, 5000),
-        purged: noSeq,
+        isIdempotent: repeatable,
+        isCacheable: false,
+        deadline: addMs(start, 5000),
+        requiredPurgeSeq: noSeq,
       },
     });
   }
 
-  keeper(epoch: number, spot: string, at = start): readonly ForwardEffect[] {
+  keeper(epoch: number, spot: string, at = start): readonly ForwardingEffect[] {
     const duty = serviceLeaseOf(service);
-    const holder: Holder = {
+    const holder: LeaseHolder = {
       duty,
       epoch: toEpoch(epoch),
       node: toNodeId(`k${epoch}`),
       address: toAddress(spot),
     };
     return this.tell({
-      kind: 'keepers',
+      kind: 'leaseHoldersChanged',
       now: at,
-      keepers: new Map<LeaseName, Holder>([[duty, holder]]),
+      leaseHolders: new Map<LeaseName, LeaseHolder>([[duty, holder]]),
     });
   }
 }
 
-const kinds = (list: readonly ForwardEffect[]): readonly string[] =>
+const kinds = (list: readonly ForwardingEffect[]): readonly string[] =>
   list.map((one) =>
-    one.kind === 'fail'
+    one.kind === 'failRequest'
       ? `${one.id} ${one.errorKind}`
-      : one.kind === 'ask'
-        ? `${one.ask.id} to ${one.to}`
+      : one.kind === 'sendRequest'
+        ? `${one.request.id} to ${one.to}`
         : `${one.id} ${one.kind}`,
   );
 
@@ -87,12 +92,12 @@
   bench.keeper(1, '10.0.0.1:1');
   bench.take('read', true);
   bench.take('act', false);
-  assert.deepEqual(kinds(bench.keeper(2, '10.0.0.2:1')), ['read cancel', 'read to 10.0.0.2:1']);
+  assert.deepEqual(kinds(bench.keeper(2, '10.0.0.2:1')), ['read cancelRequest', 'read to 10.0.0.2:1']);
   const lost = bench.tell({
-    kind: 'lost',
+    kind: 'channelLost',
     now: start,
-    keeper: toAddress('10.0.0.1:1'),
-    unsent: new Set(),
+    leader: toAddress('10.0.0.1:1'),
+    unsentIds: new Set(),
   });
   assert.deepEqual(kinds(lost), ['act unknown']);
 });
@@ -102,18 +107,25 @@
   bench.keeper(1, '10.0.0.1:1');
   bench.take('act', false);
   bench.take('read', true);
-  bench.tell({ kind: 'begun', now: start, from: toAddress('10.0.0.1:1'), id: toRequestId('read') });
   bench.tell({
-    kind: 'lost',
+    kind: 'attemptStarted',
+    now: start,
+    from: toAddress('10.0.0.1:1'),
+    id: toRequestId('read'),
+  });
+  bench.tell({
+    kind: 'channelLost',
     now: start,
-    keeper: toAddress('10.0.0.1:1'),
-    unsent: new Set([toRequestId('act')]),
+    leader: toAddress('10.0.0.1:1'),
+    unsentIds: new Set([toRequestId('act')]),
   });
   const moved = bench.keeper(2, '10.0.0.2:1');
   assert.deepEqual(kinds(moved).toSorted(), ['act to 10.0.0.2:1', 'read to 10.0.0.2:1']);
   assert.deepEqual(
     moved
-      .flatMap((one) => (one.kind === 'ask' ? [[one.ask.id, one.ask.again, one.ask.extra]] : []))
+      .flatMap((one) =>
+        one.kind === 'sendRequest' ? [[one.request.id, one.request.again, one.request.extra]] : [],
+      )
       .toSorted(),
     [
       ['act', false, false],
@@ -122,7 +134,7 @@
   );
   for (const id of ['act', 'read']) {
     bench.tell({
-      kind: 'reject',
+      kind: 'requestRejected',
       now: start,
       from: toAddress('10.0.0.2:1'),
       frame: {
--- a/packages/proxy-core/src/cabin/duties.ts
+++ b/packages/proxy-core/src/node-agent/leader-candidacy.ts
@@ -9,7 +9,7 @@
   withEntry,
   transition,
 } from '@switchwheel/types';
-import { type FrameOf, type Holder, type Member, send } from '@switchwheel/transport';
+import { type FrameOf, type LeaseHolder, type Member, send } from '@switchwheel/transport';
 import {
   type ElectionContext,
   type Candidate,
@@ -22,21 +22,26 @@
   tickCandidate,
 } from '@switchwheel/election';
 import { highestEpoch } from '@switchwheel/membership';
-import type { Cabin, CabinEffect } from './state.js';
+import type { NodeAgent, NodeAgentEffect } from './state.js';
 
-type Done = Transition<Cabin, CabinEffect>;
-const rankSpan = 150;
+type AgentTransition = Transition<NodeAgent, NodeAgentEffect>;
+const rankDelayMs = 150;
 /** Callers wait while a service has no keeper, so its lease is shorter than the primary's. */
-const keeperLease = 600;
+const leaderLeaseMs = 600;
 
-const weight = (service: ServiceName, node: string): string =>
+const rendezvousWeight = (service: ServiceName, node: string): string =>
   createHash('sha1').update(`${service} ${node}`).digest('hex');
 
 /** The shields in the order in which they should keep a service: spread by name, the areas taking turns. */
-export const order = (service: ServiceName, shields: readonly Member[]): readonly Member[] =>
-  [...shields].sort((one, two) => (weight(service, one.node) < weight(service, two.node) ? -1 : 1));
+export const leadershipOrder = (
+  service: ServiceName,
+  shields: readonly Member[],
+): readonly Member[] =>
+  [...shields].sort((one, two) =>
+    rendezvousWeight(service, one.node) < rendezvousWeight(service, two.node) ? -1 : 1,
+  );
 
-const shields = (state: Cabin): readonly Member[] => {
+const shieldMembers = (state: NodeAgent): readonly Member[] => {
   const near = state.nodeSession.members.filter((one) => one.role === 'shield');
   return near.some((one) => one.node === state.nodeSession.member.node)
     ? near
@@ -44,34 +49,34 @@
 };
 
 /** This shield's stand towards a service: one that rests if it never stood. */
-const candidateOf = (state: Cabin, service: ServiceName): Candidate =>
+const candidateOf = (state: NodeAgent, service: ServiceName): Candidate =>
   state.candidates.get(service) ??
-  newCandidate(state.nodeSession.member.node, serviceLeaseOf(service), [], keeperLease);
+  newCandidate(state.nodeSession.member.node, serviceLeaseOf(service), [], leaderLeaseMs);
 
-const electionContext = (state: Cabin, service: ServiceName): ElectionContext | undefined => {
+const electionContext = (state: NodeAgent, service: ServiceName): ElectionContext | undefined => {
   const { fleet, electorate, member } = state.nodeSession;
   if (fleet === undefined || electorate === undefined) return undefined;
-  const held: Holder = {
+  const held: LeaseHolder = {
     duty: serviceLeaseOf(service),
     epoch: highestEpoch(state.nodeSession, serviceLeaseOf(service)),
     node: member.node,
     address: member.address,
     ...(member.door === undefined ? {} : { door: member.door }),
   };
-  return { fleet, electorate, held, countRecovering: true };
+  return { fleet, electorate, holderRecord: held, countsRecoveringVoters: true };
 };
 
-const heldBy = (state: Cabin, service: ServiceName): Holder | undefined =>
+const leaseHolder = (state: NodeAgent, service: ServiceName): LeaseHolder | undefined =>
   state.nodeSession.holders.get(serviceLeaseOf(service));
 
 /** Whether this shield should stand now: at once if it is first in order, the others after it in turn. */
-const wantsElection = (state: Cabin, service: ServiceName, now: Timestamp): boolean => {
-  if (state.stopping || state.table === undefined) return false;
+const wantsElection = (state: NodeAgent, service: ServiceName, now: Timestamp): boolean => {
+  if (state.isStopping || state.compiledConfiguration === undefined) return false;
   const duty = serviceLeaseOf(service);
-  const holder = heldBy(state, service);
+  const holder = leaseHolder(state, service);
   const near =
     holder !== undefined && state.nodeSession.members.some((one) => one.node === holder.node);
-  const since = state.vacant.get(duty);
+  const since = state.vacantSince.get(duty);
   if (
     holder !== undefined &&
     near &&
@@ -79,73 +84,73 @@
     since === undefined
   )
     return false;
-  const row = order(
+  const row = leadershipOrder(
     service,
-    shields(state).filter(
+    shieldMembers(state).filter(
       (one) => one.node === state.nodeSession.member.node || holder?.node !== one.node,
     ),
   );
   const rank = row.findIndex((one) => one.node === state.nodeSession.member.node);
-  return since !== undefined && now - since >= rank * rankSpan;
+  return since !== undefined && now - since >= rank * rankDelayMs;
 };
 
-const follow = (
-  state: Cabin,
+const applyCandidate = (
+  state: NodeAgent,
   service: ServiceName,
   before: Candidate,
   after: Candidate,
   now: Timestamp,
-): Done => {
+): AgentTransition => {
   const was = before.phase.phase === 'holdingLease';
   const is = after.phase.phase === 'holdingLease';
   const next = { ...state, candidates: withEntry(state.candidates, service, after) };
   if (!was && is && holdsLease(after, now))
     return transition(
-      { ...next, vacant: withoutEntry(next.vacant, serviceLeaseOf(service)) },
-      { kind: 'kept', service, candidate: after },
+      { ...next, vacantSince: withoutEntry(next.vacantSince, serviceLeaseOf(service)) },
+      { kind: 'startLeading', service, candidate: after },
     );
-  if (was && !is) return transition(next, { kind: 'unkept', service });
+  if (was && !is) return transition(next, { kind: 'stopLeading', service });
   return transition(next);
 };
 
-const watch = (state: Cabin, now: Timestamp): Cabin => {
-  let vacant = state.vacant;
-  for (const service of state.table?.services.keys() ?? []) {
+const noteVacantLeases = (state: NodeAgent, now: Timestamp): NodeAgent => {
+  let vacant = state.vacantSince;
+  for (const service of state.compiledConfiguration?.services.keys() ?? []) {
     const duty = serviceLeaseOf(service);
-    const holder = heldBy(state, service);
+    const holder = leaseHolder(state, service);
     const open =
       holder === undefined || !state.nodeSession.members.some((one) => one.node === holder.node);
     if (open && !vacant.has(duty)) vacant = withEntry(vacant, duty, now);
   }
-  return vacant === state.vacant ? state : { ...state, vacant };
+  return vacant === state.vacantSince ? state : { ...state, vacantSince: vacant };
 };
 
 /** Takes in what a voter says of leases that are over. */
-export const takeVacant = (
-  state: Cabin,
+export const applyVacantLeases = (
+  state: NodeAgent,
   word: FrameOf<'heartbeat-reply'>,
   now: Timestamp,
-): Cabin => {
+): NodeAgent => {
   if (state.nodeSession.member.role !== 'shield') return state;
   const told = new Set(word.vacant);
-  let vacant = state.vacant;
-  for (const service of state.table?.services.keys() ?? []) {
+  let vacant = state.vacantSince;
+  for (const service of state.compiledConfiguration?.services.keys() ?? []) {
     const duty = serviceLeaseOf(service);
-    const holder = heldBy(state, service);
+    const holder = leaseHolder(state, service);
     const near =
       holder !== undefined && state.nodeSession.members.some((one) => one.node === holder.node);
     if (told.has(duty)) vacant = vacant.has(duty) ? vacant : withEntry(vacant, duty, now);
     else if (near) vacant = withoutEntry(vacant, duty);
   }
-  return vacant === state.vacant ? state : { ...state, vacant };
+  return vacant === state.vacantSince ? state : { ...state, vacantSince: vacant };
 };
 
 /** Lets time pass over all stands of this shield. */
-export const passDuties = (before: Cabin, now: Timestamp): Done => {
-  if (before.nodeSession.member.role !== 'shield' || before.table === undefined)
+export const tickCandidacies = (before: NodeAgent, now: Timestamp): AgentTransition => {
+  if (before.nodeSession.member.role !== 'shield' || before.compiledConfiguration === undefined)
     return transition(before);
-  let next: Done = transition(watch(before, now));
-  for (const service of before.table.services.keys()) {
+  let next: AgentTransition = transition(noteVacantLeases(before, now));
+  for (const service of before.compiledConfiguration.services.keys()) {
     const state = next.state;
     const own = electionContext(state, service);
     if (own === undefined) continue;
@@ -155,10 +160,10 @@
     if (known.phase.phase === 'holdingLease' && candidate.highest > heldEpoch(known)) {
       // Somebody remembers a higher epoch than the voters that voted: this holding would be fenced off, a new one is stood for.
       const given = stepDown(candidate, own, now, 0);
-      const followed = follow(state, service, known, given.state, now);
+      const followed = applyCandidate(state, service, known, given.state, now);
       next = prependEffects([...next.effects, ...given.effects], {
         ...followed,
-        state: { ...followed.state, vacant: withEntry(followed.state.vacant, duty, now) },
+        state: { ...followed.state, vacantSince: withEntry(followed.state.vacantSince, duty, now) },
       });
       continue;
     }
@@ -166,11 +171,11 @@
       candidate,
       own,
       wantsElection(state, service, now),
-      state.dice,
+      state.randomState,
       now,
     );
-    const followed = follow(
-      { ...state, dice: passed.state.dice },
+    const followed = applyCandidate(
+      { ...state, randomState: passed.state.dice },
       service,
       candidate,
       passed.state.candidate,
@@ -179,19 +184,24 @@
     next = prependEffects([...next.effects, ...passed.effects], followed);
   }
   for (const [service, candidate] of next.state.candidates) {
-    if (before.table.services.has(service) || candidate.phase.phase === 'idle') continue;
+    if (before.compiledConfiguration.services.has(service) || candidate.phase.phase === 'idle')
+      continue;
     // The service left the description: its duty is laid down.
     const given = stepDown(candidate, electionContext(next.state, service), now, 1000);
     const dropped = { ...next.state, candidates: withoutEntry(next.state.candidates, service) };
     next = prependEffects(
       [...next.effects, ...given.effects],
-      transition(dropped, { kind: 'unkept' as const, service }),
+      transition(dropped, { kind: 'stopLeading' as const, service }),
     );
   }
   return next;
 };
 
-export const onVote = (state: Cabin, word: FrameOf<'vote'>, now: Timestamp): Done => {
+export const onVote = (
+  state: NodeAgent,
+  word: FrameOf<'vote'>,
+  now: Timestamp,
+): AgentTransition => {
   const known = state.nodeSession.electorate;
   const nodeSession =
     word.electorate !== undefined && (known === undefined || word.electorate.serial > known.serial)
@@ -199,21 +209,21 @@
       : state.nodeSession;
   const base = { ...state, nodeSession };
   for (const [service, candidate] of base.candidates) {
-    if (candidate.duty !== word.duty) continue;
+    if (candidate.leaseName !== word.duty) continue;
     const own = electionContext(base, service);
     return own === undefined
       ? transition(base)
-      : follow(base, service, candidate, countVote(candidate, own, word, now), now);
+      : applyCandidate(base, service, candidate, countVote(candidate, own, word, now), now);
   }
   return transition(base);
 };
 
 /** Hands every duty over before a stop: the next in order is told to stand at once. */
-export const handOver = (state: Cabin, now: Timestamp): Done => {
-  let next: Done = transition(state);
+export const handOverLeases = (state: NodeAgent, now: Timestamp): AgentTransition => {
+  let next: AgentTransition = transition(state);
   for (const [service, candidate] of state.candidates) {
     if (!holdsLease(candidate, now)) continue;
-    const heir = order(service, shields(state)).find(
+    const heir = leadershipOrder(service, shieldMembers(state)).find(
       (one) => one.node !== state.nodeSession.member.node,
     );
     const given = stepDown(candidate, electionContext(state, service), now, 60_000);
@@ -223,7 +233,7 @@
         : [
             send(heir.address, {
               kind: 'handover' as const,
-              duty: candidate.duty,
+              duty: candidate.leaseName,
               epoch: heldEpoch(candidate),
             }),
           ];
@@ -233,25 +243,29 @@
     };
     next = prependEffects(
       [...next.effects, ...given.effects, ...told],
-      transition(after, { kind: 'unkept' as const, service }),
+      transition(after, { kind: 'stopLeading' as const, service }),
     );
   }
   return next;
 };
 
 /** The keeper of a service hands it over to this shield. */
-export const onHandover = (state: Cabin, word: FrameOf<'handover'>, now: Timestamp): Done => {
-  for (const service of state.table?.services.keys() ?? []) {
+export const onHandover = (
+  state: NodeAgent,
+  word: FrameOf<'handover'>,
+  now: Timestamp,
+): AgentTransition => {
+  for (const service of state.compiledConfiguration?.services.keys() ?? []) {
     if (serviceLeaseOf(service) !== word.duty) continue;
     const own = electionContext(state, service);
-    if (own === undefined || state.stopping) return transition(state);
+    if (own === undefined || state.isStopping) return transition(state);
     const candidate = observeEpoch(candidateOf(state, service), word.epoch);
-    const passed = tickCandidate(candidate, own, true, state.dice, now);
+    const passed = tickCandidate(candidate, own, true, state.randomState, now);
     return transition(
       {
         ...state,
-        dice: passed.state.dice,
-        vacant: withEntry(state.vacant, word.duty, now),
+        randomState: passed.state.dice,
+        vacantSince: withEntry(state.vacantSince, word.duty, now),
         candidates: withEntry(state.candidates, service, passed.state.candidate),
       },
       ...passed.effects,
@@ -261,8 +275,10 @@
 };
 
 /** The duties held now, as told to registries. */
-export const heldNow = (state: Cabin, now: Timestamp): Holder[] =>
+export const heldLeases = (state: NodeAgent, now: Timestamp): LeaseHolder[] =>
   [...state.candidates].flatMap(([service, candidate]) => {
-    const own = holdsLease(candidate, now) ? electionContext(state, service)?.held : undefined;
+    const own = holdsLease(candidate, now)
+      ? electionContext(state, service)?.holderRecord
+      : undefined;
     return own === undefined ? [] : [{ ...own, epoch: heldEpoch(candidate) }];
   });
--- a/packages/proxy-core/src/proxy/depart.ts
+++ b/packages/proxy-core/src/proxy/shutdown-phase.ts
@@ -1,22 +1,22 @@
 import type { Timestamp } from '@switchwheel/types';
 
 /** How long callers are still taken after a stop was asked for: the platform needs a moment to see it. */
-const graceSpan = 1500;
+const stopGraceMs = 1500;
 /** When what is left is broken off: the hard stop comes after six seconds. */
-const breakSpan = 4700;
+const abortAfterMs = 4700;
 
 /** How far a stop has come. */
-export type Departure = 'serving' | 'ending' | 'broken' | 'over';
+export type ShutdownPhase = 'serving' | 'draining' | 'aborting' | 'finished';
 
 /** What a process that was asked to stop does now, by what is still open here. */
-export const departure = (
+export const shutdownPhase = (
   role: 'edge' | 'shield',
   since: Timestamp,
   open: number,
   now: Timestamp,
-): Departure => {
+): ShutdownPhase => {
   const spent = now - since;
-  if (spent < (role === 'edge' ? graceSpan : 100)) return 'serving';
-  if (open === 0) return 'over';
-  return spent < breakSpan ? 'ending' : 'broken';
+  if (spent < (role === 'edge' ? stopGraceMs : 100)) return 'serving';
+  if (open === 0) return 'finished';
+  return spent < abortAfterMs ? 'draining' : 'aborting';
 };
--- a/packages/proxy-core/src/proxy/state.ts
+++ b/packages/proxy-core/src/proxy/state.ts
@@ -7,102 +7,126 @@
   type ServiceName,
   clockOrigin,
 } from '@switchwheel/types';
-import type { Ask, FrameOf, Member } from '@switchwheel/transport';
-import { type Cabin, type CabinEffect, type CabinEvent, newCabin } from '../cabin/state.js';
-import { type Forward, type ForwardEffect, type Wagon, newForward } from '../forward/state.js';
-import type { Keeper, KeeperEffect, LegEnd } from '../keeper/state.js';
-import type { Heights } from './heights.js';
+import type { ForwardedRequest, FrameOf, Member } from '@switchwheel/transport';
+import {
+  type NodeAgent,
+  type NodeAgentEffect,
+  type NodeAgentEvent,
+  newNodeAgent,
+} from '../node-agent/state.js';
+import {
+  type Forwarding,
+  type ForwardingEffect,
+  type PendingForward,
+  initialForwarding,
+} from '../forwarding/state.js';
+import type {
+  ServiceLeader,
+  ServiceLeaderEffect,
+  AttemptOutcome,
+} from '../service-leader/state.js';
+import type { EpochHistory } from './epoch-history.js';
 
 /** The whole state of a proxy: its control side, the services it keeps, and what it forwards. */
-export interface Proxy {
-  readonly cabin: Cabin;
+export interface ProxyState {
+  readonly nodeAgent: NodeAgent;
   /** Keepers by service and epoch: one that closed stays until its legs have ended. */
-  readonly keepers: ReadonlyMap<string, Keeper>;
-  readonly active: ReadonlyMap<ServiceName, string>;
-  readonly forward: Forward;
+  readonly leaders: ReadonlyMap<string, ServiceLeader>;
+  readonly activeLeaders: ReadonlyMap<ServiceName, string>;
+  readonly forwarding: Forwarding;
   /** Since when the epochs of duties have been known: how many holdings there were of late. */
-  readonly heights: Heights;
+  readonly epochHistory: EpochHistory;
   /** When this process last acted, and when it last woke from a sleep or a stall. */
-  readonly acted: Timestamp;
-  readonly woke: Timestamp;
+  readonly lastActedAt: Timestamp;
+  readonly lastWokeAt: Timestamp;
 }
 
-export const newProxy = (member: Member, seeds: readonly Address[], dice: RandomState): Proxy => ({
-  cabin: newCabin(member, seeds, dice),
-  keepers: new Map(),
-  active: new Map(),
-  forward: newForward,
-  heights: new Map(),
-  acted: clockOrigin,
-  woke: clockOrigin,
+export const newProxyState = (
+  member: Member,
+  seeds: readonly Address[],
+  dice: RandomState,
+): ProxyState => ({
+  nodeAgent: newNodeAgent(member, seeds, dice),
+  leaders: new Map(),
+  activeLeaders: new Map(),
+  forwarding: initialForwarding,
+  epochHistory: new Map(),
+  lastActedAt: clockOrigin,
+  lastWokeAt: clockOrigin,
 });
 
 export type ProxyEvent =
-  | CabinEvent
+  | NodeAgentEvent
+  | {
+      readonly kind: 'requestAccepted';
+      readonly now: Timestamp;
+      readonly request: Omit<PendingForward, 'phase' | 'mayHaveRun' | 'attemptStarted'>;
+    }
   | {
-      readonly kind: 'take';
+      readonly kind: 'inboundRequestArrived';
       readonly now: Timestamp;
-      readonly wagon: Omit<Wagon, 'stage' | 'again' | 'begun'>;
+      readonly request: Omit<ForwardedRequest, 'body'>;
     }
-  | { readonly kind: 'asked'; readonly now: Timestamp; readonly ask: Omit<Ask, 'body'> }
-  | { readonly kind: 'quitAsk'; readonly now: Timestamp; readonly id: RequestId }
+  | { readonly kind: 'inboundRequestCancelled'; readonly now: Timestamp; readonly id: RequestId }
   | {
-      readonly kind: 'streaming';
+      readonly kind: 'streamingStarted';
       readonly now: Timestamp;
-      readonly keeper: string;
-      readonly leg: number;
+      readonly leader: string;
+      readonly attemptId: number;
     }
   | {
-      readonly kind: 'legEnded';
+      readonly kind: 'attemptEnded';
       readonly now: Timestamp;
-      readonly keeper: string;
-      readonly leg: number;
-      readonly how: LegEnd;
-      readonly ms: number;
+      readonly leader: string;
+      readonly attemptId: number;
+      readonly outcome: AttemptOutcome;
+      readonly durationMs: number;
     }
   | {
-      readonly kind: 'probed';
+      readonly kind: 'healthChecked';
       readonly now: Timestamp;
       readonly service: ServiceName;
       readonly instance: InstanceId;
-      readonly good: boolean;
-      readonly ms: number;
+      readonly isHealthy: boolean;
+      readonly durationMs: number;
     }
   | {
-      readonly kind: 'result';
+      readonly kind: 'responseStarted';
       readonly now: Timestamp;
       readonly from: Address;
       readonly frame: FrameOf<'result'>;
     }
   | {
-      readonly kind: 'reject';
+      readonly kind: 'requestRejected';
       readonly now: Timestamp;
       readonly from: Address;
       readonly frame: FrameOf<'reject'>;
     }
   | {
-      readonly kind: 'begun';
+      readonly kind: 'attemptStarted';
       readonly now: Timestamp;
       readonly from: Address;
       readonly id: RequestId;
     }
-  | { readonly kind: 'done'; readonly now: Timestamp; readonly id: RequestId }
+  | { readonly kind: 'responseCompleted'; readonly now: Timestamp; readonly id: RequestId }
   | {
-      readonly kind: 'quit';
+      readonly kind: 'requestCancelled';
       readonly now: Timestamp;
       readonly id: RequestId;
       readonly text: string;
     }
   | {
-      readonly kind: 'lost';
+      readonly kind: 'channelLost';
       readonly now: Timestamp;
-      readonly keeper: Address;
-      readonly unsent: ReadonlySet<RequestId>;
+      readonly leader: Address;
+      readonly unsentIds: ReadonlySet<RequestId>;
     };
 
 export type ProxyEffect =
-  | Exclude<CabinEffect, { kind: 'kept' | 'unkept' }>
-  | ForwardEffect
-  | (Exclude<KeeperEffect, { kind: 'trial' | 'barred' | 'probe' }> & { readonly keeper: string })
-  | Extract<KeeperEffect, { kind: 'probe' }>
-  | { readonly kind: 'gates'; readonly standing: ReadonlySet<InstanceId> };
+  | Exclude<NodeAgentEffect, { kind: 'startLeading' | 'stopLeading' }>
+  | ForwardingEffect
+  | (Exclude<ServiceLeaderEffect, { kind: 'reportCanary' | 'reportEjection' | 'checkHealth' }> & {
+      readonly leader: string;
+    })
+  | Extract<ServiceLeaderEffect, { kind: 'checkHealth' }>
+  | { readonly kind: 'setLiveOrigins'; readonly liveInstances: ReadonlySet<InstanceId> };
--- /dev/null
+++ b/packages/proxy-core/src/request-handler/response-verifier.ts
@@ -0,0 +1,177 @@
+import type { HeaderFields } from '@switchwheel/transport';
+import { fieldValue } from '../cache/header-fields.js';
+import type { AttemptOutcome } from '../service-leader/state.js';
+import { DigestVerifier } from './digest-verifier.js';
+import type { AttemptFailure, AttemptHandlers, AttemptRequest } from './ports.js';
+
+export interface CompleteResponse {
+  readonly status: number;
+  readonly fields: HeaderFields;
+  readonly body: Buffer;
+}
+
+/** What a leg came to: how it ended, and the whole result if there is one to tell. */
+export interface AttemptResult {
+  readonly outcome: AttemptOutcome;
+  readonly response: CompleteResponse | undefined;
+}
+
+/** Takes a result too large to hold: its head, then its parts as they come. */
+export interface ResponseSink {
+  readonly start: (status: number, fields: HeaderFields, length: number | undefined) => void;
+  /** Calls back when there is room for more; false if nobody takes it any longer. */
+  readonly write: (bytes: Buffer, more: () => void) => boolean;
+}
+
+/** Whether the origin says plainly that it did not run the request. */
+const isDeclaredNotRun = (status: number, fields: HeaderFields): boolean =>
+  status >= 400 && (fieldValue(fields, 'switchwheel-unrun') ?? '').toLowerCase() === 'true';
+
+const hasNoBody = (method: string, status: number): boolean =>
+  method === 'HEAD' || status === 204 || status === 304;
+
+interface ResponseHead {
+  readonly status: number;
+  readonly fields: HeaderFields;
+  readonly contentLength: number | undefined;
+  readonly isChunked: boolean;
+  readonly digests: DigestVerifier;
+}
+
+/** Takes one leg's result in, and trusts it only if it is the whole one of the instance that was asked. */
+export class ResponseVerifier implements AttemptHandlers {
+  readonly #request: AttemptRequest;
+  readonly #maxBufferedBytes: number;
+  readonly #sink: ResponseSink;
+  readonly #onEnd: (result: AttemptResult) => void;
+  #head: ResponseHead | undefined;
+  #buffered: Buffer[] = [];
+  #receivedBytes = 0;
+  #isStreaming = false;
+  #isEnded = false;
+
+  constructor(
+    request: AttemptRequest,
+    most: number,
+    sink: ResponseSink,
+    end: (result: AttemptResult) => void,
+  ) {
+    this.#request = request;
+    this.#maxBufferedBytes = most;
+    this.#sink = sink;
+    this.#onEnd = end;
+  }
+
+  get isEnded(): boolean {
+    return this.#isEnded;
+  }
+
+  head = (status: number, fields: HeaderFields): void => {
+    if (this.#isEnded) return;
+    const named = fieldValue(fields, 'switchwheel-instance');
+    if (named !== this.#request.instance) {
+      this.#distrust(`the answer names ${named ?? 'no instance'}, not ${this.#request.instance}`);
+      return;
+    }
+    if (isDeclaredNotRun(status, fields)) {
+      this.#finish({ outcome: { kind: 'unrun' }, response: undefined });
+      return;
+    }
+    const told = fieldValue(fields, 'content-length');
+    this.#head = {
+      status,
+      fields,
+      digests: new DigestVerifier(fields),
+      contentLength: told === undefined ? undefined : Number(told),
+      isChunked: (fieldValue(fields, 'transfer-encoding') ?? '').toLowerCase().includes('chunked'),
+    };
+    if (hasNoBody(this.#request.method, status))
+      this.#finish({
+        outcome: this.#responded(status),
+        response: { status, fields, body: Buffer.alloc(0) },
+      });
+  };
+
+  chunk = (bytes: Buffer, more: () => void): void => {
+    const head = this.#head;
+    if (this.#isEnded || head === undefined) return;
+    this.#receivedBytes += bytes.length;
+    head.digests.update(bytes);
+    if (this.#isStreaming) {
+      this.#writeToSink([bytes], more);
+      return;
+    }
+    this.#buffered.push(bytes);
+    if (this.#receivedBytes <= this.#maxBufferedBytes) {
+      more();
+      return;
+    }
+    if (head.contentLength === undefined && !head.isChunked) {
+      this.#distrust('neither a length nor an end is told');
+      return;
+    }
+    this.#isStreaming = true;
+    this.#sink.start(head.status, head.fields, head.contentLength);
+    this.#writeToSink(this.#buffered.splice(0), more);
+  };
+
+  ended = (): void => {
+    const head = this.#head;
+    if (this.#isEnded) return;
+    if (head === undefined) {
+      this.#distrust('ended without a head');
+      return;
+    }
+    const { status, fields, contentLength, isChunked, digests } = head;
+    const digest = digests.verify();
+    if (contentLength !== undefined && this.#receivedBytes !== contentLength)
+      this.#distrust(`${this.#receivedBytes} bytes of ${contentLength}`);
+    else if (digest === 'unlike') this.#distrust('the digest does not fit');
+    else if (contentLength === undefined && !isChunked && digest === 'none')
+      this.#distrust('neither a length nor an end is told');
+    else
+      this.#finish({
+        outcome: this.#responded(status),
+        response: this.#isStreaming
+          ? undefined
+          : { status, fields, body: Buffer.concat(this.#buffered) },
+      });
+  };
+
+  failed = (how: AttemptFailure): void => {
+    if (!how.mayHaveBeenSent)
+      this.#finish({ outcome: { kind: 'unopened', text: how.text }, response: undefined });
+    else if (how.isTimeout) this.#finish({ outcome: { kind: 'slow' }, response: undefined });
+    else this.#distrust(how.text);
+  };
+
+  /** The keeper wants no more of it. */
+  cancel(): void {
+    this.#finish({ outcome: { kind: 'dropped' }, response: undefined });
+  }
+
+  #responded(status: number): AttemptOutcome {
+    return status >= 500 ? { kind: 'bad', status } : { kind: 'good', status };
+  }
+
+  #distrust(text: string): void {
+    this.#finish({ outcome: { kind: 'lost', text }, response: undefined });
+  }
+
+  #finish(result: AttemptResult): void {
+    if (this.#isEnded) return;
+    this.#isEnded = true;
+    this.#onEnd(result);
+  }
+
+  /** Hands parts on one after the other, each when there is room. */
+  #writeToSink(parts: Buffer[], more: () => void): void {
+    const next = (): void => {
+      const first = parts.shift();
+      if (first === undefined) more();
+      else if (!this.#isEnded && !this.#sink.write(first, next))
+        this.#distrust('the caller is gone');
+    };
+    next();
+  }
+}
--- a/packages/proxy-core/src/keeper/keeper.test.ts
+++ b/packages/proxy-core/src/service-leader/service-leader.test.ts
@@ -14,9 +14,14 @@
   toRelease,
   toServiceName,
 } from '@switchwheel/types';
-import { build, cut, finish } from '@switchwheel/configuration';
-import { keeperStep } from './keeper.js';
-import { type Keeper, type KeeperEffect, type KeeperEvent, newKeeper } from './state.js';
+import { buildConfiguration, splitIntoChunks, runToCompletion } from '@switchwheel/configuration';
+import { serviceLeaderTransition } from './service-leader.js';
+import {
+  type ServiceLeader,
+  type ServiceLeaderEffect,
+  type ServiceLeaderEvent,
+  newServiceLeader,
+} from './state.js';
 
 const service = toServiceName('shop');
 const [quick, slow] = [toClassName('quick'), toClassName('slow')];
@@ -32,31 +37,36 @@
   { name: 'c', prefix: '/c/', service: 'other', class: 'elsewhere' },
 ];
 
-const meeting = (): Keeper['groups'] => {
-  const bundle = finish(
-    cut({ format: 1, classes, services: [{ name: 'shop' }, { name: 'other' }], routes }),
+const meeting = (): ServiceLeader['classes'] => {
+  const bundle = runToCompletion(
+    splitIntoChunks({
+      format: 1,
+      classes,
+      services: [{ name: 'shop' }, { name: 'other' }],
+      routes,
+    }),
   ).unwrapOrElse((faults) => {
     throw new Error(JSON.stringify(faults));
   });
-  const table = finish(
-    build(
-      bundle.order.map((hash) => bundle.pieces.get(hash) ?? ''),
+  const table = runToCompletion(
+    buildConfiguration(
+      bundle.chunkHashes.map((hash) => bundle.chunks.get(hash) ?? ''),
       noGeneration,
       bundle.hash,
     ),
   ).unwrapOrElse((faults) => {
     throw new Error(JSON.stringify(faults));
   });
-  return table.meeting.get(service) ?? new Map();
+  return table.classesByService.get(service) ?? new Map();
 };
 
 class Bench {
-  state: Keeper;
-  readonly effects: KeeperEffect[] = [];
+  state: ServiceLeader;
+  readonly effects: ServiceLeaderEffect[] = [];
   now = toTimestamp(10_000);
 
-  constructor(groups: Keeper['groups'], slots: number) {
-    this.state = newKeeper(
+  constructor(groups: ServiceLeader['classes'], slots: number) {
+    this.state = newServiceLeader(
       service,
       toEpoch(1),
       { name: service, waitlist: 500, probe: { path: '/health', everyMs: 500 } },
@@ -70,41 +80,51 @@
       release: toRelease('r1'),
       slots,
       state: 'up' as const,
-      at: this.now,
+      lastHeardAt: this.now,
     };
-    this.tell({ kind: 'origins', now: this.now, origins: new Map([[origin.instance, origin]]) });
+    this.tell({
+      kind: 'originsUpdated',
+      now: this.now,
+      origins: new Map([[origin.instance, origin]]),
+    });
   }
 
-  tell(event: KeeperEvent): void {
-    const done = keeperStep(this.state, event);
+  tell(event: ServiceLeaderEvent): void {
+    const done = serviceLeaderTransition(this.state, event);
     this.state = done.state;
     this.effects.push(...done.effects);
   }
 
   arrive(id: number, group: ClassName): void {
     this.tell({
-      kind: 'arrive',
+      kind: 'requestArrived',
       now: this.now,
       id: toRequestId(`a${id}`),
-      group,
-      repeatable: true,
-      again: false,
-      extra: false,
-      left: 60_000,
+      className: group,
+      isIdempotent: true,
+      mayHaveRun: false,
+      hasEarlierAttempt: false,
+      remainingMs: 60_000,
     });
   }
 
   running(group: ClassName): number {
-    return [...this.state.legs.values()].filter(
-      (leg) => this.state.running.get(leg.ask)?.group === group,
+    return [...this.state.attempts.values()].filter(
+      (leg) => this.state.activeRequests.get(leg.requestId)?.className === group,
     ).length;
   }
 
   endOne(): void {
-    const leg = [...this.state.legs.keys()][0];
+    const leg = [...this.state.attempts.keys()][0];
     this.now = addMs(this.now, 20);
     if (leg !== undefined)
-      this.tell({ kind: 'ended', now: this.now, leg, how: { end: 'good', status: 200 }, ms: 20 });
+      this.tell({
+        kind: 'attemptEnded',
+        now: this.now,
+        attemptId: leg,
+        outcome: { kind: 'good', status: 200 },
+        durationMs: 20,
+      });
   }
 }
 
@@ -135,26 +155,26 @@
   const bench = new Bench(meeting(), 2);
   for (let at = 0; at < 2; at += 1) bench.arrive(at, quick);
   bench.tell({
-    kind: 'arrive',
+    kind: 'requestArrived',
     now: bench.now,
     id: toRequestId('late'),
-    group: quick,
-    repeatable: true,
-    again: false,
-    extra: false,
-    left: 5000,
+    className: quick,
+    isIdempotent: true,
+    mayHaveRun: false,
+    hasEarlierAttempt: false,
+    remainingMs: 5000,
   });
   // The only origin leaves: nothing will serve what waits.
-  bench.tell({ kind: 'origins', now: bench.now, origins: new Map() });
-  const told = (): KeeperEffect | undefined =>
-    bench.effects.find((one) => one.kind === 'turnAway' && one.ask === 'late');
+  bench.tell({ kind: 'originsUpdated', now: bench.now, origins: new Map() });
+  const told = (): ServiceLeaderEffect | undefined =>
+    bench.effects.find((one) => one.kind === 'rejectRequest' && one.requestId === 'late');
   bench.now = addMs(bench.now, 900);
   bench.tell({ kind: 'tick', now: bench.now });
   assert.equal(told(), undefined, 'another one may come up');
   bench.now = addMs(bench.now, 200);
   bench.tell({ kind: 'tick', now: bench.now });
   const away = told();
-  assert.ok(away?.kind === 'turnAway' && away.errorKind === 'rejected' && away.retryMs > 0);
+  assert.ok(away?.kind === 'rejectRequest' && away.errorKind === 'rejected' && away.retryMs > 0);
 });
 
 void test('never more legs than slots, never a class with work kept below its share while slots are free', () => {
@@ -169,14 +189,14 @@
         acts.forEach((act, at) => {
           if (act === 'end') bench.endOne();
           else bench.arrive(at, act === 'quick' ? quick : slow);
-          assert.ok(bench.state.legs.size <= slots);
+          assert.ok(bench.state.attempts.size <= slots);
           for (const [group, share] of [
             [quick, 0.6],
             [slow, 0.2],
           ] as const) {
-            const waits = bench.state.waiting.get(group)?.length ?? 0;
+            const waits = bench.state.queues.get(group)?.length ?? 0;
             if (waits > 0 && bench.running(group) < Math.floor(share * slots))
-              assert.equal(bench.state.legs.size, slots);
+              assert.equal(bench.state.attempts.size, slots);
           }
         });
       },
--- a/packages/proxy-core/src/keeper/window.ts
+++ b/packages/proxy-core/src/service-leader/sliding-window.ts
@@ -1,19 +1,19 @@
 import type { Timestamp } from '@switchwheel/types';
 
 /** Counts over a sliding time, in slots; a reading takes the oldest slot in whole, so it never tells too little. */
-export interface Sliding {
+export interface SlidingWindow {
   readonly slotMs: number;
   readonly slots: readonly number[];
   readonly head: number;
 }
 
-export const newSliding = (spanMs: number, slotMs: number): Sliding => ({
+export const newSlidingWindow = (spanMs: number, slotMs: number): SlidingWindow => ({
   slotMs,
   slots: Array.from({ length: Math.ceil(spanMs / slotMs) + 1 }, () => 0),
   head: 0,
 });
 
-const turn = (window: Sliding, now: Timestamp): Sliding => {
+const advance = (window: SlidingWindow, now: Timestamp): SlidingWindow => {
   const head = Math.floor(now / window.slotMs);
   if (head === window.head) return window;
   const size = window.slots.length;
@@ -24,13 +24,17 @@
   return { ...window, slots, head };
 };
 
-export const addTo = (window: Sliding, now: Timestamp, amount: number): Sliding => {
-  const fresh = turn(window, now);
+export const addToWindow = (
+  window: SlidingWindow,
+  now: Timestamp,
+  amount: number,
+): SlidingWindow => {
+  const fresh = advance(window, now);
   const slots = [...fresh.slots];
   const at = fresh.head % slots.length;
   slots[at] = (slots[at] ?? 0) + amount;
   return { ...fresh, slots };
 };
 
-export const sumOf = (window: Sliding, now: Timestamp): number =>
-  turn(window, now).slots.reduce((sum, one) => sum + one, 0);
+export const windowSum = (window: SlidingWindow, now: Timestamp): number =>
+  advance(window, now).slots.reduce((sum, one) => sum + one, 0);
--- a/packages/proxy/src/admin/view-forms.test.ts
+++ b/packages/proxy/src/admin/view-forms.test.ts
@@ -13,8 +13,8 @@
   toServiceName,
 } from '@switchwheel/types';
 import { jsonShape, snapshotsFor } from '@switchwheel/types/testing';
-import { type Keeper, newKeeper, newProxy } from '@switchwheel/proxy-core';
-import { proxyView } from './view.js';
+import { type ServiceLeader, newServiceLeader, newProxyState } from '@switchwheel/proxy-core';
+import { proxyView } from './proxy-view.js';
 
 const matchSnapshot = snapshotsFor(import.meta.dirname);
 const member = {
@@ -31,23 +31,23 @@
 const now = toTimestamp(1000);
 const load = {
   id: toRequestId('q1'),
-  group: play,
-  repeatable: true,
-  came: now,
-  until: now,
-  legs: 0,
-  tried: new Set<never>(),
-  begun: false,
+  className: play,
+  isIdempotent: true,
+  arrivedAt: now,
+  deadline: now,
+  attemptCount: 0,
+  triedInstances: new Set<never>(),
+  mayHaveRun: false,
 };
 const rules = { name: service, waitlist: 1, probe: { path: '/', everyMs: 500 } };
-const empty = newKeeper(service, toEpoch(1), rules, new Map(), now);
-const busy: Keeper = {
+const empty = newServiceLeader(service, toEpoch(1), rules, new Map(), now);
+const busy: ServiceLeader = {
   ...empty,
-  rules: { ...empty.rules, perSecond: 10 },
-  groups: new Map([[play, group]]),
-  waiting: new Map([[play, [load]]]),
-  running: new Map([[load.id, load]]),
-  bays: new Map([
+  serviceConfiguration: { ...empty.serviceConfiguration, perSecond: 10 },
+  classes: new Map([[play, group]]),
+  queues: new Map([[play, [load]]]),
+  activeRequests: new Map([[load.id, load]]),
+  endpoints: new Map([
     [
       toInstanceId('i1'),
       {
@@ -55,47 +55,47 @@
         address: toAddress('127.0.0.1:2'),
         release,
         slots: 4,
-        used: 1,
-        lastLeg: 0,
-        probed: undefined,
-        up: true,
-        fit: {
-          streak: 0,
-          typical: 5.4,
-          samples: 1,
-          barredUntil: now,
-          barred: 0,
-          probe: 'good' as const,
+        activeAttempts: 1,
+        lastAttemptId: 0,
+        lastCheckedAt: undefined,
+        isLive: true,
+        health: {
+          consecutiveFailures: 0,
+          latencyEwmaMs: 5.4,
+          latencySamples: 1,
+          ejectedUntil: now,
+          ejectionLevel: 0,
+          healthCheck: 'good' as const,
         },
       },
     ],
   ]),
-  trials: new Map([
+  canaries: new Map([
     [
       release,
       {
         release,
-        granted: 9,
-        used: 1,
-        good: 1,
-        bad: 0,
-        strain: 0,
-        base: 0,
-        from: 0,
-        since: now,
-        asked: undefined,
-        told: 0,
+        reservedRequests: 9,
+        usedRequests: 1,
+        successes: 1,
+        failures: 0,
+        failureScore: 0,
+        priorTraffic: 0,
+        requestCountAtStart: 0,
+        startedAt: now,
+        reportedAt: undefined,
+        reportedFailures: 0,
         state: 'trial' as const,
-        stored: true,
+        isStored: true,
       },
     ],
   ]),
 };
 
 void test('the state that a proxy shows its operators keeps its keys', () => {
-  const fresh = newProxy(member, [], { seed: 1 });
-  const view = proxyView({ ...fresh, keepers: new Map([[service, busy]]) });
-  const without = proxyView({ ...fresh, keepers: new Map([[service, empty]]) });
+  const fresh = newProxyState(member, [], { seed: 1 });
+  const view = proxyView({ ...fresh, leaders: new Map([[service, busy]]) });
+  const without = proxyView({ ...fresh, leaders: new Map([[service, empty]]) });
   matchSnapshot(
     'admin-state',
     `with work:\n${jsonShape(view)}\n\nwithout work:\n${jsonShape(without)}`,
--- a/packages/proxy/src/direct/connections.ts
+++ b/packages/proxy/src/direct-edge/client-connections.ts
@@ -3,16 +3,16 @@
 import type { Socket } from 'node:net';
 
 /** How much longer than it was told a client's connection may rest: a request on its way still arrives. */
-const restMarginMs = 1000;
+const keepAliveMarginMs = 1000;
 
 /** One request of a connection, from its head to when its answer is handed to the system. */
 interface Exchange {
-  readonly asked: IncomingMessage;
-  readonly answer: ServerResponse;
+  readonly request: IncomingMessage;
+  readonly response: ServerResponse;
   /** How long the connection may rest after this answer, as its head tells. */
-  readonly restMs: number;
+  readonly keepAliveMs: number;
   /** Called once: the answer is handed over, or the connection closed before. */
-  readonly ended: () => void;
+  readonly onEnd: () => void;
 }
 
 interface Connection {
@@ -20,11 +20,11 @@
   /** Requests that are not answered yet, in the order in which they came. */
   readonly exchanges: Exchange[];
   /** An answer was told that is the last one of this connection. */
-  ending: boolean;
+  isClosing: boolean;
   /** What is written, and ends the connection, in the place of a message that could not be read. */
-  refusal: string | undefined;
+  errorResponse: string | undefined;
   /** Bytes that had been read when the last request was answered. */
-  bytesAtRest: number;
+  bytesReadWhenIdle: number;
 }
 
 /**
@@ -33,21 +33,21 @@
  */
 export class ClientConnections {
   readonly #connections = new Map<Duplex, Connection>();
-  #closing = false;
+  #isClosing = false;
 
   add(socket: Socket): void {
     const connection: Connection = {
       socket,
       exchanges: [],
-      ending: false,
-      refusal: undefined,
-      bytesAtRest: 0,
+      isClosing: false,
+      errorResponse: undefined,
+      bytesReadWhenIdle: 0,
     };
     this.#connections.set(socket, connection);
     // A pipelined answer that still waits for its turn does not hear from the server that the connection closed.
     socket.once('close', () => {
       this.#connections.delete(socket);
-      for (const exchange of connection.exchanges.splice(0)) exchange.ended();
+      for (const exchange of connection.exchanges.splice(0)) exchange.onEnd();
     });
   }
 
@@ -59,70 +59,75 @@
     ended: () => void,
   ): boolean {
     const connection = this.#connections.get(asked.socket);
-    if (connection === undefined || connection.ending) return false;
-    const exchange: Exchange = { asked, answer, restMs, ended };
+    if (connection === undefined || connection.isClosing) return false;
+    const exchange: Exchange = {
+      request: asked,
+      response: answer,
+      keepAliveMs: restMs,
+      onEnd: ended,
+    };
     connection.exchanges.push(exchange);
-    answer.once('close', () => this.#answered(connection, exchange));
+    answer.once('close', () => this.#onResponseClosed(connection, exchange));
     return true;
   }
 
   /** Whether an answer may say that it is its connection's last one: no request came behind it. */
-  mayEnd(asked: IncomingMessage): boolean {
+  mayBeLast(asked: IncomingMessage): boolean {
     const connection = this.#connections.get(asked.socket);
-    return connection === undefined || connection.exchanges.at(-1)?.asked === asked;
+    return connection === undefined || connection.exchanges.at(-1)?.request === asked;
   }
 
   /** Notes that the answer to a request says that it is the last one. */
-  ends(asked: IncomingMessage): void {
+  markLast(asked: IncomingMessage): void {
     const connection = this.#connections.get(asked.socket);
-    if (connection !== undefined) connection.ending = true;
+    if (connection !== undefined) connection.isClosing = true;
   }
 
   /** Refuses a message that could not be read, after the answers to all requests before it. */
-  refuse(socket: Duplex, refusal: string): void {
+  rejectMalformed(socket: Duplex, refusal: string): void {
     const connection = this.#connections.get(socket);
     if (connection === undefined) {
       socket.destroy();
       return;
     }
-    connection.refusal ??= refusal;
-    this.#refuseInTurn(connection);
+    connection.errorResponse ??= refusal;
+    this.#rejectInOrder(connection);
   }
 
   /** Closes what rests, and each other connection once all its requests are answered. */
   close(): void {
-    this.#closing = true;
+    this.#isClosing = true;
     for (const connection of this.#connections.values())
-      if (isResting(connection)) connection.socket.destroy();
+      if (isIdle(connection)) connection.socket.destroy();
   }
 
-  #answered(connection: Connection, exchange: Exchange): void {
+  #onResponseClosed(connection: Connection, exchange: Exchange): void {
     const { exchanges, socket } = connection;
     const at = exchanges.indexOf(exchange);
     if (at < 0) return;
     exchanges.splice(at, 1);
-    exchange.ended();
-    connection.bytesAtRest = socket.bytesRead;
+    exchange.onEnd();
+    connection.bytesReadWhenIdle = socket.bytesRead;
     if (socket.destroyed) return;
-    if (connection.refusal !== undefined) {
-      this.#refuseInTurn(connection);
+    if (connection.errorResponse !== undefined) {
+      this.#rejectInOrder(connection);
       return;
     }
     if (exchanges.length > 0) return;
-    if (this.#closing) socket.end();
-    else if (!connection.ending) socket.setTimeout(exchange.restMs + restMarginMs);
+    if (this.#isClosing) socket.end();
+    else if (!connection.isClosing) socket.setTimeout(exchange.keepAliveMs + keepAliveMarginMs);
   }
 
-  #refuseInTurn(connection: Connection): void {
-    const { exchanges, refusal, socket } = connection;
+  #rejectInOrder(connection: Connection): void {
+    const { exchanges, errorResponse, socket } = connection;
     // A request that was read in part is the one that is refused.
-    if (refusal === undefined || exchanges.some((one) => one.asked.complete)) return;
-    connection.ending = true;
-    if (socket.writable) socket.end(refusal);
+    if (errorResponse === undefined || exchanges.some((one) => one.request.complete)) return;
+    connection.isClosing = true;
+    if (socket.writable) socket.end(errorResponse);
     else socket.destroy();
   }
 }
 
 /** Whether no request is under way, nor any part of one was read. */
-const isResting = (connection: Connection): boolean =>
-  connection.exchanges.length === 0 && connection.socket.bytesRead === connection.bytesAtRest;
+const isIdle = (connection: Connection): boolean =>
+  connection.exchanges.length === 0 && connection.socket.bytesRead === connection.bytesReadWhenIdle;
--- a/packages/proxy/src/direct/door.test.ts
+++ b/packages/proxy/src/direct-edge/client-listener.test.ts
@@ -14,16 +14,21 @@
   toRelease,
   toServiceName,
 } from '@switchwheel/types';
-import { type Limits, build, cut, finish } from '@switchwheel/configuration';
-import { type Cabin, Cache, newCabin } from '@switchwheel/proxy-core';
 import {
-  DirectLine,
-  type LegEars,
-  type LegOrder,
-  plainBounds,
-  plainWords,
+  type ClientLimits,
+  buildConfiguration,
+  splitIntoChunks,
+  runToCompletion,
+} from '@switchwheel/configuration';
+import { type NodeAgent, Cache, newNodeAgent } from '@switchwheel/proxy-core';
+import {
+  EdgeRouter,
+  type AttemptHandlers,
+  type AttemptRequest,
+  defaultEdgeLimits,
+  defaultHeaderNames,
 } from '@switchwheel/routing';
-import { DirectDoor } from './door.js';
+import { ClientListener } from './client-listener.js';
 
 const service = toServiceName('clips');
 const now = toTimestamp(50_000);
@@ -105,9 +110,9 @@
   });
 
 interface Stand {
-  readonly door: DirectDoor;
-  readonly limits: Limits;
-  readonly legs: { readonly order: LegOrder; readonly ears: LegEars; cut: boolean }[];
+  readonly door: ClientListener;
+  readonly limits: ClientLimits;
+  readonly legs: { readonly order: AttemptRequest; readonly ears: AttemptHandlers; cut: boolean }[];
   readonly ask: (
     method: string,
     path: string,
@@ -126,12 +131,12 @@
 }
 
 const open = async (changes: object = {}): Promise<Stand> => {
-  const bundle = finish(cut({ ...description, ...changes }));
+  const bundle = runToCompletion(splitIntoChunks({ ...description, ...changes }));
   assert.ok(bundle.isOk);
-  const { hash, order, pieces } = bundle.value;
-  const built = finish(
-    build(
-      order.map((one) => pieces.get(one) ?? ''),
+  const { hash, chunkHashes, chunks } = bundle.value;
+  const built = runToCompletion(
+    buildConfiguration(
+      chunkHashes.map((one) => chunks.get(one) ?? ''),
       toGeneration(1),
       hash,
     ),
@@ -144,7 +149,7 @@
     address: toAddress('10.0.0.1:1'),
     incarnation: toIncarnation(1),
   };
-  const fresh = newCabin(member, [], { seed: 3 });
+  const fresh = newNodeAgent(member, [], { seed: 3 });
   const instance = toInstanceId('o1');
   const origins = new Map([
     [
@@ -156,21 +161,25 @@
         release: toRelease('r1'),
         slots: 4,
         state: 'up' as const,
-        at: now,
+        lastHeardAt: now,
       },
     ],
   ]);
-  const cabin: Cabin = {
+  const cabin: NodeAgent = {
     ...fresh,
-    table: built.value,
-    asOf: now,
-    newest: { generation: built.value.generation, asOf: now, learned: [] },
+    compiledConfiguration: built.value,
+    purgesCurrentAsOf: now,
+    configFreshness: {
+      newestGeneration: built.value.generation,
+      confirmedAsOf: now,
+      pendingGenerations: [],
+    },
     nodeSession: { ...fresh.nodeSession, registryHeardAt: now, origins, members: [member] },
   };
   const legs: Stand['legs'] = [];
   const waiting: { readonly many: number; readonly done: () => void }[] = [];
   const port = {
-    send: (one: LegOrder, ears: LegEars) => {
+    send: (one: AttemptRequest, ears: AttemptHandlers) => {
       const leg = { order: one, ears, cut: false };
       legs.push(leg);
       for (const each of waiting) if (legs.length >= each.many) each.done();
@@ -180,19 +189,24 @@
     },
     forget: () => undefined,
   };
-  const line = new DirectLine(
-    { now: () => now, cabin: () => cabin },
+  const line = new EdgeRouter(
+    { now: () => now, nodeAgent: () => cabin },
     new Cache(1_000_000),
     port,
-    { area: toZoneName('a'), words: plainWords, bounds: plainBounds, most: 10 },
+    {
+      zone: toZoneName('a'),
+      headerNames: defaultHeaderNames,
+      limits: defaultEdgeLimits,
+      maxActiveRequests: 10,
+    },
     { seed: 7 },
   );
-  line.learn(cabin);
+  line.updateFleet(cabin);
   const stand = { closing: false };
-  const door = new DirectDoor(line, plainWords, { closing: () => stand.closing });
+  const door = new ClientListener(line, defaultHeaderNames, { isClosing: () => stand.closing });
   const at = await freeAddress();
   await door.listen(at);
-  door.hold(built.value.head.limits);
+  door.applyLimits(built.value.header.limits);
   const agent = new Agent({ keepAlive: true, maxSockets: 4 });
   const [host = '', number = ''] = at.split(':');
   const ask: Stand['ask'] = (method, path, headers = {}, body = '') =>
@@ -233,7 +247,7 @@
         });
   return Object.assign(stand, {
     door,
-    limits: built.value.head.limits,
+    limits: built.value.header.limits,
     legs,
     ask,
     agent,
@@ -243,18 +257,18 @@
 };
 
 const answer = (stand: Stand, at: number, body: string, status = 200): void =>
-  stand.legs[at]?.ears.answered({
+  stand.legs[at]?.ears.onResponse({
     status,
     fields: [
       ['etag', '"v1"'],
       ['x-own', 'yes'],
     ],
     body: Buffer.from(body),
-    unrun: false,
+    isUnprocessed: false,
   });
 const end = (stand: Stand): void => {
-  stand.door.shut();
-  stand.door.hang();
+  stand.door.stopAccepting();
+  stand.door.closeAllConnections();
   stand.agent.destroy();
 };
 
@@ -289,7 +303,7 @@
   const under = stand.ask('POST', '/edit/1', {}, 'body');
   await stand.sent(1);
   stand.closing = true;
-  stand.door.shut();
+  stand.door.stopAccepting();
   answer(stand, 0, 'done');
   const told = await under;
   assert.deepEqual([told.status, told.body, told.headers.connection], [200, 'done', 'close']);
@@ -333,7 +347,7 @@
   const size = 24 * 1024 * 1024;
   answer(stand, 0, 'x'.repeat(size));
   await pause(20);
-  stand.door.shut();
+  stand.door.stopAccepting();
   client.socket.resume();
   await client.until(() => client.bytes > size || client.socket.destroyed);
   assert.ok(client.bytes > size, `${client.bytes} bytes of more than ${size} came`);
@@ -349,7 +363,7 @@
   await resting.until(() => resting.text.endsWith('first'));
   busy.send('POST', '/edit/2', 'b', 'body');
   await stand.sent(2);
-  stand.door.shut();
+  stand.door.stopAccepting();
   await resting.closed;
   answer(stand, 1, 'second');
   await busy.closed;
@@ -377,7 +391,7 @@
   client.send('POST', '/edit/2', 'b', 'body');
   await stand.sent(2);
   stand.closing = true;
-  stand.door.shut();
+  stand.door.stopAccepting();
   answer(stand, 0, 'first');
   await client.until(() => client.text.includes('first') || client.socket.destroyed);
   await pause(20);
@@ -440,7 +454,7 @@
   const client = await stand.dial();
   client.send('POST', '/edit/1', 'a', 'body');
   await stand.sent(1);
-  stand.door.hold({ ...stand.limits, idleMs: 300 });
+  stand.door.applyLimits({ ...stand.limits, idleMs: 300 });
   answer(stand, 0, 'first');
   await client.until(() => client.text.endsWith('first'));
   assert.match(client.text, /timeout=2/);
@@ -462,6 +476,6 @@
   client.socket.destroy();
   await client.closed;
   await pause(50);
-  assert.deepEqual([stand.legs.map((one) => one.cut), stand.door.open], [[true, true], 0]);
+  assert.deepEqual([stand.legs.map((one) => one.cut), stand.door.openRequests], [[true, true], 0]);
   end(stand);
 });
--- a/packages/proxy/src/direct/door.ts
+++ b/packages/proxy/src/direct-edge/client-listener.ts
@@ -1,27 +1,27 @@
 import { type IncomingMessage, type Server, type ServerResponse, createServer } from 'node:http';
 import { Server as NetServer } from 'node:net';
 import rangeParser from 'range-parser';
-import { type Address, type ErrorKind, responseFor as tellingOf } from '@switchwheel/types';
-import { type Fields, splitAddress } from '@switchwheel/transport';
-import type { Call, DirectLine, Word, Words } from '@switchwheel/routing';
-import { type Entry, fieldOf, handOn } from '@switchwheel/proxy-core';
-import type { Limits } from '@switchwheel/configuration';
+import { type Address, type ErrorKind, errorResponseFor as tellingOf } from '@switchwheel/types';
+import { type HeaderFields, splitAddress } from '@switchwheel/transport';
+import type { IncomingRequest, EdgeRouter, ClientReply, HeaderNames } from '@switchwheel/routing';
+import { type CacheEntry, fieldValue, forwardableFields } from '@switchwheel/proxy-core';
+import type { ClientLimits } from '@switchwheel/configuration';
 import { readBody } from '@switchwheel/runtime';
-import { ClientConnections } from './connections.js';
+import { ClientConnections } from './client-connections.js';
 
-const fieldsOf = (asked: IncomingMessage): Fields => {
-  const out: Fields = [];
+const headerFieldsOf = (asked: IncomingMessage): HeaderFields => {
+  const out: HeaderFields = [];
   const raw = asked.rawHeaders;
   for (let at = 0; at + 1 < raw.length; at += 2)
     out.push([(raw[at] ?? '').toLowerCase(), raw[at + 1] ?? '']);
   return out;
 };
 
-const kindOf = (fault: ErrorKind): number => tellingOf(fault).status;
+const statusOf = (fault: ErrorKind): number => tellingOf(fault).status;
 const empty = Buffer.alloc(0);
 
 /** What a client is told whose message could not be read, by the HTTP parser's code. */
-const refusalOf = (code: string | undefined): string => {
+const parseErrorResponse = (code: string | undefined): string => {
   const status =
     code === 'HPE_HEADER_OVERFLOW'
       ? '431 Request Header Fields Too Large'
@@ -32,25 +32,25 @@
 };
 
 /** How the door is held. */
-export interface DoorState {
+export interface ListenerState {
   /** Callers are told to come back on another connection. */
-  readonly closing: () => boolean;
+  readonly isClosing: () => boolean;
 }
 
 /** The door for callers of an edge that sends straight to origins. */
-export class DirectDoor {
-  readonly #line: DirectLine;
-  readonly #words: Words;
-  readonly #state: DoorState;
+export class ClientListener {
+  readonly #router: EdgeRouter;
+  readonly #headerNames: HeaderNames;
+  readonly #state: ListenerState;
   readonly #server: Server;
   readonly #connections = new ClientConnections();
-  #bodyBytes = 1024 * 1024;
+  #maxBodyBytes = 1024 * 1024;
   /** Requests that were read and are not answered yet. */
-  open = 0;
+  openRequests = 0;
 
-  constructor(line: DirectLine, words: Words, state: DoorState) {
-    this.#line = line;
-    this.#words = words;
+  constructor(line: EdgeRouter, words: HeaderNames, state: ListenerState) {
+    this.#router = line;
+    this.#headerNames = words;
     this.#state = state;
     this.#server = createServer(
       {
@@ -63,13 +63,13 @@
         requireHostHeader: true,
       },
       (asked, answer) => {
-        void this.#take(asked, answer);
+        void this.#handleRequest(asked, answer);
       },
     );
     this.#server.on('connection', (socket) => this.#connections.add(socket));
     this.#server.on('clientError', (fault: Error & { code?: string }, socket) => {
       if (fault.code === 'ECONNRESET') socket.destroy();
-      else this.#connections.refuse(socket, refusalOf(fault.code));
+      else this.#connections.rejectMalformed(socket, parseErrorResponse(fault.code));
     });
   }
 
@@ -84,8 +84,8 @@
   }
 
   /** Takes over what a description says callers may do. */
-  hold(limits: Limits): void {
-    this.#bodyBytes = limits.bodyBytes;
+  applyLimits(limits: ClientLimits): void {
+    this.#maxBodyBytes = limits.bodyBytes;
     this.#server.keepAliveTimeout = limits.idleMs;
     this.#server.headersTimeout = limits.headerMs;
   }
@@ -94,73 +94,80 @@
    * Takes no new connections, and closes the others as soon as what was read on them is answered. The HTTP server's own
    * `close` would cut answers that are decided but not yet written out to a slow client.
    */
-  shut(): void {
+  stopAccepting(): void {
     NetServer.prototype.close.call(this.#server);
     this.#connections.close();
   }
 
   /** Cuts all connections. */
-  hang(): void {
+  closeAllConnections(): void {
     this.#server.closeAllConnections();
   }
 
-  async #take(asked: IncomingMessage, answer: ServerResponse): Promise<void> {
+  async #handleRequest(asked: IncomingMessage, answer: ServerResponse): Promise<void> {
     const request = { ended: false, leave: (): void => undefined };
     const end = (): void => {
       request.ended = true;
-      this.open -= 1;
+      this.openRequests -= 1;
       if (!answer.writableFinished) request.leave();
     };
     if (!this.#connections.begin(asked, answer, this.#server.keepAliveTimeout, end)) return;
-    this.open += 1;
-    const fields = fieldsOf(asked);
-    const id = fieldOf(fields, this.#words.id) ?? '';
+    this.openRequests += 1;
+    const fields = headerFieldsOf(asked);
+    const id = fieldValue(fields, this.#headerNames.requestId) ?? '';
     const body =
       asked.headers['content-length'] === undefined &&
       asked.headers['transfer-encoding'] === undefined
         ? empty
-        : await this.#bodyOf(asked, answer, id);
+        : await this.#readBody(asked, answer, id);
     if (body === undefined || request.ended) return;
-    const left = Number(fieldOf(fields, this.#words.timeLeft));
-    const call: Call = {
+    const left = Number(fieldValue(fields, this.#headerNames.timeLeftMs));
+    const call: IncomingRequest = {
       id,
       method: asked.method ?? 'GET',
       host: (asked.headers.host ?? '').toLowerCase(),
       target: asked.url ?? '/',
       fields,
       body,
-      spanMs: Number.isFinite(left) && left > 0 ? left : undefined,
+      timeoutMs: Number.isFinite(left) && left > 0 ? left : undefined,
     };
-    request.leave = this.#line.serve(call, (word) => this.#tell(answer, call, word));
+    request.leave = this.#router.serve(call, (word) => this.#sendReply(answer, call, word));
   }
 
-  async #bodyOf(
+  async #readBody(
     asked: IncomingMessage,
     answer: ServerResponse,
     id: string,
   ): Promise<Buffer | undefined> {
-    const read = await readBody(asked, this.#bodyBytes);
+    const read = await readBody(asked, this.#maxBodyBytes);
     if (read.isOk) return read.value;
-    this.#fault(answer, id, read.error.kind, read.error.text, 0, true);
+    this.#sendError(answer, id, read.error.kind, read.error.text, 0, true);
     return undefined;
   }
 
-  #tell(answer: ServerResponse, call: Call, word: Word): void {
+  #sendReply(answer: ServerResponse, call: IncomingRequest, word: ClientReply): void {
     if (answer.destroyed || answer.headersSent) return;
     switch (word.kind) {
-      case 'fault':
-        this.#fault(answer, call.id, word.fault, word.text, word.retryMs);
+      case 'failure':
+        this.#sendError(answer, call.id, word.errorKind, word.text, word.retryAfterMs);
         break;
-      case 'kept':
-        this.#kept(answer, call, word.entry);
+      case 'cached':
+        this.#sendCached(answer, call, word.entry);
         break;
-      case 'answer':
-        this.#send(answer, call, word.answer.status, word.answer.fields, word.answer.body, []);
+      case 'response':
+        this.#send(
+          answer,
+          call,
+          word.response.status,
+          word.response.fields,
+          word.response.body,
+          [],
+        );
         break;
     }
   }
 
-  #fault(
+  #sendError(
     answer: ServerResponse,
     id: string,
     kind: ErrorKind,
@@ -177,16 +184,16 @@
       'cache-control',
       'no-store',
     ];
-    if (id !== '') head.push(this.#words.id, id);
-    const status = kindOf(kind);
+    if (id !== '') head.push(this.#headerNames.requestId, id);
+    const status = statusOf(kind);
     if (status === 503 || retryMs > 0)
       head.push('retry-after', String(Math.max(0.001, Math.round(retryMs) / 1000)));
     this.#write(answer, status, head, body, last);
   }
 
-  #kept(answer: ServerResponse, call: Call, entry: Entry): void {
-    const tag = fieldOf(entry.fields, 'etag');
-    const asked = fieldOf(call.fields, 'if-none-match');
+  #sendCached(answer: ServerResponse, call: IncomingRequest, entry: CacheEntry): void {
+    const tag = fieldValue(entry.fields, 'etag');
+    const asked = fieldValue(call.fields, 'if-none-match');
     if (
       asked !== undefined &&
       tag !== undefined &&
@@ -195,8 +202,8 @@
       this.#send(answer, call, 304, entry.fields, empty, ['content-length']);
       return;
     }
-    const range = fieldOf(call.fields, 'range');
-    const condition = fieldOf(call.fields, 'if-range');
+    const range = fieldValue(call.fields, 'range');
+    const condition = fieldValue(call.fields, 'if-range');
     if (
       range === undefined ||
       call.method !== 'GET' ||
@@ -232,20 +239,24 @@
 
   #send(
     answer: ServerResponse,
-    call: Call,
+    call: IncomingRequest,
     status: number,
-    fields: Fields,
+    fields: HeaderFields,
     body: Buffer,
     less: readonly string[],
   ): void {
     const head: string[] = [];
-    for (const [name, value] of handOn(fields, [this.#words.id, 'content-length', ...less]))
+    for (const [name, value] of forwardableFields(fields, [
+      this.#headerNames.requestId,
+      'content-length',
+      ...less,
+    ]))
       head.push(name, value);
-    if (call.id !== '') head.push(this.#words.id, call.id);
+    if (call.id !== '') head.push(this.#headerNames.requestId, call.id);
     if (status !== 304 && status !== 204) {
       const length =
         call.method === 'HEAD'
-          ? (fieldOf(fields, 'content-length') ?? String(body.length))
+          ? (fieldValue(fields, 'content-length') ?? String(body.length))
           : String(body.length);
       head.push('content-length', length);
     }
@@ -259,9 +270,9 @@
     body: Buffer,
     last: boolean,
   ): void {
-    if (last || (this.#state.closing() && this.#connections.mayEnd(answer.req))) {
+    if (last || (this.#state.isClosing() && this.#connections.mayBeLast(answer.req))) {
       head.push('connection', 'close');
-      this.#connections.ends(answer.req);
+      this.#connections.markLast(answer.req);
     }
     answer.writeHead(status, head);
     answer.end(body.length > 0 ? body : undefined);
--- a/packages/proxy/src/direct/end-to-end.test.ts
+++ b/packages/proxy/src/direct-edge/end-to-end.test.ts
@@ -14,12 +14,12 @@
   toRelease,
   toServiceName,
 } from '@switchwheel/types';
-import { build, cut, finish } from '@switchwheel/configuration';
-import { type Cabin, Cache, newCabin } from '@switchwheel/proxy-core';
-import { DirectLine, plainBounds, plainWords } from '@switchwheel/routing';
-import { DirectDoor } from './door.js';
-import { Origins } from './leg.js';
-import { RoughOrigin, conducts } from './rough-origin.js';
+import { buildConfiguration, splitIntoChunks, runToCompletion } from '@switchwheel/configuration';
+import { type NodeAgent, Cache, newNodeAgent } from '@switchwheel/proxy-core';
+import { EdgeRouter, defaultEdgeLimits, defaultHeaderNames } from '@switchwheel/routing';
+import { ClientListener } from './client-listener.js';
+import { HttpOriginClient } from './origin-client.js';
+import { MisbehavingOrigin, originBehaviors } from './testing/misbehaving-origin.js';
 
 const service = toServiceName('clips');
 const promises = new Set(['408', '421', '429', '503']);
@@ -29,9 +29,9 @@
     setTimeout(done, ms);
   });
 
-const cabinOf = (addresses: readonly string[]): Cabin => {
-  const bundle = finish(
-    cut({
+const cabinOf = (addresses: readonly string[]): NodeAgent => {
+  const bundle = runToCompletion(
+    splitIntoChunks({
       format: 1,
       classes: [{ name: 'all', share: 1 }],
       services: [{ name: 'clips' }],
@@ -42,9 +42,9 @@
     }),
   );
   assert.ok(bundle.isOk);
-  const { hash, order, pieces } = bundle.value;
-  const texts = order.map((one) => pieces.get(one) ?? '');
-  const built = finish(build(texts, toGeneration(1), hash));
+  const { hash, chunkHashes, chunks } = bundle.value;
+  const texts = chunkHashes.map((one) => chunks.get(one) ?? '');
+  const built = runToCompletion(buildConfiguration(texts, toGeneration(1), hash));
   assert.ok(built.isOk);
   const member = {
     node: toNodeId('e1'),
@@ -60,13 +60,21 @@
       const state = 'up' as const;
       return [
         instance,
-        { service, instance, address: toAddress(address), release, slots: 50, state, at: now() },
+        {
+          service,
+          instance,
+          address: toAddress(address),
+          release,
+          slots: 50,
+          state,
+          lastHeardAt: now(),
+        },
       ];
     }),
   );
-  const fresh = newCabin(member, [], { seed: 3 });
+  const fresh = newNodeAgent(member, [], { seed: 3 });
   const nodeSession = { ...fresh.nodeSession, registryHeardAt: now(), origins, members: [member] };
-  return { ...fresh, table: built.value, asOf: now(), nodeSession };
+  return { ...fresh, compiledConfiguration: built.value, purgesCurrentAsOf: now(), nodeSession };
 };
 
 /** A client that pipelines requests on one connection; it may leave before their answers. */
@@ -110,22 +118,30 @@
     return value;
   };
   const origins = [1, 2, 3, 4].map(
-    () => new RoughOrigin(() => conducts[Math.floor(chance() * conducts.length)] ?? 'whole'),
+    () =>
+      new MisbehavingOrigin(
+        () => originBehaviors[Math.floor(chance() * originBehaviors.length)] ?? 'whole',
+      ),
   );
   const cabin = cabinOf(await Promise.all(origins.map((one) => one.listen())));
-  const line = new DirectLine(
-    { now, cabin: () => cabin },
+  const line = new EdgeRouter(
+    { now, nodeAgent: () => cabin },
     new Cache(1_000_000),
-    new Origins(plainWords),
-    { area: toZoneName('a'), words: plainWords, bounds: plainBounds, most: 1000 },
+    new HttpOriginClient(defaultHeaderNames),
+    {
+      zone: toZoneName('a'),
+      headerNames: defaultHeaderNames,
+      limits: defaultEdgeLimits,
+      maxActiveRequests: 1000,
+    },
     { seed: 7 },
   );
-  line.learn(cabin);
+  line.updateFleet(cabin);
   const ticking = setInterval(() => line.tick(now()), 30);
   let closing = false;
-  const door = new DirectDoor(line, plainWords, { closing: () => closing });
+  const door = new ClientListener(line, defaultHeaderNames, { isClosing: () => closing });
   // An address that was free a moment ago.
-  const spare = new RoughOrigin(() => 'whole');
+  const spare = new MisbehavingOrigin(() => 'whole');
   const address = toAddress(await spare.listen());
   spare.close();
   const port = Number(address.split(':')[1]);
@@ -156,12 +172,12 @@
   // A stop: what was read is answered, and no connection stays open.
   closing = true;
   await pause(50);
-  door.shut();
+  door.stopAccepting();
   await Promise.all(talks);
-  assert.equal(door.open, 0);
+  assert.equal(door.openRequests, 0);
 
   const counts = new Map<string, number>();
-  for (const run of origins.flatMap((one) => one.runs)) {
+  for (const run of origins.flatMap((one) => one.handledRequests)) {
     counts.set(run.id, (counts.get(run.id) ?? 0) + 1);
     if (run.method === 'GET') continue;
     assert.equal(run.body, `asked ${run.id}`, 'UNASKED');
@@ -173,6 +189,6 @@
   }
   assert.ok(whole > 200, `${whole} whole answers`);
   clearInterval(ticking);
-  door.hang();
+  door.closeAllConnections();
   for (const origin of origins) origin.close();
 });
--- a/packages/proxy/src/direct/leg.test.ts
+++ b/packages/proxy/src/direct-edge/origin-client.test.ts
@@ -2,12 +2,12 @@
 import { type Server, type Socket, createServer } from 'node:net';
 import { test } from 'node:test';
 import { toAddress, toInstanceId, toServiceName } from '@switchwheel/types';
-import { type Answer, type LegOrder, plainWords } from '@switchwheel/routing';
-import { Origins } from './leg.js';
+import { type OriginResponse, type AttemptRequest, defaultHeaderNames } from '@switchwheel/routing';
+import { HttpOriginClient } from './origin-client.js';
 
 interface Stand {
   readonly server: Server;
-  readonly order: (id: string, fresh?: boolean, method?: string) => LegOrder;
+  readonly order: (id: string, fresh?: boolean, method?: string) => AttemptRequest;
   readonly sockets: () => number;
 }
 
@@ -42,8 +42,8 @@
       id,
       method,
       target: '/x',
-      spanMs: 2000,
-      fresh,
+      timeoutMs: 2000,
+      needsNewConnection: fresh,
       fields: [
         ['host', 'x'],
         ['switchwheel-id', id],
@@ -53,12 +53,13 @@
   };
 };
 
-type Outcome = { readonly answer: Answer } | { readonly broke: string; readonly sent: boolean };
-const ask = (legs: Origins, order: LegOrder): Promise<Outcome> =>
+type Outcome =
+  { readonly answer: OriginResponse } | { readonly broke: string; readonly sent: boolean };
+const ask = (legs: HttpOriginClient, order: AttemptRequest): Promise<Outcome> =>
   new Promise((done) => {
     legs.send(order, {
-      answered: (answer) => done({ answer }),
-      broke: (sent, text) => done({ broke: text, sent }),
+      onResponse: (answer) => done({ answer }),
+      onFailure: (sent, text) => done({ broke: text, sent }),
     });
   });
 const whole = (id: string, body: string, more = ''): string =>
@@ -68,7 +69,7 @@
 
 void test('an answer is whole and of the right request, over kept connections', async () => {
   const stand = await origin((id, socket) => socket.write(whole(id, `body of ${id}`)));
-  const legs = new Origins(plainWords);
+  const legs = new HttpOriginClient(defaultHeaderNames);
   for (const id of ['a', 'b', 'c'])
     assert.equal(bodyOf(await ask(legs, stand.order(id))), `body of ${id}`);
   assert.equal(stand.sockets(), 1);
@@ -84,7 +85,7 @@
     else if (number === 2) socket.write(whole('zz', "another one's"));
     else socket.write(whole(id, `body of ${id}`));
   });
-  const legs = new Origins(plainWords);
+  const legs = new HttpOriginClient(defaultHeaderNames);
   const first = await ask(legs, stand.order('a'));
   assert.ok(bodyOf(first) === 'one' || 'broke' in first);
   const second = await ask(legs, stand.order('b'));
@@ -100,7 +101,7 @@
     late = socket;
     socket.write(whole(id, `body of ${id}`));
   });
-  const legs = new Origins(plainWords);
+  const legs = new HttpOriginClient(defaultHeaderNames);
   await ask(legs, stand.order('a'));
   const ended = new Promise<void>((done) => {
     late?.once('close', () => {
@@ -123,7 +124,7 @@
     else if (number === 3) socket.resetAndDestroy();
     else socket.write(whole(id, 'no proof'));
   });
-  const legs = new Origins({ ...plainWords, proof: 'proof' });
+  const legs = new HttpOriginClient({ ...defaultHeaderNames, originProof: 'proof' });
   for (const id of ['a', 'b', 'c', 'd']) {
     const outcome = await ask(legs, stand.order(id, id < 'c'));
     assert.ok('broke' in outcome && outcome.sent, id);
@@ -142,10 +143,10 @@
         : `HTTP/1.1 421 Not me\r\nswitchwheel-id: ${id}\r\ncontent-length: 0\r\n\r\n`,
     ),
   );
-  const legs = new Origins(plainWords);
+  const legs = new HttpOriginClient(defaultHeaderNames);
   for (const id of ['a', 'b']) {
     const outcome = await ask(legs, stand.order(id));
-    assert.ok('answer' in outcome && outcome.answer.unrun);
+    assert.ok('answer' in outcome && outcome.answer.isUnprocessed);
   }
   legs.forget(toInstanceId('o1'));
   stand.server.close();
@@ -156,7 +157,7 @@
   const stand = await origin((id, socket, number) =>
     socket.write(whole(id, `body of ${id}`) + (junk[number - 1] ?? '')),
   );
-  const legs = new Origins(plainWords);
+  const legs = new HttpOriginClient(defaultHeaderNames);
   for (const id of ['a', 'b', 'c', 'd'])
     assert.equal(bodyOf(await ask(legs, stand.order(id))), `body of ${id}`);
   assert.equal(stand.sockets(), 3);
@@ -170,7 +171,7 @@
       `HTTP/1.1 ${['099', '000', '101'][number - 1] ?? '200'} X\r\nswitchwheel-id: ${id}\r\ncontent-length: 0\r\n\r\n`,
     ),
   );
-  const legs = new Origins(plainWords);
+  const legs = new HttpOriginClient(defaultHeaderNames);
   for (const id of ['a', 'b', 'c']) {
     const outcome = await ask(legs, stand.order(id));
     assert.ok('broke' in outcome && outcome.sent, id);
@@ -183,7 +184,7 @@
   const stand = await origin((id, socket, number) =>
     socket.write(whole(id, `body of ${id}`, `keep-alive: timeout=${number === 1 ? 1 : 2}\r\n`)),
   );
-  const legs = new Origins(plainWords);
+  const legs = new HttpOriginClient(defaultHeaderNames);
   await ask(legs, stand.order('a'));
   await ask(legs, stand.order('b'));
   assert.equal(stand.sockets(), 2);
@@ -204,7 +205,7 @@
     // A surplus answer under the id of the request before, some moments later.
     if (number % 2 === 1) setTimeout(() => socket.write(whole(id, 'surplus')), number);
   });
-  const legs = new Origins(plainWords);
+  const legs = new HttpOriginClient(defaultHeaderNames);
   for (let number = 0; number < 40; number += 1) {
     const id = `r${number}`;
     const outcome = await ask(legs, stand.order(id, number % 3 === 0));
--- a/packages/proxy/src/direct/leg.ts
+++ b/packages/proxy/src/direct-edge/origin-client.ts
@@ -1,22 +1,27 @@
 import { Agent, type ClientRequest, type IncomingMessage, request } from 'node:http';
 import type { Socket } from 'node:net';
 import type { InstanceId } from '@switchwheel/types';
-import { type Fields, splitAddress } from '@switchwheel/transport';
-import type { LegEars, LegOrder, LegPort, Words } from '@switchwheel/routing';
-import { fieldOf } from '@switchwheel/proxy-core';
+import { type HeaderFields, splitAddress } from '@switchwheel/transport';
+import type {
+  AttemptHandlers,
+  AttemptRequest,
+  OriginClient,
+  HeaderNames,
+} from '@switchwheel/routing';
+import { fieldValue } from '@switchwheel/proxy-core';
 
 /** How long a connection may take to open. */
-const openMs = 300;
+const connectTimeoutMs = 300;
 /** Idle connections to one origin that are kept. */
-const mostIdle = 8;
+const maxIdleConnections = 8;
 /** How long a connection may be idle here: well before an origin closes it. */
-const idleMs = 4000;
+const idleTimeoutMs = 4000;
 /** The least status that a final answer may bear; lower ones are interim answers or none at all. */
-const leastStatus = 200;
-const mostBody = 64 * 1024 * 1024;
+const minFinalStatus = 200;
+const maxBodyBytes = 64 * 1024 * 1024;
 
-const toFields = (message: IncomingMessage): Fields => {
-  const out: Fields = [];
+const toFields = (message: IncomingMessage): HeaderFields => {
+  const out: HeaderFields = [];
   const raw = message.rawHeaders;
   for (let at = 0; at + 1 < raw.length; at += 2) out.push([raw[at] ?? '', raw[at + 1] ?? '']);
   return out;
@@ -33,39 +38,39 @@
   headers['content-length'] === undefined && headers['transfer-encoding'] === undefined;
 
 /** Bytes that come while nothing is asked belong to no request: the connection ends. */
-const onStray = function onStray(this: Socket): void {
+const destroyOnUnexpectedData = function onStray(this: Socket): void {
   this.destroy();
 };
 
 /** The agent's own decision, which its types hide: it keeps no connection that its origin will close within a second. */
-const plainAgent: { readonly keepSocketAlive: (this: Agent, socket: Socket) => unknown } =
+const baseAgent: { readonly keepSocketAlive: (this: Agent, socket: Socket) => unknown } =
   Agent.prototype;
 
 /** Connections that are kept open; nothing is ever read from an idle one. */
-class Kept extends Agent {
+class KeepAliveAgent extends Agent {
   override keepSocketAlive(socket: Socket): boolean {
     if (socket.bytesRead === 0 || socket.readableLength > 0 || socket.destroyed) return false;
-    if (plainAgent.keepSocketAlive.call(this, socket) === false) return false;
-    socket.on('data', onStray);
+    if (baseAgent.keepSocketAlive.call(this, socket) === false) return false;
+    socket.on('data', destroyOnUnexpectedData);
     socket.resume();
     return true;
   }
 
   override reuseSocket(socket: Socket, asked: ClientRequest): void {
-    socket.off('data', onStray);
+    socket.off('data', destroyOnUnexpectedData);
     super.reuseSocket(socket, asked);
   }
 }
 
 /** Sends requests to origins with the plain HTTP client: no retries, no redirects, each answer whole and of the right request. */
-export class Origins implements LegPort {
-  readonly #words: Words;
-  readonly #agents = new Map<InstanceId, Kept>();
+export class HttpOriginClient implements OriginClient {
+  readonly #headerNames: HeaderNames;
+  readonly #agents = new Map<InstanceId, KeepAliveAgent>();
   /** Connections opened, for the figures. */
-  opened = 0;
+  openedConnections = 0;
 
-  constructor(words: Words) {
-    this.#words = words;
+  constructor(words: HeaderNames) {
+    this.#headerNames = words;
   }
 
   forget(instance: InstanceId): void {
@@ -76,7 +81,7 @@
     this.#agents.delete(instance);
   }
 
-  send(order: LegOrder, ears: LegEars): () => void {
+  send(order: AttemptRequest, ears: AttemptHandlers): () => void {
     const { host, port } = splitAddress(order.address);
     const headers = order.fields.flat();
     const bare = order.method === 'GET' || order.method === 'HEAD';
@@ -87,7 +92,7 @@
       method: order.method,
       path: order.target,
       headers,
-      agent: order.fresh ? false : this.#agentOf(order.instance),
+      agent: order.needsNewConnection ? false : this.#agentOf(order.instance),
       setHost: false,
     });
     let over = false;
@@ -107,11 +112,11 @@
     const broke = (text: string): void => {
       if (!end()) return;
       asked.destroy();
-      ears.broke(sent, text);
+      ears.onFailure(sent, text);
     };
     const late = setTimeout(() => {
       if (!sent) broke('the connection did not open');
-    }, openMs);
+    }, connectTimeoutMs);
     asked.on('socket', (socket: Socket) => {
       const noteEnd = (): void => {
         ending.wasReset = isReset(socket);
@@ -126,7 +131,7 @@
       socket.setNoDelay(true);
       socket.once('connect', () => {
         sent = true;
-        this.opened += 1;
+        this.openedConnections += 1;
       });
     });
     asked.on('error', (fault) => {
@@ -137,9 +142,9 @@
     });
     asked.on('response', (message) => {
       whole = () => message.complete;
-      this.#take(order, message, broke, (answer) => {
+      this.#readResponse(order, message, broke, (answer) => {
         if (ending.wasReset && endsWithConnection(message)) broke('the connection was reset');
-        else if (end()) ears.answered(answer);
+        else if (end()) ears.onResponse(answer);
       });
     });
     asked.end(order.body.length > 0 ? order.body : undefined);
@@ -148,43 +153,43 @@
     };
   }
 
-  #take(
-    order: LegOrder,
+  #readResponse(
+    order: AttemptRequest,
     message: IncomingMessage,
     broke: (text: string) => void,
-    done: (answer: Parameters<LegEars['answered']>[0]) => void,
+    done: (answer: Parameters<AttemptHandlers['onResponse']>[0]) => void,
   ): void {
     const status = message.statusCode ?? 0;
     const fields = toFields(message);
-    const lower: Fields = fields.map(([name, value]) => [name.toLowerCase(), value]);
-    if (fieldOf(lower, this.#words.id) !== order.id) {
+    const lower: HeaderFields = fields.map(([name, value]) => [name.toLowerCase(), value]);
+    if (fieldValue(lower, this.#headerNames.requestId) !== order.id) {
       broke('an answer to another request');
       message.socket.destroy();
       return;
     }
-    if (status < leastStatus) {
+    if (status < minFinalStatus) {
       broke('a status that is no answer');
       message.socket.destroy();
       return;
     }
-    const unrun = status === 421 || fieldOf(lower, this.#words.unrun) !== undefined;
+    const unrun = status === 421 || fieldValue(lower, this.#headerNames.unprocessed) !== undefined;
     if (
       status >= 200 &&
       status < 300 &&
-      this.#words.proof !== undefined &&
-      fieldOf(lower, this.#words.proof) === undefined
+      this.#headerNames.originProof !== undefined &&
+      fieldValue(lower, this.#headerNames.originProof) === undefined
     ) {
       broke('a success without its proof');
       message.socket.destroy();
       return;
     }
-    const told = fieldOf(lower, 'content-length');
+    const told = fieldValue(lower, 'content-length');
     const list: Buffer[] = [];
     let size = 0;
     message.on('data', (part: Buffer) => {
       list.push(part);
       size += part.length;
-      if (size > mostBody) broke('an answer that is too large');
+      if (size > maxBodyBytes) broke('an answer that is too large');
     });
     message.on('error', (fault) => broke(fault.message));
     message.on('aborted', () => broke('the answer broke off'));
@@ -198,19 +203,19 @@
         status,
         fields: lower,
         body: list.length === 1 ? (list[0] ?? Buffer.alloc(0)) : Buffer.concat(list),
-        unrun,
+        isUnprocessed: unrun,
       });
     });
   }
 
-  #agentOf(instance: InstanceId): Kept {
+  #agentOf(instance: InstanceId): KeepAliveAgent {
     const known = this.#agents.get(instance);
     if (known !== undefined) return known;
-    const agent = new Kept({
+    const agent = new KeepAliveAgent({
       keepAlive: true,
-      maxFreeSockets: mostIdle,
+      maxFreeSockets: maxIdleConnections,
       scheduling: 'lifo',
-      timeout: idleMs,
+      timeout: idleTimeoutMs,
     });
     this.#agents.set(instance, agent);
     return agent;
--- a/packages/proxy/src/direct/reset-at-end.test.ts
+++ b/packages/proxy/src/direct-edge/reset-at-end.test.ts
@@ -6,11 +6,11 @@
 import { type Socket, createServer } from 'node:net';
 import { test } from 'node:test';
 import { toAddress, toInstanceId, toServiceName } from '@switchwheel/types';
-import { plainWords } from '@switchwheel/routing';
-import { Origins } from './leg.js';
+import { defaultHeaderNames } from '@switchwheel/routing';
+import { HttpOriginClient } from './origin-client.js';
 
 const id = 't1';
-const head = `HTTP/1.1 200 OK\r\n${plainWords.id}: ${id}\r\n\r\n`;
+const head = `HTTP/1.1 200 OK\r\n${defaultHeaderNames.requestId}: ${id}\r\n\r\n`;
 
 /** What becomes of a request whose origin ends the connection behind its first bytes. */
 const ask = async (fresh: boolean, finish: (socket: Socket) => void): Promise<string> => {
@@ -24,7 +24,7 @@
   const spot = server.address();
   assert.ok(spot !== null && typeof spot === 'object');
   const outcome = await new Promise<string>((done) => {
-    new Origins(plainWords).send(
+    new HttpOriginClient(defaultHeaderNames).send(
       {
         service: toServiceName('acts'),
         address: toAddress(`127.0.0.1:${spot.port}`),
@@ -32,14 +32,14 @@
         id,
         method: 'GET',
         target: '/',
-        fields: [[plainWords.id, id]],
+        fields: [[defaultHeaderNames.requestId, id]],
         body: Buffer.alloc(0),
-        spanMs: 1000,
-        fresh,
+        timeoutMs: 1000,
+        needsNewConnection: fresh,
       },
       {
-        answered: () => done('told as whole'),
-        broke: () => done('broke'),
+        onResponse: () => done('told as whole'),
+        onFailure: () => done('broke'),
       },
     );
   });
--- a/packages/proxy/src/direct/response-forms.test.ts
+++ b/packages/proxy/src/direct-edge/response-forms.test.ts
@@ -19,12 +19,12 @@
   responseText,
   snapshotsFor,
 } from '@switchwheel/types/testing';
-import { build, cut, finish } from '@switchwheel/configuration';
-import { type Cabin, Cache, newCabin } from '@switchwheel/proxy-core';
-import { DirectLine, plainBounds, plainWords } from '@switchwheel/routing';
-import { startRecordingOrigin } from '../origin/recording-origin.test-support.js';
-import { DirectDoor } from './door.js';
-import { Origins } from './leg.js';
+import { buildConfiguration, splitIntoChunks, runToCompletion } from '@switchwheel/configuration';
+import { type NodeAgent, Cache, newNodeAgent } from '@switchwheel/proxy-core';
+import { EdgeRouter, defaultEdgeLimits, defaultHeaderNames } from '@switchwheel/routing';
+import { startRecordingOrigin } from '../shield/recording-origin.test-support.js';
+import { ClientListener } from './client-listener.js';
+import { HttpOriginClient } from './origin-client.js';
 
 const matchSnapshot = snapshotsFor(import.meta.dirname);
 const service = toServiceName('clips');
@@ -48,12 +48,12 @@
 };
 
 /** The state of an edge that runs the description, with one origin. */
-const edgeState = (origin: string): Cabin => {
-  const bundle = finish(cut(description));
+const edgeState = (origin: string): NodeAgent => {
+  const bundle = runToCompletion(splitIntoChunks(description));
   assert.ok(bundle.isOk);
-  const { hash, order, pieces } = bundle.value;
-  const texts = order.map((one) => pieces.get(one) ?? '');
-  const built = finish(build(texts, toGeneration(1), hash));
+  const { hash, chunkHashes, chunks } = bundle.value;
+  const texts = chunkHashes.map((one) => chunks.get(one) ?? '');
+  const built = runToCompletion(buildConfiguration(texts, toGeneration(1), hash));
   assert.ok(built.isOk);
   const member = {
     node: toNodeId('e1'),
@@ -70,16 +70,16 @@
     release: toRelease('r1'),
     slots: 50,
     state: 'up' as const,
-    at: now,
+    lastHeardAt: now,
   };
-  const fresh = newCabin(member, [], { seed: 3 });
+  const fresh = newNodeAgent(member, [], { seed: 3 });
   const nodeSession = {
     ...fresh.nodeSession,
     registryHeardAt: now,
     origins: new Map([[instance, row]]),
     members: [member],
   };
-  return { ...fresh, table: built.value, asOf: now, nodeSession };
+  return { ...fresh, compiledConfiguration: built.value, purgesCurrentAsOf: now, nodeSession };
 };
 
 const id = { 'switchwheel-id': 'q1', 'switchwheel-deadline-ms': '700' };
@@ -102,18 +102,23 @@
   const state = edgeState(origin.address);
   // Time stands still, so that how loaded the machine is changes nothing.
   const clock = (): typeof now => now;
-  const line = new DirectLine(
-    { now: clock, cabin: () => state },
+  const line = new EdgeRouter(
+    { now: clock, nodeAgent: () => state },
     new Cache(1_000_000),
-    new Origins(plainWords),
-    { area: toZoneName('a'), words: plainWords, bounds: plainBounds, most: 1000 },
+    new HttpOriginClient(defaultHeaderNames),
+    {
+      zone: toZoneName('a'),
+      headerNames: defaultHeaderNames,
+      limits: defaultEdgeLimits,
+      maxActiveRequests: 1000,
+    },
     { seed: 7 },
   );
-  line.learn(state);
-  const listener = new DirectDoor(line, plainWords, { closing: () => false });
-  const limits = state.table?.head.limits;
+  line.updateFleet(state);
+  const listener = new ClientListener(line, defaultHeaderNames, { isClosing: () => false });
+  const limits = state.compiledConfiguration?.header.limits;
   assert.ok(limits !== undefined);
-  listener.hold(limits);
+  listener.applyLimits(limits);
   const address = await freeAddress();
   await listener.listen(address);
   try {
@@ -129,8 +134,8 @@
     matchSnapshot('direct-origin-requests', sent);
     matchSnapshot('direct-counts', [...line.counts.keys()].toSorted().join('\n'));
   } finally {
-    listener.shut();
-    listener.hang();
+    listener.stopAccepting();
+    listener.closeAllConnections();
     origin.stop();
   }
 });
--- a/packages/proxy/src/direct/rough-origin.ts
+++ b/packages/proxy/src/direct-edge/testing/misbehaving-origin.ts
@@ -1,7 +1,7 @@
 import { type Server, type Socket, createServer } from 'node:net';
 
 /** What an origin does with one request, at the level of bytes. */
-export const conducts = [
+export const originBehaviors = [
   'whole',
   'whole',
   'whole',
@@ -19,10 +19,10 @@
   'reset amid',
   'reset after',
 ] as const;
-export type Conduct = (typeof conducts)[number];
+export type OriginBehavior = (typeof originBehaviors)[number];
 
 /** A request that an origin ran. */
-export interface Run {
+export interface HandledRequest {
   readonly id: string;
   readonly method: string;
   readonly body: string;
@@ -30,18 +30,18 @@
 
 const headEnd = '\r\n\r\n';
 
-const answerOf = (id: string, body: string, status = '200 OK', more = ''): string =>
+const responseText = (id: string, body: string, status = '200 OK', more = ''): string =>
   `HTTP/1.1 ${status}\r\nswitchwheel-id: ${id}\r\n${more}content-length: ${body.length}${headEnd}${body}`;
 
 /** An origin for tests that misbehaves byte by byte, and writes down what it ran. */
-export class RoughOrigin {
-  readonly runs: Run[] = [];
+export class MisbehavingOrigin {
+  readonly handledRequests: HandledRequest[] = [];
   readonly #server: Server;
   readonly #sockets = new Set<Socket>();
-  readonly #next: () => Conduct;
+  readonly #nextBehavior: () => OriginBehavior;
 
-  constructor(next: () => Conduct) {
-    this.#next = next;
+  constructor(next: () => OriginBehavior) {
+    this.#nextBehavior = next;
     this.#server = createServer((socket) => this.#accept(socket));
   }
 
@@ -80,27 +80,27 @@
   #serve(socket: Socket, head: string, body: string): void {
     const id = /switchwheel-id: (\S+)/i.exec(head)?.[1] ?? '';
     const method = head.slice(0, head.indexOf(' '));
-    const conduct = this.#next();
+    const conduct = this.#nextBehavior();
     if (conduct === 'reset before') {
       socket.resetAndDestroy();
       return;
     }
     if (conduct === 'not run') {
-      socket.write(answerOf(id, '', '503 Full', 'switchwheel-unrun: 1\r\n'));
+      socket.write(responseText(id, '', '503 Full', 'switchwheel-unrun: 1\r\n'));
       return;
     }
-    this.runs.push({ id, method, body });
-    const whole = answerOf(id, `body of ${id}`);
+    this.handledRequests.push({ id, method, body });
+    const whole = responseText(id, `body of ${id}`);
     switch (conduct) {
       case 'late':
         setTimeout(() => socket.write(whole), 150);
         break;
       case 'surplus':
-        socket.write(whole + answerOf(id, 'surplus'));
+        socket.write(whole + responseText(id, 'surplus'));
         break;
       case 'surplus later':
         socket.write(whole);
-        setTimeout(() => socket.write(answerOf(id, 'surplus')), 5);
+        setTimeout(() => socket.write(responseText(id, 'surplus')), 5);
         break;
       case 'junk behind':
         socket.write(`${whole}this is no answer${headEnd}`);
@@ -109,10 +109,10 @@
         socket.end(whole.slice(0, -3));
         break;
       case 'other id':
-        socket.write(answerOf('somebody', `body of ${id}`));
+        socket.write(responseText('somebody', `body of ${id}`));
         break;
       case 'false promise':
-        socket.write(answerOf(id, '', '429 Later'));
+        socket.write(responseText(id, '', '429 Later'));
         break;
       case 'no answer at all':
         socket.write(`this is no answer${headEnd}`);
--- a/packages/proxy/src/index.ts
+++ b/packages/proxy/src/index.ts
@@ -1,2 +1,2 @@
-export { schema, program } from './boot/boot.js';
-export { type DirectBoot, startDirect } from './direct/program.js';
+export { settingsSchema, program } from './settings/settings.js';
+export { type EdgeSettings, startEdge } from './direct-edge/start-edge.js';
--- a/packages/proxy/src/main.ts
+++ b/packages/proxy/src/main.ts
@@ -1,121 +1,131 @@
 import Koa from 'koa';
 import { type Frame, ChannelPool } from '@switchwheel/transport';
 import {
-  type Cab,
+  type HandlerContext,
   Cache,
-  type Departure,
-  Desk,
-  type Dial,
-  EdgeLine,
+  type ShutdownPhase,
+  CacheLookup,
+  type OpenDataChannel,
+  EdgeRequestHandler,
   type ProxyEffect,
   type ProxyEvent,
-  ShieldLine,
-  departure,
-  dialSpan,
+  ShieldRequestHandler,
+  shutdownPhase,
+  connectTimeoutMs,
   isReady,
-  newProxy,
-  proxyStep,
+  newProxyState,
+  proxyTransition,
 } from '@switchwheel/proxy-core';
 import {
-  type Reading,
+  type MetricSample,
   adminApp,
-  bootOrExit,
-  createLog,
-  inSlices,
-  isWireEffect,
-  newDice,
+  readSettingsOrExit,
+  createLogger,
+  runTimeSliced,
+  isProcessEffect,
+  newRandomState,
   newIncarnation,
   now,
-  onStop,
-  openDoor,
-  plainReading as plain,
-  runLoop,
+  handleShutdownSignals,
+  startHttpServer,
+  metricSample as plain,
+  runEventLoop,
 } from '@switchwheel/runtime';
-import type { WireEffect } from '@switchwheel/transport';
-import { build } from '@switchwheel/configuration';
-import { proxyView } from './admin/view.js';
-import { program, schema } from './boot/boot.js';
-import { serveCaller } from './edge/door.js';
-import { Origins, probe } from './origin/leg.js';
+import type { ProcessEffect } from '@switchwheel/transport';
+import { buildConfiguration } from '@switchwheel/configuration';
+import { proxyView } from './admin/proxy-view.js';
+import { program, settingsSchema } from './settings/settings.js';
+import { handleClientRequest } from './shielded-edge/client-handler.js';
+import { StreamingOriginClient, probeOrigin } from './shield/origin-client.js';
 
-const boot = bootOrExit(program, schema);
-const log = createLog(program.name, boot.node, boot.log);
+const settings = readSettingsOrExit(program, settingsSchema);
+const log = createLogger(program.name, settings.node, settings.log);
 const member = {
-  node: boot.node,
-  role: boot.role,
-  area: boot.area,
-  address: boot.listen,
-  door: boot.role === 'shield' ? boot.listen : boot.door,
-  admin: boot.admin,
+  node: settings.node,
+  role: settings.role,
+  area: settings.area,
+  address: settings.listen,
+  door: settings.role === 'shield' ? settings.listen : settings.door,
+  admin: settings.admin,
   incarnation: newIncarnation(),
 };
-const yard = new ChannelPool({
+const channels = new ChannelPool({
   node: member.node,
   address: member.address,
   incarnation: member.incarnation,
 });
-const cache = new Cache(boot.cache * 1024 * 1024);
-const desk = new Desk(cache);
-const origins = new Origins();
+const cache = new Cache(settings.cache * 1024 * 1024);
+const cacheLookup = new CacheLookup(cache);
+const origins = new StreamingOriginClient();
 
-type OwnEffect = Exclude<ProxyEffect, WireEffect>;
-const isOwnWire = (effect: ProxyEffect): effect is WireEffect => isWireEffect(effect);
+type OwnEffect = Exclude<ProxyEffect, ProcessEffect>;
+const isOwnWire = (effect: ProxyEffect): effect is ProcessEffect => isProcessEffect(effect);
 
-const run = (effect: OwnEffect): void => {
+const runEffect = (effect: OwnEffect): void => {
   switch (effect.kind) {
-    case 'build':
-      void inSlices(
-        build(effect.texts, effect.offer.generation, effect.offer.hash, effect.before),
+    case 'compileConfiguration':
+      void runTimeSliced(
+        buildConfiguration(
+          effect.chunkTexts,
+          effect.offer.generation,
+          effect.offer.hash,
+          effect.previous,
+        ),
       ).then((built) =>
-        loop.tell((at) =>
+        loop.dispatch((at) =>
           built.isOk
-            ? { kind: 'built', now: at, offer: effect.offer, table: built.value }
-            : { kind: 'unbuilt', now: at, offer: effect.offer, faults: built.error },
+            ? {
+                kind: 'configurationCompiled',
+                now: at,
+                offer: effect.offer,
+                compiledConfiguration: built.value,
+              }
+            : { kind: 'compileFailed', now: at, offer: effect.offer, faults: built.error },
         ),
       );
       break;
-    case 'adopt':
+    case 'adoptConfiguration':
       break;
-    case 'purge':
-      cache.purge(effect.purges, effect.flush, effect.top);
-      edge.purged();
-      shield.purged();
+    case 'purgeCache':
+      cache.purge(effect.purges, effect.flush, effect.lastPurgeSeq);
+      edgeHandler.onPurged();
+      shieldHandler.onPurged();
       break;
-    case 'gates':
-      origins.only(effect.standing);
+    case 'setLiveOrigins':
+      origins.retainInstances(effect.liveInstances);
       break;
-    case 'probe':
-      probeAt(effect);
+    case 'checkHealth':
+      probeEndpoint(effect);
       break;
-    case 'ask':
-    case 'cancel':
-    case 'begin':
-    case 'fail':
-      edge.run(effect);
+    case 'sendRequest':
+    case 'cancelRequest':
+    case 'startResponse':
+    case 'failRequest':
+      edgeHandler.run(effect);
       break;
-    case 'leg':
-    case 'cut':
-    case 'use':
-    case 'turnAway':
-      shield.run(effect);
+    case 'startAttempt':
+    case 'cancelAttempt':
+    case 'useResponse':
+    case 'rejectRequest':
+      shieldHandler.run(effect);
       break;
   }
 };
 
-const loop = runLoop<ReturnType<typeof newProxy>, ProxyEvent, OwnEffect>(
-  proxyStep,
-  newProxy(member, boot.seeds, newDice()),
-  yard,
+const loop = runEventLoop<ReturnType<typeof newProxyState>, ProxyEvent, OwnEffect>(
+  proxyTransition,
+  newProxyState(member, settings.seeds, newRandomState()),
+  channels,
   log,
-  run,
+  runEffect,
   isOwnWire,
 );
-const state = loop.store.state;
-const cab: Cab = { now, state, tell: loop.tell };
+const state = loop.machine.state;
+const handlerContext: HandlerContext = { now, state, dispatch: loop.dispatch };
 
-const dial: Dial = (to, ears) => {
-  const channel = yard.open(to);
-  const late = setTimeout(() => channel.terminate('no hello in time'), dialSpan);
+const dialShield: OpenDataChannel = (to, ears) => {
+  const channel = channels.openDataChannel(to);
+  const late = setTimeout(() => channel.terminate('no hello in time'), connectTimeoutMs);
   channel.on('up', () => {
     clearTimeout(late);
     ears.up();
@@ -128,36 +138,52 @@
   return channel;
 };
 
-const edge = new EdgeLine(`${boot.node}.${member.incarnation.toString(36)}`, desk, dial, cab);
-const shield = new ShieldLine(origins, desk, cab, (instance, why) =>
-  log.write(
-    'warn',
-    'a result is not trusted',
-    new Map([
-      ['instance', instance],
-      ['why', why],
-    ]),
-  ),
+const edgeHandler = new EdgeRequestHandler(
+  `${settings.node}.${member.incarnation.toString(36)}`,
+  cacheLookup,
+  dialShield,
+  handlerContext,
+);
+const shieldHandler = new ShieldRequestHandler(
+  origins,
+  cacheLookup,
+  handlerContext,
+  (instance, why) =>
+    log.write(
+      'warn',
+      'a result is not trusted',
+      new Map([
+        ['instance', instance],
+        ['why', why],
+      ]),
+    ),
 );
-yard.on('data', (channel) => {
-  const ears = shield.dock.take(channel, now);
+channels.on('data', (channel) => {
+  const ears = shieldHandler.inbound.accept(channel, now);
   channel.on('frame', (frame: Frame) => ears.frame(frame));
   channel.on('closed', () => ears.closed());
 });
 
-const probeAt = (one: Extract<OwnEffect, { kind: 'probe' }>): void => {
+const probeEndpoint = (one: Extract<OwnEffect, { kind: 'checkHealth' }>): void => {
   const { service, instance } = one;
   const since = now();
-  void probe(`http://${one.address}${one.path}`, service, instance).then((good) =>
-    loop.tell((at) => ({ kind: 'probed', now: at, service, instance, good, ms: at - since })),
+  void probeOrigin(`http://${one.address}${one.path}`, service, instance).then((good) =>
+    loop.dispatch((at) => ({
+      kind: 'healthChecked',
+      now: at,
+      service,
+      instance,
+      isHealthy: good,
+      durationMs: at - since,
+    })),
   );
 };
 
-let worstLag = 0;
-const readings = (): readonly Reading[] => {
-  const cabin = state().cabin;
-  worstLag = Math.max(worstLag, loop.lag());
-  const counted = (side: string, counts: ReadonlyMap<string, number>): readonly Reading[] =>
+let worstLoopLagMs = 0;
+const metrics = (): readonly MetricSample[] => {
+  const cabin = state().nodeAgent;
+  worstLoopLagMs = Math.max(worstLoopLagMs, loop.takeMaxLagMs());
+  const counted = (side: string, counts: ReadonlyMap<string, number>): readonly MetricSample[] =>
     [...counts].map(([what, value]) => ({
       name: `${side}_total`,
       labels: new Map([['what', what]]),
@@ -165,79 +191,80 @@
     }));
   return [
     plain('ready', isReady(cabin, now()) ? 1 : 0),
-    plain('generation', cabin.table?.generation ?? 0),
-    plain('purged', cabin.purged),
+    plain('generation', cabin.compiledConfiguration?.generation ?? 0),
+    plain('purged', cabin.lastPurgeSeq),
     plain('cache_bytes', cache.bytes),
     plain('cache_objects', cache.size),
-    plain('forwarding', state().forward.wagons.size),
-    plain('loop_lag_worst_ms', worstLag),
-    plain('foreign_channels_total', yard.foreign),
+    plain('forwarding', state().forwarding.requests.size),
+    plain('loop_lag_worst_ms', worstLoopLagMs),
+    plain('foreign_channels_total', channels.protocolErrorCount),
     plain('memory_bytes', process.memoryUsage.rss()),
-    ...counted('edge', edge.counts),
-    ...counted('shield', shield.counts),
+    ...counted('edge', edgeHandler.counts),
+    ...counted('shield', shieldHandler.counts),
   ];
 };
 
 const app = new Koa();
 app.silent = true;
 app.use(async (ctx) => {
-  await serveCaller(edge, ctx);
+  await handleClientRequest(edgeHandler, ctx);
 });
 
-const admin = await openDoor(
+const adminServer = await startHttpServer(
   adminApp(
-    () => isReady(state().cabin, now()),
-    readings,
+    () => isReady(state().nodeAgent, now()),
+    metrics,
     () => proxyView(state()),
   ),
-  boot.admin,
+  settings.admin,
 );
-await yard.listen();
-const door = boot.role === 'edge' ? await openDoor(app, boot.door) : undefined;
+await channels.listen();
+const clientServer =
+  settings.role === 'edge' ? await startHttpServer(app, settings.door) : undefined;
 log.write(
   'info',
   'started',
   new Map<string, string>([
-    ['role', boot.role],
-    ['listen', boot.listen],
-    ['door', boot.door],
+    ['role', settings.role],
+    ['listen', settings.listen],
+    ['door', settings.door],
   ]),
 );
 
-const openHere = (): number =>
-  edge.open +
-  shield.dock.size +
-  [...state().keepers.values()].reduce((sum, one) => sum + one.legs.size, 0);
+const openRequestCount = (): number =>
+  edgeHandler.openRequests +
+  shieldHandler.inbound.size +
+  [...state().leaders.values()].reduce((sum, one) => sum + one.attempts.size, 0);
 
-onStop(log, async () => {
+handleShutdownSignals(log, async () => {
   const since = now();
-  loop.tell((at) => ({ kind: 'stop', now: at }));
-  door?.server.on('request', (_, response) => response.setHeader('connection', 'close'));
-  const look = (): Departure => departure(boot.role, since, openHere(), now());
+  loop.dispatch((at) => ({ kind: 'stopRequested', now: at }));
+  clientServer?.server.on('request', (_, response) => response.setHeader('connection', 'close'));
+  const look = (): ShutdownPhase => shutdownPhase(settings.role, since, openRequestCount(), now());
   let phase = look();
-  for (; phase === 'serving' || phase === 'ending'; phase = look()) {
-    if (phase === 'ending') door?.shut();
+  for (; phase === 'serving' || phase === 'draining'; phase = look()) {
+    if (phase === 'draining') clientServer?.stopAccepting();
     await new Promise<void>((done) => {
       setTimeout(done, 20);
     });
   }
-  door?.shut();
-  if (phase === 'broken') {
+  clientServer?.stopAccepting();
+  if (phase === 'aborting') {
     // What takes longer than a stop may take ends visibly broken, never as if whole.
-    const many = edge.breakAll('this node stops');
+    const many = edgeHandler.abortAll('this node stops');
     log.write(
       'warn',
       'results are broken off by the stop',
       new Map([
         ['edge', many],
-        ['shield', shield.dock.size],
+        ['shield', shieldHandler.inbound.size],
       ]),
     );
     await new Promise<void>((done) => {
       setTimeout(done, 100);
     });
   }
-  loop.end();
-  admin.shut();
-  yard.close();
+  loop.stop();
+  adminServer.stopAccepting();
+  channels.close();
 });
--- a/packages/proxy/src/boot/boot.ts
+++ b/packages/proxy/src/settings/settings.ts
@@ -1,12 +1,16 @@
 import * as v from 'valibot';
 import { address } from '@switchwheel/types';
-import { type Program, common, commonSettings } from '@switchwheel/runtime';
+import {
+  type ProgramDefinition,
+  commonSettingsSchema,
+  commonSettingDefinitions,
+} from '@switchwheel/runtime';
 
-export const program: Program = {
+export const program: ProgramDefinition = {
   name: 'proxy',
-  about: 'The proxy of switchwheel: an edge takes callers, a shield keeps services.',
+  description: 'The proxy of switchwheel: an edge takes callers, a shield keeps services.',
   settings: [
-    ...commonSettings,
+    ...commonSettingDefinitions,
     { name: 'role', type: 'text', help: 'edge or shield' },
     { name: 'door', type: 'text', help: 'IP:port for callers (edge) or for edges (shield)' },
     { name: 'admin', type: 'text', help: 'IP:port for /live, /ready and /metrics' },
@@ -14,8 +18,8 @@
   ],
 };
 
-export const schema = v.strictObject({
-  ...common,
+export const settingsSchema = v.strictObject({
+  ...commonSettingsSchema,
   role: v.picklist(['edge', 'shield'], 'edge or shield'),
   door: address,
   admin: address,
--- a/packages/proxy/src/origin/header-forms.test.ts
+++ b/packages/proxy/src/shield/header-forms.test.ts
@@ -1,8 +1,8 @@
 import { test } from 'node:test';
 import { toAddress, toInstanceId, toServiceName } from '@switchwheel/types';
 import { snapshotsFor } from '@switchwheel/types/testing';
-import { plainWords } from '@switchwheel/routing';
-import { Origins, probe } from './leg.js';
+import { defaultHeaderNames } from '@switchwheel/routing';
+import { StreamingOriginClient, probeOrigin } from './origin-client.js';
 import { startRecordingOrigin } from './recording-origin.test-support.js';
 
 const matchSnapshot = snapshotsFor(import.meta.dirname);
@@ -10,7 +10,7 @@
 const instance = toInstanceId('i1');
 
 void test('the header names that callers and origins use by default stay', () => {
-  const names: readonly unknown[] = Object.values(plainWords);
+  const names: readonly unknown[] = Object.values(defaultHeaderNames);
   matchSnapshot('header-names', JSON.stringify(names, null, 2));
 });
 
@@ -19,7 +19,7 @@
   try {
     for (const method of ['GET', 'POST']) {
       await new Promise<void>((resolve, reject) => {
-        new Origins().send(
+        new StreamingOriginClient().send(
           'one',
           {
             service,
@@ -29,19 +29,19 @@
             target: '/clips/1?a=b',
             fields: [['x-caller', 'kept']],
             body: Buffer.from(method === 'POST' ? 'sent' : ''),
-            spanMs: 2000,
-            repeatable: false,
+            timeoutMs: 2000,
+            isIdempotent: false,
           },
           {
             head: () => undefined,
-            part: (_, more) => more(),
+            chunk: (_, more) => more(),
             ended: resolve,
-            broke: ({ text }) => reject(new Error(text)),
+            failed: ({ text }) => reject(new Error(text)),
           },
         );
       });
     }
-    await probe(`http://${origin.address}/health`, service, instance);
+    await probeOrigin(`http://${origin.address}/health`, service, instance);
     const requests = origin.requests.join('\n').replaceAll(origin.address, 'ORIGIN');
     matchSnapshot('origin-requests', requests);
   } finally {
--- a/packages/proxy/src/origin/leg.ts
+++ b/packages/proxy/src/shield/origin-client.ts
@@ -2,19 +2,24 @@
 import type { Socket } from 'node:net';
 import got, { type Request } from 'got';
 import type { InstanceId } from '@switchwheel/types';
-import type { Fields } from '@switchwheel/transport';
-import { type LegEars, type LegPort, type LegRequest, fieldOf } from '@switchwheel/proxy-core';
+import type { HeaderFields } from '@switchwheel/transport';
+import {
+  type AttemptHandlers,
+  type AttemptPort,
+  type AttemptRequest,
+  fieldValue,
+} from '@switchwheel/proxy-core';
 
-const openSpan = 600;
+const connectTimeoutMs = 600;
 
-const toFields = (message: IncomingMessage): Fields => {
-  const out: Fields = [];
+const toFields = (message: IncomingMessage): HeaderFields => {
+  const out: HeaderFields = [];
   for (let at = 0; at + 1 < message.rawHeaders.length; at += 2)
     out.push([(message.rawHeaders[at] ?? '').toLowerCase(), message.rawHeaders[at + 1] ?? '']);
   return out;
 };
 
-const toHeaders = (fields: Fields): Record<string, string | string[]> => {
+const toHeaders = (fields: HeaderFields): Record<string, string | string[]> => {
   const out = new Map<string, string[]>();
   for (const [name, value] of fields) out.set(name, [...(out.get(name) ?? []), value]);
   return Object.fromEntries(
@@ -27,9 +32,9 @@
   methods.find((one) => one === raw) ?? 'GET';
 
 /** Channels to origins: those kept open are closed when the instance is gone. */
-export class Origins implements LegPort {
+export class StreamingOriginClient implements AttemptPort {
   readonly #agents = new Map<InstanceId, Agent>();
-  readonly #under = new Map<string, () => void>();
+  readonly #cancelByName = new Map<string, () => void>();
 
   #agentOf(instance: InstanceId): Agent {
     const known = this.#agents.get(instance);
@@ -45,7 +50,7 @@
   }
 
   /** Closes the channels to all instances but those that stand. */
-  only(standing: ReadonlySet<InstanceId>): void {
+  retainInstances(standing: ReadonlySet<InstanceId>): void {
     for (const [instance, agent] of this.#agents) {
       if (standing.has(instance)) continue;
       // Legs under way end by themselves; nothing new goes out on these channels.
@@ -55,12 +60,12 @@
     }
   }
 
-  drop(name: string): void {
-    this.#under.get(name)?.();
+  cancel(name: string): void {
+    this.#cancelByName.get(name)?.();
   }
 
   /** Sends a request to an origin once. */
-  send(name: string, one: LegRequest, ears: LegEars): void {
+  send(name: string, one: AttemptRequest, ears: AttemptHandlers): void {
     const seen = { opened: false };
     const plain = one.method === 'GET' || one.method === 'HEAD';
     const abort = new AbortController();
@@ -70,16 +75,16 @@
       throwHttpErrors: false,
       decompress: false,
       followRedirect: false,
-      timeout: { request: one.spanMs, connect: Math.min(openSpan, one.spanMs) },
+      timeout: { request: one.timeoutMs, connect: Math.min(connectTimeoutMs, one.timeoutMs) },
       signal: abort.signal,
       headers: {
         ...toHeaders(one.fields),
         'switchwheel-instance': one.instance,
         'switchwheel-service': one.service,
-        'user-agent': fieldOf(one.fields, 'user-agent') ?? 'switchwheel',
+        'user-agent': fieldValue(one.fields, 'user-agent') ?? 'switchwheel',
       },
       ...(one.body.length > 0 && !plain ? { body: Buffer.from(one.body) } : {}),
-      ...(one.repeatable
+      ...(one.isIdempotent
         ? { agent: { http: this.#agentOf(one.instance) } }
         : { agent: { http: new Agent({ keepAlive: false }) } }),
       cookieJar: undefined,
@@ -88,8 +93,8 @@
     });
     // A stream for a method with a body waits for its end.
     if (!plain && one.body.length === 0) stream.end();
-    this.#under.set(name, () => {
-      this.#under.delete(name);
+    this.#cancelByName.set(name, () => {
+      this.#cancelByName.delete(name);
       abort.abort();
       stream.destroy();
     });
@@ -102,19 +107,19 @@
           });
       });
     });
-    void this.#take(stream, ears)
+    void this.#readResponse(stream, ears)
       .catch((problem: unknown) => {
         const slow = problem instanceof Error && problem.name === 'TimeoutError';
-        ears.broke({
-          opened: seen.opened,
-          slow,
+        ears.failed({
+          mayHaveBeenSent: seen.opened,
+          isTimeout: slow,
           text: problem instanceof Error ? problem.message : 'broke off',
         });
       })
-      .finally(() => this.drop(name));
+      .finally(() => this.cancel(name));
   }
 
-  async #take(stream: Request, ears: LegEars): Promise<void> {
+  async #readResponse(stream: Request, ears: AttemptHandlers): Promise<void> {
     const message = await new Promise<IncomingMessage>((done, fail) => {
       stream.once('response', done);
       stream.once('error', fail);
@@ -123,7 +128,7 @@
     for await (const part of stream) {
       const bytes: Buffer = Buffer.isBuffer(part) ? part : Buffer.from(String(part));
       await new Promise<void>((more) => {
-        ears.part(bytes, more);
+        ears.chunk(bytes, more);
       });
     }
     ears.ended();
@@ -131,7 +136,11 @@
 }
 
 /** Asks an origin whether it is well, and whether it is the one meant. */
-export const probe = async (url: string, service: string, instance: string): Promise<boolean> => {
+export const probeOrigin = async (
+  url: string,
+  service: string,
+  instance: string,
+): Promise<boolean> => {
   try {
     const result = await got(url, {
       retry: { limit: 0 },
--- a/packages/proxy/src/edge/error-forms.test.ts
+++ b/packages/proxy/src/shielded-edge/error-forms.test.ts
@@ -2,15 +2,15 @@
 import Koa from 'koa';
 import { errorKinds, toAddress } from '@switchwheel/types';
 import { httpExchange, responseText, snapshotsFor } from '@switchwheel/types/testing';
-import { openDoor } from '@switchwheel/runtime';
-import { sendWhole } from './answer.js';
-import { closeAfter, sendFault } from './faults.js';
+import { startHttpServer } from '@switchwheel/runtime';
+import { sendResponse } from './response.js';
+import { closeAfterResponse, sendErrorResponse } from './error-response.js';
 
 const matchSnapshot = snapshotsFor(import.meta.dirname);
 
 const responsesOf = async (app: Koa, paths: readonly string[]): Promise<string> => {
   app.silent = true;
-  const listener = await openDoor(app, toAddress('127.0.0.1:0'));
+  const listener = await startHttpServer(app, toAddress('127.0.0.1:0'));
   try {
     const texts: string[] = [];
     for (const path of paths) {
@@ -19,7 +19,7 @@
     }
     return texts.join('\n');
   } finally {
-    listener.shut();
+    listener.stopAccepting();
   }
 };
 
@@ -28,8 +28,8 @@
   app.use((ctx) => {
     const [, name, retryMs] = ctx.path.split('/');
     const kind = errorKinds.find((one) => one === name);
-    if (kind !== undefined) sendFault(ctx, kind, 'why', Number(retryMs));
-    if (kind === 'malformed') closeAfter(ctx);
+    if (kind !== undefined) sendErrorResponse(ctx, kind, 'why', Number(retryMs));
+    if (kind === 'malformed') closeAfterResponse(ctx);
   });
   const paths = errorKinds.flatMap((kind) => [`/${kind}/0`, `/${kind}/1500`]);
   matchSnapshot('error-responses', await responsesOf(app, paths));
@@ -39,7 +39,7 @@
   const app = new Koa();
   app.use((ctx) => {
     const status = Number(ctx.path.slice(1));
-    sendWhole(ctx, status, [['x-origin', 'kept']], Buffer.from('body'), 'origin');
+    sendResponse(ctx, status, [['x-origin', 'kept']], Buffer.from('body'), 'origin');
   });
   matchSnapshot('whole-responses', await responsesOf(app, ['/200', '/204', '/304', '/404']));
 });
--- a/packages/proxy/src/edge/faults.ts
+++ b/packages/proxy/src/shielded-edge/error-response.ts
@@ -1,14 +1,14 @@
 import type Koa from 'koa';
-import { type ErrorKind, responseFor } from '@switchwheel/types';
+import { type ErrorKind, errorResponseFor } from '@switchwheel/types';
 
 /** Tells a caller what went wrong: the kind says whether the request ran. */
-export const sendFault = (
+export const sendErrorResponse = (
   ctx: Koa.Context,
   kind: ErrorKind,
   text: string,
   retryMs: number,
 ): void => {
-  const told = responseFor(kind);
+  const told = errorResponseFor(kind);
   const shown = kind === 'slow' || kind === 'lost' ? 'unknown' : kind;
   ctx.status = told.status;
   ctx.set('cache-control', 'no-store');
@@ -18,12 +18,12 @@
   ctx.body = {
     kind: shown,
     text,
-    ran: told.unrun ? 'no' : 'unknown',
+    ran: told.didNotRun ? 'no' : 'unknown',
     ...(wait > 0 ? { retryAfterMs: Math.ceil(wait) } : {}),
   };
 };
 
 /** Ends the caller's channel after the answer: its request can't be read any further. */
-export const closeAfter = (ctx: Koa.Context): void => {
+export const closeAfterResponse = (ctx: Koa.Context): void => {
   ctx.set('connection', 'close');
 };
--- a/packages/proxy/src/edge/answer.ts
+++ b/packages/proxy/src/shielded-edge/response.ts
@@ -1,10 +1,10 @@
 import type Koa from 'koa';
 import rangeParser from 'range-parser';
 import type { Timestamp } from '@switchwheel/types';
-import type { Fields } from '@switchwheel/transport';
-import type { Entry } from '@switchwheel/proxy-core';
+import type { HeaderFields } from '@switchwheel/transport';
+import type { CacheEntry } from '@switchwheel/proxy-core';
 
-const setFields = (ctx: Koa.Context, fields: Fields): void => {
+const setFields = (ctx: Koa.Context, fields: HeaderFields): void => {
   const seen = new Set<string>();
   for (const [name, value] of fields) {
     if (seen.has(name)) ctx.append(name, value);
@@ -14,10 +14,10 @@
 };
 
 /** Tells a whole result. */
-export const sendWhole = (
+export const sendResponse = (
   ctx: Koa.Context,
   status: number,
-  fields: Fields,
+  fields: HeaderFields,
   body: Buffer,
   from: string,
 ): void => {
@@ -35,9 +35,14 @@
 };
 
 /** Tells a kept result, as the caller's conditions ask for it. */
-export const sendEntry = (ctx: Koa.Context, entry: Entry, now: Timestamp, from: string): void => {
-  sendWhole(ctx, entry.status, entry.fields, entry.body, from);
-  ctx.set('age', String(Math.max(0, Math.floor((now - entry.born) / 1000))));
+export const sendCachedResponse = (
+  ctx: Koa.Context,
+  entry: CacheEntry,
+  now: Timestamp,
+  from: string,
+): void => {
+  sendResponse(ctx, entry.status, entry.fields, entry.body, from);
+  ctx.set('age', String(Math.max(0, Math.floor((now - entry.createdAt) / 1000))));
   if (entry.status !== 200) return;
   if (ctx.fresh) {
     ctx.status = 304;
--- a/packages/registry/src/outside/forms.ts
+++ b/packages/registry/src/http/request-schemas.ts
@@ -1,9 +1,9 @@
 import * as v from 'valibot';
 import * as g from '@switchwheel/types';
-import { aim } from '@switchwheel/transport';
+import { purgeTarget } from '@switchwheel/transport';
 
 /** What an origin says of itself. */
-export const announcement = v.strictObject({
+export const originAnnouncement = v.strictObject({
   service: g.serviceName,
   instance: g.instanceId,
   address: g.address,
@@ -17,27 +17,31 @@
   state: v.optional(v.picklist(['up', 'leaving', 'gone'], 'up, leaving or gone'), 'up'),
 });
 
-export const purgeForm = v.strictObject({
-  id: v.optional(g.callId),
-  aims: v.pipe(v.array(aim), v.minLength(1, 'at least one'), v.maxLength(10_000, 'at most 10000')),
+export const purgeRequest = v.strictObject({
+  id: v.optional(g.commandId),
+  aims: v.pipe(
+    v.array(purgeTarget),
+    v.minLength(1, 'at least one'),
+    v.maxLength(10_000, 'at most 10000'),
+  ),
 });
 
-export const foundForm = v.strictObject({
-  id: v.optional(g.callId),
+export const bootstrapRequest = v.strictObject({
+  id: v.optional(g.commandId),
   fleet: g.fleetId,
   stores: v.optional(v.array(g.nodeId), []),
   voters: v.optional(v.array(g.nodeId), []),
 });
 
-export const electorateForm = v.strictObject({
-  id: v.optional(g.callId),
+export const electorateRequest = v.strictObject({
+  id: v.optional(g.commandId),
   add: v.optional(g.nodeId),
   remove: v.optional(g.nodeId),
 });
 
 /** An order to move a service to origins of a release. */
-export const releaseForm = v.strictObject({
-  id: v.optional(g.callId),
+export const rolloutRequest = v.strictObject({
+  id: v.optional(g.commandId),
   service: g.serviceName,
   target: g.release,
   spanMs: v.pipe(
--- a/packages/registry/src/index.ts
+++ b/packages/registry/src/index.ts
@@ -1,3 +1,3 @@
-export { program, schema } from './boot.js';
-export * from './run.js';
-export { type Ask, type Handed, handIn } from './outside/app.js';
+export { program, settingsSchema } from './settings.js';
+export * from './start-registry.js';
+export { type SubmitRequest, type UploadResult, uploadConfiguration } from './http/app.js';
--- a/packages/registry/src/main.ts
+++ b/packages/registry/src/main.ts
@@ -1,11 +1,11 @@
-import { bootOrExit, createLog, onStop } from '@switchwheel/runtime';
-import { program, schema } from './boot.js';
-import { outsideApp } from './outside/app.js';
-import { startRegistry } from './run.js';
+import { readSettingsOrExit, createLogger, handleShutdownSignals } from '@switchwheel/runtime';
+import { program, settingsSchema } from './settings.js';
+import { createRegistryApp } from './http/app.js';
+import { startRegistry } from './start-registry.js';
 
-const boot = bootOrExit(program, schema);
-const log = createLog(program.name, boot.node, boot.log);
-const running = await startRegistry(boot, log, ({ ask, ready, metrics }) =>
-  outsideApp(ask, boot.limit * 1024 * 1024, ready, metrics),
+const boot = readSettingsOrExit(program, settingsSchema);
+const log = createLogger(program.name, boot.node, boot.log);
+const running = await startRegistry(boot, log, ({ submit, isReady, renderMetrics }) =>
+  createRegistryApp(submit, boot.limit * 1024 * 1024, isReady, renderMetrics),
 );
-onStop(log, running.stop);
+handleShutdownSignals(log, running.stop);
--- a/packages/registry/src/outside/http-forms.test.ts
+++ b/packages/registry/src/outside/http-forms.test.ts
@@ -7,9 +7,15 @@
   schemaLines,
   snapshotsFor,
 } from '@switchwheel/types/testing';
-import { openDoor } from '@switchwheel/runtime';
-import { outsideApp } from './app.js';
-import { announcement, electorateForm, foundForm, purgeForm, releaseForm } from './forms.js';
+import { startHttpServer } from '@switchwheel/runtime';
+import { createRegistryApp } from '../http/app.js';
+import {
+  originAnnouncement,
+  electorateRequest,
+  bootstrapRequest,
+  purgeRequest,
+  rolloutRequest,
+} from '../http/request-schemas.js';
 
 const matchSnapshot = snapshotsFor(import.meta.dirname);
 
@@ -22,20 +28,20 @@
   answer = passedOn,
   ready = true,
 ): Promise<string> => {
-  const app = outsideApp(
+  const app = createRegistryApp(
     () => Promise.resolve(answer),
     mebibyte,
     () => ready,
     () => 'switchwheel_example 1\n',
   );
-  const listener = await openDoor(app, toAddress('127.0.0.1:0'));
+  const listener = await startHttpServer(app, toAddress('127.0.0.1:0'));
   try {
     const texts: string[] = [];
     for (const asked of requests)
       texts.push(responseText(asked, await httpExchange(listener.port(), asked)));
     return texts.join('\n');
   } finally {
-    listener.shut();
+    listener.stopAccepting();
   }
 };
 
@@ -112,11 +118,11 @@
 
 void test('the bodies that a registry takes keep their members and checks', () => {
   const bodies: readonly (readonly [string, unknown])[] = [
-    ['POST /v1/origins', announcement],
-    ['POST /v1/purges', purgeForm],
-    ['POST /v1/fleet', foundForm],
-    ['POST /v1/electorate', electorateForm],
-    ['POST /v1/releases', releaseForm],
+    ['POST /v1/origins', originAnnouncement],
+    ['POST /v1/purges', purgeRequest],
+    ['POST /v1/fleet', bootstrapRequest],
+    ['POST /v1/electorate', electorateRequest],
+    ['POST /v1/releases', rolloutRequest],
   ];
   const lines = bodies.map(([name, schema]) => `${name}\n${schemaLines(schema, 'body')}`);
   matchSnapshot('http-bodies', lines.join('\n\n'));
--- a/packages/registry/src/run-forms.test.ts
+++ b/packages/registry/src/run-forms.test.ts
@@ -10,8 +10,8 @@
   responseText,
   snapshotsFor,
 } from '@switchwheel/types/testing';
-import { outsideApp } from './outside/app.js';
-import { startRegistry } from './run.js';
+import { createRegistryApp } from './http/app.js';
+import { startRegistry } from './start-registry.js';
 
 const matchSnapshot = snapshotsFor(import.meta.dirname);
 
@@ -26,7 +26,8 @@
       door,
     },
     { write: () => undefined },
-    ({ ask, ready, metrics }) => outsideApp(ask, 1024 * 1024, ready, metrics),
+    ({ submit, isReady, renderMetrics }) =>
+      createRegistryApp(submit, 1024 * 1024, isReady, renderMetrics),
   );
   const exchange = (asked: HttpRequest): ReturnType<typeof httpExchange> =>
     httpExchange(portOf(door), asked);
--- a/packages/registry/src/settings-forms.test.ts
+++ b/packages/registry/src/settings-forms.test.ts
@@ -1,14 +1,14 @@
 import { join } from 'node:path';
 import { test } from 'node:test';
 import { runCommands, schemaLines, snapshotsFor } from '@switchwheel/types/testing';
-import { program, schema } from './boot.js';
+import { program, settingsSchema } from './settings.js';
 
 const matchSnapshot = snapshotsFor(import.meta.dirname);
 const script = join(import.meta.dirname, '..', 'bin', 'registry.js');
 
 void test('the settings of the registry keep their names, types and checks', () => {
   const flags = program.settings.map((one) => `--${one.name} ${one.type}: ${one.help}`);
-  matchSnapshot('settings', `${flags.join('\n')}\n\n${schemaLines(schema, 'settings')}`);
+  matchSnapshot('settings', `${flags.join('\n')}\n\n${schemaLines(settingsSchema, 'settings')}`);
 });
 
 void test('the help of the registry and its exit codes for wrong use stay', async () => {
--- a/packages/registry/src/boot.ts
+++ b/packages/registry/src/settings.ts
@@ -1,19 +1,23 @@
 import * as v from 'valibot';
 import { address } from '@switchwheel/types';
-import { type Program, common, commonSettings } from '@switchwheel/runtime';
+import {
+  type ProgramDefinition,
+  commonSettingsSchema,
+  commonSettingDefinitions,
+} from '@switchwheel/runtime';
 
-export const program: Program = {
+export const program: ProgramDefinition = {
   name: 'registry',
-  about: 'The registry of switchwheel: one on every core machine.',
+  description: 'The registry of switchwheel: one on every core machine.',
   settings: [
-    ...commonSettings,
+    ...commonSettingDefinitions,
     { name: 'door', type: 'text', help: 'IP:port for operators and origins' },
     { name: 'limit', type: 'number', help: 'MiB that a description may weigh (64)' },
   ],
 };
 
-export const schema = v.strictObject({
-  ...common,
+export const settingsSchema = v.strictObject({
+  ...commonSettingsSchema,
   door: address,
   limit: v.optional(
     v.pipe(
--- a/packages/registry/src/run.ts
+++ b/packages/registry/src/start-registry.ts
@@ -1,33 +1,33 @@
 import type Koa from 'koa';
 import { type Address, type ZoneName, type NodeId, totalViolations } from '@switchwheel/types';
-import { type WireEffect, ChannelPool } from '@switchwheel/transport';
+import { type ProcessEffect, ChannelPool } from '@switchwheel/transport';
 import {
-  type Outside,
+  type ExternalRequest,
   type ClusterProposal,
-  type Registry,
+  type RegistryState,
   type RegistryEffect,
   type RegistryEvent,
   hasMajorityContact,
-  newRegistry,
-  registryStep,
+  newRegistryState,
+  registryTransition,
 } from '@switchwheel/membership';
 import {
-  type Log,
-  type Running,
-  isWireEffect,
-  metricsText,
-  newDice,
+  type Logger,
+  type RunningProgram,
+  isProcessEffect,
+  formatMetrics,
+  newRandomState,
   newIncarnation,
   now,
-  openDoor,
-  plainReading as plain,
-  runLoop,
-  wait,
+  startHttpServer,
+  metricSample as plain,
+  runEventLoop,
+  delay,
 } from '@switchwheel/runtime';
-import type { Ask } from './outside/app.js';
+import type { SubmitRequest } from './http/app.js';
 
 /** What a registry needs to know of its place. */
-export interface RegistryBoot {
+export interface RegistrySettings {
   readonly node: NodeId;
   readonly area: ZoneName;
   readonly listen: Address;
@@ -36,39 +36,39 @@
 }
 
 /** What the outside door of a registry is made of. */
-export interface Inside {
-  readonly ask: Ask;
-  readonly ready: () => boolean;
-  readonly metrics: () => string;
-  readonly state: () => Registry;
+export interface RegistryPort {
+  readonly submit: SubmitRequest;
+  readonly isReady: () => boolean;
+  readonly renderMetrics: () => string;
+  readonly state: () => RegistryState;
 }
 
 /** What a fleet that founds itself gives a registry besides. */
-export interface RegistryWays {
+export interface RegistryOptions {
   readonly proposal?: ClusterProposal | undefined;
   /** Whether nodes that run nothing may start on what disks hold. */
-  readonly eager?: boolean;
+  readonly offersDiskHints?: boolean;
   /** How often time is let pass, in milliseconds. */
-  readonly tickMs?: number;
+  readonly tickIntervalMs?: number;
 }
 
-interface Answer {
+interface RegistryResponse {
   readonly status: number;
   readonly body: string;
 }
 
 /** A registry that runs in this process. */
-export interface RunningRegistry extends Running {
+export interface RunningRegistry extends RunningProgram {
   /** Tells the primary that this registry's vote is about to go; all else goes on until the stop. */
   readonly leave: () => void;
 }
 
 /** Starts a registry; `app` makes its door for origins and operators. */
 export const startRegistry = async (
-  boot: RegistryBoot,
-  log: Log,
-  app: (inside: Inside) => Koa,
-  { proposal, eager, tickMs }: RegistryWays = {},
+  boot: RegistrySettings,
+  log: Logger,
+  app: (inside: RegistryPort) => Koa,
+  { proposal, offersDiskHints, tickIntervalMs }: RegistryOptions = {},
 ): Promise<RunningRegistry> => {
   const member = {
     node: boot.node,
@@ -84,64 +84,80 @@
     address: member.address,
     incarnation: member.incarnation,
   });
-  const waiting = new Map<number, (answer: Answer) => void>();
+  const waiting = new Map<number, (answer: RegistryResponse) => void>();
   let lastRef = 0;
 
-  type OwnEffect = Exclude<RegistryEffect, WireEffect>;
+  type OwnEffect = Exclude<RegistryEffect, ProcessEffect>;
   const run = (effect: OwnEffect): void => {
-    waiting.get(effect.ref)?.({ status: effect.status, body: effect.body });
-    waiting.delete(effect.ref);
+    waiting.get(effect.correlationId)?.({ status: effect.status, body: effect.body });
+    waiting.delete(effect.correlationId);
   };
-  const isOwnWire = (effect: RegistryEffect): effect is WireEffect => isWireEffect(effect);
-  const loop = runLoop<Registry, RegistryEvent, OwnEffect>(
-    registryStep,
-    newRegistry(member, boot.seeds, now(), newDice(), proposal, eager ?? false),
+  const isOwnWire = (effect: RegistryEffect): effect is ProcessEffect => isProcessEffect(effect);
+  const loop = runEventLoop<RegistryState, RegistryEvent, OwnEffect>(
+    registryTransition,
+    newRegistryState(
+      member,
+      boot.seeds,
+      now(),
+      newRandomState(),
+      proposal,
+      offersDiskHints ?? false,
+    ),
     yard,
     log,
     run,
     isOwnWire,
-    tickMs,
+    tickIntervalMs,
   );
-  const state = loop.store.state;
+  const state = loop.machine.state;
 
-  const ask = (call: Outside): Promise<Answer> =>
+  const ask = (call: ExternalRequest): Promise<RegistryResponse> =>
     new Promise((done) => {
       lastRef += 1;
       const ref = lastRef;
       waiting.set(ref, done);
-      loop.tell((at) => ({ kind: 'outside', now: at, ref, call }));
+      loop.dispatch((at) => ({
+        kind: 'requestReceived',
+        now: at,
+        correlationId: ref,
+        request: call,
+      }));
     });
 
   let worstLag = 0;
   const metrics = (): string => {
     const one = state();
-    worstLag = Math.max(worstLag, loop.lag());
-    return metricsText([
+    worstLag = Math.max(worstLag, loop.takeMaxLagMs());
+    return formatMetrics([
       plain(
         'sessions',
         [...one.sessions.values()].filter((row) => row.registry === member.node).length,
       ),
       plain('origins', one.origins.size),
       plain('generation', one.feed.current?.generation ?? 0),
-      plain('purges_top', one.feed.top),
+      plain('purges_top', one.feed.latestPurge),
       plain('feed_age_ms', one.feed.asOf === undefined ? -1 : Math.round(now() - one.feed.asOf)),
-      plain('pieces', one.pieces.size),
-      plain('pieces_wanted', one.wanted.size),
-      plain('calls_pending', one.pending.size),
+      plain('pieces', one.chunks.size),
+      plain('pieces_wanted', one.chunkWaiters.size),
+      plain('calls_pending', one.pendingCommands.size),
       plain('invariant_violations_total', totalViolations(one.violations)),
-      plain('voter_recovering', one.voter.recovering ? 1 : 0),
+      plain('voter_recovering', one.voter.isRecovering ? 1 : 0),
       plain('loop_lag_worst_ms', worstLag),
-      plain('foreign_channels_total', yard.foreign),
+      plain('foreign_channels_total', yard.protocolErrorCount),
       plain('memory_bytes', process.memoryUsage.rss()),
     ]);
   };
 
-  const ready = (): boolean => !state().stopping && hasMajorityContact(state(), now());
-  const door = await openDoor(app({ ask, ready, metrics, state }), boot.door, {
-    headersMs: 5000,
-    requestMs: 30_000,
-    headerBytes: 16 * 1024,
-  });
+  const ready = (): boolean => !state().isStopping && hasMajorityContact(state(), now());
+  const door = await startHttpServer(
+    app({ submit: ask, isReady: ready, renderMetrics: metrics, state }),
+    boot.door,
+    {
+      headersTimeoutMs: 5000,
+      requestTimeoutMs: 30_000,
+      maxHeaderBytes: 16 * 1024,
+    },
+  );
   await yard.listen();
   log.write(
     'info',
@@ -152,15 +168,15 @@
     ]),
   );
 
-  const leave = (): void => loop.tell((at) => ({ kind: 'stop', now: at }));
+  const leave = (): void => loop.dispatch((at) => ({ kind: 'stopRequested', now: at }));
   return {
     leave,
     stop: async () => {
       leave();
-      door.shut();
+      door.stopAccepting();
       const until = now() + 4000;
-      while (waiting.size > 0 && now() < until) await wait(20);
-      loop.end();
+      while (waiting.size > 0 && now() < until) await delay(20);
+      loop.stop();
       yard.close();
     },
   };
--- a/packages/replicated-store/src/command/apply.test.ts
+++ b/packages/replicated-store/src/commands/apply-configuration.test.ts
@@ -6,27 +6,27 @@
   nextSeq,
   noSeq,
   toAddress,
-  toCallId,
+  toCommandId,
   toGeneration,
 } from '@switchwheel/types';
 import {
-  type Control,
-  absorbAll,
-  hashOf,
-  keptCalls,
-  keptNumbers,
-  noControl,
+  type ControlState,
+  applyPuts,
+  contentHash,
+  maxKeptOutcomes,
+  maxKeptGenerations,
+  emptyControlState,
 } from '@switchwheel/configuration';
-import { decideApply } from './apply.js';
+import { decideApply } from './apply-configuration.js';
 import type { Command } from '../state/state.js';
 
 const texts = ['a', 'b', 'c'];
 const state = {
-  heldPieces: new Map(texts.map((text) => [hashOf(text), text])),
+  heldChunks: new Map(texts.map((text) => [contentHash(text), text])),
   commandQueue: [],
 };
-const contents: readonly Hash[] = texts.map((text) => hashOf(text));
-const contentAt = (at: number): Hash => contents[at % contents.length] ?? hashOf('a');
+const contents: readonly Hash[] = texts.map((text) => contentHash(text));
+const contentAt = (at: number): Hash => contents[at % contents.length] ?? contentHash('a');
 
 const commandOf = (
   id: number,
@@ -34,7 +34,7 @@
   hash: Hash,
 ): Extract<Command, { kind: 'apply' }> => ({
   kind: 'apply',
-  asker: { to: toAddress('10.0.0.1:1'), id: toCallId(`c${id}`) },
+  asker: { to: toAddress('10.0.0.1:1'), id: toCommandId(`c${id}`) },
   hash,
   order: [hash],
   base: undefined,
@@ -44,7 +44,7 @@
 
 /** Orders of configurations, one after another, each under its own call id. */
 class Orders {
-  control: Control = noControl;
+  control: ControlState = emptyControlState;
   #seq = noSeq;
   #id = 0;
 
@@ -53,28 +53,28 @@
     this.#seq = nextSeq(this.#seq);
     const asked = number === undefined ? undefined : toGeneration(number);
     const decision = decideApply(state, this.control, commandOf(this.#id, asked, hash), this.#seq);
-    this.control = absorbAll(this.control, decision.puts);
+    this.control = applyPuts(this.control, decision.puts);
     assert.equal(decision.immediateReplies.length, 0, 'answered once what it rests on lasts');
-    return decision.results[0]?.status ?? 0;
+    return decision.repliesAfterWrite[0]?.status ?? 0;
   }
 }
 
 void test('the contents of the newest numbers are kept, and no more', () => {
   const orders = new Orders();
-  const many = keptNumbers + 200;
+  const many = maxKeptGenerations + 200;
   for (let number = 1; number <= many; number += 1)
     assert.equal(orders.send(number, contentAt(number)), 200);
-  assert.equal(orders.control.numbers.size, keptNumbers);
-  assert.ok(orders.control.calls.size <= keptCalls);
-  const least = many - keptNumbers + 1;
-  assert.equal(Math.min(...orders.control.numbers.keys()), least);
+  assert.equal(orders.control.hashByGeneration.size, maxKeptGenerations);
+  assert.ok(orders.control.commandOutcomes.size <= maxKeptOutcomes);
+  const least = many - maxKeptGenerations + 1;
+  assert.equal(Math.min(...orders.control.hashByGeneration.keys()), least);
   assert.equal(orders.send(least, contentAt(least + 1)), 409);
   assert.equal(orders.send(least, contentAt(least)), 200);
   // Below all that is kept the content is not known: acknowledged, and nothing is kept of it.
   assert.equal(orders.send(least - 1, contentAt(least)), 200);
-  assert.equal(orders.control.numbers.has(toGeneration(least - 1)), false);
-  assert.equal(orders.control.numbers.size, keptNumbers);
-  assert.equal(orders.control.stored?.offer.generation, many);
+  assert.equal(orders.control.hashByGeneration.has(toGeneration(least - 1)), false);
+  assert.equal(orders.control.hashByGeneration.size, maxKeptGenerations);
+  assert.equal(orders.control.configuration?.offer.generation, many);
 });
 
 void test('numbers that the store gives itself have one content too', () => {
@@ -89,7 +89,7 @@
 void test('the content in force counts although no record of its number was kept', () => {
   const orders = new Orders();
   orders.send(5, contentAt(0));
-  orders.control = { ...orders.control, numbers: new Map() };
+  orders.control = { ...orders.control, hashByGeneration: new Map() };
   assert.equal(orders.send(5, contentAt(1)), 409);
   assert.equal(orders.send(5, contentAt(0)), 200);
 });
@@ -108,7 +108,7 @@
       assert.equal(status, known === undefined || known === hash ? 200 : 409);
       if (status === 200) confirmed.set(number, hash);
       const top = Math.max(...confirmed.keys());
-      const offer = orders.control.stored?.offer;
+      const offer = orders.control.configuration?.offer;
       assert.deepEqual([offer?.generation, offer?.hash], [top, confirmed.get(top)]);
     }
   }
--- a/packages/replicated-store/src/command/call-bodies.test.ts
+++ b/packages/replicated-store/src/commands/call-bodies.test.ts
@@ -7,7 +7,7 @@
 import {
   toAddress,
   toZoneName,
-  toCallId,
+  toCommandId,
   toEpoch,
   toFleetId,
   toIncarnation,
@@ -16,14 +16,14 @@
   toSeq,
 } from '@switchwheel/types';
 import type { FrameOf, Peer } from '@switchwheel/transport';
-import { bundleHash, hashOf } from '@switchwheel/configuration';
-import { storeStep } from '../machine.js';
-import type { StoreEffect } from '../state/event.js';
-import { type Store, newStore } from '../state/state.js';
-import { onCall } from './calls.js';
+import { configurationHash, contentHash } from '@switchwheel/configuration';
+import { storeTransition } from '../machine.js';
+import type { StoreEffect } from '../state/events.js';
+import { type StoreState, newStoreState } from '../state/state.js';
+import { onOperatorCommand } from './operator-commands.js';
 
 type Verb = FrameOf<'call'>['verb'];
-type CallStep = ReturnType<typeof onCall>;
+type CallStep = ReturnType<typeof onOperatorCommand>;
 
 const now = toTimestamp(1000);
 const registry: Peer = {
@@ -33,11 +33,11 @@
 };
 const ownNode = toNodeId('store-1');
 const chunk = '{"format":1}';
-const chunkHash = hashOf(chunk);
-const contentHash = bundleHash([chunkHash]);
+const chunkHash = contentHash(chunk);
+const configurationHashText = configurationHash([chunkHash]);
 
 /** A primary with an empty configuration, and one piece of content at hand. */
-const primaryStore = (): Store => {
+const primaryStore = (): StoreState => {
   const address = toAddress('127.0.0.1:7010');
   const metadata = {
     fleet: toFleetId('fleet.1'),
@@ -49,8 +49,8 @@
       members: [{ node: registry.node, address: registry.address }],
     },
   };
-  const { state } = storeStep(
-    newStore(
+  const { state } = storeTransition(
+    newStoreState(
       {
         node: ownNode,
         role: 'store',
@@ -62,10 +62,10 @@
       { seed: 1 },
     ),
     {
-      kind: 'read',
+      kind: 'diskRead',
       now,
-      found: {
-        found: 'whole',
+      contents: {
+        status: 'complete',
         metadata,
         stamp: { epoch: toEpoch(1), seq: toSeq(1) },
         entries: [
@@ -80,15 +80,15 @@
   );
   return {
     ...state,
-    serving: true,
-    heldPieces: new Map([[chunkHash, chunk]]),
+    isServing: true,
+    heldChunks: new Map([[chunkHash, chunk]]),
     candidate: {
       ...state.candidate,
       phase: {
         phase: 'holdingLease',
-        until: toTimestamp(9000),
-        asked: now,
-        won: now,
+        leaseEndsAt: toTimestamp(9000),
+        renewalRequestedAt: now,
+        wonAt: now,
         epoch: toEpoch(1),
         votes: new Map(),
       },
@@ -97,7 +97,12 @@
 };
 
 const callWith = (verb: Verb, body: string): CallStep =>
-  onCall(primaryStore(), registry, { kind: 'call', id: toCallId('call-1'), verb, body }, now);
+  onOperatorCommand(
+    primaryStore(),
+    registry,
+    { kind: 'call', id: toCommandId('call-1'), verb, body },
+    now,
+  );
 
 /** The answers among effects: status and body. */
 const answersIn = (effects: readonly StoreEffect[]): readonly (readonly [number, unknown])[] =>
@@ -115,17 +120,20 @@
 ];
 
 void test('an apply names the content, the order of its chunks and its number', () => {
-  const body = `{"hash":"${contentHash}","order":["${chunkHash}"],"number":7}`;
+  const body = `{"hash":"${configurationHashText}","order":["${chunkHash}"],"number":7}`;
   const { state, effects } = callWith('apply', body);
   assert.deepEqual(answersIn(effects), []);
-  const [command] = state.compiling.get(contentHash) ?? [];
+  const [command] = state.compiling.get(configurationHashText) ?? [];
   assert.ok(command !== undefined);
-  assert.deepEqual([command.hash, command.order, command.number], [contentHash, [chunkHash], 7]);
+  assert.deepEqual(
+    [command.hash, command.order, command.number],
+    [configurationHashText, [chunkHash], 7],
+  );
 });
 
 void test('an apply may leave its number out', () => {
-  const body = `{"hash":"${contentHash}","order":["${chunkHash}"]}`;
-  const [command] = callWith('apply', body).state.compiling.get(contentHash) ?? [];
+  const body = `{"hash":"${configurationHashText}","order":["${chunkHash}"]}`;
+  const [command] = callWith('apply', body).state.compiling.get(configurationHashText) ?? [];
   assert.ok(command !== undefined);
   assert.equal(command.number, undefined);
 });
@@ -165,7 +173,7 @@
 
 const incompleteBodies: readonly (readonly [Verb, string, string])[] = [
   ['apply', `{"order":["${chunkHash}"]}`, 'not a description in pieces'],
-  ['apply', `{"hash":"${contentHash}"}`, 'not a description in pieces'],
+  ['apply', `{"hash":"${configurationHashText}"}`, 'not a description in pieces'],
   ['purge', '[]', 'a purge names 1 to 10000 objects or tags'],
   ['purge', '[{"by":"tag"}]', 'a purge names 1 to 10000 objects or tags'],
   [
--- a/packages/replicated-store/src/command/repair.ts
+++ b/packages/replicated-store/src/commands/chunk-repair.ts
@@ -10,27 +10,27 @@
   transition,
 } from '@switchwheel/types';
 import { log, send } from '@switchwheel/transport';
-import type { StoreEffect } from '../state/event.js';
-import { type Store, ownId } from '../state/state.js';
+import type { StoreEffect } from '../state/events.js';
+import { type StoreState, ownId } from '../state/state.js';
 import { enqueue } from './queue.js';
 
-type Done = Transition<Store, StoreEffect>;
+type StoreTransition = Transition<StoreState, StoreEffect>;
 /** How often registries are asked for what the table lacks. */
-const repairInterval = 500;
-const maxPiecesPerRequest = 64;
+const repairIntervalMs = 500;
+const maxChunksPerRequest = 64;
 
 /** The pieces of the description in force that the table lacks. */
-export const lackingPieces = ({ control }: Pick<Store, 'control'>): readonly Hash[] =>
-  control.stored?.offer.pieces.filter((hash) => !control.pieces.has(hash)) ?? [];
+export const lackingChunks = ({ control }: Pick<StoreState, 'control'>): readonly Hash[] =>
+  control.configuration?.offer.pieces.filter((hash) => !control.chunks.has(hash)) ?? [];
 
 /** Asks every registry for the pieces that the table lacks. */
-export const tickRepair = (state: Store, now: Timestamp): Done => {
-  if (now - state.repairAskedAt < repairInterval) return transition(state);
-  const hashes = lackingPieces(state).slice(0, maxPiecesPerRequest);
+export const tickChunkRepair = (state: StoreState, now: Timestamp): StoreTransition => {
+  if (now - state.chunksRequestedAt < repairIntervalMs) return transition(state);
+  const hashes = lackingChunks(state).slice(0, maxChunksPerRequest);
   if (hashes.length === 0) return transition(state);
   const word = { kind: 'piece-request' as const, node: ownId(state), hashes };
   return transition(
-    { ...state, repairAskedAt: now },
+    { ...state, chunksRequestedAt: now },
     log('error', 'the description in force lacks pieces: registries are asked', [
       'missing',
       hashes.length,
@@ -40,8 +40,8 @@
 };
 
 /** Stores a held piece if the description in force lacks it. */
-export const storeLackingPiece = (state: Store, hash: Hash): Done => {
-  if (!lackingPieces(state).includes(hash)) return transition(state);
+export const storeLackingChunk = (state: StoreState, hash: Hash): StoreTransition => {
+  if (!lackingChunks(state).includes(hash)) return transition(state);
   return prependEffects(
     [log('info', 'a lacking piece came and is stored', ['piece', hash])],
     enqueue(state, { kind: 'pieces', hashes: [hash] }),
--- a/packages/replicated-store/src/command/decide.ts
+++ b/packages/replicated-store/src/commands/decide.ts
@@ -1,58 +1,61 @@
 import { type Seq, equalAsJson, nextSeq } from '@switchwheel/types';
-import type { Purge, Put } from '@switchwheel/transport';
+import type { Purge, TableMutation } from '@switchwheel/transport';
 import {
-  type Control,
-  type NodeRow,
-  erase,
-  keyOf,
-  plan,
+  type ControlState,
+  type NodeRecord,
+  deleteRecord,
+  controlKeys,
+  planRollout,
   policy as policySchema,
-  surplusPurges,
-  topPurge,
-  turn,
-  write,
-  head as headSchema,
+  purgesToDrop,
+  latestPurge,
+  tickRollout,
+  putRecord,
+  configurationHeader as headSchema,
 } from '@switchwheel/configuration';
 import * as v from 'valibot';
-import { decideApply } from './apply.js';
-import { type Decision, callResult, earlierResult, noChange, rememberResult } from './decision.js';
-import { piecePuts } from './pieces.js';
-import { decideOrder, decideRelease } from './order.js';
-import { originPuts } from '../origins/origins.js';
-import type { Command, Store } from '../state/state.js';
+import { decideApply } from './apply-configuration.js';
+import { type Decision, commandReply, earlierReply, noChange, rememberReply } from './decision.js';
+import { chunkPuts } from './chunks.js';
+import { decideRolloutRequest, decideRelease } from './rollout-request.js';
+import { originPuts } from '../origins/origin-records.js';
+import type { Command, StoreState } from '../state/state.js';
 
 const decidePurge = (
-  control: Control,
+  control: ControlState,
   command: Extract<Command, { kind: 'purge' }>,
   seq: Seq,
 ): Decision => {
-  const again = earlierResult(control, command, seq);
+  const again = earlierReply(control, command, seq);
   if (again !== undefined) return again;
-  const number = nextSeq(topPurge(control));
+  const number = nextSeq(latestPurge(control));
   const batch: Purge = { seq: number, aims: [...command.aims] };
-  const result = callResult(command, 200, {
+  const result = commandReply(command, 200, {
     kind: 'accepted',
     purge: number,
     aims: command.aims.length,
   });
-  const old = surplusPurges(control.purges, batch);
+  const old = purgesToDrop(control.purges, batch);
   return {
     ...noChange,
-    results: [result],
+    repliesAfterWrite: [result],
     puts: [
-      write(keyOf.purge(number), batch),
-      ...old.map((one) => erase(keyOf.purge(one.seq))),
-      ...rememberResult(control, result, seq),
+      putRecord(controlKeys.purge(number), batch),
+      ...old.map((one) => deleteRecord(controlKeys.purge(one.seq))),
+      ...rememberReply(control, result, seq),
     ],
   };
 };
 
-const decideNode = (control: Control, command: Extract<Command, { kind: 'node' }>): Decision => {
+const decideNode = (
+  control: ControlState,
+  command: Extract<Command, { kind: 'node' }>,
+): Decision => {
   const known = control.nodes.get(command.node);
   const { role, incarnation, online, report } = command;
   if (known !== undefined && known.incarnation > incarnation) return noChange;
   const fresh = known?.incarnation !== incarnation;
-  const row: NodeRow = {
+  const row: NodeRecord = {
     role,
     incarnation,
     online,
@@ -63,13 +66,16 @@
     failed: report.failed?.hash ?? (fresh || report.phase === 'applied' ? undefined : known.failed),
   };
   if (known !== undefined && equalAsJson(known, row)) return noChange;
-  return { ...noChange, puts: [write(keyOf.node(command.node), row)] };
+  return { ...noChange, puts: [putRecord(controlKeys.node(command.node), row)] };
 };
 
-const decideTrial = (control: Control, command: Extract<Command, { kind: 'trial' }>): Decision => {
+const decideCanary = (
+  control: ControlState,
+  command: Extract<Command, { kind: 'trial' }>,
+): Decision => {
   const { service, release, spent, bad, good, seen, state } = command.word;
-  const key = keyOf.verdict(service, release);
-  const known = control.verdicts.get(key);
+  const key = controlKeys.verdict(service, release);
+  const known = control.canaryResults.get(key);
   // Counts only grow, and a bad verdict stays.
   const next = {
     service,
@@ -92,24 +98,27 @@
     known.state === next.state
   )
     return noChange;
-  return { ...noChange, puts: [write(key, next)] };
+  return { ...noChange, puts: [putRecord(key, next)] };
 };
 
-const policyOf = (control: Control): v.InferOutput<typeof policySchema> => {
-  const first = control.stored?.offer.pieces[0];
-  const text = first === undefined ? undefined : control.pieces.get(first);
+const rolloutPolicyOf = (control: ControlState): v.InferOutput<typeof policySchema> => {
+  const first = control.configuration?.offer.pieces[0];
+  const text = first === undefined ? undefined : control.chunks.get(first);
   const read = text === undefined ? undefined : v.safeParse(headSchema, JSON.parse(text));
   return read?.success === true ? read.output.rollout : v.parse(policySchema, {});
 };
 
 /** Compare-and-set: a change of a rollout or a target counts only on the revision it was made from. */
-export const guard = (control: Control, puts: readonly Put[]): readonly Put[] =>
+export const onlyCurrentRevisions = (
+  control: ControlState,
+  puts: readonly TableMutation[],
+): readonly TableMutation[] =>
   puts.filter(({ key, data }) => {
     if (data === null) return true;
     const old = key.startsWith('target/')
       ? control.targets.get(key)
       : key.startsWith('rollout/')
-        ? [...control.rollouts.values()].find((one) => keyOf.rollout(one.generation) === key)
+        ? [...control.rollouts.values()].find((one) => controlKeys.rollout(one.generation) === key)
         : undefined;
     if (old === undefined) return true;
     const read = v.safeParse(v.object({ rev: v.number() }), JSON.parse(data));
@@ -121,21 +130,24 @@
 
 /** What one command changes, seen from the control state as it will be after those before it. */
 export const decide = (
-  state: Store,
-  control: Control,
+  state: StoreState,
+  control: ControlState,
   command: Command,
   seq: Seq,
-  now: Store['engineRanAt'],
-): Decision & { readonly seen?: Store['seen']; readonly opened?: Store['opened'] } => {
+  now: StoreState['rolloutsAdvancedAt'],
+): Decision & {
+  readonly seen?: StoreState['targetStatusSeen'];
+  readonly opened?: StoreState['rolloutOpenedAt'];
+} => {
   switch (command.kind) {
     case 'apply':
       return decideApply(state, control, command, seq);
     case 'pieces':
-      return { ...noChange, puts: piecePuts(state, control, command.hashes) };
+      return { ...noChange, puts: chunkPuts(state, control, command.hashes) };
     case 'purge':
       return decidePurge(control, command, seq);
     case 'electorate': {
-      const again = earlierResult(control, command, seq);
+      const again = earlierReply(control, command, seq);
       if (again !== undefined) return again;
       if (
         state.metadata !== undefined &&
@@ -144,18 +156,21 @@
         return {
           ...noChange,
           immediateReplies: [
-            callResult(command, 409, {
+            commandReply(command, 409, {
               kind: 'stale',
               text: 'the electorate changed meanwhile; ask again with a new id',
             }),
           ],
         };
       }
-      const result = callResult(command, 200, { kind: 'accepted', electorate: command.electorate });
+      const result = commandReply(command, 200, {
+        kind: 'accepted',
+        electorate: command.electorate,
+      });
       return {
         ...noChange,
-        results: [result],
-        puts: rememberResult(control, result, seq),
+        repliesAfterWrite: [result],
+        puts: rememberReply(control, result, seq),
         electorate: command.electorate,
       };
     }
@@ -165,20 +180,20 @@
       return decideNode(control, command);
     case 'forget':
       return control.nodes.get(command.node)?.online === false
-        ? { ...noChange, puts: [erase(keyOf.node(command.node))] }
+        ? { ...noChange, puts: [deleteRecord(controlKeys.node(command.node))] }
         : noChange;
     case 'trial':
-      return decideTrial(control, command);
+      return decideCanary(control, command);
     case 'order': {
-      const again = earlierResult(control, command, seq);
+      const again = earlierReply(control, command, seq);
       if (again !== undefined) return again;
-      const ordered = decideOrder(state, control, command, now);
-      const result = callResult(command, ordered.status, ordered.body);
+      const ordered = decideRolloutRequest(state, control, command, now);
+      const result = commandReply(command, ordered.status, ordered.body);
       if (ordered.status !== 200) return { ...noChange, immediateReplies: [result] };
       return {
         ...noChange,
-        results: [result],
-        puts: [...ordered.puts, ...rememberResult(control, result, seq)],
+        repliesAfterWrite: [result],
+        puts: [...ordered.puts, ...rememberReply(control, result, seq)],
       };
     }
     case 'release':
@@ -189,12 +204,15 @@
         puts: originPuts(control.origins, state.session.origins, command.sure, now),
       };
     case 'plan':
-      return { ...noChange, puts: guard(control, plan(control, policyOf(control))) };
+      return {
+        ...noChange,
+        puts: onlyCurrentRevisions(control, planRollout(control, rolloutPolicyOf(control))),
+      };
     case 'turn': {
-      const result = turn(control, state.seen, state.opened, now);
+      const result = tickRollout(control, state.targetStatusSeen, state.rolloutOpenedAt, now);
       return {
         ...noChange,
-        puts: guard(control, result.puts),
+        puts: onlyCurrentRevisions(control, result.puts),
         seen: result.seen,
         opened: result.opened,
       };
--- a/packages/replicated-store/src/command/queue.ts
+++ b/packages/replicated-store/src/commands/queue.ts
@@ -1,35 +1,38 @@
 import { type Transition, transition } from '@switchwheel/types';
 import { send } from '@switchwheel/transport';
-import type { StoreEffect } from '../state/event.js';
-import type { CallResult, Command, Store } from '../state/state.js';
+import type { StoreEffect } from '../state/events.js';
+import type { CommandReply, Command, StoreState } from '../state/state.js';
 
 /** The most commands that wait for their write at once. */
 export const maxQueuedCommands = 1024;
-const retryAfterFullQueueMs = 1000;
+const fullQueueRetryMs = 1000;
 
 /** The frame that answers an operator's call. */
-export const callReply = (result: CallResult): StoreEffect =>
-  send(result.to, {
+export const sendReply = (reply: CommandReply): StoreEffect =>
+  send(reply.to, {
     kind: 'called',
-    id: result.id,
-    status: result.status,
-    body: result.body,
+    id: reply.id,
+    status: reply.status,
+    body: reply.body,
   });
 
 const queueIsFull = (command: Extract<Command, { asker: unknown }>): StoreEffect =>
-  callReply({
+  sendReply({
     ...command.asker,
     status: 503,
     body: JSON.stringify({
       kind: 'rejected',
       id: command.asker.id,
       text: 'too many writes wait',
-      retryAfterMs: retryAfterFullQueueMs,
+      retryAfterMs: fullQueueRetryMs,
     }),
   });
 
 /** Appends a command to the queue, or rejects it if too many wait; the write starts at the end of the step. */
-export const enqueue = (state: Store, command: Command): Transition<Store, StoreEffect> => {
+export const enqueue = (
+  state: StoreState,
+  command: Command,
+): Transition<StoreState, StoreEffect> => {
   if (state.commandQueue.length < maxQueuedCommands)
     return transition({ ...state, commandQueue: [...state.commandQueue, command] });
   return 'asker' in command ? transition(state, queueIsFull(command)) : transition(state);
--- a/packages/replicated-store/src/command/order.ts
+++ b/packages/replicated-store/src/commands/rollout-request.ts
@@ -1,57 +1,61 @@
 import type { Timestamp, Release, ServiceName } from '@switchwheel/types';
-import type { Put } from '@switchwheel/transport';
+import type { TableMutation } from '@switchwheel/transport';
 import {
-  type Control,
-  type ReleaseOrder,
-  keyOf,
-  order,
+  type ControlState,
+  type ReleaseRollout,
+  controlKeys,
+  requestReleaseRollout,
   releaseSettings,
-  settledOn,
-  write,
+  settledRollout,
+  putRecord,
 } from '@switchwheel/configuration';
-import { mostStanding, spentOf, standingOf } from '../release/release.js';
-import type { Command, Store } from '../state/state.js';
+import {
+  mostCommonRelease,
+  elapsedOf,
+  liveOriginsByRelease,
+} from '../releases/release-progress.js';
+import type { Command, StoreState } from '../state/state.js';
 
 /** What an order comes to: an answer, and the record it opens. */
-interface OrderDecision {
+interface RolloutRequestDecision {
   readonly status: 200 | 409;
   readonly body: object;
-  readonly puts: readonly Put[];
+  readonly puts: readonly TableMutation[];
 }
 
 /** The release to go back to: the settled one, unless none of it stands any more and another does. */
-const settledFor = (
-  state: Store,
-  known: ReleaseOrder,
+const settledReleaseFor = (
+  state: StoreState,
+  known: ReleaseRollout,
   service: ServiceName,
   target: Release,
 ): Release | undefined => {
-  const standing = standingOf(state, service);
+  const standing = liveOriginsByRelease(state, service);
   if (known.settled !== undefined && (known.settled === target || standing.has(known.settled)))
     return known.settled;
-  return mostStanding(standing, target) ?? known.settled;
+  return mostCommonRelease(standing, target) ?? known.settled;
 };
 
 /** Opens an order to move a service to a release, unless it stands already or another one is under way. */
-export const decideOrder = (
-  state: Store,
-  control: Control,
+export const decideRolloutRequest = (
+  state: StoreState,
+  control: ControlState,
   command: Extract<Command, { kind: 'order' }>,
   now: Timestamp,
-): OrderDecision => {
+): RolloutRequestDecision => {
   const { service, target, spanMs } = command;
-  const known = control.releases.get(service) ?? settledOn(service, undefined);
-  const ordered = order(
+  const known = control.releases.get(service) ?? settledRollout(service, undefined);
+  const ordered = requestReleaseRollout(
     known,
-    settledFor(state, known, service, target),
+    settledReleaseFor(state, known, service, target),
     target,
     spanMs,
-    spentOf(state, known, now),
-    (state.settings.releases ?? releaseSettings).repeatMs,
+    elapsedOf(state, known, now),
+    (state.settings.releases ?? releaseSettings).duplicateWindowMs,
   );
   const accepted = { kind: 'accepted', service, target };
   switch (ordered.kind) {
-    case 'busy':
+    case 'conflict':
       return {
         status: 409,
         body: {
@@ -60,19 +64,22 @@
         },
         puts: [],
       };
-    case 'stands':
+    case 'alreadyAccepted':
       return { status: 200, body: { ...accepted, order: ordered.order }, puts: [] };
     case 'opened':
       return {
         status: 200,
         body: { ...accepted, order: ordered.order.order },
-        puts: [write(keyOf.release(service), ordered.order)],
+        puts: [putRecord(controlKeys.release(service), ordered.order)],
       };
   }
 };
 
 /** Compare-and-set: a change counts only on the record that it was made from. */
-export const decideRelease = (control: Control, next: ReleaseOrder): readonly Put[] => {
+export const decideRelease = (
+  control: ControlState,
+  next: ReleaseRollout,
+): readonly TableMutation[] => {
   const known = control.releases.get(next.service);
   const fits =
     known === undefined
@@ -80,5 +87,5 @@
       : known.order === next.order &&
         (next.serial === known.serial + 1 ||
           (next.serial === known.serial && next.spentMs > known.spentMs));
-  return fits ? [write(keyOf.release(next.service), next)] : [];
+  return fits ? [putRecord(controlKeys.release(next.service), next)] : [];
 };
--- a/packages/replicated-store/src/command/view-forms.test.ts
+++ b/packages/replicated-store/src/commands/view-forms.test.ts
@@ -8,9 +8,9 @@
   toServiceName,
 } from '@switchwheel/types';
 import { jsonShape, snapshotsFor } from '@switchwheel/types/testing';
-import { absorb, noControl } from '@switchwheel/configuration';
-import { newStore } from '../state/state.js';
-import { view, viewRelease } from './view.js';
+import { applyPut, emptyControlState } from '@switchwheel/configuration';
+import { newStoreState } from '../state/state.js';
+import { viewState, viewRelease } from './views.js';
 
 const matchSnapshot = snapshotsFor(import.meta.dirname);
 const now = toTimestamp(5000);
@@ -71,15 +71,15 @@
     address: toAddress('127.0.0.1:1'),
     incarnation: toIncarnation(1),
   };
-  const empty = newStore(member, [], { seed: 1 });
+  const empty = newStoreState(member, [], { seed: 1 });
   const control = rows.reduce(
-    (held, [key, row]) => absorb(held, { key, data: JSON.stringify(row) }),
-    noControl,
+    (held, [key, row]) => applyPut(held, { key, data: JSON.stringify(row) }),
+    emptyControlState,
   );
   const full = { ...empty, control };
   const names = ['description', 'rollouts', 'nodes', 'purges', 'verdicts', 'releases', 'store'];
   const shapes = [empty, full].flatMap((state) =>
-    names.map((name) => `${name}:\n${jsonShape(view(state, name, now))}`),
+    names.map((name) => `${name}:\n${jsonShape(viewState(state, name, now))}`),
   );
   const release = viewRelease(full, toServiceName('clips'), now);
   matchSnapshot('views', [...shapes, `release/clips: ${JSON.stringify(release)}`].join('\n\n'));
--- a/packages/replicated-store/src/command/view.ts
+++ b/packages/replicated-store/src/commands/views.ts
@@ -1,17 +1,21 @@
 import { type Timestamp, noGeneration } from '@switchwheel/types';
 import { heldEpoch } from '@switchwheel/election';
-import { spentOf } from '../release/release.js';
-import { type Store, ownId } from '../state/state.js';
+import { elapsedOf } from '../releases/release-progress.js';
+import { type StoreState, ownId } from '../state/state.js';
 
-const about = (state: Store): object => ({
+const viewHeader = (state: StoreState): object => ({
   store: ownId(state),
   epoch: heldEpoch(state.candidate),
   stamp: state.stamp,
-  generation: state.control.stored?.offer.generation ?? noGeneration,
+  generation: state.control.configuration?.offer.generation ?? noGeneration,
 });
 
 /** The last order of a service, or nothing if there was none. */
-export const viewRelease = (state: Store, service: string, now: Timestamp): object | undefined => {
+export const viewRelease = (
+  state: StoreState,
+  service: string,
+  now: Timestamp,
+): object | undefined => {
   const found = [...state.control.releases.values()].find((one) => one.service === service);
   if (found?.target === undefined) return undefined;
   const { target, phase, settled, share, spanMs, text } = found;
@@ -22,21 +26,21 @@
     settled: settled ?? null,
     share,
     spanMs,
-    spentMs: Math.round(spentOf(state, found, now)),
+    spentMs: Math.round(elapsedOf(state, found, now)),
     text,
   };
 };
 
 /** What operators may ask of the stored state. */
-export const view = (state: Store, what: string, now: Timestamp): object => {
+export const viewState = (state: StoreState, subject: string, now: Timestamp): object => {
   const control = state.control;
-  switch (what) {
+  switch (subject) {
     // The offer alone: the registry that asks collects its pieces, as they may not fit one frame.
     case 'description':
-      return { ...about(state), offer: control.stored?.offer ?? null };
+      return { ...viewHeader(state), offer: control.configuration?.offer ?? null };
     case 'rollouts':
       return {
-        ...about(state),
+        ...viewHeader(state),
         rollouts: [...control.rollouts.values()]
           .sort((one, two) => two.generation - one.generation)
           .map((one) => ({
@@ -48,22 +52,22 @@
       };
     case 'nodes':
       return {
-        ...about(state),
+        ...viewHeader(state),
         nodes: [...control.nodes].map(([node, row]) => ({ node, ...row })),
       };
     case 'purges':
-      return { ...about(state), purges: control.purges };
+      return { ...viewHeader(state), purges: control.purges };
     case 'verdicts':
-      return { ...about(state), verdicts: [...control.verdicts.values()] };
+      return { ...viewHeader(state), verdicts: [...control.canaryResults.values()] };
     case 'releases':
-      return { ...about(state), releases: [...control.releases.values()] };
+      return { ...viewHeader(state), releases: [...control.releases.values()] };
     default:
       return {
-        ...about(state),
+        ...viewHeader(state),
         metadata: state.metadata ?? null,
         entries: state.table.size,
         waitlist: state.commandQueue.length,
-        diskFullMs: state.diskFull === undefined ? null : Math.round(now - state.diskFull),
+        diskFullMs: state.diskFullAt === undefined ? null : Math.round(now - state.diskFullAt),
         peers: [...state.peers.values()].map((one) => ({
           node: one.node,
           stamp: one.stamp,
--- a/packages/replicated-store/src/index.ts
+++ b/packages/replicated-store/src/index.ts
@@ -1,5 +1,5 @@
-export * from './table/table.js';
-export * from './state/event.js';
+export * from './state/table.js';
+export * from './state/events.js';
 export * from './state/state.js';
 export { inSync, isPrimary } from './leadership/candidacy.js';
-export { storeStep } from './machine.js';
+export { storeTransition } from './machine.js';
--- a/packages/replicated-store/src/leadership/electorate.ts
+++ b/packages/replicated-store/src/leadership/electorate.ts
@@ -17,16 +17,16 @@
  */
 import { type Epoch, type Timestamp, type NodeId, type Seq, toSeq } from '@switchwheel/types';
 import type { Electorate } from '@switchwheel/transport';
-import { majority } from '@switchwheel/election';
-import type { Store, Subscriber } from '../state/state.js';
+import { quorumSize } from '@switchwheel/election';
+import type { StoreState, Subscriber } from '../state/state.js';
 
 type Member = Electorate['members'][number];
 
 /** How recently a registry must have spoken to count as in touch. */
-const contactLimit = 1000;
-const defaultSyncMs = 4000;
+const contactTimeoutMs = 1000;
+const defaultRecoveryWindowMs = 4000;
 /** The part of `syncMs` for which a voter is silent before its seat may go. */
-const silenceShare = 0.4;
+const silentVoterShare = 0.4;
 const minElectorate = 3;
 /** How many serials each epoch has to itself. */
 const serialsPerEpoch = 1_000_000;
@@ -55,7 +55,7 @@
   toSeq(Math.max(serial + 1, epoch * serialsPerEpoch));
 
 /** The newest electorate this store knows: the one that it polls as a candidate and as the holder. */
-export const polledElectorate = (state: Store): Electorate | undefined => {
+export const polledElectorate = (state: StoreState): Electorate | undefined => {
   const stored = state.metadata?.electorate;
   const heard = state.session.electorate;
   return stored !== undefined && heard !== undefined && heard.serial > stored.serial
@@ -64,43 +64,50 @@
 };
 
 /** Notes since when the electorate that this store polls has been the one that it polls. */
-export const notePolledElectorate = (state: Store, now: Timestamp): Store => {
+export const notePolledElectorate = (state: StoreState, now: Timestamp): StoreState => {
   const set = polledElectorate(state);
   if (set === undefined || set.serial === state.polledElectorate.serial) return state;
   return { ...state, polledElectorate: { serial: set.serial, since: now } };
 };
 
 /** Whether a majority of the electorate has renewed the lease under its serial. */
-const isConfirmed = (state: Store, set: Electorate): boolean => {
+const isConfirmed = (state: StoreState, set: Electorate): boolean => {
   const holding = state.candidate.phase;
   const { serial, since } = state.polledElectorate;
   if (holding.phase !== 'holdingLease' || serial !== set.serial) return false;
   const renewed = set.members.filter((one) => (holding.votes.get(one.node)?.at ?? -1) > since);
-  return renewed.length >= majority(set.members.length);
+  return renewed.length >= quorumSize(set.members.length);
 };
 
-const observeRegistries = (state: Store, won: Timestamp, now: Timestamp): Registries => {
-  const { failureDomains, syncMs = defaultSyncMs } = state.settings;
-  const silenceLimit = syncMs * silenceShare;
+const observeRegistries = (
+  state: StoreState,
+  leaseWonAt: Timestamp,
+  now: Timestamp,
+): Registries => {
+  const { failureDomains, recoveryWindowMs = defaultRecoveryWindowMs } = state.settings;
+  const silenceLimit = recoveryWindowMs * silentVoterShare;
   return {
     isLive: (node) => {
       const known = state.subscribers.get(node);
-      return known?.voter === 'ready' && now - known.at < contactLimit;
+      return known?.voter === 'ready' && now - known.at < contactTimeoutMs;
     },
     isDead: (node) => {
       const known = state.subscribers.get(node);
-      return known?.voter === 'leaving' || now - Math.max(known?.at ?? won, won) >= silenceLimit;
+      return (
+        known?.voter === 'leaving' ||
+        now - Math.max(known?.at ?? leaseWonAt, leaseWonAt) >= silenceLimit
+      );
     },
     domainOf: (node) => {
-      const area = state.subscribers.get(node)?.area;
-      return area === undefined ? node : (failureDomains?.ofArea.get(area) ?? area);
+      const area = state.subscribers.get(node)?.zone;
+      return area === undefined ? node : (failureDomains?.domainOfZone.get(area) ?? area);
     },
     toleratedDomains: failureDomains?.tolerate ?? 0,
   };
 };
 
 /** How many of these voters are left if the largest failure domains that may be lost are. */
-const leftAfterDomainLoss = (live: readonly Member[], registries: Registries): number => {
+const votersAfterDomainLoss = (live: readonly Member[], registries: Registries): number => {
   const sizes = new Map<string, number>();
   for (const { node } of live) {
     const domain = registries.domainOf(node);
@@ -114,9 +121,9 @@
 const resilienceOf = (members: readonly Member[], registries: Registries): Resilience => {
   const live = members.filter((one) => registries.isLive(one.node));
   const dead = members.filter((one) => registries.isDead(one.node));
-  const needed = majority(members.length);
+  const needed = quorumSize(members.length);
   return {
-    shortOnDomainLoss: Math.min(0, leftAfterDomainLoss(live, registries) - needed),
+    shortOnDomainLoss: Math.min(0, votersAfterDomainLoss(live, registries) - needed),
     machines: live.length - needed,
     live: live.length,
     surplusDead: Math.max(0, dead.length - 1),
@@ -178,14 +185,14 @@
 };
 
 /** The electorate with the one change that is due next, if there is one. */
-export const nextElectorate = (state: Store, now: Timestamp): Electorate | undefined => {
+export const nextElectorate = (state: StoreState, now: Timestamp): Electorate | undefined => {
   const set = polledElectorate(state);
   const holding = state.candidate.phase;
   if (set === undefined || holding.phase !== 'holdingLease') return undefined;
   // A newer one that a former primary left behind is written down here before it is changed.
   if (set !== state.metadata?.electorate) return set;
   if (!isConfirmed(state, set)) return undefined;
-  const registries = observeRegistries(state, holding.won, now);
+  const registries = observeRegistries(state, holding.wonAt, now);
   const joinable = [...state.subscribers]
     .filter(([node]) => registries.isLive(node))
     .map(([node, { address }]: readonly [NodeId, Subscriber]) => ({ node, address }));
--- a/packages/replicated-store/src/leadership/leaving.ts
+++ b/packages/replicated-store/src/leadership/graceful-stop.ts
@@ -3,30 +3,34 @@
  * its copy to other stores, so that its end is no loss.
  */
 import type { Timestamp, NodeId } from '@switchwheel/types';
-import { type Store, ownId } from '../state/state.js';
-import { inSync, primaryTimeout, reachableInSync } from './candidacy.js';
+import { type StoreState, ownId } from '../state/state.js';
+import { inSync, primaryTimeoutMs, reachableInSync } from './candidacy.js';
 
 /** How long writes that are under way may hold up the handover. */
-const drainLimit = 500;
+const drainTimeoutMs = 500;
 /** How long the primary has to take this store out of the in-sync set while enough others are in it. */
-const exclusionWait = 1000;
+const exclusionWaitMs = 1000;
 
 /** The stores that hold every confirmed write, are in touch, take writes and stay. */
-export const successors = (state: Store, now: Timestamp): readonly NodeId[] =>
+export const successors = (state: StoreState, now: Timestamp): readonly NodeId[] =>
   reachableInSync(state, now).filter(
-    (one) => one !== ownId(state) && state.peers.get(one)?.leaving !== true,
+    (one) => one !== ownId(state) && state.peers.get(one)?.isStopping !== true,
   );
 
 /** Whether a primary that leaves may hand over: somebody can take over, and nothing is under way. */
-export const mayHandOver = (state: Store, since: Timestamp, now: Timestamp): boolean => {
+export const mayHandOver = (state: StoreState, since: Timestamp, now: Timestamp): boolean => {
   const idle = state.primaryWrite === undefined && state.commandQueue.length === 0;
-  return successors(state, now).length > 0 && (idle || now - since >= drainLimit);
+  return successors(state, now).length > 0 && (idle || now - since >= drainTimeoutMs);
 };
 
 /** Whether the fleet keeps enough copies without this store. */
-export const copiesStandElsewhere = (state: Store, since: Timestamp, now: Timestamp): boolean => {
+export const hasEnoughReplicasElsewhere = (
+  state: StoreState,
+  since: Timestamp,
+  now: Timestamp,
+): boolean => {
   if (state.phase === 'reading' || state.metadata === undefined || !inSync(state)) return true;
-  const led = now - state.primaryHeardAt < primaryTimeout;
+  const led = now - state.primaryHeardAt < primaryTimeoutMs;
   const enough = successors(state, now).length > state.settings.tolerate;
-  return led && enough && now - since >= exclusionWait;
+  return led && enough && now - since >= exclusionWaitMs;
 };
