--- a/packages/replicated-store/src/leadership/copies.ts
+++ b/packages/replicated-store/src/leadership/replica-placement.ts
@@ -5,46 +5,51 @@
  * lost at once with one copy left: it has a machine more, and stands in a domain more.
  */
 import type { Timestamp, NodeId } from '@switchwheel/types';
-import { type PeerStatus, type Store, ownId } from '../state/state.js';
-import { sameStamp } from '../table/table.js';
+import { type PeerStatus, type StoreState, ownId } from '../state/state.js';
+import { isSameStamp } from '../state/table.js';
 
 /** How long a store may be silent before it counts as out of reach. */
-export const peerTimeout = 1000;
+export const peerTimeoutMs = 1000;
 /** How long a learner or backup may be silent and still be chosen. */
-export const backupTimeout = 650;
+export const backupTimeoutMs = 650;
 /** How long a spare that makes no progress is waited for while copies are lacking. */
-const spareStallTimeout = 1500;
+const learnerStallTimeoutMs = 1500;
 /** How long a new primary waits to hear of the stores that it has not heard yet. */
-const discoveryTime = 700;
+const peerDiscoveryMs = 700;
 /** How old the last word of a store may be at most for its silence to be known for what it is. */
-const recentlyHeard = 2000;
+const recentlyHeardMs = 2000;
 
-const knownAreaOf = (state: Store, node: NodeId): Store['session']['member']['area'] | undefined =>
+const knownZoneOf = (
+  state: StoreState,
+  node: NodeId,
+): StoreState['session']['member']['area'] | undefined =>
   node === ownId(state)
     ? state.session.member.area
     : state.session.members.find((one) => one.node === node)?.area;
 
 /** The area (zone) of a store; one that is not known counts as an area of its own. */
-export const areaOf = (state: Store, node: NodeId): string =>
-  knownAreaOf(state, node) ?? `around ${node}`;
+export const zoneOf = (state: StoreState, node: NodeId): string =>
+  knownZoneOf(state, node) ?? `around ${node}`;
 
 /** The failure domain of a store, if its area is known. */
-const domainOf = (state: Store, node: NodeId): string | undefined => {
-  const area = knownAreaOf(state, node);
-  return area === undefined ? undefined : (state.settings.failureDomains?.ofArea.get(area) ?? area);
+const domainOf = (state: StoreState, node: NodeId): string | undefined => {
+  const area = knownZoneOf(state, node);
+  return area === undefined
+    ? undefined
+    : (state.settings.failureDomains?.domainOfZone.get(area) ?? area);
 };
 
-const domainsOf = (state: Store, set: readonly NodeId[]): ReadonlySet<string> =>
+const domainsOf = (state: StoreState, set: readonly NodeId[]): ReadonlySet<string> =>
   new Set(set.map((one) => domainOf(state, one)).filter((one) => one !== undefined));
 
 /** Whether a set of copies bears the losses that the settings ask it to bear. */
-export const hasEnoughCopies = (state: Store, set: readonly NodeId[]): boolean =>
+export const hasEnoughReplicas = (state: StoreState, set: readonly NodeId[]): boolean =>
   set.length > state.settings.tolerate &&
   domainsOf(state, set).size > (state.settings.failureDomains?.tolerate ?? 0);
 
 /** Of some stores the one in a failure domain where a set has no member. */
 const inNewDomain = (
-  state: Store,
+  state: StoreState,
   set: readonly NodeId[],
   stores: readonly NodeId[],
 ): NodeId | undefined => {
@@ -55,28 +60,28 @@
   });
 };
 
-const inNewArea = (
-  state: Store,
+const inNewZone = (
+  state: StoreState,
   set: readonly NodeId[],
   stores: readonly NodeId[],
 ): NodeId | undefined => {
-  const areas = new Set(set.map((one) => areaOf(state, one)));
-  return stores.find((one) => !areas.has(areaOf(state, one)));
+  const areas = new Set(set.map((one) => zoneOf(state, one)));
+  return stores.find((one) => !areas.has(zoneOf(state, one)));
 };
 
 /** Adds stores to a set until it has `copies` members and is sufficient, as far as they help. */
-export const chooseCopies = (
-  state: Store,
+export const chooseReplicas = (
+  state: StoreState,
   kept: readonly NodeId[],
   stores: readonly NodeId[],
 ): readonly NodeId[] => {
   const wanted = Math.max(state.settings.copies, state.settings.tolerate + 1);
   const set = [...kept];
   let left = stores.filter((one) => !set.includes(one));
-  while (set.length < wanted || !hasEnoughCopies(state, set)) {
+  while (set.length < wanted || !hasEnoughReplicas(state, set)) {
     const spread = inNewDomain(state, set, left);
     // Beyond the wanted number only a store in a new domain helps.
-    const next = set.length < wanted ? (spread ?? inNewArea(state, set, left) ?? left[0]) : spread;
+    const next = set.length < wanted ? (spread ?? inNewZone(state, set, left) ?? left[0]) : spread;
     if (next === undefined) break;
     set.push(next);
     left = left.filter((one) => one !== next);
@@ -84,47 +89,47 @@
   return set;
 };
 
-const sameFleet = (state: Store, peer: PeerStatus): boolean =>
+const sameFleet = (state: StoreState, peer: PeerStatus): boolean =>
   peer.metadata === undefined || peer.metadata.fleet === state.metadata?.fleet;
 
 /** The stores in reach, with working disks, that are no members of a set. */
-const reachableSpares = (
-  state: Store,
+const reachableLearners = (
+  state: StoreState,
   set: readonly NodeId[],
   now: Timestamp,
 ): readonly PeerStatus[] =>
   [...state.peers.values()].filter(
     (one) =>
       !set.includes(one.node) &&
-      !one.full &&
-      !one.leaving &&
-      now - one.at < peerTimeout &&
+      !one.isDiskFull &&
+      !one.isStopping &&
+      now - one.at < peerTimeoutMs &&
       sameFleet(state, one),
   );
 
 /** The stores outside of a set that hold every confirmed write, by their own word. */
 export const caughtUpLearners = (
-  state: Store,
+  state: StoreState,
   set: readonly NodeId[],
   now: Timestamp,
 ): readonly NodeId[] =>
-  reachableSpares(state, set, now)
+  reachableLearners(state, set, now)
     .filter(
       (one) =>
-        now - one.at < backupTimeout &&
+        now - one.at < backupTimeoutMs &&
         one.metadata !== undefined &&
-        (sameStamp(one.stamp, state.stamp) || holdsOpenWrite(state, one)),
+        (isSameStamp(one.stamp, state.stamp) || holdsOpenWrite(state, one)),
     )
     .map((one) => one.node)
     .sort();
 
-const holdsOpenWrite = (state: Store, peer: PeerStatus): boolean =>
-  state.primaryWrite !== undefined && sameStamp(peer.stamp, state.primaryWrite.stamp);
+const holdsOpenWrite = (state: StoreState, peer: PeerStatus): boolean =>
+  state.primaryWrite !== undefined && isSameStamp(peer.stamp, state.primaryWrite.stamp);
 
 /** Whether a store that a new primary knows of has not been heard since it won. */
-const awaitsFirstWord = (state: Store, set: readonly NodeId[], now: Timestamp): boolean => {
+const awaitsFirstStatus = (state: StoreState, set: readonly NodeId[], now: Timestamp): boolean => {
   const holding = state.candidate.phase;
-  if (holding.phase !== 'holdingLease' || now - holding.won >= discoveryTime) return false;
+  if (holding.phase !== 'holdingLease' || now - holding.wonAt >= peerDiscoveryMs) return false;
   const known = [
     ...(state.metadata?.stores.map((one) => one.node) ?? []),
     ...state.session.members.filter((one) => one.role === 'store').map((one) => one.node),
@@ -132,13 +137,13 @@
   return known.some(
     (one) =>
       !set.includes(one) &&
-      (state.peers.get(one)?.at ?? -Infinity) < Math.max(0, holding.won - recentlyHeard),
+      (state.peers.get(one)?.at ?? -Infinity) < Math.max(0, holding.wonAt - recentlyHeardMs),
   );
 };
 
 /** Whether a store may soon be taken into a set that is not sufficient. */
-export const awaitsSpare = (state: Store, set: readonly NodeId[], now: Timestamp): boolean =>
-  awaitsFirstWord(state, set, now) ||
-  reachableSpares(state, set, now).some(
-    (one) => now - Math.max(one.progressAt, state.shortageSince ?? now) < spareStallTimeout,
+export const awaitsLearner = (state: StoreState, set: readonly NodeId[], now: Timestamp): boolean =>
+  awaitsFirstStatus(state, set, now) ||
+  reachableLearners(state, set, now).some(
+    (one) => now - Math.max(one.progressAt, state.shortageSince ?? now) < learnerStallTimeoutMs,
   );
--- a/packages/replicated-store/src/primary-write/replacement.ts
+++ b/packages/replicated-store/src/log-write/backup-replacement.ts
@@ -36,27 +36,27 @@
   transition,
 } from '@switchwheel/types';
 import { type ClusterMetadata, log } from '@switchwheel/transport';
-import { holdsLease, requestVotes } from '@switchwheel/election';
+import { holdsLease, startElection } from '@switchwheel/election';
 import { electionContext } from '../leadership/candidacy.js';
 import {
-  awaitsSpare,
-  backupTimeout,
+  awaitsLearner,
+  backupTimeoutMs,
   caughtUpLearners,
-  chooseCopies,
-  hasEnoughCopies,
-} from '../leadership/copies.js';
-import type { StoreEffect } from '../state/event.js';
-import type { Store } from '../state/state.js';
+  chooseReplicas,
+  hasEnoughReplicas,
+} from '../leadership/replica-placement.js';
+import type { StoreEffect } from '../state/events.js';
+import type { StoreState } from '../state/state.js';
 
-type Done = Transition<Store, StoreEffect>;
+type StoreTransition = Transition<StoreState, StoreEffect>;
 
 /** Notes since when copies have been lacking. */
-export const noteShortage = (state: Store, now: Timestamp): Store =>
+export const noteShortage = (state: StoreState, now: Timestamp): StoreState =>
   state.shortageSince === undefined ? { ...state, shortageSince: now } : state;
 
 /** The stores of the metadata, with those of a set that are not in it yet. */
 const storesWith = (
-  state: Store,
+  state: StoreState,
   metadata: ClusterMetadata,
   set: readonly NodeId[],
 ): ClusterMetadata['stores'] => {
@@ -69,24 +69,31 @@
 };
 
 /** Asks the voters for an epoch with this in-sync set. */
-export const requestInSyncSet = (state: Store, set: readonly NodeId[], now: Timestamp): Done => {
+export const requestInSyncSet = (
+  state: StoreState,
+  set: readonly NodeId[],
+  now: Timestamp,
+): StoreTransition => {
   if (state.metadata === undefined) return transition(state);
   const metadata: ClusterMetadata = {
     ...state.metadata,
     stores: storesWith(state, state.metadata, set),
   };
-  const next: Store = { ...state, metadata };
+  const next: StoreState = { ...state, metadata };
   const context = electionContext(next, metadata, now);
-  const asked = requestVotes(state.candidate, context, set, now);
+  const asked = startElection(state.candidate, context, set, now);
   return transition({ ...next, candidate: asked.state }, ...asked.effects);
 };
 
 /** Whether a backup that is late still speaks and has not refused: its disk may only be slow. */
-const awaitsLate = (state: Store, lost: readonly NodeId[], now: Timestamp): boolean =>
+const awaitsLateBackup = (state: StoreState, lost: readonly NodeId[], now: Timestamp): boolean =>
   lost.some((one) => {
     const peer = state.peers.get(one);
     return (
-      peer?.metadata !== undefined && !peer.full && !peer.leaving && now - peer.at < backupTimeout
+      peer?.metadata !== undefined &&
+      !peer.isDiskFull &&
+      !peer.isStopping &&
+      now - peer.at < backupTimeoutMs
     );
   });
 
@@ -95,23 +102,28 @@
  * it goes on with what there is; orders wait for the copies once it serves.
  */
 const mayBecomeEnough = (
-  state: Store,
+  state: StoreState,
   set: readonly NodeId[],
   lost: readonly NodeId[],
   now: Timestamp,
 ): boolean =>
-  state.serving && (awaitsSpare(state, [...set, ...lost], now) || awaitsLate(state, lost, now));
+  state.isServing &&
+  (awaitsLearner(state, [...set, ...lost], now) || awaitsLateBackup(state, lost, now));
 
 /**
  * Replaces backups by learners that have caught up, in one change of the epoch. While there are too
  * few of them but stores in reach that may catch up, nothing changes and an open write stays open.
  */
-export const replaceBackups = (state: Store, lost: readonly NodeId[], now: Timestamp): Done => {
+export const replaceBackups = (
+  state: StoreState,
+  lost: readonly NodeId[],
+  now: Timestamp,
+): StoreTransition => {
   if (state.metadata === undefined || !holdsLease(state.candidate, now)) return transition(state);
   const kept = state.candidate.inSyncSet.filter((one) => !lost.includes(one));
   const learners = caughtUpLearners(state, [...kept, ...lost], now);
-  const set = chooseCopies(state, kept, learners);
-  const isEnough = hasEnoughCopies(state, set);
+  const set = chooseReplicas(state, kept, learners);
+  const isEnough = hasEnoughReplicas(state, set);
   if (!isEnough && mayBecomeEnough(state, set, lost, now))
     return transition(noteShortage(state, now));
   const words = isEnough
--- a/packages/replicated-store/src/primary-write/primary-write.ts
+++ b/packages/replicated-store/src/log-write/primary-write.ts
@@ -13,91 +13,99 @@
 import {
   type ClusterMetadata,
   type FrameOf,
-  type Put,
-  type Stamp,
+  type TableMutation,
+  type LogPosition,
   log,
   send,
 } from '@switchwheel/transport';
 import { heldEpoch, holdsLease } from '@switchwheel/election';
-import { absorbAll } from '@switchwheel/configuration';
-import { decide } from '../command/decide.js';
-import { callReply } from '../command/queue.js';
-import { isPrimary, resignFor } from '../leadership/candidacy.js';
-import { awaitsSpare, hasEnoughCopies, peerTimeout } from '../leadership/copies.js';
-import { feedAll } from '../feed/feed.js';
-import { noteViolations } from '../invariant/invariants.js';
-import type { StoreEffect } from '../state/event.js';
+import { applyPuts } from '@switchwheel/configuration';
+import { decide } from '../commands/decide.js';
+import { sendReply } from '../commands/queue.js';
+import { isPrimary, resignLease } from '../leadership/candidacy.js';
 import {
-  type CallResult,
+  awaitsLearner,
+  hasEnoughReplicas,
+  peerTimeoutMs,
+} from '../leadership/replica-placement.js';
+import { feedSubscribers } from '../registries/feed.js';
+import { noteViolations } from '../state/invariants.js';
+import type { StoreEffect } from '../state/events.js';
+import {
+  type CommandReply,
   type Command,
   type PeerStatus,
   type PrimaryWrite,
-  type Store,
+  type StoreState,
   ownId,
 } from '../state/state.js';
-import { apply } from '../table/table.js';
-import { noteShortage, replaceBackups } from './replacement.js';
+import { withPuts } from '../state/table.js';
+import { noteShortage, replaceBackups } from './backup-replacement.js';
 
-type Done = Transition<Store, StoreEffect>;
+type StoreTransition = Transition<StoreState, StoreEffect>;
 /** How long a backup may take before another store replaces it. */
-export const replicateTimeout = 400;
+export const replicationTimeoutMs = 400;
 /** How long the own disk may make no progress before the duty is given up. */
-export const diskTimeout = 700;
-const resendInterval = 150;
+export const diskTimeoutMs = 700;
+const resendIntervalMs = 150;
 /** At most how often the engine acts on events; the first is acted on at once. */
-const engineThrottle = 250;
+const rolloutThrottleMs = 250;
 /** How often a full disk is tried again for the metadata of a holding. */
-const fullDiskRetry = 1000;
-const maxBatch = 512;
+const fullDiskRetryMs = 1000;
+const maxBatchCommands = 512;
 /** No more commands join a write once it bears so many characters: it has to fit one frame. */
 const maxBatchCharacters = 1024 * 1024;
-const noHeldPieces: Store['heldPieces'] = new Map();
-const noConfirmations: PrimaryWrite['confirmed'] = new Set();
+const noHeldChunks: StoreState['heldChunks'] = new Map();
+const noAcknowledgements: PrimaryWrite['acknowledgedBy'] = new Set();
 
 const diskWrite = (
   id: number,
   metadata: ClusterMetadata,
-  stamp: Stamp,
-  puts: readonly Put[],
+  stamp: LogPosition,
+  puts: readonly TableMutation[],
 ): StoreEffect => ({
-  kind: 'sync',
+  kind: 'writeToDisk',
   write: {
     id,
     metadata,
     stamp,
-    wipe: false,
-    sets: puts.flatMap(({ key, data }) => (data === null ? [] : [{ key, stamp, data }])),
-    drops: puts.flatMap(({ key, data }) => (data === null ? [key] : [])),
+    wipesFirst: false,
+    entries: puts.flatMap(({ key, data }) => (data === null ? [] : [{ key, stamp, data }])),
+    deletedKeys: puts.flatMap(({ key, data }) => (data === null ? [key] : [])),
   },
 });
 
 /** Opens a write with nothing in it but a metadata. */
-export const writeMetadata = (state: Store, metadata: ClusterMetadata, now: Timestamp): Done => {
-  const stamp: Stamp = { epoch: metadata.epoch, seq: nextSeq(state.stamp.seq) };
+export const writeMetadata = (
+  state: StoreState,
+  metadata: ClusterMetadata,
+  now: Timestamp,
+): StoreTransition => {
+  const stamp: LogPosition = { epoch: metadata.epoch, seq: nextSeq(state.stamp.seq) };
   const primaryWrite: PrimaryWrite = {
-    id: state.nextId,
+    id: state.nextWriteId,
     phase: 'disk',
-    onOwnDisk: false,
-    since: now,
-    sent: now,
+    isOnOwnDisk: false,
+    phaseStartedAt: now,
+    lastSentAt: now,
     metadata,
-    confirmed: noConfirmations,
+    acknowledgedBy: noAcknowledgements,
     stamp,
-    prior: state.stamp,
+    previousStamp: state.stamp,
     puts: [],
-    draft: state.control,
-    results: [],
-    trialReports: [],
+    controlAfter: state.control,
+    replies: [],
+    canaryReports: [],
   };
   return transition(
-    { ...state, primaryWrite, nextId: state.nextId + 1 },
+    { ...state, primaryWrite, nextWriteId: state.nextWriteId + 1 },
     diskWrite(primaryWrite.id, metadata, stamp, []),
   );
 };
 
-const unknownOutcome = (results: readonly CallResult[]): readonly StoreEffect[] =>
+const unknownOutcomeReplies = (results: readonly CommandReply[]): readonly StoreEffect[] =>
   results.map((one) =>
-    callReply({
+    sendReply({
       ...one,
       status: 504,
       body: JSON.stringify({
@@ -109,45 +117,49 @@
   );
 
 /** What lasts on this disk alone stays in the table: the digests will tell it from what the next primary has. */
-const applyLocally = (state: Store, primaryWrite: PrimaryWrite): Store => ({
+const applyLocally = (state: StoreState, primaryWrite: PrimaryWrite): StoreState => ({
   ...state,
   primaryWrite: undefined,
   // What a restart would read: the disk has the metadata of this write, and its epoch only goes up.
   metadata: primaryWrite.metadata,
   standDownUntil: clockOrigin,
   stamp: primaryWrite.stamp,
-  table: apply(state.table, primaryWrite.puts, primaryWrite.stamp),
-  control: primaryWrite.draft,
+  table: withPuts(state.table, primaryWrite.puts, primaryWrite.stamp),
+  control: primaryWrite.controlAfter,
 });
 
 /** Gives a write up that this store can no longer finish: whether it takes effect is not known. */
-export const abandon = (state: Store): Done => {
+export const abandon = (state: StoreState): StoreTransition => {
   const primaryWrite = state.primaryWrite;
   if (primaryWrite === undefined || primaryWrite.phase === 'orphan') return transition(state);
   const next =
     primaryWrite.phase === 'copy'
       ? applyLocally(state, primaryWrite)
       : { ...state, primaryWrite: { ...primaryWrite, phase: 'orphan' as const } };
-  return transition(next, ...unknownOutcome(primaryWrite.results));
+  return transition(next, ...unknownOutcomeReplies(primaryWrite.replies));
 };
 
 /** Ends all that was under way in a holding. */
-export const endLeadership = (state: Store): Done =>
+export const endLeadership = (state: StoreState): StoreTransition =>
   abandon({
     ...state,
-    serving: false,
-    readOnly: false,
+    isServing: false,
+    isReadOnly: false,
     commandQueue: [],
-    awaitingPieces: new Map(),
+    awaitingChunks: new Map(),
     compiling: new Map(),
-    watches: new Map(),
-    engineDueAt: undefined,
+    releaseWatches: new Map(),
+    rolloutsDueAt: undefined,
     shortageSince: undefined,
   });
 
 /** Gives the duty up for a while, and with it all that was under way. */
-export const handOverLeadership = (state: Store, rest: number, now: Timestamp): Done => {
-  const resigned = resignFor(state, rest, now);
+export const handOverLeadership = (
+  state: StoreState,
+  standDownMs: number,
+  now: Timestamp,
+): StoreTransition => {
+  const resigned = resignLease(state, standDownMs, now);
   // The peer hears of it at once: the next greeting is due now.
   return prependEffects(
     resigned.effects,
@@ -159,111 +171,120 @@
   readonly batch: readonly Command[];
   readonly rest: readonly Command[];
   /** Whether orders wait, as there are too few copies and a store is on its way to become one. */
-  readonly isShort: boolean;
+  readonly lacksReplicas: boolean;
 }
 
 /** What the next write takes; orders wait while a store is on its way into a set too small for them. */
-const nextBatch = (state: Store, metadata: ClusterMetadata, now: Timestamp): Batch => {
+const nextBatch = (state: StoreState, metadata: ClusterMetadata, now: Timestamp): Batch => {
   const queue = state.commandQueue;
   const set = metadata.inSyncSet;
-  const isShort = !hasEnoughCopies(state, set) && awaitsSpare(state, set, now);
-  if (!isShort) return { batch: queue.slice(0, maxBatch), rest: queue.slice(maxBatch), isShort };
+  const isShort = !hasEnoughReplicas(state, set) && awaitsLearner(state, set, now);
+  if (!isShort)
+    return {
+      batch: queue.slice(0, maxBatchCommands),
+      rest: queue.slice(maxBatchCommands),
+      lacksReplicas: isShort,
+    };
   const isOrder = (command: Command): boolean => 'asker' in command;
   const inner = queue.filter((one) => !isOrder(one));
   return {
-    batch: inner.slice(0, maxBatch),
-    rest: [...queue.filter(isOrder), ...inner.slice(maxBatch)],
-    isShort,
+    batch: inner.slice(0, maxBatchCommands),
+    rest: [...queue.filter(isOrder), ...inner.slice(maxBatchCommands)],
+    lacksReplicas: isShort,
   };
 };
 
 /** Takes what waits, in its order, and makes one write of it. */
-export const startWrite = (state: Store, now: Timestamp): Done => {
+export const startWrite = (state: StoreState, now: Timestamp): StoreTransition => {
   const metadata = state.metadata;
   if (
     state.primaryWrite !== undefined ||
     metadata === undefined ||
     state.commandQueue.length === 0 ||
-    state.readOnly ||
+    state.isReadOnly ||
     !isPrimary(state, now)
   )
     return transition(state);
-  const { batch, rest, isShort } = nextBatch(state, metadata, now);
-  if (batch.length === 0) return transition(isShort ? noteShortage(state, now) : state);
-  const stamp: Stamp = { epoch: heldEpoch(state.candidate), seq: nextSeq(state.stamp.seq) };
+  const { batch, rest, lacksReplicas } = nextBatch(state, metadata, now);
+  if (batch.length === 0) return transition(lacksReplicas ? noteShortage(state, now) : state);
+  const stamp: LogPosition = { epoch: heldEpoch(state.candidate), seq: nextSeq(state.stamp.seq) };
   let draft = state.control;
   let electorate = metadata.electorate;
   let next = state;
-  const puts: Put[] = [];
-  const results: CallResult[] = [];
-  const rejections: CallResult[] = [];
+  const puts: TableMutation[] = [];
+  const results: CommandReply[] = [];
+  const rejections: CommandReply[] = [];
   const violations: Invariant[] = [];
-  const tried: PrimaryWrite['trialReports'][number][] = [];
+  const tried: PrimaryWrite['canaryReports'][number][] = [];
   let taken = 0;
   let characters = 0;
   for (const command of batch) {
     if (characters >= maxBatchCharacters) break;
     taken += 1;
     const decision = decide(next, draft, command, stamp.seq, now);
-    draft = absorbAll(draft, decision.puts);
+    draft = applyPuts(draft, decision.puts);
     puts.push(...decision.puts);
     for (const one of decision.puts) characters += one.data?.length ?? 0;
-    results.push(...decision.results);
+    results.push(...decision.repliesAfterWrite);
     rejections.push(...decision.immediateReplies);
     electorate = decision.electorate ?? electorate;
     violations.push(...(decision.violations ?? []));
     if (command.kind === 'trial') tried.push({ to: command.to, word: command.word });
     if (command.kind === 'turn')
-      next = { ...next, seen: decision.seen ?? next.seen, opened: decision.opened };
+      next = {
+        ...next,
+        targetStatusSeen: decision.seen ?? next.targetStatusSeen,
+        rolloutOpenedAt: decision.opened,
+      };
   }
   const noted = noteViolations(next, violations);
   next = { ...noted.state, commandQueue: [...batch.slice(taken), ...rest] };
-  const told = [...noted.effects, ...rejections.map(callReply)];
+  const told = [...noted.effects, ...rejections.map(sendReply)];
   if (puts.length === 0 && results.length === 0 && electorate === metadata.electorate) {
-    return transition(next, ...told, ...tried.flatMap((one) => trialReplies(draft, one)));
+    return transition(next, ...told, ...tried.flatMap((one) => canaryReplies(draft, one)));
   }
   const primaryWrite: PrimaryWrite = {
-    id: state.nextId,
+    id: state.nextWriteId,
     phase: 'disk',
-    onOwnDisk: false,
-    since: now,
-    sent: now,
-    confirmed: noConfirmations,
+    isOnOwnDisk: false,
+    phaseStartedAt: now,
+    lastSentAt: now,
+    acknowledgedBy: noAcknowledgements,
     stamp,
-    prior: state.stamp,
+    previousStamp: state.stamp,
     puts,
-    draft,
-    results,
-    trialReports: tried,
+    controlAfter: draft,
+    replies: results,
+    canaryReports: tried,
     metadata: electorate === metadata.electorate ? metadata : { ...metadata, electorate },
   };
   return transition(
-    { ...next, primaryWrite, nextId: state.nextId + 1 },
+    { ...next, primaryWrite, nextWriteId: state.nextWriteId + 1 },
     ...told,
     diskWrite(primaryWrite.id, primaryWrite.metadata, stamp, puts),
   );
 };
 
-const trialReplies = (
-  control: Store['control'],
-  one: PrimaryWrite['trialReports'][number],
+const canaryReplies = (
+  control: StoreState['control'],
+  one: PrimaryWrite['canaryReports'][number],
 ): readonly StoreEffect[] => {
-  const verdict = [...control.verdicts.values()].find(
+  const verdict = [...control.canaryResults.values()].find(
     (row) => row.service === one.word.service && row.release === one.word.release,
   );
   return verdict === undefined ? [] : [send(one.to, { kind: 'tried', verdict, at: one.word.at })];
 };
 
 /** Who gets each write: the stores of the metadata, and those in touch that are not in it yet. */
-const learners = (
-  state: Store,
+const replicationTargets = (
+  state: StoreState,
   metadata: ClusterMetadata,
   now: Timestamp,
 ): readonly ClusterMetadata['stores'][number][] => {
   const named = metadata.stores.filter((one) => one.node !== ownId(state));
   const others = [...state.peers.values()].filter(
     (one) =>
-      now - one.at < peerTimeout &&
+      now - one.at < peerTimeoutMs &&
       one.metadata?.fleet === metadata.fleet &&
       !named.some((row) => row.node === one.node),
   );
@@ -271,16 +292,16 @@
 };
 
 /** The backups that must have a write and have not said so. */
-const unconfirmedBackups = (state: Store, primaryWrite: PrimaryWrite): readonly NodeId[] =>
+const unacknowledgedBackups = (state: StoreState, primaryWrite: PrimaryWrite): readonly NodeId[] =>
   primaryWrite.metadata.inSyncSet.filter(
-    (one) => one !== ownId(state) && !primaryWrite.confirmed.has(one),
+    (one) => one !== ownId(state) && !primaryWrite.acknowledgedBy.has(one),
   );
 
 const replicateFrame = (primaryWrite: PrimaryWrite): FrameOf<'replicate'> => ({
   kind: 'replicate',
   metadata: primaryWrite.metadata,
   stamp: primaryWrite.stamp,
-  prior: primaryWrite.prior,
+  prior: primaryWrite.previousStamp,
   puts: [...primaryWrite.puts],
 });
 
@@ -293,50 +314,63 @@
 };
 
 const replicateToAll = (
-  state: Store,
+  state: StoreState,
   primaryWrite: PrimaryWrite,
   now: Timestamp,
-): readonly StoreEffect[] => replicateTo(primaryWrite, learners(state, primaryWrite.metadata, now));
+): readonly StoreEffect[] =>
+  replicateTo(primaryWrite, replicationTargets(state, primaryWrite.metadata, now));
 
 /** Sends the open write to a store that has just been brought to the state before it. */
-export const replicateOpenWrite = (state: Store, to: Address): readonly StoreEffect[] =>
+export const replicateOpenWrite = (state: StoreState, to: Address): readonly StoreEffect[] =>
   state.primaryWrite?.phase === 'copy' ? [send(to, replicateFrame(state.primaryWrite))] : [];
 
-const keysWithoutNodeChange = ['purge/', 'call/', 'number/', 'verdict/', 'release/', 'origin/'];
+const keyPrefixesWithoutNodeChange = [
+  'purge/',
+  'call/',
+  'number/',
+  'verdict/',
+  'release/',
+  'origin/',
+];
 
 /** Whether a write may change what nodes are to run, or is the first of its epoch. */
-const changesNodes = (state: Store, primaryWrite: PrimaryWrite): boolean =>
-  !state.serving ||
-  state.readOnly ||
+const changesNodes = (state: StoreState, primaryWrite: PrimaryWrite): boolean =>
+  !state.isServing ||
+  state.isReadOnly ||
   primaryWrite.metadata.epoch !== state.metadata?.epoch ||
   primaryWrite.puts.some(
-    (one) => !keysWithoutNodeChange.some((family) => one.key.startsWith(family)),
+    (one) => !keyPrefixesWithoutNodeChange.some((family) => one.key.startsWith(family)),
   );
 
 /** The write lasts wherever it must: it counts, and everyone is told. */
-const commitWrite = (state: Store, primaryWrite: PrimaryWrite, now: Timestamp): Done => {
-  const first = !state.serving || state.readOnly;
-  const table = apply(state.table, primaryWrite.puts, primaryWrite.stamp);
-  const next: Store = {
+const commitWrite = (
+  state: StoreState,
+  primaryWrite: PrimaryWrite,
+  now: Timestamp,
+): StoreTransition => {
+  const first = !state.isServing || state.isReadOnly;
+  const table = withPuts(state.table, primaryWrite.puts, primaryWrite.stamp);
+  const next: StoreState = {
     ...state,
     primaryWrite: undefined,
     stamp: primaryWrite.stamp,
     table,
-    control: primaryWrite.draft,
+    control: primaryWrite.controlAfter,
     metadata: primaryWrite.metadata,
-    serving: true,
-    readOnly: false,
-    diskFull: undefined,
-    shortageSince: hasEnoughCopies(state, primaryWrite.metadata.inSyncSet)
+    isServing: true,
+    isReadOnly: false,
+    diskFullAt: undefined,
+    shortageSince: hasEnoughReplicas(state, primaryWrite.metadata.inSyncSet)
       ? undefined
       : (state.shortageSince ?? now),
-    lastNodeChange: changesNodes(state, primaryWrite)
+    lastNodeChangeSeq: changesNodes(state, primaryWrite)
       ? primaryWrite.stamp.seq
-      : state.lastNodeChange,
+      : state.lastNodeChangeSeq,
   };
   const commands: Command[] = [];
   const stored =
-    primaryWrite.draft.stored?.offer.generation !== state.control.stored?.offer.generation;
+    primaryWrite.controlAfter.configuration?.offer.generation !==
+    state.control.configuration?.offer.generation;
   // A rollout that was just opened gets its first turn at once: the throttle is for events of targets.
   if (stored || first) commands.push({ kind: 'plan' }, { kind: 'turn' });
   const lists = primaryWrite.puts.some(
@@ -348,32 +382,39 @@
   const due =
     first || lists
       ? toTimestamp(
-          Math.min(next.engineDueAt ?? Infinity, Math.max(now, next.engineRanAt + engineThrottle)),
+          Math.min(
+            next.rolloutsDueAt ?? Infinity,
+            Math.max(now, next.rolloutsAdvancedAt + rolloutThrottleMs),
+          ),
         )
-      : next.engineDueAt;
+      : next.rolloutsDueAt;
   const idle =
-    next.awaitingPieces.size === 0 &&
+    next.awaitingChunks.size === 0 &&
     next.compiling.size === 0 &&
     !next.commandQueue.some((one) => one.kind === 'apply' || one.kind === 'pieces');
   const planned = {
     ...next,
-    heldPieces: idle ? noHeldPieces : next.heldPieces,
-    engineDueAt: due,
+    heldChunks: idle ? noHeldChunks : next.heldChunks,
+    rolloutsDueAt: due,
     plannedAt: stored || first ? now : next.plannedAt,
     commandQueue: [...commands, ...next.commandQueue],
   };
   const told = [
-    ...primaryWrite.results.map(callReply),
-    ...primaryWrite.trialReports.flatMap((one) => trialReplies(primaryWrite.draft, one)),
+    ...primaryWrite.replies.map(sendReply),
+    ...primaryWrite.canaryReports.flatMap((one) => canaryReplies(primaryWrite.controlAfter, one)),
   ];
-  const fed = feedAll(planned, now);
+  const fed = feedSubscribers(planned, now);
   return transition(planned, ...told, ...fed);
 };
 
 /** The own disk has the write: the backups are next, those in sync must have it too. */
-export const onSynced = (state: Store, id: number, now: Timestamp): Done => {
+export const onPrimaryWriteSynced = (
+  state: StoreState,
+  writeId: number,
+  now: Timestamp,
+): StoreTransition => {
   const primaryWrite = state.primaryWrite;
-  if (primaryWrite?.id !== id) return transition(state);
+  if (primaryWrite?.id !== writeId) return transition(state);
   if (primaryWrite.phase === 'orphan') return transition(applyLocally(state, primaryWrite));
   if (primaryWrite.phase !== 'disk') return transition(state);
   if (
@@ -385,108 +426,123 @@
   const next: PrimaryWrite = {
     ...primaryWrite,
     phase: 'copy',
-    onOwnDisk: true,
-    confirmed: noConfirmations,
-    since: now,
-    sent: now,
+    isOnOwnDisk: true,
+    acknowledgedBy: noAcknowledgements,
+    phaseStartedAt: now,
+    lastSentAt: now,
   };
-  const whole = unconfirmedBackups(state, next).length === 0;
+  const whole = unacknowledgedBackups(state, next).length === 0;
   if (whole) return prependEffects(replicateToAll(state, next, now), commitWrite(state, next, now));
   return transition({ ...state, primaryWrite: next }, ...replicateToAll(state, next, now));
 };
 
 /** The own disk did not take the write: it never takes effect, unless this disk has had it since before. */
-export const onUnsynced = (
-  state: Store,
-  id: number,
-  text: string,
-  full: boolean,
+export const onPrimaryWriteFailed = (
+  state: StoreState,
+  writeId: number,
+  reason: string,
+  isDiskFull: boolean,
   now: Timestamp,
-): Done => {
+): StoreTransition => {
   const primaryWrite = state.primaryWrite;
-  if (primaryWrite?.id !== id) return transition(state);
+  if (primaryWrite?.id !== writeId) return transition(state);
   if (primaryWrite.phase === 'orphan') return transition({ ...state, primaryWrite: undefined });
-  const rejected = primaryWrite.onOwnDisk
-    ? unknownOutcome(primaryWrite.results)
-    : primaryWrite.results.map((one) =>
-        callReply({
+  const rejected = primaryWrite.isOnOwnDisk
+    ? unknownOutcomeReplies(primaryWrite.replies)
+    : primaryWrite.replies.map((one) =>
+        sendReply({
           ...one,
           status: 503,
           body: JSON.stringify({
             kind: 'rejected',
             id: one.id,
-            text: `the disk took nothing: ${text}`,
+            text: `the disk took nothing: ${reason}`,
             retryAfterMs: 2000,
           }),
         }),
       );
-  const next: Store = {
-    ...(primaryWrite.onOwnDisk ? applyLocally(state, primaryWrite) : state),
+  const next: StoreState = {
+    ...(primaryWrite.isOnOwnDisk ? applyLocally(state, primaryWrite) : state),
     // The disk has the write under the metadata from before: it refused the newer one.
     metadata: state.metadata,
     primaryWrite: undefined,
-    diskFull: full ? now : state.diskFull,
+    diskFullAt: isDiskFull ? now : state.diskFullAt,
   };
-  const words = log('error', 'the disk refused a write', ['why', text]);
+  const words = log('error', 'the disk refused a write', ['why', reason]);
   const heir = [...state.peers.values()].some(
     (one) =>
       primaryWrite.metadata.inSyncSet.includes(one.node) &&
-      !one.full &&
-      !one.leaving &&
+      !one.isDiskFull &&
+      !one.isStopping &&
       now - one.at < 1000,
   );
   // With a peer in sync whose disk has room the duty goes to it.
-  if (!full || heir)
+  if (!isDiskFull || heir)
     return prependEffects([words, ...rejected], handOverLeadership(next, 10_000, now));
   // Otherwise reads and pushes go on, and writes are rejected until there is room.
-  const written = state.serving && primaryWrite.metadata.epoch === state.metadata?.epoch;
+  const written = state.isServing && primaryWrite.metadata.epoch === state.metadata?.epoch;
   return transition(
-    { ...next, serving: true, readOnly: state.readOnly || !written },
+    { ...next, isServing: true, isReadOnly: state.isReadOnly || !written },
     words,
     ...rejected,
   );
 };
 
 /** Notes how far a store has come by its acknowledgement. */
-const noteAcknowledged = (state: Store, word: FrameOf<'replicated'>, now: Timestamp): Store => {
-  const peer = state.peers.get(word.node);
+const noteAcknowledgement = (
+  state: StoreState,
+  acknowledgement: FrameOf<'replicated'>,
+  now: Timestamp,
+): StoreState => {
+  const peer = state.peers.get(acknowledgement.node);
   if (peer === undefined) return state;
   const row: PeerStatus = {
     ...peer,
-    stamp: { epoch: word.epoch, seq: word.seq },
-    full: false,
+    stamp: { epoch: acknowledgement.epoch, seq: acknowledgement.seq },
+    isDiskFull: false,
     at: now,
     progressAt: now,
   };
-  return { ...state, peers: new Map([...state.peers, [word.node, row]]) };
+  return { ...state, peers: new Map([...state.peers, [acknowledgement.node, row]]) };
 };
 
 /** A backup that refused a write is no candidate for the next set before it speaks again. */
-const noteRefusal = (state: Store, node: NodeId): Store => {
+const noteRefusal = (state: StoreState, node: NodeId): StoreState => {
   const peer = state.peers.get(node);
   if (peer === undefined) return state;
-  const row: PeerStatus = { ...peer, full: true };
+  const row: PeerStatus = { ...peer, isDiskFull: true };
   return { ...state, peers: new Map([...state.peers, [node, row]]) };
 };
 
 /** A backup answered a copy: once all in sync have it the write counts. */
-export const onReplicated = (before: Store, word: FrameOf<'replicated'>, now: Timestamp): Done => {
-  const state = word.ok ? noteAcknowledged(before, word, now) : before;
+export const onReplicated = (
+  before: StoreState,
+  acknowledgement: FrameOf<'replicated'>,
+  now: Timestamp,
+): StoreTransition => {
+  const state = acknowledgement.ok ? noteAcknowledgement(before, acknowledgement, now) : before;
   const primaryWrite = state.primaryWrite;
   // An acknowledgement under an earlier epoch does not show that this epoch's metadata is on that disk.
   if (
     primaryWrite?.phase !== 'copy' ||
-    word.epoch !== primaryWrite.stamp.epoch ||
-    word.seq !== primaryWrite.stamp.seq ||
-    word.metadataEpoch !== primaryWrite.metadata.epoch
+    acknowledgement.epoch !== primaryWrite.stamp.epoch ||
+    acknowledgement.seq !== primaryWrite.stamp.seq ||
+    acknowledgement.metadataEpoch !== primaryWrite.metadata.epoch
   )
     return transition(state);
-  const isRequired = primaryWrite.metadata.inSyncSet.includes(word.node);
-  if (!word.ok && !isRequired) return transition(state);
-  if (!word.ok)
+  const isRequired = primaryWrite.metadata.inSyncSet.includes(acknowledgement.node);
+  if (!acknowledgement.ok && !isRequired) return transition(state);
+  if (!acknowledgement.ok)
     return prependEffects(
-      [log('warn', 'a backup did not take a write', ['store', word.node], ['why', word.text])],
-      replaceBackups(noteRefusal(state, word.node), [word.node], now),
+      [
+        log(
+          'warn',
+          'a backup did not take a write',
+          ['store', acknowledgement.node],
+          ['why', acknowledgement.text],
+        ),
+      ],
+      replaceBackups(noteRefusal(state, acknowledgement.node), [acknowledgement.node], now),
     );
   if (
     !holdsLease(state.candidate, now) ||
@@ -495,24 +551,24 @@
     return transition(state);
   const next: PrimaryWrite = {
     ...primaryWrite,
-    confirmed: new Set([...primaryWrite.confirmed, word.node]),
+    acknowledgedBy: new Set([...primaryWrite.acknowledgedBy, acknowledgement.node]),
   };
-  const whole = isRequired && unconfirmedBackups(state, next).length === 0;
+  const whole = isRequired && unacknowledgedBackups(state, next).length === 0;
   return whole ? commitWrite(state, next, now) : transition({ ...state, primaryWrite: next });
 };
 
 /** Lets time pass over a write. */
-export const tickWrite = (state: Store, now: Timestamp): Done => {
+export const tickPrimaryWrite = (state: StoreState, now: Timestamp): StoreTransition => {
   const primaryWrite = state.primaryWrite;
   if (
     primaryWrite === undefined &&
-    state.readOnly &&
+    state.isReadOnly &&
     state.metadata !== undefined &&
     state.candidate.phase.phase === 'holdingLease'
   ) {
-    if (now - (state.diskFull ?? clockOrigin) < fullDiskRetry) return transition(state);
+    if (now - (state.diskFullAt ?? clockOrigin) < fullDiskRetryMs) return transition(state);
     return writeMetadata(
-      { ...state, diskFull: now },
+      { ...state, diskFullAt: now },
       {
         ...state.metadata,
         epoch: heldEpoch(state.candidate),
@@ -524,7 +580,10 @@
   if (primaryWrite === undefined) return transition(state);
   if (primaryWrite.phase === 'orphan') return transition(state);
   if (primaryWrite.phase === 'disk') {
-    if (now - primaryWrite.since <= diskTimeout || state.candidate.phase.phase !== 'holdingLease')
+    if (
+      now - primaryWrite.phaseStartedAt <= diskTimeoutMs ||
+      state.candidate.phase.phase !== 'holdingLease'
+    )
       return transition(state);
     return prependEffects(
       [log('error', 'the disk makes no progress; giving the duty up')],
@@ -532,25 +591,25 @@
     );
   }
   if (state.candidate.phase.phase !== 'holdingLease') return transition(state);
-  const late = unconfirmedBackups(state, primaryWrite);
-  const isLate = now - primaryWrite.since > replicateTimeout;
-  const replaced: Done = isLate ? replaceBackups(state, late, now) : transition(state);
+  const late = unacknowledgedBackups(state, primaryWrite);
+  const isLate = now - primaryWrite.phaseStartedAt > replicationTimeoutMs;
+  const replaced: StoreTransition = isLate ? replaceBackups(state, late, now) : transition(state);
   const open = replaced.state.primaryWrite;
   if (
     open === undefined ||
     replaced.state.candidate.phase.phase !== 'holdingLease' ||
-    now - open.sent <= resendInterval
+    now - open.lastSentAt <= resendIntervalMs
   )
     return replaced;
-  const again = learners(replaced.state, open.metadata, now).filter((one) =>
+  const again = replicationTargets(replaced.state, open.metadata, now).filter((one) =>
     late.includes(one.node),
   );
-  const resent: Store = { ...replaced.state, primaryWrite: { ...open, sent: now } };
+  const resent: StoreState = { ...replaced.state, primaryWrite: { ...open, lastSentAt: now } };
   return transition(resent, ...replaced.effects, ...replicateTo(open, again));
 };
 
 /** This store won: the metadata of its holding is written before anything else. */
-export const onElected = (state: Store, now: Timestamp): Done => {
+export const onElected = (state: StoreState, now: Timestamp): StoreTransition => {
   const metadata = state.metadata;
   if (metadata === undefined) return transition(state);
   const own: ClusterMetadata = {
@@ -560,17 +619,17 @@
   };
   const primaryWrite = state.primaryWrite;
   if (primaryWrite?.phase === 'orphan') return handOverLeadership(state, 500, now);
-  if (primaryWrite !== undefined && state.serving) {
+  if (primaryWrite !== undefined && state.isServing) {
     // A write was under way when the in-sync set changed: it goes on under the new metadata.
     const next: PrimaryWrite = {
       ...primaryWrite,
-      id: state.nextId,
+      id: state.nextWriteId,
       metadata: { ...own, electorate: primaryWrite.metadata.electorate },
       phase: 'disk',
-      since: now,
+      phaseStartedAt: now,
     };
     return transition(
-      { ...state, primaryWrite: next, nextId: state.nextId + 1 },
+      { ...state, primaryWrite: next, nextWriteId: state.nextWriteId + 1 },
       diskWrite(next.id, next.metadata, next.stamp, next.puts),
     );
   }
--- a/packages/replicated-store/src/machine.ts
+++ b/packages/replicated-store/src/machine.ts
@@ -16,7 +16,7 @@
   type Peer,
   type Frame,
   type FrameOf,
-  type Report,
+  type NodeStatus,
   log,
   send,
 } from '@switchwheel/transport';
@@ -38,31 +38,37 @@
   applyHeartbeatReply,
   applyMemberList,
 } from '@switchwheel/membership';
-import { absorbAll, noControl } from '@switchwheel/configuration';
-import { onCall, onCompiled, onPiece, onWant, tickCalls } from './command/calls.js';
+import { applyPuts, emptyControlState } from '@switchwheel/configuration';
+import {
+  onOperatorCommand,
+  onCompiled,
+  onChunk,
+  onChunkRequest,
+  tickAwaitingChunks,
+} from './commands/operator-commands.js';
 import {
   inSync,
   isPrimary,
   wantsElection,
   chooseBackups,
   electionContext,
-  primaryTimeout,
+  primaryTimeoutMs,
 } from './leadership/candidacy.js';
-import { enqueue } from './command/queue.js';
-import { tickRepair } from './command/repair.js';
-import { checkInvariants } from './invariant/invariants.js';
-import { copiesStandElsewhere, mayHandOver, successors } from './leadership/leaving.js';
-import { feedOne } from './feed/feed.js';
+import { enqueue } from './commands/queue.js';
+import { tickChunkRepair } from './commands/chunk-repair.js';
+import { checkInvariants } from './state/invariants.js';
+import { hasEnoughReplicasElsewhere, mayHandOver, successors } from './leadership/graceful-stop.js';
+import { feedSubscriber } from './registries/feed.js';
 import {
   endLeadership,
   onReplicated,
-  onSynced,
-  onUnsynced,
+  onPrimaryWriteSynced,
+  onPrimaryWriteFailed,
   onElected,
   startWrite,
-  tickWrite,
+  tickPrimaryWrite,
   handOverLeadership,
-} from './primary-write/primary-write.js';
+} from './log-write/primary-write.js';
 import {
   sendStatus,
   onBackupWriteSynced,
@@ -74,33 +80,37 @@
   onRangeListing,
   onResyncEntries,
 } from './resync/resync.js';
-import { tickOrigins, storedOrigins } from './origins/origins.js';
-import { onTally, tickReleases } from './release/release.js';
-import { forgetGone } from './state/forget.js';
-import type { Found, StoreEffect, StoreEvent } from './state/event.js';
-import { type Store, type Subscriber, ownId } from './state/state.js';
+import { tickOrigins, storedOrigins } from './origins/origin-records.js';
+import { onTally, tickReleases } from './releases/release-progress.js';
+import { expireSilentMembers } from './state/expiry.js';
+import type { DiskContents, StoreEffect, StoreEvent } from './state/events.js';
+import { type StoreState, type Subscriber, ownId } from './state/state.js';
 
-type Done = Transition<Store, StoreEffect>;
-const planInterval = 60_000;
-const engineInterval = 5000;
-const offlineAfter = 2000;
-const hintInterval = 300;
+type StoreTransition = Transition<StoreState, StoreEffect>;
+const rolloutPlanIntervalMs = 60_000;
+const rolloutIntervalMs = 5000;
+const nodeOfflineAfterMs = 2000;
+const hintIntervalMs = 300;
 /** How long a store that is asked to stop may take if it isn't told. */
-const defaultLeaveGrace = 4000;
+const defaultStopGraceMs = 4000;
 /** For how long a store that leaves does not stand for the duty again. */
-const leaveStandDown = 60_000;
+const stopStandDownMs = 60_000;
 /** How long a node may be out of touch before it is forgotten. */
-const forgetAfter = 3_600_000;
+const forgetNodeAfterMs = 3_600_000;
 
-const ownReport = (state: Store, now: Timestamp): Report => ({
-  generation: state.control.stored?.offer.generation ?? noGeneration,
+const ownReport = (state: StoreState, now: Timestamp): NodeStatus => ({
+  generation: state.control.configuration?.offer.generation ?? noGeneration,
   phase: 'none',
   ready: state.phase === 'member' && (isPrimary(state, now) || inSync(state)),
   health: {
     name: 'store',
-    healthy: state.trouble === '' && state.diskFull === undefined,
+    healthy: state.diskDamage === '' && state.diskFullAt === undefined,
     text:
-      state.trouble !== '' ? state.trouble : state.diskFull === undefined ? '' : 'the disk is full',
+      state.diskDamage !== ''
+        ? state.diskDamage
+        : state.diskFullAt === undefined
+          ? ''
+          : 'the disk is full',
     parts: [
       {
         name: isPrimary(state, now) ? 'primary' : inSync(state) ? 'backup' : 'out of sync',
@@ -112,35 +122,39 @@
   },
 });
 
-const heartbeatContent = (state: Store, now: Timestamp, bye: boolean): HeartbeatContent => ({
+const heartbeatContent = (
+  state: StoreState,
+  now: Timestamp,
+  isLast: boolean,
+): HeartbeatContent => ({
   report: ownReport(state, now),
-  held: [],
-  purged: noSeq,
-  bye,
+  heldLeases: [],
+  latestPurge: noSeq,
+  isLeaving: isLast,
 });
 
-const onRead = (before: Store, found: Found, now: Timestamp): Done => {
-  const state: Store = { ...before, startedAt: now };
-  if (found.found === 'nothing')
+const onDiskRead = (before: StoreState, found: DiskContents, now: Timestamp): StoreTransition => {
+  const state: StoreState = { ...before, startedAt: now };
+  if (found.status === 'empty')
     return transition(
       { ...state, phase: 'empty' },
       log('info', 'the disk is empty: this store is no member until it is founded or mended'),
     );
-  if (found.found === 'damaged') {
+  if (found.status === 'damaged') {
     return transition(
-      { ...state, phase: 'empty', mustWipe: true, trouble: `damaged disk: ${found.text}` },
+      { ...state, phase: 'empty', mustWipe: true, diskDamage: `damaged disk: ${found.reason}` },
       log('error', 'the disk is damaged: nothing of it is used, a peer has to mend this store', [
         'why',
-        found.text,
+        found.reason,
       ]),
     );
   }
   const table = new Map(found.entries.map(({ key, ...entry }) => [key, entry]));
-  const control = absorbAll(
-    noControl,
+  const control = applyPuts(
+    emptyControlState,
     found.entries.map(({ key, data }) => ({ key, data })),
   );
-  const next: Store = {
+  const next: StoreState = {
     ...state,
     phase: 'member',
     metadata: found.metadata,
@@ -159,13 +173,17 @@
       'the disk is read',
       ['entries', found.entries.length],
       ['epoch', found.metadata.epoch],
-      ['generation', control.stored?.offer.generation ?? 0],
+      ['generation', control.configuration?.offer.generation ?? 0],
     ),
   );
 };
 
 /** Follows a change of the stand: a win is served, a loss ends all that was under way. */
-const onCandidateChange = (before: Store, after: Store, now: Timestamp): Done => {
+const onCandidateTransition = (
+  before: StoreState,
+  after: StoreState,
+  now: Timestamp,
+): StoreTransition => {
   const was = before.candidate.phase.phase;
   const is = after.candidate.phase.phase;
   if (was === 'requestingVotes' && is === 'holdingLease')
@@ -180,47 +198,52 @@
   return transition(after);
 };
 
-const onVote = (state: Store, word: FrameOf<'vote'>, now: Timestamp): Done => {
+const onVote = (state: StoreState, vote: FrameOf<'vote'>, now: Timestamp): StoreTransition => {
   if (state.metadata === undefined) return transition(state);
   const nodeSession =
-    word.electorate === undefined ||
+    vote.electorate === undefined ||
     (state.session.electorate !== undefined &&
-      state.session.electorate.serial >= word.electorate.serial)
+      state.session.electorate.serial >= vote.electorate.serial)
       ? state.session
-      : { ...state.session, electorate: word.electorate };
+      : { ...state.session, electorate: vote.electorate };
   const base = { ...state, session: nodeSession };
-  return onCandidateChange(
+  return onCandidateTransition(
     base,
     {
       ...base,
-      candidate: countVote(base.candidate, electionContext(base, state.metadata, now), word, now),
+      candidate: countVote(base.candidate, electionContext(base, state.metadata, now), vote, now),
     },
     now,
   );
 };
 
-const onSubscribe = (state: Store, word: FrameOf<'subscribe'>, now: Timestamp): Done => {
+const onSubscribe = (
+  state: StoreState,
+  subscription: FrameOf<'subscribe'>,
+  now: Timestamp,
+): StoreTransition => {
   if (!isPrimary(state, now)) return transition(state);
   const row: Subscriber = {
-    address: word.registry.address,
-    area: word.registry.area,
-    voter: word.voter,
+    address: subscription.registry.address,
+    zone: subscription.registry.area,
+    voter: subscription.voter,
     at: now,
-    serial: word.epoch === heldEpoch(state.candidate) ? word.serial : noSeq,
-    purged: word.purged,
+    serial: subscription.epoch === heldEpoch(state.candidate) ? subscription.serial : noSeq,
+    purged: subscription.purged,
   };
-  let next: Store = {
+  let next: StoreState = {
     ...state,
-    subscribers: withEntry(state.subscribers, word.registry.node, row),
+    subscribers: withEntry(state.subscribers, subscription.registry.node, row),
   };
-  const effects: StoreEffect[] = [...feedOne(next, row, word.at, now)];
+  const effects: StoreEffect[] = [...feedSubscriber(next, row, subscription.at, now)];
   let touch = next.contacts;
   let fresh = false;
-  for (const one of word.reports) {
+  for (const one of subscription.reports) {
     const known = state.control.nodes.get(one.node);
     const near = touch.get(one.node);
-    if (!one.open && near !== undefined && near.registry !== word.registry.node) continue;
-    if (one.open) touch = withEntry(touch, one.node, { registry: word.registry.node, at: now });
+    if (!one.open && near !== undefined && near.registry !== subscription.registry.node) continue;
+    if (one.open)
+      touch = withEntry(touch, one.node, { registry: subscription.registry.node, at: now });
     const same =
       known?.incarnation === one.incarnation &&
       known.online === one.open &&
@@ -257,11 +280,11 @@
 };
 
 /** Nodes that no registry has told of for a while are out of touch. */
-const markOffline = (state: Store, now: Timestamp): Done => {
-  let next: Done = transition(state);
+const markSilentNodesOffline = (state: StoreState, now: Timestamp): StoreTransition => {
+  let next: StoreTransition = transition(state);
   for (const [node, row] of state.control.nodes) {
     const near = state.contacts.get(node);
-    if (!row.online && near !== undefined && now - near.at > forgetAfter) {
+    if (!row.online && near !== undefined && now - near.at > forgetNodeAfterMs) {
       next = prependEffects(
         next.effects,
         enqueue(
@@ -279,7 +302,7 @@
         },
         ...next.effects,
       );
-    if (!row.online || (near !== undefined && now - near.at < offlineAfter)) continue;
+    if (!row.online || (near !== undefined && now - near.at < nodeOfflineAfterMs)) continue;
     if (near === undefined) {
       next = transition(
         {
@@ -307,21 +330,25 @@
 };
 
 /** Has the lease renewed with the next tick: a change of the electorate waits for it. */
-const renewSoon = (state: Store): Store => {
+const renewLeaseSoon = (state: StoreState): StoreState => {
   const { candidate } = state;
   if (candidate.phase.phase !== 'holdingLease') return state;
-  const due = toTimestamp(Math.max(0, candidate.phase.asked - candidate.lease));
-  return { ...state, candidate: { ...candidate, phase: { ...candidate.phase, asked: due } } };
+  const due = toTimestamp(Math.max(0, candidate.phase.renewalRequestedAt - candidate.leaseMs));
+  return {
+    ...state,
+    candidate: { ...candidate, phase: { ...candidate.phase, renewalRequestedAt: due } },
+  };
 };
 
 /** Lets the electorate follow the registries, one member at a time. */
-const followRegistries = (before: Store, now: Timestamp): Done => {
+const followRegistries = (before: StoreState, now: Timestamp): StoreTransition => {
   const noted = notePolledElectorate(before, now);
-  const state = noted === before ? before : renewSoon(noted);
+  const state = noted === before ? before : renewLeaseSoon(noted);
   const open =
     state.primaryWrite !== undefined ||
     state.commandQueue.some((one) => one.kind === 'electorate' || one.kind === 'seats');
-  const electorate = state.settings.follow && !open ? nextElectorate(state, now) : undefined;
+  const electorate =
+    state.settings.electorateFollowsRegistries && !open ? nextElectorate(state, now) : undefined;
   if (electorate === undefined) return transition(state);
   const queued = enqueue(state, { kind: 'seats', electorate });
   return prependEffects(
@@ -335,22 +362,28 @@
   );
 };
 
-const tickPrimary = (state: Store, now: Timestamp): Done => {
+const tickPrimary = (state: StoreState, now: Timestamp): StoreTransition => {
   const seated = followRegistries(state, now);
-  let next = prependEffects(seated.effects, markOffline(seated.state, now));
-  if (now - next.state.plannedAt >= planInterval)
+  let next = prependEffects(seated.effects, markSilentNodesOffline(seated.state, now));
+  if (now - next.state.plannedAt >= rolloutPlanIntervalMs)
     next = prependEffects(
       next.effects,
       enqueue({ ...next.state, plannedAt: now }, { kind: 'plan' }),
     );
-  next = prependEffects(next.effects, tickRepair(next.state, now));
+  next = prependEffects(next.effects, tickChunkRepair(next.state, now));
   next = prependEffects(next.effects, tickReleases(next.state, now));
   next = prependEffects(next.effects, tickOrigins(next.state, now));
-  const due = next.state.engineDueAt;
-  if ((due !== undefined && now >= due) || now - next.state.engineRanAt >= engineInterval) {
+  const due = next.state.rolloutsDueAt;
+  if (
+    (due !== undefined && now >= due) ||
+    now - next.state.rolloutsAdvancedAt >= rolloutIntervalMs
+  ) {
     next = prependEffects(
       next.effects,
-      enqueue({ ...next.state, engineDueAt: undefined, engineRanAt: now }, { kind: 'turn' }),
+      enqueue(
+        { ...next.state, rolloutsDueAt: undefined, rolloutsAdvancedAt: now },
+        { kind: 'turn' },
+      ),
     );
   }
   return next;
@@ -361,14 +394,14 @@
  * nothing need not wait for an election. Each registry is told, as each needs the word of every
  * store in sync; the store's own gets the origins too.
  */
-const sendHint = (state: Store, now: Timestamp): readonly StoreEffect[] => {
-  const offer = state.control.stored?.offer;
+const sendHint = (state: StoreState, now: Timestamp): readonly StoreEffect[] => {
+  const offer = state.control.configuration?.offer;
   const { metadata, session } = state;
   if (
     metadata === undefined ||
     session.registryLink === undefined ||
     isPrimary(state, now) ||
-    now - state.primaryHeardAt < primaryTimeout
+    now - state.primaryHeardAt < primaryTimeoutMs
   )
     return [];
   const { node, address, incarnation } = session.member;
@@ -391,84 +424,87 @@
   ];
 };
 
-const onTick = (before: Store, now: Timestamp): Done => {
+const onTick = (before: StoreState, now: Timestamp): StoreTransition => {
   if (before.phase === 'reading') return transition(before);
-  const state = forgetGone(before, now);
+  const state = expireSilentMembers(before, now);
   const drifted = tickSession(state.session, heartbeatContent(state, now, false), now);
-  let next: Done = transition({ ...state, session: drifted.state }, ...drifted.effects);
+  let next: StoreTransition = transition({ ...state, session: drifted.state }, ...drifted.effects);
   const metadata = next.state.metadata;
   if (metadata !== undefined && state.phase === 'member') {
-    const base: Store =
+    const base: StoreState =
       next.state.candidate.phase.phase === 'idle'
         ? {
             ...next.state,
             candidate: { ...next.state.candidate, inSyncSet: chooseBackups(next.state, now) },
           }
         : next.state;
-    const known = observeEpoch(base.candidate, highestEpoch(base.session, base.candidate.duty));
+    const known = observeEpoch(
+      base.candidate,
+      highestEpoch(base.session, base.candidate.leaseName),
+    );
     const passed = tickCandidate(
       known,
       electionContext(base, metadata, now),
       wantsElection(base, now),
-      base.dice,
+      base.randomState,
       now,
     );
     next = prependEffects(
       [...next.effects, ...passed.effects],
-      onCandidateChange(
+      onCandidateTransition(
         base,
-        { ...base, candidate: passed.state.candidate, dice: passed.state.dice },
+        { ...base, candidate: passed.state.candidate, randomState: passed.state.dice },
         now,
       ),
     );
   }
-  if (now - state.statusSentAt >= hintInterval)
+  if (now - state.statusSentAt >= hintIntervalMs)
     next = transition(next.state, ...next.effects, ...sendHint(next.state, now));
   next = prependEffects(next.effects, sendStatus(next.state, now));
-  next = prependEffects(next.effects, tickWrite(next.state, now));
-  next = prependEffects(next.effects, tickCalls(next.state, now));
-  next = prependEffects(next.effects, tickLeaving(next.state, now));
+  next = prependEffects(next.effects, tickPrimaryWrite(next.state, now));
+  next = prependEffects(next.effects, tickAwaitingChunks(next.state, now));
+  next = prependEffects(next.effects, tickStop(next.state, now));
   return isPrimary(next.state, now)
     ? prependEffects(next.effects, tickPrimary(next.state, now))
     : next;
 };
 
 /** Ends this store: the duty is given up if it still has it, and the others are told. */
-const finishLeaving = (state: Store, now: Timestamp): Done => {
+const completeStop = (state: StoreState, now: Timestamp): StoreTransition => {
   const bye = sendHeartbeat(state.session, heartbeatContent(state, now, true), now);
-  const done = handOverLeadership({ ...state, session: bye.state }, leaveStandDown, now);
+  const done = handOverLeadership({ ...state, session: bye.state }, stopStandDownMs, now);
   const told = sendStatus({ ...done.state, phase: 'member', statusSentAt: clockOrigin }, now);
   return prependEffects(
     [...bye.effects, ...done.effects, ...told.effects],
-    transition({ ...told.state, phase: 'stopping' }, { kind: 'stopped' }),
+    transition({ ...told.state, phase: 'stopping' }, { kind: 'completeStop' }),
   );
 };
 
 /** Lets time pass over a leave: first the duty goes to a successor, then the copy, then this store. */
-const tickLeaving = (state: Store, now: Timestamp): Done => {
-  const { leaving } = state;
-  if (leaving === undefined) return transition(state);
-  if (now >= leaving.deadline) return finishLeaving(state, now);
+const tickStop = (state: StoreState, now: Timestamp): StoreTransition => {
+  const { stopping } = state;
+  if (stopping === undefined) return transition(state);
+  if (now >= stopping.deadline) return completeStop(state, now);
   if (holdsLease(state.candidate, now)) {
-    if (!mayHandOver(state, leaving.since, now)) return transition(state);
-    const handed = handOverLeadership(state, leaveStandDown, now);
+    if (!mayHandOver(state, stopping.since, now)) return transition(state);
+    const handed = handOverLeadership(state, stopStandDownMs, now);
     return prependEffects(handed.effects, sendStatus(handed.state, now));
   }
-  if (copiesStandElsewhere(state, leaving.since, now)) return finishLeaving(state, now);
+  if (hasEnoughReplicasElsewhere(state, stopping.since, now)) return completeStop(state, now);
   // Another one that is in sync is elected before this one; without any, this one has to lead.
   const successor = successors(state, now).length > 0;
-  return transition(successor ? { ...state, standDownUntil: addMs(now, leaveStandDown) } : state);
+  return transition(successor ? { ...state, standDownUntil: addMs(now, stopStandDownMs) } : state);
 };
 
-const onStop = (state: Store, now: Timestamp, graceMs: number): Done => {
-  if (state.leaving !== undefined) return transition(state);
+const onStopRequested = (state: StoreState, now: Timestamp, graceMs: number): StoreTransition => {
+  if (state.stopping !== undefined) return transition(state);
   const leaving = { since: now, deadline: addMs(now, graceMs) };
-  const begun = tickLeaving({ ...state, leaving, statusSentAt: clockOrigin }, now);
+  const begun = tickStop({ ...state, stopping: leaving, statusSentAt: clockOrigin }, now);
   // A handover has told the peers already; two words at once might overtake each other.
   return prependEffects(begun.effects, sendStatus(begun.state, now));
 };
 
-const onFrame = (state: Store, from: Peer, frame: Frame, now: Timestamp): Done => {
+const onFrame = (state: StoreState, from: Peer, frame: Frame, now: Timestamp): StoreTransition => {
   switch (frame.kind) {
     case 'heartbeat-reply':
       return transition({
@@ -482,11 +518,11 @@
     case 'subscribe':
       return onSubscribe(state, frame, now);
     case 'call':
-      return onCall(state, from, frame, now);
+      return onOperatorCommand(state, from, frame, now);
     case 'piece':
-      return onPiece(state, frame, now);
+      return onChunk(state, frame, now);
     case 'piece-request':
-      return onWant(state, from, frame);
+      return onChunkRequest(state, from, frame);
     case 'replicate':
       return onReplicate(state, from, frame, now);
     case 'replicated':
@@ -520,39 +556,39 @@
   }
 };
 
-const onEvent = (state: Store, event: StoreEvent): Done => {
+const onEvent = (state: StoreState, event: StoreEvent): StoreTransition => {
   if (state.phase === 'stopping') return transition(state);
   switch (event.kind) {
-    case 'read':
-      return onRead(state, event.found, event.now);
+    case 'diskRead':
+      return onDiskRead(state, event.contents, event.now);
     case 'tick':
       return onTick(state, event.now);
-    case 'frame':
+    case 'frameReceived':
       return state.phase === 'reading'
         ? transition(state)
         : onFrame(state, event.from, event.frame, event.now);
-    case 'gone':
+    case 'peerDisconnected':
       return transition({
         ...state,
         session: onRegistryLost(state.session, event.address, event.now),
       });
-    case 'synced':
-      return state.backupWrite?.id === event.id
-        ? onBackupWriteSynced(state, event.id, event.now)
-        : onSynced(state, event.id, event.now);
-    case 'unsynced':
-      return state.backupWrite?.id === event.id
-        ? onBackupWriteFailed(state, event.id, event.text, event.full, event.now)
-        : onUnsynced(state, event.id, event.text, event.full, event.now);
-    case 'compiled':
+    case 'writeSynced':
+      return state.backupWrite?.id === event.writeId
+        ? onBackupWriteSynced(state, event.writeId, event.now)
+        : onPrimaryWriteSynced(state, event.writeId, event.now);
+    case 'writeFailed':
+      return state.backupWrite?.id === event.writeId
+        ? onBackupWriteFailed(state, event.writeId, event.reason, event.isDiskFull, event.now)
+        : onPrimaryWriteFailed(state, event.writeId, event.reason, event.isDiskFull, event.now);
+    case 'configurationCompiled':
       return onCompiled(state, event.hash, event.faults);
-    case 'stop':
-      return onStop(state, event.now, event.graceMs ?? defaultLeaveGrace);
+    case 'stopRequested':
+      return onStopRequested(state, event.now, event.graceMs ?? defaultStopGraceMs);
   }
 };
 
 /** The store: one function for every change of its state. What an event queued is written at its end. */
-export const storeStep = (state: Store, event: StoreEvent): Done => {
+export const storeTransition = (state: StoreState, event: StoreEvent): StoreTransition => {
   const handled = onEvent(state, event);
   const written = prependEffects(handled.effects, startWrite(handled.state, event.now));
   return prependEffects(written.effects, checkInvariants(state, written.state));
--- /dev/null
+++ b/packages/replicated-store/src/registries/feed.ts
@@ -0,0 +1,65 @@
+import { type Timestamp, noSeq, clockOrigin } from '@switchwheel/types';
+import { type FrameOf, type ConfigManifest, send } from '@switchwheel/transport';
+import { oldestKeptPurge, releaseStateOf, latestPurge } from '@switchwheel/configuration';
+import { heldEpoch } from '@switchwheel/election';
+import type { StoreEffect } from '../state/events.js';
+import { elapsedOf } from '../releases/release-progress.js';
+import type { StoreState, Subscriber } from '../state/state.js';
+
+const subscriberTimeoutMs = 3000;
+
+const offersOf = (state: StoreState): readonly ConfigManifest[] => {
+  const stored = state.control.configuration?.offer;
+  return stored === undefined ? [] : [stored];
+};
+
+/** What a registry is told: all of the desired state if it lacks any, and the purges it lacks. */
+const feedFrame = (
+  state: StoreState,
+  subscriber: Subscriber,
+  at: Timestamp,
+  now: Timestamp,
+): FrameOf<'feed'> | undefined => {
+  const metadata = state.metadata;
+  if (metadata === undefined) return undefined;
+  const behind = subscriber.serial === noSeq || subscriber.serial < state.lastNodeChangeSeq;
+  const rows = [...state.control.nodes].flatMap(([node, row]) => {
+    if (row.desired === undefined) return [];
+    return [{ node, ...row.desired, ...(row.failed === undefined ? {} : { failed: row.failed }) }];
+  });
+  const current = state.control.configuration?.offer;
+  return {
+    kind: 'feed',
+    at,
+    epoch: heldEpoch(state.candidate),
+    serial: state.stamp.seq,
+    fleet: metadata.fleet,
+    electorate: metadata.electorate,
+    ...(behind ? { desired: rows } : {}),
+    offers: behind ? [...offersOf(state)] : [],
+    ...(behind && current !== undefined ? { current } : {}),
+    purges: state.control.purges.filter((one) => one.seq > subscriber.purged),
+    floor: oldestKeptPurge(state.control),
+    top: latestPurge(state.control),
+    verdicts: [...state.control.canaryResults.values()],
+    releases: [...state.control.releases.values()].map((one) =>
+      releaseStateOf(one, elapsedOf(state, one, now)),
+    ),
+  };
+};
+
+export const feedSubscriber = (
+  state: StoreState,
+  subscriber: Subscriber,
+  at: Timestamp,
+  now: Timestamp,
+): readonly StoreEffect[] => {
+  const word = feedFrame(state, subscriber, at, now);
+  return word === undefined ? [] : [send(subscriber.address, word)];
+};
+
+/** Pushes news to every registry that listens; the time it bears renews nothing. */
+export const feedSubscribers = (state: StoreState, now: Timestamp): readonly StoreEffect[] =>
+  [...state.subscribers.values()]
+    .filter((one) => now - one.at < subscriberTimeoutMs)
+    .flatMap((one) => feedSubscriber(state, one, clockOrigin, now));
--- a/packages/replicated-store/src/release/release.ts
+++ b/packages/replicated-store/src/releases/release-progress.ts
@@ -10,23 +10,26 @@
 } from '@switchwheel/types';
 import { type FrameOf, log } from '@switchwheel/transport';
 import {
-  type ReleaseOrder,
-  advance,
-  counts,
+  type ReleaseRollout,
+  advanceReleaseRollout,
+  needsCounts,
   releaseSettings,
-  settledOn,
-  spentAt,
-  takeTally,
-  watch,
+  settledRollout,
+  elapsedAt,
+  recordCounts,
+  newRolloutWatch,
 } from '@switchwheel/configuration';
-import { enqueue } from '../command/queue.js';
-import type { StoreEffect } from '../state/event.js';
-import type { Store } from '../state/state.js';
+import { enqueue } from '../commands/queue.js';
+import type { StoreEffect } from '../state/events.js';
+import type { StoreState } from '../state/state.js';
 
-type Done = Transition<Store, StoreEffect>;
+type StoreTransition = Transition<StoreState, StoreEffect>;
 
 /** How many origins of each release of a service stand. */
-export const standingOf = (state: Store, service: ServiceName): ReadonlyMap<Release, number> => {
+export const liveOriginsByRelease = (
+  state: StoreState,
+  service: ServiceName,
+): ReadonlyMap<Release, number> => {
   const standing = new Map<Release, number>();
   for (const one of state.session.origins.values()) {
     if (one.service === service && one.state === 'up')
@@ -36,33 +39,33 @@
 };
 
 /** The release that most origins bear, other than one. */
-export const mostStanding = (
-  standing: ReadonlyMap<Release, number>,
+export const mostCommonRelease = (
+  liveOrigins: ReadonlyMap<Release, number>,
   except?: Release,
 ): Release | undefined =>
-  [...standing]
+  [...liveOrigins]
     .filter(([release]) => release !== except)
     .sort(([one, many], [two, more]) => more - many || (one < two ? -1 : 1))[0]?.[0];
 
 /** How much of an order's span is over, as far as this store knows. */
-export const spentOf = (state: Store, order: ReleaseOrder, now: Timestamp): number => {
-  const own = state.watches.get(order.service);
-  return own?.order === order.order ? Math.max(order.spentMs, spentAt(own, now)) : order.spentMs;
+export const elapsedOf = (state: StoreState, order: ReleaseRollout, now: Timestamp): number => {
+  const own = state.releaseWatches.get(order.service);
+  return own?.order === order.order ? Math.max(order.spentMs, elapsedAt(own, now)) : order.spentMs;
 };
 
 /** Watches the orders that need it, from where the record says they are. */
-const watched = (state: Store, now: Timestamp): Store => {
-  let watches = state.watches;
+const withReleaseWatches = (state: StoreState, now: Timestamp): StoreState => {
+  let watches = state.releaseWatches;
   for (const [service, one] of state.control.releases) {
     if (one.target === undefined || watches.get(service)?.order === one.order) continue;
-    watches = withEntry(watches, service, watch(one.order, one.spentMs, now));
+    watches = withEntry(watches, service, newRolloutWatch(one.order, one.spentMs, now));
   }
   const kept = filterEntries(watches, (_, service) => state.control.releases.has(service));
-  return kept === state.watches ? state : { ...state, watches: kept };
+  return kept === state.releaseWatches ? state : { ...state, releaseWatches: kept };
 };
 
 /** Whether a change of a service's record is in its turn or being written already. */
-const waits = (state: Store, service: ServiceName): boolean =>
+const hasPendingChange = (state: StoreState, service: ServiceName): boolean =>
   state.commandQueue.some(
     (one) =>
       (one.kind === 'release' && one.next.service === service) ||
@@ -70,14 +73,22 @@
   ) ||
   (state.primaryWrite?.puts.some((one) => one.key === `release/${service}`) ?? false);
 
-const pass = (state: Store, order: ReleaseOrder, now: Timestamp): Done => {
-  const own = state.watches.get(order.service);
-  if (own === undefined || !counts(order, spentAt(own, now)) || waits(state, order.service))
+const advanceRelease = (
+  state: StoreState,
+  order: ReleaseRollout,
+  now: Timestamp,
+): StoreTransition => {
+  const own = state.releaseWatches.get(order.service);
+  if (
+    own === undefined ||
+    !needsCounts(order, elapsedAt(own, now)) ||
+    hasPendingChange(state, order.service)
+  )
     return transition(state);
-  const next = advance(
+  const next = advanceReleaseRollout(
     order,
     own,
-    standingOf(state, order.service),
+    liveOriginsByRelease(state, order.service),
     now,
     state.settings.releases ?? releaseSettings,
   );
@@ -100,42 +111,46 @@
 };
 
 /** Notes on which release each service stands that has no record yet. */
-const settleNew = (state: Store): Done => {
-  let next: Done = transition(state);
+const recordSettledReleases = (state: StoreState): StoreTransition => {
+  let next: StoreTransition = transition(state);
   const services = new Set(
     [...state.session.origins.values()]
       .filter((one) => one.state === 'up')
       .map((one) => one.service),
   );
   for (const service of services) {
-    if (state.control.releases.has(service) || waits(next.state, service)) continue;
-    const settled = mostStanding(standingOf(state, service));
+    if (state.control.releases.has(service) || hasPendingChange(next.state, service)) continue;
+    const settled = mostCommonRelease(liveOriginsByRelease(state, service));
     if (settled !== undefined)
       next = prependEffects(
         next.effects,
-        enqueue(next.state, { kind: 'release', next: settledOn(service, settled) }),
+        enqueue(next.state, { kind: 'release', next: settledRollout(service, settled) }),
       );
   }
   return next;
 };
 
 /** Lets time pass over the orders of releases. */
-export const tickReleases = (state: Store, now: Timestamp): Done => {
-  let next = settleNew(watched(state, now));
+export const tickReleases = (state: StoreState, now: Timestamp): StoreTransition => {
+  let next = recordSettledReleases(withReleaseWatches(state, now));
   for (const order of state.control.releases.values())
-    next = prependEffects(next.effects, pass(next.state, order, now));
+    next = prependEffects(next.effects, advanceRelease(next.state, order, now));
   return next;
 };
 
 /** An edge tells what it counts; a release that it shows to be bad is judged at once. */
-export const onTally = (before: Store, word: FrameOf<'tally'>, now: Timestamp): Done => {
-  const state = watched(before, now);
-  const own = state.watches.get(word.service);
-  const order = state.control.releases.get(word.service);
+export const onTally = (
+  before: StoreState,
+  tally: FrameOf<'tally'>,
+  now: Timestamp,
+): StoreTransition => {
+  const state = withReleaseWatches(before, now);
+  const own = state.releaseWatches.get(tally.service);
+  const order = state.control.releases.get(tally.service);
   if (own === undefined || order === undefined) return transition(state);
   const next = {
     ...state,
-    watches: withEntry(state.watches, word.service, takeTally(own, word, now)),
+    releaseWatches: withEntry(state.releaseWatches, tally.service, recordCounts(own, tally, now)),
   };
-  return pass(next, order, now);
+  return advanceRelease(next, order, now);
 };
--- a/packages/replicated-store/src/resync/bootstrap.test.ts
+++ b/packages/replicated-store/src/resync/bootstrap.test.ts
@@ -6,7 +6,7 @@
   noSeq,
   toAddress,
   toZoneName,
-  toCallId,
+  toCommandId,
   toEpoch,
   toFleetId,
   toIncarnation,
@@ -14,9 +14,9 @@
   toNodeId,
 } from '@switchwheel/types';
 import type { ClusterMetadata, Peer, FrameOf, Member } from '@switchwheel/transport';
-import { storeStep } from '../machine.js';
-import type { Found, StoreEffect } from '../state/event.js';
-import { type Store, newStore, defaultReplication } from '../state/state.js';
+import { storeTransition } from '../machine.js';
+import type { DiskContents, StoreEffect } from '../state/events.js';
+import { type StoreState, newStoreState, defaultReplicationSettings } from '../state/state.js';
 
 const fleet = toFleetId('f1');
 const member = (node: string, port: number): Member => ({
@@ -38,7 +38,7 @@
 };
 const proposal = (by: number, other = fleet): FrameOf<'bootstrap'> => ({
   kind: 'bootstrap',
-  id: toCallId(`${other}.r${by}`),
+  id: toCommandId(`${other}.r${by}`),
   fleet: other,
   stores: stores.map(({ node, address }) => ({ node, address })),
   electorate,
@@ -46,30 +46,30 @@
 
 /** A store whose disk takes each write at once, or not at all until it is let. */
 class Bench {
-  state: Store;
+  state: StoreState;
   now: Timestamp = toTimestamp(1000);
   readonly effects: StoreEffect[] = [];
   #pending: number[] = [];
 
-  constructor(foundable = true, found: Found = { found: 'nothing' }) {
-    const first = newStore(
+  constructor(foundable = true, found: DiskContents = { status: 'empty' }) {
+    const first = newStoreState(
       stores[0] ?? member('s1', 1),
       [],
       { seed: 1 },
-      defaultReplication,
+      defaultReplicationSettings,
       foundable,
     );
-    const read = storeStep(first, { kind: 'read', now: this.now, found });
+    const read = storeTransition(first, { kind: 'diskRead', now: this.now, contents: found });
     this.state = read.state;
   }
 
   hear(from: Peer, frame: FrameOf<'bootstrap'>): void {
-    this.#take(storeStep(this.state, { kind: 'frame', now: this.now, from, frame }));
+    this.#take(storeTransition(this.state, { kind: 'frameReceived', now: this.now, from, frame }));
   }
 
   sync(): void {
     for (const id of this.#pending.splice(0))
-      this.#take(storeStep(this.state, { kind: 'synced', now: this.now, id }));
+      this.#take(storeTransition(this.state, { kind: 'writeSynced', now: this.now, writeId: id }));
   }
 
   answers(): readonly boolean[] {
@@ -78,10 +78,11 @@
     );
   }
 
-  #take(done: { readonly state: Store; readonly effects: readonly StoreEffect[] }): void {
+  #take(done: { readonly state: StoreState; readonly effects: readonly StoreEffect[] }): void {
     this.state = done.state;
     this.effects.push(...done.effects);
-    for (const one of done.effects) if (one.kind === 'sync') this.#pending.push(one.write.id);
+    for (const one of done.effects)
+      if (one.kind === 'writeToDisk') this.#pending.push(one.write.id);
   }
 }
 
@@ -140,7 +141,7 @@
     electorate,
   };
   const bench = new Bench(true, {
-    found: 'whole',
+    status: 'complete',
     metadata,
     stamp: { epoch: toEpoch(4), seq: noSeq },
     entries: [],
--- a/packages/replicated-store/src/resync/resync.ts
+++ b/packages/replicated-store/src/resync/resync.ts
@@ -14,60 +14,71 @@
   type ClusterMetadata,
   type Peer,
   type FrameOf,
-  type Put,
-  type Stamp,
+  type TableMutation,
+  type LogPosition,
   log,
   send,
 } from '@switchwheel/transport';
 import { heldEpoch } from '@switchwheel/election';
-import { absorbAll } from '@switchwheel/configuration';
-import { inSync, reachableInSync, isPrimary, primaryTimeout } from '../leadership/candidacy.js';
-import { areaOf, chooseCopies, hasEnoughCopies, peerTimeout } from '../leadership/copies.js';
-import { replicateOpenWrite } from '../primary-write/primary-write.js';
-import { replaceBackups, requestInSyncSet } from '../primary-write/replacement.js';
-import type { StoreEffect } from '../state/event.js';
-import { type BackupWrite, type PeerStatus, type Store, noStamp, ownId } from '../state/state.js';
-import { apply, digests, inRange, newerStamp, sameStamp } from '../table/table.js';
+import { applyPuts } from '@switchwheel/configuration';
+import { inSync, reachableInSync, isPrimary, primaryTimeoutMs } from '../leadership/candidacy.js';
+import {
+  zoneOf,
+  chooseReplicas,
+  hasEnoughReplicas,
+  peerTimeoutMs,
+} from '../leadership/replica-placement.js';
+import { replicateOpenWrite } from '../log-write/primary-write.js';
+import { replaceBackups, requestInSyncSet } from '../log-write/backup-replacement.js';
+import type { StoreEffect } from '../state/events.js';
+import {
+  type BackupWrite,
+  type PeerStatus,
+  type StoreState,
+  noStamp,
+  ownId,
+} from '../state/state.js';
+import { withPuts, rangeDigests, keysInRange, isNewerStamp, isSameStamp } from '../state/table.js';
 
-type Done = Transition<Store, StoreEffect>;
-const statusInterval = 300;
+type StoreTransition = Transition<StoreState, StoreEffect>;
+const statusIntervalMs = 300;
 /** How long a write to this disk may take before the disk counts as one that takes none. */
-const stalledAfter = 1000;
-const resyncBatchBytes = 1024 * 1024;
+const stalledDiskMs = 1000;
+const resyncBatchCharacters = 1024 * 1024;
 const resyncRangesPerReply = 8;
 /** How long a spare may make no progress before the next one has its turn. */
-const resyncTurn = 4000;
+const resyncTurnMs = 4000;
 /** How long a store out of sync may be silent before it gives up its place in the metadata. */
-const removeAfter = 10_000;
+const removeAfterMs = 10_000;
 
 const startBackupWrite = (
-  state: Store,
+  state: StoreState,
   backupWrite: Omit<BackupWrite, 'id'>,
   wipe: boolean,
-): Done => {
-  const own: BackupWrite = { ...backupWrite, id: state.nextId };
+): StoreTransition => {
+  const own: BackupWrite = { ...backupWrite, id: state.nextWriteId };
   const sets = own.puts.flatMap(({ key, data }) =>
     data === null ? [] : [{ key, data, stamp: own.stamps.get(key) ?? own.stamp }],
   );
   const drops = own.puts.flatMap(({ key, data }) => (data === null ? [key] : []));
   return transition(
-    { ...state, backupWrite: own, nextId: state.nextId + 1 },
+    { ...state, backupWrite: own, nextWriteId: state.nextWriteId + 1 },
     {
-      kind: 'sync',
+      kind: 'writeToDisk',
       write: {
         id: own.id,
         metadata: own.metadata,
         stamp: own.stamp,
-        sets,
-        drops,
-        wipe: wipe || state.mustWipe,
+        entries: sets,
+        deletedKeys: drops,
+        wipesFirst: wipe || state.mustWipe,
       },
     },
   );
 };
 
-const replicatedFrame = (
-  state: Store,
+const acknowledgement = (
+  state: StoreState,
   backupWrite: Pick<BackupWrite, 'to' | 'metadata' | 'stamp'>,
   ok: boolean,
   text: string,
@@ -83,7 +94,7 @@
   });
 
 /** Takes note of a primary: of its being there, and of whether it counts this store in. */
-const notePrimary = (state: Store, metadata: ClusterMetadata, now: Timestamp): Store => {
+const notePrimary = (state: StoreState, metadata: ClusterMetadata, now: Timestamp): StoreState => {
   if (
     state.metadata === undefined ||
     metadata.fleet !== state.metadata.fleet ||
@@ -99,82 +110,90 @@
 };
 
 /** Keeps a write that came while another one is on its way to the disk: a learner would have a gap else. */
-const queueReplicate = (state: Store, from: Peer, word: FrameOf<'replicate'>): Store => {
-  const isKnown = state.replicateQueue.some(
+const queueReplication = (
+  state: StoreState,
+  from: Peer,
+  write: FrameOf<'replicate'>,
+): StoreState => {
+  const isKnown = state.replicationQueue.some(
     (one) =>
-      sameStamp(one.word.stamp, word.stamp) && one.word.metadata.epoch === word.metadata.epoch,
+      isSameStamp(one.word.stamp, write.stamp) && one.word.metadata.epoch === write.metadata.epoch,
   );
-  return isKnown || state.replicateQueue.length >= maxQueuedReplicates
+  return isKnown || state.replicationQueue.length >= maxQueuedReplications
     ? state
-    : { ...state, replicateQueue: [...state.replicateQueue, { from, word }] };
+    : { ...state, replicationQueue: [...state.replicationQueue, { from, word: write }] };
 };
 
 /** Takes the next write that waits, if there is one. */
-const continueReplication = (state: Store, now: Timestamp): Done => {
-  const [next, ...rest] = state.replicateQueue;
+const continueReplication = (state: StoreState, now: Timestamp): StoreTransition => {
+  const [next, ...rest] = state.replicationQueue;
   if (next === undefined || state.backupWrite !== undefined) return transition(state);
-  const taken = onReplicate({ ...state, replicateQueue: rest }, next.from, next.word, now);
+  const taken = onReplicate({ ...state, replicationQueue: rest }, next.from, next.word, now);
   return prependEffects(taken.effects, continueReplication(taken.state, now));
 };
 
 /** The primary copies a write here. */
 export const onReplicate = (
-  before: Store,
+  before: StoreState,
   from: Peer,
-  word: FrameOf<'replicate'>,
+  write: FrameOf<'replicate'>,
   now: Timestamp,
-): Done => {
+): StoreTransition => {
   const metadata = before.metadata;
-  if (metadata === undefined || metadata.fleet !== word.metadata.fleet) return transition(before);
-  const wanted = { to: from.address, metadata: word.metadata, stamp: word.stamp };
-  if (word.metadata.epoch < metadata.epoch || word.metadata.epoch < heldEpoch(before.candidate))
-    return transition(before, replicatedFrame(before, wanted, false, 'an older epoch'));
-  const state = notePrimary(before, word.metadata, now);
-  if (sameStamp(state.stamp, word.stamp) && metadata.epoch === word.metadata.epoch)
-    return transition(state, replicatedFrame(state, wanted, true, ''));
-  if (state.backupWrite !== undefined) return transition(queueReplicate(state, from, word));
+  if (metadata === undefined || metadata.fleet !== write.metadata.fleet) return transition(before);
+  const wanted = { to: from.address, metadata: write.metadata, stamp: write.stamp };
+  if (write.metadata.epoch < metadata.epoch || write.metadata.epoch < heldEpoch(before.candidate))
+    return transition(before, acknowledgement(before, wanted, false, 'an older epoch'));
+  const state = notePrimary(before, write.metadata, now);
+  if (isSameStamp(state.stamp, write.stamp) && metadata.epoch === write.metadata.epoch)
+    return transition(state, acknowledgement(state, wanted, true, ''));
+  if (state.backupWrite !== undefined) return transition(queueReplication(state, from, write));
   if (state.primaryWrite !== undefined) return transition(state);
-  const required = word.metadata.inSyncSet.includes(ownId(state));
+  const required = write.metadata.inSyncSet.includes(ownId(state));
   // It may have the write itself already, from before the in-sync set changed.
-  const next = sameStamp(state.stamp, word.prior) || sameStamp(state.stamp, word.stamp);
+  const next = isSameStamp(state.stamp, write.prior) || isSameStamp(state.stamp, write.stamp);
   if (!next)
-    return transition(state, ...(required ? [replicatedFrame(state, wanted, false, 'a gap')] : []));
+    return transition(state, ...(required ? [acknowledgement(state, wanted, false, 'a gap')] : []));
   return startBackupWrite(
     state,
     {
-      since: now,
-      after: 'replicated',
+      startedAt: now,
+      purpose: 'replicated',
       ...wanted,
-      puts: word.puts,
+      puts: write.puts,
       stamps: new Map(),
-      call: undefined,
+      callId: undefined,
     },
     false,
   );
 };
 
 /** A mend or a copy lasts on this disk. */
-export const onBackupWriteSynced = (state: Store, id: number, now: Timestamp): Done => {
+export const onBackupWriteSynced = (
+  state: StoreState,
+  writeId: number,
+  now: Timestamp,
+): StoreTransition => {
   const backupWrite = state.backupWrite;
-  if (backupWrite?.id !== id) return transition(state);
-  const base: Store = {
+  if (backupWrite?.id !== writeId) return transition(state);
+  const base: StoreState = {
     ...state,
     backupWrite: undefined,
     mustWipe: false,
-    diskFull: undefined,
+    diskFullAt: undefined,
     standDownUntil: clockOrigin,
     metadata: backupWrite.metadata,
-    trouble: '',
+    diskDamage: '',
     phase: state.phase === 'empty' ? 'member' : state.phase,
   };
-  if (backupWrite.after === 'bootstrapped') {
+  if (backupWrite.purpose === 'bootstrapped') {
     const told =
-      backupWrite.call === undefined
+      backupWrite.callId === undefined
         ? []
         : [
             send(backupWrite.to, {
               kind: 'bootstrapped' as const,
-              id: backupWrite.call,
+              id: backupWrite.callId,
               node: ownId(state),
               ok: true,
               text: '',
@@ -187,64 +206,64 @@
     );
   }
   let table = state.table;
-  if (backupWrite.stamps.size === 0) table = apply(table, backupWrite.puts, backupWrite.stamp);
+  if (backupWrite.stamps.size === 0) table = withPuts(table, backupWrite.puts, backupWrite.stamp);
   else
     for (const one of backupWrite.puts)
-      table = apply(table, [one], backupWrite.stamps.get(one.key) ?? backupWrite.stamp);
-  const next: Store = {
+      table = withPuts(table, [one], backupWrite.stamps.get(one.key) ?? backupWrite.stamp);
+  const next: StoreState = {
     ...base,
     table,
-    control: absorbAll(state.control, backupWrite.puts),
+    control: applyPuts(state.control, backupWrite.puts),
     stamp: backupWrite.stamp,
   };
   const resumed =
-    backupWrite.after === 'replicated'
-      ? transition(next, replicatedFrame(state, backupWrite, true, ''))
+    backupWrite.purpose === 'replicated'
+      ? transition(next, acknowledgement(state, backupWrite, true, ''))
       : continueResync(next, now);
   return prependEffects(resumed.effects, continueReplication(resumed.state, now));
 };
 
 export const onBackupWriteFailed = (
-  state: Store,
-  id: number,
-  text: string,
-  full: boolean,
+  state: StoreState,
+  writeId: number,
+  reason: string,
+  isDiskFull: boolean,
   now: Timestamp,
-): Done => {
+): StoreTransition => {
   const backupWrite = state.backupWrite;
-  if (backupWrite?.id !== id) return transition(state);
-  const next: Store = {
+  if (backupWrite?.id !== writeId) return transition(state);
+  const next: StoreState = {
     ...state,
     backupWrite: undefined,
     resyncQueue: [],
-    replicateQueue: [],
-    diskFull: full ? now : state.diskFull,
+    replicationQueue: [],
+    diskFullAt: isDiskFull ? now : state.diskFullAt,
   };
-  if (backupWrite.after === 'replicated')
-    return transition(next, replicatedFrame(state, backupWrite, false, text));
-  if (backupWrite.after === 'bootstrapped' && backupWrite.call !== undefined) {
+  if (backupWrite.purpose === 'replicated')
+    return transition(next, acknowledgement(state, backupWrite, false, reason));
+  if (backupWrite.purpose === 'bootstrapped' && backupWrite.callId !== undefined) {
     return transition(
       next,
       send(backupWrite.to, {
         kind: 'bootstrapped',
-        id: backupWrite.call,
+        id: backupWrite.callId,
         node: ownId(state),
         ok: false,
-        text,
+        text: reason,
       }),
     );
   }
-  return transition(next, log('error', 'the disk refused a mend', ['why', text]));
+  return transition(next, log('error', 'the disk refused a mend', ['why', reason]));
 };
 
 /** Who is told where this store stands: everyone by the primary and while there is none, else those whom it concerns. */
 const statusTargets = (
-  state: Store,
+  state: StoreState,
   now: Timestamp,
 ): readonly ClusterMetadata['stores'][number]['address'][] => {
   const leader = isPrimary(state, now)
     ? undefined
-    : [...state.peers.values()].find((one) => one.primary && now - one.at < primaryTimeout);
+    : [...state.peers.values()].find((one) => one.isPrimary && now - one.at < primaryTimeoutMs);
   if (leader !== undefined) {
     const peers =
       state.metadata?.stores.filter(
@@ -265,9 +284,9 @@
 };
 
 /** Tells the other stores where this one stands; a store out of sync is mended by the answer. */
-export const sendStatus = (state: Store, now: Timestamp): Done => {
+export const sendStatus = (state: StoreState, now: Timestamp): StoreTransition => {
   if (
-    now - state.statusSentAt < statusInterval ||
+    now - state.statusSentAt < statusIntervalMs ||
     state.phase === 'reading' ||
     state.phase === 'stopping'
   )
@@ -284,12 +303,12 @@
     stamp: state.stamp,
     primary,
     full:
-      state.diskFull !== undefined ||
+      state.diskFullAt !== undefined ||
       state.primaryWrite?.phase === 'orphan' ||
-      (state.backupWrite !== undefined && now - state.backupWrite.since > stalledAfter),
-    ...(state.leaving === undefined ? {} : { leaving: true }),
+      (state.backupWrite !== undefined && now - state.backupWrite.startedAt > stalledDiskMs),
+    ...(state.stopping === undefined ? {} : { leaving: true }),
     at: now,
-    digests: away ? digests(state.table) : [],
+    digests: away ? rangeDigests(state.table) : [],
     ...(state.metadata === undefined ? {} : { metadata: state.metadata }),
   };
   return transition(
@@ -299,8 +318,8 @@
 };
 
 /** The stores of the metadata with one that is taken in: who is out of sync and long silent gives its place. */
-const withStore = (
-  state: Store,
+const storesWithLearner = (
+  state: StoreState,
   from: Peer,
   metadata: ClusterMetadata,
   now: Timestamp,
@@ -309,134 +328,148 @@
     (one) =>
       one.node !== from.node &&
       (metadata.inSyncSet.includes(one.node) ||
-        now - (state.peers.get(one.node)?.at ?? state.startedAt) < removeAfter),
+        now - (state.peers.get(one.node)?.at ?? state.startedAt) < removeAfterMs),
   ),
   { node: from.node, address: from.address },
 ];
 
 /** Which of some spares is mended first: one with room, in an area that has no copy, with a place in the metadata. */
-const bestSpare = (
-  state: Store,
+const bestLearner = (
+  state: StoreState,
   metadata: ClusterMetadata,
   spares: readonly PeerStatus[],
 ): NodeId | undefined => {
-  const areas = new Set(metadata.inSyncSet.map((one) => areaOf(state, one)));
+  const areas = new Set(metadata.inSyncSet.map((one) => zoneOf(state, one)));
   const cost = (one: PeerStatus): number =>
-    (one.full ? 4 : 0) +
-    (areas.has(areaOf(state, one.node)) ? 2 : 0) +
+    (one.isDiskFull ? 4 : 0) +
+    (areas.has(zoneOf(state, one.node)) ? 2 : 0) +
     (metadata.stores.some((row) => row.node === one.node) ? 0 : 1);
   return [...spares].sort((one, two) => cost(one) - cost(two) || (one.node < two.node ? -1 : 1))[0]
     ?.node;
 };
 
 /** Chooses the one spare that is mended now. */
-const pickSpare = (state: Store, metadata: ClusterMetadata, now: Timestamp): Store => {
+const pickLearner = (state: StoreState, metadata: ClusterMetadata, now: Timestamp): StoreState => {
   const spares = [...state.peers.values()].filter(
     (one) =>
       !metadata.inSyncSet.includes(one.node) &&
-      !one.primary &&
-      now - one.at < peerTimeout &&
+      !one.isPrimary &&
+      now - one.at < peerTimeoutMs &&
       (one.metadata === undefined || one.metadata.fleet === metadata.fleet),
   );
-  const current = state.resyncing;
+  const current = state.activeResync;
   const here = current !== undefined && spares.some((one) => one.node === current.node);
-  if (here && now - current.since < resyncTurn) return state;
-  const tried = here ? new Set([...state.resyncTried, current.node]) : state.resyncTried;
+  if (here && now - current.since < resyncTurnMs) return state;
+  const tried = here ? new Set([...state.resyncAttempted, current.node]) : state.resyncAttempted;
   const left = spares.filter((one) => !tried.has(one.node));
-  const node = bestSpare(state, metadata, left.length > 0 ? left : spares);
+  const node = bestLearner(state, metadata, left.length > 0 ? left : spares);
   return {
     ...state,
-    resyncTried: left.length > 0 ? tried : new Set(),
-    resyncing: node === undefined ? undefined : { node, since: now },
+    resyncAttempted: left.length > 0 ? tried : new Set(),
+    activeResync: node === undefined ? undefined : { node, since: now },
   };
 };
 
 /** When a peer last came closer to the primary's state: its stamp or digests changed, or it is back. */
-const progressOf = (
+const lastProgressAt = (
   before: PeerStatus | undefined,
-  word: FrameOf<'replica-status'>,
+  status: FrameOf<'replica-status'>,
   now: Timestamp,
 ): Timestamp => {
-  if (before === undefined || now - before.at >= peerTimeout) return now;
+  if (before === undefined || now - before.at >= peerTimeoutMs) return now;
   const moved =
-    !sameStamp(before.stamp, word.stamp) ||
-    before.full !== word.full ||
-    (word.digests.length > 0 && word.digests.some((one, range) => one !== before.digests[range]));
+    !isSameStamp(before.stamp, status.stamp) ||
+    before.isDiskFull !== status.full ||
+    (status.digests.length > 0 &&
+      status.digests.some((one, range) => one !== before.digests[range]));
   return moved ? now : before.progressAt;
 };
 
-const notePeer = (
-  state: Store,
+const notePeerStatus = (
+  state: StoreState,
   from: Peer,
-  word: FrameOf<'replica-status'>,
+  status: FrameOf<'replica-status'>,
   now: Timestamp,
-): Store => {
-  const before = state.peers.get(word.node);
+): StoreState => {
+  const before = state.peers.get(status.node);
   const row: PeerStatus = {
-    node: word.node,
+    node: status.node,
     address: from.address,
-    metadata: word.metadata,
-    stamp: word.stamp,
-    primary: word.primary,
-    full: word.full,
-    leaving: word.leaving === true,
+    metadata: status.metadata,
+    stamp: status.stamp,
+    isPrimary: status.primary,
+    isDiskFull: status.full,
+    isStopping: status.leaving === true,
     at: now,
-    digests: word.digests.length > 0 ? word.digests : (before?.digests ?? []),
-    progressAt: progressOf(before, word, now),
+    digests: status.digests.length > 0 ? status.digests : (before?.digests ?? []),
+    progressAt: lastProgressAt(before, status, now),
   };
   const led =
-    word.primary && word.metadata !== undefined ? notePrimary(state, word.metadata, now) : state;
-  const left = !word.primary && before?.primary === true;
+    status.primary && status.metadata !== undefined
+      ? notePrimary(state, status.metadata, now)
+      : state;
+  const left = !status.primary && before?.isPrimary === true;
   return {
     ...led,
-    primaryHeardAt: left ? toTimestamp(now - primaryTimeout) : led.primaryHeardAt,
-    peers: new Map([...state.peers, [word.node, row]]),
+    primaryHeardAt: left ? toTimestamp(now - primaryTimeoutMs) : led.primaryHeardAt,
+    peers: new Map([...state.peers, [status.node, row]]),
   };
 };
 
 /** A peer tells where it stands. */
 export const onPeerStatus = (
-  state: Store,
+  state: StoreState,
   from: Peer,
-  word: FrameOf<'replica-status'>,
+  status: FrameOf<'replica-status'>,
   now: Timestamp,
-): Done => {
-  const noted = notePeer(state, from, word, now);
+): StoreTransition => {
+  const noted = notePeerStatus(state, from, status, now);
   const metadata = state.metadata;
   if (metadata === undefined || !isPrimary(state, now)) return transition(noted);
-  if (word.metadata !== undefined && word.metadata.fleet !== metadata.fleet)
+  if (status.metadata !== undefined && status.metadata.fleet !== metadata.fleet)
     return transition(noted);
   // A store that counts as in sync and says that it holds nothing has lost its disk: it is replaced at once, and then mended.
-  if (metadata.inSyncSet.includes(word.node) && word.metadata === undefined)
-    return replaceBackups(noted, [word.node], now);
-  if (metadata.inSyncSet.includes(word.node) || word.digests.length === 0) return transition(noted);
-  if (isFollowing(state, word.stamp) && !mayTakeIn(noted, word.node, now))
-    return transition(endResyncOf(noted, word.node));
-  return resyncSpare(pickSpare(noted, metadata, now), from, word, metadata, now);
+  if (metadata.inSyncSet.includes(status.node) && status.metadata === undefined)
+    return replaceBackups(noted, [status.node], now);
+  if (metadata.inSyncSet.includes(status.node) || status.digests.length === 0)
+    return transition(noted);
+  if (isFollowing(state, status.stamp) && !mayPromote(noted, status.node, now))
+    return transition(endResyncOf(noted, status.node));
+  return resyncLearner(pickLearner(noted, metadata, now), from, status, metadata, now);
 };
 
 /** A spare that has caught up leaves its turn to the next. */
-const endResyncOf = (state: Store, node: NodeId): Store =>
-  state.resyncing?.node === node ? { ...state, resyncing: undefined } : state;
+const endResyncOf = (state: StoreState, node: NodeId): StoreState =>
+  state.activeResync?.node === node ? { ...state, activeResync: undefined } : state;
 
 /** Whether a store with this stamp has the last confirmed write, or the one that is open. */
-const isFollowing = (state: Store, stamp: Stamp): boolean =>
-  sameStamp(stamp, state.stamp) ||
-  (state.primaryWrite !== undefined && sameStamp(stamp, state.primaryWrite.stamp));
+const isFollowing = (state: StoreState, stamp: LogPosition): boolean =>
+  isSameStamp(stamp, state.stamp) ||
+  (state.primaryWrite !== undefined && isSameStamp(stamp, state.primaryWrite.stamp));
 
 /** Whether a store helps where copies are lacking, and no write is open that would have to wait for it. */
-const mayTakeIn = (state: Store, node: NodeId, now: Timestamp): boolean =>
+const mayPromote = (state: StoreState, node: NodeId, now: Timestamp): boolean =>
   state.primaryWrite === undefined &&
-  state.peers.get(node)?.leaving !== true &&
-  chooseCopies(state, reachableInSync(state, now), [node]).includes(node);
+  state.peers.get(node)?.isStopping !== true &&
+  chooseReplicas(state, reachableInSync(state, now), [node]).includes(node);
 
 /** Takes a spare that is equal to this store into the in-sync set. */
-const takeIn = (state: Store, from: Peer, shown: ClusterMetadata, now: Timestamp): Done => {
+const promoteLearner = (
+  state: StoreState,
+  from: Peer,
+  metadata: ClusterMetadata,
+  now: Timestamp,
+): StoreTransition => {
   const stayed = [...reachableInSync(state, now), from.node];
-  const set = hasEnoughCopies(state, stayed)
+  const set = hasEnoughReplicas(state, stayed)
     ? stayed
     : [...reachableInSync(state, now, true), from.node];
-  const next: Store = { ...state, metadata: shown, resyncing: undefined, resyncTried: new Set() };
+  const next: StoreState = {
+    ...state,
+    metadata: metadata,
+    activeResync: undefined,
+    resyncAttempted: new Set(),
+  };
   return prependEffects(
     [log('info', 'a spare is mended', ['store', from.node])],
     requestInSyncSet(next, set, now),
@@ -444,18 +477,21 @@
 };
 
 /** Mends the spare whose turn it is, or takes it in once it is equal; all have their turn while copies are lacking. */
-const resyncSpare = (
-  state: Store,
+const resyncLearner = (
+  state: StoreState,
   from: Peer,
-  word: FrameOf<'replica-status'>,
+  status: FrameOf<'replica-status'>,
   metadata: ClusterMetadata,
   now: Timestamp,
-): Done => {
-  if (state.resyncing?.node !== word.node && state.shortageSince === undefined)
+): StoreTransition => {
+  if (state.activeResync?.node !== status.node && state.shortageSince === undefined)
     return transition(state);
-  const mine = digests(state.table);
-  const unlike = mine.flatMap((one, range) => (one === word.digests[range] ? [] : [range]));
-  const shown: ClusterMetadata = { ...metadata, stores: withStore(state, from, metadata, now) };
+  const mine = rangeDigests(state.table);
+  const unlike = mine.flatMap((one, range) => (one === status.digests[range] ? [] : [range]));
+  const shown: ClusterMetadata = {
+    ...metadata,
+    stores: storesWithLearner(state, from, metadata, now),
+  };
   if (unlike.length > 0) {
     return transition(
       state,
@@ -465,12 +501,12 @@
           epoch: metadata.epoch,
           stamp: state.stamp,
           range,
-          keys: inRange(state.table, range),
+          keys: keysInRange(state.table, range),
         }),
       ),
     );
   }
-  if (!sameStamp(word.stamp, state.stamp) || word.metadata?.epoch !== metadata.epoch) {
+  if (!isSameStamp(status.stamp, state.stamp) || status.metadata?.epoch !== metadata.epoch) {
     return transition(
       state,
       send(from.address, {
@@ -484,31 +520,33 @@
     );
   }
   // Equal to the last entry and stamp, and nothing is being written: it is in sync from the next epoch on.
-  return mayTakeIn(state, word.node, now) ? takeIn(state, from, shown, now) : transition(state);
+  return mayPromote(state, status.node, now)
+    ? promoteLearner(state, from, shown, now)
+    : transition(state);
 };
 
 /** Whether a store may be mended by the holder of this epoch. */
-const acceptsResync = (state: Store, epoch: number): boolean =>
+const acceptsResync = (state: StoreState, epoch: number): boolean =>
   !inSync(state) &&
   state.primaryWrite === undefined &&
   epoch >= Math.max(state.metadata?.epoch ?? 0, state.excludedAtEpoch);
 
 /** The primary lists a range that is unlike: what is wrong here is dropped, what is lacking is fetched. */
 export const onRangeListing = (
-  state: Store,
+  state: StoreState,
   from: Peer,
-  word: FrameOf<'range-listing'>,
+  listing: FrameOf<'range-listing'>,
   now: Timestamp,
-): Done => {
-  if (!acceptsResync(state, word.epoch)) return transition(state);
+): StoreTransition => {
+  if (!acceptsResync(state, listing.epoch)) return transition(state);
   // What came here since the listing was made is not in it.
-  if (newerStamp(state.stamp, word.stamp)) return transition(state);
-  const listed = new Map(word.keys.map((one) => [one.key, one.stamp]));
-  const lacking = word.keys.filter((one) => {
+  if (isNewerStamp(state.stamp, listing.stamp)) return transition(state);
+  const listed = new Map(listing.keys.map((one) => [one.key, one.stamp]));
+  const lacking = listing.keys.filter((one) => {
     const mine = state.table.get(one.key);
-    return mine === undefined || !sameStamp(mine.stamp, one.stamp);
+    return mine === undefined || !isSameStamp(mine.stamp, one.stamp);
   });
-  const extra = inRange(state.table, word.range).filter((one) => !listed.has(one.key));
+  const extra = keysInRange(state.table, listing.range).filter((one) => !listed.has(one.key));
   const fetch: readonly StoreEffect[] =
     lacking.length === 0
       ? []
@@ -516,26 +554,26 @@
           send(from.address, {
             kind: 'fetch-entries',
             node: ownId(state),
-            epoch: word.epoch,
+            epoch: listing.epoch,
             keys: lacking.map((one) => one.key),
           }),
         ];
   if (extra.length === 0 || state.metadata === undefined || state.backupWrite !== undefined)
     return transition(state, ...fetch);
-  const puts: readonly Put[] = extra.map((one) => ({ key: one.key, data: null }));
+  const puts: readonly TableMutation[] = extra.map((one) => ({ key: one.key, data: null }));
   return prependEffects(
     fetch,
     startBackupWrite(
       state,
       {
-        since: now,
-        after: 'resynced',
+        startedAt: now,
+        purpose: 'resynced',
         to: from.address,
         metadata: state.metadata,
         stamp: noStamp,
         puts,
         stamps: new Map(),
-        call: undefined,
+        callId: undefined,
       },
       false,
     ),
@@ -543,81 +581,85 @@
 };
 
 export const onFetchEntries = (
-  state: Store,
+  state: StoreState,
   from: Peer,
-  word: FrameOf<'fetch-entries'>,
+  request: FrameOf<'fetch-entries'>,
   now: Timestamp,
-): Done => {
+): StoreTransition => {
   const metadata = state.metadata;
-  if (metadata === undefined || !isPrimary(state, now) || word.epoch !== metadata.epoch)
+  if (metadata === undefined || !isPrimary(state, now) || request.epoch !== metadata.epoch)
     return transition(state);
   const entries: FrameOf<'resync-entries'>['entries'] = [];
   let size = 0;
-  for (const key of word.keys) {
+  for (const key of request.keys) {
     const entry = state.table.get(key);
     if (entry === undefined) continue;
     entries.push({ key, ...entry });
     size += entry.data.length;
-    if (size > resyncBatchBytes) break;
+    if (size > resyncBatchCharacters) break;
   }
   const mending =
-    state.resyncing?.node === word.node ? { node: word.node, since: now } : state.resyncing;
+    state.activeResync?.node === request.node
+      ? { node: request.node, since: now }
+      : state.activeResync;
   return transition(
-    { ...state, resyncing: mending },
+    { ...state, activeResync: mending },
     send(from.address, { kind: 'resync-entries', epoch: metadata.epoch, metadata, entries }),
   );
 };
 
 const maxQueuedResyncs = 64;
-const maxQueuedReplicates = 16;
+const maxQueuedReplications = 16;
 
-const isEqualTo = (state: Store, theirs: readonly string[]): boolean => {
-  const mine = digests(state.table);
-  return mine.length === theirs.length && mine.every((one, range) => one === theirs[range]);
+const digestsMatch = (state: StoreState, otherDigests: readonly string[]): boolean => {
+  const mine = rangeDigests(state.table);
+  return (
+    mine.length === otherDigests.length && mine.every((one, range) => one === otherDigests[range])
+  );
 };
 
 /** Entries from the primary: they replace what is here, one write after another. */
 export const onResyncEntries = (
-  state: Store,
+  state: StoreState,
   from: Peer,
-  word: FrameOf<'resync-entries'>,
+  batch: FrameOf<'resync-entries'>,
   now: Timestamp,
-): Done => {
+): StoreTransition => {
   if (state.backupWrite !== undefined)
     return transition(
       state.resyncQueue.length < maxQueuedResyncs
-        ? { ...state, resyncQueue: [...state.resyncQueue, { from, word }] }
+        ? { ...state, resyncQueue: [...state.resyncQueue, { from, word: batch }] }
         : state,
     );
-  if (!acceptsResync(state, word.epoch) || word.metadata.inSyncSet.includes(ownId(state)))
+  if (!acceptsResync(state, batch.epoch) || batch.metadata.inSyncSet.includes(ownId(state)))
     return transition(state);
-  if (state.metadata !== undefined && state.metadata.fleet !== word.metadata.fleet)
+  if (state.metadata !== undefined && state.metadata.fleet !== batch.metadata.fleet)
     return transition(state);
-  const stamps = new Map(word.entries.map((one) => [one.key, one.stamp]));
-  const puts = word.entries.map((one) => ({ key: one.key, data: one.data }));
+  const stamps = new Map(batch.entries.map((one) => [one.key, one.stamp]));
+  const puts = batch.entries.map((one) => ({ key: one.key, data: one.data }));
   // What was equal when the primary compared may have changed since.
-  if (word.settled !== undefined && !isEqualTo(state, word.settled.digests))
+  if (batch.settled !== undefined && !digestsMatch(state, batch.settled.digests))
     return transition(state);
   // Until it is settled, this store has no stamp: no write can follow, and it does not stand.
-  const stamp = word.settled?.stamp ?? noStamp;
+  const stamp = batch.settled?.stamp ?? noStamp;
   return startBackupWrite(
     state,
     {
-      since: now,
-      after: 'resynced',
+      startedAt: now,
+      purpose: 'resynced',
       to: from.address,
-      metadata: word.metadata,
+      metadata: batch.metadata,
       stamp,
       puts,
       stamps,
-      call: undefined,
+      callId: undefined,
     },
     false,
   );
 };
 
 /** After a mend was written the next one is, or the primary is asked at once what is still unlike. */
-const continueResync = (state: Store, now: Timestamp): Done => {
+const continueResync = (state: StoreState, now: Timestamp): StoreTransition => {
   const [next, ...rest] = state.resyncQueue;
   if (next !== undefined)
     return onResyncEntries({ ...state, resyncQueue: rest }, next.from, next.word, now);
@@ -626,15 +668,15 @@
 
 /** An operator founds a fleet on this store and its peer. */
 export const onBootstrap = (
-  state: Store,
+  state: StoreState,
   from: Peer,
-  word: FrameOf<'bootstrap'>,
+  proposal: FrameOf<'bootstrap'>,
   now: Timestamp,
-): Done => {
+): StoreTransition => {
   const answer = (ok: boolean, text: string): StoreEffect =>
-    send(from.address, { kind: 'bootstrapped', id: word.id, node: ownId(state), ok, text });
+    send(from.address, { kind: 'bootstrapped', id: proposal.id, node: ownId(state), ok, text });
   const known = state.metadata;
-  if (known?.fleet === word.fleet) return transition(state, answer(true, ''));
+  if (known?.fleet === proposal.fleet) return transition(state, answer(true, ''));
   if (known !== undefined && known.epoch > 0)
     return transition(state, answer(false, `belongs to the fleet ${known.fleet}`));
   if (!state.mayBootstrap)
@@ -642,23 +684,23 @@
   if (state.phase === 'reading' || state.backupWrite !== undefined)
     return transition(state, answer(false, 'busy; found again'));
   const metadata: ClusterMetadata = {
-    fleet: word.fleet,
+    fleet: proposal.fleet,
     epoch: noEpoch,
-    inSyncSet: word.stores.map((one) => one.node),
-    stores: word.stores,
-    electorate: word.electorate,
+    inSyncSet: proposal.stores.map((one) => one.node),
+    stores: proposal.stores,
+    electorate: proposal.electorate,
   };
   return startBackupWrite(
     state,
     {
-      since: now,
-      after: 'bootstrapped',
+      startedAt: now,
+      purpose: 'bootstrapped',
       to: from.address,
       metadata,
       stamp: { epoch: metadata.epoch, seq: nextSeq(noSeq) },
       puts: [],
       stamps: new Map(),
-      call: word.id,
+      callId: proposal.id,
     },
     true,
   );
--- a/packages/replicated-store/src/state/forget.ts
+++ b/packages/replicated-store/src/state/expiry.ts
@@ -3,14 +3,14 @@
  * on the fleet as it is and not on how long it has run.
  */
 import { type Timestamp, filterEntries } from '@switchwheel/types';
-import type { Store } from './state.js';
+import type { StoreState } from './state.js';
 
 /** How long a member of which nothing else is kept may be silent. */
-const forgetAfter = 60_000;
+const silentMemberExpiryMs = 60_000;
 
 /** Forgets silent registries, nodes without a record, and stores that the metadata does not name. */
-export const forgetGone = (state: Store, now: Timestamp): Store => {
-  const heard = (one: { readonly at: Timestamp }): boolean => now - one.at < forgetAfter;
+export const expireSilentMembers = (state: StoreState, now: Timestamp): StoreState => {
+  const heard = (one: { readonly at: Timestamp }): boolean => now - one.at < silentMemberExpiryMs;
   const epoch = state.metadata?.epoch ?? 0;
   const named = new Set(state.metadata?.stores.map((one) => one.node));
   const subscribers = filterEntries(state.subscribers, heard);
--- a/packages/replicated-store/src/table/table.ts
+++ b/packages/replicated-store/src/state/table.ts
@@ -1,9 +1,9 @@
 import { createHash } from 'node:crypto';
-import type { Put, Stamp } from '@switchwheel/transport';
+import type { TableMutation, LogPosition } from '@switchwheel/transport';
 
 /** One entry of the replicated table, with the write that made it. */
 export interface Entry {
-  readonly stamp: Stamp;
+  readonly stamp: LogPosition;
   readonly data: string;
 }
 export type Table = ReadonlyMap<string, Entry>;
@@ -17,14 +17,18 @@
 export const rangeOf = (key: string): number =>
   createHash('sha1').update(key).digest().readUInt8(0) % rangeCount;
 
-export const sameStamp = (one: Stamp, two: Stamp): boolean =>
+export const isSameStamp = (one: LogPosition, two: LogPosition): boolean =>
   one.epoch === two.epoch && one.seq === two.seq;
 /** Which of two stamps is the newer: by epoch, then by number. */
-export const newerStamp = (one: Stamp, two: Stamp): boolean =>
+export const isNewerStamp = (one: LogPosition, two: LogPosition): boolean =>
   one.epoch > two.epoch || (one.epoch === two.epoch && one.seq > two.seq);
 
 /** A copy of the table with a write in it. */
-export const apply = (table: Table, puts: readonly Put[], stamp: Stamp): Table => {
+export const withPuts = (
+  table: Table,
+  puts: readonly TableMutation[],
+  stamp: LogPosition,
+): Table => {
   if (puts.length === 0) return table;
   const copy = new Map(table);
   for (const { key, data } of puts) {
@@ -34,11 +38,11 @@
   return copy;
 };
 
-const known = new WeakMap<Table, string[]>();
+const digestCache = new WeakMap<Table, string[]>();
 
 /** A digest for each range, over keys and stamps; a table never changes, so each is reckoned once. */
-export const digests = (table: Table): string[] => {
-  const before = known.get(table);
+export const rangeDigests = (table: Table): string[] => {
+  const before = digestCache.get(table);
   if (before !== undefined) return before;
   const rows: string[][] = Array.from({ length: rangeCount }, () => []);
   for (const [key, entry] of table)
@@ -46,11 +50,11 @@
   const result = rows.map((row) =>
     createHash('sha256').update(row.sort().join('\n')).digest('hex').slice(0, 16),
   );
-  known.set(table, result);
+  digestCache.set(table, result);
   return result;
 };
 
-export const inRange = (table: Table, range: number): { key: string; stamp: Stamp }[] =>
+export const keysInRange = (table: Table, range: number): { key: string; stamp: LogPosition }[] =>
   [...table]
     .filter(([key]) => rangeOf(key) === range)
     .map(([key, entry]) => ({ key, stamp: entry.stamp }));
--- a/packages/routing/src/trip/trip.test.ts
+++ b/packages/routing/src/attempt-state/attempt-state.test.ts
@@ -3,22 +3,22 @@
 import fc from 'fast-check';
 import { type InstanceId, toInstanceId, toTimestamp } from '@switchwheel/types';
 import {
-  type Answer,
-  type Told,
-  type Trip,
-  type TripEffect,
-  type TripEvent,
-  newTrip,
-  tripStep,
-} from './trip.js';
+  type OriginResponse,
+  type RequestOutcome,
+  type RequestState,
+  type RequestEffect,
+  type RequestEvent,
+  newRequestState,
+  requestTransition,
+} from './attempt-state.js';
 
 const at = toTimestamp(1000);
 const until = toTimestamp(3000);
-const answer = (status: number, unrun = false): Answer => ({
+const answer = (status: number, unrun = false): OriginResponse => ({
   status,
   fields: [],
   body: Buffer.alloc(0),
-  unrun,
+  isUnprocessed: unrun,
 });
 const origin = (number: number): InstanceId => toInstanceId(`o${number}`);
 
@@ -66,7 +66,7 @@
   },
 );
 
-const eventOf = (move: Move, number: number): TripEvent => {
+const eventOf = (move: Move, number: number): RequestEvent => {
   switch (move.move) {
     case 'pick':
       return { kind: 'picked', now: at, instance: origin(number) };
@@ -82,7 +82,7 @@
 };
 
 interface Seen {
-  readonly told: Told[];
+  readonly told: RequestOutcome[];
   readonly out: Set<number>;
   ran: boolean;
   sent: number;
@@ -91,8 +91,8 @@
 /** Plays moves against the machine, holding each effect to the rules. */
 const play = (repeatable: boolean, most: number, list: readonly Move[]): Seen => {
   const seen: Seen = { told: [], out: new Set(), ran: false, sent: 0 };
-  let trip: Trip = newTrip(repeatable, most, until);
-  const take = (effects: readonly TripEffect[]): void => {
+  let trip: RequestState = newRequestState(repeatable, most, until);
+  const take = (effects: readonly RequestEffect[]): void => {
     for (const effect of effects) {
       assert.equal(seen.told.length, 0, 'nothing follows what the caller was told');
       if (effect.kind === 'send') {
@@ -111,19 +111,19 @@
       }
     }
   };
-  take(tripStep(trip, { kind: 'start', now: at }).effects);
+  take(requestTransition(trip, { kind: 'start', now: at }).effects);
   list.forEach((move, number) => {
     const event = eventOf(move, number);
     if (event.kind === 'answered' && seen.out.has(event.leg)) {
       seen.out.delete(event.leg);
-      if (!event.answer.unrun) seen.ran = true;
+      if (!event.answer.isUnprocessed) seen.ran = true;
     }
     if (event.kind === 'broke' && seen.out.has(event.leg)) {
       seen.out.delete(event.leg);
       if (event.sent) seen.ran = true;
       else seen.sent -= 1;
     }
-    const done = tripStep(trip, event);
+    const done = requestTransition(trip, event);
     trip = done.state;
     take(done.effects);
   });
@@ -157,18 +157,37 @@
 });
 
 void test('a request that an origin turned away unrun goes to another one, and a success is told as it came', () => {
-  let trip = newTrip(false, 2, until);
-  trip = tripStep(trip, { kind: 'picked', now: at, instance: origin(1) }).state;
-  const away = tripStep(trip, { kind: 'answered', now: at, leg: 1, answer: answer(503, true) });
+  let trip = newRequestState(false, 2, until);
+  trip = requestTransition(trip, { kind: 'picked', now: at, instance: origin(1) }).state;
+  const away = requestTransition(trip, {
+    kind: 'answered',
+    now: at,
+    leg: 1,
+    answer: answer(503, true),
+  });
   assert.deepEqual(away.effects, [{ kind: 'pick', extra: true }]);
-  const again = tripStep(away.state, { kind: 'picked', now: at, instance: origin(2) });
-  const done = tripStep(again.state, { kind: 'answered', now: at, leg: 2, answer: answer(200) });
+  const again = requestTransition(away.state, { kind: 'picked', now: at, instance: origin(2) });
+  const done = requestTransition(again.state, {
+    kind: 'answered',
+    now: at,
+    leg: 2,
+    answer: answer(200),
+  });
   assert.equal(done.effects[0]?.kind, 'tell');
 });
 
 void test('an answer of an origin that looks like a promise but is none is not handed on for a request that may have run', () => {
-  const out = tripStep(newTrip(false, 2, until), { kind: 'picked', now: at, instance: origin(1) });
-  const done = tripStep(out.state, { kind: 'answered', now: at, leg: 1, answer: answer(503) });
+  const out = requestTransition(newRequestState(false, 2, until), {
+    kind: 'picked',
+    now: at,
+    instance: origin(1),
+  });
+  const done = requestTransition(out.state, {
+    kind: 'answered',
+    now: at,
+    leg: 1,
+    answer: answer(503),
+  });
   assert.deepEqual(
     done.effects.map((one) =>
       one.kind === 'tell' && one.told.kind === 'fault' ? one.told.fault : one.kind,
--- a/packages/routing/src/trip/trip.ts
+++ b/packages/routing/src/attempt-state/attempt-state.ts
@@ -7,22 +7,22 @@
   withEntry,
   transition,
 } from '@switchwheel/types';
-import type { Fields } from '@switchwheel/transport';
+import type { HeaderFields } from '@switchwheel/transport';
 
 /** A whole answer of an origin. */
-export interface Answer {
+export interface OriginResponse {
   readonly status: number;
-  readonly fields: Fields;
+  readonly fields: HeaderFields;
   readonly body: Buffer;
   /** The origin says that it did not run the request. */
-  readonly unrun: boolean;
+  readonly isUnprocessed: boolean;
 }
 
 /** What a caller is told in the end. */
-export type Told =
+export type RequestOutcome =
   | {
       readonly kind: 'answer';
-      readonly answer: Answer;
+      readonly answer: OriginResponse;
       readonly instance: InstanceId;
       readonly leg: number;
     }
@@ -33,19 +33,19 @@
       readonly retryMs: number;
     };
 
-interface Leg {
+interface Attempt {
   readonly instance: InstanceId;
-  readonly since: Timestamp;
+  readonly startedAt: Timestamp;
 }
 
 /** One request from when it is read until its caller is told. */
-export interface Trip {
+export interface RequestState {
   readonly repeatable: boolean;
   /** The largest number of origins that it may be sent to. */
   readonly most: number;
   readonly until: Timestamp;
   readonly phase: 'choosing' | 'out' | 'over';
-  readonly legs: ReadonlyMap<number, Leg>;
+  readonly legs: ReadonlyMap<number, Attempt>;
   readonly next: number;
   /** Legs that reached an origin, or may have. */
   readonly sent: number;
@@ -55,10 +55,10 @@
   readonly ran: boolean;
   readonly tried: ReadonlySet<InstanceId>;
   /** A failure that an origin answered: told if nothing better comes. */
-  readonly held: Extract<Told, { kind: 'answer' }> | undefined;
+  readonly held: Extract<RequestOutcome, { kind: 'answer' }> | undefined;
 }
 
-export type TripEvent =
+export type RequestEvent =
   | { readonly kind: 'start'; readonly now: Timestamp }
   | { readonly kind: 'picked'; readonly now: Timestamp; readonly instance: InstanceId }
   /** No origin may be had now. */
@@ -72,7 +72,7 @@
       readonly kind: 'answered';
       readonly now: Timestamp;
       readonly leg: number;
-      readonly answer: Answer;
+      readonly answer: OriginResponse;
     }
   /** A leg ended without a whole answer; `sent` tells whether the request may have reached the origin. */
   | {
@@ -87,19 +87,23 @@
   | { readonly kind: 'expired'; readonly now: Timestamp }
   | { readonly kind: 'left'; readonly now: Timestamp };
 
-export type TripEffect =
+export type RequestEffect =
   /** Choose an origin; an extra one is charged to the budget. */
   | { readonly kind: 'pick'; readonly extra: boolean }
   | { readonly kind: 'send'; readonly leg: number; readonly instance: InstanceId }
   | { readonly kind: 'cut'; readonly leg: number }
-  | { readonly kind: 'tell'; readonly told: Told };
+  | { readonly kind: 'tell'; readonly told: RequestOutcome };
 
-type Done = Transition<Trip, TripEffect>;
-const mostUnopened = 3;
+type RequestTransition = Transition<RequestState, RequestEffect>;
+const maxUnopenedAttempts = 3;
 /** Statuses that promise the caller that nothing has run. */
-const promises: ReadonlySet<number> = new Set([408, 421, 429, 503]);
+const unprocessedStatuses: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 
-export const newTrip = (repeatable: boolean, most: number, until: Timestamp): Trip => ({
+export const newRequestState = (
+  repeatable: boolean,
+  most: number,
+  until: Timestamp,
+): RequestState => ({
   repeatable,
   most,
   until,
@@ -113,64 +117,72 @@
   held: undefined,
 });
 
-const fault = (kind: ErrorKind, text: string, retryMs: number): Told => ({
+const failureOutcome = (kind: ErrorKind, text: string, retryMs: number): RequestOutcome => ({
   kind: 'fault',
   fault: kind,
   text,
   retryMs,
 });
 
-const end = (trip: Trip, told: Told | undefined): Done =>
-  transition<Trip, TripEffect>(
+const finish = (trip: RequestState, told: RequestOutcome | undefined): RequestTransition =>
+  transition<RequestState, RequestEffect>(
     { ...trip, phase: 'over', legs: new Map() },
     ...[...trip.legs.keys()].map((leg) => ({ kind: 'cut' as const, leg })),
     ...(told === undefined ? [] : [{ kind: 'tell' as const, told }]),
   );
 
 /** What is told when no origin will answer: a promise only if nothing has run and nothing will. */
-const lastWord = (trip: Trip, text: string, retryMs: number): Told => {
+const finalOutcome = (trip: RequestState, text: string, retryMs: number): RequestOutcome => {
   if (trip.held !== undefined) return trip.held;
-  if (trip.ran && !trip.repeatable) return fault('lost', text, 0);
-  return trip.ran ? fault('lost', text, retryMs) : fault('rejected', text, retryMs);
+  if (trip.ran && !trip.repeatable) return failureOutcome('lost', text, 0);
+  return trip.ran
+    ? failureOutcome('lost', text, retryMs)
+    : failureOutcome('rejected', text, retryMs);
 };
 
 /** Goes on after a leg that brought nothing: to another origin, on with those still out, or to the end. */
-const goOn = (trip: Trip, text: string, retryMs: number): Done => {
+const retryOrFinish = (trip: RequestState, text: string, retryMs: number): RequestTransition => {
   const mayRepeat = trip.repeatable || !trip.ran;
-  if (mayRepeat && trip.sent < trip.most && trip.unopened <= mostUnopened)
+  if (mayRepeat && trip.sent < trip.most && trip.unopened <= maxUnopenedAttempts)
     return transition({ ...trip, phase: 'choosing' }, { kind: 'pick', extra: trip.sent > 0 });
   return trip.legs.size > 0
     ? transition({ ...trip, phase: 'out' })
-    : end(trip, lastWord(trip, text, retryMs));
+    : finish(trip, finalOutcome(trip, text, retryMs));
 };
 
-const onAnswered = (trip: Trip, leg: number, answer: Answer): Done => {
+const onResponse = (trip: RequestState, leg: number, answer: OriginResponse): RequestTransition => {
   const own = trip.legs.get(leg);
   if (own === undefined) return transition(trip);
-  const rest: Trip = { ...trip, legs: withoutEntry(trip.legs, leg) };
-  if (answer.unrun) return goOn(rest, 'origins turn requests away', 200);
-  const ran: Trip = { ...rest, ran: true };
+  const rest: RequestState = { ...trip, legs: withoutEntry(trip.legs, leg) };
+  if (answer.isUnprocessed) return retryOrFinish(rest, 'origins turn requests away', 200);
+  const ran: RequestState = { ...rest, ran: true };
   if (answer.status < 500) {
     // A promise that is not one: the origin did not say that it has not run.
-    if (!trip.repeatable && promises.has(answer.status))
-      return end(ran, fault('lost', 'the origin left open whether it ran', 0));
-    return end(ran, { kind: 'answer', answer, instance: own.instance, leg });
+    if (!trip.repeatable && unprocessedStatuses.has(answer.status))
+      return finish(ran, failureOutcome('lost', 'the origin left open whether it ran', 0));
+    return finish(ran, { kind: 'answer', answer, instance: own.instance, leg });
   }
-  const safe = trip.repeatable || !promises.has(answer.status);
+  const safe = trip.repeatable || !unprocessedStatuses.has(answer.status);
   const held = safe ? { kind: 'answer' as const, answer, instance: own.instance, leg } : undefined;
-  return goOn({ ...ran, held: held ?? ran.held }, 'the origin failed', 0);
+  return retryOrFinish({ ...ran, held: held ?? ran.held }, 'the origin failed', 0);
 };
 
-const onBroke = (trip: Trip, leg: number, sent: boolean, text: string): Done => {
+const onAttemptFailed = (
+  trip: RequestState,
+  leg: number,
+  sent: boolean,
+  text: string,
+): RequestTransition => {
   if (!trip.legs.has(leg)) return transition(trip);
-  const rest: Trip = { ...trip, legs: withoutEntry(trip.legs, leg) };
+  const rest: RequestState = { ...trip, legs: withoutEntry(trip.legs, leg) };
   // What never left is no leg: nothing ran.
-  if (!sent) return goOn({ ...rest, sent: rest.sent - 1, unopened: rest.unopened + 1 }, text, 200);
-  return goOn({ ...rest, ran: true }, text, 200);
+  if (!sent)
+    return retryOrFinish({ ...rest, sent: rest.sent - 1, unopened: rest.unopened + 1 }, text, 200);
+  return retryOrFinish({ ...rest, ran: true }, text, 200);
 };
 
 /** The life of a request: one function for every change of it. */
-export const tripStep = (trip: Trip, event: TripEvent): Done => {
+export const requestTransition = (trip: RequestState, event: RequestEvent): RequestTransition => {
   if (trip.phase === 'over') return transition(trip);
   switch (event.kind) {
     case 'start':
@@ -178,7 +190,7 @@
     case 'picked': {
       if (trip.phase !== 'choosing') return transition(trip);
       const leg = trip.next;
-      const legs = withEntry(trip.legs, leg, { instance: event.instance, since: event.now });
+      const legs = withEntry(trip.legs, leg, { instance: event.instance, startedAt: event.now });
       return transition(
         {
           ...trip,
@@ -195,11 +207,11 @@
       if (trip.phase !== 'choosing') return transition(trip);
       return trip.legs.size > 0
         ? transition({ ...trip, phase: 'out' })
-        : end(trip, lastWord(trip, event.text, event.retryMs));
+        : finish(trip, finalOutcome(trip, event.text, event.retryMs));
     case 'answered':
-      return onAnswered(trip, event.leg, event.answer);
+      return onResponse(trip, event.leg, event.answer);
     case 'broke':
-      return onBroke(trip, event.leg, event.sent, event.text);
+      return onAttemptFailed(trip, event.leg, event.sent, event.text);
     case 'late':
       if (
         trip.phase !== 'out' ||
@@ -211,14 +223,14 @@
       return transition({ ...trip, phase: 'choosing' }, { kind: 'pick', extra: true });
     case 'expired':
       // A leg under way may run yet.
-      return end(
+      return finish(
         trip,
         trip.held ??
           (trip.ran || trip.legs.size > 0
-            ? fault('slow', 'no origin answered in time', 0)
-            : fault('rejected', 'no origin in time', 200)),
+            ? failureOutcome('slow', 'no origin answered in time', 0)
+            : failureOutcome('rejected', 'no origin in time', 200)),
       );
     case 'left':
-      return end(trip, undefined);
+      return finish(trip, undefined);
   }
 };
--- a/packages/routing/src/sharing/sharing.test.ts
+++ b/packages/routing/src/object-sharing/object-sharing.test.ts
@@ -17,12 +17,23 @@
   toServiceName,
 } from '@switchwheel/types';
 import type { Member, ObjectFrame } from '@switchwheel/transport';
-import { type Table, build, cut, finish } from '@switchwheel/configuration';
-import { type Cabin, Cache, newCabin } from '@switchwheel/proxy-core';
-import { DirectLine } from '../line/line.js';
-import { type LegEars, type LegOrder, type Word, plainBounds, plainWords } from '../line/port.js';
-import { Owners } from './owner.js';
-import { maxSharedBytes } from './sharing.js';
+import {
+  type CompiledConfiguration,
+  buildConfiguration,
+  splitIntoChunks,
+  runToCompletion,
+} from '@switchwheel/configuration';
+import { type NodeAgent, Cache, newNodeAgent } from '@switchwheel/proxy-core';
+import { EdgeRouter } from '../router/edge-router.js';
+import {
+  type AttemptHandlers,
+  type AttemptRequest,
+  type ClientReply,
+  defaultEdgeLimits,
+  defaultHeaderNames,
+} from '../router/ports.js';
+import { ObjectOwners } from './object-owners.js';
+import { maxSharedBytes } from './object-sharing.js';
 
 const service = toServiceName('clips');
 const host = 'one.example';
@@ -32,9 +43,9 @@
 /** So few that each edge's part is one fetch in two seconds. */
 const perSecond = 3;
 
-const tableOf = (generation: number): Table => {
-  const bundle = finish(
-    cut({
+const tableOf = (generation: number): CompiledConfiguration => {
+  const bundle = runToCompletion(
+    splitIntoChunks({
       format: 1,
       classes: [{ name: 'play', share: 1 }],
       services: [{ name: service, perSecond }],
@@ -52,9 +63,9 @@
     }),
   );
   assert.ok(bundle.isOk);
-  const { hash, order, pieces } = bundle.value;
-  const texts = order.map((one) => pieces.get(one) ?? '');
-  const built = finish(build(texts, toGeneration(generation), hash));
+  const { hash, chunkHashes, chunks } = bundle.value;
+  const texts = chunkHashes.map((one) => chunks.get(one) ?? '');
+  const built = runToCompletion(buildConfiguration(texts, toGeneration(generation), hash));
   assert.ok(built.isOk);
   return built.value;
 };
@@ -71,8 +82,8 @@
 
 interface Fetch {
   readonly edge: Edge;
-  readonly order: LegOrder;
-  readonly ears: LegEars;
+  readonly order: AttemptRequest;
+  readonly ears: AttemptHandlers;
 }
 
 /** Edges of one area, each with a clock of its own, whose frames and fetches the test lets through. */
@@ -102,7 +113,7 @@
       const { from, to, frame } = one;
       const target = this.edges.find((edge) => edge.member.address === to);
       if (target === undefined || this.dead.has(to) || this.dead.has(from.member.address)) continue;
-      target.line.hearPeer(from.member.address, frame);
+      target.line.handlePeerFrame(from.member.address, frame);
     }
   }
 
@@ -116,8 +127,13 @@
   }
 
   answer(at: number, body = 'body', status = 200): void {
-    const fields: LegOrder['fields'] = [['cache-tag', 't1']];
-    this.fetches[at]?.ears.answered({ status, fields, body: Buffer.from(body), unrun: false });
+    const fields: AttemptRequest['fields'] = [['cache-tag', 't1']];
+    this.fetches[at]?.ears.onResponse({
+      status,
+      fields,
+      body: Buffer.from(body),
+      isUnprocessed: false,
+    });
     this.deliver();
   }
 
@@ -138,17 +154,17 @@
 };
 
 class Edge {
-  readonly told: Word[] = [];
+  readonly told: ClientReply[] = [];
   readonly cache = new Cache(1_000_000);
-  readonly line: DirectLine;
-  cabin: Cabin;
+  readonly line: EdgeRouter;
+  cabin: NodeAgent;
 
   constructor(
     readonly area: Area,
     readonly member: Member,
     readonly clockStart: number,
   ) {
-    const fresh = newCabin(member, [], { seed: 3 });
+    const fresh = newNodeAgent(member, [], { seed: 3 });
     const origin = {
       service,
       instance: toInstanceId('o1'),
@@ -156,13 +172,17 @@
       release: toRelease('r1'),
       slots: 64,
       state: 'up' as const,
-      at: this.now,
+      lastHeardAt: this.now,
     };
     this.cabin = {
       ...fresh,
-      table,
-      asOf: this.now,
-      newest: { generation: table.generation, asOf: this.now, learned: [] },
+      compiledConfiguration: table,
+      purgesCurrentAsOf: this.now,
+      configFreshness: {
+        newestGeneration: table.generation,
+        confirmedAsOf: this.now,
+        pendingGenerations: [],
+      },
       nodeSession: {
         ...fresh.nodeSession,
         registryHeardAt: this.now,
@@ -170,8 +190,8 @@
         members,
       },
     };
-    this.line = new DirectLine(
-      { now: () => this.now, cabin: () => this.cabin },
+    this.line = new EdgeRouter(
+      { now: () => this.now, nodeAgent: () => this.cabin },
       this.cache,
       {
         send: (order, ears) => {
@@ -181,15 +201,15 @@
         forget: () => undefined,
       },
       {
-        area: member.area,
-        words: plainWords,
-        bounds: plainBounds,
-        most: 100,
+        zone: member.area,
+        headerNames: defaultHeaderNames,
+        limits: defaultEdgeLimits,
+        maxActiveRequests: 100,
         peers: { send: (to, frame) => area.send(this, to, frame) },
       },
       { seed: clockStart },
     );
-    this.line.learn(this.cabin);
+    this.line.updateFleet(this.cabin);
   }
 
   get now(): Timestamp {
@@ -199,11 +219,15 @@
   tick(): void {
     const { nodeSession } = this.cabin;
     const at = this.now;
-    this.cabin = { ...this.cabin, asOf: at, nodeSession: { ...nodeSession, registryHeardAt: at } };
+    this.cabin = {
+      ...this.cabin,
+      purgesCurrentAsOf: at,
+      nodeSession: { ...nodeSession, registryHeardAt: at },
+    };
     this.line.tick(at);
   }
 
-  ask(target: string, method = 'GET', fields: LegOrder['fields'] = []): void {
+  ask(target: string, method = 'GET', fields: AttemptRequest['fields'] = []): void {
     const call = {
       id: `${this.member.node}-${this.told.length}`,
       method,
@@ -211,7 +235,7 @@
       target,
       fields,
       body: Buffer.alloc(0),
-      spanMs: 2000,
+      timeoutMs: 2000,
     };
     this.line.serve(call, (word) => this.told.push(word));
   }
@@ -219,16 +243,16 @@
   purge(seq: number, path: string): void {
     const top: Seq = toSeq(seq);
     this.cache.purge([{ seq: top, aims: [{ by: 'object', host, path }] }], false, top);
-    this.line.purged();
-    this.cabin = { ...this.cabin, purged: top };
+    this.line.onPurged();
+    this.cabin = { ...this.cabin, lastPurgeSeq: top };
   }
 
   kinds(): readonly string[] {
-    return this.told.map((one) => (one.kind === 'fault' ? one.fault : one.kind));
+    return this.told.map((one) => (one.kind === 'failure' ? one.errorKind : one.kind));
   }
 
   bodies(): readonly string[] {
-    return this.told.map((one) => (one.kind === 'kept' ? one.entry.body.toString() : one.kind));
+    return this.told.map((one) => (one.kind === 'cached' ? one.entry.body.toString() : one.kind));
   }
 }
 
@@ -256,7 +280,7 @@
   const id = fetch?.order.id;
   assert.match(id ?? '', new RegExp(`^${others[0]?.member.node}-`));
   const names = new Map(fetch?.order.fields);
-  assert.equal(names.get(plainWords.id), id);
+  assert.equal(names.get(defaultHeaderNames.requestId), id);
   assert.equal(names.get('accept'), 'audio/*');
   assert.equal(names.has('x-private'), false);
 });
@@ -321,7 +345,10 @@
   const { owner, others } = run.split('/clips/1');
   owner.ask('/clips/1');
   run.answer(0, 'old');
-  owner.cabin = { ...owner.cabin, asOf: toTimestamp(owner.now - 2 * plainBounds.keptMs) };
+  owner.cabin = {
+    ...owner.cabin,
+    purgesCurrentAsOf: toTimestamp(owner.now - 2 * defaultEdgeLimits.maxPurgeLagMs),
+  };
   others[0]?.ask('/clips/1');
   run.deliver();
   assert.deepEqual(others[0]?.kinds(), [], 'nothing is told from what it keeps');
@@ -338,7 +365,7 @@
   run.pass(430);
   assert.equal(run.fetches.length, 1, 'it goes on by itself');
   run.answer(0);
-  assert.deepEqual(first?.kinds(), ['kept']);
+  assert.deepEqual(first?.kinds(), ['cached']);
   first.ask('/clips/2');
   first.ask('/clips/3');
   run.pass(60);
@@ -374,7 +401,7 @@
   run.answer(0, 'by the old one');
   const [first] = others;
   assert.ok(first !== undefined);
-  first.cabin = { ...first.cabin, table: tableOf(2) };
+  first.cabin = { ...first.cabin, compiledConfiguration: tableOf(2) };
   first.ask('/clips/1');
   run.deliver();
   assert.equal(run.fetches.at(-1)?.edge, first);
@@ -397,7 +424,7 @@
   const { nodeSession } = owner.cabin;
   const seen = members.filter((one) => one !== owner.member);
   owner.cabin = { ...owner.cabin, nodeSession: { ...nodeSession, members: seen } };
-  owner.line.learn(owner.cabin);
+  owner.line.updateFleet(owner.cabin);
   first?.ask('/clips/1');
   run.deliver();
   assert.equal(run.fetches.length, 1);
@@ -412,7 +439,7 @@
   run.answer(0, 'no', 404);
   assert.equal(run.fetches.length, 2);
   run.answer(1, 'no', 404);
-  assert.deepEqual(others[0]?.kinds(), ['answer']);
+  assert.deepEqual(others[0]?.kinds(), ['response']);
 });
 
 void test('an object that does not fit a frame is not shared', () => {
@@ -431,7 +458,7 @@
   run.dead.add(owner.member.address);
   others[0]?.ask('/clips/1');
   run.deliver();
-  assert.equal(others[0]?.line.breakAll(), 1);
+  assert.equal(others[0]?.line.abortAll(), 1);
   assert.equal(others[0].told.length, 1);
   run.pass(300);
   assert.equal(run.fetches.length, 0, 'and nothing begins later');
@@ -447,8 +474,8 @@
       (list, objects) => {
         const all = list.map((one) => toAddress(`10.0.0.${one}:1`));
         const [gone, ...rest] = all;
-        const before = new Owners(all);
-        const after = new Owners(rest);
+        const before = new ObjectOwners(all);
+        const after = new ObjectOwners(rest);
         for (const object of objects) {
           const owner = before.ownerOf(object, () => true);
           const next = after.ownerOf(object, () => true);
@@ -465,7 +492,7 @@
 
 void test('objects are spread evenly: no edge of twenty owns over twice its part', () => {
   const all = Array.from({ length: 20 }, (_, at) => toAddress(`10.1.0.${at + 1}:7340`));
-  const owners = new Owners(all);
+  const owners = new ObjectOwners(all);
   const owned = new Map<Address, number>();
   const objects = 4000;
   for (let at = 0; at < objects; at += 1) {
--- a/packages/routing/src/sharing/sharing.ts
+++ b/packages/routing/src/object-sharing/object-sharing.ts
@@ -15,17 +15,17 @@
   addMs,
   clockOrigin,
 } from '@switchwheel/types';
-import type { Fields, FrameOf, ObjectFrame } from '@switchwheel/transport';
-import { Owners } from './owner.js';
+import type { HeaderFields, FrameOf, ObjectFrame } from '@switchwheel/transport';
+import { ObjectOwners } from './object-owners.js';
 
 /** How long an owner may take to say anything: the answer to another caller may be on the same link before it. */
-const answerLimit = 400;
+const ownerReplyTimeoutMs = 400;
 /** How long an owner may take to fetch an object once it said that it does. */
-const fetchLimit = 3000;
+const ownerFetchTimeoutMs = 3000;
 /** How long an owner that said nothing is not asked. */
-const silentBar = 1000;
+const silentOwnerBackoffMs = 1000;
 /** Requests to owners that are under way at the most. */
-const maxOpen = 256;
+const maxPendingQueries = 256;
 
 /** The largest object that is shared: it has to fit one frame. */
 export const maxSharedBytes = 4 * 1024 * 1024;
@@ -43,40 +43,40 @@
   readonly route: RouteName;
   readonly host: string;
   readonly target: string;
-  readonly fields: Fields;
+  readonly fields: HeaderFields;
   readonly left: DurationMs;
 }
 
-/** An object as its owner told it; `born` is no later than the object was made, by this edge's clock. */
+/** An object as its owner told it; `createdAt` is no later than the object was made, by this edge's clock. */
 export interface SharedObject {
-  readonly born: Timestamp;
+  readonly createdAt: Timestamp;
   readonly purged: Seq;
-  readonly fields: Fields;
+  readonly fields: HeaderFields;
   readonly body: Buffer;
 }
 
 /** What asking an owner came to: its object, or none, and then whether an origin may have been asked for it. */
 export type ObjectOutcome =
-  | { readonly found: true; readonly object: SharedObject }
-  | { readonly found: false; readonly mayHaveFetched: boolean };
+  | { readonly isFound: true; readonly object: SharedObject }
+  | { readonly isFound: false; readonly mayHaveFetched: boolean };
 
-interface OpenQuery {
+interface PendingQuery {
   readonly owner: Address;
   readonly askedAt: Timestamp;
-  readonly done: (outcome: ObjectOutcome) => void;
-  until: Timestamp;
-  fetching: boolean;
+  readonly onOutcome: (outcome: ObjectOutcome) => void;
+  deadline: Timestamp;
+  isFetching: boolean;
 }
 
 /** One edge's side of the sharing: whom it asks, and what it waits for. */
 export class ObjectSharing {
   readonly #port: PeerPort;
   readonly #self: Address;
-  readonly #open = new Map<number, OpenQuery>();
-  readonly #barred = new Map<Address, Timestamp>();
-  #owners = new Owners([]);
-  #key = '';
-  #last = 0;
+  readonly #pending = new Map<number, PendingQuery>();
+  readonly #backoffUntil = new Map<Address, Timestamp>();
+  #owners = new ObjectOwners([]);
+  #peersKey = '';
+  #lastQueryId = 0;
 
   constructor(port: PeerPort, self: Address) {
     this.#port = port;
@@ -84,79 +84,85 @@
   }
 
   /** Takes over the edges of the area, this one among them. */
-  learn(addresses: readonly Address[]): void {
+  updatePeers(addresses: readonly Address[]): void {
     const sorted = [...addresses].sort();
     const key = sorted.join(' ');
-    if (key === this.#key) return;
-    this.#key = key;
-    this.#owners = new Owners(sorted);
+    if (key === this.#peersKey) return;
+    this.#peersKey = key;
+    this.#owners = new ObjectOwners(sorted);
   }
 
   /** The other edge that owns an object; undefined if this one does, or nobody can be asked. */
   ownerOf(object: string, now: Timestamp): Address | undefined {
-    if (this.#open.size >= maxOpen) return undefined;
+    if (this.#pending.size >= maxPendingQueries) return undefined;
     const owner = this.#owners.ownerOf(
       object,
-      (address) => address === this.#self || (this.#barred.get(address) ?? clockOrigin) <= now,
+      (address) =>
+        address === this.#self || (this.#backoffUntil.get(address) ?? clockOrigin) <= now,
     );
     return owner === this.#self ? undefined : owner;
   }
 
   /** Asks an owner; `done` is called once. */
-  ask(
+  request(
     owner: Address,
     query: ObjectQuery,
     now: Timestamp,
     done: (outcome: ObjectOutcome) => void,
   ): void {
-    this.#last += 1;
-    this.#open.set(this.#last, {
+    this.#lastQueryId += 1;
+    this.#pending.set(this.#lastQueryId, {
       owner,
       askedAt: now,
-      done,
-      until: addMs(now, answerLimit),
-      fetching: false,
+      onOutcome: done,
+      deadline: addMs(now, ownerReplyTimeoutMs),
+      isFetching: false,
     });
-    this.#port.send(owner, { kind: 'object-request', id: this.#last, ...query });
+    this.#port.send(owner, { kind: 'object-request', id: this.#lastQueryId, ...query });
   }
 
   /** Takes an owner's word. */
-  hear(from: Address, frame: FrameOf<'object'> | FrameOf<'object-status'>, now: Timestamp): void {
-    const query = this.#open.get(frame.id);
+  handleReply(
+    from: Address,
+    frame: FrameOf<'object'> | FrameOf<'object-status'>,
+    now: Timestamp,
+  ): void {
+    const query = this.#pending.get(frame.id);
     if (query?.owner !== from) return;
     if (frame.kind === 'object') {
       const { purged, fields } = frame;
-      const born = subtractMs(query.askedAt, frame.age);
-      const object = { born, purged, fields, body: Buffer.from(frame.body) };
-      this.#end(frame.id, query, { found: true, object });
+      const createdAt = subtractMs(query.askedAt, frame.age);
+      const object = { createdAt, purged, fields, body: Buffer.from(frame.body) };
+      this.#finish(frame.id, query, { isFound: true, object });
     } else if (frame.state === 'refused')
-      this.#end(frame.id, query, { found: false, mayHaveFetched: query.fetching });
+      this.#finish(frame.id, query, { isFound: false, mayHaveFetched: query.isFetching });
     else {
-      query.fetching = true;
-      query.until = addMs(now, fetchLimit);
+      query.isFetching = true;
+      query.deadline = addMs(now, ownerFetchTimeoutMs);
     }
   }
 
   /** Lets time pass: owners that are silent are done without. */
   tick(now: Timestamp): void {
-    for (const [address, until] of this.#barred) if (until <= now) this.#barred.delete(address);
-    for (const [id, query] of this.#open) {
-      if (now < query.until) continue;
-      if (!query.fetching) this.#barred.set(query.owner, addMs(now, silentBar));
+    for (const [address, until] of this.#backoffUntil)
+      if (until <= now) this.#backoffUntil.delete(address);
+    for (const [id, query] of this.#pending) {
+      if (now < query.deadline) continue;
+      if (!query.isFetching) this.#backoffUntil.set(query.owner, addMs(now, silentOwnerBackoffMs));
       // Its word may have been lost, not the request.
-      this.#end(id, query, { found: false, mayHaveFetched: true });
+      this.#finish(id, query, { isFound: false, mayHaveFetched: true });
     }
   }
 
   /** Tells an edge what became of its request for an object. */
-  tell(
+  reply(
     to: Address,
     id: number,
     object:
       | {
-          readonly born: Timestamp;
+          readonly createdAt: Timestamp;
           readonly purged: Seq;
-          readonly fields: Fields;
+          readonly fields: HeaderFields;
           readonly body: Buffer;
         }
       | 'fetching'
@@ -167,12 +173,19 @@
       this.#port.send(to, { kind: 'object-status', id, state: object });
       return;
     }
-    const { born, purged, fields, body } = object;
-    this.#port.send(to, { kind: 'object', id, age: elapsedMs(born, now), purged, fields, body });
+    const { createdAt, purged, fields, body } = object;
+    this.#port.send(to, {
+      kind: 'object',
+      id,
+      age: elapsedMs(createdAt, now),
+      purged,
+      fields,
+      body,
+    });
   }
 
-  #end(id: number, query: OpenQuery, outcome: ObjectOutcome): void {
-    this.#open.delete(id);
-    query.done(outcome);
+  #finish(id: number, query: PendingQuery, outcome: ObjectOutcome): void {
+    this.#pending.delete(id);
+    query.onOutcome(outcome);
   }
 }
--- a/packages/routing/src/sharing/uploads.test.ts
+++ b/packages/routing/src/object-sharing/peer-bandwidth.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import fc from 'fast-check';
 import { toTimestamp } from '@switchwheel/types';
-import { Uploads } from './uploads.js';
+import { PeerBandwidth } from './peer-bandwidth.js';
 
 const linkRate = 1_600_000;
 const largest = 720_000;
@@ -18,7 +18,7 @@
         { minLength: 50, maxLength: 400 },
       ),
       (asked) => {
-        const uploads = new Uploads(linkRate);
+        const uploads = new PeerBandwidth(linkRate);
         let now = 1000;
         let sent = 0;
         for (const one of asked) {
@@ -36,7 +36,7 @@
 });
 
 void test('many that wait for one fetch are reserved for: those beyond the part are refused at once', () => {
-  const uploads = new Uploads(linkRate);
+  const uploads = new PeerBandwidth(linkRate);
   const now = toTimestamp(1000);
   let taken = 0;
   while (taken < 1000 && uploads.reserve(now)) taken += 1;
@@ -44,7 +44,7 @@
 });
 
 void test('a link of unknown rate is not limited', () => {
-  const uploads = new Uploads(Infinity);
+  const uploads = new PeerBandwidth(Infinity);
   for (let at = 0; at < 1000; at += 1) {
     assert.ok(uploads.reserve(toTimestamp(1000)));
     uploads.settle(largest);
--- a/packages/routing/src/sharing/uploads.ts
+++ b/packages/routing/src/object-sharing/peer-bandwidth.ts
@@ -5,47 +5,47 @@
 import { type Timestamp, elapsedMs, clockOrigin } from '@switchwheel/types';
 
 /** Which part of the link's rate other edges may take. */
-const peerPart = 0.3;
+const peerShareOfLink = 0.3;
 /** For how long unused rate is saved up, in milliseconds. */
 const burstMs = 400;
 /** What an object is taken to weigh before any was sent. */
-const firstGuess = 16 * 1024;
-const weightOfNew = 0.2;
+const initialObjectBytes = 16 * 1024;
+const ewmaWeight = 0.2;
 
 /** Bytes that may be sent to other edges; what is under way is reserved with its usual size. */
-export class Uploads {
+export class PeerBandwidth {
   readonly #bytesPerMs: number;
-  #level: number;
-  #at: Timestamp = clockOrigin;
-  #usualBytes = firstGuess;
+  #availableBytes: number;
+  #refilledAt: Timestamp = clockOrigin;
+  #objectBytesEwma = initialObjectBytes;
 
   /** The rate of the link in bytes a second; infinite if it is not known. */
   constructor(bytesPerSecond: number) {
-    this.#bytesPerMs = (peerPart * bytesPerSecond) / 1000;
-    this.#level = this.#most;
+    this.#bytesPerMs = (peerShareOfLink * bytesPerSecond) / 1000;
+    this.#availableBytes = this.#capacityBytes;
   }
 
   /** Reserves room for one object; false if other edges have had their part for now. */
   reserve(now: Timestamp): boolean {
     if (!Number.isFinite(this.#bytesPerMs)) return true;
-    this.#level = Math.min(
-      this.#most,
-      this.#level + Math.max(0, elapsedMs(this.#at, now)) * this.#bytesPerMs,
+    this.#availableBytes = Math.min(
+      this.#capacityBytes,
+      this.#availableBytes + Math.max(0, elapsedMs(this.#refilledAt, now)) * this.#bytesPerMs,
     );
-    this.#at = now;
-    if (this.#level <= 0) return false;
-    this.#level -= this.#usualBytes;
+    this.#refilledAt = now;
+    if (this.#availableBytes <= 0) return false;
+    this.#availableBytes -= this.#objectBytesEwma;
     return true;
   }
 
   /** An object that was reserved for was sent, or nothing was. */
   settle(bytes: number): void {
     if (!Number.isFinite(this.#bytesPerMs)) return;
-    this.#level += this.#usualBytes - bytes;
-    if (bytes > 0) this.#usualBytes += (bytes - this.#usualBytes) * weightOfNew;
+    this.#availableBytes += this.#objectBytesEwma - bytes;
+    if (bytes > 0) this.#objectBytesEwma += (bytes - this.#objectBytesEwma) * ewmaWeight;
   }
 
-  get #most(): number {
+  get #capacityBytes(): number {
     return this.#bytesPerMs * burstMs;
   }
 }
--- a/packages/routing/src/line/quota.test.ts
+++ b/packages/routing/src/quota/quota-share.test.ts
@@ -3,8 +3,8 @@
 import fc from 'fast-check';
 import { type Timestamp, toTimestamp, toServiceName } from '@switchwheel/types';
 import type { Service } from '@switchwheel/configuration';
-import { plainBounds } from './port.js';
-import { Edges, Quota } from './quota.js';
+import { defaultEdgeLimits } from '../router/ports.js';
+import { EdgeCount, QuotaShare } from './quota-share.js';
 
 const name = toServiceName('clips');
 const service = (perSecond: number): Service => ({
@@ -16,13 +16,13 @@
 const stepMs = 20;
 
 interface Node {
-  edges: Edges;
-  quota: Quota;
+  edges: EdgeCount;
+  quota: QuotaShare;
 }
 const start = (many: number, now: Timestamp): Node => {
-  const edges = new Edges();
-  edges.note(many, now);
-  return { edges, quota: new Quota(plainBounds, edges) };
+  const edges = new EdgeCount();
+  edges.record(many, now);
+  return { edges, quota: new QuotaShare(defaultEdgeLimits, edges) };
 };
 
 /** The most that falls into any window. */
@@ -54,21 +54,21 @@
         if (restarts.includes(step)) nodes[step % many] = start(many, now);
         for (let one = 0; one < perStep; one += 1) {
           const node = nodes[(step * 7 + one * seed) % many];
-          node?.quota.asked(name, now);
+          node?.quota.recordRequest(name, now);
           asked.push(now);
-          while (node?.quota.extra(name, now) === true) extra.push(now);
+          while (node?.quota.takeExtraAttempt(name, now) === true) extra.push(now);
         }
       }
-      const { extraWindowMs, extraShare, extraSlack } = plainBounds;
+      const { extraAttemptWindowMs, extraAttemptRatio, extraAttemptSlack } = defaultEdgeLimits;
       let first = 0;
       let from = 0;
       extra.forEach((at, last) => {
-        while (at - (extra[first] ?? 0) >= extraWindowMs) first += 1;
-        while ((asked[from] ?? 0) <= at - extraWindowMs) from += 1;
+        while (at - (extra[first] ?? 0) >= extraAttemptWindowMs) first += 1;
+        while ((asked[from] ?? 0) <= at - extraAttemptWindowMs) from += 1;
         let to = from;
         while (to < asked.length && (asked[to] ?? 0) <= at) to += 1;
         assert.ok(
-          last - first + 1 <= extraShare * (to - from) + extraSlack,
+          last - first + 1 <= extraAttemptRatio * (to - from) + extraAttemptSlack,
           'within a share of the requests and the slack',
         );
       });
@@ -86,13 +86,13 @@
         const now = toTimestamp(step * stepMs);
         if (restarts.includes(step)) nodes[step % many] = start(many, now);
         for (const node of nodes)
-          while (node.quota.wait(service(perSecond), now) === 0) sent.push(now);
+          while (node.quota.takeOrWaitMs(service(perSecond), now) === 0) sent.push(now);
       }
-      const { ceilingWindowMs, ceilingOver } = plainBounds;
-      const most = (perSecond * ceilingWindowMs * ceilingOver) / 1000 + 5;
+      const { rateLimitWindowMs, rateLimitOverageFactor } = defaultEdgeLimits;
+      const most = (perSecond * rateLimitWindowMs * rateLimitOverageFactor) / 1000 + 5;
       assert.ok(
-        worst(sent, ceilingWindowMs) <= most + Math.max(0, many - perSecond),
-        `${worst(sent, ceilingWindowMs)} of ${most}`,
+        worst(sent, rateLimitWindowMs) <= most + Math.max(0, many - perSecond),
+        `${worst(sent, rateLimitWindowMs)} of ${most}`,
       );
       // And the rate is used: what is asked for all the time is sent nearly at the rate.
       assert.ok(
@@ -105,10 +105,10 @@
 });
 
 void test('an edge counts the most edges it saw of late: those that are no longer seen may still use their part', () => {
-  const edges = new Edges();
-  edges.note(10, toTimestamp(0));
-  edges.note(3, toTimestamp(1000));
-  assert.equal(edges.many, 10);
-  edges.note(4, toTimestamp(40_000));
-  assert.equal(edges.many, 4);
+  const edges = new EdgeCount();
+  edges.record(10, toTimestamp(0));
+  edges.record(3, toTimestamp(1000));
+  assert.equal(edges.count, 10);
+  edges.record(4, toTimestamp(40_000));
+  assert.equal(edges.count, 4);
 });
--- a/packages/routing/src/release/tally.ts
+++ b/packages/routing/src/rollout/rollout-counters.ts
@@ -5,12 +5,12 @@
   elapsedMs,
   toDurationMs,
 } from '@switchwheel/types';
-import type { FrameOf, ReleaseState, TallyRow } from '@switchwheel/transport';
+import type { FrameOf, RolloutState, ReleaseCountsRow } from '@switchwheel/transport';
 
 /** What a leg that ended counts as. */
-export type Outcome = 'good' | 'bad' | 'cut';
+export type AttemptOutcome = 'good' | 'bad' | 'cut';
 
-interface Count {
+interface OutcomeCounts {
   readonly release: Release;
   readonly group: string;
   sent: number;
@@ -20,49 +20,54 @@
   sumMs: number;
 }
 
-interface Order {
-  readonly order: number;
-  readonly since: Timestamp;
-  readonly counts: Map<string, Count>;
+interface RolloutCounts {
+  readonly rolloutSeq: number;
+  readonly startedAt: Timestamp;
+  readonly countsByRelease: Map<string, OutcomeCounts>;
 }
 
 /** An answer this many times the usual span is slow. */
-const slowTimes = 4;
+const slowFactor = 4;
 
 /** What this edge counts of a service's releases since it heard of an order. Each request changes it in place. */
-export class Tallies {
-  readonly #orders = new Map<ServiceName, Order>();
+export class RolloutCounters {
+  readonly #rollouts = new Map<ServiceName, RolloutCounts>();
   /** Legs under way, by service and release, whether an order stands or not. */
-  readonly #open = new Map<string, number>();
+  readonly #inFlight = new Map<string, number>();
 
   /** Takes note of the orders that stand. */
-  note(states: Iterable<ReleaseState>, now: Timestamp): void {
+  noteRollouts(states: Iterable<RolloutState>, now: Timestamp): void {
     for (const one of states) {
-      if (one.target === undefined || this.#orders.get(one.service)?.order === one.order) continue;
-      this.#orders.set(one.service, { order: one.order, since: now, counts: new Map() });
+      if (one.target === undefined || this.#rollouts.get(one.service)?.rolloutSeq === one.order)
+        continue;
+      this.#rollouts.set(one.service, {
+        rolloutSeq: one.order,
+        startedAt: now,
+        countsByRelease: new Map(),
+      });
     }
   }
 
-  sent(service: ServiceName, release: Release, group: string): void {
+  recordAttemptStart(service: ServiceName, release: Release, group: string): void {
     const key = `${service} ${release}`;
-    this.#open.set(key, (this.#open.get(key) ?? 0) + 1);
-    const count = this.#count(service, release, group);
+    this.#inFlight.set(key, (this.#inFlight.get(key) ?? 0) + 1);
+    const count = this.#countsOf(service, release, group);
     if (count !== undefined) count.sent += 1;
   }
 
-  ended(
+  recordAttemptEnd(
     service: ServiceName,
     release: Release,
     group: string,
-    outcome: Outcome,
+    outcome: AttemptOutcome,
     ms: number,
     usualMs: number,
   ): void {
     const key = `${service} ${release}`;
-    this.#open.set(key, Math.max(0, (this.#open.get(key) ?? 0) - 1));
-    const count = this.#count(service, release, group);
+    this.#inFlight.set(key, Math.max(0, (this.#inFlight.get(key) ?? 0) - 1));
+    const count = this.#countsOf(service, release, group);
     if (count === undefined) return;
-    const slow = ms > slowTimes * usualMs;
+    const slow = ms > slowFactor * usualMs;
     // One that was cut before it was slow tells nothing.
     if (outcome === 'cut' && !slow) return;
     if (outcome === 'bad') count.bad += 1;
@@ -72,15 +77,15 @@
   }
 
   /** The word for the primary on one service. */
-  tell(
-    state: ReleaseState,
+  report(
+    state: RolloutState,
     now: Timestamp,
   ):
     | Pick<FrameOf<'tally'>, 'service' | 'order' | 'serial' | 'rows' | 'inFlightOld' | 'spentMs'>
     | undefined {
-    const own = this.#orders.get(state.service);
-    if (own === undefined || own.order !== state.order) return undefined;
-    const rows: TallyRow[] = [...own.counts.values()].map(
+    const own = this.#rollouts.get(state.service);
+    if (own === undefined || own.rolloutSeq !== state.order) return undefined;
+    const rows: ReleaseCountsRow[] = [...own.countsByRelease.values()].map(
       ({ release, group, sent, good, bad, slow, sumMs }) => ({
         release,
         group,
@@ -92,7 +97,7 @@
       }),
     );
     let inFlightOld = 0;
-    for (const [key, many] of this.#open)
+    for (const [key, many] of this.#inFlight)
       if (key.startsWith(`${state.service} `) && key !== `${state.service} ${state.target ?? ''}`)
         inFlightOld += many;
     return {
@@ -101,18 +106,18 @@
       serial: state.serial,
       rows,
       inFlightOld,
-      spentMs: toDurationMs(Math.max(0, elapsedMs(own.since, now))),
+      spentMs: toDurationMs(Math.max(0, elapsedMs(own.startedAt, now))),
     };
   }
 
-  #count(service: ServiceName, release: Release, group: string): Count | undefined {
-    const own = this.#orders.get(service);
+  #countsOf(service: ServiceName, release: Release, group: string): OutcomeCounts | undefined {
+    const own = this.#rollouts.get(service);
     if (own === undefined) return undefined;
     const key = `${release} ${group}`;
-    const known = own.counts.get(key);
+    const known = own.countsByRelease.get(key);
     if (known !== undefined) return known;
-    const fresh: Count = { release, group, sent: 0, good: 0, bad: 0, slow: 0, sumMs: 0 };
-    own.counts.set(key, fresh);
+    const fresh: OutcomeCounts = { release, group, sent: 0, good: 0, bad: 0, slow: 0, sumMs: 0 };
+    own.countsByRelease.set(key, fresh);
     return fresh;
   }
 }
--- a/packages/routing/src/line/line.test.ts
+++ b/packages/routing/src/router/edge-router.test.ts
@@ -18,19 +18,19 @@
   toServiceName,
   toDurationMs,
 } from '@switchwheel/types';
-import type { Fields, FrameOf, ReleaseState } from '@switchwheel/transport';
-import { build, cut, finish } from '@switchwheel/configuration';
-import { type Cabin, Cache, cabinStep, newCabin } from '@switchwheel/proxy-core';
-import type { Answer } from '../trip/trip.js';
-import { DirectLine } from './line.js';
+import type { HeaderFields, FrameOf, RolloutState } from '@switchwheel/transport';
+import { buildConfiguration, splitIntoChunks, runToCompletion } from '@switchwheel/configuration';
+import { type NodeAgent, Cache, nodeAgentTransition, newNodeAgent } from '@switchwheel/proxy-core';
+import type { OriginResponse } from '../attempt-state/attempt-state.js';
+import { EdgeRouter } from './edge-router.js';
 import {
-  type Call,
-  type LegEars,
-  type LegOrder,
-  type Word,
-  plainBounds,
-  plainWords,
-} from './port.js';
+  type IncomingRequest,
+  type AttemptHandlers,
+  type AttemptRequest,
+  type ClientReply,
+  defaultEdgeLimits,
+  defaultHeaderNames,
+} from './ports.js';
 
 const service = toServiceName('clips');
 const host = 'one.example';
@@ -65,8 +65,8 @@
 };
 
 interface Sent {
-  readonly order: LegOrder;
-  readonly ears: LegEars;
+  readonly order: AttemptRequest;
+  readonly ears: AttemptHandlers;
   cut: boolean;
 }
 
@@ -74,19 +74,19 @@
 class Bench {
   now: Timestamp = toTimestamp(100_000);
   readonly sent: Sent[] = [];
-  readonly told: Word[] = [];
+  readonly told: ClientReply[] = [];
   readonly cache = new Cache(1_000_000);
-  cabin: Cabin;
-  readonly line: DirectLine;
+  cabin: NodeAgent;
+  readonly line: EdgeRouter;
   readonly #confirmed = new Map<number, Timestamp>();
 
   constructor(origins: readonly (readonly [string, string])[]) {
-    const bundle = finish(cut(description));
+    const bundle = runToCompletion(splitIntoChunks(description));
     assert.ok(bundle.isOk);
-    const { hash, order, pieces } = bundle.value;
-    const built = finish(
-      build(
-        order.map((one) => pieces.get(one) ?? ''),
+    const { hash, chunkHashes, chunks } = bundle.value;
+    const built = runToCompletion(
+      buildConfiguration(
+        chunkHashes.map((one) => chunks.get(one) ?? ''),
         toGeneration(1),
         hash,
       ),
@@ -99,7 +99,7 @@
       address: toAddress('10.0.0.1:1'),
       incarnation: toIncarnation(1),
     };
-    const fresh = newCabin(member, [], { seed: 3 });
+    const fresh = newNodeAgent(member, [], { seed: 3 });
     const known = new Map(
       origins.map(([instance, release], at) => [
         toInstanceId(instance),
@@ -110,15 +110,19 @@
           release: toRelease(release),
           slots: 4,
           state: 'up' as const,
-          at: this.now,
+          lastHeardAt: this.now,
         },
       ]),
     );
     this.cabin = {
       ...fresh,
-      table: built.value,
-      asOf: this.now,
-      newest: { generation: built.value.generation, asOf: this.now, learned: [] },
+      compiledConfiguration: built.value,
+      purgesCurrentAsOf: this.now,
+      configFreshness: {
+        newestGeneration: built.value.generation,
+        confirmedAsOf: this.now,
+        pendingGenerations: [],
+      },
       nodeSession: {
         ...fresh.nodeSession,
         registryHeardAt: this.now,
@@ -127,7 +131,7 @@
       },
     };
     const legs = {
-      send: (order: LegOrder, ears: LegEars) => {
+      send: (order: AttemptRequest, ears: AttemptHandlers) => {
         const one: Sent = { order, ears, cut: false };
         this.sent.push(one);
         return () => {
@@ -136,25 +140,30 @@
       },
       forget: () => undefined,
     };
-    this.line = new DirectLine(
-      { now: () => this.now, cabin: () => this.cabin },
+    this.line = new EdgeRouter(
+      { now: () => this.now, nodeAgent: () => this.cabin },
       this.cache,
       legs,
-      { area: toZoneName('a'), words: plainWords, bounds: plainBounds, most: 100 },
+      {
+        zone: toZoneName('a'),
+        headerNames: defaultHeaderNames,
+        limits: defaultEdgeLimits,
+        maxActiveRequests: 100,
+      },
       { seed: 7 },
     );
-    this.line.learn(this.cabin);
+    this.line.updateFleet(this.cabin);
   }
 
-  ask(target: string, method = 'GET', fields: Fields = []): () => void {
-    const call: Call = {
+  ask(target: string, method = 'GET', fields: HeaderFields = []): () => void {
+    const call: IncomingRequest = {
       id: `t${this.told.length}`,
       method,
       host,
       target,
       fields,
       body: Buffer.alloc(0),
-      spanMs: 2000,
+      timeoutMs: 2000,
     };
     return this.line.serve(call, (word) => this.told.push(word));
   }
@@ -163,7 +172,7 @@
     this.now = toTimestamp(this.now + ms);
     this.cabin = {
       ...this.cabin,
-      asOf: this.now,
+      purgesCurrentAsOf: this.now,
       nodeSession: { ...this.cabin.nodeSession, registryHeardAt: this.now },
     };
     this.line.tick(this.now);
@@ -200,29 +209,34 @@
       address: toAddress('10.0.0.2:1'),
       incarnation: toIncarnation(1),
     };
-    this.cabin = cabinStep(this.cabin, { kind: 'frame', now: this.now, from, frame: reply }).state;
+    this.cabin = nodeAgentTransition(this.cabin, {
+      kind: 'frameReceived',
+      now: this.now,
+      from,
+      frame: reply,
+    }).state;
   }
 
   answer(at: number, body = 'body', status = 200, unrun = false): void {
-    const answer: Answer = {
+    const answer: OriginResponse = {
       status,
       fields: [
         ['cache-tag', 't1'],
         ['etag', '"1"'],
       ],
       body: Buffer.from(body),
-      unrun,
+      isUnprocessed: unrun,
     };
-    this.sent[at]?.ears.answered(answer);
+    this.sent[at]?.ears.onResponse(answer);
   }
 
   kinds(): readonly string[] {
-    return this.told.map((one) => (one.kind === 'fault' ? one.fault : one.kind));
+    return this.told.map((one) => (one.kind === 'failure' ? one.errorKind : one.kind));
   }
 }
 
 /** How long a confirmed description may take to be in force, by the bounds of these tests. */
-const applySpan = plainBounds.applyMs;
+const applySpan = defaultEdgeLimits.maxApplyMs;
 
 const two = [
   ['o1', 'r1'],
@@ -234,10 +248,10 @@
   bench.ask('/clips/1');
   bench.answer(0);
   bench.ask('/clips/1');
-  assert.deepEqual([bench.kinds(), bench.sent.length], [['kept', 'kept'], 1]);
+  assert.deepEqual([bench.kinds(), bench.sent.length], [['cached', 'cached'], 1]);
   bench.cache.purge([{ seq: toSeq(1), aims: [{ by: 'tag', tag: 't1' }] }], false, toSeq(1));
-  bench.line.purged();
-  bench.cabin = { ...bench.cabin, purged: toSeq(1) };
+  bench.line.onPurged();
+  bench.cabin = { ...bench.cabin, lastPurgeSeq: toSeq(1) };
   bench.ask('/clips/1');
   assert.equal(bench.sent.length, 2);
   bench.answer(1);
@@ -256,8 +270,8 @@
     false,
     toSeq(1),
   );
-  bench.line.purged();
-  bench.cabin = { ...bench.cabin, purged: toSeq(1) };
+  bench.line.onPurged();
+  bench.cabin = { ...bench.cabin, lastPurgeSeq: toSeq(1) };
   bench.ask('/clips/1');
   assert.equal(bench.sent.length, 2);
   bench.answer(0, 'old');
@@ -265,7 +279,7 @@
   bench.ask('/clips/1');
   assert.equal(bench.sent.length, 2);
   const last = bench.told.at(-1);
-  assert.ok(last?.kind === 'kept' && last.entry.body.toString() === 'new');
+  assert.ok(last?.kind === 'cached' && last.entry.body.toString() === 'new');
 });
 
 void test('a cache is silent while this edge may lack purges, and speaks when it is cut off from everyone', () => {
@@ -288,9 +302,9 @@
 void test('a request that may not be repeated is not sent again when its connection breaks, and is when it never opened', () => {
   const bench = new Bench(two);
   bench.ask('/edit/1', 'POST');
-  bench.sent[0]?.ears.broke(false, 'refused');
+  bench.sent[0]?.ears.onFailure(false, 'refused');
   assert.equal(bench.sent.length, 2);
-  bench.sent[1]?.ears.broke(true, 'reset');
+  bench.sent[1]?.ears.onFailure(true, 'reset');
   assert.equal(bench.sent.length, 2);
   assert.deepEqual(bench.kinds(), ['lost']);
 });
@@ -308,7 +322,7 @@
   assert.notEqual(bench.sent[41]?.order.instance, bench.sent[40]?.order.instance);
   bench.answer(41);
   assert.ok(bench.sent[40]?.cut);
-  assert.equal(bench.kinds().at(-1), 'kept');
+  assert.equal(bench.kinds().at(-1), 'cached');
 });
 
 void test('nobody is held to the deadline of a silent origin: the last moment is told as not known', () => {
@@ -323,10 +337,10 @@
   const bench = new Bench([]);
   bench.ask('/edit/1', 'POST');
   const told = bench.told[0];
-  assert.ok(told?.kind === 'fault' && told.fault === 'rejected' && told.retryMs > 0);
+  assert.ok(told?.kind === 'failure' && told.errorKind === 'rejected' && told.retryAfterMs > 0);
 });
 
-const onTrial = (phase: ReleaseState['phase'], share: number): ReleaseState => ({
+const onTrial = (phase: RolloutState['phase'], share: number): RolloutState => ({
   service,
   settled: toRelease('r1'),
   target: toRelease('r2'),
@@ -351,10 +365,10 @@
   ] as const) {
     bench.cabin = {
       ...bench.cabin,
-      releases: new Map([[service, onTrial(phase, share)]]),
-      releasesAt: bench.now,
+      releaseStates: new Map([[service, onTrial(phase, share)]]),
+      releaseStatesAt: bench.now,
     };
-    bench.line.learn(bench.cabin);
+    bench.line.updateFleet(bench.cabin);
     const from = bench.sent.length;
     for (let at = 0; at < 300; at += 1) {
       bench.ask('/edit/1', 'POST');
@@ -369,7 +383,7 @@
   );
   assert.equal(shares.get('bad'), 0);
   assert.equal(shares.get('good'), 1);
-  const [word] = bench.line.tell(bench.cabin);
+  const [word] = bench.line.rolloutReports(bench.cabin);
   assert.ok(word !== undefined);
   assert.equal(
     word.rows.reduce((sum, row) => sum + row.sent, 0),
@@ -380,19 +394,27 @@
 
 void test('a route that is not known is denied only while the description is known to be the newest', () => {
   const bench = new Bench([['o1', 'r1']]);
-  const told = (newest: Omit<Cabin['newest'], 'learned'>): string => {
-    bench.cabin = { ...bench.cabin, newest: { ...newest, learned: [] } };
+  const told = (newest: Omit<NodeAgent['configFreshness'], 'pendingGenerations'>): string => {
+    bench.cabin = { ...bench.cabin, configFreshness: { ...newest, pendingGenerations: [] } };
     bench.ask('/nowhere/');
     const word = bench.told.at(-1);
-    return word?.kind === 'fault' ? word.fault : 'none';
+    return word?.kind === 'failure' ? word.errorKind : 'none';
   };
-  const generation = bench.cabin.table?.generation ?? noGeneration;
+  const generation = bench.cabin.compiledConfiguration?.generation ?? noGeneration;
   const next = toGeneration(generation + 1);
-  assert.equal(told({ generation, asOf: bench.now }), 'absent');
-  assert.equal(told({ generation: noGeneration, asOf: undefined }), 'unready', 'provisional');
-  assert.equal(told({ generation: next, asOf: bench.now }), 'unready', 'a newer one is known');
+  assert.equal(told({ newestGeneration: generation, confirmedAsOf: bench.now }), 'absent');
+  assert.equal(
+    told({ newestGeneration: noGeneration, confirmedAsOf: undefined }),
+    'unready',
+    'provisional',
+  );
+  assert.equal(
+    told({ newestGeneration: next, confirmedAsOf: bench.now }),
+    'unready',
+    'a newer one is known',
+  );
   assert.equal(
-    told({ generation, asOf: toTimestamp(bench.now - 2000) }),
+    told({ newestGeneration: generation, confirmedAsOf: toTimestamp(bench.now - 2000) }),
     'unready',
     'out of touch',
   );
@@ -404,7 +426,7 @@
 const withTwoFetches = (bench: Bench): void => {
   bench.ask('/clips/1');
   bench.ask('/clips/1');
-  bench.line.purged();
+  bench.line.onPurged();
   bench.ask('/clips/1');
   bench.ask('/clips/1');
   assert.equal(bench.sent.length, 2);
@@ -425,7 +447,7 @@
   bench.answer(0, 'older');
   assert.equal(bench.told.length, 2, 'those who came after the purge still wait');
   bench.answer(1, 'newer');
-  const bodies = bench.told.map((one) => (one.kind === 'kept' ? one.entry.body.toString() : ''));
+  const bodies = bench.told.map((one) => (one.kind === 'cached' ? one.entry.body.toString() : ''));
   assert.deepEqual(bodies, ['older', 'older', 'newer', 'newer']);
 });
 
@@ -445,7 +467,7 @@
   for (let at = 0; at < many; at += 1) bench.answer(at, 'gone', 404);
   const resent = bench.sent.at(-1);
   assert.ok(resent !== undefined && bench.sent.length > many);
-  assert.ok(resent.order.spanMs <= 1300, `${resent.order.spanMs} ms are told to the origin`);
+  assert.ok(resent.order.timeoutMs <= 1300, `${resent.order.timeoutMs} ms are told to the origin`);
   bench.pass(1300);
   assert.equal(bench.told.length, 2, 'it is told at the deadline that it came with');
 });
@@ -466,11 +488,11 @@
   bench.ask('/clips/1');
   bench.ask('/edit/1', 'POST');
   const many = bench.sent.length;
-  bench.line.breakAll();
+  bench.line.abortAll();
   assert.equal(bench.told.length, 3);
   assert.equal(bench.sent.length, many);
   assert.ok(bench.sent.every((one) => one.cut));
-  assert.equal(bench.line.open, 0);
+  assert.equal(bench.line.openRequests, 0);
 });
 
 void test('a question for the head of an object is neither kept as the object nor joined by those who ask for it', () => {
@@ -482,11 +504,11 @@
   bench.answer(1, 'body');
   bench.ask('/clips/1');
   const bodies = bench.told.map((one) =>
-    one.kind === 'kept'
+    one.kind === 'cached'
       ? one.entry.body.toString()
-      : one.kind === 'answer'
-        ? one.answer.body.toString()
-        : one.fault,
+      : one.kind === 'response'
+        ? one.response.body.toString()
+        : one.errorKind,
   );
   assert.deepEqual(bodies, ['', 'body', 'body']);
   bench.ask('/clips/1', 'HEAD');
@@ -506,9 +528,9 @@
   bench.ask('/edit/2', 'POST');
   bench.ask('/clips/2');
   assert.equal(bench.sent.length, 1, 'nothing more is sent by the old description');
-  assert.deepEqual(bench.kinds(), ['answer', 'unready', 'unready']);
+  assert.deepEqual(bench.kinds(), ['response', 'unready', 'unready']);
   const refusal = bench.told.at(-1);
-  assert.ok(refusal?.kind === 'fault' && refusal.retryMs > 0);
+  assert.ok(refusal?.kind === 'failure' && refusal.retryAfterMs > 0);
 });
 
 void test('an edge that no longer hears a registry serves on by the description it has', () => {
@@ -529,5 +551,5 @@
     bench.hearNewest(2);
   }
   bench.ask('/clips/1');
-  assert.deepEqual(bench.kinds(), ['kept', 'unready']);
+  assert.deepEqual(bench.kinds(), ['cached', 'unready']);
 });
--- a/packages/runtime/src/boot/settings-forms.test.ts
+++ b/packages/runtime/src/boot/settings-forms.test.ts
@@ -4,26 +4,31 @@
 import { test } from 'node:test';
 import * as v from 'valibot';
 import { schemaLines, snapshotsFor } from '@switchwheel/types/testing';
-import { type Program, common, commonSettings, readBoot } from './boot.js';
+import {
+  type ProgramDefinition,
+  commonSettingsSchema,
+  commonSettingDefinitions,
+  readSettings,
+} from '../settings/settings.js';
 
 const matchSnapshot = snapshotsFor(import.meta.dirname);
-const program: Program = {
+const program: ProgramDefinition = {
   name: 'example',
-  about: 'A program with the settings that all have.',
-  settings: [...commonSettings, { name: 'many', type: 'number', help: 'a number' }],
+  description: 'A program with the settings that all have.',
+  settings: [...commonSettingDefinitions, { name: 'many', type: 'number', help: 'a number' }],
 };
-const schema = v.strictObject({ ...common, many: v.optional(v.number('a number')) });
+const schema = v.strictObject({ ...commonSettingsSchema, many: v.optional(v.number('a number')) });
 
 const outcome = (argv: readonly string[]): string => {
-  const read = readBoot(program, schema, argv);
+  const read = readSettings(program, schema, argv);
   return read.isOk ? JSON.stringify(read.value) : read.error.join('\n');
 };
 
 void test('the settings that all programs share keep their names, types and checks', () => {
-  const settings = commonSettings.map((one) => `--${one.name} ${one.type}: ${one.help}`);
+  const settings = commonSettingDefinitions.map((one) => `--${one.name} ${one.type}: ${one.help}`);
   matchSnapshot(
     'common-settings',
-    `${settings.join('\n')}\n\n${schemaLines(v.strictObject(common), 'settings')}`,
+    `${settings.join('\n')}\n\n${schemaLines(v.strictObject(commonSettingsSchema), 'settings')}`,
   );
 });
 
--- a/packages/runtime/src/disk/disk.test.ts
+++ b/packages/runtime/src/disk/disk.test.ts
@@ -4,7 +4,7 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { test } from 'node:test';
-import { Disk, type Row } from './disk.js';
+import { Disk, type StoredRow } from './disk.js';
 
 const inFolder = async (work: (folder: string) => Promise<void>): Promise<void> => {
   const folder = mkdtempSync(join(tmpdir(), 'disk-'));
@@ -18,12 +18,12 @@
 const filled = async (folder: string): Promise<void> => {
   const disk = new Disk(folder);
   const done = await disk.write({
-    sets: [
+    puts: [
       { key: 'one', text: 'first' },
       { key: 'two', text: 'second'.repeat(50) },
     ],
-    drops: [],
-    wipe: false,
+    deletes: [],
+    clearFirst: false,
   });
   assert.ok(done.isOk);
   await disk.close();
@@ -40,7 +40,11 @@
         .map((row) => row.key),
       ['one', 'two'],
     );
-    await disk.write({ sets: [{ key: 'three', text: 'third' }], drops: ['one'], wipe: false });
+    await disk.write({
+      puts: [{ key: 'three', text: 'third' }],
+      deletes: ['one'],
+      clearFirst: false,
+    });
     assert.deepEqual(
       disk
         .read()
@@ -48,7 +52,7 @@
         .map((row) => row.key),
       ['three', 'two'],
     );
-    await disk.write({ sets: [{ key: 'four', text: 'fourth' }], drops: [], wipe: true });
+    await disk.write({ puts: [{ key: 'four', text: 'fourth' }], deletes: [], clearFirst: true });
     assert.deepEqual(disk.read().unwrapOr([]), [{ key: 'four', text: 'fourth' }]);
     await disk.close();
   }));
@@ -76,13 +80,13 @@
     await filled(folder);
     writeFileSync(join(folder, 'table.lmdb'), Buffer.alloc(8192, 7));
     const first = new Disk(folder);
-    assert.equal(first.aside, 'the file does not begin as it must');
+    assert.equal(first.quarantineReason, 'the file does not begin as it must');
     assert.deepEqual(first.read().unwrapOr([]), []);
     await first.close();
     await filled(folder);
     writeFileSync(join(folder, 'opening'), '3');
     const second = new Disk(folder);
-    assert.equal(second.aside, 'the process ended 3 times while reading it');
+    assert.equal(second.quarantineReason, 'the process ended 3 times while reading it');
     await second.close();
   }));
 
@@ -96,7 +100,7 @@
 disk.read();
 const told = [];
 for (let at = 0; at < 12; at += 1) {
-  const write = (name) => disk.write({ wipe: false, drops: [], sets: [{ key: name + at, text: 'x'.repeat(20000) }] });
+  const write = (name) => disk.write({ clearFirst: false, deletes: [], puts: [{ key: name + at, text: 'x'.repeat(20000) }] });
   for (const one of await Promise.all([write('a'), write('b')])) told.push(one.isOk ? 'ok' : one.error.text);
 }
 await new Promise((done) => { setImmediate(done); });
@@ -139,7 +143,7 @@
   inFolder(async (folder) => {
     const file = join(folder, 'table.lmdb');
     const disk = new Disk(folder);
-    const rows = (round: number): readonly Row[] =>
+    const rows = (round: number): readonly StoredRow[] =>
       Array.from({ length: 100 }, (_, at) => ({
         key: `piece/${round}/${at}`,
         text: 'x'.repeat(40 * 1024),
@@ -148,12 +152,12 @@
     for (let round = 0; round < 150; round += 1) {
       const drops = round === 0 ? [] : rows(round - 1).map((row) => row.key);
       const sets = round % 2 === 0 ? rows(round) : [];
-      assert.ok((await disk.write({ sets, drops, wipe: false })).isOk);
+      assert.ok((await disk.write({ puts: sets, deletes: drops, clearFirst: false })).isOk);
       for (let change = 0; change < 10; change += 1) {
         const serial = round * 10 + change;
         const small = { key: `purge/${serial}`, text: 'y'.repeat(200) };
         const old = [`purge/${serial - 256}`];
-        assert.ok((await disk.write({ sets: [small], drops: old, wipe: false })).isOk);
+        assert.ok((await disk.write({ puts: [small], deletes: old, clearFirst: false })).isOk);
       }
       sizes.push(statSync(file).size);
     }
@@ -169,7 +173,7 @@
     for (let turn = 0; turn < 4; turn += 1) {
       writeFileSync(file, `no data file ${turn}`);
       const disk = new Disk(folder);
-      assert.ok(disk.aside !== undefined);
+      assert.ok(disk.quarantineReason !== undefined);
       await disk.close();
     }
     const aside = readdirSync(folder).filter((name) => name.includes('.damaged'));
--- a/packages/runtime/src/disk/disk.ts
+++ b/packages/runtime/src/disk/disk.ts
@@ -17,16 +17,16 @@
 import { causeOf } from './fault.js';
 
 /** One row as it lies on the disk, with a checksum of its own. */
-export interface Row {
+export interface StoredRow {
   readonly key: string;
   readonly text: string;
 }
 
 /** One change of the disk: all of it lasts, or none. */
-export interface Change {
-  readonly sets: readonly Row[];
-  readonly drops: readonly string[];
-  readonly wipe: boolean;
+export interface StorageChange {
+  readonly puts: readonly StoredRow[];
+  readonly deletes: readonly string[];
+  readonly clearFirst: boolean;
 }
 
 const sum = (key: string, text: string): string =>
@@ -48,7 +48,7 @@
   readonly #base: RootDatabase<string, string>;
 
   /** What made the file that was found unusable, if it was set aside. */
-  readonly aside: string | undefined;
+  readonly quarantineReason: string | undefined;
   readonly #mark: string;
 
   constructor(folder: string) {
@@ -69,7 +69,7 @@
       renameSync(file, `${file}.damaged`);
       rmSync(`${file}-lock`, { force: true });
     }
-    this.aside = damaged;
+    this.quarantineReason = damaged;
     this.#countStart(damaged === undefined ? tries + 1 : 1);
     this.#base = Disk.#open(folder);
   }
@@ -98,8 +98,8 @@
   }
 
   /** Reads all rows; one that does not fit its checksum makes the whole disk damaged. */
-  read(): Result<readonly Row[], string> {
-    const rows: Row[] = [];
+  read(): Result<readonly StoredRow[], string> {
+    const rows: StoredRow[] = [];
     try {
       for (const { key, value } of this.#base.getRange()) {
         const cut = value.indexOf(' ');
@@ -117,13 +117,13 @@
 
   /** Writes a change; settles once it is synced. */
   async write(
-    change: Change,
+    change: StorageChange,
   ): Promise<Result<true, { readonly text: string; readonly full: boolean }>> {
     try {
       await this.#base.transaction(() => {
-        if (change.wipe) this.#base.clearSync();
-        for (const key of change.drops) this.#base.removeSync(key);
-        for (const row of change.sets)
+        if (change.clearFirst) this.#base.clearSync();
+        for (const key of change.deletes) this.#base.removeSync(key);
+        for (const row of change.puts)
           this.#base.putSync(row.key, `${sum(row.key, row.text)} ${row.text}`);
       });
       await this.#base.flushed;
--- a/packages/runtime/src/http/admin-forms.test.ts
+++ b/packages/runtime/src/http/admin-forms.test.ts
@@ -1,17 +1,17 @@
 import { test } from 'node:test';
 import { toAddress } from '@switchwheel/types';
 import { httpExchange, responseText, snapshotsFor } from '@switchwheel/types/testing';
-import { adminApp, plainReading, withLabel } from './admin.js';
-import { openDoor } from './door.js';
+import { adminApp, metricSample, withLabel } from './admin.js';
+import { startHttpServer } from './http-server.js';
 
 const matchSnapshot = snapshotsFor(import.meta.dirname);
 const readings = () => [
-  plainReading('example', 1),
-  withLabel(plainReading('example_total', 2.5), 'what', 'a "quoted" value'),
+  metricSample('example', 1),
+  withLabel(metricSample('example_total', 2.5), 'what', 'a "quoted" value'),
 ];
 
 const told = async (title: string, app: ReturnType<typeof adminApp>): Promise<string> => {
-  const listener = await openDoor(app, toAddress('127.0.0.1:0'));
+  const listener = await startHttpServer(app, toAddress('127.0.0.1:0'));
   try {
     const answers: string[] = [title];
     for (const path of ['/live', '/ready', '/metrics', '/state', '/other']) {
@@ -22,7 +22,7 @@
     answers.push(responseText(oversized, await httpExchange(listener.port(), oversized)));
     return answers.join('\n');
   } finally {
-    listener.shut();
+    listener.stopAccepting();
   }
 };
 
--- a/packages/runtime/src/http/admin.ts
+++ b/packages/runtime/src/http/admin.ts
@@ -1,31 +1,31 @@
 import Koa from 'koa';
 
 /** One reading for /metrics. */
-export interface Reading {
+export interface MetricSample {
   readonly name: string;
   readonly labels: ReadonlyMap<string, string>;
   readonly value: number;
 }
 
-const line = (one: Reading): string => {
+const line = (one: MetricSample): string => {
   const labels = [...one.labels].map(([key, value]) => `${key}=${JSON.stringify(value)}`).join(',');
   return `switchwheel_${one.name}${labels === '' ? '' : `{${labels}}`} ${one.value}`;
 };
 
 /** The media type of readings as text. */
-export const metricsType = 'text/plain; version=0.0.4';
+export const metricsContentType = 'text/plain; version=0.0.4';
 
 /** Readings as scrapers take them. */
-export const metricsText = (readings: readonly Reading[]): string =>
+export const formatMetrics = (readings: readonly MetricSample[]): string =>
   `${readings.map(line).join('\n')}\n`;
-export const plainReading = (name: string, value: number): Reading => ({
+export const metricSample = (name: string, value: number): MetricSample => ({
   name,
   labels: new Map(),
   value,
 });
 
 /** A reading with one more label, to tell programs apart that share a process. */
-export const withLabel = (one: Reading, name: string, value: string): Reading => ({
+export const withLabel = (one: MetricSample, name: string, value: string): MetricSample => ({
   ...one,
   labels: new Map([...one.labels, [name, value]]),
 });
@@ -33,7 +33,7 @@
 /** The door for whoever runs the machine: live, ready, metrics and the state as it stands. */
 export const adminApp = (
   ready: () => boolean,
-  readings: () => readonly Reading[],
+  readings: () => readonly MetricSample[],
   state?: () => object,
 ): Koa => {
   const app = new Koa();
@@ -48,8 +48,8 @@
         ctx.body = { ready: ctx.status === 200 };
         return;
       case '/metrics':
-        ctx.type = metricsType;
-        ctx.body = metricsText(readings());
+        ctx.type = metricsContentType;
+        ctx.body = formatMetrics(readings());
         return;
       default:
         if (ctx.path === '/state' && state !== undefined) {
--- a/packages/runtime/src/http/door.ts
+++ b/packages/runtime/src/http/http-server.ts
@@ -5,29 +5,37 @@
 import { splitAddress } from '@switchwheel/transport';
 
 /** How outside callers are held to time and size. */
-export interface DoorRules {
-  readonly headersMs: number;
-  readonly requestMs: number;
-  readonly headerBytes: number;
+export interface HttpServerLimits {
+  readonly headersTimeoutMs: number;
+  readonly requestTimeoutMs: number;
+  readonly maxHeaderBytes: number;
 }
-export const plainRules: DoorRules = { headersMs: 5000, requestMs: 15_000, headerBytes: 16 * 1024 };
+export const defaultHttpServerLimits: HttpServerLimits = {
+  headersTimeoutMs: 5000,
+  requestTimeoutMs: 15_000,
+  maxHeaderBytes: 16 * 1024,
+};
 
 /** An HTTP door for outside callers. */
-export interface Door {
+export interface HttpServer {
   readonly server: Server;
   readonly port: () => number;
   /** Takes no new channels and ends those that are idle. */
-  readonly shut: () => void;
+  readonly stopAccepting: () => void;
 }
 
 /** Opens a door: slow, oversized and ambiguous requests get their 4xx and a closed channel from the HTTP library itself. */
-export const openDoor = (app: Koa, at: Address, rules: DoorRules = plainRules): Promise<Door> => {
+export const startHttpServer = (
+  app: Koa,
+  at: Address,
+  rules: HttpServerLimits = defaultHttpServerLimits,
+): Promise<HttpServer> => {
   const handle = app.callback();
   const server = createServer(
     {
-      maxHeaderSize: rules.headerBytes,
-      headersTimeout: rules.headersMs,
-      requestTimeout: rules.requestMs,
+      maxHeaderSize: rules.maxHeaderBytes,
+      headersTimeout: rules.headersTimeoutMs,
+      requestTimeout: rules.requestTimeoutMs,
       connectionsCheckingInterval: 1000,
       keepAliveTimeout: 10_000,
       insecureHTTPParser: false,
@@ -61,7 +69,7 @@
           const spot = bound();
           return spot !== null && typeof spot === 'object' ? spot.port : 0;
         },
-        shut: () => {
+        stopAccepting: () => {
           server.close();
           server.closeIdleConnections();
         },
--- a/packages/runtime/src/log/log.ts
+++ b/packages/runtime/src/log/logger.ts
@@ -8,7 +8,7 @@
 ]);
 
 /** What a program logs with: one JSON object a line, on standard error. */
-export interface Log {
+export interface Logger {
   readonly write: (
     level: 'info' | 'warn' | 'error',
     text: string,
@@ -17,7 +17,7 @@
 }
 
 /** A log of JSON lines for one node. */
-export const createLog = (program: string, node: string, level: string): Log => {
+export const createLogger = (program: string, node: string, level: string): Logger => {
   const consola: ConsolaInstance = createConsola({
     level: levels.get(level) ?? LogLevels.info,
     throttle: 0,
--- a/packages/runtime/src/run/clock.ts
+++ b/packages/runtime/src/run/clock.ts
@@ -14,4 +14,4 @@
 export const newIncarnation = (): Incarnation =>
   toIncarnation(Date.now() * 1000 + (randomBytes(2).readUInt16BE(0) % 1000));
 
-export const newDice = (): RandomState => ({ seed: randomBytes(4).readUInt32BE(0) });
+export const newRandomState = (): RandomState => ({ seed: randomBytes(4).readUInt32BE(0) });
--- a/packages/runtime/src/run/running.ts
+++ b/packages/runtime/src/run/running-program.ts
@@ -1,10 +1,10 @@
 /** A program that runs in this process. */
-export interface Running {
+export interface RunningProgram {
   readonly stop: () => Promise<void>;
 }
 
 /** Lets time pass, in milliseconds. */
-export const wait = (ms: number): Promise<void> =>
+export const delay = (ms: number): Promise<void> =>
   new Promise((done) => {
     setTimeout(done, ms);
   });
--- a/packages/runtime/src/run/life.ts
+++ b/packages/runtime/src/run/shutdown.ts
@@ -1,11 +1,15 @@
 import { causeOf, isCommitFault } from '../disk/fault.js';
-import type { Log } from '../log/log.js';
+import type { Logger } from '../log/logger.js';
 
 /** How long a stop may take: the platform's hard stop comes after six seconds. */
-export const stopSpan = 5000;
+export const shutdownTimeoutMs = 5000;
 
 /** Calls back once when the process is asked to stop, and ends it in any case before the hard stop. */
-export const onStop = (log: Log, stop: () => Promise<void>, span = stopSpan): void => {
+export const handleShutdownSignals = (
+  log: Logger,
+  stop: () => Promise<void>,
+  span = shutdownTimeoutMs,
+): void => {
   let asked = false;
   const begin = (signal: string): void => {
     if (asked) return;
--- a/packages/runtime/src/run/slices.ts
+++ b/packages/runtime/src/run/time-slicing.ts
@@ -2,7 +2,7 @@
 const sliceSpan = 12;
 
 /** Runs sliced work to its end without holding the loop for long. */
-export const inSlices = <T>(work: Generator<undefined, T>): Promise<T> =>
+export const runTimeSliced = <T>(work: Generator<undefined, T>): Promise<T> =>
   new Promise((done, fail) => {
     const go = (): void => {
       const until = performance.now() + sliceSpan;
