--- a/packages/runtime/src/boot/boot.ts
+++ b/packages/runtime/src/settings/settings.ts
@@ -5,7 +5,7 @@
 import * as g from '@switchwheel/types';
 
 /** What every program of the fleet needs to know of its place. */
-export const common = {
+export const commonSettingsSchema = {
   node: g.nodeId,
   area: g.zoneName,
   listen: g.address,
@@ -17,13 +17,13 @@
 };
 
 /** How a setting is given on the command line. */
-export interface Setting {
+export interface SettingDefinition {
   readonly name: string;
   readonly type: 'text' | 'list' | 'number';
   readonly help: string;
 }
 
-export const commonSettings: readonly Setting[] = [
+export const commonSettingDefinitions: readonly SettingDefinition[] = [
   { name: 'node', type: 'text', help: 'the name of this node, its own in the fleet' },
   { name: 'area', type: 'text', help: 'the area this machine stands in' },
   { name: 'listen', type: 'text', help: 'IP:port for the other processes' },
@@ -36,10 +36,10 @@
 ];
 
 /** A program, as its help tells it. */
-export interface Program {
+export interface ProgramDefinition {
   readonly name: string;
-  readonly about: string;
-  readonly settings: readonly Setting[];
+  readonly description: string;
+  readonly settings: readonly SettingDefinition[];
 }
 
 const isObject = (raw: unknown): raw is object =>
@@ -64,7 +64,7 @@
   }
 };
 
-const helpOf = (program: Program): string => {
+const helpOf = (program: ProgramDefinition): string => {
   const rows = [
     ...program.settings,
     { name: 'boot', type: 'text', help: 'a JSON file with these settings; flags go before it' },
@@ -81,7 +81,7 @@
 `;
 };
 
-const flagValue = (setting: Setting, raw: unknown): unknown => {
+const flagValue = (setting: SettingDefinition, raw: unknown): unknown => {
   if (setting.type === 'list' && Array.isArray(raw))
     return raw
       .flatMap((one) => String(one).split(','))
@@ -92,8 +92,8 @@
 };
 
 /** Reads settings from file and flags; every fault is told, each in one line. */
-export const readBoot = <T>(
-  program: Program,
+export const readSettings = <T>(
+  program: ProgramDefinition,
   schema: v.GenericSchema<unknown, T>,
   argv: readonly string[],
 ): Result<T, readonly string[]> => {
@@ -109,7 +109,7 @@
     importMeta: import.meta,
     argv: [...argv],
     flags,
-    description: program.about,
+    description: program.description,
     version: '0.1.0',
   });
   const given = new Map<string, unknown>(Object.entries(read.flags));
@@ -139,8 +139,11 @@
 };
 
 /** Reads settings or ends the program with exit code 2. */
-export const bootOrExit = <T>(program: Program, schema: v.GenericSchema<unknown, T>): T => {
-  const read = readBoot(program, schema, process.argv.slice(2));
+export const readSettingsOrExit = <T>(
+  program: ProgramDefinition,
+  schema: v.GenericSchema<unknown, T>,
+): T => {
+  const read = readSettings(program, schema, process.argv.slice(2));
   process.title = program.name;
   if (read.isOk) return read.value;
   for (const line of read.error) process.stderr.write(`${program.name}: ${line}\n`);
--- a/packages/simulator/src/cast/origin.ts
+++ b/packages/simulator/src/cast/origin.ts
@@ -6,8 +6,13 @@
   type ServiceName,
   increment,
 } from '@switchwheel/types';
-import type { Fields } from '@switchwheel/transport';
-import { type Broke, type LegEars, type LegRequest, fieldOf } from '@switchwheel/proxy-core';
+import type { HeaderFields } from '@switchwheel/transport';
+import {
+  type AttemptFailure,
+  type AttemptHandlers,
+  type AttemptRequest,
+  fieldValue,
+} from '@switchwheel/proxy-core';
 import type { Stage } from '../world/actor.js';
 import { contentOf, isLarge } from './content.js';
 import type { Told, SimRegistry } from './registry.js';
@@ -20,7 +25,11 @@
 }
 
 const partBytes = 700;
-const lostText = (text: string): Broke => ({ opened: true, slow: false, text });
+const lostText = (text: string): AttemptFailure => ({
+  mayHaveBeenSent: true,
+  isTimeout: false,
+  text,
+});
 
 /** A stand-in for an origin. */
 export class SimOrigin {
@@ -159,11 +168,11 @@
   }
 
   /** Takes a request and answers it, once and in parts, on the channel that it came on. */
-  take(request: LegRequest, back: LegEars): void {
+  take(request: AttemptRequest, back: AttemptHandlers): void {
     const { agenda, chance } = this.stage;
     if (!this.alive) {
       agenda.after(chance.between(0.5, 3), () =>
-        back.broke({ opened: false, slow: false, text: 'refused' }),
+        back.failed({ mayHaveBeenSent: false, isTimeout: false, text: 'refused' }),
       );
       return;
     }
@@ -182,7 +191,7 @@
       unrun();
       return;
     }
-    const id = fieldOf(request.fields, 'x-request-id') ?? '';
+    const id = fieldValue(request.fields, 'x-request-id') ?? '';
     const unsafe = request.method !== 'GET';
     this.arrivals.push(agenda.now);
     this.takes.push({ request: id, at: agenda.now });
@@ -202,7 +211,7 @@
         if (unsafe) this.stage.tried.note('R1: an origin died with an unsafe request in hand');
         // It may have died just before or just after the work.
         if (chance.hit(0.5)) this.runs.push({ request: id, at: agenda.now, unsafe });
-        back.broke(lostText('crashed'));
+        back.failed(lostText('crashed'));
         return;
       }
       this.runs.push({ request: id, at: agenda.now, unsafe });
@@ -218,12 +227,12 @@
     revision: number,
     unsafe: boolean,
     bad: boolean,
-    back: LegEars,
+    back: AttemptHandlers,
   ): void {
     const { chance, tried } = this.stage;
     if (chance.hit(this.loseShare)) {
       if (unsafe) tried.note('R1: an unsafe result was lost after the work');
-      back.broke(lostText('lost after the work'));
+      back.failed(lostText('lost after the work'));
       return;
     }
     const misnamed = chance.hit(this.misnamedShare);
@@ -232,7 +241,7 @@
       ? Buffer.from('fault')
       : contentOf(misnamed ? '/somebody/else/1' : target, revision, id, this.stage.agenda.now);
     if (misnamed) tried.note('R3: a result bore a wrong name');
-    const fields: Fields = [
+    const fields: HeaderFields = [
       ['switchwheel-instance', misnamed ? 'somebody-else' : this.instance],
       ['content-length', String(body.length)],
       ['cache-tag', `t${target.length % 3}`],
@@ -256,14 +265,14 @@
     this.#parts(body, 0, cut ? chance.whole(0, body.length - 1) : body.length, sly, back);
   }
 
-  #parts(body: Buffer, at: number, breaks: number, sly: boolean, back: LegEars): void {
+  #parts(body: Buffer, at: number, breaks: number, sly: boolean, back: AttemptHandlers): void {
     const { agenda, chance } = this.stage;
     if (sly && at >= breaks) back.ended();
     else if (!this.alive || (at >= breaks && breaks < body.length))
-      back.broke(lostText('broke off amid the body'));
+      back.failed(lostText('broke off amid the body'));
     else if (at >= body.length) back.ended();
     else
-      back.part(body.subarray(at, Math.min(breaks, at + partBytes)), () =>
+      back.chunk(body.subarray(at, Math.min(breaks, at + partBytes)), () =>
         agenda.after(chance.between(0.1, 1) + this.partMs, () =>
           this.#parts(body, Math.min(breaks, at + partBytes), breaks, sly, back),
         ),
--- a/packages/simulator/src/cast/proxy.ts
+++ b/packages/simulator/src/cast/proxy.ts
@@ -3,32 +3,32 @@
   type ErrorKind,
   type Timestamp,
   type NodeId,
-  type Store,
+  type StateMachine,
   toZoneName,
 } from '@switchwheel/types';
-import type { Fields, Member, WireEvent } from '@switchwheel/transport';
+import type { HeaderFields, Member, ProcessEvent } from '@switchwheel/transport';
 import { heldEpoch, holdsLease } from '@switchwheel/election';
-import { build, finish } from '@switchwheel/configuration';
+import { buildConfiguration, runToCompletion } from '@switchwheel/configuration';
 import {
   Cache,
-  type Call,
-  type Caller,
-  type Departure,
-  Desk,
-  EdgeLine,
-  type LegEars,
-  type LegRequest,
-  type Measures,
-  type Proxy,
+  type ClientRequest,
+  type ClientConnection,
+  type ShutdownPhase,
+  CacheLookup,
+  EdgeRequestHandler,
+  type AttemptHandlers,
+  type AttemptRequest,
+  type TransferLimits,
+  type ProxyState,
   type ProxyEffect,
   type ProxyEvent,
-  ShieldLine,
-  type Spout,
-  type Told,
-  departure,
+  ShieldRequestHandler,
+  type ClientStream,
+  type Reply,
+  shutdownPhase,
   isReady,
-  newProxy,
-  proxyStep,
+  newProxyState,
+  proxyTransition,
 } from '@switchwheel/proxy-core';
 import { Actor, type Stage } from '../world/actor.js';
 import { readContent } from './content.js';
@@ -57,11 +57,16 @@
   readonly id: string;
   readonly method: string;
   readonly path: string;
-  readonly fields: Fields;
+  readonly fields: HeaderFields;
 }
 
 /** Small measures, so that simulated results come in several parts and the larger ones stream. */
-const sizes: Measures = { whole: 4000, chunk: 900, ahead: 2500, joiners: 64 };
+const sizes: TransferLimits = {
+  maxBufferedBytes: 4000,
+  chunkBytes: 900,
+  windowBytes: 2500,
+  maxCoalescedWaiters: 64,
+};
 
 const faultOf = (kind: 'broken' | ErrorKind, text: string, retryMs = 0): CallerResult => ({
   kind,
@@ -90,14 +95,14 @@
   };
 };
 
-const toResult = (told: Told): CallerResult => {
+const toResult = (told: Reply): CallerResult => {
   switch (told.kind) {
-    case 'fault':
-      return faultOf(told.fault, told.text, told.retryMs);
-    case 'entry':
-      return resultOf(told.entry.status, told.entry.body, told.from);
-    case 'whole':
-      return resultOf(told.status, told.body, told.from);
+    case 'failure':
+      return faultOf(told.errorKind, told.text, told.retryMs);
+    case 'cached':
+      return resultOf(told.entry.status, told.entry.body, told.source);
+    case 'complete':
+      return resultOf(told.status, told.body, told.source);
   }
 };
 
@@ -106,10 +111,10 @@
   readonly role: 'edge' | 'shield';
   readonly #seeds: () => readonly Address[];
   readonly #origins: () => readonly SimOrigin[];
-  #store: Store<Proxy, ProxyEvent> | undefined;
+  #store: StateMachine<ProxyState, ProxyEvent> | undefined;
   #cache = new Cache(4 * 1024 * 1024);
-  #edge: EdgeLine | undefined;
-  #shield: ShieldLine | undefined;
+  #edge: EdgeRequestHandler | undefined;
+  #shield: ShieldRequestHandler | undefined;
   readonly #wires = new Map<Address, Set<Wire>>();
   readonly #dropped = new Set<string>();
   /** Whether it takes no new callers as it is about to end. */
@@ -135,27 +140,27 @@
     this.#origins = origins;
   }
 
-  get state(): Proxy | undefined {
+  get state(): ProxyState | undefined {
     return this.alive ? this.#store?.state() : undefined;
   }
 
   get ready(): boolean {
     const { state } = this;
-    return state !== undefined && !this.frozen && isReady(state.cabin, this.clock);
+    return state !== undefined && !this.frozen && isReady(state.nodeAgent, this.clock);
   }
 
   get stopping(): boolean {
-    return this.state?.cabin.stopping === true;
+    return this.state?.nodeAgent.isStopping === true;
   }
 
   override wake(): void {
     const { state, clock } = this;
-    const past = [...(state?.active ?? [])].some(([service, name]) => {
-      const candidate = state?.cabin.candidates.get(service);
+    const past = [...(state?.activeLeaders ?? [])].some(([service, name]) => {
+      const candidate = state?.nodeAgent.candidates.get(service);
       return (
         candidate !== undefined &&
         !holdsLease(candidate, clock) &&
-        (state?.keepers.get(name)?.legs.size ?? 0) > 0
+        (state?.leaders.get(name)?.attempts.size ?? 0) > 0
       );
     });
     if (this.frozen && past) this.stage.tried.note('a keeper woke past its lease with legs open');
@@ -182,20 +187,22 @@
     this.#shut = false;
     this.#dropped.clear();
     this.#cache = new Cache(4 * 1024 * 1024);
-    const first = newProxy(member, this.#seeds(), {
+    const first = newProxyState(member, this.#seeds(), {
       seed: Math.floor(this.stage.chance.next() * 4294967296),
     });
-    const store = this.makeStore<Proxy, ProxyEvent, ProxyEffect>(proxyStep, first, (effect) =>
-      this.#run(effect),
+    const store = this.makeStore<ProxyState, ProxyEvent, ProxyEffect>(
+      proxyTransition,
+      first,
+      (effect) => this.#run(effect),
     );
     this.#store = store;
-    const desk = new Desk(this.#cache);
+    const desk = new CacheLookup(this.#cache);
     const cab = {
       now: (): Timestamp => this.clock,
       state: store.state,
-      tell: (make: (now: Timestamp) => ProxyEvent): void => this.#tell(make),
+      dispatch: (make: (now: Timestamp) => ProxyEvent): void => this.#tell(make),
     };
-    this.#edge = new EdgeLine(
+    this.#edge = new EdgeRequestHandler(
       `${this.node}.${this.life}`,
       desk,
       (to, ears) => {
@@ -223,10 +230,10 @@
       cab,
       sizes,
     );
-    this.#shield = new ShieldLine(
+    this.#shield = new ShieldRequestHandler(
       {
         send: (name, request, ears) => this.#leg(name, request, ears),
-        drop: (name) => {
+        cancel: (name) => {
           this.#dropped.add(name);
         },
       },
@@ -243,7 +250,7 @@
     this.#shield = undefined;
   }
 
-  event(make: (now: Timestamp) => WireEvent): void {
+  event(make: (now: Timestamp) => ProcessEvent): void {
     this.#tell(make);
   }
 
@@ -253,10 +260,10 @@
   }
 
   #accept(
-    channel: Parameters<ShieldLine['dock']['take']>[0],
-  ): ReturnType<ShieldLine['dock']['take']> {
+    channel: Parameters<ShieldRequestHandler['inbound']['accept']>[0],
+  ): ReturnType<ShieldRequestHandler['inbound']['accept']> {
     return (
-      this.#shield?.dock.take(channel, () => this.clock) ?? {
+      this.#shield?.inbound.accept(channel, () => this.clock) ?? {
         frame: () => undefined,
         closed: () => undefined,
       }
@@ -264,21 +271,22 @@
   }
 
   /** A planned stop, as the shipped program goes about it; calls back when the process has ended. */
-  stop(then: (how: Departure) => void): void {
+  stop(then: (how: ShutdownPhase) => void): void {
     this.act(() => {
       const since = this.clock;
       if (this.#open() > 0) this.stage.tried.note('R11: a node was stopped with requests open');
-      if ((this.state?.active.size ?? 0) > 0) this.stage.tried.note('R11: a keeper was stopped');
-      this.#tell((now) => ({ kind: 'stop', now }));
+      if ((this.state?.activeLeaders.size ?? 0) > 0)
+        this.stage.tried.note('R11: a keeper was stopped');
+      this.#tell((now) => ({ kind: 'stopRequested', now }));
       const look = (): void => {
-        const how = departure(this.role, since, this.#open(), this.clock);
+        const how = shutdownPhase(this.role, since, this.#open(), this.clock);
         this.#shut = how !== 'serving';
-        if (how === 'serving' || how === 'ending') {
+        if (how === 'serving' || how === 'draining') {
           this.later(20, look);
           return;
         }
-        if (how === 'broken') this.#edge?.breakAll('this node stops');
-        this.later(how === 'broken' ? 100 : 0, () => {
+        if (how === 'aborting') this.#edge?.abortAll('this node stops');
+        this.later(how === 'aborting' ? 100 : 0, () => {
           this.kill('planned');
           then(how);
         });
@@ -288,11 +296,11 @@
   }
 
   #open(): number {
-    const legs = [...(this.#store?.state().keepers.values() ?? [])].reduce(
-      (sum, one) => sum + one.legs.size,
+    const legs = [...(this.#store?.state().leaders.values() ?? [])].reduce(
+      (sum, one) => sum + one.attempts.size,
       0,
     );
-    return (this.#edge?.open ?? 0) + (this.#shield?.dock.size ?? 0) + legs;
+    return (this.#edge?.openRequests ?? 0) + (this.#shield?.inbound.size ?? 0) + legs;
   }
 
   #tell(make: (now: Timestamp) => ProxyEvent): void {
@@ -313,23 +321,23 @@
         return;
       }
       const edge = this.#edge;
-      const found = edge?.enter(request.method, 'sim', request.path);
+      const found = edge?.findRoute(request.method, 'sim', request.path);
       if (edge === undefined || found === undefined) return;
       if ('told' in found) {
         done(toResult(found.told));
         return;
       }
-      const call: Call = {
+      const call: ClientRequest = {
         method: request.method,
         host: 'sim',
         target: request.path,
         fields: request.fields,
         body: Buffer.from(request.method === 'POST' ? request.id : ''),
-        remote: '10.9.9.9',
+        remoteAddress: '10.9.9.9',
       };
-      const caller: Caller = {
-        tell: (told) => done(toResult(told)),
-        stream: (status, _, length) => this.#spout(status, length, done),
+      const caller: ClientConnection = {
+        reply: (told) => done(toResult(told)),
+        startStream: (status, _, length) => this.#spout(status, length, done),
       };
       leave = edge.serve(found.track, call, caller);
     });
@@ -337,7 +345,11 @@
   }
 
   /** A caller that takes a result in parts, and sees whether it is all there. */
-  #spout(status: number, length: number | undefined, done: (result: CallerResult) => void): Spout {
+  #spout(
+    status: number,
+    length: number | undefined,
+    done: (result: CallerResult) => void,
+  ): ClientStream {
     const parts: Buffer[] = [];
     let over = false;
     const end = (result: CallerResult): void => {
@@ -359,7 +371,7 @@
             ? resultOf(status, whole(), 'stream')
             : faultOf('broken', 'shorter than told'),
         ),
-      snap: (why) => end(faultOf('broken', why)),
+      abort: (why) => end(faultOf('broken', why)),
     };
   }
 
@@ -369,16 +381,26 @@
       case 'log':
         this.wire(effect);
         break;
-      case 'build':
+      case 'compileConfiguration':
         this.later(this.stage.chance.between(2, 40), () => {
-          const built = finish(
-            build(effect.texts, effect.offer.generation, effect.offer.hash, effect.before),
+          const built = runToCompletion(
+            buildConfiguration(
+              effect.chunkTexts,
+              effect.offer.generation,
+              effect.offer.hash,
+              effect.previous,
+            ),
           );
           this.#tell((now) =>
             built.isOk && !this.lame
-              ? { kind: 'built', now, offer: effect.offer, table: built.value }
+              ? {
+                  kind: 'configurationCompiled',
+                  now,
+                  offer: effect.offer,
+                  compiledConfiguration: built.value,
+                }
               : {
-                  kind: 'unbuilt',
+                  kind: 'compileFailed',
                   now,
                   offer: effect.offer,
                   faults: built.isOk ? [{ path: '(node)', text: 'lame' }] : built.error,
@@ -386,48 +408,48 @@
           );
         });
         break;
-      case 'adopt':
+      case 'adoptConfiguration':
         this.adopted.push({
-          generation: effect.table.generation,
+          generation: effect.compiledConfiguration.generation,
           at: this.stage.agenda.now,
           life: this.life,
         });
         break;
-      case 'purge':
-        this.#cache.purge(effect.purges, effect.flush, effect.top);
-        this.#edge?.purged();
-        this.#shield?.purged();
+      case 'purgeCache':
+        this.#cache.purge(effect.purges, effect.flush, effect.lastPurgeSeq);
+        this.#edge?.onPurged();
+        this.#shield?.onPurged();
         break;
-      case 'gates':
+      case 'setLiveOrigins':
         break;
-      case 'probe':
+      case 'checkHealth':
         this.#probe(effect);
         break;
-      case 'ask':
-      case 'cancel':
-      case 'begin':
-      case 'fail':
+      case 'sendRequest':
+      case 'cancelRequest':
+      case 'startResponse':
+      case 'failRequest':
         this.#edge?.run(effect);
         break;
-      case 'leg': {
+      case 'startAttempt': {
         const state = this.#store?.state();
-        const keeper = state?.keepers.get(effect.keeper);
+        const keeper = state?.leaders.get(effect.leader);
         const candidate =
-          keeper === undefined ? undefined : state?.cabin.candidates.get(keeper.service);
+          keeper === undefined ? undefined : state?.nodeAgent.candidates.get(keeper.service);
         if (
           candidate === undefined ||
           !holdsLease(candidate, this.clock) ||
           heldEpoch(candidate) !== keeper?.epoch
         )
           this.stage.breaches.push(
-            `${this.node} sent a leg as ${effect.keeper} past its lease at ${Math.round(this.stage.agenda.now)}`,
+            `${this.node} sent a leg as ${effect.leader} past its lease at ${Math.round(this.stage.agenda.now)}`,
           );
         this.#shield?.run(effect);
         break;
       }
-      case 'cut':
-      case 'use':
-      case 'turnAway':
+      case 'cancelAttempt':
+      case 'useResponse':
+      case 'rejectRequest':
         this.#shield?.run(effect);
         break;
     }
@@ -437,17 +459,24 @@
     return this.#origins().find((one) => one.address === address && one.alive);
   }
 
-  #probe(effect: Extract<ProxyEffect, { kind: 'probe' }>): void {
+  #probe(effect: Extract<ProxyEffect, { kind: 'checkHealth' }>): void {
     const { service, instance, address } = effect;
     this.later(this.stage.chance.between(1, 5), () => {
       const good =
         this.stage.net.open(this.node, 'origins') &&
         this.#originAt(address)?.probe(instance) === true;
-      this.#tell((now) => ({ kind: 'probed', now, service, instance, good, ms: 2 }));
+      this.#tell((now) => ({
+        kind: 'healthChecked',
+        now,
+        service,
+        instance,
+        isHealthy: good,
+        durationMs: 2,
+      }));
     });
   }
 
-  #leg(name: string, request: LegRequest, ears: LegEars): void {
+  #leg(name: string, request: AttemptRequest, ears: AttemptHandlers): void {
     const { life } = this;
     // What comes back keeps its order.
     let free = 0;
@@ -457,28 +486,33 @@
         this.act(() => {
           if (this.#dropped.has(name)) return;
           if (this.stage.net.open(this.node, 'origins')) work();
-          else ears.broke({ opened: true, slow: false, text: 'cut off from the origin' });
+          else
+            ears.failed({
+              mayHaveBeenSent: true,
+              isTimeout: false,
+              text: 'cut off from the origin',
+            });
         }, life),
       );
     };
     const origin = this.#originAt(request.address);
-    this.later(request.spanMs, () => {
+    this.later(request.timeoutMs, () => {
       if (!this.#dropped.has(name))
-        ears.broke({ opened: true, slow: true, text: 'no result in time' });
+        ears.failed({ mayHaveBeenSent: true, isTimeout: true, text: 'no result in time' });
     });
     if (origin === undefined || !this.stage.net.open(this.node, 'origins')) {
       this.later(2, () => {
         if (!this.#dropped.has(name))
-          ears.broke({ opened: false, slow: false, text: 'no one listens' });
+          ears.failed({ mayHaveBeenSent: false, isTimeout: false, text: 'no one listens' });
       });
       return;
     }
     this.stage.agenda.after(this.stage.chance.between(0.3, 2), () =>
       origin.take(request, {
         head: (status, fields) => near(() => ears.head(status, fields)),
-        part: (bytes, more) => near(() => ears.part(bytes, more)),
+        chunk: (bytes, more) => near(() => ears.chunk(bytes, more)),
         ended: () => near(() => ears.ended()),
-        broke: (how) => near(() => ears.broke(how)),
+        failed: (how) => near(() => ears.failed(how)),
       }),
     );
   }
--- a/packages/simulator/src/cast/registry.ts
+++ b/packages/simulator/src/cast/registry.ts
@@ -2,17 +2,17 @@
   type Address,
   type Timestamp,
   type NodeId,
-  type Store,
+  type StateMachine,
   toZoneName,
 } from '@switchwheel/types';
-import type { Member, WireEvent } from '@switchwheel/transport';
+import type { Member, ProcessEvent } from '@switchwheel/transport';
 import {
-  type Outside,
-  type Registry,
+  type ExternalRequest,
+  type RegistryState,
   type RegistryEffect,
   type RegistryEvent,
-  newRegistry,
-  registryStep,
+  newRegistryState,
+  registryTransition,
 } from '@switchwheel/membership';
 import { Actor, type Stage } from '../world/actor.js';
 
@@ -26,7 +26,7 @@
   readonly #seeds: () => readonly Address[];
   /** Whether nodes that run nothing may start on what disks hold. */
   readonly #eager: boolean;
-  #store: Store<Registry, RegistryEvent> | undefined;
+  #store: StateMachine<RegistryState, RegistryEvent> | undefined;
   #ref = 0;
   readonly #waiting = new Map<number, (told: Told) => void>();
 
@@ -43,7 +43,7 @@
     this.#eager = eager;
   }
 
-  get state(): Registry | undefined {
+  get state(): RegistryState | undefined {
     return this.alive ? this.#store?.state() : undefined;
   }
 
@@ -57,14 +57,14 @@
       incarnation: this.incarnation,
     };
     const dice = { seed: Math.floor(this.stage.chance.next() * 4294967296) };
-    const first = newRegistry(member, this.#seeds(), this.clock, dice, undefined, this.#eager);
-    this.#store = this.makeStore<Registry, RegistryEvent, RegistryEffect>(
-      registryStep,
+    const first = newRegistryState(member, this.#seeds(), this.clock, dice, undefined, this.#eager);
+    this.#store = this.makeStore<RegistryState, RegistryEvent, RegistryEffect>(
+      registryTransition,
       first,
       (effect) => {
         if (effect.kind === 'reply') {
-          const done = this.#waiting.get(effect.ref);
-          this.#waiting.delete(effect.ref);
+          const done = this.#waiting.get(effect.correlationId);
+          this.#waiting.delete(effect.correlationId);
           done?.({ status: effect.status, body: effect.body });
         } else this.wire(effect);
       },
@@ -75,21 +75,26 @@
     this.#waiting.clear();
   }
 
-  event(make: (now: Timestamp) => WireEvent): void {
+  event(make: (now: Timestamp) => ProcessEvent): void {
     this.#store?.dispatch(make(this.clock));
   }
 
   /** Asks the process to stop: its vote is taken over by others meanwhile. */
   stop(): void {
-    this.act(() => this.#store?.dispatch({ kind: 'stop', now: this.clock }));
+    this.act(() => this.#store?.dispatch({ kind: 'stopRequested', now: this.clock }));
   }
 
   /** A call from outside; no answer ever comes if the process dies first. */
-  call(call: Outside, done: (told: Told) => void): void {
+  call(call: ExternalRequest, done: (told: Told) => void): void {
     this.act(() => {
       this.#ref += 1;
       this.#waiting.set(this.#ref, done);
-      this.#store?.dispatch({ kind: 'outside', now: this.clock, ref: this.#ref, call });
+      this.#store?.dispatch({
+        kind: 'requestReceived',
+        now: this.clock,
+        correlationId: this.#ref,
+        request: call,
+      });
     });
   }
 }
--- a/packages/simulator/src/cast/store.ts
+++ b/packages/simulator/src/cast/store.ts
@@ -1,26 +1,26 @@
 import {
   type Address,
-  type CallId,
+  type CommandId,
   type Timestamp,
   type NodeId,
-  type Store,
+  type StateMachine,
   toZoneName,
   toGeneration,
 } from '@switchwheel/types';
-import type { Member, WireEvent } from '@switchwheel/transport';
+import type { Member, ProcessEvent } from '@switchwheel/transport';
 import {
   type DiskWrite,
-  type Found,
+  type DiskContents,
   type KeyedEntry,
-  type Store as StoreState,
+  type StoreState as StoreState,
   type StoreEffect,
   type StoreEvent,
   type ReplicationSettings,
-  newStore,
-  storeStep,
+  newStoreState,
+  storeTransition,
 } from '@switchwheel/replicated-store';
 import { holdsLease } from '@switchwheel/election';
-import { build, finish } from '@switchwheel/configuration';
+import { buildConfiguration, runToCompletion } from '@switchwheel/configuration';
 import { Actor, type Stage } from '../world/actor.js';
 import { VirtualDisk } from '../world/disk.js';
 
@@ -29,7 +29,7 @@
   readonly disk: VirtualDisk<DiskWrite>;
   readonly #seeds: () => readonly Address[];
   readonly #limits: ReplicationSettings | undefined;
-  #store: Store<StoreState, StoreEvent> | undefined;
+  #store: StateMachine<StoreState, StoreEvent> | undefined;
 
   constructor(
     stage: Stage,
@@ -57,24 +57,26 @@
       address: this.address,
       incarnation: this.incarnation,
     };
-    const first = newStore(
+    const first = newStoreState(
       member,
       this.#seeds(),
       { seed: Math.floor(this.stage.chance.next() * 4294967296) },
       this.#limits,
     );
-    this.#store = this.makeStore<StoreState, StoreEvent, StoreEffect>(storeStep, first, (effect) =>
-      this.#run(effect),
+    this.#store = this.makeStore<StoreState, StoreEvent, StoreEffect>(
+      storeTransition,
+      first,
+      (effect) => this.#run(effect),
     );
     const found = this.#found();
     this.later(this.stage.chance.between(5, 30), () =>
-      this.#tell((now) => ({ kind: 'read', now, found })),
+      this.#tell((now) => ({ kind: 'diskRead', now, contents: found })),
     );
   }
 
   override wake(): void {
     const { state, clock } = this;
-    if (this.frozen && state?.serving === true && !holdsLease(state.candidate, clock))
+    if (this.frozen && state?.isServing === true && !holdsLease(state.candidate, clock))
       this.stage.tried.note('a primary woke past its lease');
     super.wake();
   }
@@ -84,8 +86,8 @@
   }
 
   /** Whether it has the answer to a call. */
-  keeps(id: CallId): boolean {
-    return this.state?.control.calls.has(id) === true;
+  keeps(id: CommandId): boolean {
+    return this.state?.control.commandOutcomes.has(id) === true;
   }
 
   /** How far the write under way here has come, if there is one. */
@@ -95,18 +97,18 @@
   }
 
   /** What the disk holds, put together from all that was ever synced. */
-  #found(): Found {
-    if (this.disk.torn) return { found: 'damaged', text: 'torn' };
+  #found(): DiskContents {
+    if (this.disk.torn) return { status: 'damaged', reason: 'torn' };
     const last = this.disk.synced.at(-1);
-    if (last === undefined) return { found: 'nothing' };
+    if (last === undefined) return { status: 'empty' };
     const entries = new Map<string, KeyedEntry>();
     for (const write of this.disk.synced) {
-      if (write.wipe) entries.clear();
-      for (const key of write.drops) entries.delete(key);
-      for (const one of write.sets) entries.set(one.key, one);
+      if (write.wipesFirst) entries.clear();
+      for (const key of write.deletedKeys) entries.delete(key);
+      for (const one of write.entries) entries.set(one.key, one);
     }
     return {
-      found: 'whole',
+      status: 'complete',
       metadata: last.metadata,
       stamp: last.stamp,
       entries: [...entries.values()],
@@ -117,48 +119,60 @@
     this.#store?.dispatch(make(this.clock));
   }
 
-  event(make: (now: Timestamp) => WireEvent): void {
+  event(make: (now: Timestamp) => ProcessEvent): void {
     this.#tell(make);
   }
 
   /** Asks the process to stop, within the grace if it is given. */
   stop(graceMs?: number): void {
     this.act(() =>
-      this.#tell((now) => ({ kind: 'stop', now, ...(graceMs === undefined ? {} : { graceMs }) })),
+      this.#tell((now) => ({
+        kind: 'stopRequested',
+        now,
+        ...(graceMs === undefined ? {} : { graceMs }),
+      })),
     );
   }
 
   #run(effect: StoreEffect): void {
     switch (effect.kind) {
-      case 'sync': {
+      case 'writeToDisk': {
         const { write } = effect;
         const life = this.life;
         this.disk.write(write, (ok, full) => {
-          if (ok && write.wipe) this.disk.torn = false;
+          if (ok && write.wipesFirst) this.disk.torn = false;
           this.act(
             () =>
               this.#tell((now) =>
                 ok
-                  ? { kind: 'synced', now, id: write.id }
-                  : { kind: 'unsynced', now, id: write.id, text: 'no room', full },
+                  ? { kind: 'writeSynced', now, writeId: write.id }
+                  : {
+                      kind: 'writeFailed',
+                      now,
+                      writeId: write.id,
+                      reason: 'no room',
+                      isDiskFull: full,
+                    },
               ),
             life,
           );
         });
         break;
       }
-      case 'compile':
+      case 'compileConfiguration':
         this.later(this.stage.chance.between(1, 20), () => {
-          const built = finish(build(effect.texts, toGeneration(0), effect.hash));
+          const built = runToCompletion(
+            buildConfiguration(effect.texts, toGeneration(0), effect.hash),
+          );
           this.#tell((now) => ({
-            kind: 'compiled',
+            kind: 'configurationCompiled',
             now,
             hash: effect.hash,
             faults: built.isOk ? [] : built.error,
           }));
         });
         break;
-      case 'stopped':
+      case 'completeStop':
         this.later(20, () => this.kill());
         break;
       case 'send':
--- a/packages/simulator/src/cast/wire.ts
+++ b/packages/simulator/src/cast/wire.ts
@@ -1,18 +1,22 @@
 import {
   type Frame,
-  keepaliveInterval,
-  decode,
-  encode,
-  silenceTimeout,
+  keepaliveIntervalMs,
+  deserializeFrame,
+  serializeFrame,
+  keepaliveTimeoutMs,
 } from '@switchwheel/transport';
-import { type DataChannel, type DataEars, dialSpan } from '@switchwheel/proxy-core';
+import {
+  type DataChannel,
+  type DataChannelHandlers,
+  connectTimeoutMs,
+} from '@switchwheel/proxy-core';
 import type { Actor, Stage } from '../world/actor.js';
 
 interface End {
   readonly actor: Actor;
   readonly life: number;
   readonly lane: { free: number };
-  ears: Omit<DataEars, 'up'> | undefined;
+  ears: Omit<DataChannelHandlers, 'up'> | undefined;
   heard: number;
   over: boolean;
 }
@@ -37,8 +41,8 @@
     stage: Stage,
     from: Actor,
     to: Actor | undefined,
-    ears: DataEars,
-    accept: (channel: DataChannel) => Omit<DataEars, 'up'>,
+    ears: DataChannelHandlers,
+    accept: (channel: DataChannel) => Omit<DataChannelHandlers, 'up'>,
   ) {
     this.#stage = stage;
     this.#near = newEnd(from, stage.agenda.now);
@@ -51,7 +55,7 @@
         return;
       }
       if (far.actor.frozen || !this.#open(this.#near, far) || !this.#open(far, this.#near)) {
-        from.later(dialSpan, () => {
+        from.later(connectTimeoutMs, () => {
           if (!this.#up) this.#close(this.#near);
         });
         return;
@@ -91,7 +95,7 @@
     const to = this.#other(end);
     if (to === undefined || end.over) return;
     const told = this.#stage.chance.hit(0.02)
-      ? decode(encode(frame)).unwrapOrElse((fault) => {
+      ? deserializeFrame(serializeFrame(frame)).unwrapOrElse((fault) => {
           throw new Error(`${frame.kind}: ${fault.text}`);
         })
       : frame;
@@ -105,13 +109,13 @@
   }
 
   #beat(end: End): void {
-    end.actor.later(keepaliveInterval, () => {
+    end.actor.later(keepaliveIntervalMs, () => {
       const other = this.#other(end);
       if (end.over || other === undefined) return;
       const now = this.#stage.agenda.now;
       if (this.#lives(other) && !other.over && !other.actor.frozen && this.#open(other, end))
         end.heard = now;
-      if (now - end.heard > silenceTimeout) this.#close(end);
+      if (now - end.heard > keepaliveTimeoutMs) this.#close(end);
       else this.#beat(end);
     });
   }
--- a/packages/simulator/src/direct/leg.ts
+++ b/packages/simulator/src/direct/leg.ts
@@ -1,10 +1,10 @@
 import type { Address } from '@switchwheel/types';
 import {
-  type Answer,
-  type LegEars,
-  type LegOrder,
-  type LegPort,
-  plainWords,
+  type OriginResponse,
+  type AttemptHandlers,
+  type AttemptRequest,
+  type OriginClient,
+  defaultHeaderNames,
 } from '@switchwheel/routing';
 import type { Agenda } from '../world/agenda.js';
 import type { Chance } from '../world/chance.js';
@@ -27,7 +27,7 @@
 const falsePromises = [408, 429, 503] as const;
 
 /** Carries requests to simulated origins in the way that the socket port reports them. */
-export class SimulatedLegs implements LegPort {
+export class SimulatedLegs implements OriginClient {
   readonly sent: SentAttempt[] = [];
   readonly #agenda: Agenda;
   readonly #chance: Chance;
@@ -50,7 +50,7 @@
     // Idle connections bear nothing here: bytes left on them are among the conducts.
   }
 
-  send(order: LegOrder, ears: LegEars): () => void {
+  send(order: AttemptRequest, ears: AttemptHandlers): () => void {
     this.sent.push({ at: this.#agenda.now, id: order.id, address: order.address });
     let cut = false;
     const conduct = this.#fleet.conduct();
@@ -63,9 +63,9 @@
       if (cut && !arrivesAnyway) return;
       const origin = this.#fleet.at(order.address);
       if (conduct === 'unopened' || origin === undefined)
-        report(() => ears.broke(false, 'the connection did not open'));
+        report(() => ears.onFailure(false, 'the connection did not open'));
       else if (!names(order, origin))
-        report(() => ears.answered({ ...plain(421, ''), unrun: true }));
+        report(() => ears.onResponse({ ...plain(421, ''), isUnprocessed: true }));
       else this.#work(order, origin, conduct, ears, report);
     });
     return () => {
@@ -74,19 +74,19 @@
   }
 
   #work(
-    order: LegOrder,
+    order: AttemptRequest,
     origin: SimulatedOrigin,
     conduct: Conduct,
-    ears: LegEars,
+    ears: AttemptHandlers,
     report: (tell: () => void) => void,
   ): void {
-    const broke = (): void => report(() => ears.broke(true, conduct));
+    const broke = (): void => report(() => ears.onFailure(true, conduct));
     if (conduct === 'reset before') {
       broke();
       return;
     }
     if (conduct === 'full') {
-      report(() => ears.answered({ ...plain(503, ''), unrun: true }));
+      report(() => ears.onResponse({ ...plain(503, ''), isUnprocessed: true }));
       return;
     }
     this.#fleet.run(origin, order);
@@ -97,25 +97,26 @@
         : `done ${order.id}`;
     const [least, most] = conduct === 'late' ? lateMs : [2, 60];
     this.#agenda.after(this.#chance.between(least, most), () => {
-      if (conduct === 'answer' || conduct === 'late') report(() => ears.answered(plain(200, body)));
-      else if (conduct === 'failure') report(() => ears.answered(plain(500, 'failed')));
+      if (conduct === 'answer' || conduct === 'late')
+        report(() => ears.onResponse(plain(200, body)));
+      else if (conduct === 'failure') report(() => ears.onResponse(plain(500, 'failed')));
       else if (conduct === 'false promise') {
         const status = this.#chance.one(falsePromises) ?? 503;
-        report(() => ears.answered(plain(status, 'failed')));
+        report(() => ears.onResponse(plain(status, 'failed')));
       } else broke();
     });
   }
 }
 
 /** Whether the request names this origin, or none: only then does it run. */
-const names = (order: LegOrder, origin: SimulatedOrigin): boolean => {
-  const named = order.fields.find(([name]) => name === plainWords.instance);
+const names = (order: AttemptRequest, origin: SimulatedOrigin): boolean => {
+  const named = order.fields.find(([name]) => name === defaultHeaderNames.targetInstance);
   return named === undefined || named[1] === origin.instance;
 };
 
-const plain = (status: number, body: string): Answer => ({
+const plain = (status: number, body: string): OriginResponse => ({
   status,
   fields: [],
   body: Buffer.from(body),
-  unrun: false,
+  isUnprocessed: false,
 });
--- a/packages/simulator/src/direct/origin.ts
+++ b/packages/simulator/src/direct/origin.ts
@@ -1,5 +1,5 @@
 import type { Address, InstanceId, ServiceName } from '@switchwheel/types';
-import type { LegOrder } from '@switchwheel/routing';
+import type { AttemptRequest } from '@switchwheel/routing';
 import type { Chance } from '../world/chance.js';
 
 /** What a simulated origin, or the way to it, does with one request. */
@@ -73,7 +73,7 @@
     return this.#chance.one(troubles) ?? 'answer';
   }
 
-  run(origin: SimulatedOrigin, order: LegOrder): void {
+  run(origin: SimulatedOrigin, order: AttemptRequest): void {
     this.runs.push({
       id: order.id,
       method: order.method,
--- a/packages/simulator/src/direct/rules.ts
+++ b/packages/simulator/src/direct/rules.ts
@@ -1,5 +1,5 @@
-import { responseFor } from '@switchwheel/types';
-import type { Word } from '@switchwheel/routing';
+import { errorResponseFor } from '@switchwheel/types';
+import type { ClientReply } from '@switchwheel/routing';
 import type { RunRecord } from './origin.js';
 import { objectBody } from './leg.js';
 
@@ -18,7 +18,7 @@
   /** The revision that the object had at the last purge before the request. */
   readonly leastRevision: number;
   left: boolean;
-  readonly told: { readonly at: number; readonly word: Word }[];
+  readonly told: { readonly at: number; readonly word: ClientReply }[];
 }
 
 export interface Violation {
@@ -33,15 +33,15 @@
 const tellMarginMs = 40;
 
 /** The status that a caller is answered with. */
-export const statusOf = (word: Word): number => {
-  if (word.kind === 'fault') return responseFor(word.fault).status;
-  return word.kind === 'kept' ? word.entry.status : word.answer.status;
+export const statusOf = (word: ClientReply): number => {
+  if (word.kind === 'failure') return errorResponseFor(word.errorKind).status;
+  return word.kind === 'cached' ? word.entry.status : word.response.status;
 };
 
 /** The body that a caller is answered with; empty for a failure. */
-export const bodyOf = (word: Word): string => {
-  if (word.kind === 'fault') return '';
-  return (word.kind === 'kept' ? word.entry.body : word.answer.body).toString();
+export const bodyOf = (word: ClientReply): string => {
+  if (word.kind === 'failure') return '';
+  return (word.kind === 'cached' ? word.entry.body : word.response.body).toString();
 };
 
 const judgeCaller = (one: CallerRecord, ran: boolean): readonly Violation[] => {
@@ -59,7 +59,7 @@
     add('LOST', `told ${first.at - one.deadline} ms late`);
   const status = statusOf(first.word);
   if (one.method !== 'GET' && ran && promises.has(status)) add('REFUSED', `told ${status}`);
-  if (first.word.kind === 'fault' && status === 503 && first.word.retryMs <= 0)
+  if (first.word.kind === 'failure' && status === 503 && first.word.retryAfterMs <= 0)
     add('RETRY', 'not told when to come back');
   if (status === 200) judgeBody(one, bodyOf(first.word), add);
   return found;
--- a/packages/simulator/src/direct/run.ts
+++ b/packages/simulator/src/direct/run.ts
@@ -12,9 +12,14 @@
   toSeq,
   toServiceName,
 } from '@switchwheel/types';
-import { type Table, build, cut, finish } from '@switchwheel/configuration';
-import { type Cabin, Cache, newCabin } from '@switchwheel/proxy-core';
-import { DirectLine, plainBounds, plainWords } from '@switchwheel/routing';
+import {
+  type CompiledConfiguration,
+  buildConfiguration,
+  splitIntoChunks,
+  runToCompletion,
+} from '@switchwheel/configuration';
+import { type NodeAgent, Cache, newNodeAgent } from '@switchwheel/proxy-core';
+import { EdgeRouter, defaultEdgeLimits, defaultHeaderNames } from '@switchwheel/routing';
 import { Agenda } from '../world/agenda.js';
 import { Chance } from '../world/chance.js';
 import { type SentAttempt, SimulatedLegs } from './leg.js';
@@ -44,9 +49,9 @@
 const services = [toServiceName('clips'), toServiceName('edits')] as const;
 
 /** One configuration: both routes of the service named. */
-const tableFor = (service: ServiceName, generation: number): Table => {
-  const bundle = finish(
-    cut({
+const tableFor = (service: ServiceName, generation: number): CompiledConfiguration => {
+  const bundle = runToCompletion(
+    splitIntoChunks({
       format: 1,
       classes: [{ name: 'all', share: 1 }],
       services: services.map((name) => ({ name })),
@@ -74,9 +79,9 @@
     }),
   );
   if (!bundle.isOk) throw new Error('the description is not valid');
-  const { hash, order, pieces } = bundle.value;
-  const texts = order.map((one) => pieces.get(one) ?? '');
-  const built = finish(build(texts, toGeneration(generation), hash));
+  const { hash, chunkHashes, chunks } = bundle.value;
+  const texts = chunkHashes.map((one) => chunks.get(one) ?? '');
+  const built = runToCompletion(buildConfiguration(texts, toGeneration(generation), hash));
   if (!built.isOk) throw new Error('the table was not built');
   return built.value;
 };
@@ -88,13 +93,13 @@
   readonly fleet: OriginFleet;
   readonly callers = new Map<string, CallerRecord>();
   readonly cache = new Cache(1_000_000);
-  readonly line: DirectLine;
+  readonly line: EdgeRouter;
   readonly legs: SimulatedLegs;
-  readonly #tables: readonly Table[];
+  readonly #tables: readonly CompiledConfiguration[];
   readonly #standing = new Map<InstanceId, SimulatedOrigin>();
   readonly #revisions = new Map<string, number>();
   readonly #purged = new Map<string, number>();
-  #cabin: Cabin;
+  #cabin: NodeAgent;
   #purges = 0;
   #started = 0;
   #accepting = true;
@@ -111,16 +116,21 @@
       address: toAddress('10.0.0.1:1'),
       incarnation: toIncarnation(1),
     };
-    const fresh = newCabin(member, [], { seed });
+    const fresh = newNodeAgent(member, [], { seed });
     this.#cabin = { ...fresh, nodeSession: { ...fresh.nodeSession, members: [member] } };
     this.legs = new SimulatedLegs(this.agenda, this.chance.part(), this.fleet, (target) =>
       this.#revisionOf(target),
     );
-    this.line = new DirectLine(
-      { now: () => this.#now(), cabin: () => this.#cabin },
+    this.line = new EdgeRouter(
+      { now: () => this.#now(), nodeAgent: () => this.#cabin },
       this.cache,
       this.legs,
-      { area: toZoneName('a'), words: plainWords, bounds: plainBounds, most: 60 },
+      {
+        zone: toZoneName('a'),
+        headerNames: defaultHeaderNames,
+        limits: defaultEdgeLimits,
+        maxActiveRequests: 60,
+      },
       { seed: seed ^ 0x5bd1e995 },
     );
   }
@@ -137,7 +147,7 @@
       this.agenda.after(this.chance.between(0, 2600), () => {
         this.#accepting = false;
       });
-      this.agenda.after(stopMs, () => this.line.breakAll());
+      this.agenda.after(stopMs, () => this.line.abortAll());
     });
     while (this.agenda.step(runMs + stopMs + 100));
   }
@@ -159,7 +169,7 @@
     const { nodeSession } = this.#cabin;
     this.#cabin = {
       ...this.#cabin,
-      asOf: at,
+      purgesCurrentAsOf: at,
       nodeSession: { ...nodeSession, registryHeardAt: at },
     };
     this.line.tick(at);
@@ -167,7 +177,7 @@
 
   #adopt(): void {
     const table = this.chance.one(this.#tables);
-    if (table !== undefined) this.#cabin = { ...this.#cabin, table };
+    if (table !== undefined) this.#cabin = { ...this.#cabin, compiledConfiguration: table };
   }
 
   /** An origin starts at an address that another one, perhaps of another service, may have had. */
@@ -191,11 +201,11 @@
     const origins = new Map(
       [...this.#standing.values()].map((one) => [
         one.instance,
-        { ...one, release: toRelease('r1'), slots: 8, state: 'up' as const, at },
+        { ...one, release: toRelease('r1'), slots: 8, state: 'up' as const, lastHeardAt: at },
       ]),
     );
     this.#cabin = { ...this.#cabin, nodeSession: { ...this.#cabin.nodeSession, origins } };
-    this.line.learn(this.#cabin);
+    this.line.updateFleet(this.#cabin);
   }
 
   #revisionOf(target: string): number {
@@ -209,8 +219,8 @@
     this.#purges += 1;
     const top = toSeq(this.#purges);
     this.cache.purge([{ seq: top, aims: [{ by: 'object', host, path: target }] }], false, top);
-    this.line.purged();
-    this.#cabin = { ...this.#cabin, purged: top };
+    this.line.onPurged();
+    this.#cabin = { ...this.#cabin, lastPurgeSeq: top };
     this.#purged.set(target, this.#revisionOf(target));
   }
 
@@ -239,7 +249,7 @@
       target,
       fields: [],
       body: Buffer.from(record.body),
-      spanMs,
+      timeoutMs: spanMs,
     };
     const leave = this.line.serve(call, (word) => {
       record.told.push({ at: this.agenda.now, word });
--- a/packages/simulator/src/fault/faults.ts
+++ b/packages/simulator/src/fault/faults.ts
@@ -1,4 +1,4 @@
-import { type Address, toCallId, toRelease } from '@switchwheel/types';
+import { type Address, toCommandId, toRelease } from '@switchwheel/types';
 import type { SimCallers } from '../cast/callers.js';
 import type { SimOrigin } from '../cast/origin.js';
 import type { Actor } from '../world/actor.js';
@@ -7,7 +7,7 @@
 import type { Rules } from '../rules/rules.js';
 import { SimProxy } from '../cast/proxy.js';
 import { SimStore } from '../cast/store.js';
-import { sumOf } from '@switchwheel/proxy-core';
+import { windowSum } from '@switchwheel/proxy-core';
 import { fair, rough, slow } from '../world/net.js';
 
 /** What a run may do to a fleet. */
@@ -129,12 +129,12 @@
     if (primary && owesAnswer(ground, actor)) world.tried.note('a write was cut before its answer');
   }
   if (!(actor instanceof SimProxy)) return;
-  for (const name of actor.state?.active.values() ?? []) {
-    const keeper = actor.state?.keepers.get(name);
+  for (const name of actor.state?.activeLeaders.values() ?? []) {
+    const keeper = actor.state?.leaders.get(name);
     if (keeper === undefined) continue;
-    if ([...keeper.trials.values()].some((one) => one.state === 'trial'))
+    if ([...keeper.canaries.values()].some((one) => one.state === 'trial'))
       world.tried.note('R10: a keeper was lost during a trial');
-    if (sumOf(keeper.extra, actor.clock) > 5)
+    if (windowSum(keeper.recentExtraAttempts, actor.clock) > 5)
       world.tried.note('R8: a keeper was lost with extra legs just sent');
   }
 };
@@ -431,7 +431,7 @@
       // Each change is asked for again until it is taken, as an operator would.
       const change = (add: boolean, then: () => void, tries: number): void => {
         const node = add ? fresh.node : gone.node;
-        const id = toCallId(`seat-${add ? 'add' : 'remove'}-${node}`);
+        const id = toCommandId(`seat-${add ? 'add' : 'remove'}-${node}`);
         const by = world.chance.one(
           world.registries.filter((one) => one.alive && !one.frozen && one !== gone),
         );
@@ -744,7 +744,7 @@
     name: 'collide',
     weight: 2,
     act: (ground) => {
-      const base = ground.world.primary()?.state?.control.stored?.offer.generation;
+      const base = ground.world.primary()?.state?.control.configuration?.offer.generation;
       if (base === undefined) return;
       ground.say(`collide on ${base}`);
       ground.world.tried.note('R4: two descriptions collided');
--- a/packages/simulator/src/guard/list.ts
+++ b/packages/simulator/src/guard/list.ts
@@ -11,25 +11,25 @@
   readonly to: string;
 }
 
-const keeper = 'proxy-core/dist/keeper/keeper.js';
-const trial = 'proxy-core/dist/keeper/trial.js';
-const forward = 'proxy-core/dist/forward/forward.js';
-const taking = 'proxy-core/dist/line/taking.js';
-const trip = 'proxy-core/dist/line/trip.js';
-const edge = 'proxy-core/dist/line/edge.js';
-const shield = 'proxy-core/dist/line/shield.js';
-const dock = 'proxy-core/dist/line/dock.js';
-const desk = 'proxy-core/dist/cache/desk.js';
+const keeper = 'proxy-core/dist/service-leader/service-leader.js';
+const trial = 'proxy-core/dist/service-leader/canary.js';
+const forward = 'proxy-core/dist/forwarding/forwarding.js';
+const taking = 'proxy-core/dist/request-handler/response-verifier.js';
+const trip = 'proxy-core/dist/request-handler/request-state.js';
+const edge = 'proxy-core/dist/request-handler/edge-request-handler.js';
+const shield = 'proxy-core/dist/request-handler/shield-request-handler.js';
+const dock = 'proxy-core/dist/request-handler/inbound-requests.js';
+const desk = 'proxy-core/dist/cache/cache-lookup.js';
 const cache = 'proxy-core/dist/cache/cache.js';
-const cabin = 'proxy-core/dist/cabin/machine.js';
-const proxy = 'proxy-core/dist/proxy/machine.js';
+const cabin = 'proxy-core/dist/node-agent/node-agent.js';
+const proxy = 'proxy-core/dist/proxy/proxy.js';
 const candidate = 'election/dist/candidate/candidate.js';
 const voter = 'election/dist/voter/voter.js';
-const primaryWrite = 'replicated-store/dist/primary-write/primary-write.js';
-const decide = 'replicated-store/dist/command/decide.js';
-const decideApply = 'replicated-store/dist/command/apply.js';
-const decision = 'replicated-store/dist/command/decision.js';
-const releaseOrder = 'configuration/dist/release/order.js';
+const primaryWrite = 'replicated-store/dist/log-write/primary-write.js';
+const decide = 'replicated-store/dist/commands/decide.js';
+const decideApply = 'replicated-store/dist/commands/apply-configuration.js';
+const decision = 'replicated-store/dist/commands/decision.js';
+const releaseOrder = 'configuration/dist/release/release-rollout.js';
 const candidacy = 'replicated-store/dist/leadership/candidacy.js';
 const origins = 'membership/dist/origins/origins.js';
 const departures = 'membership/dist/registry/departures.js';
@@ -39,70 +39,70 @@
     name: 'one leg for unsafe',
     rule: 'R1',
     file: keeper,
-    from: "how.end === 'unrun' || how.end === 'unopened' || load.repeatable;",
+    from: "how.kind === 'unrun' || how.kind === 'unopened' || load.isIdempotent;",
     to: 'true;',
   },
   {
     name: 'no hedge for unsafe',
     rule: 'R1',
     file: keeper,
-    from: 'load === undefined || !load.repeatable || load.legs >= 2',
-    to: 'load === undefined || load.legs >= 2',
+    from: 'load === undefined || !load.isIdempotent || load.attemptCount >= 2',
+    to: 'load === undefined || load.attemptCount >= 2',
   },
   {
     name: 'edges never re-ask an unsafe request',
     rule: 'R1',
     file: forward,
-    from: 'const safe = unsent.has(wagon.id) || wagon.repeatable;',
+    from: 'const safe = unsent.has(wagon.id) || wagon.isIdempotent;',
     to: 'const safe = true;',
   },
   {
     name: 'unsafe requests stay with a keeper that may be frozen',
     rule: 'R1',
     file: forward,
-    from: 'else if (wagon.repeatable && wagon.stage.epoch < keeper.epoch)',
-    to: 'else if (wagon.stage.epoch < keeper.epoch)',
+    from: 'else if (wagon.isIdempotent && wagon.phase.epoch < keeper.epoch)',
+    to: 'else if (wagon.phase.epoch < keeper.epoch)',
   },
   {
     name: 'the fence of a keeper past its lease',
     rule: 'R1',
     file: proxy,
-    from: 'then(fence(notice(state, event.now), event.now), (one) => act(one, event))',
-    to: 'act(notice(state, event.now), event)',
+    from: 'andThen(closeExpiredLeaders(noteActivity(state, event.now), event.now), (one) => handleEvent(one, event))',
+    to: 'handleEvent(noteActivity(state, event.now), event)',
   },
   {
     name: 'the margin of a lease',
     rule: 'one holder',
     file: candidate,
-    from: 'last + lease - leaseMargin',
+    from: 'last + lease - leaseSafetyMarginMs',
     to: 'last + lease + 50',
   },
   {
     name: 'a lease that ran out stays over',
     rule: 'one holder',
     file: candidate,
-    from: "if (own.phase === 'holdingLease' && now >= own.until)",
+    from: "if (own.phase === 'holdingLease' && now >= own.leaseEndsAt)",
     to: 'if (false)',
   },
   {
     name: 'a voter that restarted abstains',
     rule: 'one holder',
     file: voter,
-    from: 'if (now < abstainsUntil(state))',
+    from: 'if (now < abstentionEnd(state))',
     to: 'if (false)',
   },
   {
     name: 'a lease that stands is respected',
     rule: 'one holder',
     file: voter,
-    from: 'if (mine.lessee !== ballot.node && now < mine.until)',
+    from: 'if (mine.leaseHolder !== ballot.node && now < mine.leaseEndsAt)',
     to: 'if (false)',
   },
   {
     name: 'recovering votes do not count',
     rule: 'lost write',
     file: candidate,
-    from: 'one !== undefined && (context.countRecovering || !one.recovering)',
+    from: 'one !== undefined && (context.countsRecoveringVoters || !one.recovering)',
     to: 'one !== undefined',
   },
   {
@@ -123,28 +123,28 @@
     name: 'the backup has it before the answer',
     rule: 'lost write',
     file: primaryWrite,
-    from: 'const whole = unconfirmedBackups(state, next).length === 0; if (whole) return prependEffects(',
+    from: 'const whole = unacknowledgedBackups(state, next).length === 0; if (whole) return prependEffects(',
     to: 'if (true) return prependEffects(',
   },
   {
     name: 'every backup in sync has it before the answer',
     rule: 'lost write',
     file: primaryWrite,
-    from: 'const whole = isRequired && unconfirmedBackups(state, next).length === 0; return whole ?',
+    from: 'const whole = isRequired && unacknowledgedBackups(state, next).length === 0; return whole ?',
     to: 'return true ?',
   },
   {
     name: 'the own disk has it before the answer',
     rule: 'lost write',
     file: primaryWrite,
-    from: 'return transition({ ...next, primaryWrite, nextId: state.nextId + 1 }, ...told, diskWrite(primaryWrite.id, primaryWrite.metadata, stamp, puts));',
-    to: 'return prependEffects([...told, diskWrite(primaryWrite.id, primaryWrite.metadata, stamp, puts)], commitWrite({ ...next, primaryWrite, nextId: state.nextId + 1 }, primaryWrite, now));',
+    from: 'return transition({ ...next, primaryWrite, nextWriteId: state.nextWriteId + 1 }, ...told, diskWrite(primaryWrite.id, primaryWrite.metadata, stamp, puts));',
+    to: 'return prependEffects([...told, diskWrite(primaryWrite.id, primaryWrite.metadata, stamp, puts)], commitWrite({ ...next, primaryWrite, nextWriteId: state.nextWriteId + 1 }, primaryWrite, now));',
   },
   {
     name: 'what lasts is never told as refused',
     rule: 'R2',
     file: primaryWrite,
-    from: 'const rejected = primaryWrite.onOwnDisk ? unknownOutcome(primaryWrite.results) : ',
+    from: 'const rejected = primaryWrite.isOnOwnDisk ? unknownOutcomeReplies(primaryWrite.replies) : ',
     to: 'const rejected = ',
   },
   {
@@ -186,14 +186,14 @@
     name: 'a lower number alters nothing',
     rule: 'generation',
     file: decideApply,
-    from: 'if (number <= now) return held(control, command, number);',
+    from: 'if (number <= now) return alreadySuperseded(control, command, number);',
     to: '',
   },
   {
     name: 'an order that others followed is known again',
     rule: 'order',
     file: releaseOrder,
-    from: "if (repeated !== undefined) return { kind: 'stands', order: repeated.order };",
+    from: "if (repeated !== undefined) return { kind: 'alreadyAccepted', order: repeated.order };",
     to: '',
   },
   {
@@ -221,42 +221,42 @@
     name: 'never a lower generation',
     rule: 'R5',
     file: cabin,
-    from: 'if (state.table !== undefined && offer.generation <= state.table.generation)',
+    from: 'if (state.compiledConfiguration !== undefined && offer.generation <= state.compiledConfiguration.generation)',
     to: 'if (false)',
   },
   {
     name: 'no refusal of what may have run, at a keeper',
     rule: 'R2',
     file: keeper,
-    from: "effects.push(!begun ? away(leg.ask, 'rejected', text, 500) : ",
-    to: "effects.push(load !== undefined ? away(leg.ask, 'rejected', text, 500) : ",
+    from: "effects.push(!begun ? rejectRequest(leg.requestId, 'rejected', text, 500) :",
+    to: "effects.push(load !== undefined ? rejectRequest(leg.requestId, 'rejected', text, 500) : ",
   },
   {
     name: 'no refusal of what may have run, in a waitlist',
     rule: 'R2',
     file: keeper,
-    from: "one.begun ? away(one.id, 'lost', 'no further leg in time', 0) : ",
+    from: "one.mayHaveRun ? rejectRequest(one.id, 'lost', 'no further leg in time', 0) :",
     to: '',
   },
   {
     name: 'no refusal of what may have run, at an edge',
     rule: 'R2',
     file: forward,
-    from: "errorKind: errorKind === 'rejected' && wagon.again ? 'lost' : errorKind",
+    from: "errorKind: errorKind === 'rejected' && wagon.mayHaveRun ? 'lost' : errorKind",
     to: 'errorKind',
   },
   {
     name: 'a caller that left is told that it may have run',
     rule: 'R2',
     file: forward,
-    from: "fail(wagon, wagon.stage.stage === 'waiting' ? 'rejected' : 'unknown', event.text",
-    to: "fail(wagon, 'rejected', event.text",
+    from: "failRequest(wagon, wagon.phase.stage === 'waiting' ? 'rejected' : 'unknown', event.text",
+    to: "failRequest(wagon, 'rejected', event.text",
   },
   {
     name: 'a result has the told length',
     rule: 'R3',
     file: taking,
-    from: 'if (length !== undefined && this.#size !== length)',
+    from: 'if (contentLength !== undefined && this.#receivedBytes !== contentLength)',
     to: 'if (false)',
   },
   {
@@ -277,84 +277,84 @@
     name: 'the end of a stream is held back',
     rule: 'R3',
     file: trip,
-    from: 'this.#held = { bytes, more };\n        if (before !== undefined)\n            stage.spout.write(before.bytes, before.more);',
-    to: 'stage.spout.write(bytes, more);',
+    from: 'this.#heldChunk = { bytes, more }; if (before !== undefined) stage.stream.write(before.bytes, before.more);',
+    to: 'stage.stream.write(bytes, more);',
   },
   {
     name: 'one stream for each ask',
     rule: 'R3',
     file: dock,
-    from: 'if (one === undefined || one.streaming)\n            return undefined;',
+    from: 'if (one === undefined || one.isStreaming)\n            return undefined;',
     to: 'if (one === undefined)\n            return undefined;',
   },
   {
     name: 'the other legs of a stream are cut',
     rule: 'R3',
     file: keeper,
-    from: ".filter((one) => one.id !== id).map((one) => ({ kind: 'cut', leg: one.id }))",
+    from: ".filter((one) => one.id !== id) .map((one) => ({ kind: 'cancelAttempt', attemptId: one.id }))",
     to: '.filter(() => false)',
   },
   {
     name: 'a result comes from the keeper that was asked',
     rule: 'R3',
     file: edge,
-    from: 'return trip?.begun === true && trip.keeper === from ? trip : undefined;',
-    to: 'return trip?.begun === true ? trip : undefined;',
+    from: 'return trip?.hasResponse === true && trip.leader === from ? trip : undefined;',
+    to: 'return trip?.hasResponse === true ? trip : undefined;',
   },
   {
     name: 'caches speak only as far as they know all purges',
     rule: 'R7',
     file: cabin,
-    from: 'state.asOf !== undefined && now - state.asOf < cacheLease',
+    from: 'state.purgesCurrentAsOf !== undefined && now - state.purgesCurrentAsOf < cacheLeaseMs',
     to: 'true',
   },
   {
     name: 'a shield that is behind does not answer from its cache',
     rule: 'R7',
     file: desk,
-    from: 'mayServe(cabin, now) && this.cache.top >= purged',
-    to: 'mayServe(cabin, now)',
+    from: 'mayServeFromCache(cabin, now) && this.cache.lastPurgeSeq >= purged',
+    to: 'mayServeFromCache(cabin, now)',
   },
   {
     name: 'what was fetched before a purge is not kept',
     rule: 'R7',
     file: cache,
-    from: ' || this.purgedSince(key, tags, fetchedAt)',
+    from: ' || this.isPurgedSince(key, tags, fetchedAt)',
     to: '',
   },
   {
     name: 'a lifetime ends',
     rule: 'R7',
     file: cache,
-    from: 'if (now - found.born >= found.lifetime)',
+    from: 'if (now - found.createdAt >= found.lifetimeMs)',
     to: 'if (false)',
   },
   {
     name: 'an edge does not tell what was long under way',
     rule: 'R7',
     file: edge,
-    from: 'return (at - sentAt > sureSpan &&',
+    from: 'return (at - sentAt > certainFreshMs &&',
     to: 'return (false &&',
   },
   {
     name: 'an edge that slept does not tell what it had',
     rule: 'R7',
     file: edge,
-    from: 'if (woke > sentAt)',
+    from: 'if (lastWokeAt > sentAt)',
     to: 'if (false)',
   },
   {
     name: 'a shield that slept does not tell what it had',
     rule: 'R7',
     file: shield,
-    from: 'return this.#cab.state().woke > since && ',
-    to: 'return false && ',
+    from: 'return (this.#context.state().lastWokeAt > since &&',
+    to: 'return (false && ',
   },
   {
     name: 'leaving and gone are final',
     rule: 'R6',
     file: origins,
-    from: 'rankOf(word.state) > rankOf(known.state) ? word.state : known.state',
+    from: 'departureRank(word.state) > departureRank(known.state) ? word.state : known.state',
     to: 'latest.state',
   },
   {
@@ -375,83 +375,83 @@
     name: 'a departure is told once a majority has it',
     rule: 'R6',
     file: departures,
-    from: 'return knowing.length >= majority(set.members.length);',
+    from: 'return knowing.length >= quorumSize(set.members.length);',
     to: 'return true;',
   },
   {
     name: 'the budget of extra legs',
     rule: 'R8',
     file: keeper,
-    from: 'return sumOf(state.extra, now) + 1 <= base + extraShare * sumOf(state.traffic, now);',
+    from: 'return (windowSum(state.recentExtraAttempts, now) + 1 <= base + extraAttemptShare * windowSum(state.recentRequests, now));',
     to: 'return true;',
   },
   {
     name: 'a new keeper begins with a small budget',
     rule: 'R8',
     file: keeper,
-    from: 'now - state.opened < extraSpan ? Math.floor(firstBase / 2 ** (state.holdings - 1)) : extraBase',
-    to: 'now - state.opened < extraSpan ? firstBase : extraBase',
+    from: 'now - state.startedAt < extraAttemptWindowMs ? Math.floor(newLeaderExtraBase / 2 ** (state.recentLeaderCount - 1)) : extraAttemptBase',
+    to: 'now - state.startedAt < extraAttemptWindowMs ? newLeaderExtraBase : extraAttemptBase',
   },
   {
     name: 'a new keeper begins with an empty ceiling',
     rule: 'R9',
-    file: 'proxy-core/dist/keeper/state.js',
-    from: 'tokens: 0, filled: now',
-    to: 'tokens: (rules.perSecond ?? 0) * 3, filled: now',
+    file: 'proxy-core/dist/service-leader/state.js',
+    from: 'tokens: 0, refilledAt: now',
+    to: 'tokens: (serviceConfiguration.perSecond ?? 0) * 3, refilledAt: now',
   },
   {
     name: 'the ceiling',
     rule: 'R9',
-    file: 'proxy-core/dist/keeper/ceiling.js',
-    from: 'state.rules.perSecond === undefined || state.tokens >= 1',
+    file: 'proxy-core/dist/service-leader/rate-limit.js',
+    from: 'state.serviceConfiguration.perSecond === undefined || state.tokens >= 1',
     to: 'true',
   },
   {
     name: 'health checks count under a ceiling',
     rule: 'R9',
-    file: 'proxy-core/dist/keeper/probes.js',
-    from: 'tokens: tokensAfter(state), bays',
-    to: 'bays',
+    file: 'proxy-core/dist/service-leader/health-checks.js',
+    from: 'tokens: tokensAfterSend(state), endpoints',
+    to: 'endpoints',
   },
   {
     name: 'the share of a trial',
     rule: 'R10',
     file: trial,
-    from: "trial.state === 'good' || trial.used < allowance(state, trial)",
+    from: "trial.state === 'good' || trial.usedRequests < allowance(state, trial)",
     to: 'true',
   },
   {
     name: 'a trial is reserved before it is used',
     rule: 'R10',
     file: trial,
-    from: 'Math.min(trial.granted, Math.floor(due(state, trial)))',
-    to: 'Math.floor(due(state, trial))',
+    from: 'Math.min(trial.reservedRequests, Math.floor(trafficBudget(state, trial)))',
+    to: 'Math.floor(trafficBudget(state, trial))',
   },
   {
     name: 'a bad release is judged',
     rule: 'R10',
     file: trial,
-    from: 'trial.bad >= badMost || (trial.bad >= 8 && trial.bad > 0.2 * (trial.good + trial.bad))',
+    from: 'trial.failures >= maxCanaryFailures || (trial.failures >= 8 && trial.failures > 0.2 * (trial.successes + trial.failures))',
     to: 'false',
   },
   {
     name: 'callers are taken for a while after a stop began',
     rule: 'R11',
-    file: 'proxy-core/dist/proxy/depart.js',
-    from: "role === 'edge' ? graceSpan : 100",
+    file: 'proxy-core/dist/proxy/shutdown-phase.js',
+    from: "role === 'edge' ? stopGraceMs : 100",
     to: '0',
   },
   {
     name: 'a stop waits for what is open',
     rule: 'R11',
-    file: 'proxy-core/dist/proxy/depart.js',
+    file: 'proxy-core/dist/proxy/shutdown-phase.js',
     from: 'if (open === 0)',
     to: 'if (true)',
   },
   {
     name: 'a keeper hands over as it stops',
     rule: 'R11',
-    file: 'proxy-core/dist/cabin/duties.js',
+    file: 'proxy-core/dist/node-agent/leader-candidacy.js',
     from: 'if (!holdsLease(candidate, now)) continue; const heir',
     to: 'if (true)\n            continue;\n        const heir',
   },
--- a/packages/simulator/src/guard/main.ts
+++ b/packages/simulator/src/guard/main.ts
@@ -66,8 +66,8 @@
 
 /** The tests that run without sockets, the quick ones first: those of single machines and the simulator's. */
 const files = [
-  'proxy-core/dist/forward/forward.test.js',
-  'proxy-core/dist/keeper/keeper.test.js',
+  'proxy-core/dist/forwarding/forwarding.test.js',
+  'proxy-core/dist/service-leader/service-leader.test.js',
   'proxy-core/dist/cache/cache.test.js',
   'simulator/dist/run/operators.test.js',
   'simulator/dist/run/given-up.test.js',
--- a/packages/simulator/src/history/operators.ts
+++ b/packages/simulator/src/history/operators.ts
@@ -1,6 +1,6 @@
 /** Operators in the simulation that number their configurations, send orders again, and record what they were told. */
-import { type ServiceName, toCallId, toGeneration, toRelease } from '@switchwheel/types';
-import { cut, finish } from '@switchwheel/configuration';
+import { type ServiceName, toCommandId, toGeneration, toRelease } from '@switchwheel/types';
+import { splitIntoChunks, runToCompletion } from '@switchwheel/configuration';
 import type { SimRegistry, Told } from '../cast/registry.js';
 import type { Chance } from '../world/chance.js';
 import { describe } from '../world/describe.js';
@@ -133,14 +133,14 @@
   }
 
   #nextNumber(): number {
-    const known = this.#world.primary()?.state?.control.stored?.offer.generation ?? 0;
+    const known = this.#world.primary()?.state?.control.configuration?.offer.generation ?? 0;
     this.#lastNumber = Math.max(known, this.#lastNumber) + this.#chance.whole(1, numberStep);
     return this.#lastNumber;
   }
 
-  #call(): ReturnType<typeof toCallId> {
+  #call(): ReturnType<typeof toCommandId> {
     this.#calls += 1;
-    return toCallId(`history-${this.#calls}`);
+    return toCommandId(`history-${this.#calls}`);
   }
 
   #registry(): SimRegistry | undefined {
@@ -159,9 +159,11 @@
   }
 
   #submit(configuration: Configuration, tries: number): void {
-    const bundle = finish(cut(describe(this.#world.layout, configuration.mark)));
+    const bundle = runToCompletion(
+      splitIntoChunks(describe(this.#world.layout, configuration.mark)),
+    );
     if (bundle.isErr) throw new Error(JSON.stringify(bundle.error));
-    const { hash, order, pieces } = bundle.value;
+    const { hash, chunkHashes, chunks } = bundle.value;
     const { number } = configuration;
     this.#sendAgain((done) => {
       const registry = this.#registry();
@@ -177,7 +179,15 @@
       const id = this.#call();
       const asked = toGeneration(number);
       registry.call(
-        { verb: 'apply', id, base: undefined, number: asked, hash, order, pieces },
+        {
+          verb: 'apply',
+          id,
+          baseGeneration: undefined,
+          requestedGeneration: asked,
+          hash,
+          chunkHashes,
+          chunks,
+        },
         (told) => {
           open.end({ ending: endingOf(told.status) });
           done(told);
--- a/packages/simulator/src/rules/bites.test.ts
+++ b/packages/simulator/src/rules/bites.test.ts
@@ -62,13 +62,15 @@
   run.world.apply(9);
   run.world.run(1500);
   const proxy = run.world.proxies[0];
-  const offer = proxy?.state?.cabin.table;
+  const offer = proxy?.state?.nodeAgent.compiledConfiguration;
   assert.ok(proxy !== undefined && offer !== undefined);
   // The node is made to run an older table, past the check that never lets it.
   const state = proxy.state;
-  const held = new Map(Object.entries(state?.cabin ?? {}));
-  assert.ok(held.has('table'));
-  Object.assign(state?.cabin ?? {}, { table: { ...offer, generation: toGeneration(1) } });
+  const held = new Map(Object.entries(state?.nodeAgent ?? {}));
+  assert.ok(held.has('compiledConfiguration'));
+  Object.assign(state?.nodeAgent ?? {}, {
+    compiledConfiguration: { ...offer, generation: toGeneration(1) },
+  });
 });
 bites('R6', (run) => {
   const origin = originOf(run);
@@ -122,7 +124,7 @@
 bites('one holder', (run) => {
   const [one, two] = run.world.shields;
   const held = run.world.shields
-    .flatMap((shield) => [...(shield.state?.cabin.candidates.values() ?? [])])
+    .flatMap((shield) => [...(shield.state?.nodeAgent.candidates.values() ?? [])])
     .find((candidate) => candidate.phase.phase === 'holdingLease');
   assert.ok(one !== undefined && two !== undefined && held !== undefined);
   const service = clips;
@@ -131,12 +133,12 @@
       phase: 'holdingLease' as const,
       epoch: held.highest,
       votes: new Map(),
-      until: toTimestamp(shield.clock + 10_000),
-      asked: shield.clock,
-      won: shield.clock,
+      leaseEndsAt: toTimestamp(shield.clock + 10_000),
+      renewalRequestedAt: shield.clock,
+      wonAt: shield.clock,
     };
-    Object.assign(shield.state ?? {}, { active: new Map([[service, 'clips#1']]) });
-    Object.assign(shield.state?.cabin ?? {}, {
+    Object.assign(shield.state ?? {}, { activeLeaders: new Map([[service, 'clips#1']]) });
+    Object.assign(shield.state?.nodeAgent ?? {}, {
       candidates: new Map([[service, { ...held, phase }]]),
     });
     run.rules.step(shield);
--- a/packages/simulator/src/rules/reach.ts
+++ b/packages/simulator/src/rules/reach.ts
@@ -56,7 +56,7 @@
       const near =
         up(proxy) &&
         !proxy.lame &&
-        proxy.state?.cabin.failed === undefined &&
+        proxy.state?.nodeAgent.failedUpdate === undefined &&
         good.some((one) => linked(world, proxy, one));
       if (near) {
         this.out.delete(proxy);
--- a/packages/simulator/src/rules/rules.ts
+++ b/packages/simulator/src/rules/rules.ts
@@ -1,6 +1,6 @@
 import { type LeaseName, increment, toServiceName } from '@switchwheel/types';
 import { holdsLease } from '@switchwheel/election';
-import { mayExtra } from '@switchwheel/proxy-core';
+import { hasExtraAttemptBudget } from '@switchwheel/proxy-core';
 import type { Asked, SimCallers } from '../cast/callers.js';
 import { SimProxy } from '../cast/proxy.js';
 import { SimRegistry } from '../cast/registry.js';
@@ -85,7 +85,7 @@
       actor instanceof SimStore || actor instanceof SimRegistry
         ? actor.state?.violations
         : actor instanceof SimProxy
-          ? actor.state?.cabin.violations
+          ? actor.state?.nodeAgent.violations
           : undefined;
     for (const [invariant, count] of found ?? [])
       this.#breakOnce('invariant', `${actor.node} ${invariant}`, `${invariant}, ${count} times`);
@@ -95,26 +95,26 @@
   step(actor: Actor): void {
     this.#invariants(actor);
     if (actor instanceof SimProxy) {
-      const generation = actor.state?.cabin.table?.generation ?? 0;
+      const generation = actor.state?.nodeAgent.compiledConfiguration?.generation ?? 0;
       const before = this.#highest.get(actor.node) ?? 0;
       if (generation !== 0 && generation < before)
         this.#breakOnce('R5', actor.node, `${actor.node} went from ${before} to ${generation}`);
       if (generation > before) this.#highest.set(actor.node, generation);
-      for (const [service, candidate] of actor.state?.cabin.candidates ?? [])
+      for (const [service, candidate] of actor.state?.nodeAgent.candidates ?? [])
         this.#hold(
-          candidate.duty,
+          candidate.leaseName,
           actor,
-          holdsLease(candidate, actor.clock) && actor.state?.active.has(service) === true,
+          holdsLease(candidate, actor.clock) && actor.state?.activeLeaders.has(service) === true,
         );
     }
     if (actor instanceof SimStore && actor.state !== undefined) {
       this.#hold(
-        actor.state.candidate.duty,
+        actor.state.candidate.leaseName,
         actor,
-        actor.state.serving && holdsLease(actor.state.candidate, actor.clock),
+        actor.state.isServing && holdsLease(actor.state.candidate, actor.clock),
       );
-      const offer = actor.state.control.stored?.offer;
-      if (actor.state.serving && offer !== undefined) {
+      const offer = actor.state.control.configuration?.offer;
+      if (actor.state.isServing && offer !== undefined) {
         const known = this.#hashes.get(offer.generation);
         if (known !== undefined && known !== offer.hash)
           this.#break('generation', `generation ${offer.generation} is two descriptions`);
@@ -144,12 +144,12 @@
     if (actor instanceof SimStore)
       return (
         actor.state !== undefined &&
-        actor.state.serving &&
+        actor.state.isServing &&
         holdsLease(actor.state.candidate, actor.clock)
       );
     if (!(actor instanceof SimProxy)) return false;
-    return [...(actor.state?.cabin.candidates.values() ?? [])].some(
-      (one) => one.duty === duty && holdsLease(one, actor.clock),
+    return [...(actor.state?.nodeAgent.candidates.values() ?? [])].some(
+      (one) => one.leaseName === duty && holdsLease(one, actor.clock),
     );
   }
 
@@ -161,14 +161,18 @@
     this.#inForce();
     this.#back();
     for (const proxy of world.shields) {
-      for (const [service, name] of proxy.state?.active ?? []) {
-        const keeper = proxy.state?.keepers.get(name);
+      for (const [service, name] of proxy.state?.activeLeaders ?? []) {
+        const keeper = proxy.state?.leaders.get(name);
         if (keeper === undefined) continue;
-        if (!mayExtra(keeper, proxy.clock))
+        if (!hasExtraAttemptBudget(keeper, proxy.clock))
           world.tried.note('R8: the budget of extra legs was used up');
-        if (keeper.rules.perSecond !== undefined && keeper.tokens < 1 && keeper.waiting.size > 0)
+        if (
+          keeper.serviceConfiguration.perSecond !== undefined &&
+          keeper.tokens < 1 &&
+          keeper.queues.size > 0
+        )
           world.tried.note('R9: a ceiling held requests back');
-        const slots = [...keeper.bays.values()].some((bay) => bay.used > bay.slots);
+        const slots = [...keeper.endpoints.values()].some((bay) => bay.activeAttempts > bay.slots);
         if (slots)
           this.#breakOnce(
             'slots',
@@ -387,10 +391,10 @@
       top = Math.max(top, told.generation);
     }
     const primary = this.#world.primary();
-    const now = primary?.state?.control.stored?.offer.generation ?? 0;
+    const now = primary?.state?.control.configuration?.offer.generation ?? 0;
     if (primary !== undefined && now < top)
       this.#break('lost write', `generation ${top} was accepted, the store has ${now}`);
-    const calls = primary?.state?.control.calls;
+    const calls = primary?.state?.control.commandOutcomes;
     for (const write of this.#world.writes) {
       const status = write.told?.status;
       const kept = calls?.has(write.id) === true;
--- a/packages/simulator/src/rules/service.ts
+++ b/packages/simulator/src/rules/service.ts
@@ -31,7 +31,7 @@
         );
       const keepers = world.shields.filter(
         (one) =>
-          one.state?.active.has(name) === true &&
+          one.state?.activeLeaders.has(name) === true &&
           this.#reach.span(one) > 0 &&
           world.net.open(one.node, 'origins'),
       );
--- a/packages/simulator/src/run/bounded-state.test.ts
+++ b/packages/simulator/src/run/bounded-state.test.ts
@@ -5,7 +5,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { toServiceName } from '@switchwheel/types';
-import { keptNumbers } from '@switchwheel/configuration';
+import { maxKeptGenerations } from '@switchwheel/configuration';
 import { World } from '../world/world.js';
 
 const clips = toServiceName('clips');
@@ -46,8 +46,8 @@
       ...sizesOf(`${name}.session`, state?.session),
     ])
       sizes.set(key, size);
-    const numbers = state?.control.numbers.size ?? 0;
-    assert.ok(numbers <= keptNumbers, `${numbers} numbers are kept`);
+    const numbers = state?.control.hashByGeneration.size ?? 0;
+    assert.ok(numbers <= maxKeptGenerations, `${numbers} numbers are kept`);
     // Which content a number has is kept for longer than these runs: it is bounded by a count.
     const entries = [...(state?.table ?? [])].filter(([key]) => !key.startsWith('number/'));
     sizes.delete(`${name}.control.numbers`);
@@ -83,7 +83,7 @@
     edges: 1,
     shields: 1,
     stores: 3,
-    limits: { copies: 3, tolerate: 1, follow: false, origins: true },
+    limits: { copies: 3, tolerate: 1, electorateFollowsRegistries: false, persistsOrigins: true },
     services: [{ name: clips, origins: 1, slots: 4, perSecond: undefined }],
   });
   world.form();
@@ -140,7 +140,7 @@
   assert.deepEqual(growth(before, measure(world)), []);
   assert.ok([...busy].some(([name, size]) => name.endsWith('.origins') && size > 300));
   for (const proxy of world.proxies) {
-    const known = proxy.state?.cabin.nodeSession.origins.size ?? 0;
+    const known = proxy.state?.nodeAgent.nodeSession.origins.size ?? 0;
     assert.ok(known < slack, `${proxy.node} knows ${known} origins`);
   }
 });
--- a/packages/simulator/src/run/copies.test.ts
+++ b/packages/simulator/src/run/copies.test.ts
@@ -19,7 +19,7 @@
     edges: 2,
     shields,
     stores,
-    limits: { copies, tolerate, follow },
+    limits: { copies, tolerate, electorateFollowsRegistries: follow },
   });
   run.callers.begin();
   assert.ok(
--- a/packages/simulator/src/run/cut-off.test.ts
+++ b/packages/simulator/src/run/cut-off.test.ts
@@ -1,8 +1,8 @@
 /** One core machine is cut off from the others for twenty seconds, in each way that it can be. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { leaseSpan } from '@switchwheel/election';
-import { toCallId } from '@switchwheel/types';
+import { maxLeaseMs } from '@switchwheel/election';
+import { toCommandId } from '@switchwheel/types';
 import type { SimProxy } from '../cast/proxy.js';
 import type { SimRegistry, Told } from '../cast/registry.js';
 import type { SimStore } from '../cast/store.js';
@@ -28,7 +28,7 @@
     edges: 3,
     shields: 2,
     stores: 3,
-    limits: { copies: 2, tolerate: 1, follow: false },
+    limits: { copies: 2, tolerate: 1, electorateFollowsRegistries: false },
     eager: true,
   });
   run.callers.begin();
@@ -100,7 +100,7 @@
 let serial = 0;
 const ask = (run: Scene, registry: SimRegistry, verb: Asked['verb']): Asked => {
   serial += 1;
-  const id = toCallId(`cut-off-${serial}`);
+  const id = toCommandId(`cut-off-${serial}`);
   const asked: Asked = { at: run.world.agenda.now, verb, told: undefined };
   registry.call(
     verb === 'view'
@@ -138,7 +138,7 @@
     assert.ok(told !== undefined, `${what}: no answer`);
     assert.ok(told.at - one.at <= answerLimit, `${what} in ${told.at - one.at} ms`);
     // A primary on this side may tell what is stored for as long as its lease stands: nobody else can change it.
-    if (one.verb === 'view' && told.at - since <= leaseSpan) continue;
+    if (one.verb === 'view' && told.at - since <= maxLeaseMs) continue;
     assert.ok(told.status === 503 || told.status === 504, what);
     // One that has just been cut off, or restarted, may have passed an order on before it knew.
     const known = [since, restartedAt].every((at) => one.at < at || one.at - at > knownAfter);
--- a/packages/simulator/src/run/description-repair.test.ts
+++ b/packages/simulator/src/run/description-repair.test.ts
@@ -5,32 +5,34 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Hash } from '@switchwheel/types';
-import { keyOf } from '@switchwheel/configuration';
+import { controlKeys } from '@switchwheel/configuration';
 import { type Scene, scene } from './stage.js';
 
 const generation = 2;
 const inForceLimit = 2500;
 
 const offerOf = (run: Scene): { readonly generation: number; readonly pieces: readonly Hash[] } => {
-  const offer = run.world.primary()?.state?.control.stored?.offer;
+  const offer = run.world.primary()?.state?.control.configuration?.offer;
   assert.ok(offer !== undefined);
   return offer;
 };
 
 /** Takes a piece off every disk, as if its write had never been told to keep it. */
 const erasePiece = (run: Scene, hash: Hash): void => {
-  const key = keyOf.piece(hash);
+  const key = controlKeys.piece(hash);
   for (const { disk } of run.world.stores) {
     const kept = disk.synced.map((write) => ({
       ...write,
-      sets: write.sets.filter((one) => one.key !== key),
+      entries: write.entries.filter((one) => one.key !== key),
     }));
     disk.synced.splice(0, disk.synced.length, ...kept);
   }
 };
 
 const runsEverywhere = (run: Scene): boolean =>
-  run.world.proxies.every((one) => one.state?.cabin.table?.generation === generation);
+  run.world.proxies.every(
+    (one) => one.state?.nodeAgent.compiledConfiguration?.generation === generation,
+  );
 
 const violations = (run: Scene): number =>
   run.world.stores.reduce(
@@ -44,7 +46,7 @@
       edges: 3,
       shields: 2,
       stores: 3,
-      limits: { copies: 3, tolerate: 1, follow: false },
+      limits: { copies: 3, tolerate: 1, electorateFollowsRegistries: false },
     });
     run.world.apply(11);
     assert.ok(run.world.until(3000, () => runsEverywhere(run)));
@@ -58,7 +60,7 @@
       run.world.until(5000, () => violations(run) > 0),
       'the violation is counted',
     );
-    const isWhole = (): boolean => run.world.primary()?.state?.control.pieces.has(lost) === true;
+    const isWhole = (): boolean => run.world.primary()?.state?.control.chunks.has(lost) === true;
     assert.ok(run.world.until(8000, isWhole), 'the piece is in the table again');
     const [edge] = run.world.edges;
     edge?.kill();
--- a/packages/simulator/src/run/failures.test.ts
+++ b/packages/simulator/src/run/failures.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { toCallId, toRelease } from '@switchwheel/types';
+import { toCommandId, toRelease } from '@switchwheel/types';
 import { stopProxy } from '../fault/faults.js';
 import { type Scene, acts, clips, close, scene, seeds, tally } from './stage.js';
 
@@ -85,7 +85,7 @@
 void test('two operators on one base, at different registries: one is accepted, the other rejected with the generation in force', () => {
   for (const seed of seeds(6)) {
     const run = scene(seed, 5);
-    const base = run.world.primary()?.state?.control.stored?.offer.generation;
+    const base = run.world.primary()?.state?.control.configuration?.offer.generation;
     const pair = [run.world.apply(10, base), run.world.apply(11, base)];
     assert.ok(run.world.until(2000, () => pair.every((one) => one.told !== undefined)));
     assert.deepEqual(pair.map((one) => one.told?.status).sort(), [200, 409]);
@@ -105,7 +105,7 @@
     const [paths, aims] = purgeOf('/clips/read/3');
     const purge = run.world.purge(paths, aims);
     assert.ok(run.world.until(2000, () => write.told !== undefined && purge.told !== undefined));
-    const verdicts = run.world.primary()?.state?.control.verdicts.size ?? 0;
+    const verdicts = run.world.primary()?.state?.control.canaryResults.size ?? 0;
     assert.ok(verdicts >= 2);
     for (const actor of run.world.all) {
       actor.kill();
@@ -128,7 +128,9 @@
     assert.deepEqual([...told.keys()], ['result']);
     const control = run.world.primary()?.state?.control;
     assert.ok(
-      control !== undefined && control.verdicts.size >= verdicts && control.purges.length === 1,
+      control !== undefined &&
+        control.canaryResults.size >= verdicts &&
+        control.purges.length === 1,
     );
   }
 });
@@ -356,7 +358,7 @@
     run.world.agenda.after(1500, () => keeper?.start());
     run.world.run(20_000);
     const verdict = (release: string): string | undefined =>
-      [...(run.world.primary()?.state?.control.verdicts.values() ?? [])].find(
+      [...(run.world.primary()?.state?.control.canaryResults.values() ?? [])].find(
         (one) => one.release === release,
       )?.state;
     assert.equal(verdict('r2'), 'bad');
@@ -438,7 +440,7 @@
           fresh.call(
             {
               verb: 'electorate',
-              id: toCallId(`swap-${at}-${change.add ?? 'x'}-${turn}`),
+              id: toCommandId(`swap-${at}-${change.add ?? 'x'}-${turn}`),
               ...change,
             },
             (told) => {
@@ -651,7 +653,7 @@
       primary.start();
       assert.ok(run.world.until(6000, () => run.world.primary() === primary));
       run.world.run(6000);
-      assert.equal(primary.state?.control.stored?.offer.generation, write.told?.generation);
+      assert.equal(primary.state?.control.configuration?.offer.generation, write.told?.generation);
       assert.deepEqual(close(run), []);
     }
   }
@@ -662,13 +664,13 @@
     const run = scene(seed, 10);
     run.callers.begin();
     run.world.run(1000);
-    const before = run.world.primary()?.state?.control.stored?.offer;
+    const before = run.world.primary()?.state?.control.configuration?.offer;
     for (const mark of [10, 11]) {
       const bad = run.world.apply(mark, undefined, 'invalid');
       assert.ok(run.world.until(4000, () => bad.told !== undefined));
       assert.equal(bad.told?.status, 422);
     }
-    assert.equal(run.world.primary()?.state?.control.stored?.offer, before);
+    assert.equal(run.world.primary()?.state?.control.configuration?.offer, before);
     const first = run.world.apply(12);
     assert.ok(run.world.until(4000, () => first.told !== undefined));
     // Asked twice at once, at two registries.
@@ -678,7 +680,7 @@
     assert.equal(one.told?.generation, twin.told?.generation);
     run.world.writes.splice(run.world.writes.indexOf(twin), 1);
     assert.equal(
-      run.world.primary()?.state?.control.stored?.offer.generation,
+      run.world.primary()?.state?.control.configuration?.offer.generation,
       one.told?.generation,
     );
     // The operator heard nothing and asks again, after another one was taken, and after the primary moved.
@@ -690,7 +692,7 @@
     assert.ok(run.world.until(8000, () => again.told !== undefined));
     assert.deepEqual([again.told?.status, again.told?.generation], [200, first.told?.generation]);
     assert.equal(
-      run.world.primary()?.state?.control.stored?.offer.generation,
+      run.world.primary()?.state?.control.configuration?.offer.generation,
       other.told?.generation,
     );
     run.world.writes.splice(run.world.writes.indexOf(again), 1);
--- a/packages/simulator/src/run/large-description.test.ts
+++ b/packages/simulator/src/run/large-description.test.ts
@@ -4,9 +4,13 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { noGeneration, toCallId, toServiceName } from '@switchwheel/types';
-import { type Bundle, cut, finish } from '@switchwheel/configuration';
-import { type Frame, encode, maxFrameBytes } from '@switchwheel/transport';
+import { noGeneration, toCommandId, toServiceName } from '@switchwheel/types';
+import {
+  type ChunkedConfiguration,
+  splitIntoChunks,
+  runToCompletion,
+} from '@switchwheel/configuration';
+import { type Frame, serializeFrame, maxFrameBytes } from '@switchwheel/transport';
 import type { SimRegistry, Told } from '../cast/registry.js';
 import type { Actor, Meter } from '../world/actor.js';
 import { describe } from '../world/describe.js';
@@ -17,7 +21,7 @@
   edges: 2,
   shields: 2,
   stores: 3,
-  limits: { copies: 3, tolerate: 1, follow: false },
+  limits: { copies: 3, tolerate: 1, electorateFollowsRegistries: false },
   services: [{ name: toServiceName('clips'), origins: 1, slots: 4, perSecond: undefined }],
 };
 
@@ -36,7 +40,7 @@
   readonly meter: Meter = {
     sent: (_from: Actor, _to: Actor, frame: Frame) => {
       if (weighed.has(frame.kind))
-        this.largestFrame = Math.max(this.largestFrame, encode(frame).length);
+        this.largestFrame = Math.max(this.largestFrame, serializeFrame(frame).length);
     },
     step: <T>(_actor: Actor, work: () => T): T => work(),
   };
@@ -53,8 +57,8 @@
   })),
 });
 
-const bundleOf = (description: object): Bundle => {
-  const made = finish(cut(description));
+const bundleOf = (description: object): ChunkedConfiguration => {
+  const made = runToCompletion(splitIntoChunks(description));
   if (made.isErr) throw new Error(JSON.stringify(made.error));
   return made.value;
 };
@@ -72,14 +76,22 @@
   return told;
 };
 
-const apply = (world: World, registry: SimRegistry, id: string, bundle: Bundle): Told | undefined =>
+const apply = (
+  world: World,
+  registry: SimRegistry,
+  id: string,
+  bundle: ChunkedConfiguration,
+): Told | undefined =>
   settled(world, 15_000, (done) => {
-    registry.call({ verb: 'apply', id: toCallId(id), base: undefined, ...bundle }, done);
+    registry.call(
+      { verb: 'apply', id: toCommandId(id), baseGeneration: undefined, ...bundle },
+      done,
+    );
   });
 
 const readBack = (world: World, registry: SimRegistry, id: string): Told | undefined =>
   settled(world, 25_000, (done) => {
-    registry.call({ verb: 'view', id: toCallId(id), what: 'description' }, done);
+    registry.call({ verb: 'view', id: toCommandId(id), what: 'description' }, done);
   });
 
 const assertEqualDescription = (told: Told | undefined, description: object): void => {
@@ -100,7 +112,7 @@
     world.form();
     const description = descriptionOf(routes, pathLength);
     const bundle = bundleOf(description);
-    const bytes = [...bundle.pieces.values()].reduce((sum, one) => sum + one.length, 0);
+    const bytes = [...bundle.chunks.values()].reduce((sum, one) => sum + one.length, 0);
     assert.ok(bytes >= least, `${bytes} bytes`);
     const [first] = world.registries;
     assert.ok(first !== undefined);
@@ -109,7 +121,9 @@
     const acknowledgedAt = world.agenda.now;
     assert.ok(
       world.until(5000, () =>
-        world.edges.every((edge) => edge.state?.cabin.table?.hash === bundle.hash),
+        world.edges.every(
+          (edge) => edge.state?.nodeAgent.compiledConfiguration?.hash === bundle.hash,
+        ),
       ),
       'in force at each edge',
     );
@@ -148,7 +162,12 @@
     const bundle = large[serial % 2];
     if (bundle !== undefined)
       world.registries[0]?.call(
-        { verb: 'apply', id: toCallId(`change-${serial}`), base: undefined, ...bundle },
+        {
+          verb: 'apply',
+          id: toCommandId(`change-${serial}`),
+          baseGeneration: undefined,
+          ...bundle,
+        },
         () => undefined,
       );
     world.agenda.after(50, change);
@@ -156,11 +175,11 @@
   change();
   world.run(2000);
   for (let turn = 0; turn < 10; turn += 1) {
-    const before = world.primary()?.state?.control.stored?.offer.generation ?? noGeneration;
+    const before = world.primary()?.state?.control.configuration?.offer.generation ?? noGeneration;
     const registry = world.registries[1 + (turn % (world.registries.length - 1))];
     assert.ok(registry !== undefined);
     const told = readBack(world, registry, `amid-${turn}`);
-    const after = world.primary()?.state?.control.stored?.offer.generation ?? noGeneration;
+    const after = world.primary()?.state?.control.configuration?.offer.generation ?? noGeneration;
     assert.ok(told?.status === 200, told?.body.slice(0, 200));
     const generation = Number(/"generation":(\d+)/.exec(told.body)?.[1]);
     assert.ok(generation >= before && generation <= after, `${before} ${generation} ${after}`);
--- a/packages/simulator/src/run/many-changes.test.ts
+++ b/packages/simulator/src/run/many-changes.test.ts
@@ -27,7 +27,7 @@
     edges: 1,
     shields: 2,
     stores: 3,
-    limits: { copies, tolerate: 1, follow: false },
+    limits: { copies, tolerate: 1, electorateFollowsRegistries: false },
   });
   run.callers.begin();
   assert.ok(run.world.until(10_000, () => inSyncSet(run).length === copies));
@@ -107,7 +107,7 @@
   const confirmed = operators.confirmed;
   const generation = Math.max(...confirmed.map((one) => one.told?.generation ?? 0));
   const purge = Math.max(...confirmed.map((one) => one.told?.purge ?? 0));
-  assert.ok((control?.stored?.offer.generation ?? 0) >= generation, `${what}: generation`);
+  assert.ok((control?.configuration?.offer.generation ?? 0) >= generation, `${what}: generation`);
   assert.ok((control?.purges.at(-1)?.seq ?? 0) >= purge, `${what}: purge`);
 };
 
--- a/packages/simulator/src/run/operators.test.ts
+++ b/packages/simulator/src/run/operators.test.ts
@@ -1,7 +1,11 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { type Release, toCallId, toGeneration, toRelease } from '@switchwheel/types';
-import { type Bundle, cut, finish } from '@switchwheel/configuration';
+import { type Release, toCommandId, toGeneration, toRelease } from '@switchwheel/types';
+import {
+  type ChunkedConfiguration,
+  splitIntoChunks,
+  runToCompletion,
+} from '@switchwheel/configuration';
 import type { SimRegistry, Told } from '../cast/registry.js';
 import { describe } from '../world/describe.js';
 import { type Scene, clips, close, scene, seeds } from './stage.js';
@@ -12,13 +16,13 @@
 const answerSpan = 9000;
 
 let callCount = 0;
-const freshCall = (): ReturnType<typeof toCallId> => {
+const freshCall = (): ReturnType<typeof toCommandId> => {
   callCount += 1;
-  return toCallId(`operator-${callCount}`);
+  return toCommandId(`operator-${callCount}`);
 };
 
-const bundleOf = (run: Scene, mark: number): Bundle => {
-  const bundle = finish(cut(describe(run.world.layout, mark)));
+const bundleOf = (run: Scene, mark: number): ChunkedConfiguration => {
+  const bundle = runToCompletion(splitIntoChunks(describe(run.world.layout, mark)));
   if (bundle.isErr) throw new Error(JSON.stringify(bundle.error));
   return bundle.value;
 };
@@ -32,16 +36,16 @@
   mark: number,
 ): { answer: Told | undefined } => {
   const box: { answer: Told | undefined } = { answer: undefined };
-  const { hash, order, pieces } = bundleOf(run, mark);
+  const { hash, chunkHashes, chunks } = bundleOf(run, mark);
   registry.call(
     {
       verb: 'apply',
       id: freshCall(),
-      base: undefined,
-      number: toGeneration(number),
+      baseGeneration: undefined,
+      requestedGeneration: toGeneration(number),
       hash,
-      order,
-      pieces,
+      chunkHashes,
+      chunks,
     },
     (told) => {
       box.answer = told;
@@ -87,7 +91,7 @@
 };
 
 const stored = (run: Scene): { readonly generation: number; readonly hash: string } | undefined =>
-  run.world.primary()?.state?.control.stored?.offer;
+  run.world.primary()?.state?.control.configuration?.offer;
 const releaseRecord = (
   run: Scene,
 ): { readonly order: number; readonly phase: string } | undefined =>
--- a/packages/simulator/src/run/racing-orders.test.ts
+++ b/packages/simulator/src/run/racing-orders.test.ts
@@ -4,8 +4,12 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { type Generation, toCallId, toGeneration } from '@switchwheel/types';
-import { type Bundle, cut, finish } from '@switchwheel/configuration';
+import { type Generation, toCommandId, toGeneration } from '@switchwheel/types';
+import {
+  type ChunkedConfiguration,
+  splitIntoChunks,
+  runToCompletion,
+} from '@switchwheel/configuration';
 import type { SimRegistry, Told } from '../cast/registry.js';
 import { describe } from '../world/describe.js';
 import { type Scene, close, scene } from './stage.js';
@@ -18,8 +22,8 @@
 const secondMark = 11;
 const racingMark = 12;
 
-const bundleOf = (run: Scene, mark: number): Bundle => {
-  const bundle = finish(cut(describe(run.world.layout, mark)));
+const bundleOf = (run: Scene, mark: number): ChunkedConfiguration => {
+  const bundle = runToCompletion(splitIntoChunks(describe(run.world.layout, mark)));
   if (bundle.isErr) throw new Error(JSON.stringify(bundle.error));
   return bundle.value;
 };
@@ -32,17 +36,17 @@
 
 const send = (run: Scene, registry: SimRegistry, number: number, mark: number): Order => {
   const order: Order = { number: toGeneration(number), told: undefined };
-  const id = toCallId(`order-${number}`);
-  const { hash, order: pieces, pieces: texts } = bundleOf(run, mark);
+  const id = toCommandId(`order-${number}`);
+  const { hash, chunkHashes: pieces, chunks: texts } = bundleOf(run, mark);
   registry.call(
     {
       verb: 'apply',
       id,
-      base: undefined,
-      number: order.number,
+      baseGeneration: undefined,
+      requestedGeneration: order.number,
       hash,
-      order: pieces,
-      pieces: texts,
+      chunkHashes: pieces,
+      chunks: texts,
     },
     (told) => {
       order.told = told;
@@ -65,12 +69,14 @@
 
 /** Whether every proxy runs a generation. */
 const isInForce = (run: Scene, number: number): boolean =>
-  run.world.proxies.every((one) => one.state?.cabin.table?.generation === number);
+  run.world.proxies.every(
+    (one) => one.state?.nodeAgent.compiledConfiguration?.generation === number,
+  );
 
 const missingPieces = (run: Scene): number => {
   const control = run.world.primary()?.state?.control;
-  assert.ok(control?.stored !== undefined);
-  return control.stored.offer.pieces.filter((one) => !control.pieces.has(one)).length;
+  assert.ok(control?.configuration !== undefined);
+  return control.configuration.offer.pieces.filter((one) => !control.chunks.has(one)).length;
 };
 
 for (const offset of offsets) {
@@ -79,7 +85,7 @@
       edges: 3,
       shields: 2,
       stores: 3,
-      limits: { copies: 3, tolerate: 1, follow: false },
+      limits: { copies: 3, tolerate: 1, electorateFollowsRegistries: false },
     });
     apply(run, 2, firstMark);
     assert.ok(run.world.until(inForceLimit, () => isInForce(run, 2)));
--- a/packages/simulator/src/run/registry-link.test.ts
+++ b/packages/simulator/src/run/registry-link.test.ts
@@ -5,7 +5,7 @@
 import { type Scene, close, scene, seeds } from './stage.js';
 
 const registryOf = (proxy: SimProxy): string | undefined =>
-  proxy.state?.cabin.nodeSession.registryLink?.address;
+  proxy.state?.nodeAgent.nodeSession.registryLink?.address;
 
 /** Lets time pass and counts how often each node changes its registry; its session must stand all the while. */
 const watch = (run: Scene, span: number): ReadonlyMap<SimProxy, readonly number[]> => {
@@ -16,7 +16,7 @@
     for (const proxy of run.world.proxies) {
       const { state } = proxy;
       assert.ok(
-        state !== undefined && isConnected(state.cabin.nodeSession, proxy.clock),
+        state !== undefined && isConnected(state.nodeAgent.nodeSession, proxy.clock),
         `the session of ${proxy.node} stands`,
       );
       const now = registryOf(proxy);
--- a/packages/simulator/src/run/releases.test.ts
+++ b/packages/simulator/src/run/releases.test.ts
@@ -5,22 +5,22 @@
   type ServiceName,
   noSeq,
   toAddress,
-  toCallId,
+  toCommandId,
   toIncarnation,
   toNodeId,
   toRelease,
   toDurationMs,
 } from '@switchwheel/types';
-import type { Peer, FrameOf, ReleaseState } from '@switchwheel/transport';
-import type { ReleaseOrder } from '@switchwheel/configuration';
+import type { Peer, FrameOf, RolloutState } from '@switchwheel/transport';
+import type { ReleaseRollout } from '@switchwheel/configuration';
 import { type Scene, acts, clips, close, scene, seeds } from './stage.js';
 
 const r2 = toRelease('r2');
 const r3 = toRelease('r3');
 
-const orderOf = (run: Scene, service: ServiceName): ReleaseOrder | undefined =>
+const orderOf = (run: Scene, service: ServiceName): ReleaseRollout | undefined =>
   run.world.primary()?.state?.control.releases.get(service);
-const told = (run: Scene, service: ServiceName): readonly (ReleaseState | undefined)[] =>
+const told = (run: Scene, service: ServiceName): readonly (RolloutState | undefined)[] =>
   run.world.registries.map((one) =>
     one.state?.feed.releases.find((row) => row.service === service),
   );
@@ -43,7 +43,7 @@
   for (let turn = 0; turn < 5 && !got(); turn += 1) {
     run.world.registries
       .find((one) => one.alive)
-      ?.call({ verb: 'release', id: toCallId(id), service, target, spanMs }, (one) => {
+      ?.call({ verb: 'release', id: toCommandId(id), service, target, spanMs }, (one) => {
         answer = one;
       });
     run.world.until(5000, got);
@@ -55,7 +55,7 @@
   let answer: Answer | undefined;
   run.world.registries
     .find((one) => one.alive)
-    ?.call({ verb: 'view', id: toCallId(id), what }, (one) => {
+    ?.call({ verb: 'view', id: toCommandId(id), what }, (one) => {
       answer = one;
     });
   run.world.until(3000, () => answer !== undefined);
@@ -172,7 +172,7 @@
         { release: r2, group: 'a', sent: 14, good: 7, bad: 7, slow: 0, sumMs: 1100 },
       ],
     };
-    run.world.primary()?.event((now) => ({ kind: 'frame', now, from, frame: word }));
+    run.world.primary()?.event((now) => ({ kind: 'frameReceived', now, from, frame: word }));
     assert.ok(run.world.until(1000, () => orderOf(run, acts)?.phase === 'bad'));
     assert.ok(
       (orderOf(run, acts)?.spentMs ?? 0) >= 2500,
--- a/packages/simulator/src/run/replacement-copies.test.ts
+++ b/packages/simulator/src/run/replacement-copies.test.ts
@@ -16,7 +16,12 @@
 
 /** A fleet whose spares, too, hold what the primary holds. */
 const fleet = (seed: number, stores: number, change: Limits = {}): Scene => {
-  const limits: ReplicationSettings = { copies: 2, tolerate: 1, follow: false, ...change };
+  const limits: ReplicationSettings = {
+    copies: 2,
+    tolerate: 1,
+    electorateFollowsRegistries: false,
+    ...change,
+  };
   const run = scene(seed, 5, { edges: 2, shields: 2, stores, limits });
   run.callers.begin();
   const wanted = Math.min(stores, limits.copies);
@@ -103,7 +108,7 @@
 };
 
 const diskKeeps = (store: SimStore, write: Write): boolean =>
-  store.disk.synced.some((one) => one.sets.some((row) => row.key === `call/${write.id}`));
+  store.disk.synced.some((one) => one.entries.some((row) => row.key === `call/${write.id}`));
 
 /** The stores on whose disks an order is. */
 const holders = (run: Scene, write: Write): readonly SimStore[] =>
@@ -233,7 +238,10 @@
   const regionOf = (store: SimStore): string => regions.get(toZoneName(store.area)) ?? '';
   for (const ofArea of [new Map<ZoneName, string>(), regions])
     for (const seed of seeds(4)) {
-      const run = fleet(seed, 7, { copies: 2, failureDomains: { tolerate: 1, ofArea } });
+      const run = fleet(seed, 7, {
+        copies: 2,
+        failureDomains: { tolerate: 1, domainOfZone: ofArea },
+      });
       const primary = primaryOf(run);
       for (const backup of backupsOf(run)) backup.disk.mood = 'stalled';
       const write = acknowledged(run, 100, `seed ${seed}`);
@@ -250,7 +258,7 @@
   const ofArea = new Map<ZoneName, string>(
     (['one', 'two', 'three', 'four'] as const).map((area) => [toZoneName(area), 'same']),
   );
-  const run = fleet(5000, 6, { copies: 3, failureDomains: { tolerate: 1, ofArea } });
+  const run = fleet(5000, 6, { copies: 3, failureDomains: { tolerate: 1, domainOfZone: ofArea } });
   // At first the operator names all stores; one loss later there are as many as are wanted.
   for (const backup of backupsOf(run).slice(0, -1)) backup.freeze();
   acknowledged(run, 100, 'one region');
--- a/packages/simulator/src/run/second-loss.test.ts
+++ b/packages/simulator/src/run/second-loss.test.ts
@@ -45,8 +45,8 @@
       limits: {
         copies: tolerate + 2,
         tolerate,
-        follow: true,
-        syncMs,
+        electorateFollowsRegistries: true,
+        recoveryWindowMs: syncMs,
         ...(domains === undefined ? {} : { failureDomains: domains }),
       },
     });
@@ -303,7 +303,10 @@
 ] as const) {
   void test(`${kind}: after a replacement any one of them may be lost once the span is over, and another one once it is back`, () => {
     for (const [at, domain] of domains.entries()) {
-      const core = new Core(300 + at, areas.length, 1, areas, { tolerate: 1, ofArea });
+      const core = new Core(300 + at, areas.length, 1, areas, {
+        tolerate: 1,
+        domainOfZone: ofArea,
+      });
       replace(core, at % 2 === 0 ? core.backupMachine(at) : core.primaryMachine, at === 1);
       core.world.run(syncMs);
       const loss = losses[at % losses.length] ?? 'killed';
--- a/packages/simulator/src/scale/fleet.ts
+++ b/packages/simulator/src/scale/fleet.ts
@@ -2,14 +2,14 @@
   type Address,
   type ServiceName,
   toAddress,
-  toCallId,
+  toCommandId,
   toFleetId,
   toInstanceId,
   toNodeId,
   toRelease,
   toServiceName,
 } from '@switchwheel/types';
-import { cut, finish } from '@switchwheel/configuration';
+import { splitIntoChunks, runToCompletion } from '@switchwheel/configuration';
 import { SimRegistry, type Told } from '../cast/registry.js';
 import { SimStore } from '../cast/store.js';
 import { Tried } from '../rules/tried.js';
@@ -107,7 +107,7 @@
 
   get primary(): SimStore | undefined {
     return this.stores.find(
-      (one) => one.state?.serving === true && one.state.candidate.phase.phase === 'holdingLease',
+      (one) => one.state?.isServing === true && one.state.candidate.phase.phase === 'holdingLease',
     );
   }
 
@@ -146,8 +146,8 @@
         (registry, done) =>
           registry.call(
             {
-              verb: 'found',
-              id: toCallId('found'),
+              verb: 'bootstrap',
+              id: toCommandId('found'),
               fleet: toFleetId('hollow'),
               stores: this.stores.map((one) => one.node),
               voters: this.registries.map((one) => one.node),
@@ -197,15 +197,15 @@
     if (registry !== undefined) make(registry, done);
   }
 
-  #id(): ReturnType<typeof toCallId> {
+  #id(): ReturnType<typeof toCommandId> {
     this.#calls += 1;
-    return toCallId(`call-${this.#calls}`);
+    return toCommandId(`call-${this.#calls}`);
   }
 
   /** Hands a description over. */
   apply(mark: number): void {
-    const bundle = finish(
-      cut(
+    const bundle = runToCompletion(
+      splitIntoChunks(
         describe({ services: this.services.map((name) => ({ name, perSecond: undefined })) }, mark),
       ),
     ).unwrapOrElse((faults) => {
@@ -218,10 +218,10 @@
           {
             verb: 'apply',
             id,
-            base: undefined,
+            baseGeneration: undefined,
             hash: bundle.hash,
-            order: bundle.order,
-            pieces: bundle.pieces,
+            chunkHashes: bundle.chunkHashes,
+            chunks: bundle.chunks,
           },
           done,
         ),
@@ -259,7 +259,7 @@
           : near.get(nodeSession.registryLink.address);
       return (
         registry !== undefined &&
-        nodeSession?.registryLink?.heard !== undefined &&
+        nodeSession?.registryLink?.lastHeardAt !== undefined &&
         registry.state?.sessions.get(one.node)?.registry === registry.node
       );
     });
--- a/packages/simulator/src/scale/measure.ts
+++ b/packages/simulator/src/scale/measure.ts
@@ -59,7 +59,7 @@
   switch (role) {
     case 'edge': {
       const state = fleet.nodes[0]?.state;
-      return state === undefined ? undefined : { ...state, table: undefined };
+      return state === undefined ? undefined : { ...state, compiledConfiguration: undefined };
     }
     case 'registry':
       return fleet.registries[0]?.state;
--- a/packages/simulator/src/scale/meter.ts
+++ b/packages/simulator/src/scale/meter.ts
@@ -1,4 +1,4 @@
-import { type Frame, decode, encode } from '@switchwheel/transport';
+import { type Frame, deserializeFrame, serializeFrame } from '@switchwheel/transport';
 import type { Actor, Meter } from '../world/actor.js';
 
 /** The length and the checksum that a channel puts before each frame. */
@@ -79,10 +79,10 @@
 
   #weigh(frame: Frame, sender: Use): Cost {
     const began = performance.now();
-    const bytes = encode(frame);
+    const bytes = serializeFrame(frame);
     const between = performance.now();
     sender.encodeMs += between - began;
-    const read = decode(bytes);
+    const read = deserializeFrame(bytes);
     const decodeMs = performance.now() - between;
     if (read.isErr) throw new Error(`${frame.kind}: ${read.error.text}`);
     const cost = { bytes: bytes.length + headBytes, decodeMs };
--- a/packages/simulator/src/scale/node.ts
+++ b/packages/simulator/src/scale/node.ts
@@ -2,28 +2,32 @@
   type Address,
   type Timestamp,
   type NodeId,
-  type Store,
+  type StateMachine,
   toZoneName,
 } from '@switchwheel/types';
-import type { Member, WireEvent } from '@switchwheel/transport';
-import { type Table, build, finish } from '@switchwheel/configuration';
+import type { Member, ProcessEvent } from '@switchwheel/transport';
 import {
-  type Cabin,
-  type CabinEffect,
-  type CabinEvent,
-  cabinStep,
-  newCabin,
+  type CompiledConfiguration,
+  buildConfiguration,
+  runToCompletion,
+} from '@switchwheel/configuration';
+import {
+  type NodeAgent,
+  type NodeAgentEffect,
+  type NodeAgentEvent,
+  nodeAgentTransition,
+  newNodeAgent,
 } from '@switchwheel/proxy-core';
 import { Actor, type Stage } from '../world/actor.js';
 
 /** Descriptions that hollow nodes share once one of them compiled them. */
-export type Tables = Map<string, Table>;
+export type Tables = Map<string, CompiledConfiguration>;
 
 /** An edge's control side alone: it takes part in everything and carries no traffic. */
 export class HollowNode extends Actor {
   readonly #seeds: () => readonly Address[];
   readonly #tables: Tables;
-  #store: Store<Cabin, CabinEvent> | undefined;
+  #store: StateMachine<NodeAgent, NodeAgentEvent> | undefined;
   /** The last purge and the last generation that it acted on. */
   purged = 0;
   generation = 0;
@@ -41,7 +45,7 @@
     this.#tables = tables;
   }
 
-  get state(): Cabin | undefined {
+  get state(): NodeAgent | undefined {
     return this.alive ? this.#store?.state() : undefined;
   }
 
@@ -59,11 +63,13 @@
       door: this.address,
       incarnation: this.incarnation,
     };
-    const first = newCabin(member, this.#seeds(), {
+    const first = newNodeAgent(member, this.#seeds(), {
       seed: Math.floor(this.stage.chance.next() * 4294967296),
     });
-    this.#store = this.makeStore<Cabin, CabinEvent, CabinEffect>(cabinStep, first, (effect) =>
-      this.#run(effect),
+    this.#store = this.makeStore<NodeAgent, NodeAgentEvent, NodeAgentEffect>(
+      nodeAgentTransition,
+      first,
+      (effect) => this.#run(effect),
     );
   }
 
@@ -71,23 +77,23 @@
     this.#store = undefined;
   }
 
-  event(make: (now: Timestamp) => WireEvent): void {
+  event(make: (now: Timestamp) => ProcessEvent): void {
     this.#store?.dispatch(make(this.clock));
   }
 
-  #run(effect: CabinEffect): void {
+  #run(effect: NodeAgentEffect): void {
     switch (effect.kind) {
-      case 'build':
+      case 'compileConfiguration':
         this.later(1, () => this.#build(effect));
         break;
-      case 'adopt':
-        this.generation = effect.table.generation;
+      case 'adoptConfiguration':
+        this.generation = effect.compiledConfiguration.generation;
         break;
-      case 'purge':
-        this.purged = effect.top;
+      case 'purgeCache':
+        this.purged = effect.lastPurgeSeq;
         break;
-      case 'kept':
-      case 'unkept':
+      case 'startLeading':
+      case 'stopLeading':
         break;
       case 'send':
       case 'log':
@@ -95,14 +101,25 @@
     }
   }
 
-  #build({ offer, texts, before }: Extract<CabinEffect, { kind: 'build' }>): void {
+  #build({
+    offer,
+    chunkTexts,
+    previous,
+  }: Extract<NodeAgentEffect, { kind: 'compileConfiguration' }>): void {
     const key = `${offer.generation} ${offer.hash}`;
     const built =
       this.#tables.get(key) ??
-      finish(build(texts, offer.generation, offer.hash, before)).unwrapOrElse((faults) => {
+      runToCompletion(
+        buildConfiguration(chunkTexts, offer.generation, offer.hash, previous),
+      ).unwrapOrElse((faults) => {
         throw new Error(JSON.stringify(faults));
       });
     this.#tables.set(key, built);
-    this.#store?.dispatch({ kind: 'built', now: this.clock, offer, table: built });
+    this.#store?.dispatch({
+      kind: 'configurationCompiled',
+      now: this.clock,
+      offer,
+      compiledConfiguration: built,
+    });
   }
 }
--- a/packages/simulator/src/scale/parts.ts
+++ b/packages/simulator/src/scale/parts.ts
@@ -7,7 +7,7 @@
   toDurationMs,
 } from '@switchwheel/types';
 import type { Service } from '@switchwheel/configuration';
-import { Edges, Quota, plainBounds } from '@switchwheel/routing';
+import { EdgeCount, QuotaShare, defaultEdgeLimits } from '@switchwheel/routing';
 import { Cache } from '@switchwheel/proxy-core';
 
 const name = toServiceName('clips');
@@ -23,34 +23,37 @@
   waitlist: 256,
 };
 
-const newQuota = (many: number, now: Timestamp): Quota => {
-  const edges = new Edges();
-  edges.note(many, now);
-  return new Quota(plainBounds, edges);
+const newQuota = (many: number, now: Timestamp): QuotaShare => {
+  const edges = new EdgeCount();
+  edges.record(many, now);
+  return new QuotaShare(defaultEdgeLimits, edges);
 };
 
 /** What so many edges together let through after a long rest, and what they may. */
 export const quotaOf = (many: number): string => {
   const quotas = Array.from({ length: many }, () => newQuota(many, toTimestamp(0)));
   for (const one of quotas) {
-    one.asked(name, toTimestamp(0));
-    one.wait(service, toTimestamp(0));
+    one.recordRequest(name, toTimestamp(0));
+    one.takeOrWaitMs(service, toTimestamp(0));
   }
   const now = toTimestamp(restMs);
   let extra = 0;
   for (const one of quotas) {
-    one.asked(name, now);
-    while (one.extra(name, now)) extra += 1;
+    one.recordRequest(name, now);
+    while (one.takeExtraAttempt(name, now)) extra += 1;
   }
   let sent = 0;
-  for (let at = restMs; at < restMs + plainBounds.ceilingWindowMs; at += 20) {
-    for (const one of quotas) while (one.wait(service, toTimestamp(at)) === 0) sent += 1;
+  for (let at = restMs; at < restMs + defaultEdgeLimits.rateLimitWindowMs; at += 20) {
+    for (const one of quotas) while (one.takeOrWaitMs(service, toTimestamp(at)) === 0) sent += 1;
   }
-  const mayExtra = Math.round(plainBounds.extraShare * many + plainBounds.extraSlack);
+  const mayExtra = Math.round(
+    defaultEdgeLimits.extraAttemptRatio * many + defaultEdgeLimits.extraAttemptSlack,
+  );
   const maySend = Math.round(
-    (plainBounds.ceilingOver * perSecond * plainBounds.ceilingWindowMs) / 1000,
+    (defaultEdgeLimits.rateLimitOverageFactor * perSecond * defaultEdgeLimits.rateLimitWindowMs) /
+      1000,
   );
-  const rooms = quotas.reduce((sum, one) => sum + one.room(service), 0);
+  const rooms = quotas.reduce((sum, one) => sum + one.maxConnectionsPerEndpoint(service), 0);
   return `${many} edges: extra legs ${extra} of ${mayExtra}, under a ceiling ${sent} of ${maySend}, connections ${rooms} of ${connections}`;
 };
 
@@ -79,8 +82,8 @@
         fields,
         body: Buffer.alloc(0),
         digest,
-        born: toTimestamp(1000),
-        lifetime: toDurationMs(86_400_000),
+        createdAt: toTimestamp(1000),
+        lifetimeMs: toDurationMs(86_400_000),
         tags: [`t${at % 1000}`],
       },
       [],
--- a/packages/simulator/src/world/actor.ts
+++ b/packages/simulator/src/world/actor.ts
@@ -3,18 +3,18 @@
   type Incarnation,
   type Timestamp,
   type NodeId,
-  type Store,
-  createStore,
+  type StateMachine,
+  createStateMachine,
   toIncarnation,
   toTimestamp,
 } from '@switchwheel/types';
 import {
   type Peer,
   type Frame,
-  type WireEffect,
-  type WireEvent,
-  decode,
-  encode,
+  type ProcessEffect,
+  type ProcessEvent,
+  deserializeFrame,
+  serializeFrame,
 } from '@switchwheel/transport';
 import type { Transition } from '@switchwheel/types';
 import type { Agenda } from './agenda.js';
@@ -162,11 +162,11 @@
     });
   }
 
-  protected wire(effect: WireEffect): void {
+  protected wire(effect: ProcessEffect): void {
     if (effect.kind === 'log') {
       if (effect.level !== 'info')
         this.stage.logs.push(
-          `${Math.round(this.stage.agenda.now)} ${this.node} ${effect.text} ${[...(effect.facts ?? [])].map(([key, value]) => `${key}=${String(value)}`).join(' ')}`,
+          `${Math.round(this.stage.agenda.now)} ${this.node} ${effect.message} ${[...(effect.fields ?? [])].map(([key, value]) => `${key}=${String(value)}`).join(' ')}`,
         );
       return;
     }
@@ -185,18 +185,21 @@
     const life = other.life;
     // Now and then what is sent goes through the real coding, so that frames and their checks stay in step.
     const told = this.stage.chance.hit(0.02)
-      ? decode(encode(frame)).unwrapOrElse((fault) => {
+      ? deserializeFrame(serializeFrame(frame)).unwrapOrElse((fault) => {
           throw new Error(`${frame.kind}: ${fault.text}`);
         })
       : frame;
     this.stage.net.carry(this.node, other.node, () => {
       if (other.life === life)
-        other.act(() => other.event((now) => ({ kind: 'frame', now, from, frame: told })), life);
+        other.act(
+          () => other.event((now) => ({ kind: 'frameReceived', now, from, frame: told })),
+          life,
+        );
     });
   }
 
   gone(address: Address): void {
-    this.event((now) => ({ kind: 'gone', now, address }));
+    this.event((now) => ({ kind: 'peerDisconnected', now, address }));
   }
 
   /** The least and the most milliseconds between two ticks. */
@@ -206,15 +209,15 @@
 
   protected abstract boot(): void;
   protected abstract ended(): void;
-  abstract event(make: (now: Timestamp) => WireEvent): void;
+  abstract event(make: (now: Timestamp) => ProcessEvent): void;
 
   protected makeStore<S, E, F>(
     reduce: (state: S, event: E) => Transition<S, F>,
     first: S,
     run: (effect: F) => void,
-  ): Store<S, E> {
+  ): StateMachine<S, E> {
     const { meter } = this.stage;
-    return createStore<S, E, F>(
+    return createStateMachine<S, E, F>(
       meter === undefined ? reduce : (state, event) => meter.step(this, () => reduce(state, event)),
       first,
       run,
--- a/packages/simulator/src/world/world.ts
+++ b/packages/simulator/src/world/world.ts
@@ -1,6 +1,6 @@
 import {
   type Address,
-  type CallId,
+  type CommandId,
   type ServiceName,
   type Hash,
   toAddress,
@@ -8,7 +8,7 @@
   toNodeId,
   toRelease,
 } from '@switchwheel/types';
-import { cut, finish } from '@switchwheel/configuration';
+import { splitIntoChunks, runToCompletion } from '@switchwheel/configuration';
 import { Agenda } from './agenda.js';
 import type { Actor, Stage } from './actor.js';
 import { Chance } from './chance.js';
@@ -21,8 +21,8 @@
 import { endingOf } from '../history/operators.js';
 import { Tried } from '../rules/tried.js';
 import { type Shape, describe } from './describe.js';
-import { toCallId, toFleetId, toGeneration } from '@switchwheel/types';
-import type { Aim } from '@switchwheel/transport';
+import { toCommandId, toFleetId, toGeneration } from '@switchwheel/types';
+import type { PurgeTarget } from '@switchwheel/transport';
 import type { ReplicationSettings } from '@switchwheel/replicated-store';
 
 /** How large a simulated fleet is, and what stands behind it. */
@@ -48,7 +48,7 @@
 
 /** One write of an operator, with all that became of it. */
 export interface Write {
-  readonly id: CallId;
+  readonly id: CommandId;
   readonly kind: 'apply' | 'purge';
   readonly sentAt: number;
   readonly mark: number;
@@ -287,8 +287,8 @@
     const found = (): void => {
       this.registries[0]?.call(
         {
-          verb: 'found',
-          id: toCallId('found'),
+          verb: 'bootstrap',
+          id: toCommandId('found'),
           fleet: toFleetId('sim'),
           stores: this.stores.map((one) => one.node),
           voters: this.registries.map((one) => one.node),
@@ -318,14 +318,14 @@
   primary(): SimStore | undefined {
     return this.stores.find(
       (one) =>
-        one.state?.serving === true &&
+        one.state?.isServing === true &&
         one.state.candidate.phase.phase === 'holdingLease' &&
-        one.clock < one.state.candidate.phase.until,
+        one.clock < one.state.candidate.phase.leaseEndsAt,
     );
   }
 
   keeperOf(service: ServiceName): SimProxy | undefined {
-    return this.shields.find((one) => one.state?.active.has(service));
+    return this.shields.find((one) => one.state?.activeLeaders.has(service));
   }
 
   revisionOf(path: string): number {
@@ -378,7 +378,7 @@
   apply(mark: number, base?: number, shape: Shape = 'plain', again?: Write): Write {
     this.#write += 1;
     const write: Write = {
-      id: again?.id ?? toCallId(`w${this.#write}`),
+      id: again?.id ?? toCommandId(`w${this.#write}`),
       kind: 'apply',
       sentAt: this.agenda.now,
       mark,
@@ -388,9 +388,9 @@
       revisions: new Map(),
     };
     this.writes.push(write);
-    const bundle = finish(cut(describe(this.layout, mark, shape)));
+    const bundle = runToCompletion(splitIntoChunks(describe(this.layout, mark, shape)));
     if (bundle.isErr) throw new Error(JSON.stringify(bundle.error));
-    const order: readonly Hash[] = bundle.value.order;
+    const order: readonly Hash[] = bundle.value.chunkHashes;
     this.#send(write, (registry, done) => {
       const { hash } = bundle.value;
       const open = this.history.begin<ConfigurationWrite>({
@@ -405,10 +405,10 @@
         {
           verb: 'apply',
           id: write.id,
-          base: base === undefined ? undefined : toGeneration(base),
+          baseGeneration: base === undefined ? undefined : toGeneration(base),
           hash: bundle.value.hash,
-          order,
-          pieces: bundle.value.pieces,
+          chunkHashes: order,
+          chunks: bundle.value.chunks,
         },
         (told) => {
           const number = told.status === 200 ? parseNumber(told.body, 'generation') : undefined;
@@ -421,11 +421,11 @@
   }
 
   /** An operator changes objects at the origins and purges them. */
-  purge(paths: readonly string[], aims: readonly Aim[]): Write {
+  purge(paths: readonly string[], aims: readonly PurgeTarget[]): Write {
     this.#write += 1;
     for (const path of paths) this.bump(path);
     const write: Write = {
-      id: toCallId(`w${this.#write}`),
+      id: toCommandId(`w${this.#write}`),
       kind: 'purge',
       sentAt: this.agenda.now,
       mark: 0,
--- a/packages/store/src/head-row.test.ts
+++ b/packages/store/src/head-row.test.ts
@@ -1,8 +1,8 @@
 /** Holds the form of the head row, which says to which fleet and epoch the other rows of a disk belong. */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { type Disk, type Row } from '@switchwheel/runtime';
-import { changeOf, findOn } from './rows.js';
+import { type Disk, type StoredRow } from '@switchwheel/runtime';
+import { rowsOf, readDisk } from './disk-rows.js';
 import { withDisk, withTemporaryFolder } from './testing/stored-fixture.js';
 
 const headKey = '!head';
@@ -15,17 +15,20 @@
 };
 const stamp = { epoch: 6, seq: 93 };
 const head = { format: 1, metadata, stamp };
-const entry: Row = { key: '=number/0000000000000002', text: '5 40 {"hash":"of a configuration"}' };
+const entry: StoredRow = {
+  key: '=number/0000000000000002',
+  text: '5 40 {"hash":"of a configuration"}',
+};
 
-const writeRows = async (disk: Disk, sets: readonly Row[]): Promise<void> => {
-  const written = await disk.write({ sets, drops: [], wipe: true });
+const writeRows = async (disk: Disk, sets: readonly StoredRow[]): Promise<void> => {
+  const written = await disk.write({ puts: sets, deletes: [], clearFirst: true });
   assert.ok(written.isOk);
 };
 
 /** What a disk with a head and one entry is found to hold. */
-const foundWith = async (disk: Disk, headRow: object): Promise<ReturnType<typeof findOn>> => {
+const foundWith = async (disk: Disk, headRow: object): Promise<ReturnType<typeof readDisk>> => {
   await writeRows(disk, [{ key: headKey, text: JSON.stringify(headRow) }, entry]);
-  return findOn(disk);
+  return readDisk(disk);
 };
 
 const incompleteHeads: ReadonlyMap<string, object> = new Map<string, object>([
@@ -48,7 +51,7 @@
   withTemporaryFolder((folder) =>
     withDisk(folder, async (disk) => {
       const found = await foundWith(disk, head);
-      assert.ok(found.found === 'whole');
+      assert.ok(found.status === 'complete');
       assert.deepEqual(found.metadata, metadata);
       assert.deepEqual(found.stamp, stamp);
       assert.deepEqual(found.entries, [
@@ -58,18 +61,18 @@
           data: '{"hash":"of a configuration"}',
         },
       ]);
-      const change = changeOf({
+      const change = rowsOf({
         id: 1,
         metadata: found.metadata,
         stamp: found.stamp,
-        sets: found.entries,
-        drops: ['number/0000000000000001'],
-        wipe: false,
+        entries: found.entries,
+        deletedKeys: ['number/0000000000000001'],
+        wipesFirst: false,
       });
       assert.deepEqual(change, {
-        wipe: false,
-        drops: ['=number/0000000000000001'],
-        sets: [entry, { key: headKey, text: JSON.stringify(head) }],
+        clearFirst: false,
+        deletes: ['=number/0000000000000001'],
+        puts: [entry, { key: headKey, text: JSON.stringify(head) }],
       });
     }),
   ));
@@ -80,7 +83,7 @@
       for (const [what, incomplete] of incompleteHeads)
         assert.deepEqual(
           await foundWith(disk, incomplete),
-          { found: 'damaged', text: 'the head can not be read' },
+          { status: 'damaged', reason: 'the head can not be read' },
           what,
         );
     }),
--- a/packages/store/src/index.ts
+++ b/packages/store/src/index.ts
@@ -1,3 +1,3 @@
-export { program, schema } from './boot.js';
-export * from './run.js';
+export { program, settingsSchema } from './settings.js';
+export * from './start-store.js';
 export type { FailureDomains } from '@switchwheel/replicated-store';
--- a/packages/store/src/main.ts
+++ b/packages/store/src/main.ts
@@ -1,9 +1,14 @@
-import { type Disk, bootOrExit, createLog, onStop } from '@switchwheel/runtime';
-import { program, schema } from './boot.js';
-import { openData, startStore } from './run.js';
+import {
+  type Disk,
+  readSettingsOrExit,
+  createLogger,
+  handleShutdownSignals,
+} from '@switchwheel/runtime';
+import { program, settingsSchema } from './settings.js';
+import { openData, startStore } from './start-store.js';
 
-const boot = bootOrExit(program, schema);
-const log = createLog(program.name, boot.node, boot.log);
+const boot = readSettingsOrExit(program, settingsSchema);
+const log = createLogger(program.name, boot.node, boot.log);
 
 let disk: Disk;
 try {
@@ -17,7 +22,7 @@
 const limits = {
   copies: boot.copies,
   tolerate: boot.tolerate,
-  follow: boot.electorate === 'follows',
+  electorateFollowsRegistries: boot.electorate === 'follows',
 };
-const running = await startStore({ ...boot, limits }, log, disk);
-onStop(log, running.stop);
+const running = await startStore({ ...boot, zone: boot.area, replication: limits }, log, disk);
+handleShutdownSignals(log, running.stop);
--- a/packages/store/src/run-forms.test.ts
+++ b/packages/store/src/run-forms.test.ts
@@ -11,7 +11,7 @@
   responseText,
   snapshotsFor,
 } from '@switchwheel/types/testing';
-import { openData, startStore } from './run.js';
+import { openData, startStore } from './start-store.js';
 
 const matchSnapshot = snapshotsFor(import.meta.dirname);
 
@@ -21,7 +21,7 @@
   const store = await startStore(
     {
       node: toNodeId('s1'),
-      area: toZoneName('a'),
+      zone: toZoneName('a'),
       listen: await freeAddress(),
       seeds: [],
       data: folder,
--- a/packages/store/src/boot.ts
+++ b/packages/store/src/settings.ts
@@ -1,12 +1,16 @@
 import * as v from 'valibot';
 import { address } from '@switchwheel/types';
-import { type Program, common, commonSettings } from '@switchwheel/runtime';
+import {
+  type ProgramDefinition,
+  commonSettingsSchema,
+  commonSettingDefinitions,
+} from '@switchwheel/runtime';
 
-export const program: Program = {
+export const program: ProgramDefinition = {
   name: 'store',
-  about: 'The store of configuration of switchwheel: one on every core machine with a disk.',
+  description: 'The store of configuration of switchwheel: one on every core machine with a disk.',
   settings: [
-    ...commonSettings,
+    ...commonSettingDefinitions,
     { name: 'data', type: 'text', help: 'the one folder that all files live under' },
     { name: 'admin', type: 'text', help: 'IP:port for /live, /ready and /metrics' },
     { name: 'copies', type: 'number', help: 'stores that must have each write (2)' },
@@ -15,8 +19,8 @@
   ],
 };
 
-export const schema = v.strictObject({
-  ...common,
+export const settingsSchema = v.strictObject({
+  ...commonSettingsSchema,
   data: v.pipe(v.string('a folder'), v.minLength(1, 'a folder')),
   admin: address,
   copies: v.optional(
--- a/packages/store/src/stored-data.test.ts
+++ b/packages/store/src/stored-data.test.ts
@@ -9,11 +9,16 @@
   toTimestamp,
   toNodeId,
 } from '@switchwheel/types';
-import { bundleHash, hashOf } from '@switchwheel/configuration';
-import { type Disk, createLog } from '@switchwheel/runtime';
-import { type Found, type Store, newStore, storeStep } from '@switchwheel/replicated-store';
-import { changeOf, findOn } from './rows.js';
-import { openData, startStore } from './run.js';
+import { configurationHash, contentHash } from '@switchwheel/configuration';
+import { type Disk, createLogger } from '@switchwheel/runtime';
+import {
+  type DiskContents,
+  type StoreState,
+  newStoreState,
+  storeTransition,
+} from '@switchwheel/replicated-store';
+import { rowsOf, readDisk } from './disk-rows.js';
+import { openData, startStore } from './start-store.js';
 import { loadedFacts } from './testing/loaded-state.js';
 import {
   fixtureStores,
@@ -23,7 +28,7 @@
   withDisk,
 } from './testing/stored-fixture.js';
 
-type WholeRecord = Extract<Found, { readonly found: 'whole' }>;
+type WholeRecord = Extract<DiskContents, { readonly status: 'complete' }>;
 
 const anyPort: Address = toAddress('127.0.0.1:0');
 
@@ -34,14 +39,14 @@
 };
 
 const recordOn = (disk: Disk): WholeRecord => {
-  const found = findOn(disk);
-  assert.ok(found.found === 'whole', JSON.stringify(found));
+  const found = readDisk(disk);
+  assert.ok(found.status === 'complete', JSON.stringify(found));
   return found;
 };
 
 /** A store that has just started and knows nothing. */
-const startedStore = (): Store =>
-  newStore(
+const startedStore = (): StoreState =>
+  newStoreState(
     {
       node: toNodeId('c1-store'),
       role: 'store',
@@ -57,7 +62,7 @@
   void test(`every row in the data folder of the ${name} is read as it was`, () =>
     withDataFolder(name, (folder) =>
       withDisk(folder, (disk) => {
-        assert.equal(disk.aside, undefined);
+        assert.equal(disk.quarantineReason, undefined);
         assert.deepEqual(rowsOn(disk), recordedRows());
       }),
     ));
@@ -65,10 +70,14 @@
   void test(`the store's machine loads the data folder of the ${name} without a fault`, () =>
     withDataFolder(name, (folder) =>
       withDisk(folder, (disk) => {
-        const found = findOn(disk);
-        const loaded = storeStep(startedStore(), { kind: 'read', now: toTimestamp(1), found });
+        const found = readDisk(disk);
+        const loaded = storeTransition(startedStore(), {
+          kind: 'diskRead',
+          now: toTimestamp(1),
+          contents: found,
+        });
         assert.equal(loaded.state.phase, 'member');
-        assert.equal(loaded.state.trouble, '');
+        assert.equal(loaded.state.diskDamage, '');
         assert.equal(loaded.state.mustWipe, false);
         assert.deepEqual(JSON.parse(JSON.stringify(loadedFacts(loaded.state))), recordedFacts());
       }),
@@ -77,15 +86,18 @@
   void test(`the chunks of the ${name}'s configuration fit their hashes`, () =>
     withDataFolder(name, (folder) =>
       withDisk(folder, (disk) => {
-        const found = findOn(disk);
-        const { control } = storeStep(startedStore(), {
-          kind: 'read',
+        const found = readDisk(disk);
+        const { control } = storeTransition(startedStore(), {
+          kind: 'diskRead',
           now: toTimestamp(1),
-          found,
+          contents: found,
         }).state;
-        assert.ok(control.stored !== undefined);
-        assert.equal(bundleHash(control.stored.offer.pieces), control.stored.offer.hash);
-        for (const [hash, text] of control.pieces) assert.equal(hashOf(text), hash);
+        assert.ok(control.configuration !== undefined);
+        assert.equal(
+          configurationHash(control.configuration.offer.pieces),
+          control.configuration.offer.hash,
+        );
+        for (const [hash, text] of control.chunks) assert.equal(contentHash(text), hash);
       }),
     ));
 
@@ -94,7 +106,7 @@
       await withDisk(folder, async (disk) => {
         const { metadata, stamp, entries } = recordOn(disk);
         const written = await disk.write(
-          changeOf({ id: 1, metadata, stamp, sets: entries, drops: [], wipe: true }),
+          rowsOf({ id: 1, metadata, stamp, entries: entries, deletedKeys: [], wipesFirst: true }),
         );
         assert.ok(written.isOk);
       });
@@ -107,19 +119,19 @@
     withDataFolder(name, async (folder) => {
       // A store that fails while it starts keeps its sockets, and the test's process would never end.
       await withDisk(folder, (disk) => {
-        const read = { kind: 'read', now: toMoment(1), found: findOn(disk) } as const;
-        assert.equal(storeStep(startedStore(), read).state.phase, 'member');
+        const read = { kind: 'diskRead', now: toTimestamp(1), contents: readDisk(disk) } as const;
+        assert.equal(storeTransition(startedStore(), read).state.phase, 'member');
       });
       const running = await startStore(
         {
           node: toNodeId('c1-store'),
-          area: toZoneName('north'),
+          zone: toZoneName('north'),
           listen: anyPort,
           seeds: [],
           data: folder,
           graceMs: 0,
         },
-        createLog('store', toNodeId('c1-store'), 'error'),
+        createLogger('store', toNodeId('c1-store'), 'error'),
         openData(folder),
       );
       try {
--- a/packages/store/src/testing/loaded-state.ts
+++ b/packages/store/src/testing/loaded-state.ts
@@ -3,15 +3,22 @@
  * when a type or field of the code is renamed. For tests only.
  */
 import {
-  type NodeRow,
-  type ReleaseOrder,
+  type NodeRecord,
+  type ReleaseRollout,
   type Rollout,
-  type Target,
-  build,
-  finish,
+  type RolloutTarget,
+  buildConfiguration,
+  runToCompletion,
 } from '@switchwheel/configuration';
-import { type Store, digests } from '@switchwheel/replicated-store';
-import type { Health, Offer, Origin, Purge, Report, Verdict } from '@switchwheel/transport';
+import { type StoreState, rangeDigests } from '@switchwheel/replicated-store';
+import type {
+  Health,
+  ConfigManifest,
+  OriginInstance,
+  Purge,
+  NodeStatus,
+  CanaryResult,
+} from '@switchwheel/transport';
 import type { Generation, Hash } from '@switchwheel/types';
 
 const asObject = <K extends string | number, V, P>(
@@ -20,7 +27,7 @@
 ): Readonly<Record<string, P>> =>
   Object.fromEntries([...rows].map(([key, row]) => [String(key), project(row)]));
 
-const offerFacts = (one: Offer): object => ({
+const offerFacts = (one: ConfigManifest): object => ({
   generation: one.generation,
   contentHash: one.hash,
   chunkHashes: one.pieces,
@@ -38,7 +45,7 @@
   components: one.parts.map(healthFacts),
 });
 
-const reportFacts = (one: Report): object => ({
+const reportFacts = (one: NodeStatus): object => ({
   generation: one.generation,
   contentHash: one.hash ?? null,
   applyPhase: one.phase,
@@ -48,7 +55,7 @@
   isReady: one.ready,
 });
 
-const nodeFacts = (one: NodeRow): object => ({
+const nodeFacts = (one: NodeRecord): object => ({
   nodeRole: one.role,
   processIncarnation: one.incarnation,
   isOnline: one.online,
@@ -72,7 +79,7 @@
   revision: one.rev,
 });
 
-const rolloutTargetFacts = (one: Target): object => ({
+const rolloutTargetFacts = (one: RolloutTarget): object => ({
   targetNode: one.node,
   generation: one.generation,
   inWave: one.wave,
@@ -95,7 +102,7 @@
   }),
 });
 
-const canaryFacts = (one: Verdict): object => ({
+const canaryFacts = (one: CanaryResult): object => ({
   ofService: one.service,
   ofRelease: one.release,
   result: one.state,
@@ -105,7 +112,7 @@
   serviceRequests: one.seen,
 });
 
-const releaseOrderFacts = (one: ReleaseOrder): object => ({
+const releaseOrderFacts = (one: ReleaseRollout): object => ({
   ofService: one.service,
   settledRelease: one.settled ?? null,
   priorRelease: one.prior ?? null,
@@ -131,7 +138,7 @@
   ]),
 });
 
-const originFacts = (one: Origin): object => ({
+const originFacts = (one: OriginInstance): object => ({
   ofService: one.service,
   instanceId: one.instance,
   listensAt: one.address,
@@ -142,7 +149,7 @@
   silentForMs: one.age,
 });
 
-const metadataFacts = (state: Store): object | null => {
+const metadataFacts = (state: StoreState): object | null => {
   const { metadata } = state;
   if (metadata === undefined) return null;
   return {
@@ -156,25 +163,25 @@
 };
 
 /** What the configuration in force compiles to, or its faults. */
-const compiledFacts = (state: Store): object | null => {
-  const offer = state.control.stored?.offer;
+const compiledFacts = (state: StoreState): object | null => {
+  const offer = state.control.configuration?.offer;
   if (offer === undefined) return null;
-  const texts = offer.pieces.map((hash) => state.control.pieces.get(hash) ?? '');
-  const compiled = finish(build(texts, offer.generation, offer.hash));
+  const texts = offer.pieces.map((hash) => state.control.chunks.get(hash) ?? '');
+  const compiled = runToCompletion(buildConfiguration(texts, offer.generation, offer.hash));
   if (compiled.isErr) return { faults: compiled.error };
   const table = compiled.value;
   return {
     generation: table.generation,
     contentHash: table.hash,
-    explanation: table.head.note ?? null,
+    explanation: table.header.note ?? null,
     serviceNames: [...table.services.keys()],
-    classNames: [...table.groups.keys()],
-    routes: [...table.tracks.values()].map((route) => ({
+    classNames: [...table.classes.keys()],
+    routes: [...table.routesByName.values()].map((route) => ({
       routeName: route.name,
-      toServices: route.parts.map(({ service, weight }) => [service, weight]),
-      ofClass: route.group,
+      toServices: route.weightedServices.map(({ service, weight }) => [service, weight]),
+      ofClass: route.className,
       httpMethods: [...route.methods],
-      isRepeatable: route.repeatable,
+      isRepeatable: route.isIdempotent,
       responseTimeoutMs: route.timeoutMs,
       cacheLifetimeMs: route.cache?.lifetimeMs ?? null,
     })),
@@ -182,27 +189,27 @@
 };
 
 /** All that a store knows after it has read its disk, as plain JSON. */
-export const loadedFacts = (state: Store): object => {
+export const loadedFacts = (state: StoreState): object => {
   const { control } = state;
   return {
     clusterMetadata: metadataFacts(state),
     lastWrite: { epochNumber: state.stamp.epoch, writeNumber: state.stamp.seq },
     entryCount: state.table.size,
-    rangeDigests: digests(state.table),
+    rangeDigests: rangeDigests(state.table),
     inForce:
-      control.stored === undefined
+      control.configuration === undefined
         ? null
-        : { ...offerFacts(control.stored.offer), byCommand: control.stored.call },
+        : { ...offerFacts(control.configuration.offer), byCommand: control.configuration.call },
     compiledConfiguration: compiledFacts(state),
     nodes: asObject(control.nodes, nodeFacts),
     rollouts: asObject(control.rollouts, rolloutFacts),
     rolloutTargets: asObject(control.targets, rolloutTargetFacts),
     purges: control.purges.map(purgeFacts),
-    canaries: asObject(control.verdicts, canaryFacts),
+    canaries: asObject(control.canaryResults, canaryFacts),
     releaseOrders: asObject(control.releases, releaseOrderFacts),
     origins: asObject(control.origins, originFacts),
-    commandResults: asObject(control.calls, (one) => [one.status, one.body, one.seq]),
-    contentHashByGeneration: asObject(control.numbers, (hash) => hash),
-    chunks: asObject(control.pieces, (text) => text),
+    commandResults: asObject(control.commandOutcomes, (one) => [one.status, one.body, one.seq]),
+    contentHashByGeneration: asObject(control.hashByGeneration, (hash) => hash),
+    chunks: asObject(control.chunks, (text) => text),
   };
 };
--- a/packages/switchwheel/src/command/run.ts
+++ b/packages/switchwheel/src/command/run.ts
@@ -2,8 +2,8 @@
 import { randomUUID } from 'node:crypto';
 import { type Result, err, ok } from 'true-myth/result';
 import { noGeneration, toHash } from '@switchwheel/types';
-import { build, cut, finish } from '@switchwheel/configuration';
-import { carry, readNginx } from '@switchwheel/config-import';
+import { buildConfiguration, splitIntoChunks, runToCompletion } from '@switchwheel/configuration';
+import { convertNginx, readNginx } from '@switchwheel/config-import';
 import { type Reach, type Reply, type Request, call } from '../call/call.js';
 import { diff, diffLines } from './diff.js';
 import { at, listAt, refusal, table, text } from './show.js';
@@ -68,13 +68,13 @@
 };
 
 const checkHere = (raw: unknown): Outcome | undefined => {
-  const bundle = finish(cut(raw));
+  const bundle = runToCompletion(splitIntoChunks(raw));
   const faults = bundle.isErr ? bundle.error : undefined;
   const built = bundle.isErr
     ? undefined
-    : finish(
-        build(
-          bundle.value.order.map((hash) => bundle.value.pieces.get(hash) ?? ''),
+    : runToCompletion(
+        buildConfiguration(
+          bundle.value.chunkHashes.map((hash) => bundle.value.chunks.get(hash) ?? ''),
           noGeneration,
           toHash(bundle.value.hash),
         ),
@@ -114,15 +114,15 @@
   if (file === undefined) return wrong('which file?');
   const read = readNginx(file);
   if (read.isErr) return wrong(`${read.error.file}:${read.error.line}: ${read.error.text}`);
-  const { description, left } = carry(read.value);
+  const { description, skipped } = convertNginx(read.value);
   const faults = checkHere(description);
   if (faults !== undefined)
     return { code: 1, out: '', fault: `what was read makes no description\n${faults.fault}` };
-  const notes = left
-    .map((one) => `${one.file}:${one.line}: not carried over: ${one.name} (${one.why})`)
+  const notes = skipped
+    .map((one) => `${one.file}:${one.line}: not carried over: ${one.name} (${one.reason})`)
     .join('\n');
-  if (options.strict && left.length > 0)
-    return bad(`${notes}\n${left.length} directives were not carried over`);
+  if (options.strict && skipped.length > 0)
+    return bad(`${notes}\n${skipped.length} directives were not carried over`);
   return { code: 0, out: JSON.stringify(description, null, 2), fault: notes };
 };
 
--- a/packages/transport/src/channel/channel-pool.ts
+++ b/packages/transport/src/channel/channel-pool.ts
@@ -2,8 +2,8 @@
 import { EventEmitter } from 'eventemitter3';
 import type { Address } from '@switchwheel/types';
 import { type Frame, isObjectFrame } from '../frame/frame.js';
-import { Channel, type Lane } from './channel.js';
-import type { Peer } from './wire.js';
+import { Channel, type ChannelKind } from './channel.js';
+import type { Peer } from './process-event.js';
 
 interface PoolEvents {
   frame: (from: Peer, frame: Frame, channel: Channel) => void;
@@ -28,7 +28,7 @@
 const dialTimeout = 1000;
 
 /** Edges speak to each other of objects only. */
-const laneOf = (frame: Frame): Lane => (isObjectFrame(frame) ? 'objects' : 'control');
+const laneOf = (frame: Frame): ChannelKind => (isObjectFrame(frame) ? 'objects' : 'control');
 
 /** A frame that waits for its channel, and since when. */
 interface WaitingFrame {
@@ -50,7 +50,7 @@
   readonly #all = new Set<Channel>();
   readonly #server: Server;
   /** Channels dropped for foreign or corrupt frames. */
-  foreign = 0;
+  protocolErrorCount = 0;
 
   constructor(me: Peer) {
     super();
@@ -84,7 +84,7 @@
   }
 
   /** Opens a channel of the data lane. */
-  open(to: Address): Channel {
+  openDataChannel(to: Address): Channel {
     const channel = new Channel(createConnection(splitAddress(to)), this.#me, 'data');
     this.#all.add(channel);
     channel.on('closed', () => this.#all.delete(channel));
@@ -96,7 +96,7 @@
     for (const channel of this.#all) channel.terminate('stopping');
   }
 
-  #dial(to: Address, lane: Lane): Connection {
+  #dial(to: Address, lane: ChannelKind): Connection {
     const socket = createConnection(splitAddress(to));
     socket.setTimeout(dialTimeout, () => {
       if (!line.up) channel.terminate('no hello in time');
@@ -119,11 +119,11 @@
   #greet(socket: Socket): void {
     const channel = new Channel(socket, this.#me, 'control');
     const late = setTimeout(() => {
-      if (channel.who === undefined) channel.terminate('no hello in time');
+      if (channel.peer === undefined) channel.terminate('no hello in time');
     }, dialTimeout);
     this.#watch(channel);
     channel.on('closed', () => clearTimeout(late));
-    channel.on('up', (who: Peer, lane: Lane) => {
+    channel.on('up', (who: Peer, lane: ChannelKind) => {
       if (lane === 'data') {
         channel.removeAllListeners('frame');
         this.emit('data', channel, who);
@@ -141,13 +141,13 @@
   #watch(channel: Channel): void {
     this.#all.add(channel);
     channel.on('frame', (frame: Frame) => {
-      if (channel.who !== undefined) this.emit('frame', channel.who, frame, channel);
+      if (channel.peer !== undefined) this.emit('frame', channel.peer, frame, channel);
     });
     channel.on('closed', (why: string) => {
       this.#all.delete(channel);
       if (why.startsWith('foreign')) {
-        this.foreign += 1;
-        this.emit('fault', `channel with ${channel.who?.node ?? 'a stranger'} dropped: ${why}`);
+        this.protocolErrorCount += 1;
+        this.emit('fault', `channel with ${channel.peer?.node ?? 'a stranger'} dropped: ${why}`);
       }
     });
   }
--- a/packages/transport/src/channel/channel.test.ts
+++ b/packages/transport/src/channel/channel.test.ts
@@ -12,8 +12,8 @@
   toIncarnation,
   toNodeId,
 } from '@switchwheel/types';
-import { Channel, protocol } from './channel.js';
-import { FrameAge, frameLifetime, stampFrame } from './frame-age.js';
+import { Channel, protocolVersion } from './channel.js';
+import { FrameAgeEstimator, frameLifetimeMs, prependSendTime } from './frame-age.js';
 import { FrameDecoder, encodeFrame } from './frame-decoder.js';
 
 const me = (name: string): ConstructorParameters<typeof Channel>[1] => ({
@@ -71,13 +71,13 @@
       one.send({ kind: 'piece', hash: toHash('0'.repeat(64)), data });
   });
   await both;
-  assert.deepEqual([got, two.who?.node], [['a', 'b', 'c'], 'one']);
+  assert.deepEqual([got, two.peer?.node], [['a', 'b', 'c'], 'one']);
   end();
 });
 
 void test('corrupt frames, foreign frames and other protocols end the channel with the reason', async () => {
   const coder = new Encoder({ useRecords: false });
-  const hello = { switchwheel: 'hello', protocol, lane: 'control', ...me('one') };
+  const hello = { switchwheel: 'hello', protocol: protocolVersion, lane: 'control', ...me('one') };
   const bad = encodeFrame(coder.encode({ kind: 'piece' }));
   bad[9] = (bad[9] ?? 0) ^ 1;
   const cases: readonly (readonly [readonly Uint8Array[], RegExp])[] = [
@@ -87,7 +87,7 @@
     [
       [
         encodeFrame(coder.encode(hello)),
-        encodeFrame(stampFrame(coder.encode({ kind: 'nonsense' }), 0)),
+        encodeFrame(prependSendTime(coder.encode({ kind: 'nonsense' }), 0)),
       ],
       /foreign/,
     ],
@@ -155,27 +155,27 @@
   one.on('up', () => {
     const now = performance.now();
     one.send(handover(1), now);
-    one.send(handover(2), now - frameLifetime - 1000);
+    one.send(handover(2), now - frameLifetimeMs - 1000);
     one.send({ kind: 'piece', hash: toHash('0'.repeat(64)), data: 'a' }, now - 20_000);
     one.send(handover(3), now);
   });
   await done;
   assert.deepEqual(got, ['epoch 1', 'piece', 'epoch 3']);
-  assert.equal(two.expired, 1);
+  assert.equal(two.expiredFrameCount, 1);
   end();
 });
 
 void test('age is what exceeds the quickest frame, whatever the two clocks show and however they drift', () => {
-  const age = new FrameAge();
-  assert.equal(age.of(5000, 100), 0, 'the first one sets the difference');
-  const slower = age.of(5100, 203);
+  const age = new FrameAgeEstimator();
+  assert.equal(age.measure(5000, 100), 0, 'the first one sets the difference');
+  const slower = age.measure(5100, 203);
   assert.ok(slower > 2.8 && slower <= 3, String(slower));
-  assert.equal(age.of(5200, 300), 0, 'as quick as the first');
-  assert.ok(age.of(5300, 2400) > frameLifetime, 'held back for two seconds');
+  assert.equal(age.measure(5200, 300), 0, 'as quick as the first');
+  assert.ok(age.measure(5300, 2400) > frameLifetimeMs, 'held back for two seconds');
   // One clock runs 500 ppm faster than the other for a day.
-  const drifting = new FrameAge();
+  const drifting = new FrameAgeEstimator();
   for (let at = 0; at < 86_400_000; at += 60_000)
-    assert.ok(drifting.of(at, at * 1.0005) < 100, String(at));
+    assert.ok(drifting.measure(at, at * 1.0005) < 100, String(at));
   // A stall of twenty seconds is not taken for drift.
-  assert.ok(drifting.of(86_400_000, 86_400_000 * 1.0005 + 20_000) > 19_000);
+  assert.ok(drifting.measure(86_400_000, 86_400_000 * 1.0005 + 20_000) > 19_000);
 });
--- a/packages/transport/src/channel/channel.ts
+++ b/packages/transport/src/channel/channel.ts
@@ -3,19 +3,25 @@
 import * as v from 'valibot';
 import { Encoder } from 'cbor-x';
 import * as g from '@switchwheel/types';
-import { decode, encode, type Frame } from '../frame/frame.js';
-import { FrameAge, expires, frameLifetime, readStamp, stampFrame } from './frame-age.js';
+import { deserializeFrame, serializeFrame, type Frame } from '../frame/frame.js';
+import {
+  FrameAgeEstimator,
+  expiresWithAge,
+  frameLifetimeMs,
+  splitSendTime,
+  prependSendTime,
+} from './frame-age.js';
 import { FrameDecoder, encodeFrame } from './frame-decoder.js';
-import type { Peer } from './wire.js';
+import type { Peer } from './process-event.js';
 
 /** The generation of the frames; another one is refused plainly. */
-export const protocol = 3;
+export const protocolVersion = 3;
 /** How often each side shows that it is there, and how long it may be silent before the channel is over. */
-export const keepaliveInterval = 500;
-export const silenceTimeout = 2000;
+export const keepaliveIntervalMs = 500;
+export const keepaliveTimeoutMs = 2000;
 /** The same between edges that share objects: whoever is silent there is done without after a moment anyway. */
-export const objectsKeepaliveInterval = 4000;
-const objectsSilenceTimeout = 3 * objectsKeepaliveInterval;
+export const objectKeepaliveIntervalMs = 4000;
+const objectsSilenceTimeout = 3 * objectKeepaliveIntervalMs;
 const empty = new Uint8Array();
 const hello = v.object({
   switchwheel: v.literal('hello'),
@@ -28,11 +34,11 @@
   at: v.optional(v.number()),
 });
 type Hello = v.InferOutput<typeof hello>;
-export type Lane = Hello['lane'];
+export type ChannelKind = Hello['lane'];
 const coder = new Encoder({ useRecords: false, mapsAsObjects: true });
 
 interface ChannelEvents {
-  up: (who: Peer, lane: Lane) => void;
+  up: (who: Peer, lane: ChannelKind) => void;
   frame: (frame: Frame) => void;
   closed: (why: string) => void;
   drain: () => void;
@@ -47,20 +53,26 @@
   #over = false;
   #heard = performance.now();
   #looked = performance.now();
-  readonly #age = new FrameAge();
+  readonly #age = new FrameAgeEstimator();
   /** Since when every frame that came was too old; undefined while they are not. */
   #lateSince: number | undefined;
-  #lane: Lane;
+  #lane: ChannelKind;
   #timer: NodeJS.Timeout | undefined;
   /** Frames that were dropped as too old. */
-  expired = 0;
+  expiredFrameCount = 0;
 
-  constructor(socket: Socket, me: Peer, lane: Lane) {
+  constructor(socket: Socket, me: Peer, lane: ChannelKind) {
     super();
     this.#socket = socket;
     socket.setNoDelay(true);
     this.#lane = lane;
-    const greeting: Hello = { switchwheel: 'hello', protocol, lane, at: performance.now(), ...me };
+    const greeting: Hello = {
+      switchwheel: 'hello',
+      protocol: protocolVersion,
+      lane,
+      at: performance.now(),
+      ...me,
+    };
     socket.write(encodeFrame(coder.encode(greeting)));
     socket.on('data', (bytes: Buffer) => this.#take(bytes));
     this.#scheduleLook();
@@ -76,7 +88,7 @@
     });
   }
 
-  get who(): Peer | undefined {
+  get peer(): Peer | undefined {
     return this.#who;
   }
 
@@ -88,12 +100,12 @@
   /** Hands a frame over, with the time at which it was sent; false when the channel is over. */
   send(frame: Frame, sentAt = performance.now()): boolean {
     if (this.#over || this.#socket.destroyed) return false;
-    this.#socket.write(encodeFrame(stampFrame(encode(frame), sentAt)));
+    this.#socket.write(encodeFrame(prependSendTime(serializeFrame(frame), sentAt)));
     return true;
   }
 
   /** Stops taking bytes in, until let go on. */
-  pauseReading(still: boolean): void {
+  setReadingPaused(still: boolean): void {
     if (still) this.#socket.pause();
     else this.#socket.resume();
   }
@@ -113,11 +125,11 @@
   }
 
   get #keepalive(): number {
-    return this.#lane === 'objects' ? objectsKeepaliveInterval : keepaliveInterval;
+    return this.#lane === 'objects' ? objectKeepaliveIntervalMs : keepaliveIntervalMs;
   }
 
   get #silence(): number {
-    return this.#lane === 'objects' ? objectsSilenceTimeout : silenceTimeout;
+    return this.#lane === 'objects' ? objectsSilenceTimeout : keepaliveTimeoutMs;
   }
 
   /** Shows that this side is there; ends a channel whose other side is silent, as after a cut that nobody told of. */
@@ -129,7 +141,7 @@
     if (this.#socket.connecting) return;
     if (now - this.#heard > this.#silence) this.terminate('silent');
     else if (!this.#socket.destroyed && this.#who !== undefined)
-      this.#socket.write(encodeFrame(stampFrame(empty, now)));
+      this.#socket.write(encodeFrame(prependSendTime(empty, now)));
   }
 
   #take(bytes: Buffer): void {
@@ -148,28 +160,28 @@
 
   /** Takes a frame or a keepalive, if it is not too old. */
   #takeStamped(bytes: Uint8Array): void {
-    const stamped = readStamp(bytes);
+    const stamped = splitSendTime(bytes);
     if (stamped === undefined) {
       this.terminate('foreign: no time of sending');
       return;
     }
     const now = performance.now();
-    const late = this.#age.of(stamped.sentAt, now) > frameLifetime;
+    const late = this.#age.measure(stamped.sentAt, now) > frameLifetimeMs;
     this.#noteLate(late, now);
     if (stamped.body.length === 0 || this.#socket.destroyed) return;
-    const frame = decode(stamped.body);
+    const frame = deserializeFrame(stamped.body);
     if (frame.isErr) {
       this.terminate(`foreign: ${frame.error.text}`);
       return;
     }
-    if (late && this.#lane !== 'data' && expires(frame.value)) this.expired += 1;
+    if (late && this.#lane !== 'data' && expiresWithAge(frame.value)) this.expiredFrameCount += 1;
     else this.emit('frame', frame.value);
   }
 
   /** A control channel on which all is late ends: a new one has no backlog, and learns the clocks anew. */
   #noteLate(late: boolean, now: number): void {
     this.#lateSince = late ? (this.#lateSince ?? now) : undefined;
-    if (this.#lane === 'control' && now - (this.#lateSince ?? now) > silenceTimeout)
+    if (this.#lane === 'control' && now - (this.#lateSince ?? now) > keepaliveTimeoutMs)
       this.terminate('late');
   }
 
@@ -186,12 +198,14 @@
       this.terminate('foreign: no hello');
       return;
     }
-    if (read.output.protocol !== protocol) {
-      this.terminate(`foreign: protocol ${read.output.protocol}, this program speaks ${protocol}`);
+    if (read.output.protocol !== protocolVersion) {
+      this.terminate(
+        `foreign: protocol ${read.output.protocol}, this program speaks ${protocolVersion}`,
+      );
       return;
     }
     const { node, address, incarnation, at } = read.output;
-    if (at !== undefined) this.#age.of(at, performance.now());
+    if (at !== undefined) this.#age.measure(at, performance.now());
     if (read.output.lane !== 'control') {
       this.#lane = read.output.lane;
       this.#scheduleLook();
--- a/packages/transport/src/channel/hello-form.test.ts
+++ b/packages/transport/src/channel/hello-form.test.ts
@@ -6,10 +6,10 @@
 import { Encoder } from 'cbor-x';
 import * as v from 'valibot';
 import { toAddress, toIncarnation, toNodeId } from '@switchwheel/types';
-import { Channel, type Lane } from './channel.js';
+import { Channel, type ChannelKind } from './channel.js';
 import { FrameDecoder } from './frame-decoder.js';
 
-const lanes: readonly Lane[] = ['control', 'data', 'objects'];
+const lanes: readonly ChannelKind[] = ['control', 'data', 'objects'];
 const coder = new Encoder({ useRecords: false, mapsAsObjects: true });
 
 /** Reads the first frame that arrives at a socket, as it was encoded. */
@@ -24,7 +24,7 @@
 };
 
 /** The hello of a new channel on a lane. */
-const helloOn = async (lane: Lane): Promise<unknown> => {
+const helloOn = async (lane: ChannelKind): Promise<unknown> => {
   const server = createServer();
   server.listen(0, '127.0.0.1');
   await once(server, 'listening');
--- a/packages/transport/src/channel/wire.ts
+++ b/packages/transport/src/channel/process-event.ts
@@ -9,29 +9,29 @@
 }
 
 /** What reaches a machine from the outside, each with the time it is acted on. */
-export type WireEvent =
+export type ProcessEvent =
   | { readonly kind: 'tick'; readonly now: Timestamp }
   | {
-      readonly kind: 'frame';
+      readonly kind: 'frameReceived';
       readonly now: Timestamp;
       readonly from: Peer;
       readonly frame: Frame;
     }
-  | { readonly kind: 'gone'; readonly now: Timestamp; readonly address: Address };
+  | { readonly kind: 'peerDisconnected'; readonly now: Timestamp; readonly address: Address };
 
 /** What every machine may ask of its shell. */
-export type WireEffect =
+export type ProcessEffect =
   | { readonly kind: 'send'; readonly to: Address; readonly frame: Frame }
   | {
       readonly kind: 'log';
       readonly level: 'info' | 'warn' | 'error';
-      readonly text: string;
-      readonly facts?: ReadonlyMap<string, string | number | boolean>;
+      readonly message: string;
+      readonly fields?: ReadonlyMap<string, string | number | boolean>;
     };
 
-export const send = (to: Address, frame: Frame): WireEffect => ({ kind: 'send', to, frame });
+export const send = (to: Address, frame: Frame): ProcessEffect => ({ kind: 'send', to, frame });
 export const log = (
   level: 'info' | 'warn' | 'error',
   text: string,
   ...facts: readonly (readonly [string, string | number | boolean])[]
-): WireEffect => ({ kind: 'log', level, text, facts: new Map(facts) });
+): ProcessEffect => ({ kind: 'log', level, message: text, fields: new Map(facts) });
--- a/packages/transport/src/frame/control.ts
+++ b/packages/transport/src/frame/control.ts
@@ -2,27 +2,27 @@
 import * as g from '@switchwheel/types';
 import {
   electorate,
-  holder,
+  leaseHolder,
   member,
-  offer,
-  origin,
+  configManifest,
+  originInstance,
   purge,
-  releaseState,
-  report,
-  session,
-  tallyRow,
-  verdict,
+  rolloutState,
+  nodeStatus,
+  sessionRecord,
+  releaseCounts,
+  canaryResult,
 } from './member.js';
 
 const kind = <K extends string>(name: K): v.LiteralSchema<K, undefined> => v.literal(name);
 
 /** One change of the replicated table. */
-export const put = v.object({ key: v.string(), data: v.nullable(v.string()) });
-export type Put = v.InferOutput<typeof put>;
+export const tableMutation = v.object({ key: v.string(), data: v.nullable(v.string()) });
+export type TableMutation = v.InferOutput<typeof tableMutation>;
 
 /** Where in the order of all writes something stands. */
-export const stamp = v.object({ epoch: g.epoch, seq: g.seq });
-export type Stamp = v.InferOutput<typeof stamp>;
+export const logPosition = v.object({ epoch: g.epoch, seq: g.seq });
+export type LogPosition = v.InferOutput<typeof logPosition>;
 
 /** A store's own record of who may be elected. */
 export const clusterMetadata = v.object({
@@ -34,13 +34,13 @@
 });
 export type ClusterMetadata = v.InferOutput<typeof clusterMetadata>;
 
-export const grantRecord = v.object({
+export const leaseGrantRecord = v.object({
   duty: g.leaseName,
   epoch: g.epoch,
   node: g.nodeId,
   inSyncSet: v.array(g.nodeId),
 });
-export type GrantRecord = v.InferOutput<typeof grantRecord>;
+export type LeaseGrantRecord = v.InferOutput<typeof leaseGrantRecord>;
 
 const hint = v.object({
   kind: kind('hint'),
@@ -50,8 +50,8 @@
   /** When the store said it, by its own clock. */
   at: g.timestamp,
   metadata: clusterMetadata,
-  offer: v.optional(offer),
-  origins: v.array(origin),
+  offer: v.optional(configManifest),
+  origins: v.array(originInstance),
 });
 
 export const controlFrames = [
@@ -60,9 +60,9 @@
     member,
     seq: g.seq,
     at: g.timestamp,
-    report,
+    report: nodeStatus,
     bye: v.boolean(),
-    held: v.array(holder),
+    held: v.array(leaseHolder),
     purged: g.seq,
     /** A digest of the records of releases that the node knows: those that are settled are told only if it differs. */
     releases: v.optional(v.string()),
@@ -75,15 +75,15 @@
     /** How old this registry's word of the primary is; absent when it has none that counts. */
     age: v.optional(g.durationMs),
     epoch: g.epoch,
-    offer: v.optional(offer),
+    offer: v.optional(configManifest),
     /** The newest confirmed generation, and how long ago this registry first heard of it. */
     newest: g.generation,
     newestAge: g.durationMs,
     purges: v.array(purge),
     floor: g.seq,
     top: g.seq,
-    verdicts: v.array(verdict),
-    releases: v.array(releaseState),
+    verdicts: v.array(canaryResult),
+    releases: v.array(rolloutState),
     /** Duties whose lease this registry, as a voter, knows to be over. */
     vacant: v.array(g.leaseName),
     electorate: v.optional(electorate),
@@ -91,27 +91,27 @@
   }),
   v.object({ kind: kind('handover'), duty: g.leaseName, epoch: g.epoch }),
   /** An origin leaves or is gone: a registry tells its peers, and each answers that it took the word. */
-  v.object({ kind: kind('departure'), origin }),
+  v.object({ kind: kind('departure'), origin: originInstance }),
   v.object({
     kind: kind('departure-ack'),
     node: g.nodeId,
     instance: g.instanceId,
-    state: origin.entries.state,
+    state: originInstance.entries.state,
   }),
   v.object({
     kind: kind('member-list'),
     members: v.array(member),
-    origins: v.array(origin),
-    holders: v.array(holder),
+    origins: v.array(originInstance),
+    holders: v.array(leaseHolder),
   }),
   v.object({
     kind: kind('gossip'),
     from: member,
     full: v.boolean(),
-    sessions: v.array(session),
-    origins: v.array(origin),
-    holders: v.array(holder),
-    memories: v.array(grantRecord),
+    sessions: v.array(sessionRecord),
+    origins: v.array(originInstance),
+    holders: v.array(leaseHolder),
+    memories: v.array(leaseGrantRecord),
     recovering: v.boolean(),
     at: g.timestamp,
     /** The newest gossip that the sender has from each registry, by that registry's own clock. */
@@ -132,7 +132,7 @@
     preVote: v.boolean(),
     renew: v.boolean(),
     inSyncSet: v.array(g.nodeId),
-    held: v.optional(holder),
+    held: v.optional(leaseHolder),
     stepDown: v.boolean(),
     /** With `stepDown`: the epoch was never won, and never will be. */
     abandoned: v.optional(v.boolean()),
@@ -157,14 +157,14 @@
   }),
   v.object({
     kind: kind('bootstrap'),
-    id: g.callId,
+    id: g.commandId,
     fleet: g.fleetId,
     stores: v.array(v.object({ node: g.nodeId, address: g.address })),
     electorate,
   }),
   v.object({
     kind: kind('bootstrapped'),
-    id: g.callId,
+    id: g.commandId,
     node: g.nodeId,
     ok: v.boolean(),
     text: v.string(),
@@ -172,9 +172,9 @@
   v.object({
     kind: kind('replicate'),
     metadata: clusterMetadata,
-    stamp,
-    prior: stamp,
-    puts: v.array(put),
+    stamp: logPosition,
+    prior: logPosition,
+    puts: v.array(tableMutation),
   }),
   v.object({
     kind: kind('replicated'),
@@ -190,7 +190,7 @@
     kind: kind('replica-status'),
     node: g.nodeId,
     metadata: v.optional(clusterMetadata),
-    stamp,
+    stamp: logPosition,
     primary: v.boolean(),
     full: v.boolean(),
     /** Set once this store was asked to stop: its place among the copies goes to another. */
@@ -201,9 +201,9 @@
   v.object({
     kind: kind('range-listing'),
     epoch: g.epoch,
-    stamp,
+    stamp: logPosition,
     range: v.number(),
-    keys: v.array(v.object({ key: v.string(), stamp })),
+    keys: v.array(v.object({ key: v.string(), stamp: logPosition })),
   }),
   v.object({
     kind: kind('fetch-entries'),
@@ -216,8 +216,8 @@
     epoch: g.epoch,
     metadata: clusterMetadata,
     /** The stamp that the store has from now on, if its digests are these. */
-    settled: v.optional(v.object({ stamp, digests: v.array(v.string()) })),
-    entries: v.array(v.object({ key: v.string(), stamp, data: v.string() })),
+    settled: v.optional(v.object({ stamp: logPosition, digests: v.array(v.string()) })),
+    entries: v.array(v.object({ key: v.string(), stamp: logPosition, data: v.string() })),
   }),
   v.object({
     kind: kind('subscribe'),
@@ -234,7 +234,7 @@
         role: v.string(),
         incarnation: g.incarnation,
         open: v.boolean(),
-        report,
+        report: nodeStatus,
       }),
     ),
   }),
@@ -253,13 +253,13 @@
         }),
       ),
     ),
-    offers: v.array(offer),
-    current: v.optional(offer),
+    offers: v.array(configManifest),
+    current: v.optional(configManifest),
     purges: v.array(purge),
     floor: g.seq,
     top: g.seq,
-    verdicts: v.array(verdict),
-    releases: v.array(releaseState),
+    verdicts: v.array(canaryResult),
+    releases: v.array(rolloutState),
     electorate: v.optional(electorate),
     fleet: g.fleetId,
   }),
@@ -269,12 +269,12 @@
   v.object({ kind: kind('piece'), hash: g.hash, data: v.string() }),
   v.object({
     kind: kind('call'),
-    id: g.callId,
+    id: g.commandId,
     verb: v.picklist(['apply', 'purge', 'ask', 'view', 'electorate', 'release']),
     body: v.string(),
     base: v.optional(g.generation),
   }),
-  v.object({ kind: kind('called'), id: g.callId, status: v.number(), body: v.string() }),
+  v.object({ kind: kind('called'), id: g.commandId, status: v.number(), body: v.string() }),
   v.object({
     kind: kind('trial'),
     service: g.serviceName,
@@ -287,7 +287,7 @@
     at: g.timestamp,
     node: g.nodeId,
   }),
-  v.object({ kind: kind('tried'), verdict, at: g.timestamp }),
+  v.object({ kind: kind('tried'), verdict: canaryResult, at: g.timestamp }),
   /** Cumulative counts of an edge's life since it heard of the order; sent while one stands and its term is not over. */
   v.object({
     kind: kind('tally'),
@@ -297,7 +297,7 @@
     /** The order that is counted for, and the state that the edge acts on. */
     order: g.seq,
     serial: g.seq,
-    rows: v.array(tallyRow),
+    rows: v.array(releaseCounts),
     /** Requests under way at origins of other releases than the target. */
     inFlightOld: v.pipe(v.number(), v.integer(), v.minValue(0)),
     /** How much of the order's span is over by this edge's own clock; lets a new primary go on in time. */
--- a/packages/transport/src/frame/data.ts
+++ b/packages/transport/src/frame/data.ts
@@ -5,11 +5,11 @@
 const bytes = v.custom<Uint8Array>((raw) => raw instanceof Uint8Array, 'bytes');
 
 /** Header fields in their order, names in lower case. */
-export const fields = v.array(v.tuple([v.string(), v.string()]));
-export type Fields = v.InferOutput<typeof fields>;
+export const headerFields = v.array(v.tuple([v.string(), v.string()]));
+export type HeaderFields = v.InferOutput<typeof headerFields>;
 
 /** A request on its way from an edge to a keeper. */
-export const ask = v.object({
+export const forwardedRequest = v.object({
   kind: kind('ask'),
   id: g.requestId,
   service: g.serviceName,
@@ -20,7 +20,7 @@
   method: v.string(),
   host: v.string(),
   path: v.string(),
-  fields,
+  fields: headerFields,
   body: bytes,
   repeatable: v.boolean(),
   storable: v.boolean(),
@@ -32,15 +32,15 @@
   /** The last purge the asking edge heard: nothing older may be told it. */
   purged: g.seq,
 });
-export type Ask = v.InferOutput<typeof ask>;
+export type ForwardedRequest = v.InferOutput<typeof forwardedRequest>;
 
 export const dataFrames = [
-  ask,
+  forwardedRequest,
   v.object({
     kind: kind('result'),
     id: g.requestId,
     status: v.number(),
-    fields,
+    fields: headerFields,
     length: v.optional(v.number()),
     age: g.durationMs,
     instance: v.optional(g.instanceId),
--- a/packages/transport/src/frame/frame-schemas.test.ts
+++ b/packages/transport/src/frame/frame-schemas.test.ts
@@ -6,8 +6,14 @@
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
 import { type Outline, outlineSchema, outlineSchemas } from '@switchwheel/types/testing';
-import { clusterMetadata, controlFrames, grantRecord, put, stamp } from './control.js';
-import { dataFrames, fields } from './data.js';
+import {
+  clusterMetadata,
+  controlFrames,
+  leaseGrantRecord,
+  tableMutation,
+  logPosition,
+} from './control.js';
+import { dataFrames, headerFields } from './data.js';
 import * as members from './member.js';
 import { objectFrames } from './object.js';
 
@@ -22,26 +28,26 @@
 
 const outlineParts = (): Readonly<Record<string, Outline>> =>
   outlineSchemas({
-    put,
-    stamp,
+    put: tableMutation,
+    stamp: logPosition,
     clusterMetadata,
-    grantRecord,
-    headerFields: fields,
+    grantRecord: leaseGrantRecord,
+    headerFields: headerFields,
     health: members.health,
     role: members.role,
-    report: members.report,
+    report: members.nodeStatus,
     member: members.member,
-    session: members.session,
-    origin: members.origin,
-    holder: members.holder,
+    session: members.sessionRecord,
+    origin: members.originInstance,
+    holder: members.leaseHolder,
     electorate: members.electorate,
-    purgeTarget: members.aim,
+    purgeTarget: members.purgeTarget,
     purge: members.purge,
-    offer: members.offer,
-    verdict: members.verdict,
-    releasePhase: members.releasePhase,
-    releaseState: members.releaseState,
-    tallyRow: members.tallyRow,
+    offer: members.configManifest,
+    verdict: members.canaryResult,
+    releasePhase: members.rolloutPhase,
+    releaseState: members.rolloutState,
+    tallyRow: members.releaseCounts,
   });
 
 void test('every frame and every part that frames share has the form that peers expect', () => {
--- a/packages/transport/src/frame/frame.ts
+++ b/packages/transport/src/frame/frame.ts
@@ -22,13 +22,13 @@
 let last: { readonly value: Frame; readonly bytes: Uint8Array } | undefined;
 
 /** Writes a frame down; one that goes to several peers in a row only once. */
-export const encode = (value: Frame): Uint8Array => {
+export const serializeFrame = (value: Frame): Uint8Array => {
   if (last?.value !== value) last = { value, bytes: coder.encode(value) };
   return last.bytes;
 };
 
 /** Reads a frame; what is not one is told and nothing of it is used. */
-export const decode = (bytes: Uint8Array): Result<Frame, Failure> => {
+export const deserializeFrame = (bytes: Uint8Array): Result<Frame, Failure> => {
   let raw: unknown;
   try {
     raw = coder.decode(bytes);
--- a/packages/transport/src/frame/member.ts
+++ b/packages/transport/src/frame/member.ts
@@ -18,7 +18,7 @@
 export const role = v.picklist(['edge', 'shield', 'registry', 'store']);
 
 /** What a node says of the description it runs. */
-export const report = v.object({
+export const nodeStatus = v.object({
   generation: g.generation,
   hash: v.optional(g.hash),
   phase: v.picklist(['none', 'applying', 'applied', 'failed']),
@@ -26,7 +26,7 @@
   health: health,
   ready: v.boolean(),
 });
-export type Report = v.InferOutput<typeof report>;
+export type NodeStatus = v.InferOutput<typeof nodeStatus>;
 
 /** A node as the fleet knows it. */
 export const member = v.object({
@@ -42,18 +42,18 @@
 export type Member = v.InferOutput<typeof member>;
 
 /** A session as its registry tells it; `seq` grows with each word of the node. */
-export const session = v.object({
+export const sessionRecord = v.object({
   member,
-  report,
+  report: nodeStatus,
   registry: g.nodeId,
   seq: g.seq,
   age: g.durationMs,
   open: v.boolean(),
 });
-export type Session = v.InferOutput<typeof session>;
+export type SessionRecord = v.InferOutput<typeof sessionRecord>;
 
 /** A run of an origin, as it announced itself. */
-export const origin = v.object({
+export const originInstance = v.object({
   service: g.serviceName,
   instance: g.instanceId,
   address: g.address,
@@ -67,17 +67,17 @@
   coldMs: v.optional(g.durationMs),
   age: g.durationMs,
 });
-export type Origin = v.InferOutput<typeof origin>;
+export type OriginInstance = v.InferOutput<typeof originInstance>;
 
 /** Who holds a duty, by its own word after it won. */
-export const holder = v.object({
+export const leaseHolder = v.object({
   duty: g.leaseName,
   epoch: g.epoch,
   node: g.nodeId,
   address: g.address,
   door: v.optional(g.address),
 });
-export type Holder = v.InferOutput<typeof holder>;
+export type LeaseHolder = v.InferOutput<typeof leaseHolder>;
 
 /** The voters that may grant duties; changed by one member at a time. */
 export const electorate = v.object({
@@ -87,23 +87,27 @@
 export type Electorate = v.InferOutput<typeof electorate>;
 
 /** What a purge aims at. */
-export const aim = v.variant('by', [
+export const purgeTarget = v.variant('by', [
   v.object({ by: v.literal('object'), host: v.optional(v.string()), path: v.string() }),
   v.object({ by: v.literal('tag'), tag: v.string() }),
   v.object({ by: v.literal('all') }),
 ]);
-export type Aim = v.InferOutput<typeof aim>;
+export type PurgeTarget = v.InferOutput<typeof purgeTarget>;
 
 /** A batch of purges, in the order of its number. */
-export const purge = v.object({ seq: g.seq, aims: v.array(aim) });
+export const purge = v.object({ seq: g.seq, aims: v.array(purgeTarget) });
 export type Purge = v.InferOutput<typeof purge>;
 
 /** What a node is to run: the whole description as the hashes of its pieces. */
-export const offer = v.object({ generation: g.generation, hash: g.hash, pieces: v.array(g.hash) });
-export type Offer = v.InferOutput<typeof offer>;
+export const configManifest = v.object({
+  generation: g.generation,
+  hash: g.hash,
+  pieces: v.array(g.hash),
+});
+export type ConfigManifest = v.InferOutput<typeof configManifest>;
 
 /** A stored judgement on a release of a service. */
-export const verdict = v.object({
+export const canaryResult = v.object({
   service: g.serviceName,
   release: g.release,
   state: v.picklist(['trial', 'good', 'bad']),
@@ -114,21 +118,21 @@
   /** The service's traffic since the trial began, as last told. */
   seen: v.pipe(v.number(), v.integer(), v.minValue(0)),
 });
-export type Verdict = v.InferOutput<typeof verdict>;
+export type CanaryResult = v.InferOutput<typeof canaryResult>;
 
 const count = v.pipe(v.number(), v.integer(), v.minValue(0));
 const share = v.pipe(v.number(), v.minValue(0), v.maxValue(1));
 
 /** How far the order to move a service to a release is: on trial, all moving, or judged. */
-export const releasePhase = v.picklist(['none', 'trial', 'moving', 'good', 'bad']);
-export type ReleasePhase = v.InferOutput<typeof releasePhase>;
+export const rolloutPhase = v.picklist(['none', 'trial', 'moving', 'good', 'bad']);
+export type RolloutPhase = v.InferOutput<typeof rolloutPhase>;
 
 /** Which release a service's requests go to. */
-export const releaseState = v.object({
+export const rolloutState = v.object({
   service: g.serviceName,
   settled: v.optional(g.release),
   target: v.optional(g.release),
-  phase: releasePhase,
+  phase: rolloutPhase,
   /** The share of an edge's own requests that the target gets while on trial. */
   share,
   /** Classes with another share than that: each needs enough answers to be judged by. */
@@ -139,10 +143,10 @@
   /** Grows with each change of the state; only the highest counts. */
   serial: g.seq,
 });
-export type ReleaseState = v.InferOutput<typeof releaseState>;
+export type RolloutState = v.InferOutput<typeof rolloutState>;
 
 /** What an edge sent to a release on behalf of a class, and what became of it. */
-export const tallyRow = v.object({
+export const releaseCounts = v.object({
   release: g.release,
   group: v.string(),
   sent: count,
@@ -151,4 +155,4 @@
   slow: count,
   sumMs: v.pipe(v.number(), v.minValue(0)),
 });
-export type TallyRow = v.InferOutput<typeof tallyRow>;
+export type ReleaseCountsRow = v.InferOutput<typeof releaseCounts>;
--- a/packages/transport/src/frame/object.ts
+++ b/packages/transport/src/frame/object.ts
@@ -1,7 +1,7 @@
 /** Frames by which edges of an area share the objects that they keep. */
 import * as v from 'valibot';
 import * as g from '@switchwheel/types';
-import { fields } from './data.js';
+import { headerFields } from './data.js';
 
 const kind = <K extends string>(name: K): v.LiteralSchema<K, undefined> => v.literal(name);
 const bytes = v.custom<Uint8Array>((raw) => raw instanceof Uint8Array, 'bytes');
@@ -20,7 +20,7 @@
     host: v.string(),
     target: v.string(),
     /** The request's fields on which the object may depend. */
-    fields,
+    fields: headerFields,
     left: g.durationMs,
   }),
   /** The object, with its age and the last purge that it is known to have outlived. */
@@ -29,7 +29,7 @@
     id: requestId,
     age: g.durationMs,
     purged: g.seq,
-    fields,
+    fields: headerFields,
     body: bytes,
   }),
   /** What becomes of a request for which there is no object yet: it is being fetched, or the asking edge is on its own. */
--- a/packages/types/src/failure/failure.ts
+++ b/packages/types/src/failure/failure.ts
@@ -21,30 +21,30 @@
 export interface ErrorResponse {
   readonly status: number;
   /** Whether the request is known not to have run. */
-  readonly unrun: boolean;
+  readonly didNotRun: boolean;
   /** Seconds after which asking again makes sense. */
   readonly retryAfter?: number;
 }
 
 const responses: ReadonlyMap<ErrorKind, ErrorResponse> = new Map<ErrorKind, ErrorResponse>([
-  ['rejected', { status: 503, unrun: true, retryAfter: 1 }],
-  ['unknown', { status: 502, unrun: false }],
-  ['slow', { status: 504, unrun: false }],
-  ['lost', { status: 502, unrun: false }],
-  ['malformed', { status: 400, unrun: true }],
-  ['oversized', { status: 413, unrun: true }],
-  ['denied', { status: 403, unrun: true }],
-  ['invalid', { status: 422, unrun: true }],
-  ['stale', { status: 409, unrun: true }],
-  ['absent', { status: 404, unrun: true }],
-  ['unready', { status: 503, unrun: true, retryAfter: 1 }],
-  ['damaged', { status: 500, unrun: true }],
-  ['foreign', { status: 400, unrun: true }],
-  ['broken', { status: 500, unrun: false }],
+  ['rejected', { status: 503, didNotRun: true, retryAfter: 1 }],
+  ['unknown', { status: 502, didNotRun: false }],
+  ['slow', { status: 504, didNotRun: false }],
+  ['lost', { status: 502, didNotRun: false }],
+  ['malformed', { status: 400, didNotRun: true }],
+  ['oversized', { status: 413, didNotRun: true }],
+  ['denied', { status: 403, didNotRun: true }],
+  ['invalid', { status: 422, didNotRun: true }],
+  ['stale', { status: 409, didNotRun: true }],
+  ['absent', { status: 404, didNotRun: true }],
+  ['unready', { status: 503, didNotRun: true, retryAfter: 1 }],
+  ['damaged', { status: 500, didNotRun: true }],
+  ['foreign', { status: 400, didNotRun: true }],
+  ['broken', { status: 500, didNotRun: false }],
 ]);
 
-const worst: ErrorResponse = { status: 500, unrun: false };
-export const responseFor = (kind: ErrorKind): ErrorResponse => responses.get(kind) ?? worst;
+const worst: ErrorResponse = { status: 500, didNotRun: false };
+export const errorResponseFor = (kind: ErrorKind): ErrorResponse => responses.get(kind) ?? worst;
 
 /** One thing that went wrong. */
 export interface Failure {
--- a/packages/types/src/id/name.ts
+++ b/packages/types/src/id/name.ts
@@ -20,7 +20,7 @@
 /** An IP number and a port. */
 export type Address = Brand<string, 'Address'>;
 /** The id an operator's call bears, so that asking twice is safe. */
-export type CallId = Brand<string, 'CallId'>;
+export type CommandId = Brand<string, 'CallId'>;
 /** A SHA-256 in hex. */
 export type Hash = Brand<string, 'Hash'>;
 /** A version of an origin's program, as the origin names it. */
@@ -44,7 +44,7 @@
 export const isInstanceId = (raw: unknown): raw is InstanceId => isWord(raw);
 export const isFleetId = (raw: unknown): raw is FleetId => isWord(raw);
 export const isLeaseName = (raw: unknown): raw is LeaseName => isWord(raw);
-export const isCallId = (raw: unknown): raw is CallId => isWord(raw);
+export const isCommandId = (raw: unknown): raw is CommandId => isWord(raw);
 export const isRelease = (raw: unknown): raw is Release => isWord(raw);
 export const isRequestId = (raw: unknown): raw is RequestId => isWord(raw);
 export const isHash = (raw: unknown): raw is Hash => typeof raw === 'string' && hex.test(raw);
@@ -87,7 +87,7 @@
 );
 export const fleetId = v.custom<FleetId>(isFleetId, 'a fleet id of at most 128 plain signs');
 export const leaseName = v.custom<LeaseName>(isLeaseName, 'a duty');
-export const callId = v.custom<CallId>(isCallId, 'a call id of at most 128 plain signs');
+export const commandId = v.custom<CommandId>(isCommandId, 'a call id of at most 128 plain signs');
 export const release = v.custom<Release>(isRelease, 'a release of at most 128 plain signs');
 export const requestId = v.custom<RequestId>(isRequestId, 'an ask id');
 export const hash = v.custom<Hash>(isHash, 'a SHA-256 in hex');
@@ -111,7 +111,7 @@
 export const toInstanceId = need(isInstanceId, 'an instance id');
 export const toFleetId = need(isFleetId, 'a fleet id');
 export const toAddress = need(isAddress, 'an address');
-export const toCallId = need(isCallId, 'a call id');
+export const toCommandId = need(isCommandId, 'a call id');
 export const toHash = need(isHash, 'a hash');
 export const toRequestId = need(isRequestId, 'an ask id');
 export const toRelease = need(isRelease, 'a release');
--- a/packages/types/src/state-machine/store.ts
+++ b/packages/types/src/state-machine/state-machine.ts
@@ -1,17 +1,17 @@
 import type { Transition } from './transition.js';
 
 /** Holds one state; every change of it goes through the reducer, every effect through the runner. */
-export interface Store<S, E> {
+export interface StateMachine<S, E> {
   readonly state: () => S;
   readonly dispatch: (event: E) => void;
 }
 
 /** A redux-like store with effects: events that effects raise at once wait their turn. */
-export const createStore = <S, E, F>(
+export const createStateMachine = <S, E, F>(
   reduce: (state: S, event: E) => Transition<S, F>,
   first: S,
   run: (effect: F, dispatch: (event: E) => void) => void,
-): Store<S, E> => {
+): StateMachine<S, E> => {
   let state = first;
   let busy = false;
   const waitlist: E[] = [];
