--- a/packages/types/src/id/name.ts
+++ b/packages/types/src/id/name.ts
@@ -1,121 +1,228 @@
+/**
+ * Names and ids as branded strings. Each has a guard (`isX`), a valibot schema for input from outside
+ * (`x`), and for the values that a program makes itself a checked conversion (`toX`), which throws a
+ * TypeError: a bad value there is a mistake of the program.
+ */
+
 import * as v from 'valibot';
 import type { Brand } from './brand.js';
 
-/** The name of a node: one process of the fleet. */
-export type NodeId = Brand<string, 'NodeId'>;
-/** The name of an area (a zone of machines). */
-export type ZoneName = Brand<string, 'ZoneName'>;
-/** The name of a service that origins stand behind. */
-export type ServiceName = Brand<string, 'ServiceName'>;
-/** The name of a service class. */
-export type ClassName = Brand<string, 'ClassName'>;
-/** The name of a route. */
-export type RouteName = Brand<string, 'RouteName'>;
-/** The id one run of an origin gives itself. */
-export type InstanceId = Brand<string, 'InstanceId'>;
-/** The id of a fleet, made once when it is founded. */
-export type FleetId = Brand<string, 'FleetId'>;
-/** A duty that one node does at a time: `primary` or `keeper:<service>`. */
-export type LeaseName = Brand<string, 'LeaseName'>;
-/** An IP number and a port. */
-export type Address = Brand<string, 'Address'>;
-/** The id an operator's call bears, so that asking twice is safe. */
-export type CommandId = Brand<string, 'CallId'>;
-/** A SHA-256 in hex. */
-export type Hash = Brand<string, 'Hash'>;
-/** A version of an origin's program, as the origin names it. */
-export type Release = Brand<string, 'Release'>;
-/** The id of one request on its way through the fleet. */
-export type RequestId = Brand<string, 'RequestId'>;
+const identifierPattern = /^[A-Za-z0-9][A-Za-z0-9._:@/+-]{0,127}$/;
+const shortNamePattern = /^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$/;
+const ipAndPortPattern = /^(?:(?:\d{1,3}\.){3}\d{1,3}|\[[0-9a-fA-F:]+\]):\d{1,5}$/;
+const sha256HexPattern = /^[0-9a-f]{64}$/;
+const maxPort = 65535;
+const maxOctet = 255;
+
+const isShortName = (text: string): boolean => shortNamePattern.test(text);
+const isIdentifier = (text: string): boolean => identifierPattern.test(text);
+const isSha256Hex = (text: string): boolean => sha256HexPattern.test(text);
+
+const isIpAndPort = (text: string): boolean => {
+  if (!ipAndPortPattern.test(text)) return false;
+  const colonIndex = text.lastIndexOf(':');
+  if (Number(text.slice(colonIndex + 1)) > maxPort) return false;
+  if (text.startsWith('[')) return true;
+  return text
+    .slice(0, colonIndex)
+    .split('.')
+    .every((octet) => Number(octet) <= maxOctet);
+};
+
+/** What belongs to one branded string type. */
+interface BrandedString<T extends string> {
+  readonly is: (raw: unknown) => raw is T;
+  readonly schema: v.CustomSchema<T, v.ErrorMessage<v.CustomIssue> | undefined>;
+  /** Throws a TypeError for a value that the guard refuses. */
+  readonly from: (raw: string) => T;
+}
 
-const word = /^[A-Za-z0-9][A-Za-z0-9._:@/+-]{0,127}$/;
-const plain = /^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$/;
-const spot = /^(?:(?:\d{1,3}\.){3}\d{1,3}|\[[0-9a-fA-F:]+\]):\d{1,5}$/;
-const hex = /^[0-9a-f]{64}$/;
-
-const isWord = (raw: unknown): raw is string => typeof raw === 'string' && word.test(raw);
-const isPlain = (raw: unknown): raw is string => typeof raw === 'string' && plain.test(raw);
-
-export const isNodeId = (raw: unknown): raw is NodeId => isPlain(raw);
-export const isZoneName = (raw: unknown): raw is ZoneName => isPlain(raw);
-export const isServiceName = (raw: unknown): raw is ServiceName => isPlain(raw);
-export const isClassName = (raw: unknown): raw is ClassName => isPlain(raw);
-export const isRouteName = (raw: unknown): raw is RouteName => isPlain(raw);
-export const isInstanceId = (raw: unknown): raw is InstanceId => isWord(raw);
-export const isFleetId = (raw: unknown): raw is FleetId => isWord(raw);
-export const isLeaseName = (raw: unknown): raw is LeaseName => isWord(raw);
-export const isCommandId = (raw: unknown): raw is CommandId => isWord(raw);
-export const isRelease = (raw: unknown): raw is Release => isWord(raw);
-export const isRequestId = (raw: unknown): raw is RequestId => isWord(raw);
-export const isHash = (raw: unknown): raw is Hash => typeof raw === 'string' && hex.test(raw);
-export const isAddress = (raw: unknown): raw is Address => {
-  if (typeof raw !== 'string' || !spot.test(raw)) return false;
-  const port = Number(raw.slice(raw.lastIndexOf(':') + 1));
-  if (port > 65535) return false;
-  return (
-    raw.startsWith('[') ||
-    raw
-      .slice(0, raw.lastIndexOf(':'))
-      .split('.')
-      .every((part) => Number(part) <= 255)
-  );
+/** Derives guard, schema and conversion of a branded string from the rule that its values satisfy. */
+const brandedString = <T extends string>(
+  isValid: (text: string) => boolean,
+  schemaMessage: string,
+  noun: string,
+): BrandedString<T> => {
+  const is = (raw: unknown): raw is T => typeof raw === 'string' && isValid(raw);
+  return {
+    is,
+    schema: v.custom<T>(is, schemaMessage),
+    from: (raw) => {
+      if (is(raw)) return raw;
+      throw new TypeError(`not ${noun}: ${raw}`);
+    },
+  };
 };
 
-export const nodeId = v.custom<NodeId>(
-  isNodeId,
+/** The name of a node: one process of the fleet. At most 64 characters. */
+export type NodeId = Brand<string, 'NodeId'>;
+const nodeIdBrand = brandedString<NodeId>(
+  isShortName,
   'a node name: letters, digits, dot, dash, at most 64',
+  'a node name',
 );
-export const zoneName = v.custom<ZoneName>(
-  isZoneName,
+/** Whether a value is a valid {@link NodeId}. */
+export const isNodeId = nodeIdBrand.is;
+/** Schema of a {@link NodeId}. */
+export const nodeId = nodeIdBrand.schema;
+/** Converts a string to a {@link NodeId}; throws a TypeError if it is not valid. */
+export const toNodeId = nodeIdBrand.from;
+
+/** The name of a zone of machines (`area` in the settings). At most 64 characters. */
+export type ZoneName = Brand<string, 'ZoneName'>;
+const zoneNameBrand = brandedString<ZoneName>(
+  isShortName,
   'an area name: letters, digits, dot, dash, at most 64',
+  'an area name',
 );
-export const serviceName = v.custom<ServiceName>(
-  isServiceName,
+/** Whether a value is a valid {@link ZoneName}. */
+export const isZoneName = zoneNameBrand.is;
+/** Schema of a {@link ZoneName}. */
+export const zoneName = zoneNameBrand.schema;
+/** Converts a string to a {@link ZoneName}; throws a TypeError if it is not valid. */
+export const toZoneName = zoneNameBrand.from;
+
+/** The name of a service that origins stand behind. At most 64 characters. */
+export type ServiceName = Brand<string, 'ServiceName'>;
+const serviceNameBrand = brandedString<ServiceName>(
+  isShortName,
   'a service name: letters, digits, dot, dash, at most 64',
+  'a service name',
 );
-export const className = v.custom<ClassName>(
-  isClassName,
+/** Whether a value is a valid {@link ServiceName}. */
+export const isServiceName = serviceNameBrand.is;
+/** Schema of a {@link ServiceName}. */
+export const serviceName = serviceNameBrand.schema;
+/** Converts a string to a {@link ServiceName}; throws a TypeError if it is not valid. */
+export const toServiceName = serviceNameBrand.from;
+
+/** The name of a service class. At most 64 characters. */
+export type ClassName = Brand<string, 'ClassName'>;
+const classNameBrand = brandedString<ClassName>(
+  isShortName,
   'a class name: letters, digits, dot, dash, at most 64',
+  'a class name',
 );
-export const routeName = v.custom<RouteName>(
-  isRouteName,
+/** Whether a value is a valid {@link ClassName}. */
+export const isClassName = classNameBrand.is;
+/** Schema of a {@link ClassName}. */
+export const className = classNameBrand.schema;
+/** Converts a string to a {@link ClassName}; throws a TypeError if it is not valid. */
+export const toClassName = classNameBrand.from;
+
+/** The name of a route. At most 64 characters. */
+export type RouteName = Brand<string, 'RouteName'>;
+const routeNameBrand = brandedString<RouteName>(
+  isShortName,
   'a route name: letters, digits, dot, dash, at most 64',
+  'a route name',
 );
-export const instanceId = v.custom<InstanceId>(
-  isInstanceId,
+/** Whether a value is a valid {@link RouteName}. */
+export const isRouteName = routeNameBrand.is;
+/** Schema of a {@link RouteName}. */
+export const routeName = routeNameBrand.schema;
+
+/** The id that one run of an origin gives itself. At most 128 characters. */
+export type InstanceId = Brand<string, 'InstanceId'>;
+const instanceIdBrand = brandedString<InstanceId>(
+  isIdentifier,
   'an instance id of at most 128 plain signs',
+  'an instance id',
+);
+/** Whether a value is a valid {@link InstanceId}. */
+export const isInstanceId = instanceIdBrand.is;
+/** Schema of a {@link InstanceId}. */
+export const instanceId = instanceIdBrand.schema;
+/** Converts a string to a {@link InstanceId}; throws a TypeError if it is not valid. */
+export const toInstanceId = instanceIdBrand.from;
+
+/** The id of a fleet, made once when the fleet is bootstrapped. */
+export type FleetId = Brand<string, 'FleetId'>;
+const fleetIdBrand = brandedString<FleetId>(
+  isIdentifier,
+  'a fleet id of at most 128 plain signs',
+  'a fleet id',
+);
+/** Whether a value is a valid {@link FleetId}. */
+export const isFleetId = fleetIdBrand.is;
+/** Schema of a {@link FleetId}. */
+export const fleetId = fleetIdBrand.schema;
+/** Converts a string to a {@link FleetId}; throws a TypeError if it is not valid. */
+export const toFleetId = fleetIdBrand.from;
+
+/** The name of a lease that one node holds at a time: `primary` or `keeper:<service>`, as on the wire. */
+export type LeaseName = Brand<string, 'LeaseName'>;
+const leaseNameBrand = brandedString<LeaseName>(isIdentifier, 'a duty', 'a duty');
+/** Whether a value is a valid {@link LeaseName}. */
+export const isLeaseName = leaseNameBrand.is;
+/** Schema of a {@link LeaseName}. */
+export const leaseName = leaseNameBrand.schema;
+
+/** The idempotency key of an operator's command: a repeated command has the effect of one. */
+export type CommandId = Brand<string, 'CommandId'>;
+const commandIdBrand = brandedString<CommandId>(
+  isIdentifier,
+  'a call id of at most 128 plain signs',
+  'a call id',
+);
+/** Whether a value is a valid {@link CommandId}. */
+export const isCommandId = commandIdBrand.is;
+/** Schema of a {@link CommandId}. */
+export const commandId = commandIdBrand.schema;
+/** Converts a string to a {@link CommandId}; throws a TypeError if it is not valid. */
+export const toCommandId = commandIdBrand.from;
+
+/** A version of an origin's program, as the origin names it. */
+export type Release = Brand<string, 'Release'>;
+const releaseBrand = brandedString<Release>(
+  isIdentifier,
+  'a release of at most 128 plain signs',
+  'a release',
 );
-export const fleetId = v.custom<FleetId>(isFleetId, 'a fleet id of at most 128 plain signs');
-export const leaseName = v.custom<LeaseName>(isLeaseName, 'a duty');
-export const commandId = v.custom<CommandId>(isCommandId, 'a call id of at most 128 plain signs');
-export const release = v.custom<Release>(isRelease, 'a release of at most 128 plain signs');
-export const requestId = v.custom<RequestId>(isRequestId, 'an ask id');
-export const hash = v.custom<Hash>(isHash, 'a SHA-256 in hex');
-export const address = v.custom<Address>(
-  isAddress,
+/** Whether a value is a valid {@link Release}. */
+export const isRelease = releaseBrand.is;
+/** Schema of a {@link Release}. */
+export const release = releaseBrand.schema;
+/** Converts a string to a {@link Release}; throws a TypeError if it is not valid. */
+export const toRelease = releaseBrand.from;
+
+/** The id of one client request on its way through the fleet. */
+export type RequestId = Brand<string, 'RequestId'>;
+const requestIdBrand = brandedString<RequestId>(isIdentifier, 'an ask id', 'an ask id');
+/** Whether a value is a valid {@link RequestId}. */
+export const isRequestId = requestIdBrand.is;
+/** Schema of a {@link RequestId}. */
+export const requestId = requestIdBrand.schema;
+/** Converts a string to a {@link RequestId}; throws a TypeError if it is not valid. */
+export const toRequestId = requestIdBrand.from;
+
+/** A SHA-256 digest: 64 lower-case hexadecimal digits. */
+export type Hash = Brand<string, 'Hash'>;
+const hashBrand = brandedString<Hash>(isSha256Hex, 'a SHA-256 in hex', 'a hash');
+/** Whether a value is a valid {@link Hash}. */
+export const isHash = hashBrand.is;
+/** Schema of a {@link Hash}. */
+export const hash = hashBrand.schema;
+/** Converts a string to a {@link Hash}; throws a TypeError if it is not valid. */
+export const toHash = hashBrand.from;
+
+/** An IP address and a port, such as `10.0.0.1:7000` or `[::1]:7000`. */
+export type Address = Brand<string, 'Address'>;
+const addressBrand = brandedString<Address>(
+  isIpAndPort,
   'an IP number and a port, such as 10.0.0.1:7000',
+  'an address',
 );
+/** Whether a value is a valid {@link Address}. */
+export const isAddress = addressBrand.is;
+/** Schema of a {@link Address}. */
+export const address = addressBrand.schema;
+/** Converts a string to a {@link Address}; throws a TypeError if it is not valid. */
+export const toAddress = addressBrand.from;
 
-const need =
-  <T extends string>(guard: (raw: unknown) => raw is T, what: string) =>
-  (raw: string): T => {
-    if (guard(raw)) return raw;
-    throw new TypeError(`not ${what}: ${raw}`);
-  };
+/** The lease of the store that accepts writes. */
+export const primaryLease: LeaseName = leaseNameBrand.from('primary');
 
-/** For names the program itself makes; throws on a bad one, which is a mistake of the program. */
-export const toNodeId = need(isNodeId, 'a node name');
-export const toZoneName = need(isZoneName, 'an area name');
-export const toServiceName = need(isServiceName, 'a service name');
-export const toClassName = need(isClassName, 'a class name');
-export const toInstanceId = need(isInstanceId, 'an instance id');
-export const toFleetId = need(isFleetId, 'a fleet id');
-export const toAddress = need(isAddress, 'an address');
-export const toCommandId = need(isCommandId, 'a call id');
-export const toHash = need(isHash, 'a hash');
-export const toRequestId = need(isRequestId, 'an ask id');
-export const toRelease = need(isRelease, 'a release');
-const toLeaseName = need(isLeaseName, 'a duty');
-
-export const primaryLease: LeaseName = toLeaseName('primary');
-export const serviceLeaseOf = (service: ServiceName): LeaseName => toLeaseName(`keeper:${service}`);
+/** The lease of the shield that leads a service. */
+export const serviceLeaseOf = (service: ServiceName): LeaseName =>
+  leaseNameBrand.from(`keeper:${service}`);
--- a/packages/types/src/index.ts
+++ b/packages/types/src/index.ts
@@ -1,3 +1,8 @@
+/**
+ * What every other package stands on: branded ids and numbers, timestamps, failures, the state machine
+ * of pure reducers, and small pure helpers. Depends on no other package, reads no clock and does no I/O.
+ */
+
 export * from './id/brand.js';
 export * from './id/name.js';
 export * from './id/ordinal.js';
@@ -5,6 +10,7 @@
 export * from './random/random-state.js';
 export * from './random/hash-to-fraction.js';
 export * from './table/immutable-map.js';
+export * from './table/counter.js';
 export * from './table/equal-as-json.js';
 export * from './table/format-columns.js';
 export * from './state-machine/transition.js';
--- a/packages/types/src/invariant/violations.ts
+++ b/packages/types/src/invariant/violations.ts
@@ -1,35 +1,38 @@
 /**
- * Invariants that programs check on themselves while they run. A violation is a fault of the program, never of its
- * surroundings: it is logged, counted, told among the readings, and fails every test that runs the program.
+ * Invariants that programs check on themselves while they run. A violation is a defect of the program,
+ * never of its surroundings: it is logged, counted in a metric, and fails every test that runs the program.
  */
 
-/** What must hold, by name. */
+import { increment } from '../table/counter.js';
+
+/** The invariants, by the names that logs carry. */
 export type Invariant =
-  /** The table of a store in sync holds each piece of the description in force. */
+  /** The table of a store in sync holds each chunk of the configuration in force. */
   | 'description-whole'
-  /** An order that is about to be put in force still has each piece that it was found to have. */
+  /** A change that is about to be put in force still has each chunk that it was found to have. */
   | 'order-keeps-pieces'
-  /** No primary tells a registry of a description that is older than one it was told as confirmed. */
+  /** No primary reports to a registry a configuration older than one that it reported as confirmed. */
   | 'confirmed-kept'
-  /** Within one life a node puts no older description in force than it runs. */
+  /** Within one incarnation a node applies no configuration older than the one that it runs. */
   | 'generation-rises';
 
-/** How often each invariant was found broken by this process. */
+/** How often each invariant was violated in this process. */
 export type Violations = ReadonlyMap<Invariant, number>;
 
+/** No violations yet. */
 export const noViolations: Violations = new Map();
 
-/** Counts violations that were found. */
+/** Adds newly detected violations to the counts. */
 export const countViolations = (
   violations: Violations,
-  found: readonly Invariant[],
+  detected: readonly Invariant[],
 ): Violations => {
-  if (found.length === 0) return violations;
+  if (detected.length === 0) return violations;
   const counts = new Map(violations);
-  for (const one of found) counts.set(one, (counts.get(one) ?? 0) + 1);
+  for (const invariant of detected) increment(counts, invariant);
   return counts;
 };
 
-/** How many violations there were of all invariants. */
+/** The number of violations of all invariants together. */
 export const totalViolations = (violations: Violations): number =>
-  [...violations.values()].reduce((sum, one) => sum + one, 0);
+  [...violations.values()].reduce((sum, count) => sum + count, 0);
--- a/packages/types/src/state-machine/transition.ts
+++ b/packages/types/src/state-machine/transition.ts
@@ -1,18 +1,22 @@
-/** What a reducer gives back: the state after the event, and effects as data. */
+/** The result type of the pure reducers: a new state, and effects as data for a runner to carry out. */
+
+/** What a reducer returns: the state after an event, and the effects in the order of their execution. */
 export interface Transition<S, F> {
   readonly state: S;
   readonly effects: readonly F[];
 }
 
+/** A transition to a state with the given effects. */
 export const transition = <S, F>(state: S, ...effects: readonly F[]): Transition<S, F> => ({
   state,
   effects,
 });
-/** A step's state with the effects of an earlier step before its own. */
+
+/** A transition whose effects are preceded by those of an earlier one. */
 export const prependEffects = <S, F>(
-  first: readonly F[],
-  second: Transition<S, F>,
+  earlierEffects: readonly F[],
+  next: Transition<S, F>,
 ): Transition<S, F> => ({
-  state: second.state,
-  effects: [...first, ...second.effects],
+  state: next.state,
+  effects: [...earlierEffects, ...next.effects],
 });
--- a/packages/types/src/table/equal-as-json.ts
+++ b/packages/types/src/table/equal-as-json.ts
@@ -1,7 +1,9 @@
+/** Structural equality of values as JSON would carry them. */
+
 import { isDeepStrictEqual } from 'node:util';
 
-const plain = (raw: unknown): unknown => JSON.parse(JSON.stringify(raw));
+const throughJson = (raw: unknown): unknown => JSON.parse(JSON.stringify(raw));
 
-/** Whether two values are the same once written down, in whatever order their members stand. */
-export const equalAsJson = (one: object, two: object): boolean =>
-  isDeepStrictEqual(plain(one), plain(two));
+/** Whether two values serialize to the same JSON, irrespective of the order of their members. */
+export const equalAsJson = (left: object, right: object): boolean =>
+  isDeepStrictEqual(throughJson(left), throughJson(right));
--- a/packages/types/src/table/immutable-map.ts
+++ b/packages/types/src/table/immutable-map.ts
@@ -1,28 +1,25 @@
-/** A copy of a table with one entry set. */
-export const withEntry = <K, V>(table: ReadonlyMap<K, V>, key: K, value: V): ReadonlyMap<K, V> => {
-  const copy = new Map(table);
+/** Copy-on-write operations for the `ReadonlyMap`s of reducer states. */
+
+/** A copy of a map with one entry set. */
+export const withEntry = <K, V>(map: ReadonlyMap<K, V>, key: K, value: V): ReadonlyMap<K, V> => {
+  const copy = new Map(map);
   copy.set(key, value);
   return copy;
 };
 
-/** A copy of a table without one entry; the table itself if it has none. */
-export const withoutEntry = <K, V>(table: ReadonlyMap<K, V>, key: K): ReadonlyMap<K, V> => {
-  if (!table.has(key)) return table;
-  const copy = new Map(table);
+/** A copy of a map without one entry; the map itself if it has no such entry. */
+export const withoutEntry = <K, V>(map: ReadonlyMap<K, V>, key: K): ReadonlyMap<K, V> => {
+  if (!map.has(key)) return map;
+  const copy = new Map(map);
   copy.delete(key);
   return copy;
 };
 
-/** Adds to a count in a table that changes in place. */
-export const increment = <K>(counts: Map<K, number>, key: K, many = 1): void => {
-  counts.set(key, (counts.get(key) ?? 0) + many);
-};
-
-/** A copy of a table with only the entries that pass; the table itself if all do. */
+/** A copy of a map with only the entries that `keep` accepts; the map itself if it accepts all. */
 export const filterEntries = <K, V>(
-  table: ReadonlyMap<K, V>,
+  map: ReadonlyMap<K, V>,
   keep: (value: V, key: K) => boolean,
 ): ReadonlyMap<K, V> => {
-  const kept = [...table].filter(([key, value]) => keep(value, key));
-  return kept.length === table.size ? table : new Map(kept);
+  const kept = [...map].filter(([key, value]) => keep(value, key));
+  return kept.length === map.size ? map : new Map(kept);
 };
