--- /dev/null
+++ b/packages/election/src/candidate/campaign.ts
@@ -0,0 +1,206 @@
+/**
+ * Elections from the candidate's side: pre-vote, vote requests, renewal of a lease, retry after a lost
+ * round, and resignation. Votes that come in are counted by `vote-count.ts`.
+ */
+
+import {
+  type NodeId,
+  type RandomState,
+  type Timestamp,
+  type Transition,
+  addMs,
+  nextEpoch,
+  nextRandom,
+  toEpoch,
+  transition,
+} from '@switchwheel/types';
+import type { ProcessEffect } from '@switchwheel/transport';
+import { maxLeaseMs, quorumSize } from '../voter/voter.js';
+import {
+  type Candidate,
+  type CandidatePhase,
+  type ElectionContext,
+  heldEpoch,
+  holdsLease,
+} from './candidate.js';
+import { leaseEnd } from './vote-count.js';
+import { voteRequests } from './vote-requests.js';
+
+const roundTimeoutMs = 300;
+const renewalsPerLease = 4;
+
+/** Pause after a lease ran out: a fixed part and a random part on top of it. */
+const expiredLeasePauseMs = 50;
+const expiredLeaseJitterMs = 200;
+
+/** Pause after a lost round; the first part only if no refusal tells how long to wait. */
+const undecidedRoundPauseMs = 50;
+const lostRoundPauseMs = 10;
+const lostRoundJitterMs = 150;
+
+/** Requests votes in a new epoch; a holder may do so to change the in-sync set. */
+export const startElection = (
+  candidate: Candidate,
+  context: ElectionContext,
+  inSyncSet: readonly NodeId[],
+  now: Timestamp,
+): Transition<Candidate, ProcessEffect> => {
+  const epoch = nextEpoch(toEpoch(Math.max(candidate.highest, heldEpoch(candidate))));
+  const next: Candidate = {
+    ...candidate,
+    highest: epoch,
+    inSyncSet,
+    phase: {
+      phase: 'requestingVotes',
+      startedAt: now,
+      epoch,
+      votes: new Map(),
+      refusals: new Map(),
+    },
+  };
+  return transition(next, ...voteRequests(next, context, epoch, now, 'election'));
+};
+
+const startPreVote = (
+  candidate: Candidate,
+  context: ElectionContext,
+  now: Timestamp,
+): Transition<Candidate, ProcessEffect> => {
+  const epoch = nextEpoch(candidate.highest);
+  const next: Candidate = {
+    ...candidate,
+    phase: { phase: 'preVote', startedAt: now, epoch, votes: new Map(), refusals: new Map() },
+  };
+  return transition(next, ...voteRequests(next, context, epoch, now, 'preVote'));
+};
+
+/**
+ * Gives the lease up and tells the voters, so that it is free at once; does not stand again for
+ * `retryDelayMs`.
+ */
+export const stepDown = (
+  candidate: Candidate,
+  context: ElectionContext | undefined,
+  now: Timestamp,
+  retryDelayMs: number,
+): Transition<Candidate, ProcessEffect> => {
+  const resignations =
+    context !== undefined && holdsLease(candidate, now)
+      ? voteRequests(candidate, context, heldEpoch(candidate), now, 'resignation')
+      : [];
+  return transition(
+    { ...candidate, phase: { phase: 'idle', retryAt: addMs(now, retryDelayMs) } },
+    ...resignations,
+  );
+};
+
+/**
+ * How many milliseconds to wait after a round that can't be won any more: until enough of the leases
+ * in its way are over. Undefined while it can still be won.
+ */
+const refusedRoundDelayMs = (
+  context: ElectionContext,
+  refusals: ReadonlyMap<NodeId, number>,
+): number | undefined => {
+  const electorateSize = context.electorate.members.length;
+  const remainingLeasesMs = context.electorate.members
+    .flatMap((member) => {
+      const remainingMs = refusals.get(member.node);
+      return remainingMs === undefined ? [] : [remainingMs];
+    })
+    .sort((left, right) => left - right);
+  const tolerableRefusals = electorateSize - quorumSize(electorateSize);
+  const excessRefusals = remainingLeasesMs.length - tolerableRefusals;
+  if (excessRefusals <= 0) return undefined;
+  return Math.min(maxLeaseMs, remainingLeasesMs[excessRefusals - 1] ?? 0);
+};
+
+/** A candidate and the random source that its retries are spread with. */
+interface CandidateWithRandom {
+  readonly candidate: Candidate;
+  readonly dice: RandomState;
+}
+
+type TickResult = Transition<CandidateWithRandom, ProcessEffect>;
+type PhaseOf<K extends CandidatePhase['phase']> = Extract<CandidatePhase, { readonly phase: K }>;
+
+/** Becomes idle for a fixed time plus a random part of `jitterMs`. */
+const idleWithJitter = (
+  { candidate, dice: randomState }: CandidateWithRandom,
+  now: Timestamp,
+  pauseMs: number,
+  jitterMs: number,
+): CandidateWithRandom => {
+  const [fraction, nextState] = nextRandom(randomState);
+  const retryAt = addMs(now, pauseMs + jitterMs * fraction);
+  return { candidate: { ...candidate, phase: { phase: 'idle', retryAt } }, dice: nextState };
+};
+
+const tickHolder = (
+  state: CandidateWithRandom,
+  phase: PhaseOf<'holdingLease'>,
+  context: ElectionContext,
+  now: Timestamp,
+): TickResult => {
+  const { candidate, dice } = state;
+  if (now >= phase.leaseEndsAt)
+    return transition(idleWithJitter(state, now, expiredLeasePauseMs, expiredLeaseJitterMs));
+  if (now - phase.renewalRequestedAt < candidate.leaseMs / renewalsPerLease)
+    return transition(state);
+  return transition(
+    { candidate: { ...candidate, phase: { ...phase, renewalRequestedAt: now } }, dice },
+    ...voteRequests(candidate, context, phase.epoch, now, 'renewal'),
+  );
+};
+
+const tickRound = (
+  state: CandidateWithRandom,
+  phase: PhaseOf<'preVote' | 'requestingVotes'>,
+  context: ElectionContext,
+  now: Timestamp,
+): TickResult => {
+  const delayMs = refusedRoundDelayMs(context, phase.refusals);
+  if (delayMs === undefined && now - phase.startedAt < roundTimeoutMs) return transition(state);
+  const pauseMs = (delayMs ?? undecidedRoundPauseMs) + lostRoundPauseMs;
+  const next = idleWithJitter(state, now, pauseMs, lostRoundJitterMs);
+  if (phase.phase === 'preVote') return transition(next);
+  // Votes granted in a lost round are given back, so that nobody waits for them to expire.
+  return transition(
+    next,
+    ...voteRequests(state.candidate, context, phase.epoch, now, 'abandonment'),
+  );
+};
+
+const withRandom = (next: Transition<Candidate, ProcessEffect>, dice: RandomState): TickResult => ({
+  state: { candidate: next.state, dice },
+  effects: next.effects,
+});
+
+/**
+ * Lets time pass: renews a lease that is held, gives up one that has run out, decides a pre-vote, ends
+ * a lost round, and starts a pre-vote if the node wants the lease and its pause is over.
+ */
+export const tickCandidate = (
+  candidate: Candidate,
+  context: ElectionContext,
+  wantsElection: boolean,
+  dice: RandomState,
+  now: Timestamp,
+): Transition<{ readonly candidate: Candidate; readonly dice: RandomState }, ProcessEffect> => {
+  const state: CandidateWithRandom = { candidate, dice };
+  const { phase } = candidate;
+  switch (phase.phase) {
+    case 'holdingLease':
+      return tickHolder(state, phase, context, now);
+    case 'preVote':
+      return leaseEnd(context, phase, candidate.leaseMs) === undefined
+        ? tickRound(state, phase, context, now)
+        : withRandom(startElection(candidate, context, candidate.inSyncSet, now), dice);
+    case 'requestingVotes':
+      return tickRound(state, phase, context, now);
+    case 'idle':
+      return wantsElection && now >= phase.retryAt
+        ? withRandom(startPreVote(candidate, context, now), dice)
+        : transition(state);
+  }
+};
--- /dev/null
+++ b/packages/election/src/candidate/vote-count.ts
@@ -0,0 +1,98 @@
+/** Counts the votes of a candidate and derives from them until when it holds the lease. */
+
+import { type NodeId, type Timestamp, toTimestamp, withEntry } from '@switchwheel/types';
+import type { FrameOf } from '@switchwheel/transport';
+import { quorumSize } from '../voter/voter.js';
+import {
+  type Candidate,
+  type CandidatePhase,
+  type CountedVote,
+  type ElectionContext,
+  type VoteCount,
+  observeEpoch,
+} from './candidate.js';
+
+/** By how many milliseconds a holder ends its lease early, against clocks that run at different rates. */
+export const leaseSafetyMarginMs = 50;
+
+/**
+ * Until when the votes of a quorum give the lease; undefined without a quorum. A lease is counted from
+ * before its votes were requested, so it ends at the holder before it ends at any voter.
+ */
+export const leaseEnd = (
+  context: ElectionContext,
+  count: VoteCount,
+  leaseMs: number,
+): Timestamp | undefined => {
+  const newestFirst = context.electorate.members
+    .map((member) => count.votes.get(member.node))
+    .filter((vote) => vote !== undefined && (context.countsRecoveringVoters || !vote.recovering))
+    .map((vote) => (vote === undefined ? 0 : vote.at))
+    .sort((left, right) => right - left);
+  const decisive = newestFirst[quorumSize(context.electorate.members.length) - 1];
+  return decisive === undefined ? undefined : toTimestamp(decisive + leaseMs - leaseSafetyMarginMs);
+};
+
+type ActivePhase = Exclude<CandidatePhase, { readonly phase: 'idle' }>;
+
+const withVotes = (
+  phase: ActivePhase,
+  votes: ReadonlyMap<NodeId, CountedVote>,
+  context: ElectionContext,
+  leaseMs: number,
+  now: Timestamp,
+): CandidatePhase => {
+  const count: VoteCount = { epoch: phase.epoch, votes };
+  switch (phase.phase) {
+    case 'preVote':
+      return { ...phase, votes };
+    case 'requestingVotes': {
+      const leaseEndsAt = leaseEnd(context, count, leaseMs);
+      if (leaseEndsAt === undefined || leaseEndsAt <= now) return { ...phase, votes };
+      return {
+        phase: 'holdingLease',
+        ...count,
+        leaseEndsAt,
+        renewalRequestedAt: toTimestamp(now - leaseMs),
+        wonAt: now,
+      };
+    }
+    case 'holdingLease': {
+      // Once won, a renewal by any voter counts: a voter's memory only matters for the election.
+      const renewedUntil = leaseEnd({ ...context, countsRecoveringVoters: true }, count, leaseMs);
+      const leaseEndsAt = toTimestamp(
+        Math.max(renewedUntil ?? phase.leaseEndsAt, phase.leaseEndsAt),
+      );
+      return { ...phase, votes, leaseEndsAt };
+    }
+  }
+};
+
+/** Applies a vote: counts it, notes a refusal, or ignores one of another round. */
+export const countVote = (
+  candidate: Candidate,
+  context: ElectionContext,
+  vote: FrameOf<'vote'>,
+  now: Timestamp,
+): Candidate => {
+  const observed = observeEpoch(candidate, vote.highest);
+  const { phase } = observed;
+  if (phase.phase === 'idle') return observed;
+  if (vote.epoch !== phase.epoch || vote.preVote !== (phase.phase === 'preVote')) return observed;
+  // A lease that ran out is over for good, whatever votes are still on their way.
+  if (phase.phase === 'holdingLease' && now >= phase.leaseEndsAt)
+    return { ...observed, phase: { phase: 'idle', retryAt: now } };
+  if (!vote.granted) {
+    if (phase.phase === 'holdingLease') return observed;
+    const refusals = withEntry(phase.refusals, vote.voter, vote.left ?? 0);
+    return { ...observed, phase: { ...phase, refusals } };
+  }
+  const earlier = phase.votes.get(vote.voter);
+  if (earlier !== undefined && earlier.at >= vote.at) return observed;
+  const votes = withEntry(phase.votes, vote.voter, {
+    at: vote.at,
+    recovering: vote.recovering,
+    incarnation: vote.life,
+  });
+  return { ...observed, phase: withVotes(phase, votes, context, observed.leaseMs, now) };
+};
--- /dev/null
+++ b/packages/election/src/voter/recovery.ts
@@ -0,0 +1,76 @@
+/**
+ * How a voter that restarted learns what it granted before: from its peers' records. A record counts
+ * towards the end of the recovery only if the peer made it after this voter's abstention.
+ */
+
+import {
+  type Incarnation,
+  type LeaseName,
+  type NodeId,
+  type Timestamp,
+  addMs,
+  withEntry,
+} from '@switchwheel/types';
+import type { LeaseGrantRecord } from '@switchwheel/transport';
+import { type LeaseGrant, type Voter, abstentionEnd, maxLeaseMs, quorumSize } from './voter.js';
+
+/** What a peer remembers, and the newest gossip of this voter's registry that it had by then. */
+export interface PeerGrants {
+  readonly from: NodeId;
+  /** Whether the peer itself has lost its memory. */
+  readonly isRecovering: boolean;
+  readonly records: readonly LeaseGrantRecord[];
+  readonly lastGossipHeard:
+    { readonly incarnation: Incarnation; readonly at: Timestamp } | undefined;
+}
+
+/** Whether a peer made its records after this voter's abstention: only then do they hold all that matters. */
+const isAfterAbstention = (state: Voter, peerGrants: PeerGrants): boolean =>
+  peerGrants.lastGossipHeard?.incarnation === state.incarnation &&
+  peerGrants.lastGossipHeard.at >= abstentionEnd(state);
+
+type Grants = ReadonlyMap<LeaseName, LeaseGrant>;
+
+/** Adopts a record of a higher epoch; a lease that this voter granted lasts to its end all the same. */
+const withRecord = (grants: Grants, record: LeaseGrantRecord, now: Timestamp): Grants => {
+  const grant = grants.get(record.duty);
+  if (grant !== undefined && grant.epoch >= record.epoch) return grants;
+  const lease =
+    grant !== undefined && now < grant.leaseEndsAt
+      ? { leaseHolder: grant.leaseHolder, leaseEndsAt: grant.leaseEndsAt }
+      : { leaseHolder: record.node, leaseEndsAt: addMs(now, maxLeaseMs) };
+  return withEntry(grants, record.duty, {
+    epoch: record.epoch,
+    node: record.node,
+    inSyncSet: record.inSyncSet,
+    ...lease,
+  });
+};
+
+/** Whether the others that were heard meet every quorum of the electorate. */
+const hasHeardEnough = (state: Voter, recoveredFrom: ReadonlySet<NodeId>): boolean => {
+  if (state.electorate === undefined) return false;
+  const { members } = state.electorate;
+  const others = members.filter(
+    (member) => member.node !== state.self && recoveredFrom.has(member.node),
+  );
+  return others.length >= members.length - quorumSize(members.length) + 1;
+};
+
+/** Adopts a peer's records; the recovery ends once enough peers were heard. */
+export const recoverGrants = (state: Voter, peerGrants: PeerGrants, now: Timestamp): Voter => {
+  if (!state.isRecovering || peerGrants.isRecovering) return state;
+  const grants = peerGrants.records.reduce<Grants>(
+    (recovered, record) => withRecord(recovered, record, now),
+    state.grants,
+  );
+  const recoveredFrom = isAfterAbstention(state, peerGrants)
+    ? new Set([...state.recoveredFrom, peerGrants.from])
+    : state.recoveredFrom;
+  return {
+    ...state,
+    grants,
+    recoveredFrom,
+    isRecovering: !hasHeardEnough(state, recoveredFrom),
+  };
+};
--- a/packages/election/src/voter/voter.test.ts
+++ b/packages/election/src/voter/voter.test.ts
@@ -13,21 +13,25 @@
   toDurationMs,
 } from '@switchwheel/types';
 import type { FrameOf } from '@switchwheel/transport';
-import { type Voter, maxLeaseMs, newVoter, recoverGrants, handleVoteRequest } from './voter.js';
+import { recoverGrants } from './recovery.js';
+import { type Voter, handleVoteRequest, maxLeaseMs, newVoter } from './voter.js';
 
-const voterNames = ['voter-1', 'voter-2', 'voter-3'].map((one) => toNodeId(one));
+const voterNames = ['voter-1', 'voter-2', 'voter-3'].map((name) => toNodeId(name));
 const [me, second, third] = voterNames;
 const oldHolder = toNodeId('store-1');
 const newHolder = toNodeId('store-2');
-const born = toTimestamp(50_000);
-const life = toIncarnation(7);
+const startedAt = toTimestamp(50_000);
+const incarnation = toIncarnation(7);
 
 const request = (change: Partial<FrameOf<'vote-request'>>): FrameOf<'vote-request'> => ({
   kind: 'vote-request',
   fleet: toFleetId('f1'),
   electorate: {
     serial: noSeq,
-    members: voterNames.map((node, at) => ({ node, address: toAddress(`10.0.0.${at + 1}:1`) })),
+    members: voterNames.map((node, index) => ({
+      node,
+      address: toAddress(`10.0.0.${index + 1}:1`),
+    })),
   },
   duty: primaryLease,
   epoch: toEpoch(5),
@@ -43,15 +47,20 @@
 
 const restarted = (): Voter => {
   assert.ok(me !== undefined);
-  return newVoter(me, born, life);
+  return newVoter(me, startedAt, incarnation);
 };
-const after = (span: number): Timestamp => toTimestamp(born + span);
+const after = (ms: number): Timestamp => toTimestamp(startedAt + ms);
 
-void test('a voter that restarted abstains from everything for a lease, renewals too', () => {
+void test('a restarted voter grants nothing, renewals included, until the longest lease has passed', () => {
   const early = after(maxLeaseMs - 1);
-  for (const change of [{}, { preVote: true }, { renew: true }, { renew: true, voterLife: life }]) {
-    const [next, told] = handleVoteRequest(restarted(), request(change), early);
-    assert.equal(told.granted, false, JSON.stringify(change));
+  for (const change of [
+    {},
+    { preVote: true },
+    { renew: true },
+    { renew: true, voterLife: incarnation },
+  ]) {
+    const [next, vote] = handleVoteRequest(restarted(), request(change), early);
+    assert.equal(vote.granted, false, JSON.stringify(change));
     assert.equal(next.grants.size, 0);
     assert.equal(
       handleVoteRequest(restarted(), request(change), after(maxLeaseMs))[1].granted,
@@ -60,48 +69,48 @@
   }
 });
 
-void test('its earlier vote for a new holder and a renewal of the old one never count at once', () => {
+void test("a restarted voter never renews the old holder's lease while its vote for a new holder may count", () => {
   // Before its restart it voted for the new holder, who asked 1 ms before that and wins within 950 ms.
   const wonUntil = after(-1 + maxLeaseMs - 50);
   for (let at = 0; at < maxLeaseMs; at += 10) {
-    const [, told] = handleVoteRequest(restarted(), request({ renew: true }), after(at));
-    assert.ok(!told.granted || after(at) >= wonUntil, `granted after ${at} ms`);
+    const [, vote] = handleVoteRequest(restarted(), request({ renew: true }), after(at));
+    assert.ok(!vote.granted || after(at) >= wonUntil, `granted after ${at} ms`);
   }
 });
 
-void test('a renewal proves a win only if it echoes this life of the voter; one delivered twice does not', () => {
+void test("a renewal ends the recovery only if it echoes the voter's incarnation, not by being delivered twice", () => {
   const renewal = request({ renew: true });
   let voter = restarted();
   for (let turn = 0; turn < 3; turn += 1) {
     voter = handleVoteRequest(voter, renewal, after(maxLeaseMs + 10 * turn))[0];
     assert.equal(voter.isRecovering, true, `delivery ${turn + 1}`);
   }
-  const earlierLife = request({ renew: true, voterLife: toIncarnation(6) });
-  voter = handleVoteRequest(voter, earlierLife, after(maxLeaseMs + 50))[0];
+  const echoOfEarlierIncarnation = request({ renew: true, voterLife: toIncarnation(6) });
+  voter = handleVoteRequest(voter, echoOfEarlierIncarnation, after(maxLeaseMs + 50))[0];
   assert.equal(voter.isRecovering, true, 'an echo of an earlier life');
-  const [next, told] = handleVoteRequest(
+  const [next, vote] = handleVoteRequest(
     voter,
-    request({ renew: true, voterLife: life }),
+    request({ renew: true, voterLife: incarnation }),
     after(1100),
   );
-  assert.equal(told.life, life);
+  assert.equal(vote.life, incarnation);
   assert.equal(next.isRecovering, false);
 });
 
-void test('memories count once the peer is known to have spoken after the abstention', () => {
+void test("peers' records end the recovery only if made after the abstention", () => {
   assert.ok(second !== undefined && third !== undefined);
   const [known] = handleVoteRequest(restarted(), request({ renew: true }), after(maxLeaseMs));
-  const memory = (from: typeof second, at: number, incarnation = life) => ({
+  const peerGrants = (from: typeof second, at: number, heardIncarnation = incarnation) => ({
     from,
     isRecovering: false,
     records: [{ duty: primaryLease, epoch: toEpoch(6), node: newHolder, inSyncSet: [newHolder] }],
-    lastGossipHeard: { incarnation, at: after(at) },
+    lastGossipHeard: { incarnation: heardIncarnation, at: after(at) },
   });
   const now = after(maxLeaseMs + 300);
   const both = (...heard: readonly [number, number]): Voter =>
     recoverGrants(
-      recoverGrants(known, memory(second, heard[0]), now),
-      memory(third, heard[1]),
+      recoverGrants(known, peerGrants(second, heard[0]), now),
+      peerGrants(third, heard[1]),
       now,
     );
   assert.equal(both(900, 1000).isRecovering, true, 'one spoke too early');
@@ -111,11 +120,11 @@
     6,
     'the epoch is taken all the same',
   );
-  const other = recoverGrants(known, memory(second, 1000, toIncarnation(6)), now);
+  const other = recoverGrants(known, peerGrants(second, 1000, toIncarnation(6)), now);
   assert.equal(other.recoveredFrom.size, 0, 'what was said to an earlier life');
 });
 
-void test('a round that its candidate gave up leaves the in-sync set as it was; one that may have been won does not', () => {
+void test('an abandoned election restores the in-sync set; one that may have been won does not', () => {
   const first = handleVoteRequest(restarted(), request({ renew: true }), after(maxLeaseMs))[0];
   const alone = { epoch: toEpoch(6), inSyncSet: [oldHolder] };
   const asked = handleVoteRequest(first, request(alone), after(1100))[0];
--- a/packages/election/src/voter/voter.ts
+++ b/packages/election/src/voter/voter.ts
@@ -1,52 +1,63 @@
+/**
+ * A voter: grants leases, each to one node at a time and for ever higher epochs. Its memory changes by
+ * vote requests here and, after a restart, by what its peers remember (`recovery.ts`). It keeps nothing
+ * on disk: a voter that restarted abstains until everything it may have granted has expired.
+ */
+
 import {
-  type LeaseName,
   type Epoch,
   type FleetId,
   type Incarnation,
-  type Timestamp,
+  type LeaseName,
   type NodeId,
+  type Timestamp,
   addMs,
   noEpoch,
   primaryLease,
-  withEntry,
   toDurationMs,
+  withEntry,
 } from '@switchwheel/types';
 import type { Electorate, FrameOf, LeaseGrantRecord } from '@switchwheel/transport';
 
-/** The longest lease a voter grants; one that restarted abstains for as long. */
+/** The longest lease a voter grants, in milliseconds; a voter that restarted abstains for as long. */
 export const maxLeaseMs = 1000;
 
-/** What a voter keeps of one duty: the highest epoch it granted, to whom, and until when. */
+/** What a voter remembers of one lease: the highest epoch it granted, to whom, and until when. */
 export interface LeaseGrant {
   readonly epoch: Epoch;
   readonly node: NodeId;
-  /** Whose lease it is that stands until then: what is recalled of a higher epoch does not end a lease. */
+  /**
+   * Whose lease lasts until `leaseEndsAt`. Differs from `node` after a recovery: a higher epoch that a
+   * peer remembers does not end a lease that this voter granted.
+   */
   readonly leaseHolder: NodeId;
   readonly leaseEndsAt: Timestamp;
-  /** For `primary`: the stores that hold every confirmed write under this epoch. */
+  /** For the primary's lease: the stores that hold every confirmed write under this epoch. */
   readonly inSyncSet: readonly NodeId[];
-  /** The in-sync set of the grant before: it counts again if the candidate gives its round up. */
+  /** The in-sync set of the grant before; restored if the candidate abandons its election. */
   readonly previousInSyncSet?: readonly NodeId[] | undefined;
 }
 
+/** The state of a voter. */
 export interface Voter {
   readonly self: NodeId;
-  /** This life of the process: votes bear it, and only a renewal that echoes it proves a win. */
+  /** This run of the process: votes carry it, and only a renewal that echoes it proves a win. */
   readonly incarnation: Incarnation;
   readonly startedAt: Timestamp;
   readonly fleet: FleetId | undefined;
   readonly electorate: Electorate | undefined;
   readonly grants: ReadonlyMap<LeaseName, LeaseGrant>;
-  /** While set, this voter restarted and does not yet know what it once granted. */
+  /** Whether this voter restarted and does not yet know what it granted before. */
   readonly isRecovering: boolean;
-  /** The peers that told what they remember since this voter's abstention ended. */
+  /** The peers whose records were received since this voter's abstention ended. */
   readonly recoveredFrom: ReadonlySet<NodeId>;
 }
 
-export const newVoter = (me: NodeId, born: Timestamp, life: Incarnation): Voter => ({
-  self: me,
-  incarnation: life,
-  startedAt: born,
+/** A voter that has just started, and therefore recovers. */
+export const newVoter = (self: NodeId, startedAt: Timestamp, incarnation: Incarnation): Voter => ({
+  self,
+  incarnation,
+  startedAt,
   fleet: undefined,
   electorate: undefined,
   grants: new Map(),
@@ -55,197 +66,166 @@
 });
 
 /**
- * When a voter's abstention ends: by then every vote that an earlier life of the process gave is
- * too old to win anything, and every lease that it granted is over.
+ * When a voter's abstention ends: by then every vote that an earlier incarnation gave is too old to win
+ * an election, and every lease that it granted is over.
  */
 export const abstentionEnd = (state: Voter): Timestamp => addMs(state.startedAt, maxLeaseMs);
 
+/** The number of votes that is a majority of `size` voters. */
 export const quorumSize = (size: number): number => Math.floor(size / 2) + 1;
 
-const newestElectorate = (mine: Electorate | undefined, theirs: Electorate): Electorate =>
-  mine === undefined || theirs.serial > mine.serial ? theirs : mine;
+const newerElectorate = (current: Electorate | undefined, received: Electorate): Electorate =>
+  current === undefined || received.serial > current.serial ? received : current;
 
-const isMember = (set: Electorate, node: NodeId): boolean =>
-  set.members.some((one) => one.node === node);
+const isMember = (electorate: Electorate, node: NodeId): boolean =>
+  electorate.members.some((member) => member.node === node);
 
-/** The grant a voter would make, or why not. */
-const refusalReason = (
+const refusesResignation = (
+  grant: LeaseGrant | undefined,
+  request: FrameOf<'vote-request'>,
+): boolean => grant?.epoch !== request.epoch || grant.node !== request.node;
+
+const refusesRenewal = (grant: LeaseGrant, request: FrameOf<'vote-request'>): boolean =>
+  grant.epoch > request.epoch || (grant.epoch === request.epoch && grant.node !== request.node);
+
+const refusesElection = (
+  grant: LeaseGrant,
+  request: FrameOf<'vote-request'>,
+  now: Timestamp,
+): boolean => {
+  if (request.epoch <= grant.epoch) return true;
+  if (grant.leaseHolder !== request.node && now < grant.leaseEndsAt) return true;
+  if (request.duty === primaryLease && !grant.inSyncSet.includes(request.node)) return true;
+  return false;
+};
+
+/** Whether the voter refuses a request; `electorate` is the newer of its own and the request's. */
+const refuses = (
   state: Voter,
-  ballot: FrameOf<'vote-request'>,
-  set: Electorate,
+  request: FrameOf<'vote-request'>,
+  electorate: Electorate,
   now: Timestamp,
-): string | undefined => {
-  if (state.fleet !== undefined && state.fleet !== ballot.fleet) return 'another fleet';
-  if (ballot.electorate.serial < set.serial) return 'an older electorate';
-  if (!isMember(set, state.self)) return 'not a voter';
-  const mine = state.grants.get(ballot.duty);
-  if (ballot.stepDown)
-    return mine?.epoch === ballot.epoch && mine.node === ballot.node
-      ? undefined
-      : 'not the grant that stands';
-  if (now < abstentionEnd(state)) return 'too young';
-  if (ballot.renew) {
-    if (mine === undefined) return undefined;
-    if (mine.epoch > ballot.epoch) return 'a higher epoch';
-    return mine.epoch === ballot.epoch && mine.node !== ballot.node ? 'another holder' : undefined;
-  }
-  if (mine === undefined) return undefined;
-  if (ballot.epoch <= mine.epoch) return 'not a higher epoch';
-  if (mine.leaseHolder !== ballot.node && now < mine.leaseEndsAt) return 'the lease stands';
-  if (ballot.duty === primaryLease && !mine.inSyncSet.includes(ballot.node)) return 'not in sync';
-  return undefined;
+): boolean => {
+  if (state.fleet !== undefined && state.fleet !== request.fleet) return true;
+  if (request.electorate.serial < electorate.serial) return true;
+  if (!isMember(electorate, state.self)) return true;
+  const grant = state.grants.get(request.duty);
+  if (request.stepDown) return refusesResignation(grant, request);
+  if (now < abstentionEnd(state)) return true;
+  if (grant === undefined) return false;
+  return request.renew ? refusesRenewal(grant, request) : refusesElection(grant, request, now);
 };
 
 /**
- * Whether a renewal proves that its holder won with a vote of this life of the voter: then nothing
- * that an earlier life granted can be newer. A renewal that was under way for long, or that is
- * delivered twice, does not echo this life and proves nothing.
+ * Whether a renewal proves that its holder won with a vote of this incarnation of the voter: then
+ * nothing that an earlier incarnation granted can be newer. A renewal that was under way for long, or
+ * that is delivered twice, does not echo this incarnation and proves nothing.
  */
-const provesWinOf = (
+const provesWin = (
   state: Voter,
-  mine: LeaseGrant | undefined,
-  ballot: FrameOf<'vote-request'>,
+  grant: LeaseGrant | undefined,
+  request: FrameOf<'vote-request'>,
 ): boolean =>
-  ballot.renew &&
-  !ballot.stepDown &&
-  ballot.duty === primaryLease &&
-  ballot.voterLife === state.incarnation &&
-  mine?.epoch === ballot.epoch &&
-  mine.node === ballot.node;
-
-/** The grant that a ballot leaves behind. */
+  request.renew &&
+  !request.stepDown &&
+  request.duty === primaryLease &&
+  request.voterLife === state.incarnation &&
+  grant?.epoch === request.epoch &&
+  grant.node === request.node;
+
+/** The grant that follows from a request which is not refused. */
 const grantFor = (
-  mine: LeaseGrant | undefined,
-  ballot: FrameOf<'vote-request'>,
+  grant: LeaseGrant | undefined,
+  request: FrameOf<'vote-request'>,
   now: Timestamp,
 ): LeaseGrant => {
-  const base = { epoch: ballot.epoch, node: ballot.node, leaseHolder: ballot.node };
-  if (ballot.stepDown) {
-    const before = ballot.abandoned === true ? mine?.previousInSyncSet : undefined;
-    return { ...base, leaseEndsAt: now, inSyncSet: before ?? ballot.inSyncSet };
+  const base = { epoch: request.epoch, node: request.node, leaseHolder: request.node };
+  if (request.stepDown) {
+    const restored = request.abandoned === true ? grant?.previousInSyncSet : undefined;
+    return { ...base, leaseEndsAt: now, inSyncSet: restored ?? request.inSyncSet };
   }
   return {
     ...base,
-    leaseEndsAt: addMs(now, Math.min(ballot.lease, maxLeaseMs)),
-    inSyncSet: ballot.inSyncSet,
-    previousInSyncSet: ballot.renew ? mine?.previousInSyncSet : mine?.inSyncSet,
+    leaseEndsAt: addMs(now, Math.min(request.lease, maxLeaseMs)),
+    inSyncSet: request.inSyncSet,
+    previousInSyncSet: request.renew ? grant?.previousInSyncSet : grant?.inSyncSet,
   };
 };
 
-/** Takes a ballot: the one place where a voter's memory changes by a vote. */
-export const handleVoteRequest = (
+/** A refusal: names the highest epoch granted and for how long the lease in the way may still last. */
+const refusalOf = (
   state: Voter,
-  ballot: FrameOf<'vote-request'>,
+  request: FrameOf<'vote-request'>,
+  electorate: Electorate,
   now: Timestamp,
-): readonly [Voter, FrameOf<'vote'>] => {
-  const set = newestElectorate(state.electorate, ballot.electorate);
-  const why = refusalReason(state, ballot, set, now);
-  const mine = state.grants.get(ballot.duty);
-  const highest = mine?.epoch ?? noEpoch;
-  const base = {
-    kind: 'vote' as const,
-    duty: ballot.duty,
+): FrameOf<'vote'> => {
+  const grant = state.grants.get(request.duty);
+  const leaseLeftMs = (grant?.leaseEndsAt ?? now) - now;
+  const isRequesterOutdated = electorate.serial > request.electorate.serial;
+  return {
+    kind: 'vote',
+    duty: request.duty,
     voter: state.self,
     life: state.incarnation,
-    at: ballot.at,
-    preVote: ballot.preVote,
-  };
-  if (why !== undefined) {
-    const told = set.serial > ballot.electorate.serial ? { electorate: set } : {};
-    const left = Math.max(0, (mine?.leaseEndsAt ?? now) - now, abstentionEnd(state) - now);
-    return [
-      state,
-      {
-        ...base,
-        epoch: ballot.epoch,
-        granted: false,
-        recovering: state.isRecovering,
-        highest,
-        left: toDurationMs(left),
-        ...told,
-      },
-    ];
-  }
-  if (ballot.preVote)
-    return [
-      state,
-      { ...base, epoch: ballot.epoch, granted: true, recovering: state.isRecovering, highest },
-    ];
-  const grant = grantFor(mine, ballot, now);
-  const provesWin = provesWinOf(state, mine, ballot);
-  const next: Voter = {
-    ...state,
-    fleet: ballot.fleet,
-    electorate: set,
-    grants: withEntry(state.grants, ballot.duty, grant),
-    isRecovering: state.isRecovering && !provesWin,
+    at: request.at,
+    preVote: request.preVote,
+    epoch: request.epoch,
+    granted: false,
+    recovering: state.isRecovering,
+    highest: grant?.epoch ?? noEpoch,
+    left: toDurationMs(Math.max(0, leaseLeftMs, abstentionEnd(state) - now)),
+    ...(isRequesterOutdated ? { electorate } : {}),
   };
-  return [
-    next,
-    {
-      ...base,
-      epoch: ballot.epoch,
-      granted: true,
-      recovering: state.isRecovering,
-      highest: ballot.epoch,
-    },
-  ];
 };
 
-/** What a peer remembers, and the newest gossip of this voter's registry that it had by then. */
-export interface PeerGrants {
-  readonly from: NodeId;
-  readonly isRecovering: boolean;
-  readonly records: readonly LeaseGrantRecord[];
-  readonly lastGossipHeard:
-    { readonly incarnation: Incarnation; readonly at: Timestamp } | undefined;
-}
+const grantedVote = (
+  state: Voter,
+  request: FrameOf<'vote-request'>,
+  highest: Epoch,
+): FrameOf<'vote'> => ({
+  kind: 'vote',
+  duty: request.duty,
+  voter: state.self,
+  life: state.incarnation,
+  at: request.at,
+  preVote: request.preVote,
+  epoch: request.epoch,
+  granted: true,
+  recovering: state.isRecovering,
+  highest,
+});
 
-/** Whether a peer spoke after this voter's abstention ended: only then does it remember all that matters. */
-const spokeInTime = (state: Voter, memory: PeerGrants): boolean =>
-  memory.lastGossipHeard?.incarnation === state.incarnation &&
-  memory.lastGossipHeard.at >= abstentionEnd(state);
-
-/** Takes what a peer remembers; enough of them make a recovering voter whole. */
-export const recoverGrants = (state: Voter, memory: PeerGrants, now: Timestamp): Voter => {
-  if (!state.isRecovering || memory.isRecovering) return state;
-  let grants = state.grants;
-  for (const word of memory.records) {
-    const mine = grants.get(word.duty);
-    if (mine !== undefined && mine.epoch >= word.epoch) continue;
-    const lease =
-      mine !== undefined && now < mine.leaseEndsAt
-        ? { leaseHolder: mine.leaseHolder, leaseEndsAt: mine.leaseEndsAt }
-        : { leaseHolder: word.node, leaseEndsAt: addMs(now, maxLeaseMs) };
-    grants = withEntry(grants, word.duty, {
-      epoch: word.epoch,
-      node: word.node,
-      inSyncSet: word.inSyncSet,
-      ...lease,
-    });
-  }
-  const heardFrom = spokeInTime(state, memory)
-    ? new Set([...state.recoveredFrom, memory.from])
-    : state.recoveredFrom;
-  const set = state.electorate;
-  const others =
-    set === undefined
-      ? 0
-      : set.members.filter((one) => one.node !== state.self && heardFrom.has(one.node)).length;
-  const enough =
-    set !== undefined && others >= set.members.length - quorumSize(set.members.length) + 1;
-  return { ...state, grants, recoveredFrom: heardFrom, isRecovering: !enough };
+/** Answers a vote request: the one place where a voter's grants change by a vote. */
+export const handleVoteRequest = (
+  state: Voter,
+  request: FrameOf<'vote-request'>,
+  now: Timestamp,
+): readonly [Voter, FrameOf<'vote'>] => {
+  const electorate = newerElectorate(state.electorate, request.electorate);
+  if (refuses(state, request, electorate, now))
+    return [state, refusalOf(state, request, electorate, now)];
+  const grant = state.grants.get(request.duty);
+  if (request.preVote) return [state, grantedVote(state, request, grant?.epoch ?? noEpoch)];
+  const next: Voter = {
+    ...state,
+    fleet: request.fleet,
+    electorate,
+    grants: withEntry(state.grants, request.duty, grantFor(grant, request, now)),
+    isRecovering: state.isRecovering && !provesWin(state, grant, request),
+  };
+  return [next, grantedVote(state, request, request.epoch)];
 };
 
-/** Takes a newer electorate that the primary published. */
-export const adoptElectorate = (state: Voter, fleet: FleetId, set: Electorate): Voter => {
+/** Adopts a newer electorate that the primary published; ignores one of another fleet. */
+export const adoptElectorate = (state: Voter, fleet: FleetId, electorate: Electorate): Voter => {
   if (state.fleet !== undefined && state.fleet !== fleet) return state;
-  const next = newestElectorate(state.electorate, set);
-  return next === state.electorate && state.fleet === fleet
+  const newest = newerElectorate(state.electorate, electorate);
+  return newest === state.electorate && state.fleet === fleet
     ? state
-    : { ...state, fleet, electorate: next };
+    : { ...state, fleet, electorate: newest };
 };
 
+/** The voter's grants as peers are to remember them. */
 export const grantRecords = (state: Voter): readonly LeaseGrantRecord[] =>
   [...state.grants].map(([duty, grant]) => ({
     duty,
