--- a/packages/transport/src/frame/frame-schemas.test.ts
+++ b/packages/transport/src/frame/frame-schemas.test.ts
@@ -2,52 +2,51 @@
  * Holds the form of every frame word for word. Processes of two versions talk to each other during an upgrade, so a
  * difference from the fixture is a change of the protocol and not only of names in the code.
  */
+
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
 import { test } from 'node:test';
 import { type Outline, outlineSchema, outlineSchemas } from '@switchwheel/types/testing';
-import {
-  clusterMetadata,
-  controlFrames,
-  leaseGrantRecord,
-  tableMutation,
-  logPosition,
-} from './control.js';
-import { dataFrames, headerFields } from './data.js';
-import * as members from './member.js';
-import { objectFrames } from './object.js';
+import * as configuration from '../record/configuration.js';
+import * as lease from '../record/lease.js';
+import * as node from '../record/node.js';
+import * as origin from '../record/origin.js';
+import * as replication from '../record/replication.js';
+import * as rollout from '../record/rollout.js';
+import { headerFields } from './edge-shield.js';
+import { frameSchemas } from './frame.js';
 
 const fixture: unknown = JSON.parse(
   readFileSync(new URL('../../fixtures/frame-schemas.json', import.meta.url), 'utf8'),
 );
 
-const frames = [...controlFrames, ...dataFrames, ...objectFrames];
-
 const outlineFrames = (): Readonly<Record<string, Outline>> =>
-  Object.fromEntries(frames.map((frame) => [frame.entries.kind.literal, outlineSchema(frame)]));
+  Object.fromEntries(
+    frameSchemas.map((frame) => [frame.entries.kind.literal, outlineSchema(frame)]),
+  );
 
 const outlineParts = (): Readonly<Record<string, Outline>> =>
   outlineSchemas({
-    put: tableMutation,
-    stamp: logPosition,
-    clusterMetadata,
-    grantRecord: leaseGrantRecord,
-    headerFields: headerFields,
-    health: members.health,
-    role: members.role,
-    report: members.nodeStatus,
-    member: members.member,
-    session: members.sessionRecord,
-    origin: members.originInstance,
-    holder: members.leaseHolder,
-    electorate: members.electorate,
-    purgeTarget: members.purgeTarget,
-    purge: members.purge,
-    offer: members.configManifest,
-    verdict: members.canaryResult,
-    releasePhase: members.rolloutPhase,
-    releaseState: members.rolloutState,
-    tallyRow: members.releaseCounts,
+    put: replication.tableMutation,
+    stamp: replication.logPosition,
+    clusterMetadata: replication.clusterMetadata,
+    grantRecord: lease.leaseGrantRecord,
+    headerFields,
+    health: node.health,
+    role: node.role,
+    report: node.nodeStatus,
+    member: node.member,
+    session: node.sessionRecord,
+    origin: origin.originInstance,
+    holder: lease.leaseHolder,
+    electorate: lease.electorate,
+    purgeTarget: configuration.purgeTarget,
+    purge: configuration.purge,
+    offer: configuration.configManifest,
+    verdict: rollout.canaryResult,
+    releasePhase: rollout.rolloutPhase,
+    releaseState: rollout.rolloutState,
+    tallyRow: rollout.releaseCounts,
   });
 
 void test('every frame and every part that frames share has the form that peers expect', () => {
@@ -55,5 +54,8 @@
 });
 
 void test('no two frames have the same kind', () => {
-  assert.equal(new Set(frames.map((frame) => frame.entries.kind.literal)).size, frames.length);
+  assert.equal(
+    new Set(frameSchemas.map((frame) => frame.entries.kind.literal)).size,
+    frameSchemas.length,
+  );
 });
--- a/packages/transport/src/index.ts
+++ b/packages/transport/src/index.ts
@@ -1,6 +1,15 @@
-export * from './frame/member.js';
-export * from './frame/control.js';
-export * from './frame/data.js';
+/**
+ * The protocol between processes: the frames, with the records that they carry, and the TCP channels
+ * that carry them. What a frame means to its receiver is decided in the package of that receiver.
+ */
+
+export * from './record/configuration.js';
+export * from './record/lease.js';
+export * from './record/node.js';
+export * from './record/origin.js';
+export * from './record/replication.js';
+export * from './record/rollout.js';
+export * from './frame/edge-shield.js';
 export * from './frame/frame.js';
 export * from './channel/process-event.js';
 export * from './channel/frame-decoder.js';
