--- a/packages/transport/src/channel/channel-pool.ts
+++ b/packages/transport/src/channel/channel-pool.ts
@@ -1,154 +1,168 @@
+/**
+ * All channels of a process: listens for others, connects where no channel exists, and queues a few
+ * frames until a connection is up. Frames that can't be sent are dropped; whoever needs a reply repeats
+ * the request.
+ */
+
 import { createConnection, createServer, type Server, type Socket } from 'node:net';
 import { EventEmitter } from 'eventemitter3';
 import type { Address } from '@switchwheel/types';
 import { type Frame, isObjectFrame } from '../frame/frame.js';
-import { Channel, type ChannelKind } from './channel.js';
+import { splitAddress } from './address.js';
+import { Channel, protocolErrorPrefix } from './channel.js';
+import type { ChannelKind } from './hello.js';
 import type { Peer } from './process-event.js';
 
 interface PoolEvents {
   frame: (from: Peer, frame: Frame, channel: Channel) => void;
+  /** The channel with an address is closed; what was sent last may not have arrived. */
   gone: (address: Address) => void;
-  fault: (text: string) => void;
-  data: (channel: Channel, who: Peer) => void;
+  /** Something went wrong that operators should see in the log. */
+  fault: (message: string) => void;
+  /** Another process opened a data channel. */
+  data: (channel: Channel, peer: Peer) => void;
 }
 
-/** Splits an address into what sockets take. */
-export const splitAddress = (
-  address: Address,
-): { readonly host: string; readonly port: number } => {
-  const cut = address.lastIndexOf(':');
-  return {
-    host: address.slice(0, cut).replace(/^\[|\]$/g, ''),
-    port: Number(address.slice(cut + 1)),
-  };
-};
-
+/** A channel that has so many bytes to send is given no more frames. */
 const maxBacklogBytes = 32 * 1024 * 1024;
 const maxQueuedFrames = 256;
-const dialTimeout = 1000;
+const helloTimeoutMs = 1000;
 
-/** Edges speak to each other of objects only. */
-const laneOf = (frame: Frame): ChannelKind => (isObjectFrame(frame) ? 'objects' : 'control');
+/** Edges send each other nothing but objects. */
+const channelKindFor = (frame: Frame): ChannelKind =>
+  isObjectFrame(frame) ? 'objects' : 'control';
 
-/** A frame that waits for its channel, and since when. */
-interface WaitingFrame {
+/** A frame that waits until its channel is up, and since when (`performance.now()`). */
+interface QueuedFrame {
   readonly frame: Frame;
   readonly sentAt: number;
 }
 
-interface Connection {
+/** A channel that this process opened. */
+interface OutboundConnection {
   readonly channel: Channel;
-  up: boolean;
-  readonly waiting: WaitingFrame[];
+  isUp: boolean;
+  readonly queue: QueuedFrame[];
 }
 
-/** All control channels of a process: sends frames by address, dials where none stands, loses what can't go. */
+const sendUnlessBackedUp = (channel: Channel, frame: Frame): void => {
+  if (channel.backlog < maxBacklogBytes) channel.send(frame);
+};
+
+/** See the module's comment. */
 export class ChannelPool extends EventEmitter<PoolEvents> {
-  readonly #me: Peer;
-  readonly #out = new Map<Address, Connection>();
-  readonly #in = new Map<Address, Channel>();
-  readonly #all = new Set<Channel>();
+  readonly #self: Peer;
+  readonly #outbound = new Map<Address, OutboundConnection>();
+  readonly #inbound = new Map<Address, Channel>();
+  readonly #channels = new Set<Channel>();
   readonly #server: Server;
-  /** Channels dropped for foreign or corrupt frames. */
+  /** Channels that were closed because the other side violated the protocol. */
   protocolErrorCount = 0;
 
-  constructor(me: Peer) {
+  constructor(self: Peer) {
     super();
-    this.#me = me;
-    this.#server = createServer((socket) => this.#greet(socket));
-    this.#server.on('error', (fault) => this.emit('fault', fault.message));
+    this.#self = self;
+    this.#server = createServer((socket) => this.#accept(socket));
+    this.#server.on('error', (error) => this.emit('fault', error.message));
   }
 
+  /** Listens at this process's own address; rejects if the address can't be bound. */
   listen(): Promise<void> {
-    return new Promise((done, fail) => {
-      this.#server.once('error', fail);
-      this.#server.listen({ ...splitAddress(this.#me.address) }, () => {
-        this.#server.off('error', fail);
-        done();
+    return new Promise((resolve, reject) => {
+      this.#server.once('error', reject);
+      this.#server.listen({ ...splitAddress(this.#self.address) }, () => {
+        this.#server.off('error', reject);
+        resolve();
       });
     });
   }
 
+  /** Sends a frame on the existing channel with an address, or connects to it. */
   send(to: Address, frame: Frame): void {
-    const line =
-      this.#out.get(to) ?? (this.#in.has(to) ? undefined : this.#dial(to, laneOf(frame)));
-    if (line === undefined) {
-      const back = this.#in.get(to);
-      if (back !== undefined && back.backlog < maxBacklogBytes) back.send(frame);
+    const inbound = this.#inbound.get(to);
+    const outbound =
+      this.#outbound.get(to) ??
+      (inbound === undefined ? this.#connect(to, channelKindFor(frame)) : undefined);
+    if (outbound === undefined) {
+      if (inbound !== undefined) sendUnlessBackedUp(inbound, frame);
       return;
     }
-    if (line.up) {
-      if (line.channel.backlog < maxBacklogBytes) line.channel.send(frame);
-    } else if (line.waiting.length < maxQueuedFrames)
-      line.waiting.push({ frame, sentAt: performance.now() });
+    if (outbound.isUp) sendUnlessBackedUp(outbound.channel, frame);
+    else if (outbound.queue.length < maxQueuedFrames)
+      outbound.queue.push({ frame, sentAt: performance.now() });
   }
 
-  /** Opens a channel of the data lane. */
+  /** Opens a data channel; its frames and its end are left to the caller. */
   openDataChannel(to: Address): Channel {
-    const channel = new Channel(createConnection(splitAddress(to)), this.#me, 'data');
-    this.#all.add(channel);
-    channel.on('closed', () => this.#all.delete(channel));
+    const channel = new Channel(createConnection(splitAddress(to)), this.#self, 'data');
+    this.#channels.add(channel);
+    channel.on('closed', () => this.#channels.delete(channel));
     return channel;
   }
 
+  /** Stops listening and closes all channels. */
   close(): void {
     this.#server.close();
-    for (const channel of this.#all) channel.terminate('stopping');
+    for (const channel of this.#channels) channel.terminate('stopping');
   }
 
-  #dial(to: Address, lane: ChannelKind): Connection {
+  #connect(to: Address, channelKind: ChannelKind): OutboundConnection {
     const socket = createConnection(splitAddress(to));
-    socket.setTimeout(dialTimeout, () => {
-      if (!line.up) channel.terminate('no hello in time');
+    socket.setTimeout(helloTimeoutMs, () => {
+      if (!connection.isUp) channel.terminate('no hello in time');
     });
-    const channel = new Channel(socket, this.#me, lane);
-    const line: Connection = { channel, up: false, waiting: [] };
-    this.#out.set(to, line);
-    this.#watch(channel);
+    const channel = new Channel(socket, this.#self, channelKind);
+    const connection: OutboundConnection = { channel, isUp: false, queue: [] };
+    this.#outbound.set(to, connection);
+    this.#track(channel);
     channel.on('up', () => {
-      line.up = true;
-      for (const one of line.waiting.splice(0)) channel.send(one.frame, one.sentAt);
+      connection.isUp = true;
+      for (const queued of connection.queue.splice(0)) channel.send(queued.frame, queued.sentAt);
     });
     channel.on('closed', () => {
-      if (this.#out.get(to) === line) this.#out.delete(to);
+      if (this.#outbound.get(to) === connection) this.#outbound.delete(to);
       this.emit('gone', to);
     });
-    return line;
+    return connection;
   }
 
-  #greet(socket: Socket): void {
-    const channel = new Channel(socket, this.#me, 'control');
-    const late = setTimeout(() => {
+  #accept(socket: Socket): void {
+    const channel = new Channel(socket, this.#self, 'control');
+    const helloTimer = setTimeout(() => {
       if (channel.peer === undefined) channel.terminate('no hello in time');
-    }, dialTimeout);
-    this.#watch(channel);
-    channel.on('closed', () => clearTimeout(late));
-    channel.on('up', (who: Peer, lane: ChannelKind) => {
-      if (lane === 'data') {
+    }, helloTimeoutMs);
+    this.#track(channel);
+    channel.on('closed', () => clearTimeout(helloTimer));
+    channel.on('up', (peer: Peer, channelKind: ChannelKind) => {
+      if (channelKind === 'data') {
         channel.removeAllListeners('frame');
-        this.emit('data', channel, who);
+        this.emit('data', channel, peer);
         return;
       }
-      this.#in.set(who.address, channel);
-      channel.on('closed', () => {
-        if (this.#in.get(who.address) !== channel) return;
-        this.#in.delete(who.address);
-        this.emit('gone', who.address);
-      });
+      this.#registerInbound(channel, peer);
     });
   }
 
-  #watch(channel: Channel): void {
-    this.#all.add(channel);
+  #registerInbound(channel: Channel, peer: Peer): void {
+    this.#inbound.set(peer.address, channel);
+    channel.on('closed', () => {
+      if (this.#inbound.get(peer.address) !== channel) return;
+      this.#inbound.delete(peer.address);
+      this.emit('gone', peer.address);
+    });
+  }
+
+  #track(channel: Channel): void {
+    this.#channels.add(channel);
     channel.on('frame', (frame: Frame) => {
       if (channel.peer !== undefined) this.emit('frame', channel.peer, frame, channel);
     });
-    channel.on('closed', (why: string) => {
-      this.#all.delete(channel);
-      if (why.startsWith('foreign')) {
-        this.protocolErrorCount += 1;
-        this.emit('fault', `channel with ${channel.peer?.node ?? 'a stranger'} dropped: ${why}`);
-      }
+    channel.on('closed', (reason: string) => {
+      this.#channels.delete(channel);
+      if (!reason.startsWith(protocolErrorPrefix)) return;
+      this.protocolErrorCount += 1;
+      const peerName = channel.peer?.node ?? 'an unknown peer';
+      this.emit('fault', `channel closed by protocol error, peer ${peerName}: ${reason}`);
     });
   }
 }
--- a/packages/transport/src/channel/channel.ts
+++ b/packages/transport/src/channel/channel.ts
@@ -1,216 +1,197 @@
+/**
+ * One channel between two processes over a TCP connection: a hello each way, then frames and
+ * keepalives, each with the time at which it was sent. The channel ends itself when the other side
+ * stays silent, sends something that is no frame, or is only heard too late. Which channels a process
+ * has is decided by `channel-pool`.
+ */
+
 import type { Socket } from 'node:net';
 import { EventEmitter } from 'eventemitter3';
-import * as v from 'valibot';
-import { Encoder } from 'cbor-x';
-import * as g from '@switchwheel/types';
 import { deserializeFrame, serializeFrame, type Frame } from '../frame/frame.js';
 import {
   FrameAgeEstimator,
   expiresWithAge,
   frameLifetimeMs,
-  splitSendTime,
   prependSendTime,
+  splitSendTime,
 } from './frame-age.js';
 import { FrameDecoder, encodeFrame } from './frame-decoder.js';
+import { type ChannelKind, decodeHello, encodeHello } from './hello.js';
 import type { Peer } from './process-event.js';
 
-/** The generation of the frames; another one is refused plainly. */
-export const protocolVersion = 3;
-/** How often each side shows that it is there, and how long it may be silent before the channel is over. */
+/** How often each side of a channel sends a keepalive, in milliseconds. */
 export const keepaliveIntervalMs = 500;
+/** For how long the other side may be silent before the channel is closed, in milliseconds. */
 export const keepaliveTimeoutMs = 2000;
-/** The same between edges that share objects: whoever is silent there is done without after a moment anyway. */
+/**
+ * The interval on channels between edges that share objects. It is longer because an edge goes on
+ * without a peer that does not reply at once.
+ */
 export const objectKeepaliveIntervalMs = 4000;
-const objectsSilenceTimeout = 3 * objectKeepaliveIntervalMs;
-const empty = new Uint8Array();
-const hello = v.object({
-  switchwheel: v.literal('hello'),
-  protocol: v.number(),
-  lane: v.picklist(['control', 'data', 'objects']),
-  node: g.nodeId,
-  address: g.address,
-  incarnation: g.incarnation,
-  /** The sender's steady clock; absent in the hello of an older protocol, which is refused by its number. */
-  at: v.optional(v.number()),
-});
-type Hello = v.InferOutput<typeof hello>;
-export type ChannelKind = Hello['lane'];
-const coder = new Encoder({ useRecords: false, mapsAsObjects: true });
+const objectKeepaliveTimeoutMs = 3 * objectKeepaliveIntervalMs;
+
+/** What a keepalive carries beside its send time. */
+const emptyBody = new Uint8Array();
+
+/** The reason of closing that begins with this was a violation of the protocol by the other side. */
+export const protocolErrorPrefix = 'foreign';
 
 interface ChannelEvents {
-  up: (who: Peer, lane: ChannelKind) => void;
+  /** The other side's hello was accepted. */
+  up: (peer: Peer, channelKind: ChannelKind) => void;
   frame: (frame: Frame) => void;
-  closed: (why: string) => void;
-  drain: () => void;
+  closed: (reason: string) => void;
 }
 
-/** One channel between two processes: a hello each way, then frames. */
+/** See the module's comment. */
 export class Channel extends EventEmitter<ChannelEvents> {
   readonly #socket: Socket;
-  readonly #cutter = new FrameDecoder();
-  #who: Peer | undefined;
-  #why = 'closed';
-  #over = false;
-  #heard = performance.now();
-  #looked = performance.now();
-  readonly #age = new FrameAgeEstimator();
-  /** Since when every frame that came was too old; undefined while they are not. */
+  readonly #decoder = new FrameDecoder();
+  readonly #frameAge = new FrameAgeEstimator();
+  #peer: Peer | undefined;
+  #closeReason = 'closed';
+  #isClosed = false;
+  #lastReceivedAt = performance.now();
+  #lastCheckedAt = performance.now();
+  /** Since when every frame that arrived was too old; undefined while they are not. */
   #lateSince: number | undefined;
-  #lane: ChannelKind;
-  #timer: NodeJS.Timeout | undefined;
+  #kind: ChannelKind;
+  #keepaliveTimer: NodeJS.Timeout | undefined;
   /** Frames that were dropped as too old. */
   expiredFrameCount = 0;
 
-  constructor(socket: Socket, me: Peer, lane: ChannelKind) {
+  /** Sends the hello of this process; `kind` is replaced by what the other side's hello names. */
+  constructor(socket: Socket, self: Peer, kind: ChannelKind) {
     super();
     this.#socket = socket;
+    this.#kind = kind;
     socket.setNoDelay(true);
-    this.#lane = lane;
-    const greeting: Hello = {
-      switchwheel: 'hello',
-      protocol: protocolVersion,
-      lane,
-      at: performance.now(),
-      ...me,
-    };
-    socket.write(encodeFrame(coder.encode(greeting)));
-    socket.on('data', (bytes: Buffer) => this.#take(bytes));
-    this.#scheduleLook();
-    socket.on('drain', () => this.emit('drain'));
-    socket.on('error', (fault) => {
-      this.#why = fault.message;
-    });
-    socket.on('close', () => {
-      clearTimeout(this.#timer);
-      if (this.#over) return;
-      this.#over = true;
-      this.emit('closed', this.#why);
+    socket.write(encodeFrame(encodeHello(self, kind, performance.now())));
+    socket.on('data', (bytes: Buffer) => this.#receive(bytes));
+    this.#scheduleKeepalive();
+    socket.on('error', (error) => {
+      this.#closeReason = error.message;
     });
+    socket.on('close', () => this.#onSocketClosed());
   }
 
+  /** The process at the other end; undefined until its hello has arrived. */
   get peer(): Peer | undefined {
-    return this.#who;
+    return this.#peer;
   }
 
-  /** Bytes that wait to leave. */
+  /** How many bytes are waiting to be sent. */
   get backlog(): number {
     return this.#socket.writableLength;
   }
 
-  /** Hands a frame over, with the time at which it was sent; false when the channel is over. */
+  /** Sends a frame, stamped with `sentAt` (`performance.now()`); false if the channel is closed. */
   send(frame: Frame, sentAt = performance.now()): boolean {
-    if (this.#over || this.#socket.destroyed) return false;
+    if (this.#isClosed || this.#socket.destroyed) return false;
     this.#socket.write(encodeFrame(prependSendTime(serializeFrame(frame), sentAt)));
     return true;
   }
 
-  /** Stops taking bytes in, until let go on. */
-  setReadingPaused(still: boolean): void {
-    if (still) this.#socket.pause();
-    else this.#socket.resume();
+  /** Closes the channel at once; `closed` is emitted with the reason. */
+  terminate(reason: string): void {
+    this.#closeReason = reason;
+    this.#socket.destroy();
+  }
+
+  #terminateForProtocolError(text: string): void {
+    this.terminate(`${protocolErrorPrefix}: ${text}`);
   }
 
-  terminate(why: string): void {
-    this.#why = why;
-    this.#socket.destroy();
+  #onSocketClosed(): void {
+    clearTimeout(this.#keepaliveTimer);
+    if (this.#isClosed) return;
+    this.#isClosed = true;
+    this.emit('closed', this.#closeReason);
   }
 
-  #scheduleLook(): void {
-    clearTimeout(this.#timer);
-    this.#timer = setTimeout(() => {
-      this.#look();
-      if (!this.#over) this.#scheduleLook();
-    }, this.#keepalive);
-    this.#timer.unref();
+  #scheduleKeepalive(): void {
+    clearTimeout(this.#keepaliveTimer);
+    this.#keepaliveTimer = setTimeout(() => {
+      this.#checkKeepalive();
+      if (!this.#isClosed) this.#scheduleKeepalive();
+    }, this.#keepaliveIntervalMs);
+    this.#keepaliveTimer.unref();
   }
 
-  get #keepalive(): number {
-    return this.#lane === 'objects' ? objectKeepaliveIntervalMs : keepaliveIntervalMs;
+  get #keepaliveIntervalMs(): number {
+    return this.#kind === 'objects' ? objectKeepaliveIntervalMs : keepaliveIntervalMs;
   }
 
-  get #silence(): number {
-    return this.#lane === 'objects' ? objectsSilenceTimeout : keepaliveTimeoutMs;
+  get #keepaliveTimeoutMs(): number {
+    return this.#kind === 'objects' ? objectKeepaliveTimeoutMs : keepaliveTimeoutMs;
   }
 
-  /** Shows that this side is there; ends a channel whose other side is silent, as after a cut that nobody told of. */
-  #look(): void {
+  /** Sends a keepalive; closes a channel whose other side is silent, as after a network partition. */
+  #checkKeepalive(): void {
     const now = performance.now();
-    // Whoever slept itself has not listened: that silence is its own.
-    if (now - this.#looked > 2 * this.#keepalive) this.#heard = now;
-    this.#looked = now;
+    // A process that was itself suspended has received nothing meanwhile: that silence is its own.
+    if (now - this.#lastCheckedAt > 2 * this.#keepaliveIntervalMs) this.#lastReceivedAt = now;
+    this.#lastCheckedAt = now;
     if (this.#socket.connecting) return;
-    if (now - this.#heard > this.#silence) this.terminate('silent');
-    else if (!this.#socket.destroyed && this.#who !== undefined)
-      this.#socket.write(encodeFrame(prependSendTime(empty, now)));
+    if (now - this.#lastReceivedAt > this.#keepaliveTimeoutMs) this.terminate('silent');
+    else if (!this.#socket.destroyed && this.#peer !== undefined)
+      this.#socket.write(encodeFrame(prependSendTime(emptyBody, now)));
   }
 
-  #take(bytes: Buffer): void {
-    this.#heard = performance.now();
-    const cut = this.#cutter.feed(bytes);
-    if (cut.isErr) {
-      this.terminate(`foreign: ${cut.error.text}`);
+  #receive(bytes: Buffer): void {
+    this.#lastReceivedAt = performance.now();
+    const decoded = this.#decoder.feed(bytes);
+    if (decoded.isErr) {
+      this.#terminateForProtocolError(decoded.error.text);
       return;
     }
-    for (const body of cut.value) {
+    for (const body of decoded.value) {
       if (this.#socket.destroyed) return;
-      if (this.#who === undefined) this.#meet(body);
-      else this.#takeStamped(body);
+      if (this.#peer === undefined) this.#receiveHello(body);
+      else this.#receiveTimestamped(body);
     }
   }
 
-  /** Takes a frame or a keepalive, if it is not too old. */
-  #takeStamped(bytes: Uint8Array): void {
-    const stamped = splitSendTime(bytes);
-    if (stamped === undefined) {
-      this.terminate('foreign: no time of sending');
+  /** Receives a frame or a keepalive; drops a frame that is too old, if its kind expires. */
+  #receiveTimestamped(bytes: Uint8Array): void {
+    const timestamped = splitSendTime(bytes);
+    if (timestamped === undefined) {
+      this.#terminateForProtocolError('no time of sending');
       return;
     }
     const now = performance.now();
-    const late = this.#age.measure(stamped.sentAt, now) > frameLifetimeMs;
-    this.#noteLate(late, now);
-    if (stamped.body.length === 0 || this.#socket.destroyed) return;
-    const frame = deserializeFrame(stamped.body);
+    const isLate = this.#frameAge.measure(timestamped.sentAt, now) > frameLifetimeMs;
+    this.#trackLateness(isLate, now);
+    if (timestamped.body.length === 0 || this.#socket.destroyed) return;
+    const frame = deserializeFrame(timestamped.body);
     if (frame.isErr) {
-      this.terminate(`foreign: ${frame.error.text}`);
+      this.#terminateForProtocolError(frame.error.text);
       return;
     }
-    if (late && this.#lane !== 'data' && expiresWithAge(frame.value)) this.expiredFrameCount += 1;
+    if (isLate && this.#kind !== 'data' && expiresWithAge(frame.value)) this.expiredFrameCount += 1;
     else this.emit('frame', frame.value);
   }
 
-  /** A control channel on which all is late ends: a new one has no backlog, and learns the clocks anew. */
-  #noteLate(late: boolean, now: number): void {
-    this.#lateSince = late ? (this.#lateSince ?? now) : undefined;
-    if (this.#lane === 'control' && now - (this.#lateSince ?? now) > keepaliveTimeoutMs)
+  /** Closes a control channel on which all is late: a new one has no backlog, and measures the clocks anew. */
+  #trackLateness(isLate: boolean, now: number): void {
+    this.#lateSince = isLate ? (this.#lateSince ?? now) : undefined;
+    if (this.#kind === 'control' && now - (this.#lateSince ?? now) > keepaliveTimeoutMs)
       this.terminate('late');
   }
 
-  #meet(body: Uint8Array): void {
-    let raw: unknown;
-    try {
-      raw = coder.decode(body);
-    } catch {
-      this.terminate('foreign: no hello');
-      return;
-    }
-    const read = v.safeParse(hello, raw);
-    if (!read.success) {
-      this.terminate('foreign: no hello');
-      return;
-    }
-    if (read.output.protocol !== protocolVersion) {
-      this.terminate(
-        `foreign: protocol ${read.output.protocol}, this program speaks ${protocolVersion}`,
-      );
+  #receiveHello(body: Uint8Array): void {
+    const hello = decodeHello(body);
+    if (hello.isErr) {
+      this.#terminateForProtocolError(hello.error.text);
       return;
     }
-    const { node, address, incarnation, at } = read.output;
-    if (at !== undefined) this.#age.measure(at, performance.now());
-    if (read.output.lane !== 'control') {
-      this.#lane = read.output.lane;
-      this.#scheduleLook();
+    const { node, address, incarnation, at, lane } = hello.value;
+    if (at !== undefined) this.#frameAge.measure(at, performance.now());
+    if (lane !== 'control') {
+      this.#kind = lane;
+      this.#scheduleKeepalive();
     }
-    this.#who = { node, address, incarnation };
-    this.emit('up', this.#who, read.output.lane);
+    this.#peer = { node, address, incarnation };
+    this.emit('up', this.#peer, lane);
   }
 }
--- a/packages/transport/src/channel/frame-age.ts
+++ b/packages/transport/src/channel/frame-age.ts
@@ -1,42 +1,44 @@
 /**
- * The age of frames as they arrive. Both sides' steady clocks start anywhere, so the receiver takes
- * the least difference that it saw for the way of a frame without delay; what is over that is age.
+ * The age of frames as they arrive. The monotonic clocks of the two sides start anywhere, so the
+ * receiver takes the smallest difference between them that it measured for a frame without delay; what
+ * a frame exceeds it by is its age.
  */
+
 import type { Frame } from '../frame/frame.js';
 
-/** How old a frame may be when it is read: older ones are dropped, as their sender has gone on. */
+/** How old a frame may be when it is received, in milliseconds: the sender of an older one has moved on. */
 export const frameLifetimeMs = 1500;
-/** By how much two steady clocks may run apart, in milliseconds for each millisecond. */
-const clockDrift = 0.001;
+/** By how much two monotonic clocks may drift apart, in milliseconds for each millisecond. */
+const maxClockDrift = 0.001;
 
-/** Keeps the least difference between the clocks of a channel's two sides. */
+/** Estimates the difference between the clocks of a channel's two sides. */
 export class FrameAgeEstimator {
-  #offset = Infinity;
-  #offsetAt = 0;
+  #clockOffsetMs = Infinity;
+  #measuredAt = 0;
 
-  /** How long a frame was under way beyond the quickest one, both times in milliseconds. */
+  /** By how many milliseconds a frame took longer than the fastest one; both times in milliseconds. */
   measure(sentAt: number, receivedAt: number): number {
-    const drifted = this.#offset + clockDrift * (receivedAt - this.#offsetAt);
-    this.#offset = Math.min(drifted, receivedAt - sentAt);
-    this.#offsetAt = receivedAt;
-    return receivedAt - sentAt - this.#offset;
+    const driftedOffsetMs = this.#clockOffsetMs + maxClockDrift * (receivedAt - this.#measuredAt);
+    this.#clockOffsetMs = Math.min(driftedOffsetMs, receivedAt - sentAt);
+    this.#measuredAt = receivedAt;
+    return receivedAt - sentAt - this.#clockOffsetMs;
   }
 }
 
 /**
- * Whether a frame loses its worth with time. Pieces are named by their hash, and entries of a resync
- * are bulk under an epoch: over a slow link they are late and still right.
+ * Whether a frame loses its value with time. Chunks are addressed by their hash, and entries of a
+ * resync are bulk data under an epoch: over a slow link they are late and still right.
  */
 export const expiresWithAge = (frame: Frame): boolean =>
   frame.kind !== 'piece' && frame.kind !== 'resync-entries';
 
-const stampBytes = 8;
+const sendTimeBytes = 8;
 
-/** Puts the time of sending before a frame's bytes. */
+/** Puts the time of sending, as a big-endian double, before a frame's bytes. */
 export const prependSendTime = (body: Uint8Array, sentAt: number): Buffer => {
-  const out = Buffer.allocUnsafe(stampBytes + body.length);
+  const out = Buffer.allocUnsafe(sendTimeBytes + body.length);
   out.writeDoubleBE(sentAt, 0);
-  out.set(body, stampBytes);
+  out.set(body, sendTimeBytes);
   return out;
 };
 
@@ -46,9 +48,9 @@
   readonly body: Uint8Array;
 }
 
-/** Takes a frame's bytes and the time of sending apart; undefined if there is no such time. */
+/** Separates a frame's bytes from the time of sending; undefined if there is no valid time. */
 export const splitSendTime = (bytes: Uint8Array): TimestampedFrame | undefined => {
-  if (bytes.length < stampBytes) return undefined;
-  const sentAt = Buffer.from(bytes.buffer, bytes.byteOffset, stampBytes).readDoubleBE(0);
-  return Number.isFinite(sentAt) ? { sentAt, body: bytes.subarray(stampBytes) } : undefined;
+  if (bytes.length < sendTimeBytes) return undefined;
+  const sentAt = Buffer.from(bytes.buffer, bytes.byteOffset, sendTimeBytes).readDoubleBE(0);
+  return Number.isFinite(sentAt) ? { sentAt, body: bytes.subarray(sendTimeBytes) } : undefined;
 };
--- a/packages/transport/src/channel/hello-form.test.ts
+++ b/packages/transport/src/channel/hello-form.test.ts
@@ -1,4 +1,5 @@
 /** Holds the bytes with which a channel begins: a process of another version has to understand them. */
+
 import assert from 'node:assert/strict';
 import { once } from 'node:events';
 import { type Socket, createConnection, createServer } from 'node:net';
@@ -6,7 +7,8 @@
 import { Encoder } from 'cbor-x';
 import * as v from 'valibot';
 import { toAddress, toIncarnation, toNodeId } from '@switchwheel/types';
-import { Channel, type ChannelKind } from './channel.js';
+import { Channel } from './channel.js';
+import type { ChannelKind } from './hello.js';
 import { FrameDecoder } from './frame-decoder.js';
 
 const lanes: readonly ChannelKind[] = ['control', 'data', 'objects'];
--- a/packages/transport/src/channel/process-event.ts
+++ b/packages/transport/src/channel/process-event.ts
@@ -1,14 +1,21 @@
-import type { Address, Incarnation, Timestamp, NodeId } from '@switchwheel/types';
+/**
+ * The events and effects that the state machines of all processes share: time, frames and lost
+ * connections come in; frames and log lines go out. `runtime/run/event-loop` binds them to the real
+ * clock and network, the simulator to virtual ones.
+ */
+
+import type { Address, Incarnation, NodeId, Timestamp } from '@switchwheel/types';
 import type { Frame } from '../frame/frame.js';
 
-/** Who is at the other end of a channel. */
+/** The process at the other end of a channel. */
 export interface Peer {
   readonly node: NodeId;
+  /** Where it listens for channels. */
   readonly address: Address;
   readonly incarnation: Incarnation;
 }
 
-/** What reaches a machine from the outside, each with the time it is acted on. */
+/** What reaches a process from outside, each with the time at which it is handled. */
 export type ProcessEvent =
   | { readonly kind: 'tick'; readonly now: Timestamp }
   | {
@@ -19,19 +26,25 @@
     }
   | { readonly kind: 'peerDisconnected'; readonly now: Timestamp; readonly address: Address };
 
-/** What every machine may ask of its shell. */
+type LogLevel = 'info' | 'warn' | 'error';
+type LogField = readonly [name: string, value: string | number | boolean];
+
+/** What every process may have done on its behalf. */
 export type ProcessEffect =
   | { readonly kind: 'send'; readonly to: Address; readonly frame: Frame }
   | {
       readonly kind: 'log';
-      readonly level: 'info' | 'warn' | 'error';
+      readonly level: LogLevel;
       readonly message: string;
       readonly fields?: ReadonlyMap<string, string | number | boolean>;
     };
 
+/** The effect that sends a frame. */
 export const send = (to: Address, frame: Frame): ProcessEffect => ({ kind: 'send', to, frame });
+
+/** The effect that writes a log line. */
 export const log = (
-  level: 'info' | 'warn' | 'error',
-  text: string,
-  ...facts: readonly (readonly [string, string | number | boolean])[]
-): ProcessEffect => ({ kind: 'log', level, message: text, fields: new Map(facts) });
+  level: LogLevel,
+  message: string,
+  ...fields: readonly LogField[]
+): ProcessEffect => ({ kind: 'log', level, message, fields: new Map(fields) });
