--- a/packages/model-checker/src/seeded-bugs/list.ts
+++ b/packages/model-checker/src/seeded-bugs/list.ts
@@ -4,7 +4,7 @@
 const voter = 'election/dist/voter/voter.js';
 const write = 'replicated-store/dist/log-write/primary-write.js';
 const candidacy = 'replicated-store/dist/leadership/candidacy.js';
-const resync = 'replicated-store/dist/resync/resync.js';
+const backupWrite = 'replicated-store/dist/log-write/backup-write.js';
 const apply = 'replicated-store/dist/commands/apply-configuration.js';
 
 /** Guards of the control side whose absence the model checker is to find. */
@@ -131,14 +131,14 @@
   {
     name: 'a backup takes no copy of an older epoch',
     rule: 'epochs on a disk only go up',
-    file: resync,
+    file: backupWrite,
     from: 'if (write.metadata.epoch < metadata.epoch || write.metadata.epoch < heldEpoch(before.candidate))',
     to: 'if (false)',
   },
   {
     name: 'a backup takes no copy past a gap',
     rule: 'a primary has every confirmed write',
-    file: resync,
+    file: backupWrite,
     from: 'const next = isSameStamp(state.stamp, write.prior) || isSameStamp(state.stamp, write.stamp);',
     to: 'const next = true;',
   },
--- a/packages/replicated-store/src/commands/apply-configuration.test.ts
+++ b/packages/replicated-store/src/commands/apply-configuration.test.ts
@@ -13,12 +13,12 @@
   type ControlState,
   applyPuts,
   contentHash,
-  maxKeptOutcomes,
-  maxKeptGenerations,
   emptyControlState,
+  maxKeptGenerations,
+  maxKeptOutcomes,
 } from '@switchwheel/configuration';
 import { decideApply } from './apply-configuration.js';
-import type { Command } from '../state/state.js';
+import type { Command } from './command.js';
 
 const texts = ['a', 'b', 'c'];
 const state = {
--- a/packages/replicated-store/src/commands/apply-configuration.ts
+++ b/packages/replicated-store/src/commands/apply-configuration.ts
@@ -3,6 +3,7 @@
  * number is in force, the same content under its number is acknowledged again whenever it comes,
  * other content under a taken number is refused.
  */
+
 import {
   type Generation,
   type Hash,
@@ -13,16 +14,16 @@
 import type { TableMutation } from '@switchwheel/transport';
 import {
   type ControlState,
+  controlKeys,
   deleteRecord,
   maxKeptGenerations,
-  controlKeys,
   putRecord,
 } from '@switchwheel/configuration';
+import { chunkPuts, missingChunks, unusedChunks } from './chunks.js';
+import type { ApplyCommand } from './command.js';
 import { type Decision, commandReply, earlierReply, noChange, rememberReply } from './decision.js';
-import { missingChunks, chunkPuts, unusedChunks } from './chunks.js';
-import type { Command, StoreState } from '../state/state.js';
+import type { StoreState } from '../state/state.js';
 
-type ApplyCommand = Extract<Command, { kind: 'apply' }>;
 type ApplyState = Pick<StoreState, 'heldChunks' | 'commandQueue'>;
 
 const currentGeneration = (control: ControlState): Generation =>
--- a/packages/replicated-store/src/commands/call-bodies.test.ts
+++ b/packages/replicated-store/src/commands/call-bodies.test.ts
@@ -2,25 +2,26 @@
  * Holds the JSON bodies of calls as registries send them to the primary, and of the answers that registries read:
  * they are texts within frames, so the schemas of the frames say nothing of them.
  */
+
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
   toAddress,
-  toZoneName,
   toCommandId,
   toEpoch,
   toFleetId,
   toIncarnation,
-  toTimestamp,
   toNodeId,
   toSeq,
+  toTimestamp,
+  toZoneName,
 } from '@switchwheel/types';
 import type { FrameOf, Peer } from '@switchwheel/transport';
 import { configurationHash, contentHash } from '@switchwheel/configuration';
+import { onOperatorCommand } from './operator-commands.js';
 import { storeTransition } from '../machine.js';
 import type { StoreEffect } from '../state/events.js';
 import { type StoreState, newStoreState } from '../state/state.js';
-import { onOperatorCommand } from './operator-commands.js';
 
 type Verb = FrameOf<'call'>['verb'];
 type CallStep = ReturnType<typeof onOperatorCommand>;
--- a/packages/replicated-store/src/commands/chunk-repair.ts
+++ b/packages/replicated-store/src/commands/chunk-repair.ts
@@ -1,23 +1,17 @@
 /**
- * Repair of a description in force that lacks pieces in the table, as a fleet may have it on disk from an earlier
- * version. Registries keep the pieces that their nodes asked for, so the primary asks them and stores what comes.
+ * Repair of a configuration in force whose chunks are not all in the table, as a fleet may have it on disk from
+ * an earlier version. Registries keep the chunks that their nodes asked for, so the primary asks them and stores what comes.
  */
-import {
-  type Hash,
-  type Timestamp,
-  type Transition,
-  prependEffects,
-  transition,
-} from '@switchwheel/types';
+
+import { type Hash, type Timestamp, prependEffects, transition } from '@switchwheel/types';
 import { log, send } from '@switchwheel/transport';
-import type { StoreEffect } from '../state/events.js';
-import { type StoreState, ownId } from '../state/state.js';
+import { maxChunksPerRequest } from './chunks.js';
 import { enqueue } from './queue.js';
+import { type StoreState, ownId } from '../state/state.js';
+import type { StoreTransition } from '../state/transition.js';
 
-type StoreTransition = Transition<StoreState, StoreEffect>;
 /** How often registries are asked for what the table lacks. */
 const repairIntervalMs = 500;
-const maxChunksPerRequest = 64;
 
 /** The pieces of the description in force that the table lacks. */
 export const lackingChunks = ({ control }: Pick<StoreState, 'control'>): readonly Hash[] =>
--- a/packages/replicated-store/src/commands/chunks.ts
+++ b/packages/replicated-store/src/commands/chunks.ts
@@ -1,17 +1,19 @@
 /**
- * Pieces of descriptions on their way into the table. A write goes to each backup in one frame, so
- * the pieces of a large description are stored by writes of their own, of bounded size, before the
- * write that puts it in force.
+ * Chunks of configurations on their way into the table. A write goes to each backup in one frame, so the chunks
+ * of a large configuration are stored by writes of their own, of bounded size, before the write that puts it in force.
  */
+
 import { type Hash, filterEntries } from '@switchwheel/types';
 import type { TableMutation } from '@switchwheel/transport';
-import { type ControlState, deleteRecord, controlKeys } from '@switchwheel/configuration';
-import type { Command, StoreState } from '../state/state.js';
+import { type ControlState, controlKeys, deleteRecord } from '@switchwheel/configuration';
+import type { ApplyCommand, Command } from './command.js';
+import type { StoreState } from '../state/state.js';
 
 /** The most characters of pieces that one command adds to a write. */
 export const maxChunkCharactersPerWrite = 1024 * 1024;
 
-type ApplyCommand = Extract<Command, { kind: 'apply' }>;
+export const maxChunksPerRequest = 64;
+
 type StoreChunksCommand = Extract<Command, { kind: 'pieces' }>;
 
 /** Keeps the pieces that an order needs and the table has: from here on its fate does not depend on the table. */
--- a/packages/replicated-store/src/commands/decision.ts
+++ b/packages/replicated-store/src/commands/decision.ts
@@ -1,14 +1,17 @@
-/** What deciding a command yields, and what all deciders share: answers and the answers kept by call id. */
+/**
+ * What deciding a command yields, and what all deciders share: replies, and the replies kept by command id.
+ */
+
 import type { Invariant, Seq } from '@switchwheel/types';
 import type { Electorate, TableMutation } from '@switchwheel/transport';
 import {
   type ControlState,
+  controlKeys,
   deleteRecord,
   maxKeptOutcomes,
-  controlKeys,
   putRecord,
 } from '@switchwheel/configuration';
-import type { CommandReply, Command } from '../state/state.js';
+import type { Command, CommandReply } from './command.js';
 
 /** What a command comes to: changes of the table, and what to tell whom once they last. */
 export interface Decision {
@@ -20,6 +23,7 @@
   /** Invariants that were found broken on the way. */
   readonly violations?: readonly Invariant[];
 }
+
 /** A command that changes nothing and answers nobody. */
 export const noChange: Decision = { puts: [], repliesAfterWrite: [], immediateReplies: [] };
 
--- a/packages/replicated-store/src/commands/queue.ts
+++ b/packages/replicated-store/src/commands/queue.ts
@@ -1,10 +1,16 @@
+/**
+ * The queue of commands that wait for their write, and the frame that answers an operator's command.
+ */
+
 import { type Transition, transition } from '@switchwheel/types';
 import { send } from '@switchwheel/transport';
+import type { Command, CommandReply } from './command.js';
 import type { StoreEffect } from '../state/events.js';
-import type { CommandReply, Command, StoreState } from '../state/state.js';
+import type { StoreState } from '../state/state.js';
 
 /** The most commands that wait for their write at once. */
 export const maxQueuedCommands = 1024;
+
 const fullQueueRetryMs = 1000;
 
 /** The frame that answers an operator's call. */
--- a/packages/replicated-store/src/commands/rollout-request.ts
+++ b/packages/replicated-store/src/commands/rollout-request.ts
@@ -1,20 +1,25 @@
-import type { Timestamp, Release, ServiceName } from '@switchwheel/types';
+/**
+ * Decides operators' requests to move a service to a release, and the progress that the primary records of them.
+ */
+
+import type { Release, ServiceName, Timestamp } from '@switchwheel/types';
 import type { TableMutation } from '@switchwheel/transport';
 import {
   type ControlState,
   type ReleaseRollout,
   controlKeys,
-  requestReleaseRollout,
+  putRecord,
   releaseSettings,
+  requestReleaseRollout,
   settledRollout,
-  putRecord,
 } from '@switchwheel/configuration';
+import type { Command } from './command.js';
 import {
-  mostCommonRelease,
   elapsedOf,
   liveOriginsByRelease,
+  mostCommonRelease,
 } from '../releases/release-progress.js';
-import type { Command, StoreState } from '../state/state.js';
+import type { StoreState } from '../state/state.js';
 
 /** What an order comes to: an answer, and the record it opens. */
 interface RolloutRequestDecision {
--- a/packages/replicated-store/src/commands/view-forms.test.ts
+++ b/packages/replicated-store/src/commands/view-forms.test.ts
@@ -1,16 +1,16 @@
 import { test } from 'node:test';
+import { jsonShape, snapshotsFor } from '@switchwheel/types/testing';
 import {
   toAddress,
-  toZoneName,
   toIncarnation,
-  toTimestamp,
   toNodeId,
   toServiceName,
+  toTimestamp,
+  toZoneName,
 } from '@switchwheel/types';
-import { jsonShape, snapshotsFor } from '@switchwheel/types/testing';
 import { applyPut, emptyControlState } from '@switchwheel/configuration';
+import { viewRelease, viewState } from './views.js';
 import { newStoreState } from '../state/state.js';
-import { viewState, viewRelease } from './views.js';
 
 const matchSnapshot = snapshotsFor(import.meta.dirname);
 const now = toTimestamp(5000);
--- a/packages/replicated-store/src/commands/views.ts
+++ b/packages/replicated-store/src/commands/views.ts
@@ -1,3 +1,7 @@
+/**
+ * Views of the stored state for operators. Their JSON is part of the operators' interface.
+ */
+
 import { type Timestamp, noGeneration } from '@switchwheel/types';
 import { heldEpoch } from '@switchwheel/election';
 import { elapsedOf } from '../releases/release-progress.js';
--- a/packages/replicated-store/src/index.ts
+++ b/packages/replicated-store/src/index.ts
@@ -1,5 +1,12 @@
+/**
+ * The replicated store of the control state: a state machine that elects a primary, replicates its log of
+ * writes to backups, resyncs learners, and decides operators' commands. Sockets, clocks and disks are left
+ * to the process that runs it (package store, the simulator, the model checker).
+ */
+
 export * from './state/table.js';
 export * from './state/events.js';
 export * from './state/state.js';
+export * from './state/replication-settings.js';
 export { inSync, isPrimary } from './leadership/candidacy.js';
 export { storeTransition } from './machine.js';
--- a/packages/replicated-store/src/leadership/candidacy.ts
+++ b/packages/replicated-store/src/leadership/candidacy.ts
@@ -1,9 +1,14 @@
+/**
+ * Candidacy: whether a store may and should ask for the primary's lease, with which in-sync set, and what it
+ * lets its voters know. Requesting and counting votes is the election package's business.
+ */
+
 import {
   type Timestamp,
   type Transition,
   noEpoch,
-  transition,
   toTimestamp,
+  transition,
 } from '@switchwheel/types';
 import type {
   ClusterMetadata,
@@ -12,20 +17,26 @@
   ProcessEffect,
 } from '@switchwheel/transport';
 import { type ElectionContext, holdsLease, stepDown } from '@switchwheel/election';
-import { type PeerStatus, type StoreState, noStamp, ownId } from '../state/state.js';
-import { isNewerStamp, isSameStamp } from '../state/table.js';
 import { backupTimeoutMs, chooseReplicas } from './replica-placement.js';
+import type { PeerStatus } from '../state/peers.js';
+import { type StoreState, noStamp, ownId } from '../state/state.js';
+import { isNewerStamp, isSameStamp } from '../state/table.js';
 
 /** How fresh a peer's consent must be. */
 const evidenceMaxAgeMs = 500;
+
 /** How long the primary must be silent before a backup stands. */
 export const primaryTimeoutMs = 700;
+
 /** How much longer each backup waits than the one before it, so that not all stand at once. */
 const candidacyDelayPerRankMs = 40;
+
 /** How much longer a learner waits than the backups before it asks whether it was promoted. */
 const learnerCandidacyDelayMs = 300;
+
 /** How long a store without voters that remember waits for those of its in-sync set that do not speak. */
 const silentPeerTimeoutMs = 1400;
+
 /** How long it waits for others to speak up when one of its in-sync set has lost its disk. */
 const lostDiskWaitMs = 1000;
 
--- a/packages/replicated-store/src/leadership/electorate.ts
+++ b/packages/replicated-store/src/leadership/electorate.ts
@@ -15,19 +15,25 @@
  * each one that a primary makes lies in the range of its epoch, so a change that a former primary
  * wrote down but did not commit never has the serial of another one, and counts as older.
  */
-import { type Epoch, type Timestamp, type NodeId, type Seq, toSeq } from '@switchwheel/types';
+
+import { type Epoch, type NodeId, type Seq, type Timestamp, toSeq } from '@switchwheel/types';
 import type { Electorate } from '@switchwheel/transport';
 import { quorumSize } from '@switchwheel/election';
-import type { StoreState, Subscriber } from '../state/state.js';
+import type { Subscriber } from '../state/peers.js';
+import type { StoreState } from '../state/state.js';
 
 type Member = Electorate['members'][number];
 
 /** How recently a registry must have spoken to count as in touch. */
 const contactTimeoutMs = 1000;
+
 const defaultRecoveryWindowMs = 4000;
+
 /** The part of `syncMs` for which a voter is silent before its seat may go. */
 const silentVoterShare = 0.4;
+
 const minElectorate = 3;
+
 /** How many serials each epoch has to itself. */
 const serialsPerEpoch = 1_000_000;
 
--- a/packages/replicated-store/src/leadership/replica-placement.ts
+++ b/packages/replicated-store/src/leadership/replica-placement.ts
@@ -4,18 +4,24 @@
  * A set is sufficient if `tolerate` machines, and `failureDomains.tolerate` zones or regions, can be
  * lost at once with one copy left: it has a machine more, and stands in a domain more.
  */
-import type { Timestamp, NodeId } from '@switchwheel/types';
-import { type PeerStatus, type StoreState, ownId } from '../state/state.js';
+
+import type { NodeId, Timestamp } from '@switchwheel/types';
+import type { PeerStatus } from '../state/peers.js';
+import { type StoreState, ownId } from '../state/state.js';
 import { isSameStamp } from '../state/table.js';
 
 /** How long a store may be silent before it counts as out of reach. */
 export const peerTimeoutMs = 1000;
+
 /** How long a learner or backup may be silent and still be chosen. */
 export const backupTimeoutMs = 650;
+
 /** How long a spare that makes no progress is waited for while copies are lacking. */
 const learnerStallTimeoutMs = 1500;
+
 /** How long a new primary waits to hear of the stores that it has not heard yet. */
 const peerDiscoveryMs = 700;
+
 /** How old the last word of a store may be at most for its silence to be known for what it is. */
 const recentlyHeardMs = 2000;
 
--- a/packages/replicated-store/src/log-write/backup-replacement.ts
+++ b/packages/replicated-store/src/log-write/backup-replacement.ts
@@ -28,13 +28,8 @@
  * the metadata of e+1. A backup that returns with an empty disk says so and is replaced; one that
  * returns with the disk that it had before e+1 is refused by the voters, and resynced.
  */
-import {
-  type Timestamp,
-  type NodeId,
-  type Transition,
-  prependEffects,
-  transition,
-} from '@switchwheel/types';
+
+import { type NodeId, type Timestamp, prependEffects, transition } from '@switchwheel/types';
 import { type ClusterMetadata, log } from '@switchwheel/transport';
 import { holdsLease, startElection } from '@switchwheel/election';
 import { electionContext } from '../leadership/candidacy.js';
@@ -45,10 +40,8 @@
   chooseReplicas,
   hasEnoughReplicas,
 } from '../leadership/replica-placement.js';
-import type { StoreEffect } from '../state/events.js';
 import type { StoreState } from '../state/state.js';
-
-type StoreTransition = Transition<StoreState, StoreEffect>;
+import type { StoreTransition } from '../state/transition.js';
 
 /** Notes since when copies have been lacking. */
 export const noteShortage = (state: StoreState, now: Timestamp): StoreState =>
--- a/packages/replicated-store/src/log-write/primary-write.ts
+++ b/packages/replicated-store/src/log-write/primary-write.ts
@@ -1,79 +1,59 @@
+/**
+ * A write of the primary, from the queue of commands to its end: first it is on the primary's own disk, then
+ * on those of all backups in sync, and only then it counts and is acknowledged (commit.ts). One write is open at a time.
+ */
+
 import {
-  type Address,
   type Invariant,
   type Timestamp,
-  type NodeId,
-  type Transition,
-  prependEffects,
-  nextSeq,
   clockOrigin,
+  nextSeq,
+  prependEffects,
   transition,
-  toTimestamp,
 } from '@switchwheel/types';
 import {
   type ClusterMetadata,
   type FrameOf,
-  type TableMutation,
   type LogPosition,
+  type TableMutation,
   log,
-  send,
 } from '@switchwheel/transport';
 import { heldEpoch, holdsLease } from '@switchwheel/election';
 import { applyPuts } from '@switchwheel/configuration';
+import type { CommandReply } from '../commands/command.js';
 import { decide } from '../commands/decide.js';
 import { sendReply } from '../commands/queue.js';
-import { isPrimary, resignLease } from '../leadership/candidacy.js';
+import { isPrimary } from '../leadership/candidacy.js';
+import { handOverLeadership } from '../leadership/hand-over.js';
+import { abandon, applyLocally, unknownOutcomeReplies } from './abandoned-write.js';
+import { noteAcknowledgement, noteRefusal } from './acknowledgements.js';
+import { noteShortage, replaceBackups } from './backup-replacement.js';
+import { canaryReplies, commitWrite } from './commit.js';
+import { diskWrite } from './disk-writes.js';
 import {
-  awaitsLearner,
-  hasEnoughReplicas,
-  peerTimeoutMs,
-} from '../leadership/replica-placement.js';
-import { feedSubscribers } from '../registries/feed.js';
+  replicateTo,
+  replicateToAll,
+  replicationTargets,
+  unacknowledgedBackups,
+} from './replication.js';
+import { maxBatchCharacters, nextBatch } from './write-batch.js';
 import { noteViolations } from '../state/invariants.js';
-import type { StoreEffect } from '../state/events.js';
-import {
-  type CommandReply,
-  type Command,
-  type PeerStatus,
-  type PrimaryWrite,
-  type StoreState,
-  ownId,
-} from '../state/state.js';
-import { withPuts } from '../state/table.js';
-import { noteShortage, replaceBackups } from './backup-replacement.js';
+import type { PrimaryWrite } from '../state/open-writes.js';
+import type { StoreState } from '../state/state.js';
+import type { StoreTransition } from '../state/transition.js';
 
-type StoreTransition = Transition<StoreState, StoreEffect>;
 /** How long a backup may take before another store replaces it. */
 export const replicationTimeoutMs = 400;
+
 /** How long the own disk may make no progress before the duty is given up. */
 export const diskTimeoutMs = 700;
+
 const resendIntervalMs = 150;
-/** At most how often the engine acts on events; the first is acted on at once. */
-const rolloutThrottleMs = 250;
+
 /** How often a full disk is tried again for the metadata of a holding. */
 const fullDiskRetryMs = 1000;
-const maxBatchCommands = 512;
-/** No more commands join a write once it bears so many characters: it has to fit one frame. */
-const maxBatchCharacters = 1024 * 1024;
-const noHeldChunks: StoreState['heldChunks'] = new Map();
-const noAcknowledgements: PrimaryWrite['acknowledgedBy'] = new Set();
 
-const diskWrite = (
-  id: number,
-  metadata: ClusterMetadata,
-  stamp: LogPosition,
-  puts: readonly TableMutation[],
-): StoreEffect => ({
-  kind: 'writeToDisk',
-  write: {
-    id,
-    metadata,
-    stamp,
-    wipesFirst: false,
-    entries: puts.flatMap(({ key, data }) => (data === null ? [] : [{ key, stamp, data }])),
-    deletedKeys: puts.flatMap(({ key, data }) => (data === null ? [key] : [])),
-  },
-});
+const noAcknowledgements: PrimaryWrite['acknowledgedBy'] = new Set();
 
 /** Opens a write with nothing in it but a metadata. */
 export const writeMetadata = (
@@ -103,97 +83,6 @@
   );
 };
 
-const unknownOutcomeReplies = (results: readonly CommandReply[]): readonly StoreEffect[] =>
-  results.map((one) =>
-    sendReply({
-      ...one,
-      status: 504,
-      body: JSON.stringify({
-        kind: 'unknown',
-        id: one.id,
-        text: 'the duty moved while this was being written; ask again with this id',
-      }),
-    }),
-  );
-
-/** What lasts on this disk alone stays in the table: the digests will tell it from what the next primary has. */
-const applyLocally = (state: StoreState, primaryWrite: PrimaryWrite): StoreState => ({
-  ...state,
-  primaryWrite: undefined,
-  // What a restart would read: the disk has the metadata of this write, and its epoch only goes up.
-  metadata: primaryWrite.metadata,
-  standDownUntil: clockOrigin,
-  stamp: primaryWrite.stamp,
-  table: withPuts(state.table, primaryWrite.puts, primaryWrite.stamp),
-  control: primaryWrite.controlAfter,
-});
-
-/** Gives a write up that this store can no longer finish: whether it takes effect is not known. */
-export const abandon = (state: StoreState): StoreTransition => {
-  const primaryWrite = state.primaryWrite;
-  if (primaryWrite === undefined || primaryWrite.phase === 'orphan') return transition(state);
-  const next =
-    primaryWrite.phase === 'copy'
-      ? applyLocally(state, primaryWrite)
-      : { ...state, primaryWrite: { ...primaryWrite, phase: 'orphan' as const } };
-  return transition(next, ...unknownOutcomeReplies(primaryWrite.replies));
-};
-
-/** Ends all that was under way in a holding. */
-export const endLeadership = (state: StoreState): StoreTransition =>
-  abandon({
-    ...state,
-    isServing: false,
-    isReadOnly: false,
-    commandQueue: [],
-    awaitingChunks: new Map(),
-    compiling: new Map(),
-    releaseWatches: new Map(),
-    rolloutsDueAt: undefined,
-    shortageSince: undefined,
-  });
-
-/** Gives the duty up for a while, and with it all that was under way. */
-export const handOverLeadership = (
-  state: StoreState,
-  standDownMs: number,
-  now: Timestamp,
-): StoreTransition => {
-  const resigned = resignLease(state, standDownMs, now);
-  // The peer hears of it at once: the next greeting is due now.
-  return prependEffects(
-    resigned.effects,
-    endLeadership({ ...resigned.state, statusSentAt: clockOrigin }),
-  );
-};
-
-interface Batch {
-  readonly batch: readonly Command[];
-  readonly rest: readonly Command[];
-  /** Whether orders wait, as there are too few copies and a store is on its way to become one. */
-  readonly lacksReplicas: boolean;
-}
-
-/** What the next write takes; orders wait while a store is on its way into a set too small for them. */
-const nextBatch = (state: StoreState, metadata: ClusterMetadata, now: Timestamp): Batch => {
-  const queue = state.commandQueue;
-  const set = metadata.inSyncSet;
-  const isShort = !hasEnoughReplicas(state, set) && awaitsLearner(state, set, now);
-  if (!isShort)
-    return {
-      batch: queue.slice(0, maxBatchCommands),
-      rest: queue.slice(maxBatchCommands),
-      lacksReplicas: isShort,
-    };
-  const isOrder = (command: Command): boolean => 'asker' in command;
-  const inner = queue.filter((one) => !isOrder(one));
-  return {
-    batch: inner.slice(0, maxBatchCommands),
-    rest: [...queue.filter(isOrder), ...inner.slice(maxBatchCommands)],
-    lacksReplicas: isShort,
-  };
-};
-
 /** Takes what waits, in its order, and makes one write of it. */
 export const startWrite = (state: StoreState, now: Timestamp): StoreTransition => {
   const metadata = state.metadata;
@@ -265,148 +154,6 @@
   );
 };
 
-const canaryReplies = (
-  control: StoreState['control'],
-  one: PrimaryWrite['canaryReports'][number],
-): readonly StoreEffect[] => {
-  const verdict = [...control.canaryResults.values()].find(
-    (row) => row.service === one.word.service && row.release === one.word.release,
-  );
-  return verdict === undefined ? [] : [send(one.to, { kind: 'tried', verdict, at: one.word.at })];
-};
-
-/** Who gets each write: the stores of the metadata, and those in touch that are not in it yet. */
-const replicationTargets = (
-  state: StoreState,
-  metadata: ClusterMetadata,
-  now: Timestamp,
-): readonly ClusterMetadata['stores'][number][] => {
-  const named = metadata.stores.filter((one) => one.node !== ownId(state));
-  const others = [...state.peers.values()].filter(
-    (one) =>
-      now - one.at < peerTimeoutMs &&
-      one.metadata?.fleet === metadata.fleet &&
-      !named.some((row) => row.node === one.node),
-  );
-  return [...named, ...others.map(({ node, address }) => ({ node, address }))];
-};
-
-/** The backups that must have a write and have not said so. */
-const unacknowledgedBackups = (state: StoreState, primaryWrite: PrimaryWrite): readonly NodeId[] =>
-  primaryWrite.metadata.inSyncSet.filter(
-    (one) => one !== ownId(state) && !primaryWrite.acknowledgedBy.has(one),
-  );
-
-const replicateFrame = (primaryWrite: PrimaryWrite): FrameOf<'replicate'> => ({
-  kind: 'replicate',
-  metadata: primaryWrite.metadata,
-  stamp: primaryWrite.stamp,
-  prior: primaryWrite.previousStamp,
-  puts: [...primaryWrite.puts],
-});
-
-const replicateTo = (
-  primaryWrite: PrimaryWrite,
-  to: readonly ClusterMetadata['stores'][number][],
-): readonly StoreEffect[] => {
-  const frame = replicateFrame(primaryWrite);
-  return to.map((one) => send(one.address, frame));
-};
-
-const replicateToAll = (
-  state: StoreState,
-  primaryWrite: PrimaryWrite,
-  now: Timestamp,
-): readonly StoreEffect[] =>
-  replicateTo(primaryWrite, replicationTargets(state, primaryWrite.metadata, now));
-
-/** Sends the open write to a store that has just been brought to the state before it. */
-export const replicateOpenWrite = (state: StoreState, to: Address): readonly StoreEffect[] =>
-  state.primaryWrite?.phase === 'copy' ? [send(to, replicateFrame(state.primaryWrite))] : [];
-
-const keyPrefixesWithoutNodeChange = [
-  'purge/',
-  'call/',
-  'number/',
-  'verdict/',
-  'release/',
-  'origin/',
-];
-
-/** Whether a write may change what nodes are to run, or is the first of its epoch. */
-const changesNodes = (state: StoreState, primaryWrite: PrimaryWrite): boolean =>
-  !state.isServing ||
-  state.isReadOnly ||
-  primaryWrite.metadata.epoch !== state.metadata?.epoch ||
-  primaryWrite.puts.some(
-    (one) => !keyPrefixesWithoutNodeChange.some((family) => one.key.startsWith(family)),
-  );
-
-/** The write lasts wherever it must: it counts, and everyone is told. */
-const commitWrite = (
-  state: StoreState,
-  primaryWrite: PrimaryWrite,
-  now: Timestamp,
-): StoreTransition => {
-  const first = !state.isServing || state.isReadOnly;
-  const table = withPuts(state.table, primaryWrite.puts, primaryWrite.stamp);
-  const next: StoreState = {
-    ...state,
-    primaryWrite: undefined,
-    stamp: primaryWrite.stamp,
-    table,
-    control: primaryWrite.controlAfter,
-    metadata: primaryWrite.metadata,
-    isServing: true,
-    isReadOnly: false,
-    diskFullAt: undefined,
-    shortageSince: hasEnoughReplicas(state, primaryWrite.metadata.inSyncSet)
-      ? undefined
-      : (state.shortageSince ?? now),
-    lastNodeChangeSeq: changesNodes(state, primaryWrite)
-      ? primaryWrite.stamp.seq
-      : state.lastNodeChangeSeq,
-  };
-  const commands: Command[] = [];
-  const stored =
-    primaryWrite.controlAfter.configuration?.offer.generation !==
-    state.control.configuration?.offer.generation;
-  // A rollout that was just opened gets its first turn at once: the throttle is for events of targets.
-  if (stored || first) commands.push({ kind: 'plan' }, { kind: 'turn' });
-  const lists = primaryWrite.puts.some(
-    (one) =>
-      one.key.startsWith('node/') ||
-      one.key.startsWith('target/') ||
-      one.key.startsWith('rollout/'),
-  );
-  const due =
-    first || lists
-      ? toTimestamp(
-          Math.min(
-            next.rolloutsDueAt ?? Infinity,
-            Math.max(now, next.rolloutsAdvancedAt + rolloutThrottleMs),
-          ),
-        )
-      : next.rolloutsDueAt;
-  const idle =
-    next.awaitingChunks.size === 0 &&
-    next.compiling.size === 0 &&
-    !next.commandQueue.some((one) => one.kind === 'apply' || one.kind === 'pieces');
-  const planned = {
-    ...next,
-    heldChunks: idle ? noHeldChunks : next.heldChunks,
-    rolloutsDueAt: due,
-    plannedAt: stored || first ? now : next.plannedAt,
-    commandQueue: [...commands, ...next.commandQueue],
-  };
-  const told = [
-    ...primaryWrite.replies.map(sendReply),
-    ...primaryWrite.canaryReports.flatMap((one) => canaryReplies(primaryWrite.controlAfter, one)),
-  ];
-  const fed = feedSubscribers(planned, now);
-  return transition(planned, ...told, ...fed);
-};
-
 /** The own disk has the write: the backups are next, those in sync must have it too. */
 export const onPrimaryWriteSynced = (
   state: StoreState,
@@ -488,32 +235,6 @@
   );
 };
 
-/** Notes how far a store has come by its acknowledgement. */
-const noteAcknowledgement = (
-  state: StoreState,
-  acknowledgement: FrameOf<'replicated'>,
-  now: Timestamp,
-): StoreState => {
-  const peer = state.peers.get(acknowledgement.node);
-  if (peer === undefined) return state;
-  const row: PeerStatus = {
-    ...peer,
-    stamp: { epoch: acknowledgement.epoch, seq: acknowledgement.seq },
-    isDiskFull: false,
-    at: now,
-    progressAt: now,
-  };
-  return { ...state, peers: new Map([...state.peers, [acknowledgement.node, row]]) };
-};
-
-/** A backup that refused a write is no candidate for the next set before it speaks again. */
-const noteRefusal = (state: StoreState, node: NodeId): StoreState => {
-  const peer = state.peers.get(node);
-  if (peer === undefined) return state;
-  const row: PeerStatus = { ...peer, isDiskFull: true };
-  return { ...state, peers: new Map([...state.peers, [node, row]]) };
-};
-
 /** A backup answered a copy: once all in sync have it the write counts. */
 export const onReplicated = (
   before: StoreState,
--- a/packages/replicated-store/src/origins/origin-records.test.ts
+++ b/packages/replicated-store/src/origins/origin-records.test.ts
@@ -7,13 +7,13 @@
   subtractMs,
   toAddress,
   toInstanceId,
-  toTimestamp,
   toRelease,
   toServiceName,
+  toTimestamp,
 } from '@switchwheel/types';
 import type { OriginInstance } from '@switchwheel/transport';
-import type { KnownOrigin } from '@switchwheel/membership';
 import { applyPuts, emptyControlState } from '@switchwheel/configuration';
+import type { KnownOrigin } from '@switchwheel/membership';
 import { originPuts } from './origin-records.js';
 
 const now: Timestamp = toTimestamp(100_000);
--- a/packages/replicated-store/src/origins/origin-records.ts
+++ b/packages/replicated-store/src/origins/origin-records.ts
@@ -1,21 +1,21 @@
-import {
-  type InstanceId,
-  type Timestamp,
-  type Transition,
-  transition,
-  toDurationMs,
-} from '@switchwheel/types';
+/**
+ * The record of the origins that are up, kept so that a fleet that lost all its processes need not wait until
+ * each origin announces itself again.
+ */
+
+import { type InstanceId, type Timestamp, toDurationMs, transition } from '@switchwheel/types';
 import type { OriginInstance, TableMutation } from '@switchwheel/transport';
-import { type KnownOrigin, originTimeoutMs, isLiveOrigin } from '@switchwheel/membership';
-import { deleteRecord, controlKeys, putRecord } from '@switchwheel/configuration';
+import { controlKeys, deleteRecord, putRecord } from '@switchwheel/configuration';
+import { type KnownOrigin, isLiveOrigin, originTimeoutMs } from '@switchwheel/membership';
 import { enqueue } from '../commands/queue.js';
-import type { StoreEffect } from '../state/events.js';
 import type { StoreState } from '../state/state.js';
+import type { StoreTransition } from '../state/transition.js';
 
-type StoreTransition = Transition<StoreState, StoreEffect>;
 const checkIntervalMs = 500;
+
 /** After how long a primary takes one that it has never heard of for gone. */
 const absentAfterMs = 12_000;
+
 /** How long one that only a disk tells of may be used until it is heard itself. */
 const provisionalMs = 2500;
 
--- a/packages/replicated-store/src/registries/feed.ts
+++ b/packages/replicated-store/src/registries/feed.ts
@@ -1,10 +1,16 @@
-import { type Timestamp, noSeq, clockOrigin } from '@switchwheel/types';
-import { type FrameOf, type ConfigManifest, send } from '@switchwheel/transport';
-import { oldestKeptPurge, releaseStateOf, latestPurge } from '@switchwheel/configuration';
+/**
+ * The feed to registries: the desired state of nodes and what else they lack, sent on subscription and after
+ * each committed write.
+ */
+
+import { type Timestamp, clockOrigin, noSeq } from '@switchwheel/types';
+import { type ConfigManifest, type FrameOf, send } from '@switchwheel/transport';
 import { heldEpoch } from '@switchwheel/election';
-import type { StoreEffect } from '../state/events.js';
+import { latestPurge, oldestKeptPurge, releaseStateOf } from '@switchwheel/configuration';
 import { elapsedOf } from '../releases/release-progress.js';
-import type { StoreState, Subscriber } from '../state/state.js';
+import type { StoreEffect } from '../state/events.js';
+import type { Subscriber } from '../state/peers.js';
+import type { StoreState } from '../state/state.js';
 
 const subscriberTimeoutMs = 3000;
 
--- a/packages/replicated-store/src/releases/release-progress.ts
+++ b/packages/replicated-store/src/releases/release-progress.ts
@@ -1,29 +1,31 @@
+/**
+ * Progress of requests to move a service to a release: edges' counts are collected, and the record is advanced
+ * by the rules of the configuration package.
+ */
+
 import {
-  type Timestamp,
   type Release,
   type ServiceName,
-  type Transition,
-  prependEffects,
-  withEntry,
+  type Timestamp,
   filterEntries,
+  prependEffects,
   transition,
+  withEntry,
 } from '@switchwheel/types';
 import { type FrameOf, log } from '@switchwheel/transport';
 import {
   type ReleaseRollout,
   advanceReleaseRollout,
+  elapsedAt,
   needsCounts,
+  newRolloutWatch,
+  recordCounts,
   releaseSettings,
   settledRollout,
-  elapsedAt,
-  recordCounts,
-  newRolloutWatch,
 } from '@switchwheel/configuration';
 import { enqueue } from '../commands/queue.js';
-import type { StoreEffect } from '../state/events.js';
 import type { StoreState } from '../state/state.js';
-
-type StoreTransition = Transition<StoreState, StoreEffect>;
+import type { StoreTransition } from '../state/transition.js';
 
 /** How many origins of each release of a service stand. */
 export const liveOriginsByRelease = (
--- a/packages/replicated-store/src/resync/bootstrap.test.ts
+++ b/packages/replicated-store/src/resync/bootstrap.test.ts
@@ -5,18 +5,19 @@
   type Timestamp,
   noSeq,
   toAddress,
-  toZoneName,
   toCommandId,
   toEpoch,
   toFleetId,
   toIncarnation,
-  toTimestamp,
   toNodeId,
+  toTimestamp,
+  toZoneName,
 } from '@switchwheel/types';
-import type { ClusterMetadata, Peer, FrameOf, Member } from '@switchwheel/transport';
+import type { ClusterMetadata, FrameOf, Member, Peer } from '@switchwheel/transport';
 import { storeTransition } from '../machine.js';
 import type { DiskContents, StoreEffect } from '../state/events.js';
-import { type StoreState, newStoreState, defaultReplicationSettings } from '../state/state.js';
+import { defaultReplicationSettings } from '../state/replication-settings.js';
+import { type StoreState, newStoreState } from '../state/state.js';
 
 const fleet = toFleetId('f1');
 const member = (node: string, port: number): Member => ({
--- /dev/null
+++ b/packages/replicated-store/src/resync/bootstrap.ts
@@ -0,0 +1,50 @@
+/**
+ * Bootstrap of a new fleet on stores with empty disks, on a registry's proposal.
+ */
+
+import { type Timestamp, nextSeq, noEpoch, noSeq, transition } from '@switchwheel/types';
+import { type ClusterMetadata, type FrameOf, type Peer, send } from '@switchwheel/transport';
+import { startBackupWrite } from '../log-write/disk-writes.js';
+import type { StoreEffect } from '../state/events.js';
+import { type StoreState, ownId } from '../state/state.js';
+import type { StoreTransition } from '../state/transition.js';
+
+/** An operator founds a fleet on this store and its peer. */
+export const onBootstrap = (
+  state: StoreState,
+  from: Peer,
+  proposal: FrameOf<'bootstrap'>,
+  now: Timestamp,
+): StoreTransition => {
+  const answer = (ok: boolean, text: string): StoreEffect =>
+    send(from.address, { kind: 'bootstrapped', id: proposal.id, node: ownId(state), ok, text });
+  const known = state.metadata;
+  if (known?.fleet === proposal.fleet) return transition(state, answer(true, ''));
+  if (known !== undefined && known.epoch > 0)
+    return transition(state, answer(false, `belongs to the fleet ${known.fleet}`));
+  if (!state.mayBootstrap)
+    return transition(state, answer(false, 'no fleet is founded on this store'));
+  if (state.phase === 'reading' || state.backupWrite !== undefined)
+    return transition(state, answer(false, 'busy; found again'));
+  const metadata: ClusterMetadata = {
+    fleet: proposal.fleet,
+    epoch: noEpoch,
+    inSyncSet: proposal.stores.map((one) => one.node),
+    stores: proposal.stores,
+    electorate: proposal.electorate,
+  };
+  return startBackupWrite(
+    state,
+    {
+      startedAt: now,
+      purpose: 'bootstrapped',
+      to: from.address,
+      metadata,
+      stamp: { epoch: metadata.epoch, seq: nextSeq(noSeq) },
+      puts: [],
+      stamps: new Map(),
+      callId: proposal.id,
+    },
+    true,
+  );
+};
--- /dev/null
+++ b/packages/replicated-store/src/resync/peer-status.ts
@@ -0,0 +1,58 @@
+/**
+ * What a store remembers of a peer's status.
+ */
+
+import { type Timestamp, toTimestamp } from '@switchwheel/types';
+import type { FrameOf, Peer } from '@switchwheel/transport';
+import { primaryTimeoutMs } from '../leadership/candidacy.js';
+import { notePrimary } from '../leadership/primary-sightings.js';
+import { peerTimeoutMs } from '../leadership/replica-placement.js';
+import type { PeerStatus } from '../state/peers.js';
+import type { StoreState } from '../state/state.js';
+import { isSameStamp } from '../state/table.js';
+
+/** When a peer last came closer to the primary's state: its stamp or digests changed, or it is back. */
+const lastProgressAt = (
+  before: PeerStatus | undefined,
+  status: FrameOf<'replica-status'>,
+  now: Timestamp,
+): Timestamp => {
+  if (before === undefined || now - before.at >= peerTimeoutMs) return now;
+  const moved =
+    !isSameStamp(before.stamp, status.stamp) ||
+    before.isDiskFull !== status.full ||
+    (status.digests.length > 0 &&
+      status.digests.some((one, range) => one !== before.digests[range]));
+  return moved ? now : before.progressAt;
+};
+
+export const notePeerStatus = (
+  state: StoreState,
+  from: Peer,
+  status: FrameOf<'replica-status'>,
+  now: Timestamp,
+): StoreState => {
+  const before = state.peers.get(status.node);
+  const row: PeerStatus = {
+    node: status.node,
+    address: from.address,
+    metadata: status.metadata,
+    stamp: status.stamp,
+    isPrimary: status.primary,
+    isDiskFull: status.full,
+    isStopping: status.leaving === true,
+    at: now,
+    digests: status.digests.length > 0 ? status.digests : (before?.digests ?? []),
+    progressAt: lastProgressAt(before, status, now),
+  };
+  const led =
+    status.primary && status.metadata !== undefined
+      ? notePrimary(state, status.metadata, now)
+      : state;
+  const left = !status.primary && before?.isPrimary === true;
+  return {
+    ...led,
+    primaryHeardAt: left ? toTimestamp(now - primaryTimeoutMs) : led.primaryHeardAt,
+    peers: new Map([...state.peers, [status.node, row]]),
+  };
+};
--- a/packages/replicated-store/src/state/events.ts
+++ b/packages/replicated-store/src/state/events.ts
@@ -1,3 +1,7 @@
+/**
+ * What a store is told (events) and what it asks of its process (effects), the disk included.
+ */
+
 import type { Hash, Timestamp } from '@switchwheel/types';
 import type {
   ClusterMetadata,
--- a/packages/replicated-store/src/state/expiry.ts
+++ b/packages/replicated-store/src/state/expiry.ts
@@ -2,6 +2,7 @@
  * Keeps a store's memory bounded: members that are gone are forgotten, so that what is kept depends
  * on the fleet as it is and not on how long it has run.
  */
+
 import { type Timestamp, filterEntries } from '@switchwheel/types';
 import type { StoreState } from './state.js';
 
--- a/packages/replicated-store/src/state/invariants.ts
+++ b/packages/replicated-store/src/state/invariants.ts
@@ -1,4 +1,5 @@
 /** The invariants of a store: what must hold after each event, and what becomes of a violation. */
+
 import { type Invariant, type Transition, countViolations, transition } from '@switchwheel/types';
 import { log } from '@switchwheel/transport';
 import { lackingChunks } from '../commands/chunk-repair.js';
--- a/packages/replicated-store/src/state/state.ts
+++ b/packages/replicated-store/src/state/state.ts
@@ -1,204 +1,40 @@
+/**
+ * The whole state of a store, and the state that a process starts with. Changes are made by the modules
+ * that own the parts; nothing in here is on the wire or on a disk in this form.
+ */
+
 import {
   type Address,
-  type ZoneName,
   type CommandId,
-  type RandomState,
   type Epoch,
-  type Generation,
   type Hash,
-  type Incarnation,
-  type Timestamp,
   type NodeId,
-  type Release,
+  type RandomState,
   type Seq,
   type ServiceName,
+  type Timestamp,
   type Violations,
+  clockOrigin,
   noEpoch,
   noSeq,
   noViolations,
   primaryLease,
-  clockOrigin,
 } from '@switchwheel/types';
-import type {
-  PurgeTarget,
-  ClusterMetadata,
-  Peer,
-  Electorate,
-  FrameOf,
-  Member,
-  TableMutation,
-  NodeStatus,
-  LogPosition,
-} from '@switchwheel/transport';
+import type { ClusterMetadata, FrameOf, LogPosition, Member, Peer } from '@switchwheel/transport';
 import { type Candidate, newCandidate } from '@switchwheel/election';
-import { type NodeSession, newNodeSession } from '@switchwheel/membership';
 import {
   type ControlState,
-  type ValidationIssue,
-  type ReleaseRollout,
-  type StatusSince,
   type RolloutWatch,
+  type StatusSince,
   emptyControlState,
-  type ReleaseSettings,
 } from '@switchwheel/configuration';
+import { type NodeSession, newNodeSession } from '@switchwheel/membership';
+import type { Command } from '../commands/command.js';
+import type { BackupWrite, PrimaryWrite } from './open-writes.js';
+import type { Contact, PeerStatus, Subscriber } from './peers.js';
+import { type ReplicationSettings, defaultReplicationSettings } from './replication-settings.js';
 import type { Table } from './table.js';
 
-/** Who waits for the answer to a call. */
-export interface Caller {
-  readonly to: Address;
-  readonly id: CommandId;
-}
-
-/** What is to become one write, in its turn. */
-export type Command =
-  | {
-      readonly kind: 'apply';
-      readonly asker: Caller;
-      readonly hash: Hash;
-      readonly order: readonly Hash[];
-      readonly base: Generation | undefined;
-      readonly number: Generation | undefined;
-      readonly faults: readonly ValidationIssue[];
-    }
-  /** Pieces of a description that is too large for one write: they are stored before it. */
-  | { readonly kind: 'pieces'; readonly hashes: readonly Hash[] }
-  | { readonly kind: 'purge'; readonly asker: Caller; readonly aims: readonly PurgeTarget[] }
-  | { readonly kind: 'electorate'; readonly asker: Caller; readonly electorate: Electorate }
-  | { readonly kind: 'seats'; readonly electorate: Electorate }
-  | {
-      readonly kind: 'node';
-      readonly node: NodeId;
-      readonly role: string;
-      readonly incarnation: Incarnation;
-      readonly online: boolean;
-      readonly report: NodeStatus;
-    }
-  | { readonly kind: 'forget'; readonly node: NodeId }
-  | { readonly kind: 'trial'; readonly to: Address; readonly word: CanaryReport }
-  | {
-      readonly kind: 'order';
-      readonly asker: Caller;
-      readonly service: ServiceName;
-      readonly target: Release;
-      readonly spanMs: number;
-    }
-  | { readonly kind: 'release'; readonly next: ReleaseRollout }
-  | { readonly kind: 'origins'; readonly sure: boolean }
-  | { readonly kind: 'plan' }
-  | { readonly kind: 'turn' };
-
-export interface CanaryReport {
-  readonly service: ServiceName;
-  readonly release: Release;
-  readonly spent: number;
-  readonly bad: number;
-  readonly good: number;
-  readonly seen: number;
-  readonly state: 'trial' | 'good' | 'bad';
-  readonly at: Timestamp;
-}
-
-export interface CommandReply {
-  readonly to: Address;
-  readonly id: CommandId;
-  readonly status: number;
-  readonly body: string;
-}
-
-/** Parts of the fleet that fail as one. */
-export interface FailureDomains {
-  /** How many of them may be lost at once. */
-  readonly tolerate: number;
-  /** The domain of each area that is not one by itself. */
-  readonly domainOfZone: ReadonlyMap<ZoneName, string>;
-}
-
-/** How many copies of the state a fleet keeps, and how many machines with a disk it may lose at once. */
-export interface ReplicationSettings {
-  readonly copies: number;
-  readonly tolerate: number;
-  /** Whether registries that come become voters, and take the seats of those that are gone, by themselves. */
-  readonly electorateFollowsRegistries: boolean;
-  /** Areas, or groups of them, that may be lost as a whole, besides single machines. */
-  readonly failureDomains?: FailureDomains;
-  /** Within which span of a repair or a replacement the next losses are borne, in milliseconds. */
-  readonly recoveryWindowMs?: number;
-  /** Whether the origins that stand are kept on disk. */
-  readonly persistsOrigins?: boolean;
-  /** What a release on trial is held to. */
-  readonly releases?: ReleaseSettings;
-}
-export const defaultReplicationSettings: ReplicationSettings = {
-  copies: 2,
-  tolerate: 1,
-  electorateFollowsRegistries: false,
-};
-
-/** A write under way: first on this disk, then on those of the backups in sync. */
-export interface PrimaryWrite {
-  readonly id: number;
-  /** An orphan was given up while the disk still had it in hand: what lasts of it is known later. */
-  readonly phase: 'disk' | 'copy' | 'orphan';
-  /** Whether this disk has it already, from before the in-sync set changed: then it is never told as refused. */
-  readonly isOnOwnDisk: boolean;
-  readonly phaseStartedAt: Timestamp;
-  readonly lastSentAt: Timestamp;
-  readonly metadata: ClusterMetadata;
-  /** The stores, learners too, that acknowledged it under this metadata. */
-  readonly acknowledgedBy: ReadonlySet<NodeId>;
-  readonly stamp: LogPosition;
-  readonly previousStamp: LogPosition;
-  readonly puts: readonly TableMutation[];
-  readonly controlAfter: ControlState;
-  readonly replies: readonly CommandReply[];
-  readonly canaryReports: readonly { readonly to: Address; readonly word: CanaryReport }[];
-}
-
-/** A copy or a mend that this store is putting on its own disk for the primary. */
-export interface BackupWrite {
-  readonly id: number;
-  readonly startedAt: Timestamp;
-  readonly purpose: 'replicated' | 'resynced' | 'bootstrapped';
-  readonly to: Address;
-  readonly metadata: ClusterMetadata;
-  readonly stamp: LogPosition;
-  readonly puts: readonly TableMutation[];
-  readonly stamps: ReadonlyMap<string, LogPosition>;
-  readonly callId: CommandId | undefined;
-}
-
-/** What a peer store said of itself last. */
-export interface PeerStatus {
-  readonly node: NodeId;
-  readonly address: Address;
-  readonly metadata: ClusterMetadata | undefined;
-  readonly stamp: LogPosition;
-  readonly isPrimary: boolean;
-  /** Whether its disk takes no writes now: it has no room, or makes no progress. */
-  readonly isDiskFull: boolean;
-  /** Whether it is about to stop. */
-  readonly isStopping: boolean;
-  readonly at: Timestamp;
-  readonly digests: readonly string[];
-  /** When it was last seen to come closer to the primary's state, or came back. */
-  readonly progressAt: Timestamp;
-}
-
-export interface Subscriber {
-  readonly address: Address;
-  readonly zone: ZoneName;
-  /** How far its vote may be relied on, by its own word. */
-  readonly voter: FrameOf<'subscribe'>['voter'];
-  readonly at: Timestamp;
-  readonly serial: Seq;
-  readonly purged: Seq;
-}
-
-export interface Contact {
-  readonly registry: NodeId;
-  readonly at: Timestamp;
-}
-
 /** The whole state of a store. */
 export interface StoreState {
   readonly session: NodeSession;
--- a/packages/replicated-store/src/state/table.ts
+++ b/packages/replicated-store/src/state/table.ts
@@ -1,12 +1,19 @@
+/**
+ * The replicated table: entries by key, each with the stamp of the write that made it, and the digests by
+ * which two copies of it are compared range by range. What the entries mean is the configuration package's business.
+ */
+
 import { createHash } from 'node:crypto';
-import type { TableMutation, LogPosition } from '@switchwheel/transport';
+import type { LogPosition, TableMutation } from '@switchwheel/transport';
 
 /** One entry of the replicated table, with the write that made it. */
 export interface Entry {
   readonly stamp: LogPosition;
   readonly data: string;
 }
+
 export type Table = ReadonlyMap<string, Entry>;
+
 export interface KeyedEntry extends Entry {
   readonly key: string;
 }
@@ -19,6 +26,7 @@
 
 export const isSameStamp = (one: LogPosition, two: LogPosition): boolean =>
   one.epoch === two.epoch && one.seq === two.seq;
+
 /** Which of two stamps is the newer: by epoch, then by number. */
 export const isNewerStamp = (one: LogPosition, two: LogPosition): boolean =>
   one.epoch > two.epoch || (one.epoch === two.epoch && one.seq > two.seq);
--- a/packages/simulator/src/guard/list.ts
+++ b/packages/simulator/src/guard/list.ts
@@ -26,7 +26,7 @@
 const candidate = 'election/dist/candidate/candidate.js';
 const voter = 'election/dist/voter/voter.js';
 const primaryWrite = 'replicated-store/dist/log-write/primary-write.js';
-const decide = 'replicated-store/dist/commands/decide.js';
+const decideCanary = 'replicated-store/dist/commands/decide-canary.js';
 const decideApply = 'replicated-store/dist/commands/apply-configuration.js';
 const decision = 'replicated-store/dist/commands/decision.js';
 const releaseOrder = 'configuration/dist/release/release-rollout.js';
@@ -213,7 +213,7 @@
   {
     name: 'a bad verdict stays',
     rule: 'R10',
-    file: decide,
+    file: decideCanary,
     from: "state: known?.state === 'bad' ? 'bad' : ",
     to: 'state: ',
   },
