--- a/packages/replicated-store/src/commands/apply-configuration.test.ts
+++ b/packages/replicated-store/src/commands/apply-configuration.test.ts
@@ -32,13 +32,13 @@
   id: number,
   number: Generation | undefined,
   hash: Hash,
-): Extract<Command, { kind: 'apply' }> => ({
-  kind: 'apply',
-  asker: { to: toAddress('10.0.0.1:1'), id: toCommandId(`c${id}`) },
+): Extract<Command, { kind: 'applyConfiguration' }> => ({
+  kind: 'applyConfiguration',
+  caller: { to: toAddress('10.0.0.1:1'), id: toCommandId(`c${id}`) },
   hash,
-  order: [hash],
-  base: undefined,
-  number,
+  chunkHashes: [hash],
+  baseGeneration: undefined,
+  requestedGeneration: number,
   faults: [],
 });
 
--- a/packages/replicated-store/src/commands/apply-configuration.ts
+++ b/packages/replicated-store/src/commands/apply-configuration.ts
@@ -64,7 +64,7 @@
   immediateReplies: [
     commandReply(command, 409, {
       kind: 'stale',
-      text: `the base is generation ${command.base}, in force is ${current}`,
+      text: `the base is generation ${command.baseGeneration}, in force is ${current}`,
       generation: current,
     }),
   ],
@@ -144,7 +144,7 @@
   generation: Generation,
   seq: Seq,
 ): Decision => {
-  const { hash, order } = command;
+  const { hash, chunkHashes: order } = command;
   if (missingChunks(state, order).some((one) => !control.chunks.has(one)))
     return lostChunks(command);
   const result = commandReply(command, 200, { kind: 'accepted', generation, hash });
@@ -155,7 +155,7 @@
       ...chunkPuts(state, control, order),
       ...unusedChunks(state, control, command),
       ...rolloutPuts(control, generation),
-      putRecord(controlKeys.stored, { offer, call: command.asker.id }),
+      putRecord(controlKeys.stored, { offer, call: command.caller.id }),
       ...recordNumber(control, generation, hash),
       ...rememberReply(control, result, seq),
     ],
@@ -173,9 +173,10 @@
   const again = earlierReply(control, command, seq);
   if (again !== undefined) return again;
   const now = currentGeneration(control);
-  if (command.base !== undefined && command.base !== now) return staleBase(command, now);
+  if (command.baseGeneration !== undefined && command.baseGeneration !== now)
+    return staleBase(command, now);
   if (command.faults.length > 0) return invalid(command);
-  const { number } = command;
+  const { requestedGeneration: number } = command;
   if (number === undefined) return accept(state, control, command, nextGeneration(now), seq);
   const taken = contentOf(control, number);
   if (taken !== undefined && taken !== command.hash) return numberTaken(command, number, taken);
--- a/packages/replicated-store/src/commands/call-bodies.test.ts
+++ b/packages/replicated-store/src/commands/call-bodies.test.ts
@@ -127,7 +127,7 @@
   const [command] = state.compiling.get(configurationHashText) ?? [];
   assert.ok(command !== undefined);
   assert.deepEqual(
-    [command.hash, command.order, command.number],
+    [command.hash, command.chunkHashes, command.requestedGeneration],
     [configurationHashText, [chunkHash], 7],
   );
 });
@@ -136,7 +136,7 @@
   const body = `{"hash":"${configurationHashText}","order":["${chunkHash}"]}`;
   const [command] = callWith('apply', body).state.compiling.get(configurationHashText) ?? [];
   assert.ok(command !== undefined);
-  assert.equal(command.number, undefined);
+  assert.equal(command.requestedGeneration, undefined);
 });
 
 void test('a purge is a list of objects, tags or everything', () => {
@@ -144,13 +144,13 @@
     '[{"by":"object","host":"cdn.example","path":"/a"},{"by":"tag","tag":"album-7"},{"by":"all"}]';
   const [command] = callWith('purge', body).state.commandQueue;
   assert.ok(command?.kind === 'purge');
-  assert.deepEqual(command.aims, JSON.parse(body));
+  assert.deepEqual(command.targets, JSON.parse(body));
 });
 
 void test('a change of the electorate adds or removes one member', () => {
   const added = callWith('electorate', '{"add":{"node":"registry-2","address":"127.0.0.2:7000"}}')
     .state.commandQueue[0];
-  assert.ok(added?.kind === 'electorate');
+  assert.ok(added?.kind === 'changeElectorate');
   assert.deepEqual(added.electorate, {
     serial: 5,
     members: [
@@ -168,7 +168,7 @@
 void test('an order of a release names the service, the release and its span', () => {
   const [command] = callWith('release', '{"service":"shop","target":"r2","spanMs":16000}').state
     .commandQueue;
-  assert.ok(command?.kind === 'order');
+  assert.ok(command?.kind === 'requestRollout');
   assert.deepEqual([command.service, command.target, command.spanMs], ['shop', 'r2', 16_000]);
 });
 
--- a/packages/replicated-store/src/commands/chunk-repair.ts
+++ b/packages/replicated-store/src/commands/chunk-repair.ts
@@ -38,6 +38,6 @@
   if (!lackingChunks(state).includes(hash)) return transition(state);
   return prependEffects(
     [log('info', 'a lacking piece came and is stored', ['piece', hash])],
-    enqueue(state, { kind: 'pieces', hashes: [hash] }),
+    enqueue(state, { kind: 'storeChunks', hashes: [hash] }),
   );
 };
--- a/packages/replicated-store/src/commands/chunks.ts
+++ b/packages/replicated-store/src/commands/chunks.ts
@@ -14,7 +14,7 @@
 
 export const maxChunksPerRequest = 64;
 
-type StoreChunksCommand = Extract<Command, { kind: 'pieces' }>;
+type StoreChunksCommand = Extract<Command, { kind: 'storeChunks' }>;
 
 /** Keeps the pieces that an order needs and the table has: from here on its fate does not depend on the table. */
 export const holdChunks = (state: StoreState, order: readonly Hash[]): StoreState => {
@@ -51,7 +51,7 @@
 ): readonly StoreChunksCommand[] => {
   const batches: Hash[][] = [[]];
   let size = 0;
-  for (const { hash, data } of unstoredChunks(state, state.control, command.order)) {
+  for (const { hash, data } of unstoredChunks(state, state.control, command.chunkHashes)) {
     if (size > 0 && size + data.length > maxChunkCharactersPerWrite) {
       batches.push([]);
       size = 0;
@@ -59,7 +59,7 @@
     batches.at(-1)?.push(hash);
     size += data.length;
   }
-  return batches.length === 1 ? [] : batches.map((hashes) => ({ kind: 'pieces', hashes }));
+  return batches.length === 1 ? [] : batches.map((hashes) => ({ kind: 'storeChunks', hashes }));
 };
 
 /** The entries that store the pieces which came in. */
@@ -75,8 +75,8 @@
 
 /** The pieces that a command which waits for its write relies on. */
 const chunksOf = (command: Command): readonly Hash[] => {
-  if (command.kind === 'apply') return command.order;
-  return command.kind === 'pieces' ? command.hashes : [];
+  if (command.kind === 'applyConfiguration') return command.chunkHashes;
+  return command.kind === 'storeChunks' ? command.hashes : [];
 };
 
 /** Drops the pieces that neither this description, nor the one in force, nor a waiting one needs. */
@@ -87,7 +87,7 @@
 ): readonly TableMutation[] => {
   const waiting = state.commandQueue.flatMap(chunksOf);
   const kept = new Set([
-    ...command.order,
+    ...command.chunkHashes,
     ...(control.configuration?.offer.pieces ?? []),
     ...waiting,
   ]);
@@ -104,7 +104,7 @@
     ...[...state.compiling.values()].flat(),
   ];
   const needed = new Set([
-    ...ordersUnderWay.flatMap((one) => one.order),
+    ...ordersUnderWay.flatMap((one) => one.chunkHashes),
     ...state.commandQueue.flatMap(chunksOf),
   ]);
   const heldPieces = filterEntries(state.heldChunks, (_, hash) => needed.has(hash));
--- a/packages/replicated-store/src/commands/command.ts
+++ b/packages/replicated-store/src/commands/command.ts
@@ -26,40 +26,40 @@
 /** What is to become one write, in its turn. */
 export type Command =
   | {
-      readonly kind: 'apply';
-      readonly asker: Caller;
+      readonly kind: 'applyConfiguration';
+      readonly caller: Caller;
       readonly hash: Hash;
-      readonly order: readonly Hash[];
-      readonly base: Generation | undefined;
-      readonly number: Generation | undefined;
+      readonly chunkHashes: readonly Hash[];
+      readonly baseGeneration: Generation | undefined;
+      readonly requestedGeneration: Generation | undefined;
       readonly faults: readonly ValidationIssue[];
     }
   /** Pieces of a description that is too large for one write: they are stored before it. */
-  | { readonly kind: 'pieces'; readonly hashes: readonly Hash[] }
-  | { readonly kind: 'purge'; readonly asker: Caller; readonly aims: readonly PurgeTarget[] }
-  | { readonly kind: 'electorate'; readonly asker: Caller; readonly electorate: Electorate }
-  | { readonly kind: 'seats'; readonly electorate: Electorate }
+  | { readonly kind: 'storeChunks'; readonly hashes: readonly Hash[] }
+  | { readonly kind: 'purge'; readonly caller: Caller; readonly targets: readonly PurgeTarget[] }
+  | { readonly kind: 'changeElectorate'; readonly caller: Caller; readonly electorate: Electorate }
+  | { readonly kind: 'followRegistries'; readonly electorate: Electorate }
   | {
-      readonly kind: 'node';
+      readonly kind: 'recordNode';
       readonly node: NodeId;
       readonly role: string;
       readonly incarnation: Incarnation;
       readonly online: boolean;
       readonly report: NodeStatus;
     }
-  | { readonly kind: 'forget'; readonly node: NodeId }
-  | { readonly kind: 'trial'; readonly to: Address; readonly word: CanaryReport }
+  | { readonly kind: 'forgetNode'; readonly node: NodeId }
+  | { readonly kind: 'recordCanary'; readonly to: Address; readonly report: CanaryReport }
   | {
-      readonly kind: 'order';
-      readonly asker: Caller;
+      readonly kind: 'requestRollout';
+      readonly caller: Caller;
       readonly service: ServiceName;
       readonly target: Release;
       readonly spanMs: number;
     }
-  | { readonly kind: 'release'; readonly next: ReleaseRollout }
-  | { readonly kind: 'origins'; readonly sure: boolean }
-  | { readonly kind: 'plan' }
-  | { readonly kind: 'turn' };
+  | { readonly kind: 'recordRelease'; readonly record: ReleaseRollout }
+  | { readonly kind: 'recordOrigins'; readonly isAnnouncementComplete: boolean }
+  | { readonly kind: 'planRollout' }
+  | { readonly kind: 'advanceRollout' };
 
 export interface CanaryReport {
   readonly service: ServiceName;
@@ -80,4 +80,4 @@
 }
 
 /** An operator's command to put a configuration in force. */
-export type ApplyCommand = Extract<Command, { kind: 'apply' }>;
+export type ApplyCommand = Extract<Command, { kind: 'applyConfiguration' }>;
--- a/packages/replicated-store/src/commands/configuration-upload.ts
+++ b/packages/replicated-store/src/commands/configuration-upload.ts
@@ -34,10 +34,12 @@
 type AwaitingChunks = NonNullable<ReturnType<StoreState['awaitingChunks']['get']>>;
 
 /** Whether this very order is on its way already. */
-const isUnderWay = (state: StoreState, { asker }: ApplyCommand): boolean =>
+const isUnderWay = (state: StoreState, { caller: asker }: ApplyCommand): boolean =>
   state.awaitingChunks.has(asker.id) ||
-  [...state.compiling.values()].flat().some((one) => one.asker.id === asker.id) ||
-  state.commandQueue.some((one) => one.kind === 'apply' && one.asker.id === asker.id) ||
+  [...state.compiling.values()].flat().some((one) => one.caller.id === asker.id) ||
+  state.commandQueue.some(
+    (one) => one.kind === 'applyConfiguration' && one.caller.id === asker.id,
+  ) ||
   (state.primaryWrite?.replies.some((one) => one.id === asker.id) ?? false);
 
 /** Has the description compiled with the nodes' own code once all its pieces are here. */
@@ -48,7 +50,7 @@
     compiling: withEntry(state.compiling, command.hash, [...others, command]),
   };
   if (others.length > 0) return transition(next);
-  const texts = command.order.map((one) => state.heldChunks.get(one) ?? '');
+  const texts = command.chunkHashes.map((one) => state.heldChunks.get(one) ?? '');
   return transition(next, { kind: 'compileConfiguration', hash: command.hash, texts });
 };
 
@@ -60,14 +62,14 @@
   now: Timestamp,
 ): StoreTransition => {
   const hashes = missing.slice(0, maxChunksPerRequest);
-  const lacking = withEntry(state.awaitingChunks, one.command.asker.id, {
+  const lacking = withEntry(state.awaitingChunks, one.command.caller.id, {
     ...one,
-    asked: now,
-    awaited: hashes.length,
+    requestedAt: now,
+    outstandingChunks: hashes.length,
   });
   return transition(
     { ...state, awaitingChunks: lacking },
-    send(one.command.asker.to, { kind: 'piece-request', node: ownId(state), hashes: [...hashes] }),
+    send(one.command.caller.to, { kind: 'piece-request', node: ownId(state), hashes: [...hashes] }),
   );
 };
 
@@ -77,8 +79,8 @@
   now: Timestamp,
 ): StoreTransition => {
   if (isUnderWay(before, command)) return transition(before);
-  const state = holdChunks(before, command.order);
-  const missing = missingChunks(state, command.order);
+  const state = holdChunks(before, command.chunkHashes);
+  const missing = missingChunks(state, command.chunkHashes);
   if (missing.length === 0) return compile(state, command);
   return requestChunks(state, { command, since: now }, missing, now);
 };
@@ -90,7 +92,7 @@
   one: AwaitingChunks,
   now: Timestamp,
 ): StoreTransition => {
-  const missing = missingChunks(state, one.command.order);
+  const missing = missingChunks(state, one.command.chunkHashes);
   if (missing.length > 0) return requestChunks(state, one, missing, now);
   return compile({ ...state, awaitingChunks: withoutEntry(state.awaitingChunks, id) }, one.command);
 };
@@ -106,9 +108,9 @@
   const held = { ...state, heldChunks: withEntry(state.heldChunks, chunk.hash, chunk.data) };
   let next = storeLackingChunk(held, chunk.hash);
   for (const [id, one] of state.awaitingChunks) {
-    if (!one.command.order.includes(chunk.hash)) continue;
-    if (one.awaited > 1) {
-      const row = { ...one, awaited: one.awaited - 1, asked: now };
+    if (!one.command.chunkHashes.includes(chunk.hash)) continue;
+    if (one.outstandingChunks > 1) {
+      const row = { ...one, outstandingChunks: one.outstandingChunks - 1, requestedAt: now };
       next = transition(
         { ...next.state, awaitingChunks: withEntry(next.state.awaitingChunks, id, row) },
         ...next.effects,
@@ -149,7 +151,7 @@
   for (const [id, one] of state.awaitingChunks) {
     if (now - one.since > chunksTimeoutMs) {
       const told = sendReply({
-        ...one.command.asker,
+        ...one.command.caller,
         status: 503,
         body: JSON.stringify({
           kind: 'rejected',
@@ -165,7 +167,7 @@
           told,
         ),
       );
-    } else if (now - one.asked > chunkRequestIntervalMs) {
+    } else if (now - one.requestedAt > chunkRequestIntervalMs) {
       next = prependEffects(next.effects, advanceApply(next.state, id, one, now));
     }
   }
--- a/packages/replicated-store/src/commands/decide-canary.ts
+++ b/packages/replicated-store/src/commands/decide-canary.ts
@@ -8,9 +8,9 @@
 
 export const decideCanary = (
   control: ControlState,
-  command: Extract<Command, { kind: 'trial' }>,
+  command: Extract<Command, { kind: 'recordCanary' }>,
 ): Decision => {
-  const { service, release, spent, bad, good, seen, state } = command.word;
+  const { service, release, spent, bad, good, seen, state } = command.report;
   const key = controlKeys.verdict(service, release);
   const known = control.canaryResults.get(key);
   // Counts only grow, and a bad verdict stays.
--- a/packages/replicated-store/src/commands/decide-node.ts
+++ b/packages/replicated-store/src/commands/decide-node.ts
@@ -14,7 +14,7 @@
 
 export const decideNode = (
   control: ControlState,
-  command: Extract<Command, { kind: 'node' }>,
+  command: Extract<Command, { kind: 'recordNode' }>,
 ): Decision => {
   const known = control.nodes.get(command.node);
   const { role, incarnation, online, report } = command;
--- a/packages/replicated-store/src/commands/decide-purge.ts
+++ b/packages/replicated-store/src/commands/decide-purge.ts
@@ -23,11 +23,11 @@
   const again = earlierReply(control, command, seq);
   if (again !== undefined) return again;
   const number = nextSeq(latestPurge(control));
-  const batch: Purge = { seq: number, aims: [...command.aims] };
+  const batch: Purge = { seq: number, aims: [...command.targets] };
   const result = commandReply(command, 200, {
     kind: 'accepted',
     purge: number,
-    aims: command.aims.length,
+    aims: command.targets.length,
   });
   const old = purgesToDrop(control.purges, batch);
   return {
--- a/packages/replicated-store/src/commands/decide.ts
+++ b/packages/replicated-store/src/commands/decide.ts
@@ -35,13 +35,13 @@
   readonly opened?: StoreState['rolloutOpenedAt'];
 } => {
   switch (command.kind) {
-    case 'apply':
+    case 'applyConfiguration':
       return decideApply(state, control, command, seq);
-    case 'pieces':
+    case 'storeChunks':
       return { ...noChange, puts: chunkPuts(state, control, command.hashes) };
     case 'purge':
       return decidePurge(control, command, seq);
-    case 'electorate': {
+    case 'changeElectorate': {
       const again = earlierReply(control, command, seq);
       if (again !== undefined) return again;
       if (
@@ -69,17 +69,17 @@
         electorate: command.electorate,
       };
     }
-    case 'seats':
+    case 'followRegistries':
       return { ...noChange, electorate: command.electorate };
-    case 'node':
+    case 'recordNode':
       return decideNode(control, command);
-    case 'forget':
+    case 'forgetNode':
       return control.nodes.get(command.node)?.online === false
         ? { ...noChange, puts: [deleteRecord(controlKeys.node(command.node))] }
         : noChange;
-    case 'trial':
+    case 'recordCanary':
       return decideCanary(control, command);
-    case 'order': {
+    case 'requestRollout': {
       const again = earlierReply(control, command, seq);
       if (again !== undefined) return again;
       const ordered = decideRolloutRequest(state, control, command, now);
@@ -91,19 +91,24 @@
         puts: [...ordered.puts, ...rememberReply(control, result, seq)],
       };
     }
-    case 'release':
-      return { ...noChange, puts: decideRelease(control, command.next) };
-    case 'origins':
+    case 'recordRelease':
+      return { ...noChange, puts: decideRelease(control, command.record) };
+    case 'recordOrigins':
       return {
         ...noChange,
-        puts: originPuts(control.origins, state.session.origins, command.sure, now),
+        puts: originPuts(
+          control.origins,
+          state.session.origins,
+          command.isAnnouncementComplete,
+          now,
+        ),
       };
-    case 'plan':
+    case 'planRollout':
       return {
         ...noChange,
         puts: onlyCurrentRevisions(control, planRollout(control, rolloutPolicyOf(control))),
       };
-    case 'turn': {
+    case 'advanceRollout': {
       const result = tickRollout(control, state.targetStatusSeen, state.rolloutOpenedAt, now);
       return {
         ...noChange,
--- a/packages/replicated-store/src/commands/decision.ts
+++ b/packages/replicated-store/src/commands/decision.ts
@@ -29,13 +29,13 @@
 
 /** An answer to whoever sent the command, under the id of the call. */
 export const commandReply = (
-  command: Extract<Command, { asker: unknown }>,
+  command: Extract<Command, { caller: unknown }>,
   status: number,
   body: object,
 ): CommandReply => ({
-  ...command.asker,
+  ...command.caller,
   status,
-  body: JSON.stringify({ ...body, id: command.asker.id }),
+  body: JSON.stringify({ ...body, id: command.caller.id }),
 });
 
 /** Keeps the answer with the write it belongs to, and lets the oldest go. */
@@ -59,12 +59,12 @@
 /** The answer that a call with this id got before, if it is still kept; told once the write it belongs to lasts. */
 export const earlierReply = (
   control: ControlState,
-  command: Extract<Command, { asker: unknown }>,
+  command: Extract<Command, { caller: unknown }>,
   seq: Seq,
 ): Decision | undefined => {
-  const before = control.commandOutcomes.get(command.asker.id);
+  const before = control.commandOutcomes.get(command.caller.id);
   if (before === undefined) return undefined;
-  const answer: CommandReply = { ...command.asker, status: before.status, body: before.body };
+  const answer: CommandReply = { ...command.caller, status: before.status, body: before.body };
   const isInThisWrite = before.seq === seq;
   return isInThisWrite
     ? { ...noChange, repliesAfterWrite: [answer] }
--- a/packages/replicated-store/src/commands/operator-commands.ts
+++ b/packages/replicated-store/src/commands/operator-commands.ts
@@ -60,12 +60,12 @@
       return onApply(
         state,
         {
-          kind: 'apply',
-          asker,
+          kind: 'applyConfiguration',
+          caller: asker,
           hash: body.hash,
-          order: body.order,
-          base: call.base,
-          number: body.number,
+          chunkHashes: body.order,
+          baseGeneration: call.base,
+          requestedGeneration: body.number,
           faults: [],
         },
         now,
@@ -74,7 +74,7 @@
     case 'purge': {
       const aims = parse(purgeBody, call.body);
       if (aims === undefined) return bad('a purge names 1 to 10000 objects or tags');
-      return enqueueOnce(state, { kind: 'purge', asker, aims });
+      return enqueueOnce(state, { kind: 'purge', caller: asker, targets: aims });
     }
     case 'electorate': {
       const body = parse(electorateBody, call.body);
@@ -83,13 +83,13 @@
           ? undefined
           : changedElectorate(state.metadata.electorate, body);
       if (next === undefined) return bad('that would not change the electorate by one');
-      return enqueueOnce(state, { kind: 'electorate', asker, electorate: next });
+      return enqueueOnce(state, { kind: 'changeElectorate', caller: asker, electorate: next });
     }
     case 'release': {
       const body = parse(releaseBody, call.body);
       if (body === undefined)
         return bad('an order names a service, a release, and a span of 1 s to a day');
-      return enqueueOnce(state, { kind: 'order', asker, ...body });
+      return enqueueOnce(state, { kind: 'requestRollout', caller: asker, ...body });
     }
     case 'ask':
       return transition(state, sendReply({ ...asker, ...outcomeReply(state, call.body) }));
@@ -100,11 +100,11 @@
 
 const enqueueOnce = (
   state: StoreState,
-  command: Extract<Command, { kind: 'purge' | 'electorate' | 'order' }>,
+  command: Extract<Command, { kind: 'purge' | 'changeElectorate' | 'requestRollout' }>,
 ): StoreTransition => {
   const open =
-    state.commandQueue.some((one) => 'asker' in one && one.asker.id === command.asker.id) ||
-    (state.primaryWrite?.replies.some((one) => one.id === command.asker.id) ?? false);
+    state.commandQueue.some((one) => 'caller' in one && one.caller.id === command.caller.id) ||
+    (state.primaryWrite?.replies.some((one) => one.id === command.caller.id) ?? false);
   return open ? transition(state) : enqueue(state, command);
 };
 
--- a/packages/replicated-store/src/commands/queue.ts
+++ b/packages/replicated-store/src/commands/queue.ts
@@ -22,13 +22,13 @@
     body: reply.body,
   });
 
-const queueIsFull = (command: Extract<Command, { asker: unknown }>): StoreEffect =>
+const queueIsFull = (command: Extract<Command, { caller: unknown }>): StoreEffect =>
   sendReply({
-    ...command.asker,
+    ...command.caller,
     status: 503,
     body: JSON.stringify({
       kind: 'rejected',
-      id: command.asker.id,
+      id: command.caller.id,
       text: 'too many writes wait',
       retryAfterMs: fullQueueRetryMs,
     }),
@@ -41,5 +41,5 @@
 ): Transition<StoreState, StoreEffect> => {
   if (state.commandQueue.length < maxQueuedCommands)
     return transition({ ...state, commandQueue: [...state.commandQueue, command] });
-  return 'asker' in command ? transition(state, queueIsFull(command)) : transition(state);
+  return 'caller' in command ? transition(state, queueIsFull(command)) : transition(state);
 };
--- a/packages/replicated-store/src/commands/rollout-request.ts
+++ b/packages/replicated-store/src/commands/rollout-request.ts
@@ -45,7 +45,7 @@
 export const decideRolloutRequest = (
   state: StoreState,
   control: ControlState,
-  command: Extract<Command, { kind: 'order' }>,
+  command: Extract<Command, { kind: 'requestRollout' }>,
   now: Timestamp,
 ): RolloutRequestDecision => {
   const { service, target, spanMs } = command;
--- a/packages/replicated-store/src/commands/views.ts
+++ b/packages/replicated-store/src/commands/views.ts
@@ -76,7 +76,7 @@
           node: one.node,
           stamp: one.stamp,
           epoch: one.metadata?.epoch ?? null,
-          ageMs: Math.round(now - one.at),
+          ageMs: Math.round(now - one.heardAt),
         })),
       };
   }
--- a/packages/replicated-store/src/leadership/candidacy.ts
+++ b/packages/replicated-store/src/leadership/candidacy.ts
@@ -56,13 +56,13 @@
 type PeerEvidence = 'same' | 'later' | 'empty' | 'silent';
 
 /** What a peer's record says of holdings after this store's own metadata. */
-const evidenceOf = (
+const peerEvidence = (
   state: StoreState,
   metadata: ClusterMetadata,
   peer: PeerStatus | undefined,
   now: Timestamp,
 ): PeerEvidence => {
-  if (peer === undefined || now - peer.at >= evidenceMaxAgeMs) return 'silent';
+  if (peer === undefined || now - peer.heardAt >= evidenceMaxAgeMs) return 'silent';
   if (peer.metadata === undefined) return 'empty';
   if (peer.metadata.fleet !== metadata.fleet) return 'silent';
   return peer.metadata.epoch > metadata.epoch || isNewerStamp(peer.stamp, state.stamp)
@@ -74,7 +74,7 @@
 const newerPrimaryHeard = (state: StoreState, metadata: ClusterMetadata, now: Timestamp): boolean =>
   [...state.peers.values()].some(
     (word) =>
-      now - word.at < silentPeerTimeoutMs &&
+      now - word.heardAt < silentPeerTimeoutMs &&
       word.metadata?.fleet === metadata.fleet &&
       word.metadata.epoch > metadata.epoch &&
       !word.metadata.inSyncSet.includes(ownId(state)),
@@ -91,8 +91,8 @@
     .map((one) => {
       const word = state.peers.get(one);
       return {
-        tells: evidenceOf(state, metadata, word, now),
-        heard: Math.max(word?.at ?? state.startedAt, state.startedAt),
+        tells: peerEvidence(state, metadata, word, now),
+        heard: Math.max(word?.heardAt ?? state.startedAt, state.startedAt),
       };
     });
   if (newerPrimaryHeard(state, metadata, now)) return false;
@@ -149,7 +149,7 @@
         word.metadata.fleet === state.metadata?.fleet &&
         !word.isDiskFull &&
         (includesStopping || !word.isStopping) &&
-        now - word.at < backupTimeoutMs)
+        now - word.heardAt < backupTimeoutMs)
     );
   });
 
--- a/packages/replicated-store/src/leadership/electorate-changes.ts
+++ b/packages/replicated-store/src/leadership/electorate-changes.ts
@@ -27,11 +27,13 @@
   const state = noted === before ? before : renewLeaseSoon(noted);
   const open =
     state.primaryWrite !== undefined ||
-    state.commandQueue.some((one) => one.kind === 'electorate' || one.kind === 'seats');
+    state.commandQueue.some(
+      (one) => one.kind === 'changeElectorate' || one.kind === 'followRegistries',
+    );
   const electorate =
     state.settings.electorateFollowsRegistries && !open ? nextElectorate(state, now) : undefined;
   if (electorate === undefined) return transition(state);
-  const queued = enqueue(state, { kind: 'seats', electorate });
+  const queued = enqueue(state, { kind: 'followRegistries', electorate });
   return prependEffects(
     [
       log('info', 'the electorate follows the registries', [
--- a/packages/replicated-store/src/leadership/electorate.ts
+++ b/packages/replicated-store/src/leadership/electorate.ts
@@ -95,13 +95,13 @@
   return {
     isLive: (node) => {
       const known = state.subscribers.get(node);
-      return known?.voter === 'ready' && now - known.at < contactTimeoutMs;
+      return known?.voter === 'ready' && now - known.heardAt < contactTimeoutMs;
     },
     isDead: (node) => {
       const known = state.subscribers.get(node);
       return (
         known?.voter === 'leaving' ||
-        now - Math.max(known?.at ?? leaseWonAt, leaseWonAt) >= silenceLimit
+        now - Math.max(known?.heardAt ?? leaseWonAt, leaseWonAt) >= silenceLimit
       );
     },
     domainOf: (node) => {
--- a/packages/replicated-store/src/leadership/replica-placement.ts
+++ b/packages/replicated-store/src/leadership/replica-placement.ts
@@ -109,7 +109,7 @@
       !set.includes(one.node) &&
       !one.isDiskFull &&
       !one.isStopping &&
-      now - one.at < peerTimeoutMs &&
+      now - one.heardAt < peerTimeoutMs &&
       sameFleet(state, one),
   );
 
@@ -122,7 +122,7 @@
   reachableLearners(state, set, now)
     .filter(
       (one) =>
-        now - one.at < backupTimeoutMs &&
+        now - one.heardAt < backupTimeoutMs &&
         one.metadata !== undefined &&
         (isSameStamp(one.stamp, state.stamp) || holdsOpenWrite(state, one)),
     )
@@ -143,7 +143,7 @@
   return known.some(
     (one) =>
       !set.includes(one) &&
-      (state.peers.get(one)?.at ?? -Infinity) < Math.max(0, holding.wonAt - recentlyHeardMs),
+      (state.peers.get(one)?.heardAt ?? -Infinity) < Math.max(0, holding.wonAt - recentlyHeardMs),
   );
 };
 
--- a/packages/replicated-store/src/log-write/acknowledgements.ts
+++ b/packages/replicated-store/src/log-write/acknowledgements.ts
@@ -19,7 +19,7 @@
     ...peer,
     stamp: { epoch: acknowledgement.epoch, seq: acknowledgement.seq },
     isDiskFull: false,
-    at: now,
+    heardAt: now,
     progressAt: now,
   };
   return { ...state, peers: new Map([...state.peers, [acknowledgement.node, row]]) };
--- a/packages/replicated-store/src/log-write/backup-replacement.ts
+++ b/packages/replicated-store/src/log-write/backup-replacement.ts
@@ -86,7 +86,7 @@
       peer?.metadata !== undefined &&
       !peer.isDiskFull &&
       !peer.isStopping &&
-      now - peer.at < backupTimeoutMs
+      now - peer.heardAt < backupTimeoutMs
     );
   });
 
--- a/packages/replicated-store/src/log-write/backup-write.ts
+++ b/packages/replicated-store/src/log-write/backup-write.ts
@@ -20,11 +20,11 @@
 
 const acknowledgement = (
   state: StoreState,
-  backupWrite: Pick<BackupWrite, 'to' | 'metadata' | 'stamp'>,
+  backupWrite: Pick<BackupWrite, 'replyTo' | 'metadata' | 'stamp'>,
   ok: boolean,
   text: string,
 ): StoreEffect =>
-  send(backupWrite.to, {
+  send(backupWrite.replyTo, {
     kind: 'replicated',
     node: ownId(state),
     epoch: backupWrite.stamp.epoch,
@@ -42,18 +42,19 @@
 ): StoreState => {
   const isKnown = state.replicationQueue.some(
     (one) =>
-      isSameStamp(one.word.stamp, write.stamp) && one.word.metadata.epoch === write.metadata.epoch,
+      isSameStamp(one.frame.stamp, write.stamp) &&
+      one.frame.metadata.epoch === write.metadata.epoch,
   );
   return isKnown || state.replicationQueue.length >= maxQueuedReplications
     ? state
-    : { ...state, replicationQueue: [...state.replicationQueue, { from, word: write }] };
+    : { ...state, replicationQueue: [...state.replicationQueue, { from, frame: write }] };
 };
 
 /** Takes the next write that waits, if there is one. */
 const continueReplication = (state: StoreState, now: Timestamp): StoreTransition => {
   const [next, ...rest] = state.replicationQueue;
   if (next === undefined || state.backupWrite !== undefined) return transition(state);
-  const taken = onReplicate({ ...state, replicationQueue: rest }, next.from, next.word, now);
+  const taken = onReplicate({ ...state, replicationQueue: rest }, next.from, next.frame, now);
   return prependEffects(taken.effects, continueReplication(taken.state, now));
 };
 
@@ -66,7 +67,7 @@
 ): StoreTransition => {
   const metadata = before.metadata;
   if (metadata === undefined || metadata.fleet !== write.metadata.fleet) return transition(before);
-  const wanted = { to: from.address, metadata: write.metadata, stamp: write.stamp };
+  const wanted = { replyTo: from.address, metadata: write.metadata, stamp: write.stamp };
   if (write.metadata.epoch < metadata.epoch || write.metadata.epoch < heldEpoch(before.candidate))
     return transition(before, acknowledgement(before, wanted, false, 'an older epoch'));
   const state = notePrimary(before, write.metadata, now);
@@ -83,11 +84,11 @@
     state,
     {
       startedAt: now,
-      purpose: 'replicated',
+      purpose: 'replicate',
       ...wanted,
       puts: write.puts,
       stamps: new Map(),
-      callId: undefined,
+      commandId: undefined,
     },
     false,
   );
@@ -111,14 +112,14 @@
     diskDamage: '',
     phase: state.phase === 'empty' ? 'member' : state.phase,
   };
-  if (backupWrite.purpose === 'bootstrapped') {
+  if (backupWrite.purpose === 'bootstrap') {
     const told =
-      backupWrite.callId === undefined
+      backupWrite.commandId === undefined
         ? []
         : [
-            send(backupWrite.to, {
+            send(backupWrite.replyTo, {
               kind: 'bootstrapped' as const,
-              id: backupWrite.callId,
+              id: backupWrite.commandId,
               node: ownId(state),
               ok: true,
               text: '',
@@ -142,7 +143,7 @@
     stamp: backupWrite.stamp,
   };
   const resumed =
-    backupWrite.purpose === 'replicated'
+    backupWrite.purpose === 'replicate'
       ? transition(next, acknowledgement(state, backupWrite, true, ''))
       : continueResync(next, now);
   return prependEffects(resumed.effects, continueReplication(resumed.state, now));
@@ -164,14 +165,14 @@
     replicationQueue: [],
     diskFullAt: isDiskFull ? now : state.diskFullAt,
   };
-  if (backupWrite.purpose === 'replicated')
+  if (backupWrite.purpose === 'replicate')
     return transition(next, acknowledgement(state, backupWrite, false, reason));
-  if (backupWrite.purpose === 'bootstrapped' && backupWrite.callId !== undefined) {
+  if (backupWrite.purpose === 'bootstrap' && backupWrite.commandId !== undefined) {
     return transition(
       next,
-      send(backupWrite.to, {
+      send(backupWrite.replyTo, {
         kind: 'bootstrapped',
-        id: backupWrite.callId,
+        id: backupWrite.commandId,
         node: ownId(state),
         ok: false,
         text: reason,
--- a/packages/replicated-store/src/log-write/commit.ts
+++ b/packages/replicated-store/src/log-write/commit.ts
@@ -68,7 +68,7 @@
     primaryWrite.controlAfter.configuration?.offer.generation !==
     state.control.configuration?.offer.generation;
   // A rollout that was just opened gets its first turn at once: the throttle is for events of targets.
-  if (stored || first) commands.push({ kind: 'plan' }, { kind: 'turn' });
+  if (stored || first) commands.push({ kind: 'planRollout' }, { kind: 'advanceRollout' });
   const lists = primaryWrite.puts.some(
     (one) =>
       one.key.startsWith('node/') ||
@@ -87,12 +87,14 @@
   const idle =
     next.awaitingChunks.size === 0 &&
     next.compiling.size === 0 &&
-    !next.commandQueue.some((one) => one.kind === 'apply' || one.kind === 'pieces');
+    !next.commandQueue.some(
+      (one) => one.kind === 'applyConfiguration' || one.kind === 'storeChunks',
+    );
   const planned = {
     ...next,
     heldChunks: idle ? noHeldChunks : next.heldChunks,
     rolloutsDueAt: due,
-    plannedAt: stored || first ? now : next.plannedAt,
+    rolloutPlannedAt: stored || first ? now : next.rolloutPlannedAt,
     commandQueue: [...commands, ...next.commandQueue],
   };
   const told = [
@@ -108,7 +110,7 @@
   one: PrimaryWrite['canaryReports'][number],
 ): readonly StoreEffect[] => {
   const verdict = [...control.canaryResults.values()].find(
-    (row) => row.service === one.word.service && row.release === one.word.release,
+    (row) => row.service === one.report.service && row.release === one.report.release,
   );
-  return verdict === undefined ? [] : [send(one.to, { kind: 'tried', verdict, at: one.word.at })];
+  return verdict === undefined ? [] : [send(one.to, { kind: 'tried', verdict, at: one.report.at })];
 };
--- a/packages/replicated-store/src/log-write/primary-write.ts
+++ b/packages/replicated-store/src/log-write/primary-write.ts
@@ -94,7 +94,7 @@
     !isPrimary(state, now)
   )
     return transition(state);
-  const { batch, rest, lacksReplicas } = nextBatch(state, metadata, now);
+  const { commands: batch, rest, lacksReplicas } = nextBatch(state, metadata, now);
   if (batch.length === 0) return transition(lacksReplicas ? noteShortage(state, now) : state);
   const stamp: LogPosition = { epoch: heldEpoch(state.candidate), seq: nextSeq(state.stamp.seq) };
   let draft = state.control;
@@ -118,8 +118,8 @@
     rejections.push(...decision.immediateReplies);
     electorate = decision.electorate ?? electorate;
     violations.push(...(decision.violations ?? []));
-    if (command.kind === 'trial') tried.push({ to: command.to, word: command.word });
-    if (command.kind === 'turn')
+    if (command.kind === 'recordCanary') tried.push({ to: command.to, report: command.report });
+    if (command.kind === 'advanceRollout')
       next = {
         ...next,
         targetStatusSeen: decision.seen ?? next.targetStatusSeen,
@@ -221,7 +221,7 @@
       primaryWrite.metadata.inSyncSet.includes(one.node) &&
       !one.isDiskFull &&
       !one.isStopping &&
-      now - one.at < 1000,
+      now - one.heardAt < 1000,
   );
   // With a peer in sync whose disk has room the duty goes to it.
   if (!isDiskFull || heir)
--- a/packages/replicated-store/src/log-write/replication.ts
+++ b/packages/replicated-store/src/log-write/replication.ts
@@ -18,7 +18,7 @@
   const named = metadata.stores.filter((one) => one.node !== ownId(state));
   const others = [...state.peers.values()].filter(
     (one) =>
-      now - one.at < peerTimeoutMs &&
+      now - one.heardAt < peerTimeoutMs &&
       one.metadata?.fleet === metadata.fleet &&
       !named.some((row) => row.node === one.node),
   );
--- a/packages/replicated-store/src/machine.ts
+++ b/packages/replicated-store/src/machine.ts
@@ -69,7 +69,7 @@
       return isPrimary(state, now) ? onTally(state, frame, now) : transition(state);
     case 'trial':
       return isPrimary(state, now)
-        ? enqueue(state, { kind: 'trial', to: from.address, word: frame })
+        ? enqueue(state, { kind: 'recordCanary', to: from.address, report: frame })
         : transition(state);
     default:
       return transition(
--- a/packages/replicated-store/src/origins/origin-records.ts
+++ b/packages/replicated-store/src/origins/origin-records.ts
@@ -77,13 +77,16 @@
   )
     return transition(state);
   const next: StoreState = { ...state, originsCheckedAt: now };
-  if (state.commandQueue.some((one) => one.kind === 'origins')) return transition(next);
+  if (state.commandQueue.some((one) => one.kind === 'recordOrigins')) return transition(next);
   if (
     originPuts(state.control.origins, state.session.origins, now - own.wonAt > absentAfterMs, now)
       .length === 0
   )
     return transition(next);
-  return enqueue(next, { kind: 'origins', sure: now - own.wonAt > absentAfterMs });
+  return enqueue(next, {
+    kind: 'recordOrigins',
+    isAnnouncementComplete: now - own.wonAt > absentAfterMs,
+  });
 };
 
 /** The recorded origins as they are told from a disk: for a short time only, as they may be gone. */
--- a/packages/replicated-store/src/registries/feed.ts
+++ b/packages/replicated-store/src/registries/feed.ts
@@ -67,5 +67,5 @@
 /** Pushes news to every registry that listens; the time it bears renews nothing. */
 export const feedSubscribers = (state: StoreState, now: Timestamp): readonly StoreEffect[] =>
   [...state.subscribers.values()]
-    .filter((one) => now - one.at < subscriberTimeoutMs)
+    .filter((one) => now - one.heardAt < subscriberTimeoutMs)
     .flatMap((one) => feedSubscriber(state, one, clockOrigin, now));
--- a/packages/replicated-store/src/registries/node-contacts.ts
+++ b/packages/replicated-store/src/registries/node-contacts.ts
@@ -22,13 +22,13 @@
 export const markSilentNodesOffline = (state: StoreState, now: Timestamp): StoreTransition => {
   let next: StoreTransition = transition(state);
   for (const [node, row] of state.control.nodes) {
-    const near = state.contacts.get(node);
-    if (!row.online && near !== undefined && now - near.at > forgetNodeAfterMs) {
+    const near = state.nodeContacts.get(node);
+    if (!row.online && near !== undefined && now - near.heardAt > forgetNodeAfterMs) {
       next = prependEffects(
         next.effects,
         enqueue(
-          { ...next.state, contacts: withoutEntry(next.state.contacts, node) },
-          { kind: 'forget', node },
+          { ...next.state, nodeContacts: withoutEntry(next.state.nodeContacts, node) },
+          { kind: 'forgetNode', node },
         ),
       );
       continue;
@@ -37,26 +37,33 @@
       next = transition(
         {
           ...next.state,
-          contacts: withEntry(next.state.contacts, node, { registry: ownId(state), at: now }),
+          nodeContacts: withEntry(next.state.nodeContacts, node, {
+            registry: ownId(state),
+            heardAt: now,
+          }),
         },
         ...next.effects,
       );
-    if (!row.online || (near !== undefined && now - near.at < nodeOfflineAfterMs)) continue;
+    if (!row.online || (near !== undefined && now - near.heardAt < nodeOfflineAfterMs)) continue;
     if (near === undefined) {
       next = transition(
         {
           ...next.state,
-          contacts: withEntry(next.state.contacts, node, { registry: ownId(state), at: now }),
+          nodeContacts: withEntry(next.state.nodeContacts, node, {
+            registry: ownId(state),
+            heardAt: now,
+          }),
         },
         ...next.effects,
       );
       continue;
     }
-    if (next.state.commandQueue.some((one) => one.kind === 'node' && one.node === node)) continue;
+    if (next.state.commandQueue.some((one) => one.kind === 'recordNode' && one.node === node))
+      continue;
     next = prependEffects(
       next.effects,
       enqueue(next.state, {
-        kind: 'node',
+        kind: 'recordNode',
         node,
         role: row.role,
         incarnation: row.incarnation,
--- a/packages/replicated-store/src/registries/subscriptions.ts
+++ b/packages/replicated-store/src/registries/subscriptions.ts
@@ -23,7 +23,7 @@
     address: subscription.registry.address,
     zone: subscription.registry.area,
     voter: subscription.voter,
-    at: now,
+    heardAt: now,
     serial: subscription.epoch === heldEpoch(state.candidate) ? subscription.serial : noSeq,
     purged: subscription.purged,
   };
@@ -32,14 +32,14 @@
     subscribers: withEntry(state.subscribers, subscription.registry.node, row),
   };
   const effects: StoreEffect[] = [...feedSubscriber(next, row, subscription.at, now)];
-  let touch = next.contacts;
+  let touch = next.nodeContacts;
   let fresh = false;
   for (const one of subscription.reports) {
     const known = state.control.nodes.get(one.node);
     const near = touch.get(one.node);
     if (!one.open && near !== undefined && near.registry !== subscription.registry.node) continue;
     if (one.open)
-      touch = withEntry(touch, one.node, { registry: subscription.registry.node, at: now });
+      touch = withEntry(touch, one.node, { registry: subscription.registry.node, heardAt: now });
     const same =
       known?.incarnation === one.incarnation &&
       known.online === one.open &&
@@ -49,7 +49,7 @@
     fresh ||= known === undefined;
     const waits = next.commandQueue.some(
       (command) =>
-        command.kind === 'node' &&
+        command.kind === 'recordNode' &&
         command.node === one.node &&
         command.incarnation === one.incarnation &&
         equalAsJson(command.report, one.report) &&
@@ -57,7 +57,7 @@
     );
     if (waits) continue;
     const queued = enqueue(next, {
-      kind: 'node',
+      kind: 'recordNode',
       node: one.node,
       role: one.role,
       incarnation: one.incarnation,
@@ -68,9 +68,9 @@
     effects.push(...queued.effects);
   }
   if (fresh) {
-    const queued = enqueue(next, { kind: 'plan' });
+    const queued = enqueue(next, { kind: 'planRollout' });
     next = queued.state;
     effects.push(...queued.effects);
   }
-  return transition({ ...next, contacts: touch }, ...effects);
+  return transition({ ...next, nodeContacts: touch }, ...effects);
 };
--- a/packages/replicated-store/src/releases/release-progress.ts
+++ b/packages/replicated-store/src/releases/release-progress.ts
@@ -70,8 +70,8 @@
 const hasPendingChange = (state: StoreState, service: ServiceName): boolean =>
   state.commandQueue.some(
     (one) =>
-      (one.kind === 'release' && one.next.service === service) ||
-      (one.kind === 'order' && one.service === service),
+      (one.kind === 'recordRelease' && one.record.service === service) ||
+      (one.kind === 'requestRollout' && one.service === service),
   ) ||
   (state.primaryWrite?.puts.some((one) => one.key === `release/${service}`) ?? false);
 
@@ -109,7 +109,7 @@
             ['why', next.text],
           ),
         ];
-  return prependEffects(told, enqueue(state, { kind: 'release', next }));
+  return prependEffects(told, enqueue(state, { kind: 'recordRelease', record: next }));
 };
 
 /** Notes on which release each service stands that has no record yet. */
@@ -126,7 +126,7 @@
     if (settled !== undefined)
       next = prependEffects(
         next.effects,
-        enqueue(next.state, { kind: 'release', next: settledRollout(service, settled) }),
+        enqueue(next.state, { kind: 'recordRelease', record: settledRollout(service, settled) }),
       );
   }
   return next;
--- a/packages/replicated-store/src/resync/bootstrap.ts
+++ b/packages/replicated-store/src/resync/bootstrap.ts
@@ -37,13 +37,13 @@
     state,
     {
       startedAt: now,
-      purpose: 'bootstrapped',
-      to: from.address,
+      purpose: 'bootstrap',
+      replyTo: from.address,
       metadata,
       stamp: { epoch: metadata.epoch, seq: nextSeq(noSeq) },
       puts: [],
       stamps: new Map(),
-      callId: proposal.id,
+      commandId: proposal.id,
     },
     true,
   );
--- a/packages/replicated-store/src/resync/learner-choice.ts
+++ b/packages/replicated-store/src/resync/learner-choice.ts
@@ -36,7 +36,7 @@
     (one) =>
       !metadata.inSyncSet.includes(one.node) &&
       !one.isPrimary &&
-      now - one.at < peerTimeoutMs &&
+      now - one.heardAt < peerTimeoutMs &&
       (one.metadata === undefined || one.metadata.fleet === metadata.fleet),
   );
   const current = state.activeResync;
--- a/packages/replicated-store/src/resync/learner-resync.ts
+++ b/packages/replicated-store/src/resync/learner-resync.ts
@@ -57,13 +57,13 @@
       state,
       {
         startedAt: now,
-        purpose: 'resynced',
-        to: from.address,
+        purpose: 'resync',
+        replyTo: from.address,
         metadata: state.metadata,
         stamp: noStamp,
         puts,
         stamps: new Map(),
-        callId: undefined,
+        commandId: undefined,
       },
       false,
     ),
@@ -87,7 +87,7 @@
   if (state.backupWrite !== undefined)
     return transition(
       state.resyncQueue.length < maxQueuedResyncs
-        ? { ...state, resyncQueue: [...state.resyncQueue, { from, word: batch }] }
+        ? { ...state, resyncQueue: [...state.resyncQueue, { from, frame: batch }] }
         : state,
     );
   if (!acceptsResync(state, batch.epoch) || batch.metadata.inSyncSet.includes(ownId(state)))
@@ -105,13 +105,13 @@
     state,
     {
       startedAt: now,
-      purpose: 'resynced',
-      to: from.address,
+      purpose: 'resync',
+      replyTo: from.address,
       metadata: batch.metadata,
       stamp,
       puts,
       stamps,
-      callId: undefined,
+      commandId: undefined,
     },
     false,
   );
@@ -121,6 +121,6 @@
 export const continueResync = (state: StoreState, now: Timestamp): StoreTransition => {
   const [next, ...rest] = state.resyncQueue;
   if (next !== undefined)
-    return onResyncEntries({ ...state, resyncQueue: rest }, next.from, next.word, now);
+    return onResyncEntries({ ...state, resyncQueue: rest }, next.from, next.frame, now);
   return sendStatus({ ...state, statusSentAt: clockOrigin }, now);
 };
--- a/packages/replicated-store/src/resync/peer-status.ts
+++ b/packages/replicated-store/src/resync/peer-status.ts
@@ -17,7 +17,7 @@
   status: FrameOf<'replica-status'>,
   now: Timestamp,
 ): Timestamp => {
-  if (before === undefined || now - before.at >= peerTimeoutMs) return now;
+  if (before === undefined || now - before.heardAt >= peerTimeoutMs) return now;
   const moved =
     !isSameStamp(before.stamp, status.stamp) ||
     before.isDiskFull !== status.full ||
@@ -41,7 +41,7 @@
     isPrimary: status.primary,
     isDiskFull: status.full,
     isStopping: status.leaving === true,
-    at: now,
+    heardAt: now,
     digests: status.digests.length > 0 ? status.digests : (before?.digests ?? []),
     progressAt: lastProgressAt(before, status, now),
   };
--- a/packages/replicated-store/src/resync/promotion.ts
+++ b/packages/replicated-store/src/resync/promotion.ts
@@ -24,7 +24,7 @@
     (one) =>
       one.node !== from.node &&
       (metadata.inSyncSet.includes(one.node) ||
-        now - (state.peers.get(one.node)?.at ?? state.startedAt) < removeAfterMs),
+        now - (state.peers.get(one.node)?.heardAt ?? state.startedAt) < removeAfterMs),
   ),
   { node: from.node, address: from.address },
 ];
--- a/packages/replicated-store/src/resync/status.ts
+++ b/packages/replicated-store/src/resync/status.ts
@@ -22,7 +22,9 @@
 ): readonly ClusterMetadata['stores'][number]['address'][] => {
   const leader = isPrimary(state, now)
     ? undefined
-    : [...state.peers.values()].find((one) => one.isPrimary && now - one.at < primaryTimeoutMs);
+    : [...state.peers.values()].find(
+        (one) => one.isPrimary && now - one.heardAt < primaryTimeoutMs,
+      );
   if (leader !== undefined) {
     const peers =
       state.metadata?.stores.filter(
--- a/packages/replicated-store/src/state/expiry.ts
+++ b/packages/replicated-store/src/state/expiry.ts
@@ -11,20 +11,21 @@
 
 /** Forgets silent registries, nodes without a record, and stores that the metadata does not name. */
 export const expireSilentMembers = (state: StoreState, now: Timestamp): StoreState => {
-  const heard = (one: { readonly at: Timestamp }): boolean => now - one.at < silentMemberExpiryMs;
+  const isRecent = (one: { readonly heardAt: Timestamp }): boolean =>
+    now - one.heardAt < silentMemberExpiryMs;
   const epoch = state.metadata?.epoch ?? 0;
   const named = new Set(state.metadata?.stores.map((one) => one.node));
-  const subscribers = filterEntries(state.subscribers, heard);
+  const subscribers = filterEntries(state.subscribers, isRecent);
   const contacts = filterEntries(
-    state.contacts,
-    (one, node) => heard(one) || state.control.nodes.has(node),
+    state.nodeContacts,
+    (one, node) => isRecent(one) || state.control.nodes.has(node),
   );
   // One that told of a later epoch still speaks against this store's candidacy.
   const peers = filterEntries(
     state.peers,
-    (one, node) => heard(one) || named.has(node) || (one.metadata?.epoch ?? 0) > epoch,
+    (one, node) => isRecent(one) || named.has(node) || (one.metadata?.epoch ?? 0) > epoch,
   );
   const unchanged =
-    subscribers === state.subscribers && contacts === state.contacts && peers === state.peers;
-  return unchanged ? state : { ...state, subscribers, contacts, peers };
+    subscribers === state.subscribers && contacts === state.nodeContacts && peers === state.peers;
+  return unchanged ? state : { ...state, subscribers, nodeContacts: contacts, peers };
 };
--- a/packages/replicated-store/src/state/open-writes.ts
+++ b/packages/replicated-store/src/state/open-writes.ts
@@ -24,18 +24,18 @@
   readonly puts: readonly TableMutation[];
   readonly controlAfter: ControlState;
   readonly replies: readonly CommandReply[];
-  readonly canaryReports: readonly { readonly to: Address; readonly word: CanaryReport }[];
+  readonly canaryReports: readonly { readonly to: Address; readonly report: CanaryReport }[];
 }
 
 /** A copy or a mend that this store is putting on its own disk for the primary. */
 export interface BackupWrite {
   readonly id: number;
   readonly startedAt: Timestamp;
-  readonly purpose: 'replicated' | 'resynced' | 'bootstrapped';
-  readonly to: Address;
+  readonly purpose: 'replicate' | 'resync' | 'bootstrap';
+  readonly replyTo: Address;
   readonly metadata: ClusterMetadata;
   readonly stamp: LogPosition;
   readonly puts: readonly TableMutation[];
   readonly stamps: ReadonlyMap<string, LogPosition>;
-  readonly callId: CommandId | undefined;
+  readonly commandId: CommandId | undefined;
 }
--- a/packages/replicated-store/src/state/peers.ts
+++ b/packages/replicated-store/src/state/peers.ts
@@ -16,7 +16,7 @@
   readonly isDiskFull: boolean;
   /** Whether it is about to stop. */
   readonly isStopping: boolean;
-  readonly at: Timestamp;
+  readonly heardAt: Timestamp;
   readonly digests: readonly string[];
   /** When it was last seen to come closer to the primary's state, or came back. */
   readonly progressAt: Timestamp;
@@ -27,12 +27,12 @@
   readonly zone: ZoneName;
   /** How far its vote may be relied on, by its own word. */
   readonly voter: FrameOf<'subscribe'>['voter'];
-  readonly at: Timestamp;
+  readonly heardAt: Timestamp;
   readonly serial: Seq;
   readonly purged: Seq;
 }
 
-export interface Contact {
+export interface NodeContact {
   readonly registry: NodeId;
-  readonly at: Timestamp;
+  readonly heardAt: Timestamp;
 }
--- a/packages/replicated-store/src/state/state.ts
+++ b/packages/replicated-store/src/state/state.ts
@@ -31,7 +31,7 @@
 import { type NodeSession, newNodeSession } from '@switchwheel/membership';
 import type { Command } from '../commands/command.js';
 import type { BackupWrite, PrimaryWrite } from './open-writes.js';
-import type { Contact, PeerStatus, Subscriber } from './peers.js';
+import type { NodeContact, PeerStatus, Subscriber } from './peers.js';
 import { type ReplicationSettings, defaultReplicationSettings } from './replication-settings.js';
 import type { Table } from './table.js';
 
@@ -61,16 +61,19 @@
   /** Mends that came while one was being written. */
   readonly resyncQueue: readonly {
     readonly from: Peer;
-    readonly word: FrameOf<'resync-entries'>;
+    readonly frame: FrameOf<'resync-entries'>;
   }[];
   /** Writes of the primary that came while another one was on its way to the disk. */
   readonly replicationQueue: readonly {
     readonly from: Peer;
-    readonly word: FrameOf<'replicate'>;
+    readonly frame: FrameOf<'replicate'>;
   }[];
   readonly commandQueue: readonly Command[];
   /** Calls whose description is being compiled: several may bring the same one. */
-  readonly compiling: ReadonlyMap<Hash, readonly Extract<Command, { kind: 'apply' }>[]>;
+  readonly compiling: ReadonlyMap<
+    Hash,
+    readonly Extract<Command, { kind: 'applyConfiguration' }>[]
+  >;
   /**
    * The text of each piece that an order under way relies on, whether it was received for it or stood in the table:
    * another order's write may drop it from the table before this one is written.
@@ -79,10 +82,10 @@
   readonly awaitingChunks: ReadonlyMap<
     CommandId,
     {
-      readonly command: Extract<Command, { kind: 'apply' }>;
+      readonly command: Extract<Command, { kind: 'applyConfiguration' }>;
       readonly since: Timestamp;
-      readonly asked: Timestamp;
-      readonly awaited: number;
+      readonly requestedAt: Timestamp;
+      readonly outstandingChunks: number;
     }
   >;
   readonly peers: ReadonlyMap<NodeId, PeerStatus>;
@@ -91,7 +94,7 @@
   /** Spares whose mending came to nothing: the others have their turn first. */
   readonly resyncAttempted: ReadonlySet<NodeId>;
   readonly subscribers: ReadonlyMap<NodeId, Subscriber>;
-  readonly contacts: ReadonlyMap<NodeId, Contact>;
+  readonly nodeContacts: ReadonlyMap<NodeId, NodeContact>;
   /** Since when this primary has had fewer copies than losses to be tolerated ask for. */
   readonly shortageSince: Timestamp | undefined;
   /** The highest epoch that is known to have left this store out. */
@@ -101,7 +104,7 @@
   readonly statusSentAt: Timestamp;
   /** When the origins were last looked at. */
   readonly originsCheckedAt: Timestamp;
-  readonly plannedAt: Timestamp;
+  readonly rolloutPlannedAt: Timestamp;
   readonly rolloutsAdvancedAt: Timestamp;
   /** The electorate that this store polls, and since when: votes asked for before count for an older one. */
   readonly polledElectorate: { readonly serial: Seq; readonly since: Timestamp };
@@ -161,12 +164,12 @@
   activeResync: undefined,
   resyncAttempted: new Set(),
   subscribers: new Map(),
-  contacts: new Map(),
+  nodeContacts: new Map(),
   shortageSince: undefined,
   excludedAtEpoch: noEpoch,
   primaryHeardAt: clockOrigin,
   statusSentAt: clockOrigin,
-  plannedAt: clockOrigin,
+  rolloutPlannedAt: clockOrigin,
   rolloutsAdvancedAt: clockOrigin,
   polledElectorate: { serial: noSeq, since: clockOrigin },
   stopping: undefined,
--- a/packages/replicated-store/src/tick.ts
+++ b/packages/replicated-store/src/tick.ts
@@ -38,10 +38,10 @@
 const tickPrimary = (state: StoreState, now: Timestamp): StoreTransition => {
   const seated = followRegistries(state, now);
   let next = prependEffects(seated.effects, markSilentNodesOffline(seated.state, now));
-  if (now - next.state.plannedAt >= rolloutPlanIntervalMs)
+  if (now - next.state.rolloutPlannedAt >= rolloutPlanIntervalMs)
     next = prependEffects(
       next.effects,
-      enqueue({ ...next.state, plannedAt: now }, { kind: 'plan' }),
+      enqueue({ ...next.state, rolloutPlannedAt: now }, { kind: 'planRollout' }),
     );
   next = prependEffects(next.effects, tickChunkRepair(next.state, now));
   next = prependEffects(next.effects, tickReleases(next.state, now));
@@ -55,7 +55,7 @@
       next.effects,
       enqueue(
         { ...next.state, rolloutsDueAt: undefined, rolloutsAdvancedAt: now },
-        { kind: 'turn' },
+        { kind: 'advanceRollout' },
       ),
     );
   }
--- a/packages/simulator/src/guard/list.ts
+++ b/packages/simulator/src/guard/list.ts
@@ -158,7 +158,7 @@
     name: 'a generation is made from its base',
     rule: 'generation',
     file: decideApply,
-    from: 'if (command.base !== undefined && command.base !== now)',
+    from: 'if (command.baseGeneration !== undefined && command.baseGeneration !== now)',
     to: 'if (false)',
   },
   {
