--- a/packages/store/src/disk-rows.ts
+++ b/packages/store/src/disk-rows.ts
@@ -1,6 +1,11 @@
+/**
+ * The rows of a store's data folder: one header row with the cluster metadata and the stamp of the last write, and one
+ * row for each entry of the table. The form is that of every folder in use and must stay readable.
+ */
+
 import * as v from 'valibot';
 import {
-  clusterMetadata as charterSchema,
+  clusterMetadata as metadataSchema,
   logPosition as stampSchema,
 } from '@switchwheel/transport';
 import type { Disk, StoredRow } from '@switchwheel/runtime';
@@ -9,13 +14,13 @@
 const headerKey = '!head';
 const headerSchema = v.object({
   format: v.literal(1),
-  metadata: charterSchema,
+  metadata: metadataSchema,
   stamp: stampSchema,
 });
 
-const entryRow = (one: KeyedEntry): StoredRow => ({
-  key: `=${one.key}`,
-  text: `${one.stamp.epoch} ${one.stamp.seq} ${one.data}`,
+const entryRow = (entry: KeyedEntry): StoredRow => ({
+  key: `=${entry.key}`,
+  text: `${entry.stamp.epoch} ${entry.stamp.seq} ${entry.data}`,
 });
 
 const readRow = (row: StoredRow): KeyedEntry | undefined => {
@@ -29,18 +34,18 @@
   };
 };
 
-/** What a data folder holds: nothing, a whole record, or something that can't be trusted. */
+/** What a data folder holds: nothing, a complete state, or something that can't be trusted. */
 export const readDisk = (disk: Disk): DiskContents => {
   if (disk.quarantineReason !== undefined)
     return { status: 'damaged', reason: disk.quarantineReason };
   const read = disk.read();
   if (read.isErr) return { status: 'damaged', reason: read.error };
   if (read.value.length === 0) return { status: 'empty' };
-  const top = read.value.find((row) => row.key === headerKey);
-  if (top === undefined) return { status: 'damaged', reason: 'the head is missing' };
-  let told: v.InferOutput<typeof headerSchema>;
+  const headerRow = read.value.find((row) => row.key === headerKey);
+  if (headerRow === undefined) return { status: 'damaged', reason: 'the head is missing' };
+  let header: v.InferOutput<typeof headerSchema>;
   try {
-    told = v.parse(headerSchema, JSON.parse(top.text));
+    header = v.parse(headerSchema, JSON.parse(headerRow.text));
   } catch {
     return { status: 'damaged', reason: 'the head can not be read' };
   }
@@ -52,10 +57,10 @@
       return { status: 'damaged', reason: `the entry ${row.key} can not be read` };
     entries.push(entry);
   }
-  return { status: 'complete', metadata: told.metadata, stamp: told.stamp, entries };
+  return { status: 'complete', metadata: header.metadata, stamp: header.stamp, entries };
 };
 
-/** The rows of one write; the head goes with it, so both last or neither. */
+/** The rows of one write; the header goes with the entries, so both are durable or neither. */
 export const rowsOf = (write: DiskWrite): Parameters<Disk['write']>[0] => ({
   clearFirst: write.wipesFirst,
   deletes: write.deletedKeys.map((key) => `=${key}`),
--- a/packages/store/src/main.ts
+++ b/packages/store/src/main.ts
@@ -1,28 +1,31 @@
+/** The program `store`: reads its settings, opens its data folder, and runs a store until a signal. */
+
 import {
   type Disk,
   readSettingsOrExit,
   createLogger,
   handleShutdownSignals,
 } from '@switchwheel/runtime';
+import { openData } from './data-folder.js';
 import { program, settingsSchema } from './settings.js';
-import { openData, startStore } from './start-store.js';
+import { startStore } from './start-store.js';
 
-const boot = readSettingsOrExit(program, settingsSchema);
-const log = createLogger(program.name, boot.node, boot.log);
+const settings = readSettingsOrExit(program, settingsSchema);
+const log = createLogger(program.name, settings.node, settings.log);
 
 let disk: Disk;
 try {
-  disk = openData(boot.data);
-} catch (problem) {
+  disk = openData(settings.data);
+} catch (error) {
   process.stderr.write(
-    `${program.name}: data: the folder can't be used: ${problem instanceof Error ? problem.message : 'unknown'}\n`,
+    `${program.name}: data: the folder can't be used: ${error instanceof Error ? error.message : 'unknown'}\n`,
   );
   process.exit(2);
 }
-const limits = {
-  copies: boot.copies,
-  tolerate: boot.tolerate,
-  electorateFollowsRegistries: boot.electorate === 'follows',
+const replication = {
+  copies: settings.copies,
+  tolerate: settings.tolerate,
+  electorateFollowsRegistries: settings.electorate === 'follows',
 };
-const running = await startStore({ ...boot, zone: boot.area, replication: limits }, log, disk);
+const running = await startStore({ ...settings, zone: settings.area, replication }, log, disk);
 handleShutdownSignals(log, running.stop);
--- a/packages/store/src/run-forms.test.ts
+++ b/packages/store/src/run-forms.test.ts
@@ -11,7 +11,8 @@
   responseText,
   snapshotsFor,
 } from '@switchwheel/types/testing';
-import { openData, startStore } from './start-store.js';
+import { openData } from './data-folder.js';
+import { startStore } from './start-store.js';
 
 const matchSnapshot = snapshotsFor(import.meta.dirname);
 
--- a/packages/store/src/settings.ts
+++ b/packages/store/src/settings.ts
@@ -1,3 +1,5 @@
+/** The settings of the program `store`, their checks, and its help. Their names are part of the operators' interface. */
+
 import * as v from 'valibot';
 import { address } from '@switchwheel/types';
 import {
@@ -6,6 +8,7 @@
   commonSettingDefinitions,
 } from '@switchwheel/runtime';
 
+/** The program as its help shows it. */
 export const program: ProgramDefinition = {
   name: 'store',
   description: 'The store of configuration of switchwheel: one on every core machine with a disk.',
@@ -19,6 +22,7 @@
   ],
 };
 
+/** The checks of the settings; each message is shown behind the setting's name. */
 export const settingsSchema = v.strictObject({
   ...commonSettingsSchema,
   data: v.pipe(v.string('a folder'), v.minLength(1, 'a folder')),
--- a/packages/store/src/start-store.ts
+++ b/packages/store/src/start-store.ts
@@ -1,42 +1,39 @@
+/**
+ * Composition root of a store: wires the state machine of the replicated-store package to channels, the disk and the
+ * administration server, and stops them in order. It decides nothing itself.
+ */
+
+import type { Address, NodeId, ZoneName } from '@switchwheel/types';
+import { type Member, type ProcessEffect, ChannelPool } from '@switchwheel/transport';
 import {
-  type Address,
-  type ZoneName,
-  type NodeId,
-  toGeneration,
-  totalViolations,
-} from '@switchwheel/types';
-import { type ProcessEffect, ChannelPool } from '@switchwheel/transport';
-import {
-  type ReplicationSettings,
-  type StoreState,
-  type StoreEffect,
-  type StoreEvent,
-  inSync,
-  isPrimary,
-  newStoreState,
-  defaultReplicationSettings,
-  storeTransition,
-} from '@switchwheel/replicated-store';
-import { buildConfiguration } from '@switchwheel/configuration';
-import {
-  Disk,
+  type Disk,
+  type EventLoop,
   type Logger,
   type MetricSample,
   type RunningProgram,
   adminApp,
-  runTimeSliced,
-  isProcessEffect,
+  delay,
   formatMetrics,
-  newRandomState,
+  isProcessEffect,
   newIncarnation,
+  newRandomState,
   now,
-  startHttpServer,
-  metricSample as plain,
   runEventLoop,
-  delay,
+  startHttpServer,
   withLabel,
 } from '@switchwheel/runtime';
-import { rowsOf, readDisk } from './disk-rows.js';
+import {
+  type ReplicationSettings,
+  type StoreEffect,
+  type StoreEvent,
+  type StoreState,
+  defaultReplicationSettings,
+  newStoreState,
+  storeTransition,
+} from '@switchwheel/replicated-store';
+import { readDisk } from './disk-rows.js';
+import { type StoreOnlyEffect, runStoreEffect } from './store-effects.js';
+import { isStoreReady, storeMetrics } from './store-metrics.js';
 
 /** What a store needs to know of its place. */
 export interface StoreSettings {
@@ -46,101 +43,56 @@
   readonly seeds: readonly Address[];
   readonly data: string;
   readonly admin?: Address;
-  /** How many copies are kept, and how many may be lost at once. */
+  /** How many replicas are kept, and how many may be lost at once. */
   readonly replication?: ReplicationSettings;
-  /** How often time is let pass, in milliseconds. */
+  /** How often the state machine gets a tick, in milliseconds. */
   readonly tickMs?: number;
-  /** How long a stop may wait until duty and copy stand elsewhere, in milliseconds. */
+  /** How long a stop may wait until lease and replica are with other stores, in milliseconds. */
   readonly graceMs?: number;
-  /** Whether a fleet may be founded on this store. */
+  /** Whether a fleet may be bootstrapped on this store. */
   readonly mayBootstrap?: boolean;
 }
 
-/** Opens the data folder; throws with the reason if it can't be used. */
-export const openData = (folder: string): Disk => new Disk(folder);
-
-/** How often a data folder that can't be opened is tried again. */
-const openRetryMs = 500;
-
-/** Opens the data folder, and waits while its disk takes nothing: the rest of the process serves meanwhile. */
-export const openDataWithRetry = async (folder: string, log: Logger): Promise<Disk> => {
-  for (let tries = 0; ; tries += 1) {
-    try {
-      return openData(folder);
-    } catch (problem) {
-      const why = problem instanceof Error ? problem.message : 'unknown';
-      if (tries === 0)
-        log.write('error', 'the data folder cannot be opened', new Map([['why', why]]));
-      await delay(openRetryMs);
-    }
-  }
-};
-
 /** A store that runs in this process. */
 export interface RunningStore extends RunningProgram {
-  /** Its readings as scrapers take them, for a program that shows them beside its own. */
+  /** Its metrics as scrapers take them, for a program that shows them beside its own. */
   readonly metrics: () => string;
 }
 
-/** Starts a store. */
-export const startStore = async (
+/** How long the last frames have to leave before the channels close. */
+const lastFramesMs = 100;
+/** How long a stop waits for the disk to close. */
+const diskCloseTimeoutMs = 1000;
+
+const memberOf = (settings: StoreSettings): Member => ({
+  node: settings.node,
+  role: 'store',
+  area: settings.zone,
+  address: settings.listen,
+  ...(settings.admin === undefined ? {} : { admin: settings.admin }),
+  incarnation: newIncarnation(),
+});
+
+const isEventLoopEffect = (effect: StoreEffect): effect is ProcessEffect => isProcessEffect(effect);
+
+interface RunningStateMachine {
+  readonly loop: EventLoop<StoreState, StoreEvent>;
+  /** Settled once the state machine has nothing left to do before the process ends. */
+  readonly stopCompleted: Promise<void>;
+}
+
+const runStateMachine = (
   settings: StoreSettings,
+  member: Member,
+  channels: ChannelPool,
   log: Logger,
   disk: Disk,
-): Promise<RunningStore> => {
-  const member = {
-    node: settings.node,
-    role: 'store' as const,
-    area: settings.zone,
-    address: settings.listen,
-    ...(settings.admin === undefined ? {} : { admin: settings.admin }),
-    incarnation: newIncarnation(),
-  };
-  const yard = new ChannelPool({
-    node: member.node,
-    address: member.address,
-    incarnation: member.incarnation,
+): RunningStateMachine => {
+  let onStopCompleted: () => void = () => undefined;
+  const stopCompleted = new Promise<void>((resolve) => {
+    onStopCompleted = resolve;
   });
-
-  type OwnEffect = Exclude<StoreEffect, ProcessEffect>;
-  let stopped: () => void = () => undefined;
-  const run = (effect: OwnEffect): void => {
-    switch (effect.kind) {
-      case 'writeToDisk': {
-        const id = effect.write.id;
-        void disk.write(rowsOf(effect.write)).then((done) =>
-          loop.dispatch((at) =>
-            done.isOk
-              ? { kind: 'writeSynced', now: at, writeId: id }
-              : {
-                  kind: 'writeFailed',
-                  now: at,
-                  writeId: id,
-                  reason: done.error.text,
-                  isDiskFull: done.error.full,
-                },
-          ),
-        );
-        break;
-      }
-      case 'compileConfiguration':
-        void runTimeSliced(buildConfiguration(effect.texts, toGeneration(0), effect.hash)).then(
-          (built) =>
-            loop.dispatch((at) => ({
-              kind: 'configurationCompiled',
-              now: at,
-              hash: effect.hash,
-              faults: built.isOk ? [] : built.error,
-            })),
-        );
-        break;
-      case 'completeStop':
-        stopped();
-        break;
-    }
-  };
-  const isOwnWire = (effect: StoreEffect): effect is ProcessEffect => isProcessEffect(effect);
-  const loop = runEventLoop<StoreState, StoreEvent, OwnEffect>(
+  const loop = runEventLoop<StoreState, StoreEvent, StoreOnlyEffect>(
     storeTransition,
     newStoreState(
       member,
@@ -149,43 +101,42 @@
       settings.replication ?? defaultReplicationSettings,
       settings.mayBootstrap ?? true,
     ),
-    yard,
+    channels,
     log,
-    run,
-    isOwnWire,
+    (effect) => {
+      runStoreEffect({ disk, dispatch: loop.dispatch, onStopCompleted }, effect);
+    },
+    isEventLoopEffect,
     settings.tickMs,
   );
-  const state = loop.machine.state;
+  return { loop, stopCompleted };
+};
+
+/** Starts a store on an open data folder; resolves once it listens and has read its disk. */
+export const startStore = async (
+  settings: StoreSettings,
+  log: Logger,
+  disk: Disk,
+): Promise<RunningStore> => {
+  const member = memberOf(settings);
+  const { node, address, incarnation } = member;
+  const channels = new ChannelPool({ node, address, incarnation });
+  const { loop, stopCompleted } = runStateMachine(settings, member, channels, log, disk);
 
-  let worstLag = 0;
-  const readings = (): readonly MetricSample[] => {
-    const one = state();
-    worstLag = Math.max(worstLag, loop.takeMaxLagMs());
-    return [
-      plain('primary', isPrimary(one, now()) ? 1 : 0),
-      plain('in_sync', inSync(one) ? 1 : 0),
-      plain('entries', one.table.size),
-      plain('epoch', one.metadata?.epoch ?? 0),
-      plain('writes_waiting', one.commandQueue.length),
-      plain('disk_full', one.diskFullAt === undefined ? 0 : 1),
-      plain('generation', one.control.configuration?.offer.generation ?? 0),
-      plain('pieces', one.control.chunks.size),
-      plain('piece_requests_missed_total', one.missedChunkRequests),
-      plain('invariant_violations_total', totalViolations(one.violations)),
-      plain('loop_lag_worst_ms', worstLag),
-      plain('foreign_channels_total', yard.protocolErrorCount),
-      plain('memory_bytes', process.memoryUsage.rss()),
-    ];
+  let worstLoopLagMs = 0;
+  const metrics = (): readonly MetricSample[] => {
+    worstLoopLagMs = Math.max(worstLoopLagMs, loop.takeMaxLagMs());
+    const { protocolErrorCount } = channels;
+    return storeMetrics(loop.machine.state(), now(), { worstLoopLagMs, protocolErrorCount });
   };
-  const ready = (): boolean =>
-    state().phase === 'member' && (isPrimary(state(), now()) || inSync(state()));
+  const isReady = (): boolean => isStoreReady(loop.machine.state(), now());
   const admin =
     settings.admin === undefined
       ? undefined
-      : await startHttpServer(adminApp(ready, readings), settings.admin);
-  await yard.listen();
-  const found = readDisk(disk);
-  loop.dispatch((at) => ({ kind: 'diskRead', now: at, contents: found }));
+      : await startHttpServer(adminApp(isReady, metrics), settings.admin);
+  await channels.listen();
+  const contents = readDisk(disk);
+  loop.dispatch((at) => ({ kind: 'diskRead', now: at, contents }));
   log.write(
     'info',
     'started',
@@ -195,24 +146,21 @@
     ]),
   );
 
+  const { graceMs } = settings;
   return {
-    metrics: () => formatMetrics(readings().map((one) => withLabel(one, 'program', 'store'))),
+    metrics: () => formatMetrics(metrics().map((sample) => withLabel(sample, 'program', 'store'))),
     stop: async () => {
-      const over = new Promise<void>((done) => {
-        stopped = done;
-      });
       loop.dispatch((at) => ({
         kind: 'stopRequested',
         now: at,
-        ...(settings.graceMs === undefined ? {} : { graceMs: settings.graceMs }),
+        ...(graceMs === undefined ? {} : { graceMs }),
       }));
-      await over;
-      // Last words leave before the channels close.
-      await delay(100);
+      await stopCompleted;
+      await delay(lastFramesMs);
       loop.stop();
       admin?.stopAccepting();
-      yard.close();
-      await Promise.race([disk.close(), delay(1000)]);
+      channels.close();
+      await Promise.race([disk.close(), delay(diskCloseTimeoutMs)]);
     },
   };
 };
--- a/packages/store/src/stored-data.test.ts
+++ b/packages/store/src/stored-data.test.ts
@@ -18,7 +18,8 @@
   storeTransition,
 } from '@switchwheel/replicated-store';
 import { rowsOf, readDisk } from './disk-rows.js';
-import { openData, startStore } from './start-store.js';
+import { openData } from './data-folder.js';
+import { startStore } from './start-store.js';
 import { loadedFacts } from './testing/loaded-state.js';
 import {
   fixtureStores,
