--- a/packages/membership/src/registry/event.ts
+++ b/packages/membership/src/registry/event.ts
@@ -1,3 +1,8 @@
+/**
+ * What happens to a registry, and what it wants done: its events, its effects, and the requests that
+ * come from outside the fleet.
+ */
+
 import type {
   CommandId,
   FleetId,
@@ -15,7 +20,7 @@
   ProcessEvent,
 } from '@switchwheel/transport';
 
-/** An outside call, already read and checked for its form. */
+/** A request of an operator or an origin, already parsed. */
 export type ExternalRequest =
   | { readonly verb: 'announce'; readonly origin: Omit<OriginInstance, 'age'> }
   | {
@@ -52,6 +57,7 @@
     }
   | { readonly verb: 'fleet' };
 
+/** What a registry reacts to. */
 export type RegistryEvent =
   | ProcessEvent
   | {
@@ -62,6 +68,7 @@
     }
   | { readonly kind: 'stopRequested'; readonly now: Timestamp };
 
+/** What a registry wants done: beside those of any process, answers to requests. */
 export type RegistryEffect =
   | ProcessEffect
   | {
@@ -71,15 +78,17 @@
       readonly body: string;
     };
 
-export const reply = (ref: number, status: number, body: object): RegistryEffect => ({
+/** Answers a request with a JSON object. */
+export const reply = (correlationId: number, status: number, body: object): RegistryEffect => ({
   kind: 'reply',
-  correlationId: ref,
+  correlationId,
   status,
   body: JSON.stringify(body),
 });
-export const replyText = (ref: number, status: number, body: string): RegistryEffect => ({
+/** Answers a request with a body that is JSON already. */
+export const replyText = (correlationId: number, status: number, body: string): RegistryEffect => ({
   kind: 'reply',
-  correlationId: ref,
+  correlationId,
   status,
   body,
 });
--- a/packages/membership/src/registry/fleet-view-forms.test.ts
+++ b/packages/membership/src/registry/fleet-view-forms.test.ts
@@ -17,7 +17,7 @@
 } from '@switchwheel/types';
 import { jsonShape, snapshotsFor } from '@switchwheel/types/testing';
 import type { Member } from '@switchwheel/transport';
-import { fleetView } from './operator-commands.js';
+import { fleetView } from './fleet-view.js';
 import { newRegistryState } from './state.js';
 
 const matchSnapshot = snapshotsFor(import.meta.dirname);
--- a/packages/membership/src/registry/queries.ts
+++ b/packages/membership/src/registry/queries.ts
@@ -1,33 +1,34 @@
+/**
+ * Questions about a registry's state that several of its parts ask: who is alive, whether the
+ * majority is in contact, how fresh the primary's feed is. Nothing here changes the state.
+ */
+
 import {
   type Address,
+  type DurationMs,
   type Timestamp,
-  elapsedMs,
   noGeneration,
   primaryLease,
   toDurationMs,
 } from '@switchwheel/types';
-import {
-  type Electorate,
-  type FrameOf,
-  type LeaseHolder,
-  type Member,
-  type NodeStatus,
-  type SessionRecord,
-  type ProcessEffect,
-  send,
-} from '@switchwheel/transport';
-import { quorumSize, grantRecords } from '@switchwheel/election';
-import { originRecords } from '../origins/origins.js';
+import type { LeaseHolder, Member, NodeStatus } from '@switchwheel/transport';
+import { quorumSize } from '@switchwheel/election';
 import type { KnownSession, RegistryState } from './state.js';
 
-/** How long a session stands without a word of its node. */
+/** How long a session stays alive without a heartbeat. */
 export const sessionTimeoutMs = 1500;
-/** How old a registry's word of the primary may be to count. */
+/** How old the primary's feed, or a peer's echo, may be to count as contact. */
 export const freshnessLimitMs = 1200;
+/** How long another registry that fell silent still gets gossip. */
+const peerRetentionMs = 60_000;
+/** By how much a peer's feed must be newer: a dead primary falls silent for all at once. */
+const silenceMarginMs = 500;
 
-export const isAlive = (one: KnownSession, now: Timestamp): boolean =>
-  one.open && now - one.lastHeardAt < sessionTimeoutMs;
+/** Whether a session is open and its node was heard in time. */
+export const isAlive = (session: KnownSession, now: Timestamp): boolean =>
+  session.open && now - session.lastHeardAt < sessionTimeoutMs;
 
+/** The status of a node that runs no configuration. */
 export const emptyReport = (ready: boolean): NodeStatus => ({
   generation: noGeneration,
   phase: 'none',
@@ -35,139 +36,68 @@
   health: { name: 'process', healthy: true, text: '', parts: [] },
 });
 
-const sessionRecord = (one: KnownSession, now: Timestamp): SessionRecord => ({
-  member: one.member,
-  report: one.report,
-  registry: one.registry,
-  seq: one.seq,
-  age: elapsedMs(one.lastHeardAt, now),
-  open: one.open,
-});
-
-/** Every node in touch, this registry and its peers among them. */
+/** Every live node, this registry and its peers among them. */
 export const liveMembers = (state: RegistryState, now: Timestamp): Member[] => [
   state.member,
-  ...[...state.sessions.values()].filter((one) => isAlive(one, now)).map((one) => one.member),
+  ...[...state.sessions.values()]
+    .filter((session) => isAlive(session, now))
+    .map((session) => session.member),
 ];
 
+/** The other registries: those met, those with a vote, and the seeds. */
 export const peerAddresses = (state: RegistryState, now: Timestamp): readonly Address[] => {
-  const known = [...state.sessions.values()]
-    .filter((one) => one.member.role === 'registry' && now - one.lastHeardAt < 60_000)
-    .map((one) => one.member.address);
-  const seated = state.electorate?.members.map((one) => one.address) ?? [];
-  return [...new Set([...known, ...seated, ...state.seeds])].filter(
-    (one) => one !== state.member.address,
+  const met = [...state.sessions.values()]
+    .filter(
+      (session) =>
+        session.member.role === 'registry' && now - session.lastHeardAt < peerRetentionMs,
+    )
+    .map((session) => session.member.address);
+  const voters = state.electorate?.members.map((voter) => voter.address) ?? [];
+  return [...new Set([...met, ...voters, ...state.seeds])].filter(
+    (address) => address !== state.member.address,
   );
 };
 
 /**
  * Whether this registry and a majority of the electorate hear each other: each of them showed that
- * it has a gossip of this registry that is younger than the limit. A way that is cut in one
- * direction is no contact.
+ * it has a gossip of this registry that is younger than the limit. A link that is cut in one
+ * direction is no contact. True while no electorate is known.
  */
 export const hasMajorityContact = (
   state: RegistryState,
   now: Timestamp,
-  limit = freshnessLimitMs,
+  limitMs = freshnessLimitMs,
 ): boolean => {
-  const set: Electorate | undefined = state.electorate;
-  if (set === undefined) return true;
-  const near = set.members.filter(
-    (one) =>
-      one.node === state.member.node ||
-      now - (state.peers.get(one.node)?.gossipEchoedAt ?? -Infinity) < limit,
+  const { electorate } = state;
+  if (electorate === undefined) return true;
+  const inContact = electorate.members.filter(
+    (voter) =>
+      voter.node === state.member.node ||
+      now - (state.peers.get(voter.node)?.gossipEchoedAt ?? -Infinity) < limitMs,
   );
-  return near.length >= quorumSize(set.members.length);
+  return inContact.length >= quorumSize(electorate.members.length);
 };
 
-/** By how much a peer's word of the primary must be newer: a dead primary falls silent for all at once. */
-const silenceMarginMs = 500;
-
 /** Whether a peer hears a primary that this registry does not hear any more. */
 export const onlyPeersHearPrimary = (state: RegistryState): boolean => {
   const own = state.feed.asOf ?? -Infinity;
   return [...state.peers.values()].some(
-    (one) => one.primaryAsOf !== undefined && one.primaryAsOf > own + silenceMarginMs,
+    (peer) => peer.primaryAsOf !== undefined && peer.primaryAsOf > own + silenceMarginMs,
   );
 };
 
-const feedAgeField = (state: RegistryState, now: Timestamp): Pick<FrameOf<'gossip'>, 'feedAge'> => {
-  const age = feedAgeMs(state, now);
-  return age === undefined ? {} : { feedAge: age };
-};
-
-export const gossipFrame = (state: RegistryState, now: Timestamp): FrameOf<'gossip'> => ({
-  kind: 'gossip',
-  from: state.member,
-  full: true,
-  at: now,
-  sessions: [...state.sessions.values()]
-    .filter((one) => now - one.lastHeardAt < 30_000)
-    .map((one) => sessionRecord(one, now)),
-  origins: originRecords(state.origins, now),
-  holders: [...state.holders.values()],
-  memories: [...grantRecords(state.voter)],
-  recovering: state.voter.isRecovering,
-  heard: [...state.peers].map(([node, one]) => ({
-    node,
-    incarnation: one.incarnation,
-    at: one.gossipSentAt,
-  })),
-  ...feedAgeField(state, now),
-});
-
-export const memberListFrame = (state: RegistryState, now: Timestamp): FrameOf<'member-list'> => ({
-  kind: 'member-list',
-  members: liveMembers(state, now),
-  origins: originRecords(state.origins, now),
-  holders: [...state.holders.values()],
-});
-
-/** The nodes that news goes to at once: those with a session here, and every shield. */
-export const broadcastTargets = (state: RegistryState, now: Timestamp): readonly Address[] =>
-  [...state.sessions.values()]
-    .filter(
-      (one) =>
-        isAlive(one, now) &&
-        one.member.role !== 'registry' &&
-        (one.registry === state.member.node || one.member.role === 'shield'),
-    )
-    .map((one) => one.member.address);
-
-/** Tells nodes of the whole fleet. */
-export const sendMemberList = (
-  state: RegistryState,
-  to: readonly Address[],
-  now: Timestamp,
-): readonly ProcessEffect[] => {
-  const word = memberListFrame(state, now);
-  return to.map((one) => send(one, word));
-};
-
-export const broadcast = (state: RegistryState, now: Timestamp): readonly ProcessEffect[] => {
-  const inner = gossipFrame(state, now);
-  return [
-    ...sendMemberList(state, broadcastTargets(state, now), now),
-    ...peerAddresses(state, now).map((to) => send(to, inner)),
-  ];
-};
-
+/** The store that holds the primary's lease, as far as this registry knows. */
 export const primaryHolder = (state: RegistryState): LeaseHolder | undefined =>
   state.holders.get(primaryLease);
 
-/** How old this registry's word of the primary is, where it may be handed out: only in touch with the majority. */
-export const servableFeedAgeMs = (
-  state: RegistryState,
-  now: Timestamp,
-): ReturnType<typeof feedAgeMs> =>
-  hasMajorityContact(state, now) ? feedAgeMs(state, now) : undefined;
-
-export const feedAgeMs = (
-  state: RegistryState,
-  now: Timestamp,
-): ReturnType<typeof toDurationMs> | undefined => {
-  const asOf = state.feed.asOf;
+/** The age of the primary's feed; undefined if there is none or it is too old to count. */
+export const feedAgeMs = (state: RegistryState, now: Timestamp): DurationMs | undefined => {
+  const { asOf } = state.feed;
   if (asOf === undefined) return undefined;
   const age = now - asOf;
   return age < freshnessLimitMs ? toDurationMs(age) : undefined;
 };
+
+/** The age of the feed where it may be passed on to nodes: only in contact with the majority. */
+export const servableFeedAgeMs = (state: RegistryState, now: Timestamp): DurationMs | undefined =>
+  hasMajorityContact(state, now) ? feedAgeMs(state, now) : undefined;
--- a/packages/membership/src/registry/retention.ts
+++ b/packages/membership/src/registry/retention.ts
@@ -1,30 +1,35 @@
 /**
- * Keeps a registry's memory bounded: whoever is gone, and whatever was asked for and never came, is
- * forgotten, so that what is kept depends on the fleet as it is and not on how long it has run.
+ * Keeps a registry's memory bounded: nodes and origins that are gone, and requests that were never
+ * answered, are forgotten, so that memory depends on the fleet as it is and not on the uptime.
  */
+
 import { type Timestamp, filterEntries } from '@switchwheel/types';
 import { forgetOrigins } from '../origins/origins.js';
 import type { RegistryState } from './state.js';
 
-/** How long a session that ended is still told of. */
+/** How long a session that ended is remembered. */
 const sessionRetentionMs = 600_000;
-/** How long pieces may be waited for: whoever still lacks them asks again. */
+/** How long a chunk is waited for: a node that still lacks it requests it again. */
 const chunkRequestRetentionMs = 5000;
 
+/** The state without whatever has expired. */
 export const forgetExpired = (state: RegistryState, now: Timestamp): RegistryState => {
   const sessions = filterEntries(
     state.sessions,
-    (one) => now - one.lastHeardAt < sessionRetentionMs,
+    (session) => now - session.lastHeardAt < sessionRetentionMs,
+  );
+  const chunkRequestedAt = filterEntries(
+    state.chunkRequestedAt,
+    (requestedAt) => now - requestedAt < chunkRequestRetentionMs,
   );
-  const asked = filterEntries(state.chunkRequestedAt, (at) => now - at < chunkRequestRetentionMs);
-  const seated = new Set(state.electorate?.members.map((one) => one.node));
+  const voters = new Set(state.electorate?.members.map((voter) => voter.node));
   return {
     ...state,
     origins: forgetOrigins(state.origins, now),
     sessions,
-    peers: filterEntries(state.peers, (_, node) => seated.has(node) || sessions.has(node)),
-    chunkRequestedAt: asked,
-    chunkWaiters: filterEntries(state.chunkWaiters, (_, hash) => asked.has(hash)),
+    peers: filterEntries(state.peers, (_, node) => voters.has(node) || sessions.has(node)),
+    chunkRequestedAt,
+    chunkWaiters: filterEntries(state.chunkWaiters, (_, hash) => chunkRequestedAt.has(hash)),
     offersSent: filterEntries(state.offersSent, (_, node) => sessions.has(node)),
   };
 };
--- a/packages/membership/src/registry/state.ts
+++ b/packages/membership/src/registry/state.ts
@@ -1,3 +1,8 @@
+/**
+ * The state of a registry: what it learned of the fleet, and what it has under way. Only
+ * `transition.ts` and its parts make new states.
+ */
+
 import {
   type Address,
   type CommandId,
@@ -9,9 +14,10 @@
   type Hash,
   type Incarnation,
   type InstanceId,
-  type Timestamp,
   type NodeId,
   type Seq,
+  type Timestamp,
+  type Transition,
   type Violations,
   noEpoch,
   noSeq,
@@ -32,26 +38,29 @@
 } from '@switchwheel/transport';
 import { type Voter, newVoter } from '@switchwheel/election';
 import type { OriginTable } from '../origins/origins.js';
-import type { ConfigurationRead } from './configuration-read.js';
+import type { RegistryEffect } from './event.js';
 
-/** A session as this registry knows it, its own or a peer's. */
+/** A session as this registry knows it: its own, or another registry's by gossip. */
 export interface KnownSession {
   readonly member: Member;
   readonly report: NodeStatus;
   readonly registry: NodeId;
   readonly seq: Seq;
   readonly lastHeardAt: Timestamp;
+  /** Whether the node has not ended it. */
   readonly open: boolean;
-  /** The digest of the records of releases that it said it knows. */
+  /** The digest of the release records that the node knows; only known of own sessions. */
   readonly releasesDigest?: string | undefined;
 }
 
-/** What the primary told last, and as of when it is known to be all there is. */
+/** What the store's primary sent last: what nodes are to run and to have. */
 export interface Feed {
   readonly epoch: Epoch;
-  /** The write as of which the desired state here is whole, and the last one that was told of. */
+  /** The write as of which `desired` and `offers` are complete. */
   readonly desiredSerial: Seq;
+  /** The latest write that the primary sent a frame for. */
   readonly latestSerial: Seq;
+  /** As of when the primary is known to have confirmed nothing newer; undefined before its first answer. */
   readonly asOf: Timestamp | undefined;
   readonly desired: ReadonlyMap<
     NodeId,
@@ -59,16 +68,17 @@
   >;
   readonly offers: ReadonlyMap<Hash, ConfigManifest>;
   readonly current: ConfigManifest | undefined;
-  /** When the current offer was first heard of here. */
+  /** When `current` came to be known here. */
   readonly currentSince: Timestamp;
   readonly purges: readonly Purge[];
   readonly oldestPurge: Seq;
   readonly latestPurge: Seq;
   readonly canaryResults: readonly CanaryResult[];
   readonly releases: readonly RolloutState[];
-  /** When the releases were told: their spans run on from there. */
+  /** When `releases` came: their remaining times run from there. */
   readonly releasesReceivedAt: Timestamp;
 }
+/** The feed before the primary's first frame. */
 export const emptyFeed: Feed = {
   epoch: noEpoch,
   desiredSerial: noSeq,
@@ -86,32 +96,43 @@
   releasesReceivedAt: clockOrigin,
 };
 
-/** An outside call that waits for the store. */
+/** A command or read that waits for the primary's answer. */
 export interface PendingCommand {
   readonly correlationId: number;
-  /** The same order, sent again here while it is under way: answered as the first one is. */
+  /** The same command, sent again while it is pending: correlation ids that get the one answer too. */
   readonly duplicates: readonly number[];
   readonly receivedAt: Timestamp;
-  readonly span: number;
+  readonly timeoutMs: number;
+  /** When it was last sent to a primary; undefined if it never was. */
   readonly forwardedAt: Timestamp | undefined;
   readonly verb: 'apply' | 'purge' | 'ask' | 'view' | 'electorate' | 'release';
   readonly body: string;
-  readonly base: Generation | undefined;
-  readonly pieces: ReadonlyMap<Hash, string>;
-  /** How far a read of the description is, once the primary has named the offer. */
+  /** The generation that must be in force for an upload to be applied. */
+  readonly baseGeneration: Generation | undefined;
+  /** The chunks of an uploaded configuration, until the store has them. */
+  readonly chunks: ReadonlyMap<Hash, string>;
+  /** How far a read of the configuration is, once the primary has named it. */
   readonly configurationRead?: ConfigurationRead | undefined;
 }
 
-/** An origin's departure that was announced here: who of the peers confirmed that they know, and who waits for it. */
+/** A read of the configuration whose manifest is known: which chunks were requested and have not come yet. */
+export interface ConfigurationRead {
+  readonly offer: ConfigManifest;
+  /** The members of the answer beside the configuration itself. */
+  readonly replyFields: object;
+  readonly awaitedChunks: ReadonlySet<Hash>;
+}
+
+/** An origin's departure that was announced here, until a majority of voters has acknowledged it. */
 export interface Departure {
   readonly state: OriginInstance['state'];
   readonly isConfirmed: boolean;
   readonly sentAt: Timestamp;
   readonly acknowledgedBy: ReadonlySet<NodeId>;
-  readonly waiters: readonly { readonly ref: number; readonly since: Timestamp }[];
+  readonly waiters: readonly { readonly correlationId: number; readonly since: Timestamp }[];
 }
 
-/** A founding under way: the stores that agreed so far. */
+/** A bootstrap in progress, with the stores that agreed so far. */
 export interface BootstrapInProgress {
   readonly correlationId: number;
   readonly startedAt: Timestamp;
@@ -120,35 +141,36 @@
   readonly agreedStores: ReadonlySet<NodeId>;
 }
 
-/** A fleet that its first processes found by themselves: each of them, from the same seeds, proposes the same. */
+/** A cluster that its first registries propose by themselves: all of them the same, from the same settings. */
 export interface ClusterProposal {
   readonly fleet: FleetId;
   readonly stores: readonly { readonly node: NodeId; readonly address: Address }[];
   readonly electorate: Electorate;
 }
 
-/** What this registry knows of its way to and from a peer. */
+/** What this registry knows of its contact with another one. */
 export interface PeerContact {
   readonly incarnation: Incarnation;
   /** When the newest gossip of the peer was sent, by the peer's clock. */
   readonly gossipSentAt: Timestamp;
   /** When this registry sent the newest gossip that the peer is known to have. */
   readonly gossipEchoedAt: Timestamp | undefined;
-  /** As of when the peer is known to have heard the primary. */
+  /** As of when the peer has the primary's feed. */
   readonly primaryAsOf: Timestamp | undefined;
 }
 
-/** What a store said of its disk, and when it was heard. */
+/** A store's report of its disk. */
 export interface StoreHint {
   readonly frame: FrameOf<'hint'>;
   readonly heardAt: Timestamp;
 }
 
+/** All state of a registry; immutable. */
 export interface RegistryState {
   readonly member: Member;
   readonly proposal: ClusterProposal | undefined;
   readonly proposedAt: Timestamp;
-  /** Whether a node that runs nothing gets the newest that any disk is known to hold, while no primary is heard of. */
+  /** Whether a node that runs nothing is offered what disks are proven to hold, while there is no primary. */
   readonly offersDiskHints: boolean;
   readonly diskHints: ReadonlyMap<NodeId, StoreHint>;
   readonly seeds: readonly Address[];
@@ -161,8 +183,10 @@
   readonly electorate: Electorate | undefined;
   readonly fleet: FleetId | undefined;
   readonly chunks: ReadonlyMap<Hash, string>;
+  /** Nodes that wait for a chunk. */
   readonly chunkWaiters: ReadonlyMap<Hash, ReadonlySet<Address>>;
   readonly chunkRequestedAt: ReadonlyMap<Hash, Timestamp>;
+  /** The offer that each node was last sent; `tries` counts those it could not apply. */
   readonly offersSent: ReadonlyMap<
     NodeId,
     { readonly hash: Hash; readonly at: Timestamp; readonly tries: number }
@@ -172,27 +196,31 @@
   readonly departures: ReadonlyMap<InstanceId, Departure>;
   readonly gossipedAt: Timestamp;
   readonly subscribedAt: Timestamp;
-  /** When the nodes with a session here were last told of the whole fleet. */
+  /** When the nodes with a session here last got the member list. */
   readonly memberListSentAt: Timestamp;
-  /** Duties that were vacant at the last look. */
+  /** Leases that were vacant at the last tick. */
   readonly vacantLeases: ReadonlySet<LeaseName>;
   readonly isStopping: boolean;
-  /** How often each invariant was found broken here. */
+  /** How often each invariant was broken here. */
   readonly violations: Violations;
   readonly randomState: RandomState;
 }
 
+/** A state with the effects of the event that led to it. */
+export type RegistryTransition = Transition<RegistryState, RegistryEffect>;
+
+/** The state of a registry that has just started. */
 export const newRegistryState = (
   member: Member,
   seeds: readonly Address[],
   now: Timestamp,
-  dice: RandomState,
+  randomState: RandomState,
   proposal?: ClusterProposal,
-  eager = false,
+  offersDiskHints = false,
 ): RegistryState => ({
   proposal,
   proposedAt: clockOrigin,
-  offersDiskHints: eager,
+  offersDiskHints,
   diskHints: new Map(),
   member,
   seeds,
@@ -217,5 +245,5 @@
   vacantLeases: new Set(),
   isStopping: false,
   violations: noViolations,
-  randomState: dice,
+  randomState,
 });
