--- a/packages/membership/src/origins/origins.ts
+++ b/packages/membership/src/origins/origins.ts
@@ -1,3 +1,8 @@
+/**
+ * What a process knows of origins: announcements, by any way they come, are merged so that all
+ * processes come to the same view. Who may be sent requests is decided here; who is picked is not.
+ */
+
 import {
   type InstanceId,
   type Timestamp,
@@ -13,23 +18,26 @@
 export interface KnownOrigin extends Omit<OriginInstance, 'age'> {
   readonly lastHeardAt: Timestamp;
 }
+/** Origins by their instance ids. */
 export type OriginTable = ReadonlyMap<InstanceId, KnownOrigin>;
 
-/** How long an origin may be silent before nothing more is sent to it. */
+/** How long an origin may be silent before no more requests are sent to it. */
 export const originTimeoutMs = 10_000;
 /**
- * How long an origin that is silent is remembered. A word that is later than this is older than any
- * frame or call can be, so nothing makes an origin that left count as standing again.
+ * How long a silent origin is remembered. No frame or request is under way for so long, so no late
+ * announcement makes an origin that left count as live again.
  */
 export const originRetentionMs = 60_000;
-/** Words that are nearly as old are no news: peers do not teach each other what they just forgot. */
+/** Older records of unknown origins are ignored: peers do not teach each other what they just forgot. */
 const maxRelearnAgeMs = originRetentionMs - 5000;
+/** Below this an origin's time is left as it is, so that a table that says the same is the same object. */
+const minRefreshMs = 200;
 const departureRanks: ReadonlyMap<OriginInstance['state'], number> = new Map([
   ['up', 0],
   ['leaving', 1],
   ['gone', 2],
 ]);
-/** How far an origin is on its way out. */
+/** How far an origin is on its way out: 0 for up, 1 for leaving, 2 for gone. */
 export const departureRank = (state: OriginInstance['state']): number =>
   departureRanks.get(state) ?? 0;
 
@@ -41,67 +49,84 @@
   one.state === two.state &&
   one.area === two.area;
 
-/** Takes a word of an origin in. Leaving and gone are final for an instance, whoever says otherwise. */
+/** An address belongs to one instance: whoever had it before is gone. */
+const endFormerOwners = (origins: OriginTable, announced: KnownOrigin): OriginTable => {
+  let result = origins;
+  if (announced.state === 'up') {
+    for (const other of origins.values()) {
+      const hadAddress =
+        other.address === announced.address &&
+        other.state !== 'gone' &&
+        other.lastHeardAt <= announced.lastHeardAt;
+      if (hadAddress) result = withEntry(result, other.instance, { ...other, state: 'gone' });
+    }
+  }
+  return result;
+};
+
+/** What is known after an announcement: the newer of both, but never less far on its way out. */
+const mergeOrigin = (known: KnownOrigin, announced: KnownOrigin): KnownOrigin => {
+  const knownSeq = known.calls ?? noSeq;
+  const announcedSeq = announced.calls ?? noSeq;
+  const isNewer =
+    announcedSeq > knownSeq ||
+    (announcedSeq === knownSeq && announced.lastHeardAt > known.lastHeardAt);
+  const latest = isNewer ? announced : known;
+  const state =
+    departureRank(announced.state) > departureRank(known.state) ? announced.state : known.state;
+  const lastHeardAt =
+    announced.lastHeardAt > known.lastHeardAt ? announced.lastHeardAt : known.lastHeardAt;
+  return { ...latest, state, lastHeardAt };
+};
+
+/** Merges an announcement. Leaving and gone are final for an instance, whoever says otherwise. */
 export const learnOrigin = (
   origins: OriginTable,
-  word: KnownOrigin,
+  announced: KnownOrigin,
 ): { readonly origins: OriginTable; readonly news: boolean } => {
-  const known = origins.get(word.instance);
+  const { instance } = announced;
+  const known = origins.get(instance);
   if (known === undefined) {
-    // An address belongs to one instance: whoever had it before is gone.
-    let rest = origins;
-    if (word.state === 'up') {
-      for (const other of origins.values()) {
-        if (
-          other.address === word.address &&
-          other.state !== 'gone' &&
-          other.lastHeardAt <= word.lastHeardAt
-        )
-          rest = withEntry(rest, other.instance, { ...other, state: 'gone' });
-      }
-    }
-    return { origins: withEntry(rest, word.instance, word), news: true };
+    const rest = endFormerOwners(origins, announced);
+    return { origins: withEntry(rest, instance, announced), news: true };
   }
-  const at = word.lastHeardAt > known.lastHeardAt ? word.lastHeardAt : known.lastHeardAt;
-  const [before, now] = [known.calls ?? noSeq, word.calls ?? noSeq];
-  const latest =
-    now > before || (now === before && word.lastHeardAt > known.lastHeardAt) ? word : known;
-  const state = departureRank(word.state) > departureRank(known.state) ? word.state : known.state;
-  const next: KnownOrigin = { ...latest, state, lastHeardAt: at };
-  if (isSameOrigin(next, known))
-    return {
-      origins: at - known.lastHeardAt > 200 ? withEntry(origins, word.instance, next) : origins,
-      news: false,
-    };
-  return { origins: withEntry(origins, word.instance, next), news: true };
+  const merged = mergeOrigin(known, announced);
+  const news = !isSameOrigin(merged, known);
+  const isRefreshed = merged.lastHeardAt - known.lastHeardAt > minRefreshMs;
+  return { origins: news || isRefreshed ? withEntry(origins, instance, merged) : origins, news };
 };
 
+/** Merges the records of a frame, whose ages count back from now. */
 export const learnOrigins = (
   origins: OriginTable,
-  words: readonly OriginInstance[],
+  records: readonly OriginInstance[],
   now: Timestamp,
 ): { readonly origins: OriginTable; readonly news: boolean } => {
   let result = { origins, news: false };
-  for (const { age, ...word } of words) {
-    if (age > maxRelearnAgeMs && !result.origins.has(word.instance)) continue;
-    const next = learnOrigin(result.origins, { ...word, lastHeardAt: subtractMs(now, age) });
+  for (const { age, ...record } of records) {
+    if (age > maxRelearnAgeMs && !result.origins.has(record.instance)) continue;
+    const next = learnOrigin(result.origins, { ...record, lastHeardAt: subtractMs(now, age) });
     result = { origins: next.origins, news: result.news || next.news };
   }
   return result;
 };
 
+/** An origin as frames bear it, with its age in place of a time. */
 export const originRecord = (
-  { lastHeardAt, ...word }: KnownOrigin,
+  { lastHeardAt, ...origin }: KnownOrigin,
   now: Timestamp,
 ): OriginInstance => ({
-  ...word,
+  ...origin,
   age: elapsedMs(lastHeardAt, now),
 });
+/** All origins as frames bear them. */
 export const originRecords = (origins: OriginTable, now: Timestamp): OriginInstance[] =>
-  [...origins.values()].map((one) => originRecord(one, now));
+  [...origins.values()].map((origin) => originRecord(origin, now));
 
+/** The table without origins that have been silent for too long to be remembered. */
 export const forgetOrigins = (origins: OriginTable, now: Timestamp): OriginTable =>
-  filterEntries(origins, (one) => now - one.lastHeardAt < originRetentionMs);
-/** Whether requests may be sent to it at all. */
-export const isLiveOrigin = (one: KnownOrigin, now: Timestamp): boolean =>
-  one.state === 'up' && now - one.lastHeardAt < originTimeoutMs;
+  filterEntries(origins, (origin) => now - origin.lastHeardAt < originRetentionMs);
+
+/** Whether requests may be sent to an origin at all. */
+export const isLiveOrigin = (origin: KnownOrigin, now: Timestamp): boolean =>
+  origin.state === 'up' && now - origin.lastHeardAt < originTimeoutMs;
--- a/packages/membership/src/registry/disk-hints.ts
+++ b/packages/membership/src/registry/disk-hints.ts
@@ -1,39 +1,40 @@
 /**
- * Hints: what stores say of their disks while they hear no primary. Nodes that run nothing may
- * start on them, but only where no newer description can have been confirmed.
+ * Disk hints: what stores report of their disks while they hear no primary. Nodes that run nothing
+ * may start on them, but only where no newer configuration can have been confirmed.
  */
+
 import { type Timestamp, withEntry } from '@switchwheel/types';
 import type { ClusterMetadata, FrameOf, ConfigManifest } from '@switchwheel/transport';
 import { hasMajorityContact, feedAgeMs } from './queries.js';
 import type { RegistryState, StoreHint } from './state.js';
 
-/** How long a registry listens for what disks hold before it tells of it. */
+/** How long after its start a registry listens for hints before it offers one. */
 const hintDelayMs = 250;
-/** How old a store's word of its disk may be to count. */
+/** How old a store's hint may be to count. */
 const maxHintAgeMs = 1000;
 
-/** Where the description that a hint names can be had. */
+/** A hint that names a configuration, and the store that has it. */
 export type ProvenHint = FrameOf<'hint'> & { readonly offer: ConfigManifest };
 
-/** Keeps the newest word of each store. */
+/** Keeps the newest hint of each store. */
 export const learnHint = (
   state: RegistryState,
-  word: FrameOf<'hint'>,
+  hint: FrameOf<'hint'>,
   now: Timestamp,
 ): RegistryState => {
-  if (state.fleet !== undefined && state.fleet !== word.metadata.fleet) return state;
-  const known = state.diskHints.get(word.node);
-  const late =
+  if (state.fleet !== undefined && state.fleet !== hint.metadata.fleet) return state;
+  const known = state.diskHints.get(hint.node)?.frame;
+  const isOvertaken =
     known !== undefined &&
-    (word.incarnation < known.frame.incarnation ||
-      (word.incarnation === known.frame.incarnation && word.at < known.frame.at));
-  return late
-    ? state
-    : { ...state, diskHints: withEntry(state.diskHints, word.node, { frame: word, heardAt: now }) };
+    (hint.incarnation < known.incarnation ||
+      (hint.incarnation === known.incarnation && hint.at < known.at));
+  if (isOvertaken) return state;
+  const diskHints = withEntry(state.diskHints, hint.node, { frame: hint, heardAt: now });
+  return { ...state, diskHints };
 };
 
 const freshHints = (state: RegistryState, now: Timestamp): readonly StoreHint[] =>
-  [...state.diskHints.values()].filter((one) => now - one.heardAt < maxHintAgeMs);
+  [...state.diskHints.values()].filter((hint) => now - hint.heardAt < maxHintAgeMs);
 
 const newestMetadata = (hints: readonly StoreHint[]): ClusterMetadata | undefined =>
   hints
@@ -43,12 +44,13 @@
       undefined,
     );
 
-const hasOffer = (word: FrameOf<'hint'>): word is ProvenHint => word.offer !== undefined;
+const hasOffer = (hint: FrameOf<'hint'>): hint is ProvenHint => hint.offer !== undefined;
 
 /**
- * The hint that is proved to be the newest confirmed: this registry hears a majority, and every
- * member of the newest in-sync set has spoken. What was confirmed is on the disk of each of them,
- * so the lowest of what they hold is no older; and whoever of them is elected has it.
+ * The hint that is proven to be no older than what was confirmed: this registry is in contact with
+ * a majority, and every member of the newest in-sync set has sent one. What was confirmed is on the
+ * disk of each of them, so the lowest of their generations is no older, and whichever is elected
+ * has it.
  */
 export const provenHint = (state: RegistryState, now: Timestamp): ProvenHint | undefined => {
   if (
--- a/packages/membership/src/releases/releases-digest.ts
+++ b/packages/membership/src/releases/releases-digest.ts
@@ -1,7 +1,12 @@
+/**
+ * A digest of release records: a node sends it in its heartbeat, and its registry sends only what
+ * the node does not know. Both sides must compute it alike, so its form is part of the protocol.
+ */
+
 import { createHash } from 'node:crypto';
 import type { RolloutState } from '@switchwheel/transport';
 
-/** Whether a record of releases stays as it is until it is written anew: then it need not be told again. */
+/** Whether a record stays as it is until the next write: a node that knows it need not be sent it again. */
 export const isSettled = (one: RolloutState): boolean =>
   one.phase !== 'trial' && one.phase !== 'moving' && one.leftMs <= 0;
 
@@ -16,7 +21,7 @@
     one.leftMs <= 0,
   ].join(' ');
 
-/** A digest of all records of releases that a process knows, in any order. */
+/** The digest of all release records that a process knows, in any order. */
 export const releasesDigest = (known: Iterable<RolloutState>): string =>
   createHash('sha256')
     .update([...known].map(digestLine).sort().join('\n'))
--- a/packages/membership/src/session/node-session.ts
+++ b/packages/membership/src/session/node-session.ts
@@ -1,3 +1,9 @@
+/**
+ * A node's side of its session with a registry: heartbeats, the choice of a registry that follows
+ * the primary, and what the node learns of the fleet. What a node does with a configuration or a
+ * lease is the node agent's part.
+ */
+
 import {
   type Address,
   type RandomState,
@@ -30,22 +36,25 @@
 } from '@switchwheel/transport';
 import { type OriginTable, forgetOrigins, learnOrigins } from '../origins/origins.js';
 
-/** How often a node speaks to its registry. */
+/** How often a node sends a heartbeat to its registry. */
 export const heartbeatIntervalMs = 250;
-/** How long a registry may be silent before the node goes to another. */
+/** How long a registry may be silent before the node connects to another. */
 export const registryTimeoutMs = 700;
-/** How long a registry may have no fresh word of the primary before the node goes to another, and how long it stays at least. */
+/** How long a registry's feed may be stale before the node connects to another, and how long it stays at least. */
 const staleTimeoutMs = 500;
 const sessionTimeoutMs = 1200;
-/** How often a node without a fresh word of the primary asks other registries, and how many at a time. */
+/** How often a node whose registry's feed is stale probes other registries. */
 const probeIntervalMs = 250;
+/** How many registries are probed at a time. */
 const probeWidth = 3;
 
+type SessionTransition = Transition<NodeSession, ProcessEffect>;
+
 interface RegistryLink {
   readonly address: Address;
   readonly connectedAt: Timestamp;
   readonly lastHeardAt: Timestamp | undefined;
-  /** Since when it has no fresh word of the primary. */
+  /** Since when the registry has had no fresh feed of the primary; undefined while it has. */
   readonly staleSince: Timestamp | undefined;
 }
 
@@ -55,8 +64,9 @@
   readonly seeds: readonly Address[];
   readonly registryLink: RegistryLink | undefined;
   readonly heartbeatSentAt: Timestamp;
-  /** When other registries than its own were last asked, and which of them is the next. */
+  /** When other registries were last probed. */
   readonly probedAt: Timestamp;
+  /** Which of the other registries is probed next. */
   readonly nextProbeIndex: number;
   /** When any registry was last heard: a session outlives the change of its registry. */
   readonly registryHeardAt: Timestamp;
@@ -69,10 +79,11 @@
   readonly randomState: RandomState;
 }
 
+/** A session that has not chosen a registry yet. */
 export const newNodeSession = (
   member: Member,
   seeds: readonly Address[],
-  dice: RandomState,
+  randomState: RandomState,
 ): NodeSession => ({
   member,
   seeds,
@@ -87,7 +98,7 @@
   holders: new Map(),
   electorate: undefined,
   fleet: undefined,
-  randomState: dice,
+  randomState,
 });
 
 /** The registries that this node knows: those of the fleet, and the seeds while it knows none. */
@@ -103,11 +114,11 @@
     (one) => one !== nodeSession.registryLink?.address,
   );
   const pool = others.length > 0 ? others : knownRegistries(nodeSession);
-  const [chance, dice] = nextRandom(nodeSession.randomState);
-  const address = pool[Math.floor(chance * pool.length)];
+  const [fraction, randomState] = nextRandom(nodeSession.randomState);
+  const address = pool[Math.floor(fraction * pool.length)];
   return {
     ...nodeSession,
-    randomState: dice,
+    randomState,
     registryLink:
       address === undefined
         ? undefined
@@ -118,36 +129,37 @@
 const isSilent = (registryLink: RegistryLink, now: Timestamp): boolean =>
   now - (registryLink.lastHeardAt ?? registryLink.connectedAt) > registryTimeoutMs;
 
-/** Whether this registry has been without word of the primary for too long, and there is another one to go to. */
+/** Whether this registry's feed has been stale for too long, and there is another registry. */
 const isStale = (nodeSession: NodeSession, registryLink: RegistryLink, now: Timestamp): boolean =>
   registryLink.staleSince !== undefined &&
   now - registryLink.staleSince > staleTimeoutMs &&
   now - registryLink.connectedAt >= staleTimeoutMs &&
   knownRegistries(nodeSession).some((one) => one !== registryLink.address);
 
-/** Whether the session stands. */
+/** Whether any registry answered in time. */
 export const isConnected = (nodeSession: NodeSession, now: Timestamp): boolean =>
   nodeSession.registryHeardAt > clockOrigin && now - nodeSession.registryHeardAt < sessionTimeoutMs;
 
-export const highestEpoch = (nodeSession: NodeSession, duty: LeaseName): Epoch =>
-  nodeSession.holders.get(duty)?.epoch ?? noEpoch;
+/** The highest epoch in which this node knows a lease to have been held. */
+export const highestEpoch = (nodeSession: NodeSession, lease: LeaseName): Epoch =>
+  nodeSession.holders.get(lease)?.epoch ?? noEpoch;
 
-/** What a node adds to its word of itself. */
+/** What a node reports in a heartbeat. */
 export interface HeartbeatContent {
   readonly report: NodeStatus;
   readonly heldLeases: readonly LeaseHolder[];
   readonly latestPurge: Seq;
   readonly isLeaving: boolean;
-  /** The digest of the records of releases that it knows; undefined to be told all. */
+  /** The digest of the release records that it knows; undefined to be sent all. */
   readonly releasesDigest?: string | undefined;
 }
 
 const heartbeatTo = (
   nodeSession: NodeSession,
   address: Address,
-  words: HeartbeatContent,
+  content: HeartbeatContent,
   now: Timestamp,
-): Transition<NodeSession, ProcessEffect> => {
+): SessionTransition => {
   const seq = nextSeq(nodeSession.seq);
   return transition(
     { ...nodeSession, seq },
@@ -156,31 +168,31 @@
       member: nodeSession.member,
       seq,
       at: now,
-      report: words.report,
-      bye: words.isLeaving,
-      held: [...words.heldLeases],
-      purged: words.latestPurge,
-      ...(words.releasesDigest === undefined ? {} : { releases: words.releasesDigest }),
+      report: content.report,
+      bye: content.isLeaving,
+      held: [...content.heldLeases],
+      purged: content.latestPurge,
+      ...(content.releasesDigest === undefined ? {} : { releases: content.releasesDigest }),
     }),
   );
 };
 
-/** Speaks to the registry now. */
+/** Sends a heartbeat to this node's registry now. */
 export const sendHeartbeat = (
   nodeSession: NodeSession,
-  words: HeartbeatContent,
+  content: HeartbeatContent,
   now: Timestamp,
-): Transition<NodeSession, ProcessEffect> =>
+): SessionTransition =>
   nodeSession.registryLink === undefined
     ? transition(nodeSession)
     : heartbeatTo(
         { ...nodeSession, heartbeatSentAt: now },
         nodeSession.registryLink.address,
-        words,
+        content,
         now,
       );
 
-/** Whether this node's registry has a fresh word of the primary, as far as its last answer tells. */
+/** Whether this node's registry has a fresh feed of the primary, by its last answer. */
 const followsPrimary = (nodeSession: NodeSession, now: Timestamp): boolean => {
   const link = nodeSession.registryLink;
   return (
@@ -191,75 +203,75 @@
 };
 
 /**
- * Asks some other registries too, while this node's own has no fresh word of the primary: one that
- * is dead, cut off or without a majority costs no more than a round trip to the others.
+ * Sends heartbeats to some other registries too while the feed of this node's own is stale: a
+ * registry that is dead, cut off or without a majority then costs one round trip to the others.
  */
 const probeOtherRegistries = (
   nodeSession: NodeSession,
-  words: HeartbeatContent,
+  content: HeartbeatContent,
   now: Timestamp,
-): Transition<NodeSession, ProcessEffect> => {
+): SessionTransition => {
   if (followsPrimary(nodeSession, now) || now - nodeSession.probedAt < probeIntervalMs)
     return transition(nodeSession);
   const others = knownRegistries(nodeSession).filter(
     (one) => one !== nodeSession.registryLink?.address,
   );
   const width = Math.min(probeWidth, others.length);
-  const chosen = Array.from(
+  const probed = Array.from(
     { length: width },
-    (_, at) => (nodeSession.nextProbeIndex + at) % others.length,
+    (_, offset) => (nodeSession.nextProbeIndex + offset) % others.length,
   );
-  let next: Transition<NodeSession, ProcessEffect> = transition({
+  let next: SessionTransition = transition({
     ...nodeSession,
     probedAt: now,
     nextProbeIndex: nodeSession.nextProbeIndex + width,
   });
-  for (const at of chosen) {
-    const address = others[at];
+  for (const index of probed) {
+    const address = others[index];
     if (address === undefined) continue;
-    next = prependEffects(next.effects, heartbeatTo(next.state, address, words, now));
+    next = prependEffects(next.effects, heartbeatTo(next.state, address, content, now));
   }
   return next;
 };
 
-/** Lets time pass: heartbeats, and looks for a registry that follows the primary while its own does not. */
+/** Lets time pass: sends heartbeats, and looks for a registry with a fresh feed while its own has none. */
 export const tickSession = (
   nodeSession: NodeSession,
-  words: HeartbeatContent,
+  content: HeartbeatContent,
   now: Timestamp,
-): Transition<NodeSession, ProcessEffect> => {
-  const spoken = tickOwnRegistry(nodeSession, words, now);
-  return prependEffects(spoken.effects, probeOtherRegistries(spoken.state, words, now));
+): SessionTransition => {
+  const ticked = tickOwnRegistry(nodeSession, content, now);
+  return prependEffects(ticked.effects, probeOtherRegistries(ticked.state, content, now));
 };
 
-/** Heartbeats when it is due, goes to another registry when this one is silent or knows nothing new. */
+/** Sends a heartbeat when it is due; switches registries when this one is silent or stale. */
 const tickOwnRegistry = (
   nodeSession: NodeSession,
-  words: HeartbeatContent,
+  content: HeartbeatContent,
   now: Timestamp,
-): Transition<NodeSession, ProcessEffect> => {
+): SessionTransition => {
   if (nodeSession.registryLink === undefined || isSilent(nodeSession.registryLink, now)) {
-    const lost =
+    const warnings =
       nodeSession.registryLink?.lastHeardAt === undefined
         ? []
         : [
-            log('warn', 'registry is silent, going to another', [
+            log('warn', 'registry heartbeat timed out, reconnecting', [
               'registry',
               nodeSession.registryLink.address,
             ]),
           ];
     const moved = switchRegistry(nodeSession, now);
-    return prependEffects(lost, sendHeartbeat(moved, words, now));
+    return prependEffects(warnings, sendHeartbeat(moved, content, now));
   }
-  // The session stands meanwhile: the next registry takes it on where this one had it.
+  // The session outlives the switch: the next registry continues it.
   if (isStale(nodeSession, nodeSession.registryLink, now))
-    return sendHeartbeat(switchRegistry(nodeSession, now), words, now);
+    return sendHeartbeat(switchRegistry(nodeSession, now), content, now);
   return now - nodeSession.heartbeatSentAt >= heartbeatIntervalMs
-    ? sendHeartbeat(nodeSession, words, now)
+    ? sendHeartbeat(nodeSession, content, now)
     : transition(nodeSession);
 };
 
-/** A channel ended: if it was the registry's, another one is sought at once. */
+/** A channel ended: if it was the registry's, the node switches to another at once. */
 export const onRegistryLost = (
   nodeSession: NodeSession,
   address: Address,
@@ -267,70 +279,71 @@
 ): NodeSession =>
   nodeSession.registryLink?.address === address ? switchRegistry(nodeSession, now) : nodeSession;
 
+/** Takes in who holds a lease, if its epoch is newer than the known one. */
 export const learnHolder = (
   holders: ReadonlyMap<LeaseName, LeaseHolder>,
-  word: LeaseHolder,
+  holder: LeaseHolder,
 ): ReadonlyMap<LeaseName, LeaseHolder> => {
-  const known = holders.get(word.duty);
-  return known !== undefined && known.epoch >= word.epoch
+  const known = holders.get(holder.duty);
+  return known !== undefined && known.epoch >= holder.epoch
     ? holders
-    : withEntry(holders, word.duty, word);
+    : withEntry(holders, holder.duty, holder);
 };
 
-/** Takes in what a registry tells of the fleet. */
+/** Takes in a registry's member list; members count only from this node's own registry. */
 export const applyMemberList = (
   nodeSession: NodeSession,
   from: Peer,
-  word: FrameOf<'member-list'>,
+  frame: FrameOf<'member-list'>,
   now: Timestamp,
 ): NodeSession => {
-  const mine = nodeSession.registryLink?.address === from.address;
+  const isOwnRegistry = nodeSession.registryLink?.address === from.address;
   return {
     ...nodeSession,
-    members: mine ? word.members : nodeSession.members,
-    origins: forgetOrigins(learnOrigins(nodeSession.origins, word.origins, now).origins, now),
-    holders: word.holders.reduce(learnHolder, nodeSession.holders),
+    members: isOwnRegistry ? frame.members : nodeSession.members,
+    origins: forgetOrigins(learnOrigins(nodeSession.origins, frame.origins, now).origins, now),
+    holders: frame.holders.reduce(learnHolder, nodeSession.holders),
   };
 };
 
 /**
- * The link that an answer belongs to: this node's own registry, or another one that was asked
- * besides, if that one has a fresh word of the primary and its own has not.
+ * The link that an answer belongs to: that of this node's own registry, or of a probed one if its
+ * feed is fresh and that of the own registry is not.
  */
 const linkFor = (
   nodeSession: NodeSession,
   from: Peer,
-  word: FrameOf<'heartbeat-reply'>,
+  reply: FrameOf<'heartbeat-reply'>,
   now: Timestamp,
 ): RegistryLink | undefined => {
   const link = nodeSession.registryLink;
   if (link?.address === from.address) return link;
   // A push answers no heartbeat; it may come from a registry that this node left.
-  const better =
-    word.age !== undefined && word.at > clockOrigin && !followsPrimary(nodeSession, now);
-  return better
+  const isBetter =
+    reply.age !== undefined && reply.at > clockOrigin && !followsPrimary(nodeSession, now);
+  return isBetter
     ? { address: from.address, connectedAt: now, lastHeardAt: now, staleSince: undefined }
     : undefined;
 };
 
-/** Takes in a registry's answer to a heartbeat. */
+/** Takes in a registry's answer to a heartbeat, or a push. */
 export const applyHeartbeatReply = (
   nodeSession: NodeSession,
   from: Peer,
-  word: FrameOf<'heartbeat-reply'>,
+  reply: FrameOf<'heartbeat-reply'>,
   now: Timestamp,
 ): NodeSession => {
-  const link = linkFor(nodeSession, from, word, now);
+  const link = linkFor(nodeSession, from, reply, now);
   if (link === undefined) return nodeSession;
   const known = nodeSession.electorate;
-  const next = word.electorate;
-  const fleet = word.fleet ?? nodeSession.fleet;
-  const stale =
-    word.age !== undefined || fleet === undefined ? undefined : (link.staleSince ?? now);
+  const next = reply.electorate;
+  const fleet = reply.fleet ?? nodeSession.fleet;
+  const staleSince =
+    reply.age !== undefined || fleet === undefined ? undefined : (link.staleSince ?? now);
   return {
     ...nodeSession,
     registryHeardAt: now,
-    registryLink: { ...link, lastHeardAt: now, staleSince: stale },
+    registryLink: { ...link, lastHeardAt: now, staleSince },
     electorate:
       next !== undefined && (known === undefined || next.serial > known.serial) ? next : known,
     fleet,
--- a/packages/simulator/src/guard/list.ts
+++ b/packages/simulator/src/guard/list.ts
@@ -354,14 +354,14 @@
     name: 'leaving and gone are final',
     rule: 'R6',
     file: origins,
-    from: 'departureRank(word.state) > departureRank(known.state) ? word.state : known.state',
+    from: 'departureRank(announced.state) > departureRank(known.state) ? announced.state : known.state',
     to: 'latest.state',
   },
   {
     name: 'an address belongs to one instance',
     rule: 'R6',
     file: origins,
-    from: "if (word.state === 'up') {",
+    from: "if (announced.state === 'up') {",
     to: 'if (false) {',
   },
   {
