--- a/packages/registry/src/main.ts
+++ b/packages/registry/src/main.ts
@@ -1,11 +1,16 @@
-import { readSettingsOrExit, createLogger, handleShutdownSignals } from '@switchwheel/runtime';
-import { program, settingsSchema } from './settings.js';
+/** The `registry` program. */
+
+import { createLogger, handleShutdownSignals, readSettingsOrExit } from '@switchwheel/runtime';
 import { createRegistryApp } from './http/app.js';
+import { program, settingsSchema } from './settings.js';
 import { startRegistry } from './start-registry.js';
 
-const boot = readSettingsOrExit(program, settingsSchema);
-const log = createLogger(program.name, boot.node, boot.log);
-const running = await startRegistry(boot, log, ({ submit, isReady, renderMetrics }) =>
-  createRegistryApp(submit, boot.limit * 1024 * 1024, isReady, renderMetrics),
+const bytesPerMebibyte = 1024 * 1024;
+
+const settings = readSettingsOrExit(program, settingsSchema);
+const log = createLogger(program.name, settings.node, settings.log);
+const maxConfigurationBytes = settings.limit * bytesPerMebibyte;
+const registry = await startRegistry(settings, log, (port) =>
+  createRegistryApp({ ...port, maxConfigurationBytes }),
 );
-handleShutdownSignals(log, running.stop);
+handleShutdownSignals(log, registry.stop);
--- a/packages/registry/src/outside/http-forms.test.ts
+++ b/packages/registry/src/outside/http-forms.test.ts
@@ -28,12 +28,12 @@
   answer = passedOn,
   ready = true,
 ): Promise<string> => {
-  const app = createRegistryApp(
-    () => Promise.resolve(answer),
-    mebibyte,
-    () => ready,
-    () => 'switchwheel_example 1\n',
-  );
+  const app = createRegistryApp({
+    submit: () => Promise.resolve(answer),
+    maxConfigurationBytes: mebibyte,
+    isReady: () => ready,
+    renderMetrics: () => 'switchwheel_example 1\n',
+  });
   const listener = await startHttpServer(app, toAddress('127.0.0.1:0'));
   try {
     const texts: string[] = [];
--- a/packages/registry/src/run-forms.test.ts
+++ b/packages/registry/src/run-forms.test.ts
@@ -26,8 +26,7 @@
       door,
     },
     { write: () => undefined },
-    ({ submit, isReady, renderMetrics }) =>
-      createRegistryApp(submit, 1024 * 1024, isReady, renderMetrics),
+    (port) => createRegistryApp({ ...port, maxConfigurationBytes: 1024 * 1024 }),
   );
   const exchange = (asked: HttpRequest): ReturnType<typeof httpExchange> =>
     httpExchange(portOf(door), asked);
--- a/packages/registry/src/settings.ts
+++ b/packages/registry/src/settings.ts
@@ -1,3 +1,5 @@
+/** The settings of the `registry` program. Their names are part of the operators' interface. */
+
 import * as v from 'valibot';
 import { address } from '@switchwheel/types';
 import {
@@ -6,6 +8,7 @@
   commonSettingDefinitions,
 } from '@switchwheel/runtime';
 
+/** The program's name and settings, for its help text. */
 export const program: ProgramDefinition = {
   name: 'registry',
   description: 'The registry of switchwheel: one on every core machine.',
@@ -16,6 +19,7 @@
   ],
 };
 
+/** The schema of the settings; `limit` is in mebibytes. */
 export const settingsSchema = v.strictObject({
   ...commonSettingsSchema,
   door: address,
--- a/packages/registry/src/start-registry.ts
+++ b/packages/registry/src/start-registry.ts
@@ -1,12 +1,16 @@
+/**
+ * The composition root of a registry: it wires the state machine to the channels of other processes,
+ * the clock and an HTTP listener, and stops them. It decides nothing.
+ */
+
 import type Koa from 'koa';
-import { type Address, type ZoneName, type NodeId, totalViolations } from '@switchwheel/types';
-import { type ProcessEffect, ChannelPool } from '@switchwheel/transport';
+import type { Address, NodeId, Timestamp, ZoneName } from '@switchwheel/types';
+import { ChannelPool, type Member, type ProcessEffect } from '@switchwheel/transport';
 import {
-  type ExternalRequest,
   type ClusterProposal,
-  type RegistryState,
   type RegistryEffect,
   type RegistryEvent,
+  type RegistryState,
   hasMajorityContact,
   newRegistryState,
   registryTransition,
@@ -14,170 +18,133 @@
 import {
   type Logger,
   type RunningProgram,
+  delay,
   isProcessEffect,
-  formatMetrics,
-  newRandomState,
   newIncarnation,
+  newRandomState,
   now,
-  startHttpServer,
-  metricSample as plain,
   runEventLoop,
-  delay,
+  startHttpServer,
 } from '@switchwheel/runtime';
-import type { SubmitRequest } from './http/app.js';
+import { PendingRequests } from './pending-requests.js';
+import { renderRegistryMetrics } from './registry-metrics.js';
+import type { RegistryPort } from './registry-port.js';
 
-/** What a registry needs to know of its place. */
+const httpLimits = { headersTimeoutMs: 5000, requestTimeoutMs: 30_000, maxHeaderBytes: 16 * 1024 };
+/** How long a stop waits for requests that have no answer yet. */
+const drainTimeoutMs = 4000;
+const drainPollMs = 20;
+
+/** Where a registry runs and whom it knows at its start. */
 export interface RegistrySettings {
   readonly node: NodeId;
   readonly area: ZoneName;
+  /** Where other processes of the fleet reach it. */
   readonly listen: Address;
+  /** Other registries that it tries first. */
   readonly seeds: readonly Address[];
+  /** Where operators and origins reach it over HTTP. */
   readonly door: Address;
 }
 
-/** What the outside door of a registry is made of. */
-export interface RegistryPort {
-  readonly submit: SubmitRequest;
-  readonly isReady: () => boolean;
-  readonly renderMetrics: () => string;
-  readonly state: () => RegistryState;
-}
-
-/** What a fleet that founds itself gives a registry besides. */
+/** What a registry may be started with besides. */
 export interface RegistryOptions {
+  /** The cluster to propose while there is none. */
   readonly proposal?: ClusterProposal | undefined;
-  /** Whether nodes that run nothing may start on what disks hold. */
+  /** Whether nodes that run nothing may start on what disks are proven to hold; false by default. */
   readonly offersDiskHints?: boolean;
-  /** How often time is let pass, in milliseconds. */
   readonly tickIntervalMs?: number;
 }
 
-interface RegistryResponse {
-  readonly status: number;
-  readonly body: string;
-}
-
 /** A registry that runs in this process. */
 export interface RunningRegistry extends RunningProgram {
-  /** Tells the primary that this registry's vote is about to go; all else goes on until the stop. */
+  /** Announces to the primary that this registry's vote ends; all else goes on until the stop. */
   readonly leave: () => void;
 }
 
-/** Starts a registry; `app` makes its door for origins and operators. */
-export const startRegistry = async (
-  boot: RegistrySettings,
-  log: Logger,
-  app: (inside: RegistryPort) => Koa,
-  { proposal, offersDiskHints, tickIntervalMs }: RegistryOptions = {},
-): Promise<RunningRegistry> => {
-  const member = {
-    node: boot.node,
-    role: 'registry' as const,
-    area: boot.area,
-    address: boot.listen,
-    door: boot.door,
-    admin: boot.door,
-    incarnation: newIncarnation(),
-  };
-  const yard = new ChannelPool({
-    node: member.node,
-    address: member.address,
-    incarnation: member.incarnation,
-  });
-  const waiting = new Map<number, (answer: RegistryResponse) => void>();
-  let lastRef = 0;
+type ReplyEffect = Exclude<RegistryEffect, ProcessEffect>;
 
-  type OwnEffect = Exclude<RegistryEffect, ProcessEffect>;
-  const run = (effect: OwnEffect): void => {
-    waiting.get(effect.correlationId)?.({ status: effect.status, body: effect.body });
-    waiting.delete(effect.correlationId);
-  };
-  const isOwnWire = (effect: RegistryEffect): effect is ProcessEffect => isProcessEffect(effect);
-  const loop = runEventLoop<RegistryState, RegistryEvent, OwnEffect>(
+const memberOf = (settings: RegistrySettings): Member => ({
+  node: settings.node,
+  role: 'registry',
+  area: settings.area,
+  address: settings.listen,
+  door: settings.door,
+  admin: settings.door,
+  incarnation: newIncarnation(),
+});
+
+/** Starts the event loop; answers to requests settle `pending`. */
+const startLoop = (
+  member: Member,
+  channels: ChannelPool,
+  pending: PendingRequests,
+  log: Logger,
+  seeds: readonly Address[],
+  { proposal, offersDiskHints, tickIntervalMs }: RegistryOptions,
+): ReturnType<typeof runEventLoop<RegistryState, RegistryEvent, ReplyEffect>> =>
+  runEventLoop<RegistryState, RegistryEvent, ReplyEffect>(
     registryTransition,
-    newRegistryState(
-      member,
-      boot.seeds,
-      now(),
-      newRandomState(),
-      proposal,
-      offersDiskHints ?? false,
-    ),
-    yard,
+    newRegistryState(member, seeds, now(), newRandomState(), proposal, offersDiskHints ?? false),
+    channels,
     log,
-    run,
-    isOwnWire,
+    ({ correlationId, status, body }) => pending.resolve(correlationId, { status, body }),
+    (effect: RegistryEffect): effect is ProcessEffect => isProcessEffect(effect),
     tickIntervalMs,
   );
-  const state = loop.machine.state;
 
-  const ask = (call: ExternalRequest): Promise<RegistryResponse> =>
-    new Promise((done) => {
-      lastRef += 1;
-      const ref = lastRef;
-      waiting.set(ref, done);
-      loop.dispatch((at) => ({
-        kind: 'requestReceived',
-        now: at,
-        correlationId: ref,
-        request: call,
-      }));
-    });
-
-  let worstLag = 0;
-  const metrics = (): string => {
-    const one = state();
-    worstLag = Math.max(worstLag, loop.takeMaxLagMs());
-    return formatMetrics([
-      plain(
-        'sessions',
-        [...one.sessions.values()].filter((row) => row.registry === member.node).length,
-      ),
-      plain('origins', one.origins.size),
-      plain('generation', one.feed.current?.generation ?? 0),
-      plain('purges_top', one.feed.latestPurge),
-      plain('feed_age_ms', one.feed.asOf === undefined ? -1 : Math.round(now() - one.feed.asOf)),
-      plain('pieces', one.chunks.size),
-      plain('pieces_wanted', one.chunkWaiters.size),
-      plain('calls_pending', one.pendingCommands.size),
-      plain('invariant_violations_total', totalViolations(one.violations)),
-      plain('voter_recovering', one.voter.isRecovering ? 1 : 0),
-      plain('loop_lag_worst_ms', worstLag),
-      plain('foreign_channels_total', yard.protocolErrorCount),
-      plain('memory_bytes', process.memoryUsage.rss()),
-    ]);
-  };
+/** Starts a registry; `createApp` makes its HTTP interface. Rejects if an address can't be bound. */
+export const startRegistry = async (
+  settings: RegistrySettings,
+  log: Logger,
+  createApp: (registry: RegistryPort) => Koa,
+  options: RegistryOptions = {},
+): Promise<RunningRegistry> => {
+  const member = memberOf(settings);
+  const { node, address, incarnation } = member;
+  const channels = new ChannelPool({ node, address, incarnation });
+  const pending = new PendingRequests();
+  const loop = startLoop(member, channels, pending, log, settings.seeds, options);
+  const { state } = loop.machine;
 
-  const ready = (): boolean => !state().isStopping && hasMajorityContact(state(), now());
-  const door = await startHttpServer(
-    app({ submit: ask, isReady: ready, renderMetrics: metrics, state }),
-    boot.door,
-    {
-      headersTimeoutMs: 5000,
-      requestTimeoutMs: 30_000,
-      maxHeaderBytes: 16 * 1024,
-    },
+  let maxLoopLagMs = 0;
+  const listener = await startHttpServer(
+    createApp({
+      submit: (request) =>
+        pending.send((correlationId) =>
+          loop.dispatch((at) => ({ kind: 'requestReceived', now: at, correlationId, request })),
+        ),
+      isReady: () => !state().isStopping && hasMajorityContact(state(), now()),
+      renderMetrics: () => {
+        maxLoopLagMs = Math.max(maxLoopLagMs, loop.takeMaxLagMs());
+        const { protocolErrorCount } = channels;
+        return renderRegistryMetrics(state(), { maxLoopLagMs, protocolErrorCount });
+      },
+      state,
+    }),
+    settings.door,
+    httpLimits,
   );
-  await yard.listen();
+  await channels.listen();
   log.write(
     'info',
     'started',
     new Map<string, string>([
-      ['listen', boot.listen],
-      ['door', boot.door],
+      ['listen', settings.listen],
+      ['door', settings.door],
     ]),
   );
 
-  const leave = (): void => loop.dispatch((at) => ({ kind: 'stopRequested', now: at }));
+  const leave = (): void => loop.dispatch((at: Timestamp) => ({ kind: 'stopRequested', now: at }));
   return {
     leave,
     stop: async () => {
       leave();
-      door.stopAccepting();
-      const until = now() + 4000;
-      while (waiting.size > 0 && now() < until) await delay(20);
+      listener.stopAccepting();
+      const deadline = now() + drainTimeoutMs;
+      while (pending.size > 0 && now() < deadline) await delay(drainPollMs);
       loop.stop();
-      yard.close();
+      channels.close();
     },
   };
 };
