--- a/packages/proxy-core/src/forwarding/forwarding.test.ts
+++ b/packages/proxy-core/src/forwarding/forwarding.test.ts
@@ -92,7 +92,10 @@
   bench.keeper(1, '10.0.0.1:1');
   bench.take('read', true);
   bench.take('act', false);
-  assert.deepEqual(kinds(bench.keeper(2, '10.0.0.2:1')), ['read cancelRequest', 'read to 10.0.0.2:1']);
+  assert.deepEqual(kinds(bench.keeper(2, '10.0.0.2:1')), [
+    'read cancelRequest',
+    'read to 10.0.0.2:1',
+  ]);
   const lost = bench.tell({
     kind: 'channelLost',
     now: start,
--- a/packages/proxy-core/src/index.ts
+++ b/packages/proxy-core/src/index.ts
@@ -4,6 +4,7 @@
 export { leadershipOrder } from './node-agent/leader-candidacy.js';
 export * from './service-leader/state.js';
 export * from './service-leader/service-leader.js';
+export { hasExtraAttemptBudget } from './service-leader/extra-attempt-budget.js';
 export * from './service-leader/sliding-window.js';
 export * from './cache/header-fields.js';
 export * from './cache/cache.js';
--- a/packages/proxy-core/src/request-handler/response-verifier.ts
+++ b/packages/proxy-core/src/request-handler/response-verifier.ts
@@ -74,7 +74,7 @@
       return;
     }
     if (isDeclaredNotRun(status, fields)) {
-      this.#finish({ outcome: { kind: 'unrun' }, response: undefined });
+      this.#finish({ outcome: { kind: 'notRun' }, response: undefined });
       return;
     }
     const told = fieldValue(fields, 'content-length');
@@ -140,18 +140,18 @@
 
   failed = (how: AttemptFailure): void => {
     if (!how.mayHaveBeenSent)
-      this.#finish({ outcome: { kind: 'unopened', text: how.text }, response: undefined });
-    else if (how.isTimeout) this.#finish({ outcome: { kind: 'slow' }, response: undefined });
+      this.#finish({ outcome: { kind: 'notSent', text: how.text }, response: undefined });
+    else if (how.isTimeout) this.#finish({ outcome: { kind: 'timedOut' }, response: undefined });
     else this.#distrust(how.text);
   };
 
   /** The keeper wants no more of it. */
   cancel(): void {
-    this.#finish({ outcome: { kind: 'dropped' }, response: undefined });
+    this.#finish({ outcome: { kind: 'cancelled' }, response: undefined });
   }
 
   #responded(status: number): AttemptOutcome {
-    return status >= 500 ? { kind: 'bad', status } : { kind: 'good', status };
+    return status >= 500 ? { kind: 'originError', status } : { kind: 'succeeded', status };
   }
 
   #distrust(text: string): void {
--- a/packages/proxy-core/src/request-handler/shield-request-handler.ts
+++ b/packages/proxy-core/src/request-handler/shield-request-handler.ts
@@ -12,6 +12,7 @@
 import { responseAgeMs, forwardableFields, rewrittenFields } from '../cache/header-fields.js';
 import { RequestCoalescing } from '../cache/request-coalescing.js';
 import type { ProxyEffect } from '../proxy/state.js';
+import type { AttemptOutcome } from '../service-leader/state.js';
 import { InboundRequests, type InboundRequest, type ResponseWriter } from './inbound-requests.js';
 import {
   type HandlerContext,
@@ -38,6 +39,17 @@
 const attemptKey = (effect: { readonly leader: string; readonly attemptId: number }): string =>
   `${effect.leader}/${effect.attemptId}`;
 
+/** The names under which outcomes of attempts are counted in the metrics. */
+const attemptCounters: Readonly<Record<AttemptOutcome['kind'], string>> = {
+  succeeded: 'leg_good',
+  originError: 'leg_bad',
+  notRun: 'leg_unrun',
+  notSent: 'leg_unopened',
+  lost: 'leg_lost',
+  timedOut: 'leg_slow',
+  cancelled: 'leg_dropped',
+};
+
 /** The life of requests at a shield: what it keeps of them while its keepers decide about them. */
 export class ShieldRequestHandler {
   readonly inbound: InboundRequests;
@@ -200,9 +212,9 @@
     const name = attemptKey(effect);
     const result: AttemptResult =
       came.response !== undefined && this.#isStale(effect.requestId, since)
-        ? { outcome: { kind: 'dropped' }, response: undefined }
+        ? { outcome: { kind: 'cancelled' }, response: undefined }
         : came;
-    this.#count(`leg_${result.outcome.kind}`);
+    this.#count(attemptCounters[result.outcome.kind]);
     if (result.outcome.kind === 'lost') this.#onUntrusted(effect.instance, result.outcome.text);
     this.#verifiers.delete(name);
     this.#attempts.cancel(name);
@@ -231,7 +243,7 @@
     const since = this.#context.now();
     if (hand === undefined) {
       this.#onAttemptEnded(effect, since, {
-        outcome: { kind: 'unopened', text: 'nobody waits for it' },
+        outcome: { kind: 'notSent', text: 'nobody waits for it' },
         response: undefined,
       });
       return;
@@ -274,7 +286,7 @@
       write: (bytes: Buffer, more: () => void): boolean => flow?.write(bytes, more) ?? false,
     };
     const taking = new ResponseVerifier(request, this.#limits.maxBufferedBytes, sink, (result) => {
-      flow?.end(result.outcome.kind === 'good' || result.outcome.kind === 'bad');
+      flow?.end(result.outcome.kind === 'succeeded' || result.outcome.kind === 'originError');
       this.#onAttemptEnded(effect, since, result);
     });
     this.#verifiers.set(attemptKey(effect), taking);
--- /dev/null
+++ b/packages/proxy-core/src/service-leader/attempt-result.ts
@@ -0,0 +1,223 @@
+/**
+ * What follows from an attempt: its response is used, the request is retried, or it is turned away.
+ * An attempt that may have run a request which is not idempotent is never followed by another one.
+ */
+
+import {
+  type RequestId,
+  type Timestamp,
+  prependEffects,
+  toRequestId,
+  transition,
+  withEntry,
+  withoutEntry,
+} from '@switchwheel/types';
+import { admitQueued } from './admission.js';
+import { attemptsOf, maxAttempts, pickForRequest, removeAttempt } from './attempts.js';
+import { recordCanaryOutcome } from './canary.js';
+import { hasExtraAttemptBudget } from './extra-attempt-budget.js';
+import { recordOutcome } from './outlier-ejection.js';
+import { rejectRequest } from './reject-request.js';
+import type {
+  Attempt,
+  AttemptOutcome,
+  LeaderTransition,
+  PendingRequest,
+  ServiceLeader,
+  ServiceLeaderEffect,
+  ServiceLeaderEvent,
+} from './state.js';
+
+type AttemptEnded = Extract<ServiceLeaderEvent, { kind: 'attemptEnded' }>;
+
+/** How far the newest response time moves the moving average of the service. */
+const latencyWeight = 0.05;
+/** When a client whose request certainly did not run may come back. */
+const notRunRetryMs = 500;
+const noRequest: RequestId = toRequestId('none');
+
+const cancelAttempt = (attempt: Attempt): ServiceLeaderEffect => ({
+  kind: 'cancelAttempt',
+  attemptId: attempt.id,
+});
+
+/** Whether another attempt is safe after one ended: nothing ran, or running twice does no harm. */
+const mayRetry = (request: PendingRequest, outcome: AttemptOutcome): boolean =>
+  outcome.kind === 'notRun' || outcome.kind === 'notSent' || request.isIdempotent;
+
+const updateLatency = (
+  state: ServiceLeader,
+  { outcome, durationMs }: AttemptEnded,
+): ServiceLeader =>
+  outcome.kind === 'succeeded'
+    ? {
+        ...state,
+        latencyEwmaMs: state.latencyEwmaMs * (1 - latencyWeight) + durationMs * latencyWeight,
+      }
+    : state;
+
+/** Draws an ended attempt into the health of its endpoint, its canary and the service's latency. */
+const recordAttempt = (
+  before: ServiceLeader,
+  attempt: Attempt,
+  event: AttemptEnded,
+): LeaderTransition => {
+  const { now, outcome, durationMs } = event;
+  const { instance, release } = attempt;
+  const result = { instance, outcome, durationMs };
+  const recorded = recordOutcome(removeAttempt(before, attempt), result, now);
+  const canary = recordCanaryOutcome(recorded.state, release, outcome, now);
+  const ejection: readonly ServiceLeaderEffect[] =
+    recorded.ejectionReason === undefined
+      ? []
+      : [{ kind: 'reportEjection', instance, text: recorded.ejectionReason }];
+  return transition(updateLatency(canary.state, event), ...canary.effects, ...ejection);
+};
+
+/** Whether a response is the one for the client: a good one, or an error that no retry can better. */
+const isResponseFinal = (
+  state: ServiceLeader,
+  request: PendingRequest,
+  outcome: AttemptOutcome,
+  now: Timestamp,
+): boolean =>
+  outcome.kind === 'succeeded' ||
+  (outcome.kind === 'originError' &&
+    (!request.isIdempotent ||
+      request.attemptCount >= maxAttempts ||
+      !hasExtraAttemptBudget(state, now) ||
+      pickForRequest(state, request, now) === undefined));
+
+const rejectionText = (outcome: AttemptOutcome): string => {
+  if ('text' in outcome) return outcome.text;
+  return outcome.kind === 'notRun' ? 'the origin refused it unrun' : 'no result in time';
+};
+
+/** Turns a request away after its last attempt: as rejected only if it certainly did not run. */
+const rejectAfterAttempt = (
+  request: PendingRequest,
+  outcome: AttemptOutcome,
+): ServiceLeaderEffect => {
+  const text = rejectionText(outcome);
+  if (!request.mayHaveRun)
+    return rejectRequest(request.id, { errorKind: 'rejected', text, retryMs: notRunRetryMs });
+  const errorKind = outcome.kind === 'timedOut' ? 'slow' : 'lost';
+  return rejectRequest(request.id, { errorKind, text, retryMs: 0 });
+};
+
+/** Puts a request whose only attempt failed at the head of its queue again, or turns it away. */
+const retryOrReject = (
+  before: ServiceLeader,
+  request: PendingRequest,
+  outcome: AttemptOutcome,
+  now: Timestamp,
+): LeaderTransition => {
+  const { id, className } = request;
+  const state = { ...before, activeRequests: withoutEntry(before.activeRequests, id) };
+  if (before.isClosing && !request.mayHaveRun && mayRetry(request, outcome))
+    return transition(
+      state,
+      rejectRequest(id, {
+        errorKind: 'rejected',
+        text: 'the keeper moved',
+        retryMs: 0,
+        leaderMoved: true,
+      }),
+    );
+  const isRetried =
+    !before.isClosing &&
+    mayRetry(request, outcome) &&
+    now < request.deadline &&
+    request.attemptCount < maxAttempts &&
+    hasExtraAttemptBudget(before, now);
+  if (!isRetried)
+    return prependEffects([rejectAfterAttempt(request, outcome)], admitQueued(state, now));
+  const queue = [request, ...(state.queues.get(className) ?? [])];
+  return admitQueued({ ...state, queues: withEntry(state.queues, className, queue) }, now);
+};
+
+/** Decides about a request, one of whose attempts ended. */
+const settleRequest = (
+  state: ServiceLeader,
+  attempt: Attempt,
+  outcome: AttemptOutcome,
+  now: Timestamp,
+): LeaderTransition => {
+  const request = state.activeRequests.get(attempt.requestId);
+  if (request === undefined) return admitQueued(state, now);
+  const otherAttempts = attemptsOf(state, request.id);
+  const isFinal = isResponseFinal(state, request, outcome, now);
+  if (isFinal && (outcome.kind === 'succeeded' || otherAttempts.length === 0)) {
+    const used = { ...state, activeRequests: withoutEntry(state.activeRequests, request.id) };
+    return prependEffects(
+      [
+        { kind: 'useResponse', attemptId: attempt.id, requestId: request.id },
+        ...otherAttempts.map(cancelAttempt),
+      ],
+      admitQueued(used, now),
+    );
+  }
+  const mayHaveRun =
+    request.mayHaveRun || (outcome.kind !== 'notRun' && outcome.kind !== 'notSent');
+  const updated = { ...request, mayHaveRun };
+  if (otherAttempts.length === 0) return retryOrReject(state, updated, outcome, now);
+  // Another attempt may still bring a response.
+  const activeRequests = withEntry(state.activeRequests, request.id, updated);
+  return admitQueued({ ...state, activeRequests }, now);
+};
+
+/** Takes the end of an attempt in: its slot is free, and its request is settled or retried. */
+export const onAttemptEnded = (before: ServiceLeader, event: AttemptEnded): LeaderTransition => {
+  const attempt = before.attempts.get(event.attemptId);
+  if (attempt === undefined) return transition(before);
+  const recorded = recordAttempt(before, attempt, event);
+  return prependEffects(
+    recorded.effects,
+    settleRequest(recorded.state, attempt, event.outcome, event.now),
+  );
+};
+
+/** A response goes to the client in parts: the request's other attempts end, and no more may start. */
+export const onStreamingStarted = (state: ServiceLeader, attemptId: number): LeaderTransition => {
+  const requestId = state.attempts.get(attemptId)?.requestId ?? noRequest;
+  const request = state.activeRequests.get(requestId);
+  if (request === undefined) return transition(state);
+  const cancellations = attemptsOf(state, requestId)
+    .filter((attempt) => attempt.id !== attemptId)
+    .map(cancelAttempt);
+  return transition(
+    {
+      ...state,
+      activeRequests: withEntry(state.activeRequests, requestId, {
+        ...request,
+        isIdempotent: false,
+        attemptCount: maxAttempts,
+      }),
+    },
+    ...cancellations,
+  );
+};
+
+/** Nobody waits for a request any more: it leaves its queue, and attempts that are safe to end do. */
+export const onRequestCancelled = (
+  state: ServiceLeader,
+  id: RequestId,
+  now: Timestamp,
+): LeaderTransition => {
+  let queues = state.queues;
+  for (const [className, queue] of state.queues) {
+    if (queue.some((request) => request.id === id))
+      queues = withEntry(
+        queues,
+        className,
+        queue.filter((request) => request.id !== id),
+      );
+  }
+  const request = state.activeRequests.get(id);
+  // An attempt that may have run a request that is not idempotent is left to end by itself.
+  const cancellations =
+    request?.isIdempotent === true ? attemptsOf(state, id).map(cancelAttempt) : [];
+  const activeRequests =
+    request === undefined ? state.activeRequests : withoutEntry(state.activeRequests, id);
+  return prependEffects(cancellations, admitQueued({ ...state, queues, activeRequests }, now));
+};
--- a/packages/proxy-core/src/service-leader/canary.ts
+++ b/packages/proxy-core/src/service-leader/canary.ts
@@ -1,24 +1,48 @@
-import { type Timestamp, type Release, withEntry } from '@switchwheel/types';
+/**
+ * Canary releases: a new release gets a small share of its service's traffic until it has earned
+ * the whole of it; one that answers badly gets none. The requests that it may have are reserved in
+ * the store before they are sent, so that a change of the leader does not grant them twice.
+ */
+
+import { type Timestamp, type Release, transition, withEntry } from '@switchwheel/types';
 import type { CanaryResult } from '@switchwheel/transport';
-import type { ServiceLeader, ServiceLeaderEffect, AttemptOutcome, Canary } from './state.js';
+import type {
+  AttemptOutcome,
+  Canary,
+  LeaderTransition,
+  ServiceLeader,
+  ServiceLeaderEffect,
+} from './state.js';
 
-/** Requests of a release on trial that are stored as spent before they are sent. */
+/** How many requests of a canary are reserved ahead at a time. */
 const reservationSize = 20;
-/** What a release on trial may have beside its share; the rule says fifty. */
+/** What a canary may have beside its share; the rule (R10) allows 50. */
 const canaryBaseRequests = 45;
-/** The share of its service's traffic a release on trial may have; the rule says a tenth. */
+/** The share of its service's traffic that a canary may have; the rule (R10) allows a tenth. */
 const canaryTrafficShare = 0.08;
+/** What a canary needs to get all its traffic: so many successes, over so long, with few failures. */
 const promotionSuccesses = 40;
 const promotionMinMs = 3000;
+const maxPromotionFailureShare = 0.05;
+/** When a canary is rejected: so many failures, or a smaller number that is a large share. */
 const maxCanaryFailures = 25;
+const minJudgedFailures = 8;
+const maxCanaryFailureShare = 0.2;
+/** After how long a report that the store has not confirmed is repeated. */
 const reportRetryMs = 500;
+/** What a success takes off the failure score: it grows where more than one answer in eight fails. */
+const failureScoreDecay = 1 / 7;
+const maxFailureScore = 12;
+const calmFailureScore = 4;
 
-const newCanary = (
-  release: Release,
-  state: Canary['state'],
-  from: number,
-  now: Timestamp,
-): Canary => ({
+interface NewCanary {
+  readonly release: Release;
+  readonly state: Canary['state'];
+  /** The leader's count of requests when the canary began. */
+  readonly requestCount: number;
+}
+
+const newCanary = ({ release, state, requestCount }: NewCanary, now: Timestamp): Canary => ({
   release,
   reservedRequests: 0,
   usedRequests: 0,
@@ -26,7 +50,7 @@
   failures: 0,
   failureScore: 0,
   priorTraffic: 0,
-  requestCountAtStart: from,
+  requestCountAtStart: requestCount,
   startedAt: now,
   reportedAt: undefined,
   reportedFailures: 0,
@@ -34,233 +58,235 @@
   isStored: false,
 });
 
-/** Takes the stored verdicts in: counts only grow, bad stays bad. */
+const withCanaries = (state: ServiceLeader, canaries: ServiceLeader['canaries']): ServiceLeader =>
+  canaries === state.canaries ? state : { ...state, canaries };
+
+/** A canary as the store has it; what an earlier leader reserved counts as used, as it may be. */
+const canaryFromStore = (
+  { requestCount }: ServiceLeader,
+  stored: CanaryResult,
+  now: Timestamp,
+): Canary => ({
+  ...newCanary({ release: stored.release, state: stored.state, requestCount }, now),
+  reservedRequests: stored.spent,
+  usedRequests: stored.spent,
+  failures: stored.bad,
+  reportedFailures: stored.bad,
+  successes: stored.good,
+  priorTraffic: stored.seen,
+  isStored: true,
+});
+
+const mergedState = (one: Canary['state'], two: Canary['state']): Canary['state'] => {
+  if (one === 'bad' || two === 'bad') return 'bad';
+  return one === 'good' || two === 'good' ? 'good' : 'trial';
+};
+
+/** A canary with what the store has of it: counts only grow, and a rejection is final. */
+const mergeStored = (known: Canary, stored: CanaryResult): Canary => {
+  const state = mergedState(known.state, stored.state);
+  const reservedRequests = Math.max(known.reservedRequests, stored.spent);
+  const hasGrown = reservedRequests > known.reservedRequests;
+  if (state === known.state && !hasGrown && known.isStored) return known;
+  return {
+    ...known,
+    state,
+    reservedRequests,
+    reportedAt: hasGrown ? undefined : known.reportedAt,
+    isStored: true,
+  };
+};
+
+/** Takes the stored canary results of this service in. */
 export const applyCanaryResults = (
   state: ServiceLeader,
-  verdicts: readonly CanaryResult[],
+  results: readonly CanaryResult[],
   now: Timestamp,
 ): ServiceLeader => {
-  let trials = state.canaries;
-  for (const word of verdicts) {
-    if (word.service !== state.service) continue;
-    const known = trials.get(word.release);
-    if (known === undefined) {
-      // What an earlier keeper reserved counts as used: some of it may not have been, none goes uncounted.
-      trials = withEntry(trials, word.release, {
-        ...newCanary(word.release, word.state, state.requestCount, now),
-        reservedRequests: word.spent,
-        usedRequests: word.spent,
-        failures: word.bad,
-        reportedFailures: word.bad,
-        successes: word.good,
-        priorTraffic: word.seen,
-        isStored: true,
-      });
-      continue;
-    }
+  let canaries = state.canaries;
+  for (const stored of results) {
+    if (stored.service !== state.service) continue;
+    const known = canaries.get(stored.release);
     const next =
-      known.state === 'bad' || word.state === 'bad'
-        ? 'bad'
-        : known.state === 'good' || word.state === 'good'
-          ? 'good'
-          : 'trial';
-    const granted = Math.max(known.reservedRequests, word.spent);
-    const asked = granted > known.reservedRequests ? undefined : known.reportedAt;
-    if (next !== known.state || granted !== known.reservedRequests || !known.isStored)
-      trials = withEntry(trials, word.release, {
-        ...known,
-        state: next,
-        reservedRequests: granted,
-        reportedAt: asked,
-        isStored: true,
-      });
+      known === undefined ? canaryFromStore(state, stored, now) : mergeStored(known, stored);
+    if (next !== known) canaries = withEntry(canaries, stored.release, next);
   }
-  return trials === state.canaries ? state : { ...state, canaries: trials };
+  return withCanaries(state, canaries);
 };
 
-/** Makes sure each release present has a trial; the first one of a service stands without one. */
-export const startCanaries = (
-  state: ServiceLeader,
-  now: Timestamp,
-): { readonly state: ServiceLeader; readonly effects: readonly ServiceLeaderEffect[] } => {
-  let trials = state.canaries;
+/** Begins a canary for each new release; the first release of a service needs none to pass. */
+export const startCanaries = (state: ServiceLeader, now: Timestamp): LeaderTransition => {
+  let canaries = state.canaries;
   const effects: ServiceLeaderEffect[] = [];
-  for (const bay of state.endpoints.values()) {
-    if (!bay.isLive || trials.has(bay.release)) continue;
-    const first = ![...trials.values()].some((one) => one.state === 'good');
-    trials = withEntry(
-      trials,
-      bay.release,
-      newCanary(bay.release, first ? 'good' : 'trial', state.requestCount, now),
-    );
+  const { service, requestCount } = state;
+  for (const { isLive, release } of state.endpoints.values()) {
+    if (!isLive || canaries.has(release)) continue;
+    const isFirst = ![...canaries.values()].some((canary) => canary.state === 'good');
+    const canary = newCanary({ release, state: isFirst ? 'good' : 'trial', requestCount }, now);
+    canaries = withEntry(canaries, release, canary);
     effects.push({
       kind: 'reportCanary',
-      service: state.service,
-      release: bay.release,
+      service,
+      release,
       reservedRequests: 0,
       failures: 0,
       successes: 0,
       traffic: 0,
-      state: first ? 'good' : 'trial',
+      state: canary.state,
     });
   }
-  return { state: trials === state.canaries ? state : { ...state, canaries: trials }, effects };
+  return transition(withCanaries(state, canaries), ...effects);
 };
 
-/** The service's traffic since the trial began, through all its keepers. */
-const trafficSinceStart = (state: ServiceLeader, trial: Canary): number =>
-  trial.priorTraffic + state.requestCount - trial.requestCountAtStart;
+/** The service's requests since the canary began, through all its leaders. */
+const trafficSinceStart = (state: ServiceLeader, canary: Canary): number =>
+  canary.priorTraffic + state.requestCount - canary.requestCountAtStart;
+
+/** How many requests a canary may have had by now. */
+const trafficBudget = (state: ServiceLeader, canary: Canary): number =>
+  canaryBaseRequests + canaryTrafficShare * trafficSinceStart(state, canary);
 
-/** How many requests a release on trial may have had by now, as far as they are reserved. */
-const trafficBudget = (state: ServiceLeader, trial: Canary): number =>
-  canaryBaseRequests + canaryTrafficShare * trafficSinceStart(state, trial);
-const allowance = (state: ServiceLeader, trial: Canary): number =>
-  Math.min(trial.reservedRequests, Math.floor(trafficBudget(state, trial)));
+/** The same, as far as they are reserved in the store. */
+const allowance = (state: ServiceLeader, canary: Canary): number =>
+  Math.min(canary.reservedRequests, Math.floor(trafficBudget(state, canary)));
 
+/** Whether a release may get one more request. */
 export const mayReceiveTraffic = (state: ServiceLeader, release: Release): boolean => {
-  const trial = state.canaries.get(release);
-  if (trial === undefined || trial.state === 'bad') return false;
-  return trial.state === 'good' || trial.usedRequests < allowance(state, trial);
+  const canary = state.canaries.get(release);
+  if (canary === undefined || canary.state === 'bad') return false;
+  return canary.state === 'good' || canary.usedRequests < allowance(state, canary);
 };
 
+/** Counts a request that is sent to a release. */
 export const countCanaryRequest = (state: ServiceLeader, release: Release): ServiceLeader => {
-  const trial = state.canaries.get(release);
-  return trial === undefined
-    ? state
-    : {
-        ...state,
-        canaries: withEntry(state.canaries, release, {
-          ...trial,
-          usedRequests: trial.usedRequests + 1,
-        }),
-      };
+  const canary = state.canaries.get(release);
+  if (canary === undefined) return state;
+  const counted = { ...canary, usedRequests: canary.usedRequests + 1 };
+  return { ...state, canaries: withEntry(state.canaries, release, counted) };
 };
 
-const canaryReport = (state: ServiceLeader, trial: Canary, spent: number): ServiceLeaderEffect => ({
+const canaryReport = (
+  state: ServiceLeader,
+  canary: Canary,
+  reservedRequests = canary.reservedRequests,
+): ServiceLeaderEffect => ({
   kind: 'reportCanary',
   service: state.service,
-  release: trial.release,
-  reservedRequests: spent,
-  failures: trial.failures,
-  successes: trial.successes,
-  traffic: trafficSinceStart(state, trial),
-  state: trial.state,
+  release: canary.release,
+  reservedRequests,
+  failures: canary.failures,
+  successes: canary.successes,
+  traffic: trafficSinceStart(state, canary),
+  state: canary.state,
 });
 
-/** Each bad answer strains a release, each good one eases it: it goes up where more than one in eight is bad. */
-const failureScoreDecay = 1 / 7;
-const maxFailureScore = 12;
-const calmFailureScore = 4;
-const nextFailureScore = (strain: number, bad: boolean): number =>
-  bad ? strain + 1 : Math.max(0, strain - failureScoreDecay);
+/** Whether a release can be gone back to: the first one, or one that has few failures of late. */
+const isFallback = (state: ServiceLeader, canary: Canary): boolean =>
+  canary.state === 'good' &&
+  (canary.reservedRequests === 0 || canary.failureScore < calmFailureScore) &&
+  [...state.endpoints.values()].some(
+    (endpoint) => endpoint.isLive && endpoint.release === canary.release,
+  );
 
-/** Whether a release that earned its traffic went bad, while one to go back to is there: the first one, or one that did not. */
-const hasRegressed = (state: ServiceLeader, trial: Canary): boolean =>
-  trial.failureScore >= maxFailureScore &&
+/** Whether a promoted release went bad while there is one to go back to. */
+const hasRegressed = (state: ServiceLeader, canary: Canary): boolean =>
+  canary.failureScore >= maxFailureScore &&
   [...state.canaries.values()].some(
-    (one) =>
-      one.release !== trial.release &&
-      one.state === 'good' &&
-      (one.reservedRequests === 0 || one.failureScore < calmFailureScore) &&
-      [...state.endpoints.values()].some((bay) => bay.isLive && bay.release === one.release),
+    (other) => other.release !== canary.release && isFallback(state, other),
   );
 
-/** Whether a release may have all its traffic: enough good answers, over some time. */
-const hasEarnedPromotion = (trial: Canary, now: Timestamp): boolean =>
-  trial.successes >= promotionSuccesses &&
-  trial.failures <= 0.05 * (trial.successes + trial.failures) &&
-  now - trial.startedAt >= promotionMinMs;
+/** Whether a canary may have all its traffic: enough successes, over some time. */
+const hasEarnedPromotion = (canary: Canary, now: Timestamp): boolean =>
+  canary.successes >= promotionSuccesses &&
+  canary.failures <= maxPromotionFailureShare * (canary.successes + canary.failures) &&
+  now - canary.startedAt >= promotionMinMs;
 
-/** Whether a release on trial answers too badly to go on. */
-const isFailing = (trial: Canary): boolean =>
-  trial.failures >= maxCanaryFailures ||
-  (trial.failures >= 8 && trial.failures > 0.2 * (trial.successes + trial.failures));
+/** Whether a canary answers too badly to go on. */
+const isFailing = (canary: Canary): boolean =>
+  canary.failures >= maxCanaryFailures ||
+  (canary.failures >= minJudgedFailures &&
+    canary.failures > maxCanaryFailureShare * (canary.successes + canary.failures));
 
-/** The verdict that a release's answers call for now, if it is another one than it has. */
+/** The state that a canary's outcomes call for now, if it is another one than it has. */
 const canaryDecision = (
   state: ServiceLeader,
-  trial: Canary,
+  canary: Canary,
   now: Timestamp,
 ): 'good' | 'bad' | undefined => {
-  switch (trial.state) {
+  switch (canary.state) {
     case 'trial':
-      return isFailing(trial) ? 'bad' : hasEarnedPromotion(trial, now) ? 'good' : undefined;
+      if (isFailing(canary)) return 'bad';
+      return hasEarnedPromotion(canary, now) ? 'good' : undefined;
     case 'good':
-      return trial.reservedRequests > 0 && hasRegressed(state, trial) ? 'bad' : undefined;
+      return canary.reservedRequests > 0 && hasRegressed(state, canary) ? 'bad' : undefined;
     case 'bad':
       return undefined;
   }
 };
 
-/** Draws what became of a leg into the trial of its release. */
+const withOutcome = (canary: Canary, isFailure: boolean): Canary =>
+  isFailure
+    ? { ...canary, failures: canary.failures + 1, failureScore: canary.failureScore + 1 }
+    : {
+        ...canary,
+        successes: canary.successes + 1,
+        failureScore: Math.max(0, canary.failureScore - failureScoreDecay),
+      };
+
+/** Draws the outcome of an attempt into the canary of its release. */
 export const recordCanaryOutcome = (
   state: ServiceLeader,
   release: Release,
-  how: AttemptOutcome,
+  outcome: AttemptOutcome,
   now: Timestamp,
-): { readonly state: ServiceLeader; readonly effects: readonly ServiceLeaderEffect[] } => {
-  const trial = state.canaries.get(release);
-  if (
-    trial === undefined ||
-    how.kind === 'unrun' ||
-    how.kind === 'unopened' ||
-    how.kind === 'dropped'
-  )
-    return { state, effects: [] };
-  const bad = how.kind !== 'good';
-  const next: Canary = {
-    ...trial,
-    successes: trial.successes + (bad ? 0 : 1),
-    failures: trial.failures + (bad ? 1 : 0),
-    failureScore: nextFailureScore(trial.failureScore, bad),
-  };
-  const verdict = canaryDecision(state, next, now);
-  const judged: Canary = verdict === undefined ? next : { ...next, state: verdict };
-  return {
-    state: { ...state, canaries: withEntry(state.canaries, release, judged) },
-    effects: verdict === undefined ? [] : [canaryReport(state, judged, judged.reservedRequests)],
-  };
+): LeaderTransition => {
+  const known = state.canaries.get(release);
+  const { kind } = outcome;
+  if (known === undefined || kind === 'notRun' || kind === 'notSent' || kind === 'cancelled')
+    return transition(state);
+  const counted = withOutcome(known, kind !== 'succeeded');
+  const decision = canaryDecision(state, counted, now);
+  const canary = decision === undefined ? counted : { ...counted, state: decision };
+  const next = { ...state, canaries: withEntry(state.canaries, release, canary) };
+  return decision === undefined ? transition(next) : transition(next, canaryReport(state, canary));
 };
 
-/** Reserves more of a trial ahead, through the stored state, and repeats what was not yet confirmed. */
-export const advanceCanaries = (
-  state: ServiceLeader,
-  now: Timestamp,
-): { readonly state: ServiceLeader; readonly effects: readonly ServiceLeaderEffect[] } => {
-  let trials = state.canaries;
+/** How many requests should be reserved for a canary now: some ahead of what it has used. */
+const wantedReservation = (state: ServiceLeader, canary: Canary): number =>
+  canary.state === 'trial' &&
+  canary.usedRequests + reservationSize / 2 > canary.reservedRequests &&
+  canary.usedRequests <= trafficBudget(state, canary)
+    ? canary.usedRequests + reservationSize
+    : canary.reservedRequests;
+
+/** Whether the store lacks the canary, or failures of it that later leaders should know. */
+const isReportDue = (canary: Canary): boolean =>
+  !canary.isStored || (canary.state === 'trial' && canary.failures > canary.reportedFailures);
+
+/**
+ * Promotes canaries that lacked only time, reserves more requests ahead through the store, and
+ * repeats what the store has not confirmed.
+ */
+export const advanceCanaries = (state: ServiceLeader, now: Timestamp): LeaderTransition => {
+  let canaries = state.canaries;
   const effects: ServiceLeaderEffect[] = [];
-  for (const trial of state.canaries.values()) {
-    if (trial.state === 'trial' && hasEarnedPromotion(trial, now)) {
-      // It may have no answers left to earn it by: time alone was lacking.
-      const judged: Canary = { ...trial, state: 'good' };
-      trials = withEntry(trials, trial.release, judged);
-      effects.push(canaryReport(state, judged, judged.reservedRequests));
+  for (const canary of state.canaries.values()) {
+    if (canary.state === 'trial' && hasEarnedPromotion(canary, now)) {
+      const promoted: Canary = { ...canary, state: 'good' };
+      canaries = withEntry(canaries, canary.release, promoted);
+      effects.push(canaryReport(state, promoted));
       continue;
     }
-    const wants =
-      trial.state === 'trial' &&
-      trial.usedRequests + reservationSize / 2 > trial.reservedRequests &&
-      trial.usedRequests <= trafficBudget(state, trial);
-    // Bad answers are kept as they come, for the keepers after this one.
-    const mute =
-      !trial.isStored || (trial.state === 'trial' && trial.failures > trial.reportedFailures);
-    if (
-      (!wants && !mute) ||
-      (trial.reportedAt !== undefined && now - trial.reportedAt < reportRetryMs)
-    )
-      continue;
-    trials = withEntry(trials, trial.release, {
-      ...trial,
+    const reservation = wantedReservation(state, canary);
+    const isDue = reservation !== canary.reservedRequests || isReportDue(canary);
+    const isReported = canary.reportedAt !== undefined && now - canary.reportedAt < reportRetryMs;
+    if (!isDue || isReported) continue;
+    canaries = withEntry(canaries, canary.release, {
+      ...canary,
       reportedAt: now,
-      reportedFailures: trial.failures,
+      reportedFailures: canary.failures,
     });
-    effects.push(
-      canaryReport(
-        state,
-        trial,
-        wants ? trial.usedRequests + reservationSize : trial.reservedRequests,
-      ),
-    );
+    effects.push(canaryReport(state, canary, reservation));
   }
-  return { state: trials === state.canaries ? state : { ...state, canaries: trials }, effects };
+  return transition(withCanaries(state, canaries), ...effects);
 };
--- a/packages/proxy-core/src/service-leader/endpoints.ts
+++ b/packages/proxy-core/src/service-leader/endpoints.ts
@@ -1,169 +1,81 @@
-import { type InstanceId, type Timestamp, addMs, withEntry } from '@switchwheel/types';
+/**
+ * The endpoints of one service (the instances of its origin): which there are, how many attempts
+ * each may have, and which one is picked. Their health is judged in `outlier-ejection`.
+ */
+
+import type { InstanceId, Timestamp } from '@switchwheel/types';
 import { type OriginTable, isLiveOrigin } from '@switchwheel/membership';
-import type { Endpoint, EndpointHealth, ServiceLeader, AttemptOutcome } from './state.js';
+import { isAvailable, newEndpointHealth } from './outlier-ejection.js';
+import type { Endpoint, ServiceLeader } from './state.js';
 
-const firstEjectionMs = 500;
-const maxEjectionMs = 8000;
-const failuresBeforeEjection = 3;
+/** How long a new leader starts slowly: attempts of the leader before it may still be running. */
 const slowStartMs = 1000;
-const outlierLatencyFactor = 4;
-const outlierLatencyFloorMs = 40;
-
-const newEndpointHealth = (now: Timestamp): EndpointHealth => ({
-  consecutiveFailures: 0,
-  latencyEwmaMs: 0,
-  latencySamples: 0,
-  ejectedUntil: now,
-  ejectionLevel: 0,
-  healthCheck: 'unknown',
-});
+/** How far above the lightest load an endpoint may be and still take its turn. */
+const loadTolerance = 1.5;
+/** The response time that doubles the load which an endpoint counts as having. */
+const loadLatencyScaleMs = 50;
 
-/** Takes the origins of the service in as they are known now. */
+/** Takes over the origins of the service as they are known now; one with attempts stays until they end. */
 export const updateEndpoints = (
   state: ServiceLeader,
   origins: OriginTable,
   now: Timestamp,
 ): ServiceLeader => {
-  const bays = new Map<InstanceId, Endpoint>();
-  for (const one of origins.values()) {
-    if (one.service !== state.service) continue;
-    const known = state.endpoints.get(one.instance);
-    const up = isLiveOrigin(one, now);
-    if (!up && known === undefined) continue;
-    bays.set(one.instance, {
-      instance: one.instance,
-      address: one.address,
-      release: one.release,
-      slots: one.slots,
+  const endpoints = new Map<InstanceId, Endpoint>();
+  for (const origin of origins.values()) {
+    if (origin.service !== state.service) continue;
+    const known = state.endpoints.get(origin.instance);
+    const isLive = isLiveOrigin(origin, now);
+    if (!isLive && known === undefined) continue;
+    endpoints.set(origin.instance, {
+      instance: origin.instance,
+      address: origin.address,
+      release: origin.release,
+      slots: origin.slots,
       activeAttempts: known?.activeAttempts ?? 0,
       lastAttemptId: known?.lastAttemptId ?? 0,
       lastCheckedAt: known?.lastCheckedAt,
-      isLive: up,
+      isLive,
       health: known?.health ?? newEndpointHealth(now),
     });
   }
-  for (const [id, bay] of state.endpoints)
-    if (!bays.has(id) && bay.activeAttempts > 0) bays.set(id, { ...bay, isLive: false });
-  return { ...state, endpoints: bays };
+  for (const [id, endpoint] of state.endpoints)
+    if (!endpoints.has(id) && endpoint.activeAttempts > 0)
+      endpoints.set(id, { ...endpoint, isLive: false });
+  return { ...state, endpoints };
 };
 
-/** Slots a bay may fill now: a new keeper ramps in, as legs of the one before may still run there. */
-export const endpointCapacity = (state: ServiceLeader, bay: Endpoint, now: Timestamp): number =>
-  now - state.startedAt < slowStartMs ? Math.max(1, Math.ceil(bay.slots / 2)) : bay.slots;
-
-export const isAvailable = (bay: Endpoint, now: Timestamp): boolean =>
-  bay.isLive && now >= bay.health.ejectedUntil && bay.health.healthCheck !== 'bad';
+/** How many attempts an endpoint may have at a time: half its slots during the slow start. */
+const endpointCapacity = (state: ServiceLeader, endpoint: Endpoint, now: Timestamp): number =>
+  now - state.startedAt < slowStartMs ? Math.max(1, Math.ceil(endpoint.slots / 2)) : endpoint.slots;
 
+/** How many attempts the available endpoints may have together at a time. */
 export const totalCapacity = (state: ServiceLeader, now: Timestamp): number => {
   let sum = 0;
-  for (const bay of state.endpoints.values())
-    if (isAvailable(bay, now)) sum += endpointCapacity(state, bay, now);
+  for (const endpoint of state.endpoints.values())
+    if (isAvailable(endpoint, now)) sum += endpointCapacity(state, endpoint, now);
   return sum;
 };
 
-const eject = (fit: EndpointHealth, now: Timestamp): EndpointHealth => {
-  const barred = Math.min(6, fit.ejectionLevel + 1);
-  return {
-    ...fit,
-    ejectionLevel: barred,
-    consecutiveFailures: 0,
-    ejectedUntil: addMs(now, Math.min(maxEjectionMs, firstEjectionMs * 2 ** (barred - 1))),
-  };
-};
-
-const median = (list: readonly number[]): number =>
-  [...list].sort((one, two) => one - two)[Math.floor(list.length / 2)] ?? 0;
-
-/** Whether a bay is far slower than the others of its service. */
-const isLatencyOutlier = (state: ServiceLeader, bay: Endpoint, now: Timestamp): boolean => {
-  const others = [...state.endpoints.values()]
-    .filter(
-      (one) =>
-        one.instance !== bay.instance && isAvailable(one, now) && one.health.latencySamples >= 5,
-    )
-    .map((one) => one.health.latencyEwmaMs);
-  if (others.length === 0 || bay.health.latencySamples < 5) return false;
-  return (
-    bay.health.latencyEwmaMs >
-    Math.max(outlierLatencyFloorMs, outlierLatencyFactor * median(others))
-  );
-};
-
-/** Draws what became of a leg into the health of its bay. */
-export const recordOutcome = (
-  state: ServiceLeader,
-  instance: InstanceId,
-  how: AttemptOutcome,
-  ms: number,
-  now: Timestamp,
-): { readonly state: ServiceLeader; readonly barred: string | undefined } => {
-  const bay = state.endpoints.get(instance);
-  if (bay === undefined) return { state, barred: undefined };
-  let fit = bay.health;
-  let text: string | undefined;
-  if (how.kind === 'good' || how.kind === 'slow') {
-    const typical = fit.latencySamples === 0 ? ms : fit.latencyEwmaMs * 0.8 + ms * 0.2;
-    fit = {
-      ...fit,
-      latencyEwmaMs: typical,
-      latencySamples: Math.min(1000, fit.latencySamples + 1),
-      consecutiveFailures: how.kind === 'good' ? 0 : fit.consecutiveFailures + 1,
-      ejectionLevel:
-        how.kind === 'good' && fit.latencySamples % 50 === 0
-          ? Math.max(0, fit.ejectionLevel - 1)
-          : fit.ejectionLevel,
-    };
-    if (how.kind === 'good' && isLatencyOutlier({ ...state }, { ...bay, health: fit }, now)) {
-      fit = { ...eject(fit, now), latencySamples: 0 };
-      text = `slow: ${Math.round(typical)} ms`;
-    }
-  } else if (how.kind === 'bad' || how.kind === 'lost' || how.kind === 'unopened') {
-    fit = { ...fit, consecutiveFailures: fit.consecutiveFailures + 1 };
-  }
-  if (fit.consecutiveFailures >= (how.kind === 'unopened' ? 1 : failuresBeforeEjection)) {
-    fit = eject(fit, now);
-    text = `${how.kind} answers`;
-  }
-  return {
-    state: { ...state, endpoints: withEntry(state.endpoints, instance, { ...bay, health: fit }) },
-    barred: text,
-  };
-};
-
-/** Draws a probe into the health of its bay. */
-export const recordHealthCheck = (
-  state: ServiceLeader,
-  instance: InstanceId,
-  good: boolean,
-): ServiceLeader => {
-  const bay = state.endpoints.get(instance);
-  if (bay === undefined) return state;
-  const fit: EndpointHealth = good
-    ? { ...bay.health, healthCheck: 'good' }
-    : { ...bay.health, healthCheck: 'bad' };
-  return { ...state, endpoints: withEntry(state.endpoints, instance, { ...bay, health: fit }) };
-};
-
-/** How much more loaded than the best a bay may be and still take its turn. */
-const loadTolerance = 1.5;
-
-/** Among the bays a request may go to, those with about the least load take turns. */
+/** Picks among the available endpoints that a predicate allows: those with about the least load take turns. */
 export const pickEndpoint = (
   state: ServiceLeader,
-  may: (bay: Endpoint) => boolean,
+  isAllowed: (endpoint: Endpoint) => boolean,
   now: Timestamp,
 ): Endpoint | undefined => {
-  const open: { readonly bay: Endpoint; readonly load: number }[] = [];
-  for (const bay of state.endpoints.values()) {
-    const room = endpointCapacity(state, bay, now);
-    if (!isAvailable(bay, now) || bay.activeAttempts >= room || !may(bay)) continue;
-    open.push({
-      bay,
-      load: ((bay.activeAttempts + 1) / room) * (1 + bay.health.latencyEwmaMs / 50),
+  const candidates: { readonly endpoint: Endpoint; readonly load: number }[] = [];
+  for (const endpoint of state.endpoints.values()) {
+    const capacity = endpointCapacity(state, endpoint, now);
+    if (!isAvailable(endpoint, now) || endpoint.activeAttempts >= capacity || !isAllowed(endpoint))
+      continue;
+    const utilization = (endpoint.activeAttempts + 1) / capacity;
+    candidates.push({
+      endpoint,
+      load: utilization * (1 + endpoint.health.latencyEwmaMs / loadLatencyScaleMs),
     });
   }
-  const least = Math.min(...open.map((one) => one.load));
-  return open
-    .filter((one) => one.load <= least * loadTolerance)
-    .sort((one, two) => one.bay.lastAttemptId - two.bay.lastAttemptId)[0]?.bay;
+  const least = Math.min(...candidates.map(({ load }) => load));
+  return candidates
+    .filter(({ load }) => load <= least * loadTolerance)
+    .sort((one, two) => one.endpoint.lastAttemptId - two.endpoint.lastAttemptId)[0]?.endpoint;
 };
--- a/packages/proxy-core/src/service-leader/health-checks.ts
+++ b/packages/proxy-core/src/service-leader/health-checks.ts
@@ -1,11 +1,16 @@
-import { type Timestamp, withEntry } from '@switchwheel/types';
+/**
+ * When the endpoints of a service are health-checked. The checks themselves are sent by the program;
+ * their results are drawn in by `outlier-ejection`.
+ */
+
+import { type Timestamp, transition, withEntry } from '@switchwheel/types';
 import { hasToken, tokensAfterSend } from './rate-limit.js';
-import type { ServiceLeader, ServiceLeaderEffect } from './state.js';
+import type { LeaderTransition, ServiceLeader, ServiceLeaderEffect } from './state.js';
 
-/** The most of a ceiling that health checks may take, as they count among what a service is sent. */
+/** The most of a rate limit that health checks may take, as they count under it. */
 const healthCheckShare = 0.25;
 
-/** How often each origin is checked: less often where the ceiling leaves little room. */
+/** How often each endpoint is checked: less often where the rate limit leaves little room. */
 const checkIntervalMs = (state: ServiceLeader): number => {
   const rate = state.serviceConfiguration.perSecond;
   const { everyMs } = state.serviceConfiguration.probe;
@@ -14,28 +19,26 @@
     : Math.max(everyMs, (state.endpoints.size / (rate * healthCheckShare)) * 1000);
 };
 
-/** Sends the health checks that are due. */
-export const startDueHealthChecks = (
-  before: ServiceLeader,
-  now: Timestamp,
-): { readonly state: ServiceLeader; readonly effects: readonly ServiceLeaderEffect[] } => {
-  const every = checkIntervalMs(before);
+/** Sends the health checks that are due, as far as the rate limit allows. */
+export const startDueHealthChecks = (before: ServiceLeader, now: Timestamp): LeaderTransition => {
+  const intervalMs = checkIntervalMs(before);
   const effects: ServiceLeaderEffect[] = [];
   let state = before;
-  for (const bay of before.endpoints.values()) {
-    if (!bay.isLive || !hasToken(state) || now - (bay.lastCheckedAt ?? -Infinity) < every) continue;
+  for (const endpoint of before.endpoints.values()) {
+    const sinceLastMs = now - (endpoint.lastCheckedAt ?? -Infinity);
+    if (!endpoint.isLive || !hasToken(state) || sinceLastMs < intervalMs) continue;
     effects.push({
       kind: 'checkHealth',
       service: state.service,
-      instance: bay.instance,
-      address: bay.address,
+      instance: endpoint.instance,
+      address: endpoint.address,
       path: state.serviceConfiguration.probe.path,
     });
     state = {
       ...state,
       tokens: tokensAfterSend(state),
-      endpoints: withEntry(state.endpoints, bay.instance, { ...bay, lastCheckedAt: now }),
+      endpoints: withEntry(state.endpoints, endpoint.instance, { ...endpoint, lastCheckedAt: now }),
     };
   }
-  return { state, effects };
+  return transition(state, ...effects);
 };
--- a/packages/proxy-core/src/service-leader/rate-limit.ts
+++ b/packages/proxy-core/src/service-leader/rate-limit.ts
@@ -1,25 +1,30 @@
+/**
+ * The rate limit of a service: a token bucket that requests and health checks draw from. A service
+ * without a configured rate has no limit.
+ */
+
 import type { Timestamp } from '@switchwheel/types';
 import type { ServiceLeader } from './state.js';
 
-/** How far a burst may go beyond an even flow under the ceiling, in seconds of it. */
+/** The size of the bucket, in seconds of the configured rate. */
 const burstSeconds = 0.3;
 
-/** Lets time pass over the ceiling. */
+/** Adds the tokens for the time since the last call. */
 export const refillTokens = (state: ServiceLeader, now: Timestamp): ServiceLeader => {
   const rate = state.serviceConfiguration.perSecond;
   if (rate === undefined) return state;
-  const most = Math.max(1, rate * burstSeconds);
+  const bucketSize = Math.max(1, rate * burstSeconds);
   return {
     ...state,
-    tokens: Math.min(most, state.tokens + (rate * (now - state.refilledAt)) / 1000),
+    tokens: Math.min(bucketSize, state.tokens + (rate * (now - state.refilledAt)) / 1000),
     refilledAt: now,
   };
 };
 
-/** Whether the ceiling leaves room for one more send. */
+/** Whether the rate limit allows one more request or health check. */
 export const hasToken = (state: ServiceLeader): boolean =>
   state.serviceConfiguration.perSecond === undefined || state.tokens >= 1;
 
-/** What is left of the ceiling after one more send. */
+/** The tokens that are left after one more request or health check. */
 export const tokensAfterSend = (state: ServiceLeader): number =>
   state.serviceConfiguration.perSecond === undefined ? state.tokens : state.tokens - 1;
--- /dev/null
+++ b/packages/proxy-core/src/service-leader/request-arrival.ts
@@ -0,0 +1,76 @@
+/**
+ * A request that an edge forwarded: it is queued, or turned away at once if it can't be served in
+ * its time. What becomes of it after its attempts is in `attempt-result`.
+ */
+
+import { addMs, transition } from '@switchwheel/types';
+import { admitQueued, enqueue } from './admission.js';
+import { estimatedWaitMs, isWithoutEndpoints, minRetryMs } from './queue-wait.js';
+import { type Rejection, rejectRequest } from './reject-request.js';
+import type {
+  LeaderTransition,
+  PendingRequest,
+  ServiceLeader,
+  ServiceLeaderEvent,
+} from './state.js';
+
+type RequestArrived = Extract<ServiceLeaderEvent, { kind: 'requestArrived' }>;
+
+/** When a client may come back after it was turned away for want of any endpoint. */
+const noEndpointRetryMs = 500;
+
+const isKnown = (state: ServiceLeader, id: RequestArrived['id']): boolean =>
+  state.activeRequests.has(id) ||
+  [...state.queues.values()].some((queue) => queue.some((request) => request.id === id));
+
+/** Why a request is not queued, by the queue of its class and by its deadline. */
+const queueRejection = (state: ServiceLeader, event: RequestArrived): Rejection | undefined => {
+  const { now, className, remainingMs } = event;
+  const waitMs = estimatedWaitMs(state, className, now);
+  const retryMs = Math.max(minRetryMs, waitMs);
+  // Each class has a queue of its own: one that floods does not fill another's.
+  if ((state.queues.get(className)?.length ?? 0) >= state.serviceConfiguration.waitlist)
+    return { errorKind: 'rejected', text: 'the waitlist is full', retryMs };
+  if (waitMs + Math.min(state.latencyEwmaMs, remainingMs / 2) > remainingMs)
+    return { errorKind: 'rejected', text: 'the deadline can not be met', retryMs };
+  return undefined;
+};
+
+const toPendingRequest = (event: RequestArrived): PendingRequest => ({
+  id: event.id,
+  className: event.className,
+  isIdempotent: event.isIdempotent,
+  deadline: addMs(event.now, event.remainingMs),
+  attemptCount: event.hasEarlierAttempt ? 1 : 0,
+  triedInstances: new Set(),
+  mayHaveRun: event.mayHaveRun,
+});
+
+/** Queues a request and starts what may start, or turns it away. A request known already is ignored. */
+export const onRequestArrived = (state: ServiceLeader, event: RequestArrived): LeaderTransition => {
+  const { now, id } = event;
+  if (state.isClosing)
+    return transition(
+      state,
+      rejectRequest(id, {
+        errorKind: 'rejected',
+        text: 'the keeper is closing',
+        retryMs: 0,
+        leaderMoved: true,
+      }),
+    );
+  if (isKnown(state, id)) return transition(state);
+  const counted = { ...state, requestCount: state.requestCount + 1 };
+  if (isWithoutEndpoints(state, now))
+    return transition(
+      counted,
+      rejectRequest(id, {
+        errorKind: event.mayHaveRun ? 'lost' : 'rejected',
+        text: 'no origin for a while',
+        retryMs: noEndpointRetryMs,
+      }),
+    );
+  const rejection = queueRejection(state, event);
+  if (rejection !== undefined) return transition(state, rejectRequest(id, rejection));
+  return admitQueued(enqueue(counted, toPendingRequest(event)), now);
+};
--- a/packages/proxy-core/src/service-leader/service-leader.test.ts
+++ b/packages/proxy-core/src/service-leader/service-leader.test.ts
@@ -122,7 +122,7 @@
         kind: 'attemptEnded',
         now: this.now,
         attemptId: leg,
-        outcome: { kind: 'good', status: 200 },
+        outcome: { kind: 'succeeded', status: 200 },
         durationMs: 20,
       });
   }
--- a/packages/proxy-core/src/service-leader/state.ts
+++ b/packages/proxy-core/src/service-leader/state.ts
@@ -1,3 +1,7 @@
+/**
+ * The state of a service leader, the events that change it and the effects that it asks for.
+ */
+
 import type {
   RequestId,
   ClassName,
@@ -6,65 +10,76 @@
   Timestamp,
   Release,
   ServiceName,
+  Address,
+  Transition,
 } from '@switchwheel/types';
 import type { CanaryResult } from '@switchwheel/transport';
 import type { OriginTable } from '@switchwheel/membership';
 import type { ServiceClass, Service } from '@switchwheel/configuration';
-import type { Address } from '@switchwheel/types';
 import { type SlidingWindow, newSlidingWindow } from './sliding-window.js';
 
-/** How a leg to an origin ended. */
+/** The window over which the budget of extra attempts is counted, and its slots. */
+const budgetWindowMs = 10_000;
+const budgetSlotMs = 200;
+/** The response time that is assumed before there are any. */
+const initialLatencyMs = 30;
+
+/** How an attempt at an origin ended. */
 export type AttemptOutcome =
-  | { readonly kind: 'good'; readonly status: number }
-  /** The origin's whole result, but one that tells of a fault of its own. */
-  | { readonly kind: 'bad'; readonly status: number }
-  /** The origin said plainly that it did not run the request. */
-  | { readonly kind: 'unrun' }
-  /** Not a byte of the request was handed over. */
-  | { readonly kind: 'unopened'; readonly text: string }
-  /** Bytes went out, and no whole and trusted result came back. */
+  | { readonly kind: 'succeeded'; readonly status: number }
+  /** A complete response of the origin, with a status of 500 or above. */
+  | { readonly kind: 'originError'; readonly status: number }
+  /** The origin says that it did not run the request. */
+  | { readonly kind: 'notRun' }
+  /** No byte of the request was sent. */
+  | { readonly kind: 'notSent'; readonly text: string }
+  /** Bytes were sent, and no complete and trusted response came back. */
   | { readonly kind: 'lost'; readonly text: string }
-  | { readonly kind: 'slow' }
-  | { readonly kind: 'dropped' };
+  | { readonly kind: 'timedOut' }
+  /** The leader wanted no more of it. */
+  | { readonly kind: 'cancelled' };
 
-/** How fit an origin seems, from probes and from what became of legs. */
+/** The health of an endpoint, from health checks and from the outcomes of attempts. */
 export interface EndpointHealth {
   readonly consecutiveFailures: number;
-  /** Typical time of its results, in milliseconds. */
+  /** Moving average of its response times, in milliseconds. */
   readonly latencyEwmaMs: number;
   readonly latencySamples: number;
   readonly ejectedUntil: Timestamp;
+  /** How often it was ejected of late: each time it is ejected for longer. */
   readonly ejectionLevel: number;
   readonly healthCheck: 'unknown' | 'good' | 'bad';
 }
 
-/** An origin as its keeper sees it. */
+/** An instance of the service's origin as the leader sees it. */
 export interface Endpoint {
   readonly instance: InstanceId;
   readonly address: Address;
   readonly release: Release;
+  /** How many requests it takes at a time. */
   readonly slots: number;
   readonly activeAttempts: number;
-  /** The last leg that went there, so that bays take turns. */
+  /** The last attempt that went there, so that endpoints take turns. */
   readonly lastAttemptId: number;
   readonly lastCheckedAt: Timestamp | undefined;
+  /** Whether the registries list it as up. */
   readonly isLive: boolean;
   readonly health: EndpointHealth;
 }
 
-/** A request that waits for a slot, or runs. */
+/** A request that waits in a queue or has attempts under way. */
 export interface PendingRequest {
   readonly id: RequestId;
   readonly className: ClassName;
   readonly isIdempotent: boolean;
-  readonly arrivedAt: Timestamp;
   readonly deadline: Timestamp;
   readonly attemptCount: number;
   readonly triedInstances: ReadonlySet<InstanceId>;
-  /** Whether a leg of it may have run: then it is never told as refused. */
+  /** Whether an attempt may have run it: then it is never reported as rejected. */
   readonly mayHaveRun: boolean;
 }
 
+/** One try of a request at one endpoint. */
 export interface Attempt {
   readonly id: number;
   readonly requestId: RequestId;
@@ -73,72 +88,79 @@
   readonly startedAt: Timestamp;
 }
 
-/** What this keeper knows of a release that is on trial. */
+/** What the leader knows of a release that is, or was, a canary. */
 export interface Canary {
   readonly release: Release;
-  /** Requests that the stored count allows. */
+  /** How many requests are reserved for it in the store. */
   readonly reservedRequests: number;
   readonly usedRequests: number;
   readonly successes: number;
   readonly failures: number;
-  /** How far it went bad of late: it grows with bad answers and eases with good ones. */
+  /** How badly it did of late: failures raise it, successes lower it. */
   readonly failureScore: number;
-  /** The traffic since the trial began that earlier keepers told of, and where this keeper's own count stood then. */
+  /** The service's requests since the canary began, as earlier leaders reported them. */
   readonly priorTraffic: number;
+  /** This leader's count of requests when it took the canary on. */
   readonly requestCountAtStart: number;
   readonly startedAt: Timestamp;
   readonly reportedAt: Timestamp | undefined;
-  /** How many of its bad answers were told for keeping. */
+  /** How many of its failures were reported to the store. */
   readonly reportedFailures: number;
   readonly state: 'trial' | 'good' | 'bad';
+  /** Whether the store is known to have it. */
   readonly isStored: boolean;
 }
 
-/** The whole state of a keeper of one service. */
+/** The whole state of the leader of one service. */
 export interface ServiceLeader {
   readonly service: ServiceName;
   readonly epoch: Epoch;
   readonly startedAt: Timestamp;
-  /** How many keepers there may have been in the ten seconds before, this one among them. */
+  /** How many leaders there may have been in the ten seconds before it began, itself included. */
   readonly recentLeaderCount: number;
   readonly serviceConfiguration: Service;
+  /** The classes whose routes go to this service. */
   readonly classes: ReadonlyMap<ClassName, ServiceClass>;
   readonly endpoints: ReadonlyMap<InstanceId, Endpoint>;
+  /** Requests that wait for a slot, by class, in their order. */
   readonly queues: ReadonlyMap<ClassName, readonly PendingRequest[]>;
+  /** Requests with an attempt under way. */
   readonly activeRequests: ReadonlyMap<RequestId, PendingRequest>;
   readonly attempts: ReadonlyMap<number, Attempt>;
   readonly nextAttemptId: number;
-  /** Since when no origin at all may take a request. */
+  /** Since when no endpoint has been usable; undefined while one is. */
   readonly noEndpointSince: Timestamp | undefined;
-  /** Sends still allowed by the ceiling right now. */
+  /** The tokens of the rate limit. */
   readonly tokens: number;
   readonly refilledAt: Timestamp;
-  /** What each class that waits has had of the ceiling, for its share. */
+  /** What each waiting class has used of the rate limit, divided by its share. */
   readonly rateUsage: ReadonlyMap<ClassName, number>;
   readonly recentRequests: SlidingWindow;
   readonly recentExtraAttempts: SlidingWindow;
-  /** Requests since this keeper opened: what trial shares are taken of. */
+  /** Requests since this leader started: what the share of a canary is taken of. */
   readonly requestCount: number;
   readonly canaries: ReadonlyMap<Release, Canary>;
-  /** Typical time of a result of this service. */
+  /** Moving average of the response times of the service, in milliseconds. */
   readonly latencyEwmaMs: number;
+  /** The lease is over: no attempt starts any more. */
   readonly isClosing: boolean;
 }
 
+/** The state of a leader that has just acquired its lease. */
 export const newServiceLeader = (
   service: ServiceName,
   epoch: Epoch,
-  rules: Service,
-  groups: ReadonlyMap<ClassName, ServiceClass>,
+  serviceConfiguration: Service,
+  classes: ReadonlyMap<ClassName, ServiceClass>,
   now: Timestamp,
-  holdings = 1,
+  recentLeaderCount = 1,
 ): ServiceLeader => ({
   service,
   epoch,
   startedAt: now,
-  recentLeaderCount: holdings,
-  serviceConfiguration: rules,
-  classes: groups,
+  recentLeaderCount,
+  serviceConfiguration,
+  classes,
   endpoints: new Map(),
   queues: new Map(),
   activeRequests: new Map(),
@@ -148,14 +170,15 @@
   tokens: 0,
   refilledAt: now,
   rateUsage: new Map(),
-  recentRequests: newSlidingWindow(10_000, 200),
-  recentExtraAttempts: newSlidingWindow(10_000, 200),
+  recentRequests: newSlidingWindow(budgetWindowMs, budgetSlotMs),
+  recentExtraAttempts: newSlidingWindow(budgetWindowMs, budgetSlotMs),
   requestCount: 0,
   canaries: new Map(),
-  latencyEwmaMs: 30,
+  latencyEwmaMs: initialLatencyMs,
   isClosing: false,
 });
 
+/** What happens to a service leader; times are of the monotonic clock. */
 export type ServiceLeaderEvent =
   | {
       readonly kind: 'requestArrived';
@@ -167,7 +190,7 @@
       readonly hasEarlierAttempt: boolean;
       readonly remainingMs: number;
     }
-  /** A leg's result is on its way to the caller in parts: nothing else may take its place. */
+  /** An attempt's response goes to the client in parts: no other one may take its place. */
   | { readonly kind: 'streamingStarted'; readonly now: Timestamp; readonly attemptId: number }
   | {
       readonly kind: 'attemptEnded';
@@ -199,6 +222,17 @@
   | { readonly kind: 'tick'; readonly now: Timestamp }
   | { readonly kind: 'leadershipEnded'; readonly now: Timestamp };
 
+/** Turns a request away; see `Rejection` for the fields. */
+export interface RejectRequestEffect {
+  readonly kind: 'rejectRequest';
+  readonly requestId: RequestId;
+  readonly errorKind: 'rejected' | 'unknown' | 'slow' | 'lost';
+  readonly text: string;
+  readonly retryMs: number;
+  readonly leaderMoved: boolean;
+}
+
+/** What a service leader asks of the program around it. */
 export type ServiceLeaderEffect =
   | {
       readonly kind: 'startAttempt';
@@ -210,16 +244,9 @@
       readonly timeoutMs: number;
     }
   | { readonly kind: 'cancelAttempt'; readonly attemptId: number }
-  /** The leg's result is the one the caller gets. */
+  /** The attempt's response is the one for the client. */
   | { readonly kind: 'useResponse'; readonly attemptId: number; readonly requestId: RequestId }
-  | {
-      readonly kind: 'rejectRequest';
-      readonly requestId: RequestId;
-      readonly errorKind: 'rejected' | 'unknown' | 'slow' | 'lost';
-      readonly text: string;
-      readonly retryMs: number;
-      readonly leaderMoved: boolean;
-    }
+  | RejectRequestEffect
   | {
       readonly kind: 'reportCanary';
       readonly service: ServiceName;
@@ -238,3 +265,6 @@
       readonly path: string;
     }
   | { readonly kind: 'reportEjection'; readonly instance: InstanceId; readonly text: string };
+
+/** A leader's state after an event, and the effects that the event asks for. */
+export type LeaderTransition = Transition<ServiceLeader, ServiceLeaderEffect>;
--- a/packages/simulator/src/guard/list.ts
+++ b/packages/simulator/src/guard/list.ts
@@ -11,7 +11,6 @@
   readonly to: string;
 }
 
-const keeper = 'proxy-core/dist/service-leader/service-leader.js';
 const trial = 'proxy-core/dist/service-leader/canary.js';
 const forward = 'proxy-core/dist/forwarding/forwarding.js';
 const taking = 'proxy-core/dist/request-handler/response-verifier.js';
@@ -38,16 +37,16 @@
   {
     name: 'one leg for unsafe',
     rule: 'R1',
-    file: keeper,
-    from: "how.kind === 'unrun' || how.kind === 'unopened' || load.isIdempotent;",
+    file: 'proxy-core/dist/service-leader/attempt-result.js',
+    from: "outcome.kind === 'notRun' || outcome.kind === 'notSent' || request.isIdempotent;",
     to: 'true;',
   },
   {
     name: 'no hedge for unsafe',
     rule: 'R1',
-    file: keeper,
-    from: 'load === undefined || !load.isIdempotent || load.attemptCount >= 2',
-    to: 'load === undefined || load.attemptCount >= 2',
+    file: 'proxy-core/dist/service-leader/hedging.js',
+    from: 'request === undefined || !request.isIdempotent || request.attemptCount >= 2',
+    to: 'request === undefined || request.attemptCount >= 2',
   },
   {
     name: 'edges never re-ask an unsafe request',
@@ -227,15 +226,15 @@
   {
     name: 'no refusal of what may have run, at a keeper',
     rule: 'R2',
-    file: keeper,
-    from: "effects.push(!begun ? rejectRequest(leg.requestId, 'rejected', text, 500) :",
-    to: "effects.push(load !== undefined ? rejectRequest(leg.requestId, 'rejected', text, 500) : ",
+    file: 'proxy-core/dist/service-leader/attempt-result.js',
+    from: 'if (!request.mayHaveRun) return rejectRequest(request.id,',
+    to: 'if (true) return rejectRequest(request.id,',
   },
   {
     name: 'no refusal of what may have run, in a waitlist',
     rule: 'R2',
-    file: keeper,
-    from: "one.mayHaveRun ? rejectRequest(one.id, 'lost', 'no further leg in time', 0) :",
+    file: 'proxy-core/dist/service-leader/queue-wait.js',
+    from: "request.mayHaveRun ? rejectRequest(request.id, { errorKind: 'lost', text: 'no further leg in time', retryMs: 0, }) : ",
     to: '',
   },
   {
@@ -290,8 +289,8 @@
   {
     name: 'the other legs of a stream are cut',
     rule: 'R3',
-    file: keeper,
-    from: ".filter((one) => one.id !== id) .map((one) => ({ kind: 'cancelAttempt', attemptId: one.id }))",
+    file: 'proxy-core/dist/service-leader/attempt-result.js',
+    from: '.filter((attempt) => attempt.id !== attemptId).map(cancelAttempt)',
     to: '.filter(() => false)',
   },
   {
@@ -381,14 +380,14 @@
   {
     name: 'the budget of extra legs',
     rule: 'R8',
-    file: keeper,
+    file: 'proxy-core/dist/service-leader/extra-attempt-budget.js',
     from: 'return (windowSum(state.recentExtraAttempts, now) + 1 <= base + extraAttemptShare * windowSum(state.recentRequests, now));',
     to: 'return true;',
   },
   {
     name: 'a new keeper begins with a small budget',
     rule: 'R8',
-    file: keeper,
+    file: 'proxy-core/dist/service-leader/extra-attempt-budget.js',
     from: 'now - state.startedAt < extraAttemptWindowMs ? Math.floor(newLeaderExtraBase / 2 ** (state.recentLeaderCount - 1)) : extraAttemptBase',
     to: 'now - state.startedAt < extraAttemptWindowMs ? newLeaderExtraBase : extraAttemptBase',
   },
@@ -417,21 +416,21 @@
     name: 'the share of a trial',
     rule: 'R10',
     file: trial,
-    from: "trial.state === 'good' || trial.usedRequests < allowance(state, trial)",
+    from: "canary.state === 'good' || canary.usedRequests < allowance(state, canary)",
     to: 'true',
   },
   {
     name: 'a trial is reserved before it is used',
     rule: 'R10',
     file: trial,
-    from: 'Math.min(trial.reservedRequests, Math.floor(trafficBudget(state, trial)))',
-    to: 'Math.floor(trafficBudget(state, trial))',
+    from: 'Math.min(canary.reservedRequests, Math.floor(trafficBudget(state, canary)))',
+    to: 'Math.floor(trafficBudget(state, canary))',
   },
   {
     name: 'a bad release is judged',
     rule: 'R10',
     file: trial,
-    from: 'trial.failures >= maxCanaryFailures || (trial.failures >= 8 && trial.failures > 0.2 * (trial.successes + trial.failures))',
+    from: 'canary.failures >= maxCanaryFailures || (canary.failures >= minJudgedFailures && canary.failures > maxCanaryFailureShare * (canary.successes + canary.failures))',
     to: 'false',
   },
   {
