--- a/packages/proxy-core/src/cache/cache-lookup.ts
+++ b/packages/proxy-core/src/cache/cache-lookup.ts
@@ -2,7 +2,7 @@
 import { toTimestamp } from '@switchwheel/types';
 import type { ForwardedRequest, HeaderFields } from '@switchwheel/transport';
 import type { CompiledConfiguration, CompiledRoute } from '@switchwheel/configuration';
-import { mayServeFromCache } from '../node-agent/node-agent.js';
+import { mayServeFromCache } from '../node-agent/readiness.js';
 import type { NodeAgent } from '../node-agent/state.js';
 import { type Cache, type CacheKey, type CacheEntry, bodyDigest } from './cache.js';
 import { cacheControl, fieldValue, freshnessLifetimeMs, cacheTags } from './header-fields.js';
--- a/packages/proxy-core/src/forwarding/state.ts
+++ b/packages/proxy-core/src/forwarding/state.ts
@@ -1,3 +1,8 @@
+/**
+ * The state of an edge's forwarding: the requests that it has taken on and their way to the leaders
+ * of their services, with the events that change it and the effects that it asks for.
+ */
+
 import type {
   Address,
   RequestId,
@@ -7,13 +12,22 @@
   Generation,
   ErrorKind,
   Timestamp,
+  Transition,
   RouteName,
   Seq,
   ServiceName,
 } from '@switchwheel/types';
 import type { ForwardedRequest, HeaderFields, FrameOf, LeaseHolder } from '@switchwheel/transport';
 
-/** A request that an edge has taken on, without its body. */
+/** How far a request is on its way. */
+export type ForwardPhase =
+  /** No leader is known that would take it. */
+  | { readonly phase: 'waiting'; readonly since: Timestamp }
+  | { readonly phase: 'sent'; readonly leader: Address; readonly epoch: Epoch }
+  /** The head of a response has come in. */
+  | { readonly phase: 'responding'; readonly leader: Address };
+
+/** A request that an edge has taken on, without its body, which the request handler keeps. */
 export interface PendingForward {
   readonly id: RequestId;
   readonly service: ServiceName;
@@ -27,39 +41,48 @@
   readonly isIdempotent: boolean;
   readonly isCacheable: boolean;
   readonly deadline: Timestamp;
+  /** A cache must have applied the purges up to this one to respond. */
   readonly requiredPurgeSeq: Seq;
-  readonly phase:
-    | { readonly stage: 'waiting'; readonly since: Timestamp }
-    | { readonly stage: 'asked'; readonly keeper: Address; readonly epoch: Epoch }
-    /** The first byte of a result is with the caller's side. */
-    | { readonly stage: 'answering'; readonly keeper: Address };
+  readonly phase: ForwardPhase;
+  /** Whether an attempt may have run it: then it is never reported as rejected. */
   readonly mayHaveRun: boolean;
-  /** Whether a keeper said that a leg of it began. */
+  /** Whether a leader reported that an attempt started. */
   readonly attemptStarted: boolean;
 }
 
+/** A request as the request handler hands it over. */
+export type NewForward = Omit<PendingForward, 'phase' | 'mayHaveRun' | 'attemptStarted'>;
+
+/** Since when no request of a service has found a leader, and when the last one tried. */
+export interface LeaderAbsence {
+  readonly since: Timestamp;
+  readonly lastTriedAt: Timestamp;
+}
+
+/** The whole state of an edge's forwarding. */
 export interface Forwarding {
   readonly requests: ReadonlyMap<RequestId, PendingForward>;
   readonly leaseHolders: ReadonlyMap<LeaseName, LeaseHolder>;
-  /** Since when no request of a service found a keeper, and when one last tried. */
-  readonly leaderless: ReadonlyMap<
-    ServiceName,
-    { readonly since: Timestamp; readonly tried: Timestamp }
-  >;
+  /** The services of which no leader is known. */
+  readonly leaderless: ReadonlyMap<ServiceName, LeaderAbsence>;
 }
+
+/** Nothing is forwarded, and no leader is known. */
 export const initialForwarding: Forwarding = {
   requests: new Map(),
   leaseHolders: new Map(),
   leaderless: new Map(),
 };
-/** The most requests one edge has under way. */
+
+/** The most requests that one edge has under way; one class may have half of them. */
 export const maxForwardedRequests = 2048;
 
+/** What happens to the forwarded requests of an edge; times are of the monotonic clock. */
 export type ForwardingEvent =
   | {
       readonly kind: 'requestAccepted';
       readonly now: Timestamp;
-      readonly request: Omit<PendingForward, 'phase' | 'mayHaveRun' | 'attemptStarted'>;
+      readonly request: NewForward;
     }
   | {
       readonly kind: 'leaseHoldersChanged';
@@ -85,7 +108,7 @@
       readonly id: RequestId;
     }
   | { readonly kind: 'responseCompleted'; readonly now: Timestamp; readonly id: RequestId }
-  /** A channel to a keeper ended; `unsent` names asks of which no byte left. */
+  /** A channel to a leader closed; of the requests in `unsentIds` no byte was sent. */
   | {
       readonly kind: 'channelLost';
       readonly now: Timestamp;
@@ -98,12 +121,13 @@
       readonly id: RequestId;
       readonly text: string;
     }
-  /** This node is out of touch: it gives up what waits. */
+  /** This node lost touch with the registries: it gives up what waits for a leader. */
   | { readonly kind: 'nodeDisconnected'; readonly now: Timestamp }
   | { readonly kind: 'tick'; readonly now: Timestamp };
 
+/** What the forwarding asks of the request handler. */
 export type ForwardingEffect =
-  /** The shell adds the body and hands it over. */
+  /** The request handler adds the body. */
   | {
       readonly kind: 'sendRequest';
       readonly to: Address;
@@ -123,3 +147,6 @@
       readonly text: string;
       readonly retryMs: number;
     };
+
+/** The state after an event, and the effects that the event asks for. */
+export type ForwardingTransition = Transition<Forwarding, ForwardingEffect>;
--- a/packages/proxy-core/src/index.ts
+++ b/packages/proxy-core/src/index.ts
@@ -1,7 +1,15 @@
+/**
+ * The deciding parts of a proxy: the node agent (control side of any node), the HTTP cache, an
+ * edge's forwarding, a shield's service leaders, and the request handlers that stand on them.
+ * Sockets, timers and HTTP are left to the program in `packages/proxy`.
+ */
+
 export * from './node-agent/state.js';
 export * from './node-agent/node-agent.js';
+export * from './node-agent/readiness.js';
 export * from './node-agent/config-freshness.js';
-export { leadershipOrder } from './node-agent/leader-candidacy.js';
+export * from './node-agent/configuration-staleness.js';
+export { leadershipOrder } from './node-agent/leadership-order.js';
 export * from './service-leader/state.js';
 export * from './service-leader/service-leader.js';
 export { hasExtraAttemptBudget } from './service-leader/extra-attempt-budget.js';
--- a/packages/proxy-core/src/node-agent/config-freshness.ts
+++ b/packages/proxy-core/src/node-agent/config-freshness.ts
@@ -1,7 +1,8 @@
 /**
- * What a node knows of the newest confirmed description, and what it may still answer while it runs an older one.
- * Both fences count from a fresh word of the primary: a node that hears no registry serves on by what it has.
+ * How fresh a node's knowledge of the newest confirmed configuration is. All times count from when
+ * the primary confirmed it to a registry: a node that hears no registry serves on by what it has.
  */
+
 import {
   type Generation,
   type Timestamp,
@@ -11,96 +12,72 @@
   toTimestamp,
 } from '@switchwheel/types';
 import type { FrameOf } from '@switchwheel/transport';
-import type { NodeAgent } from './state.js';
 
-/** How long a node may take its description for the newest without a fresh word of the primary. */
-const freshnessLeaseMs = 2000;
-/** How many generations that are not in force here yet are remembered with their times. */
+/** How many generations that are not adopted yet are remembered with their times. */
 const maxPendingGenerations = 64;
-/** How fresh the word of the primary must be for a replaced description to count as overdue: while a new primary is elected nobody can fetch one. */
-const primaryContactMs = 1000;
-/** Which part of the span for coming into force a node may go on with a replaced description. */
-const overdueFraction = 0.9;
 
-/** The newest confirmed generation that a node heard of, and as of when it is the newest. */
+/** A confirmed generation, and when the core first knew of it. */
+export interface PendingGeneration {
+  readonly generation: Generation;
+  readonly at: Timestamp;
+}
+
+/** The newest confirmed generation that a node knows of, and as of when it is the newest. */
 export interface ConfigFreshness {
   readonly newestGeneration: Generation;
+  /** The primary's confirmation, by this node's clock; undefined before the first one. */
   readonly confirmedAsOf: Timestamp | undefined;
-  /** When the core first heard of each generation above the one that runs here, the lowest first. */
-  readonly pendingGenerations: readonly {
-    readonly generation: Generation;
-    readonly at: Timestamp;
-  }[];
+  /** The generations above the one that runs here, the lowest first. */
+  readonly pendingGenerations: readonly PendingGeneration[];
 }
 
+/** The freshness of a node that has heard nothing. */
 export const initialConfigFreshness: ConfigFreshness = {
   newestGeneration: noGeneration,
   confirmedAsOf: undefined,
   pendingGenerations: [],
 };
 
-/** Takes in what a registry with a fresh word of the primary tells. */
+/** Takes in what a registry replied, if it has fresh contact with the primary. */
 export const updateConfigFreshness = (
   known: ConfigFreshness,
-  word: FrameOf<'heartbeat-reply'>,
+  reply: FrameOf<'heartbeat-reply'>,
   running: Generation,
   now: Timestamp,
 ): ConfigFreshness => {
-  if (word.age === undefined) return known;
-  const isNews = word.newest > known.newestGeneration;
-  const generation = isNews ? word.newest : known.newestGeneration;
-  const added =
-    isNews && generation > running && known.pendingGenerations.length < maxPendingGenerations
-      ? [...known.pendingGenerations, { generation, at: subtractMs(now, word.newestAge) }]
-      : known.pendingGenerations;
-  const learned = { ...known, newestGeneration: generation, pendingGenerations: added };
-  // A registry that is behind renews nothing, and neither does a push.
-  if (word.newest < known.newestGeneration || word.at === clockOrigin) return learned;
-  return {
-    ...learned,
-    confirmedAsOf: toTimestamp(Math.max(word.at - word.age, known.confirmedAsOf ?? clockOrigin)),
+  if (reply.age === undefined) return known;
+  const isNewer = reply.newest > known.newestGeneration;
+  const newestGeneration = isNewer ? reply.newest : known.newestGeneration;
+  const isPending =
+    isNewer &&
+    newestGeneration > running &&
+    known.pendingGenerations.length < maxPendingGenerations;
+  const pending = { generation: newestGeneration, at: subtractMs(now, reply.newestAge) };
+  const updated: ConfigFreshness = {
+    ...known,
+    newestGeneration,
+    pendingGenerations: isPending
+      ? [...known.pendingGenerations, pending]
+      : known.pendingGenerations,
   };
+  // A registry that is behind confirms nothing, and neither does a reply that no heartbeat asked for.
+  if (reply.newest < known.newestGeneration || reply.at === clockOrigin) return updated;
+  const confirmedAsOf = Math.max(reply.at - reply.age, known.confirmedAsOf ?? clockOrigin);
+  return { ...updated, confirmedAsOf: toTimestamp(confirmedAsOf) };
 };
 
-/** Lets go of what has come into force. */
+/** Forgets the pending generations that the adopted one settles. */
 export const dropAppliedGenerations = (
   known: ConfigFreshness,
   running: Generation,
 ): ConfigFreshness => ({
   ...known,
-  pendingGenerations: known.pendingGenerations.filter((one) => one.generation > running),
+  pendingGenerations: known.pendingGenerations.filter(({ generation }) => generation > running),
 });
 
-/** Whether a registry with a word of the primary that is no older than the limit was heard. */
-const hasFreshConfirmation = (
-  { configFreshness }: NodeAgent,
+/** Whether the primary confirmed the newest generation less than so many milliseconds ago. */
+export const isConfirmedWithin = (
+  { confirmedAsOf }: ConfigFreshness,
   now: Timestamp,
-  limit: number,
-): boolean =>
-  configFreshness.confirmedAsOf !== undefined && now - configFreshness.confirmedAsOf < limit;
-
-/**
- * Whether this node may say that there is no route: only if its description is known to be the
- * newest one. Started on what disks told, or out of touch, it can't know.
- */
-export const knowsAllRoutes = (state: NodeAgent, now: Timestamp): boolean =>
-  state.compiledConfiguration !== undefined &&
-  state.compiledConfiguration.generation >= state.configFreshness.newestGeneration &&
-  hasFreshConfirmation(state, now, freshnessLeaseMs);
-
-/**
- * Whether a newer description should have been in force here by now: this node then answers nothing by the one that it
- * runs, for a request that is handled by it might be one that only the older description allows.
- */
-export const isConfigurationOverdue = (
-  state: NodeAgent,
-  now: Timestamp,
-  applyMs: number,
-): boolean => {
-  const [first] = state.configFreshness.pendingGenerations;
-  return (
-    first !== undefined &&
-    now - first.at >= overdueFraction * applyMs &&
-    hasFreshConfirmation(state, now, primaryContactMs)
-  );
-};
+  limitMs: number,
+): boolean => confirmedAsOf !== undefined && now - confirmedAsOf < limitMs;
--- /dev/null
+++ b/packages/proxy-core/src/node-agent/heartbeat-reply.ts
@@ -0,0 +1,103 @@
+/**
+ * What a node learns from the replies to its heartbeats: members, purges, rollout states, canary
+ * results, vacant leases, and the configuration that it should run.
+ */
+
+import {
+  type Timestamp,
+  noGeneration,
+  prependEffects,
+  toTimestamp,
+  transition,
+} from '@switchwheel/types';
+import type { FrameOf, Peer, RolloutState } from '@switchwheel/transport';
+import { applyHeartbeatReply } from '@switchwheel/membership';
+import { updateConfigFreshness } from './config-freshness.js';
+import { onOffer } from './config-update.js';
+import type { AgentTransition, NodeAgent } from './state.js';
+import { applyVacantLeases } from './vacant-leases.js';
+
+type HeartbeatReply = FrameOf<'heartbeat-reply'>;
+
+/** Applies the purges that follow the last one; where some are lost, the whole cache is flushed. */
+const applyPurges = (state: NodeAgent, { top, floor, purges }: HeartbeatReply): AgentTransition => {
+  if (top <= state.lastPurgeSeq) return transition(state);
+  const fresh = purges
+    .filter((purge) => purge.seq > state.lastPurgeSeq)
+    .sort((one, two) => one.seq - two.seq);
+  const isComplete =
+    fresh[0]?.seq === state.lastPurgeSeq + 1 && fresh.length === top - state.lastPurgeSeq;
+  const next = { ...state, lastPurgeSeq: top };
+  if (isComplete)
+    return transition(next, { kind: 'purgeCache', purges: fresh, flush: false, lastPurgeSeq: top });
+  const areSomeLost = state.lastPurgeSeq + 1 < floor;
+  if (areSomeLost || state.lastPurgeSeq === 0)
+    return transition(next, { kind: 'purgeCache', purges: [], flush: true, lastPurgeSeq: top });
+  return transition(state);
+};
+
+/** Only the newest state of each service counts, whichever registry it comes from. */
+const mergeReleaseStates = (
+  known: NodeAgent['releaseStates'],
+  received: readonly RolloutState[],
+): NodeAgent['releaseStates'] => {
+  const fresh = received.filter(
+    (rollout) => rollout.serial >= (known.get(rollout.service)?.serial ?? 0),
+  );
+  return fresh.length === 0
+    ? known
+    : new Map([...known, ...fresh.map((rollout) => [rollout.service, rollout] as const)]);
+};
+
+/** Notes as of when all purges are applied here: only this node's own registry can say that. */
+const notePurgesCurrent = (
+  state: NodeAgent,
+  reply: HeartbeatReply,
+  isOwnRegistry: boolean,
+): NodeAgent => {
+  if (reply.age === undefined || reply.at <= 0 || state.lastPurgeSeq < reply.top || !isOwnRegistry)
+    return state;
+  const asOf = toTimestamp(reply.at - reply.age);
+  return state.purgesCurrentAsOf === undefined || asOf > state.purgesCurrentAsOf
+    ? { ...state, purgesCurrentAsOf: asOf }
+    : state;
+};
+
+const applyReply = (
+  state: NodeAgent,
+  from: Peer,
+  reply: HeartbeatReply,
+  now: Timestamp,
+): NodeAgent => {
+  const nodeSession = applyHeartbeatReply(state.nodeSession, from, reply, now);
+  // Without an age the registry has no fresh contact with the primary.
+  const isFromPrimary = reply.age !== undefined;
+  return {
+    ...applyVacantLeases({ ...state, nodeSession }, reply, now),
+    canaryResults: isFromPrimary ? reply.verdicts : state.canaryResults,
+    configFreshness: updateConfigFreshness(
+      state.configFreshness,
+      reply,
+      state.compiledConfiguration?.generation ?? noGeneration,
+      now,
+    ),
+    releaseStates: mergeReleaseStates(state.releaseStates, reply.releases),
+    releaseStatesAt: isFromPrimary ? now : state.releaseStatesAt,
+  };
+};
+
+/** Takes in the reply to a heartbeat. */
+export const onHeartbeatReply = (
+  before: NodeAgent,
+  from: Peer,
+  reply: HeartbeatReply,
+  now: Timestamp,
+): AgentTransition => {
+  const purged = applyPurges(applyReply(before, from, reply, now), reply);
+  const isOwnRegistry = before.nodeSession.registryLink?.address === from.address;
+  const state = notePurgesCurrent(purged.state, reply, isOwnRegistry);
+  return prependEffects(
+    purged.effects,
+    reply.offer === undefined ? transition(state) : onOffer(state, reply.offer, now),
+  );
+};
--- a/packages/proxy-core/src/proxy/proxy.ts
+++ b/packages/proxy-core/src/proxy/proxy.ts
@@ -1,174 +1,53 @@
-import {
-  type Timestamp,
-  type ServiceName,
-  type Transition,
-  withoutEntry,
-  prependEffects,
-  serviceLeaseOf,
-  primaryLease,
-  withEntry,
-  clockOrigin,
-  transition,
-} from '@switchwheel/types';
-import { type FrameOf, log, send } from '@switchwheel/transport';
-import { heldEpoch, holdsLease } from '@switchwheel/election';
+/**
+ * The reducer of a proxy process. It routes events to the node agent, to the service leaders and to
+ * the forwarding, and hands what the node agent learned to the other two.
+ */
+
+import { type Timestamp, clockOrigin, transition } from '@switchwheel/types';
+import { heldEpoch } from '@switchwheel/election';
 import { isLiveOrigin } from '@switchwheel/membership';
-import { nodeAgentTransition, acceptsRequests } from '../node-agent/node-agent.js';
-import type { NodeAgentEffect } from '../node-agent/state.js';
 import { forwardingTransition } from '../forwarding/forwarding.js';
 import type { ForwardingEvent } from '../forwarding/state.js';
-import { isIdle, serviceLeaderTransition } from '../service-leader/service-leader.js';
+import { acceptsRequests } from '../node-agent/readiness.js';
+import { nodeAgentTransition } from '../node-agent/node-agent.js';
+import type { NodeAgent, NodeAgentEffect, NodeAgentEvent } from '../node-agent/state.js';
+import { andThen } from './and-then.js';
+import { recordEpochs } from './epoch-history.js';
 import {
-  type ServiceLeader,
-  type ServiceLeaderEffect,
-  type ServiceLeaderEvent,
-  newServiceLeader,
-} from '../service-leader/state.js';
-import { recentHolderCount, recordEpochs } from './epoch-history.js';
-import type { ProxyState, ProxyEffect, ProxyEvent } from './state.js';
+  closeExpiredLeaders,
+  dispatchToActiveLeaders,
+  dispatchToLeader,
+  openLeader,
+} from './leaders.js';
+import type { ProxyEffect, ProxyEvent, ProxyState, ProxyTransition } from './state.js';
 
-type ProxyTransition = Transition<ProxyState, ProxyEffect>;
-const andThen = (
-  first: ProxyTransition,
-  next: (state: ProxyState) => ProxyTransition,
-): ProxyTransition => prependEffects(first.effects, next(first.state));
+type EventOf<K extends ProxyEvent['kind']> = Extract<ProxyEvent, { kind: K }>;
 
-const toProxyEffects = (
-  state: ProxyState,
-  name: string,
-  effect: ServiceLeaderEffect,
-): readonly ProxyEffect[] => {
-  if (effect.kind === 'reportEjection')
-    return [
-      log(
-        'warn',
-        'an origin is passed over for a while',
-        ['instance', effect.instance],
-        ['why', effect.text],
-      ),
-    ];
-  if (effect.kind === 'checkHealth') return [effect];
-  if (effect.kind !== 'reportCanary') return [{ ...effect, leader: name }];
-  const store = state.nodeAgent.nodeSession.holders.get(primaryLease);
-  if (store === undefined) return [];
-  const {
-    service,
-    release,
-    reservedRequests,
-    failures,
-    successes,
-    traffic,
-    state: verdict,
-  } = effect;
-  const word: FrameOf<'trial'> = {
-    kind: 'trial',
-    service,
-    release,
-    spent: reservedRequests,
-    bad: failures,
-    good: successes,
-    seen: traffic,
-    state: verdict,
-    at: state.nodeAgent.nodeSession.heartbeatSentAt,
-    node: state.nodeAgent.nodeSession.member.node,
-  };
-  return [
-    send(store.address, word),
-    ...(verdict === 'bad'
-      ? [
-          log(
-            'error',
-            'a release is judged bad',
-            ['service', service],
-            ['release', release],
-            ['bad', failures],
-          ),
-        ]
-      : []),
-  ];
-};
+/** A process that took no event for so long was suspended or stalled. */
+const stallThresholdMs = 1500;
 
-const dispatchToLeader = (
+const onConfigurationAdopted = (
   state: ProxyState,
-  name: string,
-  event: ServiceLeaderEvent,
+  effect: Extract<NodeAgentEffect, { kind: 'adoptConfiguration' }>,
+  now: Timestamp,
 ): ProxyTransition => {
-  const keeper = state.leaders.get(name);
-  if (keeper === undefined) return transition(state);
-  const done = serviceLeaderTransition(keeper, event);
-  const keepers =
-    done.state.isClosing && isIdle(done.state)
-      ? withoutEntry(state.leaders, name)
-      : withEntry(state.leaders, name, done.state);
-  const next = { ...state, leaders: keepers };
-  return transition(next, ...done.effects.flatMap((one) => toProxyEffects(next, name, one)));
-};
-
-/** Closes a keeper whose lease is over before anything else is acted on: a process that slept acts on nothing stale. */
-const closeExpiredLeaders = (state: ProxyState, now: Timestamp): ProxyTransition => {
-  let next: ProxyTransition = transition(state);
-  for (const [service, name] of state.activeLeaders) {
-    const candidate = state.nodeAgent.candidates.get(service);
-    const keeper = state.leaders.get(name);
-    if (
-      candidate !== undefined &&
-      keeper !== undefined &&
-      holdsLease(candidate, now) &&
-      heldEpoch(candidate) === keeper.epoch
-    )
-      continue;
-    next = andThen(next, (one) =>
-      dispatchToLeader({ ...one, activeLeaders: withoutEntry(one.activeLeaders, service) }, name, {
-        kind: 'leadershipEnded',
+  const { services, classesByService } = effect.compiledConfiguration;
+  let next: ProxyTransition = transition(state, effect);
+  for (const [service, key] of state.activeLeaders) {
+    const serviceConfiguration = services.get(service);
+    if (serviceConfiguration === undefined) continue;
+    next = andThen(next, (current) =>
+      dispatchToLeader(current, key, {
+        kind: 'configurationChanged',
         now,
+        serviceConfiguration,
+        classes: classesByService.get(service) ?? new Map(),
       }),
     );
   }
   return next;
 };
 
-const openLeader = (
-  state: ProxyState,
-  service: ServiceName,
-  epoch: ServiceLeader['epoch'],
-  now: Timestamp,
-): ProxyTransition => {
-  const rules = state.nodeAgent.compiledConfiguration?.services.get(service);
-  if (rules === undefined || state.nodeAgent.compiledConfiguration === undefined)
-    return transition(state);
-  const name = `${service}#${epoch}`;
-  const holdings = recentHolderCount(state.epochHistory, serviceLeaseOf(service), epoch, now);
-  const keeper = newServiceLeader(
-    service,
-    epoch,
-    rules,
-    state.nodeAgent.compiledConfiguration.classesByService.get(service) ?? new Map(),
-    now,
-    holdings,
-  );
-  const opened: ProxyState = {
-    ...state,
-    leaders: withEntry(state.leaders, name, keeper),
-    activeLeaders: withEntry(state.activeLeaders, service, name),
-  };
-  const taught = andThen(
-    transition(opened, log('info', 'keeps a service', ['service', service], ['epoch', epoch])),
-    (one) =>
-      dispatchToLeader(one, name, {
-        kind: 'canaryResultsUpdated',
-        now,
-        canaryResults: one.nodeAgent.canaryResults,
-      }),
-  );
-  return andThen(taught, (one) =>
-    dispatchToLeader(one, name, {
-      kind: 'originsUpdated',
-      now,
-      origins: one.nodeAgent.nodeSession.origins,
-    }),
-  );
-};
-
 const onNodeAgentEffect = (
   state: ProxyState,
   effect: NodeAgentEffect,
@@ -179,129 +58,106 @@
       return openLeader(state, effect.service, heldEpoch(effect.candidate), now);
     case 'stopLeading':
       return closeExpiredLeaders(state, now);
-    case 'adoptConfiguration': {
-      let next: ProxyTransition = transition(state, effect);
-      for (const [service, name] of state.activeLeaders) {
-        const rules = effect.compiledConfiguration.services.get(service);
-        if (rules !== undefined)
-          next = andThen(next, (one) =>
-            dispatchToLeader(one, name, {
-              kind: 'configurationChanged',
-              now,
-              serviceConfiguration: rules,
-              classes: effect.compiledConfiguration.classesByService.get(service) ?? new Map(),
-            }),
-          );
-      }
-      return next;
-    }
+    case 'adoptConfiguration':
+      return onConfigurationAdopted(state, effect, now);
     default:
       return transition(state, effect);
   }
 };
 
 const dispatchToForwarding = (state: ProxyState, event: ForwardingEvent): ProxyTransition => {
-  const done = forwardingTransition(state.forwarding, event);
-  return transition({ ...state, forwarding: done.state }, ...done.effects);
+  const result = forwardingTransition(state.forwarding, event);
+  return transition({ ...state, forwarding: result.state }, ...result.effects);
 };
 
-/** What the control side learned goes to where it is used. */
+const propagateLeaseHolders = (state: ProxyState, now: Timestamp): ProxyTransition => {
+  const leaseHolders = state.nodeAgent.nodeSession.holders;
+  const epochHistory = recordEpochs(state.epochHistory, leaseHolders, now);
+  return dispatchToForwarding(
+    { ...state, epochHistory },
+    { kind: 'leaseHoldersChanged', now, leaseHolders },
+  );
+};
+
+const propagateOrigins = (state: ProxyState, now: Timestamp): ProxyTransition => {
+  const { origins } = state.nodeAgent.nodeSession;
+  const liveInstances = new Set(
+    [...origins.values()]
+      .filter((origin) => isLiveOrigin(origin, now))
+      .map((origin) => origin.instance),
+  );
+  const updated = dispatchToActiveLeaders(state, { kind: 'originsUpdated', now, origins });
+  return andThen(updated, (current) =>
+    transition<ProxyState, ProxyEffect>(current, { kind: 'setLiveOrigins', liveInstances }),
+  );
+};
+
+/** Hands what changed in the node agent to the leaders and to the forwarding. */
 const propagateChanges = (
-  before: ProxyState,
+  before: NodeAgent,
   state: ProxyState,
   now: Timestamp,
 ): ProxyTransition => {
+  const { nodeSession, canaryResults } = state.nodeAgent;
   let next: ProxyTransition = transition(state);
-  const was = before.nodeAgent;
-  const is = state.nodeAgent;
-  if (was.nodeSession.holders !== is.nodeSession.holders) {
-    const heights = recordEpochs(state.epochHistory, is.nodeSession.holders, now);
-    next = andThen(transition({ ...state, epochHistory: heights }), (one) =>
-      dispatchToForwarding(one, {
-        kind: 'leaseHoldersChanged',
-        now,
-        leaseHolders: is.nodeSession.holders,
-      }),
+  if (before.nodeSession.holders !== nodeSession.holders)
+    next = andThen(next, (current) => propagateLeaseHolders(current, now));
+  if (before.nodeSession.origins !== nodeSession.origins)
+    next = andThen(next, (current) => propagateOrigins(current, now));
+  if (before.canaryResults !== canaryResults)
+    next = andThen(next, (current) =>
+      dispatchToActiveLeaders(current, { kind: 'canaryResultsUpdated', now, canaryResults }),
     );
-  }
-  if (was.nodeSession.origins !== is.nodeSession.origins) {
-    for (const name of state.activeLeaders.values())
-      next = andThen(next, (one) =>
-        dispatchToLeader(one, name, {
-          kind: 'originsUpdated',
-          now,
-          origins: is.nodeSession.origins,
-        }),
-      );
-    const up = new Set(
-      [...is.nodeSession.origins.values()]
-        .filter((one) => isLiveOrigin(one, now))
-        .map((one) => one.instance),
-    );
-    next = andThen(next, (one) => transition(one, { kind: 'setLiveOrigins', liveInstances: up }));
-  }
-  if (was.canaryResults !== is.canaryResults) {
-    for (const name of state.activeLeaders.values())
-      next = andThen(next, (one) =>
-        dispatchToLeader(one, name, {
-          kind: 'canaryResultsUpdated',
-          now,
-          canaryResults: is.canaryResults,
-        }),
-      );
-  }
   return next;
 };
 
-const dispatchToNodeAgent = (
-  state: ProxyState,
-  event: Parameters<typeof nodeAgentTransition>[1],
-): ProxyTransition => {
-  const done = nodeAgentTransition(state.nodeAgent, event);
-  let next: ProxyTransition = transition({ ...state, nodeAgent: done.state });
-  for (const effect of done.effects)
-    next = andThen(next, (one) => onNodeAgentEffect(one, effect, event.now));
-  return andThen(next, (one) => propagateChanges(state, one, event.now));
+const dispatchToNodeAgent = (state: ProxyState, event: NodeAgentEvent): ProxyTransition => {
+  const result = nodeAgentTransition(state.nodeAgent, event);
+  let next: ProxyTransition = transition({ ...state, nodeAgent: result.state });
+  for (const effect of result.effects)
+    next = andThen(next, (current) => onNodeAgentEffect(current, effect, event.now));
+  return andThen(next, (current) => propagateChanges(state.nodeAgent, current, event.now));
 };
 
 const onTick = (state: ProxyState, now: Timestamp): ProxyTransition => {
   let next = dispatchToNodeAgent(state, { kind: 'tick', now });
-  for (const [name, keeper] of next.state.leaders) {
-    if (!keeper.isClosing)
-      next = andThen(next, (one) =>
-        dispatchToLeader(one, name, {
+  for (const [key, leader] of next.state.leaders) {
+    // Whether an origin is live also hangs on the time.
+    if (!leader.isClosing)
+      next = andThen(next, (current) =>
+        dispatchToLeader(current, key, {
           kind: 'originsUpdated',
           now,
-          origins: one.nodeAgent.nodeSession.origins,
+          origins: current.nodeAgent.nodeSession.origins,
         }),
       );
-    next = andThen(next, (one) => dispatchToLeader(one, name, { kind: 'tick', now }));
+    next = andThen(next, (current) => dispatchToLeader(current, key, { kind: 'tick', now }));
   }
-  next = andThen(next, (one) => dispatchToForwarding(one, { kind: 'tick', now }));
-  return next.state.forwarding.requests.size === 0 || acceptsRequests(next.state.nodeAgent, now)
+  next = andThen(next, (current) => dispatchToForwarding(current, { kind: 'tick', now }));
+  const { forwarding, nodeAgent } = next.state;
+  return forwarding.requests.size === 0 || acceptsRequests(nodeAgent, now)
     ? next
-    : andThen(next, (one) => dispatchToForwarding(one, { kind: 'nodeDisconnected', now }));
+    : andThen(next, (current) => dispatchToForwarding(current, { kind: 'nodeDisconnected', now }));
 };
 
+/** Hands a request that an edge forwarded to the service's leader; without one the edge asks on. */
 const onInboundRequest = (
   state: ProxyState,
-  event: Extract<ProxyEvent, { kind: 'inboundRequestArrived' }>,
+  { request, now }: EventOf<'inboundRequestArrived'>,
 ): ProxyTransition => {
-  const { request, now } = event;
-  const name = state.activeLeaders.get(request.service);
-  const keeper = name === undefined ? undefined : state.leaders.get(name);
-  const moved = {
-    kind: 'rejectRequest' as const,
-    leader: '',
-    requestId: request.id,
-    errorKind: 'rejected' as const,
-    text: 'not the keeper',
-    retryMs: 0,
-    leaderMoved: true,
-  };
-  if (name === undefined || keeper === undefined || request.epoch > keeper.epoch)
-    return transition(state, moved);
-  return dispatchToLeader(state, name, {
+  const key = state.activeLeaders.get(request.service);
+  const leader = key === undefined ? undefined : state.leaders.get(key);
+  if (key === undefined || leader === undefined || request.epoch > leader.epoch)
+    return transition<ProxyState, ProxyEffect>(state, {
+      kind: 'rejectRequest',
+      leader: '',
+      requestId: request.id,
+      errorKind: 'rejected',
+      text: 'not the keeper',
+      retryMs: 0,
+      leaderMoved: true,
+    });
+  return dispatchToLeader(state, key, {
     kind: 'requestArrived',
     now,
     id: request.id,
@@ -315,16 +171,26 @@
 
 const onInboundCancelled = (
   state: ProxyState,
-  event: Extract<ProxyEvent, { kind: 'inboundRequestCancelled' }>,
+  { id, now }: EventOf<'inboundRequestCancelled'>,
 ): ProxyTransition => {
   let next: ProxyTransition = transition(state);
-  for (const name of state.leaders.keys())
-    next = andThen(next, (one) =>
-      dispatchToLeader(one, name, { kind: 'requestCancelled', now: event.now, id: event.id }),
+  for (const key of state.leaders.keys())
+    next = andThen(next, (current) =>
+      dispatchToLeader(current, key, { kind: 'requestCancelled', now, id }),
     );
   return next;
 };
 
+const onHealthChecked = (
+  state: ProxyState,
+  { now, service, instance, isHealthy, durationMs }: EventOf<'healthChecked'>,
+): ProxyTransition => {
+  const key = state.activeLeaders.get(service);
+  return key === undefined
+    ? transition(state)
+    : dispatchToLeader(state, key, { kind: 'healthChecked', now, instance, isHealthy, durationMs });
+};
+
 const handleEvent = (state: ProxyState, event: ProxyEvent): ProxyTransition => {
   switch (event.kind) {
     case 'tick':
@@ -335,38 +201,22 @@
     case 'compileFailed':
     case 'stopRequested':
       return dispatchToNodeAgent(state, event);
-    case 'requestAccepted':
-      return dispatchToForwarding(state, event);
     case 'inboundRequestArrived':
       return onInboundRequest(state, event);
     case 'inboundRequestCancelled':
       return onInboundCancelled(state, event);
-    case 'streamingStarted':
-      return dispatchToLeader(state, event.leader, {
-        kind: 'streamingStarted',
-        now: event.now,
-        attemptId: event.attemptId,
-      });
-    case 'attemptEnded':
-      return dispatchToLeader(state, event.leader, {
-        kind: 'attemptEnded',
-        now: event.now,
-        attemptId: event.attemptId,
-        outcome: event.outcome,
-        durationMs: event.durationMs,
-      });
-    case 'healthChecked': {
-      const name = state.activeLeaders.get(event.service);
-      return name === undefined
-        ? transition(state)
-        : dispatchToLeader(state, name, {
-            kind: 'healthChecked',
-            now: event.now,
-            instance: event.instance,
-            isHealthy: event.isHealthy,
-            durationMs: event.durationMs,
-          });
+    case 'streamingStarted': {
+      const { now, attemptId } = event;
+      return dispatchToLeader(state, event.leader, { kind: 'streamingStarted', now, attemptId });
+    }
+    case 'attemptEnded': {
+      const { now, attemptId, outcome, durationMs } = event;
+      const ended = { kind: 'attemptEnded' as const, now, attemptId, outcome, durationMs };
+      return dispatchToLeader(state, event.leader, ended);
     }
+    case 'healthChecked':
+      return onHealthChecked(state, event);
+    case 'requestAccepted':
     case 'responseStarted':
     case 'attemptStarted':
     case 'requestRejected':
@@ -377,19 +227,13 @@
   }
 };
 
-/** A process that did nothing for so long slept, was stopped, or was held up. */
-const stallThresholdMs = 1500;
-const noteActivity = (state: ProxyState, now: Timestamp): ProxyState => ({
-  ...state,
-  lastActedAt: now,
-  lastWokeAt:
-    state.lastActedAt > clockOrigin && now - state.lastActedAt > stallThresholdMs
-      ? now
-      : state.lastWokeAt,
-});
+const noteActivity = (state: ProxyState, now: Timestamp): ProxyState => {
+  const isAwakening = state.lastActedAt > clockOrigin && now - state.lastActedAt > stallThresholdMs;
+  return { ...state, lastActedAt: now, lastWokeAt: isAwakening ? now : state.lastWokeAt };
+};
 
-/** The proxy: one function for every change of its state. */
+/** The reducer of a proxy: every change of its state goes through it. */
 export const proxyTransition = (state: ProxyState, event: ProxyEvent): ProxyTransition =>
-  andThen(closeExpiredLeaders(noteActivity(state, event.now), event.now), (one) =>
-    handleEvent(one, event),
+  andThen(closeExpiredLeaders(noteActivity(state, event.now), event.now), (current) =>
+    handleEvent(current, event),
   );
--- a/packages/proxy-core/src/proxy/state.ts
+++ b/packages/proxy-core/src/proxy/state.ts
@@ -1,13 +1,19 @@
+/**
+ * The state of a proxy process: its node agent, the services that it leads and the requests that it
+ * forwards, with the events that change it and the effects that it asks for.
+ */
+
 import {
   type Address,
   type RequestId,
   type RandomState,
   type InstanceId,
   type Timestamp,
+  type Transition,
   type ServiceName,
   clockOrigin,
 } from '@switchwheel/types';
-import type { ForwardedRequest, FrameOf, Member } from '@switchwheel/transport';
+import type { ForwardedRequest, Member } from '@switchwheel/transport';
 import {
   type NodeAgent,
   type NodeAgentEffect,
@@ -17,7 +23,7 @@
 import {
   type Forwarding,
   type ForwardingEffect,
-  type PendingForward,
+  type ForwardingEvent,
   initialForwarding,
 } from '../forwarding/state.js';
 import type {
@@ -27,26 +33,28 @@
 } from '../service-leader/state.js';
 import type { EpochHistory } from './epoch-history.js';
 
-/** The whole state of a proxy: its control side, the services it keeps, and what it forwards. */
+/** The whole state of a proxy. */
 export interface ProxyState {
   readonly nodeAgent: NodeAgent;
-  /** Keepers by service and epoch: one that closed stays until its legs have ended. */
+  /** Service leaders by service and epoch; a closing one stays until its attempts have ended. */
   readonly leaders: ReadonlyMap<string, ServiceLeader>;
+  /** The key in `leaders` of each service that is led here. */
   readonly activeLeaders: ReadonlyMap<ServiceName, string>;
   readonly forwarding: Forwarding;
-  /** Since when the epochs of duties have been known: how many holdings there were of late. */
   readonly epochHistory: EpochHistory;
-  /** When this process last acted, and when it last woke from a sleep or a stall. */
+  /** When this process last took an event. */
   readonly lastActedAt: Timestamp;
+  /** When it last took one after it had been suspended or stalled. */
   readonly lastWokeAt: Timestamp;
 }
 
+/** The state of a proxy that has just started. */
 export const newProxyState = (
   member: Member,
   seeds: readonly Address[],
-  dice: RandomState,
+  randomState: RandomState,
 ): ProxyState => ({
-  nodeAgent: newNodeAgent(member, seeds, dice),
+  nodeAgent: newNodeAgent(member, seeds, randomState),
   leaders: new Map(),
   activeLeaders: new Map(),
   forwarding: initialForwarding,
@@ -55,13 +63,10 @@
   lastWokeAt: clockOrigin,
 });
 
+/** What happens to a proxy; times are of the monotonic clock, `leader` is a key in `leaders`. */
 export type ProxyEvent =
   | NodeAgentEvent
-  | {
-      readonly kind: 'requestAccepted';
-      readonly now: Timestamp;
-      readonly request: Omit<PendingForward, 'phase' | 'mayHaveRun' | 'attemptStarted'>;
-    }
+  | Exclude<ForwardingEvent, { kind: 'leaseHoldersChanged' | 'nodeDisconnected' | 'tick' }>
   | {
       readonly kind: 'inboundRequestArrived';
       readonly now: Timestamp;
@@ -89,39 +94,9 @@
       readonly instance: InstanceId;
       readonly isHealthy: boolean;
       readonly durationMs: number;
-    }
-  | {
-      readonly kind: 'responseStarted';
-      readonly now: Timestamp;
-      readonly from: Address;
-      readonly frame: FrameOf<'result'>;
-    }
-  | {
-      readonly kind: 'requestRejected';
-      readonly now: Timestamp;
-      readonly from: Address;
-      readonly frame: FrameOf<'reject'>;
-    }
-  | {
-      readonly kind: 'attemptStarted';
-      readonly now: Timestamp;
-      readonly from: Address;
-      readonly id: RequestId;
-    }
-  | { readonly kind: 'responseCompleted'; readonly now: Timestamp; readonly id: RequestId }
-  | {
-      readonly kind: 'requestCancelled';
-      readonly now: Timestamp;
-      readonly id: RequestId;
-      readonly text: string;
-    }
-  | {
-      readonly kind: 'channelLost';
-      readonly now: Timestamp;
-      readonly leader: Address;
-      readonly unsentIds: ReadonlySet<RequestId>;
     };
 
+/** What a proxy asks of the program around it. */
 export type ProxyEffect =
   | Exclude<NodeAgentEffect, { kind: 'startLeading' | 'stopLeading' }>
   | ForwardingEffect
@@ -130,3 +105,6 @@
     })
   | Extract<ServiceLeaderEffect, { kind: 'checkHealth' }>
   | { readonly kind: 'setLiveOrigins'; readonly liveInstances: ReadonlySet<InstanceId> };
+
+/** A proxy's state after an event, and the effects that the event asks for. */
+export type ProxyTransition = Transition<ProxyState, ProxyEffect>;
--- a/packages/proxy-core/src/request-handler/edge-request-handler.ts
+++ b/packages/proxy-core/src/request-handler/edge-request-handler.ts
@@ -22,8 +22,8 @@
 } from '../cache/cache-lookup.js';
 import { forwardableFields, rewrittenFields, cacheTags } from '../cache/header-fields.js';
 import { RequestCoalescing } from '../cache/request-coalescing.js';
-import { mayServeFromCache, acceptsRequests } from '../node-agent/node-agent.js';
-import { isConfigurationOverdue, knowsAllRoutes } from '../node-agent/config-freshness.js';
+import { mayServeFromCache, acceptsRequests } from '../node-agent/readiness.js';
+import { isConfigurationOverdue, knowsAllRoutes } from '../node-agent/configuration-staleness.js';
 import type { ProxyEffect } from '../proxy/state.js';
 import { LeaderChannels } from './leader-channels.js';
 import {
--- a/packages/simulator/src/guard/list.ts
+++ b/packages/simulator/src/guard/list.ts
@@ -20,7 +20,6 @@
 const dock = 'proxy-core/dist/request-handler/inbound-requests.js';
 const desk = 'proxy-core/dist/cache/cache-lookup.js';
 const cache = 'proxy-core/dist/cache/cache.js';
-const cabin = 'proxy-core/dist/node-agent/node-agent.js';
 const proxy = 'proxy-core/dist/proxy/proxy.js';
 const candidate = 'election/dist/candidate/candidate.js';
 const voter = 'election/dist/voter/voter.js';
@@ -51,22 +50,22 @@
   {
     name: 'edges never re-ask an unsafe request',
     rule: 'R1',
-    file: forward,
-    from: 'const safe = unsent.has(wagon.id) || wagon.isIdempotent;',
-    to: 'const safe = true;',
+    file: 'proxy-core/dist/forwarding/leader-events.js',
+    from: 'const isSafeToRetry = isUnsent || request.isIdempotent;',
+    to: 'const isSafeToRetry = true;',
   },
   {
     name: 'unsafe requests stay with a keeper that may be frozen',
     rule: 'R1',
-    file: forward,
-    from: 'else if (wagon.isIdempotent && wagon.phase.epoch < keeper.epoch)',
-    to: 'else if (wagon.phase.epoch < keeper.epoch)',
+    file: 'proxy-core/dist/forwarding/leader-events.js',
+    from: 'if (!request.isIdempotent || phase.epoch >= leader.epoch)',
+    to: 'if (phase.epoch >= leader.epoch)',
   },
   {
     name: 'the fence of a keeper past its lease',
     rule: 'R1',
     file: proxy,
-    from: 'andThen(closeExpiredLeaders(noteActivity(state, event.now), event.now), (one) => handleEvent(one, event))',
+    from: 'andThen(closeExpiredLeaders(noteActivity(state, event.now), event.now), (current) => handleEvent(current, event))',
     to: 'handleEvent(noteActivity(state, event.now), event)',
   },
   {
@@ -219,7 +218,7 @@
   {
     name: 'never a lower generation',
     rule: 'R5',
-    file: cabin,
+    file: 'proxy-core/dist/node-agent/config-update.js',
     from: 'if (state.compiledConfiguration !== undefined && offer.generation <= state.compiledConfiguration.generation)',
     to: 'if (false)',
   },
@@ -240,16 +239,16 @@
   {
     name: 'no refusal of what may have run, at an edge',
     rule: 'R2',
-    file: forward,
-    from: "errorKind: errorKind === 'rejected' && wagon.mayHaveRun ? 'lost' : errorKind",
+    file: 'proxy-core/dist/forwarding/forward-request.js',
+    from: "errorKind: errorKind === 'rejected' && request.mayHaveRun ? 'lost' : errorKind",
     to: 'errorKind',
   },
   {
     name: 'a caller that left is told that it may have run',
     rule: 'R2',
     file: forward,
-    from: "failRequest(wagon, wagon.phase.stage === 'waiting' ? 'rejected' : 'unknown', event.text",
-    to: "failRequest(wagon, 'rejected', event.text",
+    from: "errorKind: isWaiting ? 'rejected' : 'unknown'",
+    to: "errorKind: 'rejected'",
   },
   {
     name: 'a result has the told length',
@@ -303,7 +302,7 @@
   {
     name: 'caches speak only as far as they know all purges',
     rule: 'R7',
-    file: cabin,
+    file: 'proxy-core/dist/node-agent/readiness.js',
     from: 'state.purgesCurrentAsOf !== undefined && now - state.purgesCurrentAsOf < cacheLeaseMs',
     to: 'true',
   },
@@ -437,20 +436,20 @@
     name: 'callers are taken for a while after a stop began',
     rule: 'R11',
     file: 'proxy-core/dist/proxy/shutdown-phase.js',
-    from: "role === 'edge' ? stopGraceMs : 100",
+    from: "role === 'edge' ? edgeGraceMs : shieldGraceMs",
     to: '0',
   },
   {
     name: 'a stop waits for what is open',
     rule: 'R11',
     file: 'proxy-core/dist/proxy/shutdown-phase.js',
-    from: 'if (open === 0)',
+    from: 'if (openCount === 0)',
     to: 'if (true)',
   },
   {
     name: 'a keeper hands over as it stops',
     rule: 'R11',
-    file: 'proxy-core/dist/node-agent/leader-candidacy.js',
+    file: 'proxy-core/dist/node-agent/lease-handover.js',
     from: 'if (!holdsLease(candidate, now)) continue; const heir',
     to: 'if (true)\n            continue;\n        const heir',
   },
