--- a/packages/routing/src/attempt-state/attempt-state.test.ts
+++ b/packages/routing/src/attempt-state/attempt-state.test.ts
@@ -13,184 +13,209 @@
 } from './attempt-state.js';
 
 const at = toTimestamp(1000);
-const until = toTimestamp(3000);
-const answer = (status: number, unrun = false): OriginResponse => ({
+const deadline = toTimestamp(3000);
+const response = (status: number, isUnprocessed = false): OriginResponse => ({
   status,
   fields: [],
   body: Buffer.alloc(0),
-  isUnprocessed: unrun,
+  isUnprocessed,
 });
 const origin = (number: number): InstanceId => toInstanceId(`o${number}`);
 
 type Move =
-  | { readonly move: 'pick' }
-  | { readonly move: 'none' }
-  | { readonly move: 'late' }
-  | { readonly move: 'expired' }
-  | { readonly move: 'left' }
+  | { readonly move: 'endpointPicked' }
+  | { readonly move: 'noEndpointAvailable' }
+  | { readonly move: 'hedgeDelayElapsed' }
+  | { readonly move: 'deadlineExpired' }
+  | { readonly move: 'clientDisconnected' }
   | {
-      readonly move: 'answer';
-      readonly leg: number;
+      readonly move: 'responseReceived';
+      readonly attempt: number;
       readonly status: number;
-      readonly unrun: boolean;
+      readonly isUnprocessed: boolean;
     }
-  | { readonly move: 'broke'; readonly leg: number; readonly sent: boolean };
+  | {
+      readonly move: 'attemptFailed';
+      readonly attempt: number;
+      readonly mayHaveReachedOrigin: boolean;
+    };
 
 const moves: fc.Arbitrary<Move> = fc.oneof(
-  { weight: 6, arbitrary: fc.constant<Move>({ move: 'pick' }) },
+  { weight: 6, arbitrary: fc.constant<Move>({ move: 'endpointPicked' }) },
   {
     weight: 1,
     arbitrary: fc.constantFrom<Move>(
-      { move: 'none' },
-      { move: 'late' },
-      { move: 'expired' },
-      { move: 'left' },
+      { move: 'noEndpointAvailable' },
+      { move: 'hedgeDelayElapsed' },
+      { move: 'deadlineExpired' },
+      { move: 'clientDisconnected' },
     ),
   },
   {
     weight: 4,
     arbitrary: fc.record({
-      move: fc.constant('answer' as const),
-      leg: fc.integer({ min: 1, max: 6 }),
+      move: fc.constant('responseReceived' as const),
+      attempt: fc.integer({ min: 1, max: 6 }),
       status: fc.constantFrom(200, 404, 429, 500, 503, 504),
-      unrun: fc.boolean(),
+      isUnprocessed: fc.boolean(),
     }),
   },
   {
     weight: 4,
     arbitrary: fc.record({
-      move: fc.constant('broke' as const),
-      leg: fc.integer({ min: 1, max: 6 }),
-      sent: fc.boolean(),
+      move: fc.constant('attemptFailed' as const),
+      attempt: fc.integer({ min: 1, max: 6 }),
+      mayHaveReachedOrigin: fc.boolean(),
     }),
   },
 );
 
 const eventOf = (move: Move, number: number): RequestEvent => {
   switch (move.move) {
-    case 'pick':
-      return { kind: 'picked', now: at, instance: origin(number) };
-    case 'none':
-      return { kind: 'none', now: at, text: 'none', retryMs: 100 };
-    case 'answer':
-      return { kind: 'answered', now: at, leg: move.leg, answer: answer(move.status, move.unrun) };
-    case 'broke':
-      return { kind: 'broke', now: at, leg: move.leg, sent: move.sent, text: 'broke' };
+    case 'endpointPicked':
+      return { kind: 'endpointPicked', now: at, instance: origin(number) };
+    case 'noEndpointAvailable':
+      return { kind: 'noEndpointAvailable', now: at, text: 'none', retryAfterMs: 100 };
+    case 'responseReceived':
+      return {
+        kind: 'responseReceived',
+        now: at,
+        attempt: move.attempt,
+        response: response(move.status, move.isUnprocessed),
+      };
+    case 'attemptFailed':
+      return {
+        kind: 'attemptFailed',
+        now: at,
+        attempt: move.attempt,
+        mayHaveReachedOrigin: move.mayHaveReachedOrigin,
+        text: 'broke',
+      };
     default:
       return { kind: move.move, now: at };
   }
 };
 
 interface Seen {
-  readonly told: RequestOutcome[];
-  readonly out: Set<number>;
-  ran: boolean;
-  sent: number;
+  readonly outcomes: RequestOutcome[];
+  readonly inFlight: Set<number>;
+  hasRun: boolean;
+  sentCount: number;
 }
 
 /** Plays moves against the machine, holding each effect to the rules. */
-const play = (repeatable: boolean, most: number, list: readonly Move[]): Seen => {
-  const seen: Seen = { told: [], out: new Set(), ran: false, sent: 0 };
-  let trip: RequestState = newRequestState(repeatable, most, until);
+const play = (isIdempotent: boolean, maxAttempts: number, list: readonly Move[]): Seen => {
+  const seen: Seen = { outcomes: [], inFlight: new Set(), hasRun: false, sentCount: 0 };
+  let request: RequestState = newRequestState(isIdempotent, maxAttempts, deadline);
   const take = (effects: readonly RequestEffect[]): void => {
     for (const effect of effects) {
-      assert.equal(seen.told.length, 0, 'nothing follows what the caller was told');
-      if (effect.kind === 'send') {
+      assert.equal(seen.outcomes.length, 0, 'nothing follows what the caller was told');
+      if (effect.kind === 'sendAttempt') {
         assert.ok(
-          repeatable || (!seen.ran && seen.out.size === 0),
+          isIdempotent || (!seen.hasRun && seen.inFlight.size === 0),
           'a request that may not be repeated goes out once unless nothing ran',
         );
-        seen.out.add(effect.leg);
-        seen.sent += 1;
-        assert.ok(seen.sent <= most, 'no more origins than allowed');
-      } else if (effect.kind === 'cut') {
-        seen.out.delete(effect.leg);
-        seen.ran = true;
-      } else if (effect.kind === 'tell') {
-        seen.told.push(effect.told);
+        seen.inFlight.add(effect.attempt);
+        seen.sentCount += 1;
+        assert.ok(seen.sentCount <= maxAttempts, 'no more origins than allowed');
+      } else if (effect.kind === 'cancelAttempt') {
+        seen.inFlight.delete(effect.attempt);
+        seen.hasRun = true;
+      } else if (effect.kind === 'finishRequest') {
+        seen.outcomes.push(effect.outcome);
       }
     }
   };
-  take(requestTransition(trip, { kind: 'start', now: at }).effects);
+  take(requestTransition(request, { kind: 'started', now: at }).effects);
   list.forEach((move, number) => {
     const event = eventOf(move, number);
-    if (event.kind === 'answered' && seen.out.has(event.leg)) {
-      seen.out.delete(event.leg);
-      if (!event.answer.isUnprocessed) seen.ran = true;
+    if (event.kind === 'responseReceived' && seen.inFlight.has(event.attempt)) {
+      seen.inFlight.delete(event.attempt);
+      if (!event.response.isUnprocessed) seen.hasRun = true;
     }
-    if (event.kind === 'broke' && seen.out.has(event.leg)) {
-      seen.out.delete(event.leg);
-      if (event.sent) seen.ran = true;
-      else seen.sent -= 1;
+    if (event.kind === 'attemptFailed' && seen.inFlight.has(event.attempt)) {
+      seen.inFlight.delete(event.attempt);
+      if (event.mayHaveReachedOrigin) seen.hasRun = true;
+      else seen.sentCount -= 1;
     }
-    const done = requestTransition(trip, event);
-    trip = done.state;
+    const done = requestTransition(request, event);
+    request = done.state;
     take(done.effects);
   });
   return seen;
 };
 
-void test('no row of answers, losses and delays makes a request run twice that may not, or told as refused when it may have run', () => {
+void test('no sequence of responses, failures and delays runs a non-idempotent request twice, or rejects it when it may have run', () => {
   fc.assert(
     fc.property(
       fc.boolean(),
       fc.integer({ min: 1, max: 4 }),
       fc.array(moves, { maxLength: 30 }),
-      (repeatable, most, list) => {
-        const seen = play(repeatable, most, list);
-        for (const told of seen.told) {
+      (isIdempotent, maxAttempts, list) => {
+        const seen = play(isIdempotent, maxAttempts, list);
+        for (const outcome of seen.outcomes) {
           const promise =
-            told.kind === 'fault'
-              ? told.fault === 'rejected'
-              : [408, 421, 429, 503].includes(told.answer.status);
-          if (promise && !repeatable)
+            outcome.kind === 'failure'
+              ? outcome.errorKind === 'rejected'
+              : [408, 421, 429, 503].includes(outcome.response.status);
+          if (promise && !isIdempotent)
             assert.ok(
-              !seen.ran && seen.out.size === 0,
+              !seen.hasRun && seen.inFlight.size === 0,
               'a promise is only given when nothing ran and nothing will',
             );
         }
-        assert.ok(seen.told.length <= 1);
+        assert.ok(seen.outcomes.length <= 1);
       },
     ),
     { seed: 4711, numRuns: 4000 },
   );
 });
 
-void test('a request that an origin turned away unrun goes to another one, and a success is told as it came', () => {
-  let trip = newRequestState(false, 2, until);
-  trip = requestTransition(trip, { kind: 'picked', now: at, instance: origin(1) }).state;
-  const away = requestTransition(trip, {
-    kind: 'answered',
+void test('an unprocessed request goes to another origin, and its response is the outcome', () => {
+  let request = newRequestState(false, 2, deadline);
+  request = requestTransition(request, {
+    kind: 'endpointPicked',
+    now: at,
+    instance: origin(1),
+  }).state;
+  const away = requestTransition(request, {
+    kind: 'responseReceived',
+    now: at,
+    attempt: 1,
+    response: response(503, true),
+  });
+  assert.deepEqual(away.effects, [{ kind: 'pickEndpoint', isExtra: true }]);
+  const again = requestTransition(away.state, {
+    kind: 'endpointPicked',
     now: at,
-    leg: 1,
-    answer: answer(503, true),
+    instance: origin(2),
   });
-  assert.deepEqual(away.effects, [{ kind: 'pick', extra: true }]);
-  const again = requestTransition(away.state, { kind: 'picked', now: at, instance: origin(2) });
   const done = requestTransition(again.state, {
-    kind: 'answered',
+    kind: 'responseReceived',
     now: at,
-    leg: 2,
-    answer: answer(200),
+    attempt: 2,
+    response: response(200),
   });
-  assert.equal(done.effects[0]?.kind, 'tell');
+  assert.equal(done.effects[0]?.kind, 'finishRequest');
 });
 
-void test('an answer of an origin that looks like a promise but is none is not handed on for a request that may have run', () => {
-  const out = requestTransition(newRequestState(false, 2, until), {
-    kind: 'picked',
+void test('a status by which a client would conclude that nothing ran is not passed on when the request may have run', () => {
+  const out = requestTransition(newRequestState(false, 2, deadline), {
+    kind: 'endpointPicked',
     now: at,
     instance: origin(1),
   });
   const done = requestTransition(out.state, {
-    kind: 'answered',
+    kind: 'responseReceived',
     now: at,
-    leg: 1,
-    answer: answer(503),
+    attempt: 1,
+    response: response(503),
   });
   assert.deepEqual(
-    done.effects.map((one) =>
-      one.kind === 'tell' && one.told.kind === 'fault' ? one.told.fault : one.kind,
+    done.effects.map((effect) =>
+      effect.kind === 'finishRequest' && effect.outcome.kind === 'failure'
+        ? effect.outcome.errorKind
+        : effect.kind,
     ),
     ['lost'],
   );
--- a/packages/routing/src/index.ts
+++ b/packages/routing/src/index.ts
@@ -4,7 +4,7 @@
 export * from './rollout/rollout-counters.js';
 export * from './router/ports.js';
 export * from './quota/quota-share.js';
-export * from './router/edge-router.js';
+export { EdgeRouter, type EdgeRouterOptions } from './router/edge-router.js';
 export * from './object-sharing/object-owners.js';
 export * from './object-sharing/object-sharing.js';
 export * from './object-sharing/peer-bandwidth.js';
--- a/packages/routing/src/object-sharing/object-sharing.ts
+++ b/packages/routing/src/object-sharing/object-sharing.ts
@@ -1,8 +1,10 @@
 /**
- * Sharing of kept objects among the edges of an area. Where a service may be asked so seldom that each edge's part of
- * its rate can't fill a cache, one edge owns each object: the others ask it, and it alone fetches from an origin.
- * An owner that does not answer at once, or refuses, is done without: the request goes its ordinary way.
+ * Sharing of cached objects among the edges of a zone. Where a service's rate limit is so low that each edge's quota
+ * share can't fill a cache, one edge owns each object: the others request it there, and the owner alone fetches from an
+ * origin. If the owner does not reply in time, or refuses, the request goes to an origin after all. This module keeps
+ * the pending queries and their time-outs; who may be served, and what is cached, is the router's.
  */
+
 import {
   type Address,
   type Generation,
@@ -18,16 +20,16 @@
 import type { HeaderFields, FrameOf, ObjectFrame } from '@switchwheel/transport';
 import { ObjectOwners } from './object-owners.js';
 
-/** How long an owner may take to say anything: the answer to another caller may be on the same link before it. */
+/** How long an owner may take to reply at all: a response to a client may be on the same link before its reply. */
 const ownerReplyTimeoutMs = 400;
-/** How long an owner may take to fetch an object once it said that it does. */
+/** How long an owner may take to fetch an object once it has replied that it does. */
 const ownerFetchTimeoutMs = 3000;
-/** How long an owner that said nothing is not asked. */
+/** How long an owner that did not reply is passed over. */
 const silentOwnerBackoffMs = 1000;
-/** Requests to owners that are under way at the most. */
+/** The largest number of pending queries; beyond it requests go to origins. */
 const maxPendingQueries = 256;
 
-/** The largest object that is shared: it has to fit one frame. */
+/** The largest object that is shared, in bytes: it has to fit one frame. */
 export const maxSharedBytes = 4 * 1024 * 1024;
 
 /** Sends frames to other edges. */
@@ -35,7 +37,7 @@
   readonly send: (to: Address, frame: ObjectFrame) => void;
 }
 
-/** What an owner is asked for. */
+/** What an owner is asked for; the members are those of the `object-request` frame. */
 export interface ObjectQuery {
   /** The id of the caller's request, by which the owner fetches. */
   readonly callerId: string;
@@ -44,18 +46,23 @@
   readonly host: string;
   readonly target: string;
   readonly fields: HeaderFields;
+  /** How much time the request has left. */
   readonly left: DurationMs;
 }
 
-/** An object as its owner told it; `createdAt` is no later than the object was made, by this edge's clock. */
+/** An object as its owner sent it; `createdAt` is no later than the object was fetched, by this edge's clock. */
 export interface SharedObject {
   readonly createdAt: Timestamp;
+  /** The last purge that the object is known to have survived. */
   readonly purged: Seq;
   readonly fields: HeaderFields;
   readonly body: Buffer;
 }
 
-/** What asking an owner came to: its object, or none, and then whether an origin may have been asked for it. */
+/** An owner's reply: the object, that it is being fetched, or a refusal. */
+export type ObjectReply = SharedObject | 'fetching' | 'refused';
+
+/** The outcome of a query: the object, or none, and then whether the owner may have sent the request to an origin. */
 export type ObjectOutcome =
   | { readonly isFound: true; readonly object: SharedObject }
   | { readonly isFound: false; readonly mayHaveFetched: boolean };
@@ -68,7 +75,7 @@
   isFetching: boolean;
 }
 
-/** One edge's side of the sharing: whom it asks, and what it waits for. */
+/** The pending queries of one edge, and the owners that it may ask. */
 export class ObjectSharing {
   readonly #port: PeerPort;
   readonly #self: Address;
@@ -83,7 +90,7 @@
     this.#self = self;
   }
 
-  /** Takes over the edges of the area, this one among them. */
+  /** Adopts the edges of the zone, this one among them. */
   updatePeers(addresses: readonly Address[]): void {
     const sorted = [...addresses].sort();
     const key = sorted.join(' ');
@@ -92,7 +99,7 @@
     this.#owners = new ObjectOwners(sorted);
   }
 
-  /** The other edge that owns an object; undefined if this one does, or nobody can be asked. */
+  /** The other edge that owns an object; undefined if this one does, or none can be asked now. */
   ownerOf(object: string, now: Timestamp): Address | undefined {
     if (this.#pending.size >= maxPendingQueries) return undefined;
     const owner = this.#owners.ownerOf(
@@ -103,25 +110,25 @@
     return owner === this.#self ? undefined : owner;
   }
 
-  /** Asks an owner; `done` is called once. */
+  /** Asks an owner; `onOutcome` is called once. */
   request(
     owner: Address,
     query: ObjectQuery,
     now: Timestamp,
-    done: (outcome: ObjectOutcome) => void,
+    onOutcome: (outcome: ObjectOutcome) => void,
   ): void {
     this.#lastQueryId += 1;
     this.#pending.set(this.#lastQueryId, {
       owner,
       askedAt: now,
-      onOutcome: done,
+      onOutcome,
       deadline: addMs(now, ownerReplyTimeoutMs),
       isFetching: false,
     });
     this.#port.send(owner, { kind: 'object-request', id: this.#lastQueryId, ...query });
   }
 
-  /** Takes an owner's word. */
+  /** Handles an owner's reply; one of another edge than was asked is ignored. */
   handleReply(
     from: Address,
     frame: FrameOf<'object'> | FrameOf<'object-status'>,
@@ -142,46 +149,27 @@
     }
   }
 
-  /** Lets time pass: owners that are silent are done without. */
+  /** Ends queries whose owner has not replied in time. */
   tick(now: Timestamp): void {
     for (const [address, until] of this.#backoffUntil)
       if (until <= now) this.#backoffUntil.delete(address);
     for (const [id, query] of this.#pending) {
       if (now < query.deadline) continue;
       if (!query.isFetching) this.#backoffUntil.set(query.owner, addMs(now, silentOwnerBackoffMs));
-      // Its word may have been lost, not the request.
+      // The reply may have been lost, not the request.
       this.#finish(id, query, { isFound: false, mayHaveFetched: true });
     }
   }
 
-  /** Tells an edge what became of its request for an object. */
-  reply(
-    to: Address,
-    id: number,
-    object:
-      | {
-          readonly createdAt: Timestamp;
-          readonly purged: Seq;
-          readonly fields: HeaderFields;
-          readonly body: Buffer;
-        }
-      | 'fetching'
-      | 'refused',
-    now: Timestamp,
-  ): void {
-    if (object === 'fetching' || object === 'refused') {
-      this.#port.send(to, { kind: 'object-status', id, state: object });
+  /** Replies to another edge's request for an object. */
+  reply(to: Address, id: number, reply: ObjectReply, now: Timestamp): void {
+    if (reply === 'fetching' || reply === 'refused') {
+      this.#port.send(to, { kind: 'object-status', id, state: reply });
       return;
     }
-    const { createdAt, purged, fields, body } = object;
-    this.#port.send(to, {
-      kind: 'object',
-      id,
-      age: elapsedMs(createdAt, now),
-      purged,
-      fields,
-      body,
-    });
+    const { createdAt, purged, fields, body } = reply;
+    const age = elapsedMs(createdAt, now);
+    this.#port.send(to, { kind: 'object', id, age, purged, fields, body });
   }
 
   #finish(id: number, query: PendingQuery, outcome: ObjectOutcome): void {
--- /dev/null
+++ b/packages/routing/src/router/peer-objects.ts
@@ -0,0 +1,153 @@
+/**
+ * Objects that the edges of a zone share: requests for an object that another edge owns, and other edges' requests for
+ * objects that this one owns. Which edge owns what, and the time-outs, are `ObjectSharing`'s.
+ */
+
+import {
+  type Address,
+  type Timestamp,
+  type ZoneName,
+  elapsedMs,
+  increment,
+} from '@switchwheel/types';
+import type { FrameOf, Member, ObjectFrame } from '@switchwheel/transport';
+import type { CompiledRoute } from '@switchwheel/configuration';
+import type { CacheEntry } from '@switchwheel/proxy-core';
+import {
+  type ObjectOutcome,
+  type ObjectReply,
+  ObjectSharing,
+  type PeerPort,
+  maxSharedBytes,
+} from '../object-sharing/object-sharing.js';
+import { PeerBandwidth } from '../object-sharing/peer-bandwidth.js';
+import type { QuotaShare } from '../quota/quota-share.js';
+import type { ActiveRequest } from './active-request.js';
+import type { HeaderNames, IncomingRequest, ReplyCallback, RouterContext } from './ports.js';
+
+/** Fields of a request on which a cached object may depend, besides those that its route names. */
+const commonVary: ReadonlySet<string> = new Set(['accept', 'accept-encoding', 'accept-language']);
+
+/** What the sharing stands on; quota and counters are the router's own. */
+export interface PeerObjectsOptions {
+  readonly context: RouterContext;
+  readonly zone: ZoneName;
+  readonly headerNames: HeaderNames;
+  readonly quota: QuotaShare;
+  readonly counts: Map<string, number>;
+  /** The way to other edges; without it nothing is shared. */
+  readonly peers: PeerPort | undefined;
+  /** The rate of this machine's link, in bytes a second; infinite if it is not known. */
+  readonly linkBytesPerSecond: number;
+  /** Serves another edge's request like a client's, but without asking any edge for it in turn. */
+  readonly serveForPeer: (request: IncomingRequest, reply: ReplyCallback) => void;
+}
+
+/** The router's side of object sharing. */
+export class PeerObjects {
+  readonly #options: PeerObjectsOptions;
+  readonly #sharing: ObjectSharing | undefined;
+  readonly #bandwidth: PeerBandwidth;
+
+  constructor(options: PeerObjectsOptions) {
+    this.#options = options;
+    this.#bandwidth = new PeerBandwidth(options.linkBytesPerSecond);
+    const self = options.context.nodeAgent().nodeSession.member.address;
+    this.#sharing =
+      options.peers === undefined ? undefined : new ObjectSharing(options.peers, self);
+  }
+
+  /** Adopts the fleet's edges; those of this edge's zone share objects. */
+  updateEdges(edges: readonly Member[]): void {
+    this.#sharing?.updatePeers(
+      edges.filter((edge) => edge.area === this.#options.zone).map((edge) => edge.address),
+    );
+  }
+
+  /** Ends requests to owners that have not replied in time. */
+  tick(now: Timestamp): void {
+    this.#sharing?.tick(now);
+  }
+
+  /** Handles a frame of another edge: its request for an object, or its reply. */
+  handleFrame(from: Address, frame: ObjectFrame): void {
+    const now = this.#options.context.now();
+    if (frame.kind === 'object-request') this.#serveObject(from, frame);
+    else this.#sharing?.handleReply(from, frame, now);
+  }
+
+  /**
+   * Asks the edge that owns an object, where this edge's quota share is too small to fetch all objects itself. Gives
+   * false if the request has to be sent to an origin instead; else `onOutcome` is called once.
+   */
+  requestFromOwner(
+    active: ActiveRequest,
+    now: Timestamp,
+    onOutcome: (active: ActiveRequest, outcome: ObjectOutcome) => void,
+  ): boolean {
+    const { cacheable, route, request } = active;
+    const { context, counts, quota } = this.#options;
+    const { compiledConfiguration } = context.nodeAgent();
+    const service = compiledConfiguration?.services.get(active.service);
+    if (cacheable === undefined || compiledConfiguration === undefined || service === undefined)
+      return false;
+    if (!quota.isScarce(service, now)) return false;
+    const owner = this.#sharing?.ownerOf(cacheable.coalescingKey, now);
+    if (owner === undefined) return false;
+    const query = {
+      callerId: request.id,
+      generation: compiledConfiguration.generation,
+      route: route.name,
+      host: request.host,
+      target: request.target,
+      fields: cacheable.fields.filter(([name]) => isVaryField(name, route)),
+      left: elapsedMs(now, active.state.deadline),
+    };
+    increment(counts, 'owner_asked');
+    this.#sharing?.request(owner, query, now, (outcome) => onOutcome(active, outcome));
+    return true;
+  }
+
+  /** Replies with an object that this edge owns: cached, or fetched if its quota share allows it. */
+  #serveObject(to: Address, query: FrameOf<'object-request'>): void {
+    const { context, counts, headerNames, serveForPeer } = this.#options;
+    const respond = (reply: ObjectReply): void =>
+      this.#sharing?.reply(to, query.id, reply, context.now());
+    if (!this.#mayServe(query, context.now())) {
+      respond('refused');
+      return;
+    }
+    increment(counts, 'peer_asked');
+    const request: IncomingRequest = {
+      id: query.callerId,
+      method: 'GET',
+      host: query.host,
+      target: query.target,
+      fields: [...query.fields, [headerNames.requestId, query.callerId]],
+      body: Buffer.alloc(0),
+      timeoutMs: query.left,
+    };
+    const progress = { hasReplied: false };
+    serveForPeer(request, (reply) => {
+      progress.hasReplied = true;
+      const isObject = reply.kind === 'cached' && isShareable(reply.entry);
+      this.#bandwidth.settle(isObject ? reply.entry.body.length : 0);
+      respond(isObject ? { ...reply.entry, purged: reply.purgeSeq } : 'refused');
+    });
+    if (!progress.hasReplied) respond('fetching');
+  }
+
+  /** Whether both edges run the same configuration, the route is cached, and the link has room; room is reserved. */
+  #mayServe(query: FrameOf<'object-request'>, now: Timestamp): boolean {
+    const { compiledConfiguration } = this.#options.context.nodeAgent();
+    if (compiledConfiguration?.routesByName.get(query.route)?.cache === undefined) return false;
+    if (compiledConfiguration.generation !== query.generation) return false;
+    return this.#bandwidth.reserve(now);
+  }
+}
+
+const isShareable = ({ status, body }: CacheEntry): boolean =>
+  status === 200 && body.length <= maxSharedBytes;
+
+const isVaryField = (name: string, route: CompiledRoute): boolean =>
+  commonVary.has(name) || route.cache?.vary.includes(name) === true;
--- /dev/null
+++ b/packages/routing/src/router/response-cache.ts
@@ -0,0 +1,109 @@
+/**
+ * The edge's cache of responses: when a cached response may be served, and which fetched or shared ones are stored.
+ * Storage and variants are the `Cache`'s, the rules of cacheable requests those of `CacheLookup`.
+ */
+
+import { type Timestamp, elapsedMs } from '@switchwheel/types';
+import type { HeaderFields } from '@switchwheel/transport';
+import type { CompiledRoute } from '@switchwheel/configuration';
+import { isConnected } from '@switchwheel/membership';
+import {
+  type Cache,
+  type CacheEntry,
+  CacheLookup,
+  type CacheableRequest,
+  type NodeAgent,
+  fieldValue,
+} from '@switchwheel/proxy-core';
+import type { OriginResponse } from '../attempt-state/attempt-state.js';
+import type { SharedObject } from '../object-sharing/object-sharing.js';
+import type { AttemptStart } from './active-request.js';
+import type { EdgeLimits, HeaderNames, IncomingRequest } from './ports.js';
+
+/** The cached responses of an edge: only those of status 200. */
+export class ResponseCache {
+  readonly #lookup: CacheLookup;
+  readonly #headerNames: HeaderNames;
+  readonly #maxPurgeLagMs: number;
+
+  constructor(cache: Cache, headerNames: HeaderNames, limits: EdgeLimits) {
+    this.#lookup = new CacheLookup(cache);
+    this.#headerNames = headerNames;
+    this.#maxPurgeLagMs = limits.maxPurgeLagMs;
+  }
+
+  /** How a request is known at the cache; undefined if its response may not be cached. */
+  cacheable(route: CompiledRoute, request: IncomingRequest): CacheableRequest | undefined {
+    const { method, host, target, fields } = request;
+    return this.#lookup.cacheableRequest(route, method, host, target, fields);
+  }
+
+  /** A cached response that may be served now. */
+  find(cacheable: CacheableRequest, nodeAgent: NodeAgent, now: Timestamp): CacheEntry | undefined {
+    const { purgesCurrentAsOf, nodeSession } = nodeAgent;
+    const hasRecentPurges =
+      purgesCurrentAsOf !== undefined && elapsedMs(purgesCurrentAsOf, now) < this.#maxPurgeLagMs;
+    // An edge that is cut off from all registries serves what it has.
+    if (!hasRecentPurges && isConnected(nodeSession, now)) return undefined;
+    return this.#lookup.cache.find(cacheable.key, cacheable.fields, now);
+  }
+
+  /** The entry of a response of status 200 that was just fetched; it is stored if its route gives it a lifetime. */
+  storeResponse(
+    cacheable: CacheableRequest,
+    { fields, body }: OriginResponse,
+    start: AttemptStart,
+    now: Timestamp,
+  ): CacheEntry {
+    const entry = this.#entry(cacheable, fields, body, start.sentAt);
+    if (entry.lifetimeMs > 0) this.#store(cacheable, entry, start.purgeSeq, now);
+    return entry;
+  }
+
+  /** The entry of an object that another edge shared; undefined if it is too old or was purged since. */
+  storeShared(
+    cacheable: CacheableRequest,
+    object: SharedObject,
+    now: Timestamp,
+  ): CacheEntry | undefined {
+    const { fields, body, createdAt, purged } = object;
+    const entry = this.#entry(cacheable, fields, body, createdAt);
+    const isExpired = elapsedMs(createdAt, now) >= entry.lifetimeMs;
+    if (isExpired || this.#lookup.cache.isPurgedSince(entry.key, entry.tags, purged))
+      return undefined;
+    this.#store(cacheable, entry, purged, now);
+    return entry;
+  }
+
+  #entry(
+    cacheable: CacheableRequest,
+    fields: HeaderFields,
+    body: Buffer,
+    createdAt: Timestamp,
+  ): CacheEntry {
+    return {
+      key: cacheable.key,
+      vary: new Map(),
+      status: 200,
+      fields,
+      body,
+      digest: '',
+      createdAt,
+      lifetimeMs: cacheable.route.cache?.lifetimeMs ?? 0,
+      tags: tagsIn(fields, this.#headerNames.cacheTags),
+    };
+  }
+
+  #store(
+    cacheable: CacheableRequest,
+    entry: CacheEntry,
+    purgeSeq: SharedObject['purged'],
+    now: Timestamp,
+  ): void {
+    const vary = cacheable.route.cache?.vary ?? [];
+    this.#lookup.cache.store(entry, cacheable.fields, vary, purgeSeq, now);
+  }
+}
+
+const tagsIn = (fields: HeaderFields, name: string): readonly string[] =>
+  (fieldValue(fields, name) ?? '').split(/[\s,]+/).filter((tag) => tag !== '');
