--- /dev/null
+++ b/packages/proxy/src/direct-edge/edge-metrics.ts
@@ -0,0 +1,23 @@
+/** The metrics of a direct edge; their names are part of the operators' interface. */
+
+import { totalViolations } from '@switchwheel/types';
+import type { NodeAgent } from '@switchwheel/proxy-core';
+import type { EdgeRouter } from '@switchwheel/routing';
+import { formatMetrics, metricSample } from '@switchwheel/runtime';
+
+/** The metrics as text; `maxLoopLagMs` is how long the event loop was held up since the last call. */
+export const edgeMetrics = (
+  nodeAgent: NodeAgent,
+  router: EdgeRouter,
+  maxLoopLagMs: number,
+): string =>
+  formatMetrics([
+    metricSample('generation', nodeAgent.compiledConfiguration?.generation ?? 0),
+    metricSample('newest_generation', nodeAgent.configFreshness.newestGeneration),
+    metricSample('invariant_violations_total', totalViolations(nodeAgent.violations)),
+    metricSample('origins', nodeAgent.nodeSession.origins.size),
+    metricSample('requests_open', router.openRequests),
+    metricSample('loop_lag_worst_ms', Math.round(maxLoopLagMs)),
+    metricSample('memory_bytes', process.memoryUsage.rss()),
+    ...[...router.counts].map(([name, value]) => metricSample(`requests_${name}_total`, value)),
+  ]);
--- /dev/null
+++ b/packages/proxy/src/direct-edge/edge-ticker.ts
@@ -0,0 +1,56 @@
+/** What a direct edge does regularly: it hands the fleet's changes and the time to the router, and sends reports. */
+
+import { type Timestamp, primaryLease } from '@switchwheel/types';
+import type { ChannelPool } from '@switchwheel/transport';
+import type { NodeAgent } from '@switchwheel/proxy-core';
+import type { EdgeRouter } from '@switchwheel/routing';
+
+/** How often the counts of rollouts are sent to the store's primary. */
+const reportIntervalMs = 250;
+
+/** What a ticker stands on. */
+export interface EdgeTickerOptions {
+  readonly now: () => Timestamp;
+  readonly nodeAgent: () => NodeAgent;
+  readonly router: EdgeRouter;
+  readonly channels: ChannelPool;
+}
+
+/** Runs after each tick of the node agent. */
+export class EdgeTicker {
+  readonly #options: EdgeTickerOptions;
+  #last: NodeAgent | undefined;
+  #reportedAt: Timestamp;
+
+  constructor(options: EdgeTickerOptions) {
+    this.#options = options;
+    this.#reportedAt = options.now();
+  }
+
+  /** Updates the router's view of the fleet if it has changed, ticks the router, and reports if it is time. */
+  tick(): void {
+    const { now, nodeAgent, router } = this.#options;
+    const current = nodeAgent();
+    if (this.#hasFleetChanged(current)) router.updateFleet(current);
+    this.#last = current;
+    router.tick(now());
+    this.#report(current);
+  }
+
+  #hasFleetChanged({ nodeSession, releaseStates }: NodeAgent): boolean {
+    const last = this.#last;
+    return (
+      nodeSession.origins !== last?.nodeSession.origins ||
+      nodeSession.members !== last.nodeSession.members ||
+      releaseStates !== last.releaseStates
+    );
+  }
+
+  #report(current: NodeAgent): void {
+    const { now, router, channels } = this.#options;
+    const primary = current.nodeSession.holders.get(primaryLease);
+    if (primary === undefined || now() - this.#reportedAt < reportIntervalMs) return;
+    this.#reportedAt = now();
+    for (const report of router.rolloutReports(current)) channels.send(primary.address, report);
+  }
+}
--- a/packages/proxy/src/direct-edge/start-edge.ts
+++ b/packages/proxy/src/direct-edge/start-edge.ts
@@ -1,252 +1,198 @@
-import { createServer } from 'node:http';
-import {
-  type Address,
-  type ZoneName,
-  type NodeId,
-  primaryLease,
-  totalViolations,
-} from '@switchwheel/types';
+/**
+ * The program of an edge that sends its requests straight to origins (no shield between). This module wires the parts,
+ * listens and stops; it decides nothing.
+ */
+
+import type { Server } from 'node:http';
+import type { Address, NodeId, ZoneName } from '@switchwheel/types';
 import {
-  type ProcessEffect,
   ChannelPool,
+  type Member,
+  type ProcessEffect,
   isObjectFrame,
-  splitAddress,
 } from '@switchwheel/transport';
-import { buildConfiguration } from '@switchwheel/configuration';
 import { type EdgeLimits, EdgeRouter, type HeaderNames } from '@switchwheel/routing';
 import {
+  Cache,
   type NodeAgent,
   type NodeAgentEffect,
   type NodeAgentEvent,
-  Cache,
-  nodeAgentTransition,
   newNodeAgent,
+  nodeAgentTransition,
 } from '@switchwheel/proxy-core';
 import {
+  type EventLoop,
   type Logger,
   type RunningProgram,
-  runTimeSliced,
   isProcessEffect,
-  formatMetrics,
-  metricsContentType,
-  newRandomState,
   newIncarnation,
+  newRandomState,
   now,
-  metricSample,
   runEventLoop,
-  delay,
 } from '@switchwheel/runtime';
+import { compileConfiguration } from '../node-agent/compile-configuration.js';
 import { ClientListener } from './client-listener.js';
+import { drainRequests } from './drain.js';
+import { edgeMetrics } from './edge-metrics.js';
+import { EdgeTicker } from './edge-ticker.js';
 import { HttpOriginClient } from './origin-client.js';
+import { Readiness } from './readiness.js';
+import { startStatusServer } from './status-server.js';
 
-/** What an edge that sends straight to origins needs to know. */
+/** The settings of an edge that sends straight to origins. */
 export interface EdgeSettings {
   readonly node: NodeId;
   readonly zone: ZoneName;
+  /** Where other nodes of the fleet connect. */
   readonly listen: Address;
   readonly seeds: readonly Address[];
+  /** Where clients connect. */
   readonly clientAddress: Address;
   /** Where the platform asks whether this edge is ready, and at which path. */
   readonly readiness: { readonly address: Address; readonly path: string };
-  /** At which path of the same address this edge tells its readings. */
+  /** At which path of the same address the metrics are read. */
   readonly metricsPath: string;
   readonly cacheBytes: number;
-  /** The rate of this machine's link; infinite if it is not known. */
+  /** The rate of this machine's link in bytes a second; infinite if it is not known. */
   readonly linkBytesPerSecond: number;
   readonly headerNames: HeaderNames;
   readonly limits: EdgeLimits;
-  /** How long a stop may take in all, in milliseconds. */
+  /** How long a graceful shutdown may take in all. */
   readonly stopTimeoutMs: number;
 }
 
-/** How long the platform needs to see that an edge is stopping. */
-const drainNoticeMs = 2600;
-const maxActiveRequests = 1024;
-/** How long before the end of a stop what is still under way is broken off, and told so. */
-const abortReserveMs = 300;
-/** How often counts of releases are told. */
-const reportIntervalMs = 250;
-/** How often time is let pass, over the control side and over requests under way. */
+/** How often the node agent and the requests in progress are ticked. */
 const tickIntervalMs = 30;
+const maxActiveRequests = 1024;
+
+type EdgeEffect = Exclude<NodeAgentEffect, ProcessEffect>;
+type NodeAgentLoop = EventLoop<NodeAgent, NodeAgentEvent>;
+
+/** The parts of a running edge. */
+interface EdgeParts {
+  readonly settings: EdgeSettings;
+  readonly log: Logger;
+  readonly channels: ChannelPool;
+  readonly cache: Cache;
+  readonly loop: NodeAgentLoop;
+  readonly router: EdgeRouter;
+  readonly listener: ClientListener;
+  readonly readiness: Readiness;
+}
 
-/** Starts an edge that carries the bytes of its requests itself. */
-export const startEdge = async (boot: EdgeSettings, log: Logger): Promise<RunningProgram> => {
-  const member = {
-    node: boot.node,
-    role: 'edge' as const,
-    area: boot.zone,
-    address: boot.listen,
-    door: boot.clientAddress,
-    incarnation: newIncarnation(),
-  };
-  const yard = new ChannelPool({
-    node: member.node,
-    address: member.address,
-    incarnation: member.incarnation,
+/** Starts an edge that carries the bytes of its requests itself; the promise holds once it listens everywhere. */
+export const startEdge = async (settings: EdgeSettings, log: Logger): Promise<RunningProgram> => {
+  const parts = wireEdge(settings, log);
+  const { channels, listener, loop, readiness, router } = parts;
+  const statusServer = await startStatusServer({
+    address: settings.readiness.address,
+    readinessPath: settings.readiness.path,
+    metricsPath: settings.metricsPath,
+    isReady: () => readiness.isReady(loop.machine.state()),
+    metrics: () => edgeMetrics(loop.machine.state(), router, loop.takeMaxLagMs()),
   });
-  const cache = new Cache(boot.cacheBytes);
-  const legs = new HttpOriginClient(boot.headerNames);
-  type OwnEffect = Exclude<NodeAgentEffect, ProcessEffect>;
-  const isOwnWire = (effect: NodeAgentEffect): effect is ProcessEffect => isProcessEffect(effect);
-  const run = (effect: OwnEffect): void => {
-    switch (effect.kind) {
-      case 'compileConfiguration':
-        void runTimeSliced(
-          buildConfiguration(
-            effect.chunkTexts,
-            effect.offer.generation,
-            effect.offer.hash,
-            effect.previous,
-          ),
-        ).then((built) =>
-          loop.dispatch((at) =>
-            built.isOk
-              ? {
-                  kind: 'configurationCompiled',
-                  now: at,
-                  offer: effect.offer,
-                  compiledConfiguration: built.value,
-                }
-              : { kind: 'compileFailed', now: at, offer: effect.offer, faults: built.error },
-          ),
-        );
-        break;
-      case 'adoptConfiguration':
-        door.applyLimits(effect.compiledConfiguration.header.limits);
-        break;
-      case 'purgeCache':
-        cache.purge(effect.purges, effect.flush, effect.lastPurgeSeq);
-        line.onPurged();
-        break;
-      case 'startLeading':
-      case 'stopLeading':
-        break;
-    }
-  };
-  const reduce = (
-    state: NodeAgent,
-    event: NodeAgentEvent,
-  ): ReturnType<typeof nodeAgentTransition> => nodeAgentTransition(state, event);
-  const loop = runEventLoop<NodeAgent, NodeAgentEvent, OwnEffect>(
-    reduce,
-    newNodeAgent(member, boot.seeds, newRandomState()),
-    yard,
+  await channels.listen();
+  await listener.listen(settings.clientAddress);
+  log.write(
+    'info',
+    'started',
+    new Map<string, string>([
+      ['listen', settings.listen],
+      ['door', settings.clientAddress],
+    ]),
+  );
+  return { stop: () => stopEdge(parts, statusServer) };
+};
+
+const wireEdge = (settings: EdgeSettings, log: Logger): EdgeParts => {
+  const member = memberOf(settings);
+  const { node, address, incarnation } = member;
+  const channels = new ChannelPool({ node, address, incarnation });
+  const cache = new Cache(settings.cacheBytes);
+  const loop: NodeAgentLoop = runEventLoop<NodeAgent, NodeAgentEvent, EdgeEffect>(
+    nodeAgentTransition,
+    newNodeAgent(member, settings.seeds, newRandomState()),
+    channels,
     log,
-    run,
-    isOwnWire,
+    (effect) => runEffect(parts, effect),
+    isProcessEffectOfAgent,
     tickIntervalMs,
-    () => pass(),
+    () => ticker.tick(),
   );
-  const cabin = (): NodeAgent => loop.machine.state();
-  const line = new EdgeRouter(
-    { now, nodeAgent: cabin },
+  const nodeAgent = loop.machine.state;
+  const router = newRouter(settings, channels, cache, nodeAgent);
+  channels.on('frame', (from, frame) => {
+    if (isObjectFrame(frame)) router.handlePeerFrame(from.address, frame);
+  });
+  const readiness = new Readiness();
+  const listener = new ClientListener(router, settings.headerNames, {
+    isClosing: () => readiness.isStopping,
+  });
+  const ticker = new EdgeTicker({ now, nodeAgent, router, channels });
+  const parts = { settings, log, channels, cache, loop, router, listener, readiness };
+  return parts;
+};
+
+const memberOf = ({ node, zone, listen, clientAddress }: EdgeSettings): Member => ({
+  node,
+  role: 'edge',
+  area: zone,
+  address: listen,
+  door: clientAddress,
+  incarnation: newIncarnation(),
+});
+
+const isProcessEffectOfAgent = (effect: NodeAgentEffect): effect is ProcessEffect =>
+  isProcessEffect(effect);
+
+const newRouter = (
+  { zone, headerNames, limits, linkBytesPerSecond }: EdgeSettings,
+  channels: ChannelPool,
+  cache: Cache,
+  nodeAgent: () => NodeAgent,
+): EdgeRouter =>
+  new EdgeRouter(
+    { now, nodeAgent },
     cache,
-    legs,
+    new HttpOriginClient(headerNames),
     {
-      zone: boot.zone,
-      headerNames: boot.headerNames,
-      limits: boot.limits,
-      maxActiveRequests: maxActiveRequests,
-      peers: { send: (to, frame) => yard.send(to, frame) },
-      linkBytesPerSecond: boot.linkBytesPerSecond,
+      zone,
+      headerNames,
+      limits,
+      maxActiveRequests,
+      peers: { send: (to, frame) => channels.send(to, frame) },
+      linkBytesPerSecond,
     },
     newRandomState(),
   );
-  yard.on('frame', (from, frame) => {
-    if (isObjectFrame(frame)) line.handlePeerFrame(from.address, frame);
-  });
-  let stopping = false;
-  const door = new ClientListener(line, boot.headerNames, { isClosing: () => stopping });
 
-  let seen: NodeAgent | undefined;
-  let told = now();
-  let settled = false;
-  const pass = (): void => {
-    const one = cabin();
-    if (
-      one.nodeSession.origins !== seen?.nodeSession.origins ||
-      one.nodeSession.members !== seen.nodeSession.members ||
-      one.releaseStates !== seen.releaseStates
-    )
-      line.updateFleet(one);
-    seen = one;
-    line.tick(now());
-    const store = one.nodeSession.holders.get(primaryLease);
-    if (store === undefined || now() - told < reportIntervalMs) return;
-    told = now();
-    for (const word of line.rolloutReports(one)) yard.send(store.address, word);
-  };
-  // Ready: a description runs, and the fleet's word of the origins has come.
-  const ready = (): boolean => {
-    const one = cabin();
-    settled ||=
-      one.compiledConfiguration !== undefined &&
-      one.failedUpdate === undefined &&
-      one.nodeSession.members.length > 0;
-    return settled && one.failedUpdate === undefined && !stopping;
-  };
-  const metrics = (): string => {
-    const one = cabin();
-    return formatMetrics([
-      metricSample('generation', one.compiledConfiguration?.generation ?? 0),
-      metricSample('newest_generation', one.configFreshness.newestGeneration),
-      metricSample('invariant_violations_total', totalViolations(one.violations)),
-      metricSample('origins', one.nodeSession.origins.size),
-      metricSample('requests_open', line.openRequests),
-      metricSample('loop_lag_worst_ms', Math.round(loop.takeMaxLagMs())),
-      metricSample('memory_bytes', process.memoryUsage.rss()),
-      ...[...line.counts].map(([name, value]) => metricSample(`requests_${name}_total`, value)),
-    ]);
-  };
-  const readyServer = createServer({ keepAliveTimeout: 30_000 }, (asked, answer) => {
-    if (asked.method === 'GET' && asked.url === boot.metricsPath) {
-      answer.writeHead(200, { 'content-type': metricsContentType }).end(metrics());
-      return;
-    }
-    const known = asked.method === 'GET' && asked.url === boot.readiness.path;
-    answer.writeHead(!known ? 404 : ready() ? 200 : 503, ['content-length', '0']).end();
-  });
-  await new Promise<void>((done) => {
-    readyServer.listen(splitAddress(boot.readiness.address), done);
-  });
-  await yard.listen();
-  await door.listen(boot.clientAddress);
-  log.write(
-    'info',
-    'started',
-    new Map<string, string>([
-      ['listen', boot.listen],
-      ['door', boot.clientAddress],
-    ]),
-  );
+const runEffect = ({ cache, listener, loop, router }: EdgeParts, effect: EdgeEffect): void => {
+  switch (effect.kind) {
+    case 'compileConfiguration':
+      compileConfiguration(effect, loop.dispatch);
+      break;
+    case 'adoptConfiguration':
+      listener.applyLimits(effect.compiledConfiguration.header.limits);
+      break;
+    case 'purgeCache':
+      cache.purge(effect.purges, effect.flush, effect.lastPurgeSeq);
+      router.onPurged();
+      break;
+    case 'startLeading':
+    case 'stopLeading':
+      // Only shields lead services.
+      break;
+  }
+};
 
-  return {
-    stop: async () => {
-      const since = now();
-      stopping = true;
-      loop.dispatch((at) => ({ kind: 'stopRequested', now: at }));
-      await delay(Math.min(drainNoticeMs, boot.stopTimeoutMs / 2));
-      door.stopAccepting();
-      while (
-        (door.openRequests > 0 || line.openRequests > 0) &&
-        now() - since < boot.stopTimeoutMs - abortReserveMs
-      )
-        await delay(10);
-      if (line.openRequests > 0) {
-        log.write(
-          'warn',
-          'requests are broken off by the stop',
-          new Map([['open', line.abortAll()]]),
-        );
-        await delay(50);
-      }
-      // In one turn with the last look at what is open: nothing can have been read in between.
-      door.closeAllConnections();
-      readyServer.close();
-      readyServer.closeAllConnections();
-      loop.stop();
-      yard.close();
-      if (line.counts.size > 0) log.write('info', 'served', new Map(line.counts));
-    },
-  };
+const stopEdge = async (parts: EdgeParts, statusServer: Server): Promise<void> => {
+  const { settings, log, channels, listener, loop, readiness, router } = parts;
+  readiness.beginStop();
+  loop.dispatch((at) => ({ kind: 'stopRequested', now: at }));
+  await drainRequests(listener, router, settings.stopTimeoutMs, log);
+  statusServer.close();
+  statusServer.closeAllConnections();
+  loop.stop();
+  channels.close();
+  if (router.counts.size > 0) log.write('info', 'requests served', new Map(router.counts));
 };
--- /dev/null
+++ b/packages/proxy/src/direct-edge/status-server.ts
@@ -0,0 +1,36 @@
+/** The HTTP server on which the platform asks an edge whether it is ready, and reads its metrics. */
+
+import { type Server, createServer } from 'node:http';
+import type { Address } from '@switchwheel/types';
+import { splitAddress } from '@switchwheel/transport';
+import { metricsContentType } from '@switchwheel/runtime';
+
+const keepAliveTimeoutMs = 30_000;
+
+/** What a status server tells, and where. */
+export interface StatusServerOptions {
+  readonly address: Address;
+  readonly readinessPath: string;
+  readonly metricsPath: string;
+  readonly isReady: () => boolean;
+  /** The metrics in the text form of Prometheus. */
+  readonly metrics: () => string;
+}
+
+/** Starts the server; the promise holds once it listens. */
+export const startStatusServer = async (options: StatusServerOptions): Promise<Server> => {
+  const { address, readinessPath, metricsPath, isReady, metrics } = options;
+  const server = createServer({ keepAliveTimeout: keepAliveTimeoutMs }, (request, response) => {
+    const path = request.method === 'GET' ? request.url : undefined;
+    if (path === metricsPath) {
+      response.writeHead(200, { 'content-type': metricsContentType }).end(metrics());
+      return;
+    }
+    const status = path !== readinessPath ? 404 : isReady() ? 200 : 503;
+    response.writeHead(status, ['content-length', '0']).end();
+  });
+  await new Promise<void>((done) => {
+    server.listen(splitAddress(address), done);
+  });
+  return server;
+};
