--- /dev/null
+++ b/packages/proxy/src/proxy/open-data-channel.ts
@@ -0,0 +1,22 @@
+/** Data channels from an edge to the shields that lead services. */
+
+import { type ChannelPool, type Frame } from '@switchwheel/transport';
+import { type OpenDataChannel, connectTimeoutMs } from '@switchwheel/proxy-core';
+
+/** Opens channels of a pool; one that has not come up in time is closed. */
+export const dataChannelsOf =
+  (channels: ChannelPool): OpenDataChannel =>
+  (to, handlers) => {
+    const channel = channels.openDataChannel(to);
+    const timeout = setTimeout(() => channel.terminate('no hello in time'), connectTimeoutMs);
+    channel.on('up', () => {
+      clearTimeout(timeout);
+      handlers.up();
+    });
+    channel.on('frame', (frame: Frame) => handlers.frame(frame));
+    channel.on('closed', () => {
+      clearTimeout(timeout);
+      handlers.closed();
+    });
+    return channel;
+  };
--- a/packages/proxy/src/settings/settings.ts
+++ b/packages/proxy/src/settings/settings.ts
@@ -1,3 +1,5 @@
+/** The settings of the `proxy` command, as the command line and the environment give them. */
+
 import * as v from 'valibot';
 import { address } from '@switchwheel/types';
 import {
@@ -6,6 +8,7 @@
   commonSettingDefinitions,
 } from '@switchwheel/runtime';
 
+/** The command, with the text that its help shows. */
 export const program: ProgramDefinition = {
   name: 'proxy',
   description: 'The proxy of switchwheel: an edge takes callers, a shield keeps services.',
@@ -18,6 +21,7 @@
   ],
 };
 
+/** What the settings have to be; unknown ones are refused. */
 export const settingsSchema = v.strictObject({
   ...commonSettingsSchema,
   role: v.picklist(['edge', 'shield'], 'edge or shield'),
@@ -33,3 +37,6 @@
     256,
   ),
 });
+
+/** Valid settings; `cache` is in MiB. */
+export type ProxySettings = v.InferOutput<typeof settingsSchema>;
