--- a/packages/proxy/src/direct-edge/client-listener.ts
+++ b/packages/proxy/src/direct-edge/client-listener.ts
@@ -1,89 +1,83 @@
+/**
+ * The HTTP server for the clients of a direct edge: it reads requests with their bodies and hands them to the router.
+ * When a connection may be closed is decided by `ClientConnections`, what a response looks like by `ResponseWriter`.
+ */
+
 import { type IncomingMessage, type Server, type ServerResponse, createServer } from 'node:http';
 import { Server as NetServer } from 'node:net';
-import rangeParser from 'range-parser';
-import { type Address, type ErrorKind, errorResponseFor as tellingOf } from '@switchwheel/types';
+import type { Address } from '@switchwheel/types';
 import { type HeaderFields, splitAddress } from '@switchwheel/transport';
-import type { IncomingRequest, EdgeRouter, ClientReply, HeaderNames } from '@switchwheel/routing';
-import { type CacheEntry, fieldValue, forwardableFields } from '@switchwheel/proxy-core';
+import type { EdgeRouter, HeaderNames, IncomingRequest } from '@switchwheel/routing';
+import { fieldValue } from '@switchwheel/proxy-core';
 import type { ClientLimits } from '@switchwheel/configuration';
 import { readBody } from '@switchwheel/runtime';
+import { headerFieldsOf } from '../http/header-fields.js';
 import { ClientConnections } from './client-connections.js';
-
-const headerFieldsOf = (asked: IncomingMessage): HeaderFields => {
-  const out: HeaderFields = [];
-  const raw = asked.rawHeaders;
-  for (let at = 0; at + 1 < raw.length; at += 2)
-    out.push([(raw[at] ?? '').toLowerCase(), raw[at + 1] ?? '']);
-  return out;
+import { ResponseWriter } from './response-writer.js';
+
+const emptyBody = Buffer.alloc(0);
+const connectionBacklog = 1024;
+/** The limits until a configuration says otherwise. */
+const defaultMaxBodyBytes = 1024 * 1024;
+const serverOptions = {
+  keepAliveTimeout: 15_000,
+  headersTimeout: 5000,
+  requestTimeout: 30_000,
+  connectionsCheckingInterval: 1000,
+  maxHeaderSize: 64 * 1024,
+  noDelay: true,
+  requireHostHeader: true,
 };
 
-const statusOf = (fault: ErrorKind): number => tellingOf(fault).status;
-const empty = Buffer.alloc(0);
-
-/** What a client is told whose message could not be read, by the HTTP parser's code. */
-const parseErrorResponse = (code: string | undefined): string => {
-  const status =
-    code === 'HPE_HEADER_OVERFLOW'
-      ? '431 Request Header Fields Too Large'
-      : code === 'ERR_HTTP_REQUEST_TIMEOUT'
-        ? '408 Request Timeout'
-        : '400 Bad Request';
-  return `HTTP/1.1 ${status}\r\nconnection: close\r\ncontent-length: 0\r\n\r\n`;
-};
-
-/** How the door is held. */
+/** What a listener asks of its edge. */
 export interface ListenerState {
-  /** Callers are told to come back on another connection. */
+  /** Whether clients are told to come back on another connection. */
   readonly isClosing: () => boolean;
 }
 
-/** The door for callers of an edge that sends straight to origins. */
+/** One request from its head to its response; `cancel` is the router's. */
+interface ClientExchange {
+  hasEnded: boolean;
+  cancel: () => void;
+}
+
+/** Accepts clients' connections and requests. */
 export class ClientListener {
   readonly #router: EdgeRouter;
   readonly #headerNames: HeaderNames;
-  readonly #state: ListenerState;
   readonly #server: Server;
   readonly #connections = new ClientConnections();
-  #maxBodyBytes = 1024 * 1024;
-  /** Requests that were read and are not answered yet. */
+  readonly #writer: ResponseWriter;
+  #maxBodyBytes = defaultMaxBodyBytes;
+  /** Requests that were read and have no response yet. */
   openRequests = 0;
 
-  constructor(line: EdgeRouter, words: HeaderNames, state: ListenerState) {
-    this.#router = line;
-    this.#headerNames = words;
-    this.#state = state;
-    this.#server = createServer(
-      {
-        keepAliveTimeout: 15_000,
-        headersTimeout: 5000,
-        requestTimeout: 30_000,
-        connectionsCheckingInterval: 1000,
-        maxHeaderSize: 64 * 1024,
-        noDelay: true,
-        requireHostHeader: true,
-      },
-      (asked, answer) => {
-        void this.#handleRequest(asked, answer);
-      },
-    );
+  constructor(router: EdgeRouter, headerNames: HeaderNames, { isClosing }: ListenerState) {
+    this.#router = router;
+    this.#headerNames = headerNames;
+    this.#writer = new ResponseWriter(headerNames, this.#connections, isClosing);
+    this.#server = createServer(serverOptions, (request, response) => {
+      void this.#handleRequest(request, response);
+    });
     this.#server.on('connection', (socket) => this.#connections.add(socket));
-    this.#server.on('clientError', (fault: Error & { code?: string }, socket) => {
-      if (fault.code === 'ECONNRESET') socket.destroy();
-      else this.#connections.rejectMalformed(socket, parseErrorResponse(fault.code));
+    this.#server.on('clientError', (error: Error & { code?: string }, socket) => {
+      if (error.code === 'ECONNRESET') socket.destroy();
+      else this.#connections.rejectMalformed(socket, parseErrorResponse(error.code));
     });
   }
 
-  listen(at: Address): Promise<void> {
+  /** Listens at an address; the promise fails if the address can't be had. */
+  listen(address: Address): Promise<void> {
     return new Promise((done, fail) => {
       this.#server.once('error', fail);
-      this.#server.listen({ ...splitAddress(at), backlog: 1024 }, () => {
+      this.#server.listen({ ...splitAddress(address), backlog: connectionBacklog }, () => {
         this.#server.off('error', fail);
         done();
       });
     });
   }
 
-  /** Takes over what a description says callers may do. */
+  /** Adopts a configuration's limits for clients. */
   applyLimits(limits: ClientLimits): void {
     this.#maxBodyBytes = limits.bodyBytes;
     this.#server.keepAliveTimeout = limits.idleMs;
@@ -91,190 +85,80 @@
   }
 
   /**
-   * Takes no new connections, and closes the others as soon as what was read on them is answered. The HTTP server's own
-   * `close` would cut answers that are decided but not yet written out to a slow client.
+   * Accepts no new connections, and closes the others as soon as all requests read on them have their responses. The
+   * HTTP server's own `close` would cut responses that are not yet written out to a slow client.
    */
   stopAccepting(): void {
     NetServer.prototype.close.call(this.#server);
     this.#connections.close();
   }
 
-  /** Cuts all connections. */
+  /** Closes all connections at once, also amid a response. */
   closeAllConnections(): void {
     this.#server.closeAllConnections();
   }
 
-  async #handleRequest(asked: IncomingMessage, answer: ServerResponse): Promise<void> {
-    const request = { ended: false, leave: (): void => undefined };
-    const end = (): void => {
-      request.ended = true;
+  async #handleRequest(message: IncomingMessage, response: ServerResponse): Promise<void> {
+    const exchange: ClientExchange = { hasEnded: false, cancel: () => undefined };
+    const onEnd = (): void => {
+      exchange.hasEnded = true;
       this.openRequests -= 1;
-      if (!answer.writableFinished) request.leave();
+      if (!response.writableFinished) exchange.cancel();
     };
-    if (!this.#connections.begin(asked, answer, this.#server.keepAliveTimeout, end)) return;
+    if (!this.#connections.begin(message, response, this.#server.keepAliveTimeout, onEnd)) return;
     this.openRequests += 1;
-    const fields = headerFieldsOf(asked);
+    const fields = headerFieldsOf(message);
     const id = fieldValue(fields, this.#headerNames.requestId) ?? '';
-    const body =
-      asked.headers['content-length'] === undefined &&
-      asked.headers['transfer-encoding'] === undefined
-        ? empty
-        : await this.#readBody(asked, answer, id);
-    if (body === undefined || request.ended) return;
-    const left = Number(fieldValue(fields, this.#headerNames.timeLeftMs));
-    const call: IncomingRequest = {
+    const body = hasBody(message) ? await this.#readBody(message, response, id) : emptyBody;
+    if (body === undefined || exchange.hasEnded) return;
+    const request = this.#requestOf(message, id, fields, body);
+    exchange.cancel = this.#router.serve(request, (reply) =>
+      this.#writer.sendReply(response, request, reply),
+    );
+  }
+
+  #requestOf(
+    message: IncomingMessage,
+    id: string,
+    fields: HeaderFields,
+    body: Buffer,
+  ): IncomingRequest {
+    const timeLeftMs = Number(fieldValue(fields, this.#headerNames.timeLeftMs));
+    return {
       id,
-      method: asked.method ?? 'GET',
-      host: (asked.headers.host ?? '').toLowerCase(),
-      target: asked.url ?? '/',
+      method: message.method ?? 'GET',
+      host: (message.headers.host ?? '').toLowerCase(),
+      target: message.url ?? '/',
       fields,
       body,
-      timeoutMs: Number.isFinite(left) && left > 0 ? left : undefined,
+      timeoutMs: Number.isFinite(timeLeftMs) && timeLeftMs > 0 ? timeLeftMs : undefined,
     };
-    request.leave = this.#router.serve(call, (word) => this.#sendReply(answer, call, word));
   }
 
+  /** The body; undefined if it can't be read, which the client has then been told. */
   async #readBody(
-    asked: IncomingMessage,
-    answer: ServerResponse,
+    message: IncomingMessage,
+    response: ServerResponse,
     id: string,
   ): Promise<Buffer | undefined> {
-    const read = await readBody(asked, this.#maxBodyBytes);
-    if (read.isOk) return read.value;
-    this.#sendError(answer, id, read.error.kind, read.error.text, 0, true);
+    const result = await readBody(message, this.#maxBodyBytes);
+    if (result.isOk) return result.value;
+    const { kind: errorKind, text } = result.error;
+    this.#writer.sendError(response, id, { errorKind, text, retryAfterMs: 0, isLast: true });
     return undefined;
   }
+}
 
-  #sendReply(answer: ServerResponse, call: IncomingRequest, word: ClientReply): void {
-    if (answer.destroyed || answer.headersSent) return;
-    switch (word.kind) {
-      case 'failure':
-        this.#sendError(answer, call.id, word.errorKind, word.text, word.retryAfterMs);
-        break;
-      case 'cached':
-        this.#sendCached(answer, call, word.entry);
-        break;
-      case 'response':
-        this.#send(
-          answer,
-          call,
-          word.response.status,
-          word.response.fields,
-          word.response.body,
-          [],
-        );
-        break;
-    }
-  }
-
-  #sendError(
-    answer: ServerResponse,
-    id: string,
-    kind: ErrorKind,
-    text: string,
-    retryMs: number,
-    last = false,
-  ): void {
-    const body = Buffer.from(JSON.stringify({ kind, text }));
-    const head: string[] = [
-      'content-type',
-      'application/json',
-      'content-length',
-      String(body.length),
-      'cache-control',
-      'no-store',
-    ];
-    if (id !== '') head.push(this.#headerNames.requestId, id);
-    const status = statusOf(kind);
-    if (status === 503 || retryMs > 0)
-      head.push('retry-after', String(Math.max(0.001, Math.round(retryMs) / 1000)));
-    this.#write(answer, status, head, body, last);
-  }
-
-  #sendCached(answer: ServerResponse, call: IncomingRequest, entry: CacheEntry): void {
-    const tag = fieldValue(entry.fields, 'etag');
-    const asked = fieldValue(call.fields, 'if-none-match');
-    if (
-      asked !== undefined &&
-      tag !== undefined &&
-      (asked.trim() === tag || asked.trim() === '*')
-    ) {
-      this.#send(answer, call, 304, entry.fields, empty, ['content-length']);
-      return;
-    }
-    const range = fieldValue(call.fields, 'range');
-    const condition = fieldValue(call.fields, 'if-range');
-    if (
-      range === undefined ||
-      call.method !== 'GET' ||
-      (condition !== undefined && condition !== tag)
-    ) {
-      this.#send(answer, call, entry.status, entry.fields, entry.body, []);
-      return;
-    }
-    const read = rangeParser(entry.body.length, range, { combine: false });
-    if (read === -1) {
-      this.#send(
-        answer,
-        call,
-        416,
-        [...entry.fields, ['content-range', `bytes */${entry.body.length}`]],
-        empty,
-        ['content-length'],
-      );
-      return;
-    }
-    const one = read === -2 || read.type !== 'bytes' || read.length !== 1 ? undefined : read[0];
-    if (one === undefined) this.#send(answer, call, entry.status, entry.fields, entry.body, []);
-    else
-      this.#send(
-        answer,
-        call,
-        206,
-        [...entry.fields, ['content-range', `bytes ${one.start}-${one.end}/${entry.body.length}`]],
-        entry.body.subarray(one.start, one.end + 1),
-        [],
-      );
-  }
-
-  #send(
-    answer: ServerResponse,
-    call: IncomingRequest,
-    status: number,
-    fields: HeaderFields,
-    body: Buffer,
-    less: readonly string[],
-  ): void {
-    const head: string[] = [];
-    for (const [name, value] of forwardableFields(fields, [
-      this.#headerNames.requestId,
-      'content-length',
-      ...less,
-    ]))
-      head.push(name, value);
-    if (call.id !== '') head.push(this.#headerNames.requestId, call.id);
-    if (status !== 304 && status !== 204) {
-      const length =
-        call.method === 'HEAD'
-          ? (fieldValue(fields, 'content-length') ?? String(body.length))
-          : String(body.length);
-      head.push('content-length', length);
-    }
-    this.#write(answer, status, head, body, false);
-  }
+const hasBody = ({ headers }: IncomingMessage): boolean =>
+  headers['content-length'] !== undefined || headers['transfer-encoding'] !== undefined;
 
-  #write(
-    answer: ServerResponse,
-    status: number,
-    head: string[],
-    body: Buffer,
-    last: boolean,
-  ): void {
-    if (last || (this.#state.isClosing() && this.#connections.mayBeLast(answer.req))) {
-      head.push('connection', 'close');
-      this.#connections.markLast(answer.req);
-    }
-    answer.writeHead(status, head);
-    answer.end(body.length > 0 ? body : undefined);
-  }
-}
+/** The response to a message that could not be read, by the HTTP parser's error code. */
+const parseErrorResponse = (code: string | undefined): string => {
+  const status =
+    code === 'HPE_HEADER_OVERFLOW'
+      ? '431 Request Header Fields Too Large'
+      : code === 'ERR_HTTP_REQUEST_TIMEOUT'
+        ? '408 Request Timeout'
+        : '400 Bad Request';
+  return `HTTP/1.1 ${status}\r\nconnection: close\r\ncontent-length: 0\r\n\r\n`;
+};
--- /dev/null
+++ b/packages/proxy/src/http/header-fields.ts
@@ -0,0 +1,12 @@
+/** Header fields as Node's HTTP parser read them. */
+
+import type { IncomingMessage } from 'node:http';
+import type { HeaderFields } from '@switchwheel/transport';
+
+/** The fields of a message in their order, repeated ones too; names in lower case. */
+export const headerFieldsOf = ({ rawHeaders }: IncomingMessage): HeaderFields => {
+  const fields: HeaderFields = [];
+  for (let index = 0; index + 1 < rawHeaders.length; index += 2)
+    fields.push([(rawHeaders[index] ?? '').toLowerCase(), rawHeaders[index + 1] ?? '']);
+  return fields;
+};
