--- a/packages/config-import/src/nginx/convert.ts
+++ b/packages/config-import/src/nginx/convert.ts
@@ -58,25 +58,25 @@
   readonly skipped: SkippedDirective[] = [];
   readonly services = new Set<string>();
   readonly routes: object[] = [];
-  readonly #names = new Map<string, number>();
+  readonly #nameCounts = new Map<string, number>();
 
-  skip(one: Directive, why: string): void {
+  skip(directive: Directive, reason: string): void {
     this.skipped.push({
-      file: one.file,
-      line: one.line,
-      name: [one.name, ...one.args].join(' '),
-      reason: why,
+      file: directive.file,
+      line: directive.line,
+      name: [directive.name, ...directive.args].join(' '),
+      reason: reason,
     });
   }
 
-  #unique(name: string): string {
-    const many = (this.#names.get(name) ?? 0) + 1;
-    this.#names.set(name, many);
+  #uniqueName(name: string): string {
+    const many = (this.#nameCounts.get(name) ?? 0) + 1;
+    this.#nameCounts.set(name, many);
     return many === 1 ? name : `${name}-${many}`;
   }
 
   /** Settings that hold for what stands within. */
-  #scope(outer: InheritedSettings, list: readonly Directive[]): InheritedSettings {
+  #inheritedBy(outer: InheritedSettings, list: readonly Directive[]): InheritedSettings {
     let scope = outer;
     for (const one of list) {
       if (one.name === 'proxy_cache') scope = { ...scope, cache: one.args[0] !== 'off' };
@@ -97,19 +97,19 @@
     return scope;
   }
 
-  http(list: readonly Directive[]): void {
-    const scope = this.#scope(
+  convertHttp(list: readonly Directive[]): void {
+    const scope = this.#inheritedBy(
       { cache: false, lifetimeMs: undefined, timeoutMs: undefined, query: true },
       list,
     );
     for (const one of list) {
-      if (one.name === 'upstream') this.#upstream(one);
-      else if (one.name === 'server') this.#server(one, scope);
-      else this.#other(one);
+      if (one.name === 'upstream') this.#convertUpstream(one);
+      else if (one.name === 'server') this.#convertServer(one, scope);
+      else this.#skipUnknown(one);
     }
   }
 
-  #other(one: Directive): void {
+  #skipUnknown(directive: Directive): void {
     if (
       [
         'proxy_cache',
@@ -118,16 +118,16 @@
         'proxy_cache_key',
         'proxy_pass',
         'limit_except',
-      ].includes(one.name)
+      ].includes(directive.name)
     )
       return;
-    if (structuralDirectives.has(one.name) && one.block === undefined) return;
-    this.skip(one, 'has no counterpart here');
+    if (structuralDirectives.has(directive.name) && directive.block === undefined) return;
+    this.skip(directive, 'has no counterpart here');
   }
 
-  #upstream(one: Directive): void {
-    this.services.add(identifierOf(one.args[0] ?? ''));
-    for (const row of one.block ?? [])
+  #convertUpstream(directive: Directive): void {
+    this.services.add(identifierOf(directive.args[0] ?? ''));
+    for (const row of directive.block ?? [])
       this.skip(
         row,
         row.name === 'server'
@@ -136,9 +136,9 @@
       );
   }
 
-  #server(one: Directive, outer: InheritedSettings): void {
-    const list = one.block ?? [];
-    const scope = this.#scope(outer, list);
+  #convertServer(directive: Directive, outer: InheritedSettings): void {
+    const list = directive.block ?? [];
+    const scope = this.#inheritedBy(outer, list);
     const names = list.filter((row) => row.name === 'server_name').flatMap((row) => row.args);
     const hosts = names.filter((name) => /^[a-z0-9.-]+$/.test(name));
     for (const row of list) {
@@ -150,34 +150,35 @@
         if (row.args.includes('ssl'))
           this.skip(row, 'callers are spoken to over HTTP/1.1 without TLS');
       } else if (row.name === 'location')
-        this.#location(row, scope, hosts.length === 0 ? [undefined] : hosts);
-      else this.#other(row);
+        this.#convertLocation(row, scope, hosts.length === 0 ? [undefined] : hosts);
+      else this.#skipUnknown(row);
     }
   }
 
-  #location(
-    one: Directive,
+  #convertLocation(
+    directive: Directive,
     outer: InheritedSettings,
     hosts: readonly (string | undefined)[],
   ): void {
-    const list = one.block ?? [];
-    const [sign, given] = one.args.length > 1 ? [one.args[0], one.args[1]] : ['', one.args[0]];
+    const list = directive.block ?? [];
+    const [sign, given] =
+      directive.args.length > 1 ? [directive.args[0], directive.args[1]] : ['', directive.args[0]];
     const place = given ?? '';
     if (sign === '~' || sign === '~*' || place.startsWith('@') || !place.startsWith('/')) {
       this.skip(
-        one,
+        directive,
         'patterns and named locations have no counterpart; routes go by path or prefix',
       );
       return;
     }
-    const scope = this.#scope(outer, list);
+    const scope = this.#inheritedBy(outer, list);
     const pass = list.find((row) => row.name === 'proxy_pass');
     for (const row of list) {
-      if (row.name === 'location') this.#location(row, scope, hosts);
-      else this.#other(row);
+      if (row.name === 'location') this.#convertLocation(row, scope, hosts);
+      else this.#skipUnknown(row);
     }
     if (pass === undefined) {
-      if (!list.some((row) => row.name === 'location')) this.skip(one, 'no proxy_pass in it');
+      if (!list.some((row) => row.name === 'location')) this.skip(directive, 'no proxy_pass in it');
       return;
     }
     const target = /^https?:\/\/([^/]+)(\/.*)?$/.exec(pass.args[0] ?? '');
@@ -201,19 +202,19 @@
           ? [{ prefix: place }]
           : [{ path: place }, { prefix: `${place}/` }];
     for (const host of hosts)
-      for (const spot of places) this.#route(spot, host, service, methods, scope, place);
+      for (const spot of places) this.#addRoutes(spot, host, service, methods, scope, place);
   }
 
-  #route(
-    spot: object,
+  #addRoutes(
+    match: object,
     host: string | undefined,
     service: string,
     methods: readonly string[],
     scope: InheritedSettings,
-    place: string,
+    path: string,
   ): void {
     const base = {
-      ...spot,
+      ...match,
       ...(host === undefined ? {} : { host }),
       service,
       class: 'imported',
@@ -221,7 +222,7 @@
         ? {}
         : { timeoutMs: Math.max(10, Math.min(600_000, scope.timeoutMs)) }),
     };
-    const name = (): string => this.#unique(identifierOf(`${host ?? 'any'}${place}`));
+    const name = (): string => this.#uniqueName(identifierOf(`${host ?? 'any'}${path}`));
     const keeps = scope.cache && methods.some((one) => one === 'GET' || one === 'HEAD');
     if (!keeps) {
       this.routes.push({ name: name(), ...base, methods });
@@ -242,10 +243,10 @@
 }
 
 /** Turns directives into a description; what has no counterpart is listed. */
-export const convertNginx = (list: readonly Directive[]): ConversionResult => {
+export const convertNginx = (directives: readonly Directive[]): ConversionResult => {
   const carrier = new NginxConverter();
-  for (const one of list) {
-    if (one.name === 'http') carrier.http(one.block ?? []);
+  for (const one of directives) {
+    if (one.name === 'http') carrier.convertHttp(one.block ?? []);
     else if (!structuralDirectives.has(one.name)) carrier.skip(one, 'has no counterpart here');
   }
   return {
--- a/packages/config-import/src/nginx/parse.ts
+++ b/packages/config-import/src/nginx/parse.ts
@@ -19,13 +19,13 @@
   readonly text: string;
 }
 
-type Tree = NonNullable<Parameters<NonNullable<Parameters<NginxParser['parse']>[1]>>[1]>;
+type SyntaxTree = NonNullable<Parameters<NonNullable<Parameters<NginxParser['parse']>[1]>>[1]>;
 
 const maxDepth = 16;
 
 /** The library's parser with the place of each word noted, as its tree bears none. */
-class PlacedParser extends NginxParser {
-  readonly words: { readonly text: string; readonly line: number }[] = [];
+class LineTrackingParser extends NginxParser {
+  readonly tokens: { readonly text: string; readonly line: number }[] = [];
   readonly #text: string;
   #cursor = 0;
   #line = 1;
@@ -35,7 +35,7 @@
     this.#text = text;
   }
 
-  #pass(found: string): number {
+  #advancePast(found: string): number {
     const at = Math.max(this.#cursor, this.#text.indexOf(found, this.#cursor));
     this.#line += (this.#text.slice(this.#cursor, at).match(/\n/g) ?? []).length;
     const line = this.#line;
@@ -49,32 +49,32 @@
     return this.#line;
   }
 
-  #note(word: string): void {
-    const line = this.#pass(word);
+  #recordToken(word: string): void {
+    const line = this.#advancePast(word);
     const text = word.trim();
-    if (text !== '') this.words.push({ text, line });
+    if (text !== '') this.tokens.push({ text, line });
   }
 
   override readWord(): string {
     const word = super.readWord();
-    this.#note(word);
+    this.#recordToken(word);
     return word;
   }
 
   override readString(): string {
     const word = super.readString();
-    this.#note(word);
+    this.#recordToken(word);
     return word;
   }
 
   override readComment(): string {
     const text = super.readComment();
-    this.#pass(text);
+    this.#advancePast(text);
     return text;
   }
 }
 
-const argsOf = (value: string): readonly string[] =>
+const splitArguments = (value: string): readonly string[] =>
   [...value.matchAll(/"([^"]*)"|'([^']*)'|\S+/g)].map((found) => found[1] ?? found[2] ?? found[0]);
 
 const blocksAreClosed = (text: string): boolean => {
@@ -90,7 +90,7 @@
   file: string,
   text: string,
 ): Result<readonly Directive[], NginxReadError> => {
-  const parser = new PlacedParser(text);
+  const parser = new LineTrackingParser(text);
   const fail = (line: number, why: string): Result<readonly Directive[], NginxReadError> =>
     err({ file, line, text: why });
   let result: Result<readonly Directive[], NginxReadError> = err({
@@ -109,10 +109,10 @@
         return;
       }
       let at = 0;
-      const walk = (node: Tree): Directive => {
-        while (at < parser.words.length && parser.words[at]?.text !== node.name.trim()) at += 1;
-        const line = parser.words[at]?.line ?? 1;
-        const args = argsOf(node.value);
+      const walk = (node: SyntaxTree): Directive => {
+        while (at < parser.tokens.length && parser.tokens[at]?.text !== node.name.trim()) at += 1;
+        const line = parser.tokens[at]?.line ?? 1;
+        const args = splitArguments(node.value);
         at += 1 + args.length;
         return {
           name: node.name,
--- a/packages/devfleet/bin/standin.js
+++ /dev/null
@@ -1,2 +0,0 @@
-#!/usr/bin/env node
-import '../dist/origin/standin.js';
--- /dev/null
+++ b/packages/devfleet/bin/stub-origin.js
@@ -0,0 +1,2 @@
+#!/usr/bin/env node
+import '../dist/origin/stub-origin.js';
--- a/packages/devfleet/src/fleet/child.ts
+++ b/packages/devfleet/src/fleet/fleet-process.ts
@@ -3,9 +3,9 @@
 import { fileURLToPath } from 'node:url';
 import { createServer } from 'node:net';
 import { join } from 'node:path';
-import { type Weather, fair } from '../fault/weather.js';
+import { type ProcessFaults, noFaults } from '../fault-injection/process-faults.js';
 
-const preload = fileURLToPath(new URL('../fault/preload.js', import.meta.url));
+const preloadScript = fileURLToPath(new URL('../fault-injection/preload.js', import.meta.url));
 
 /** A port that is free now on one of this machine's own loopback numbers. */
 export const freePort = (host: string): Promise<number> =>
@@ -22,20 +22,20 @@
   });
 
 /** All processes that run now: none outlives whoever started them. */
-const live = new Set<ChildProcess>();
+const runningProcesses = new Set<ChildProcess>();
 process.on('exit', () => {
-  for (const child of live) child.kill('SIGKILL');
+  for (const child of runningProcesses) child.kill('SIGKILL');
 });
 
 /** One process of the fleet, started with the very arguments each time. */
-export class Child {
+export class FleetProcess {
   readonly name: string;
   readonly #script: string;
   readonly #args: readonly string[];
   readonly #log: WriteStream;
   /** The number of its machine, if its network and disk may be made to fail. */
   readonly #host: string | undefined;
-  #weather: Weather = fair;
+  #faults: ProcessFaults = noFaults;
   #process: ChildProcess | undefined;
   #ended: Promise<number | null> = Promise.resolve(null);
 
@@ -54,7 +54,7 @@
     this.#log = createWriteStream(join(folder, `${name}.log`), { flags: 'a' });
   }
 
-  get running(): boolean {
+  get isRunning(): boolean {
     return this.#process !== undefined;
   }
 
@@ -63,18 +63,18 @@
     const faulty = this.#host !== undefined;
     const child = spawn(
       process.execPath,
-      [...(faulty ? ['--import', preload] : []), this.#script, ...this.#args],
+      [...(faulty ? ['--import', preloadScript] : []), this.#script, ...this.#args],
       {
         stdio: faulty ? ['ignore', 'pipe', 'pipe', 'ipc'] : ['ignore', 'pipe', 'pipe'],
         env: { ...process.env, TRAINSET_HOST: this.#host ?? '' },
       },
     );
     this.#process = child;
-    this.#tell();
-    live.add(child);
+    this.#sendFaults();
+    runningProcesses.add(child);
     this.#ended = new Promise((done) => {
       child.once('exit', (code) => {
-        live.delete(child);
+        runningProcesses.delete(child);
         if (this.#process === child) this.#process = undefined;
         done(code);
       });
@@ -98,24 +98,24 @@
     });
   }
 
-  signal(name: 'SIGTERM' | 'SIGKILL' | 'SIGSTOP' | 'SIGCONT'): void {
-    this.#process?.kill(name);
+  signal(signal: 'SIGTERM' | 'SIGKILL' | 'SIGSTOP' | 'SIGCONT'): void {
+    this.#process?.kill(signal);
   }
 
   /** Changes what is wrong with its network or its disk. */
-  set(change: Partial<Weather>): void {
-    this.#weather = { ...this.#weather, ...change };
-    this.#tell();
+  setFaults(change: Partial<ProcessFaults>): void {
+    this.#faults = { ...this.#faults, ...change };
+    this.#sendFaults();
   }
 
-  #tell(): void {
+  #sendFaults(): void {
     if (this.#host !== undefined && this.#process?.connected === true)
-      this.#process.send(this.#weather, () => undefined);
+      this.#process.send(this.#faults, () => undefined);
   }
 
   /** Ends the process and waits until it is gone. */
-  async end(name: 'SIGTERM' | 'SIGKILL' = 'SIGKILL'): Promise<number | null> {
-    this.signal(name);
+  async stop(signal: 'SIGTERM' | 'SIGKILL' = 'SIGKILL'): Promise<number | null> {
+    this.signal(signal);
     return this.#ended;
   }
 }
--- a/packages/devfleet/src/fleet/fleet.ts
+++ b/packages/devfleet/src/fleet/fleet.ts
@@ -3,58 +3,61 @@
 import { join } from 'node:path';
 import got from 'got';
 import type { Deployment, OriginGroup } from '../deployment/schema.js';
-import { Child, freePort } from './child.js';
+import { FleetProcess, freePort } from './fleet-process.js';
 
-const bin = (name: string): string =>
+const programScript = (name: string): string =>
   fileURLToPath(new URL(`../../../${name}/bin/${name}.js`, import.meta.url));
-const standin = fileURLToPath(new URL('../../bin/standin.js', import.meta.url));
+const stubOriginScript = fileURLToPath(new URL('../../bin/stub-origin.js', import.meta.url));
 
 /** A machine of the fleet: its number and the processes on it. */
 export interface Machine {
   readonly name: string;
   readonly kind: 'edge' | 'shield' | 'store';
-  readonly area: string;
+  readonly zone: string;
   readonly host: string;
-  readonly children: readonly Child[];
-  readonly door: string;
-  readonly admin: string;
+  readonly processes: readonly FleetProcess[];
+  readonly httpAddress: string;
+  readonly adminAddress: string;
 }
 
-export interface OriginSpot {
+export interface StubOrigin {
   readonly group: OriginGroup;
   readonly name: string;
   readonly address: string;
-  readonly control: string;
-  readonly child: Child;
+  readonly controlAddress: string;
+  readonly process: FleetProcess;
 }
 
-const hostOf = (row: number, column: number): string => `127.${20 + row}.${column}.1`;
+const loopbackHost = (row: number, column: number): string => `127.${20 + row}.${column}.1`;
 
 /** Runs work on a list, a few at a time. */
-export const inTurns = async <T>(
-  list: readonly T[],
-  wide: number,
+export const forEachConcurrently = async <T>(
+  items: readonly T[],
+  concurrency: number,
   work: (one: T) => Promise<void>,
 ): Promise<void> => {
-  const rest = [...list];
+  const rest = [...items];
   await Promise.all(
-    Array.from({ length: wide }, async () => {
+    Array.from({ length: concurrency }, async () => {
       for (let one = rest.shift(); one !== undefined; one = rest.shift()) await work(one);
     }),
   );
 };
 
-export const pause = (ms: number): Promise<void> =>
+export const delay = (ms: number): Promise<void> =>
   new Promise((done) => {
     setTimeout(done, ms);
   });
 
 /** Waits for something to become true, in small steps; says whether it did. */
-export const until = async (span: number, test: () => Promise<boolean>): Promise<boolean> => {
-  const end = performance.now() + span;
+export const waitUntil = async (
+  timeoutMs: number,
+  condition: () => Promise<boolean>,
+): Promise<boolean> => {
+  const end = performance.now() + timeoutMs;
   while (performance.now() < end) {
-    if (await test().catch(() => false)) return true;
-    await pause(25);
+    if (await condition().catch(() => false)) return true;
+    await delay(25);
   }
   return false;
 };
@@ -62,23 +65,23 @@
 /** A whole fleet on one machine: its processes, their places, and its stand-in origins. */
 export class Fleet {
   readonly machines: Machine[] = [];
-  readonly origins: OriginSpot[] = [];
-  readonly #holds = new Map<Machine, Set<string>>();
-  readonly #bars = new Map<Machine, Set<string>>();
+  readonly origins: StubOrigin[] = [];
+  readonly #stalledPeers = new Map<Machine, Set<string>>();
+  readonly #unreachablePeers = new Map<Machine, Set<string>>();
   readonly #deployment: Deployment;
   readonly #folder: string;
-  readonly #faulty: boolean;
-  #releases = 0;
+  readonly #canInjectFaults: boolean;
+  #originCount = 0;
 
   /** With `faulty` the network and disks of its processes can be made to fail. */
   constructor(deployment: Deployment, folder: string, faulty = false) {
-    this.#faulty = faulty;
+    this.#canInjectFaults = faulty;
     this.#deployment = deployment;
     this.#folder = folder;
   }
 
   get registries(): readonly string[] {
-    return this.machines.filter((one) => one.kind !== 'edge').map((one) => one.door);
+    return this.machines.filter((one) => one.kind !== 'edge').map((one) => one.httpAddress);
   }
 
   get edges(): readonly Machine[] {
@@ -91,10 +94,10 @@
     return found;
   }
 
-  child(name: string): Child {
+  process(name: string): FleetProcess {
     const found = [
-      ...this.machines.flatMap((one) => one.children),
-      ...this.origins.map((one) => one.child),
+      ...this.machines.flatMap((one) => one.processes),
+      ...this.origins.map((one) => one.process),
     ].find((one) => one.name === name);
     if (found === undefined) throw new Error(`no process ${name}`);
     return found;
@@ -103,14 +106,14 @@
   /** Lays all places out and starts every process. */
   async start(): Promise<void> {
     rmSync(this.#folder, { recursive: true, force: true });
-    await this.#lay();
-    await inTurns(
-      this.machines.flatMap((one) => one.children),
+    await this.#createMachines();
+    await forEachConcurrently(
+      this.machines.flatMap((one) => one.processes),
       8,
       (one) => one.start(),
     );
     for (const group of this.#deployment.origins)
-      await inTurns(
+      await forEachConcurrently(
         Array.from({ length: group.count }, (_, at) => at),
         4,
         (at) =>
@@ -122,22 +125,22 @@
     group: OriginGroup,
     name: string,
     release: string,
-    taken?: string,
-  ): Promise<OriginSpot> {
-    this.#releases += 1;
-    const host = taken?.split(':')[0] ?? hostOf(100, this.#releases);
+    reusedAddress?: string,
+  ): Promise<StubOrigin> {
+    this.#originCount += 1;
+    const host = reusedAddress?.split(':')[0] ?? loopbackHost(100, this.#originCount);
     const [port, control] = [
-      taken === undefined ? await freePort(host) : Number(taken.split(':')[1]),
+      reusedAddress === undefined ? await freePort(host) : Number(reusedAddress.split(':')[1]),
       await freePort(host),
     ];
-    const child = new Child(
+    const child = new FleetProcess(
       name,
-      standin,
+      stubOriginScript,
       [
         '--service',
         group.service,
         '--instance',
-        `${name}.${this.#releases}`,
+        `${name}.${this.#originCount}`,
         '--listen',
         `${host}:${port}`,
         '--control',
@@ -155,19 +158,19 @@
       ],
       join(this.#folder, 'log'),
     );
-    const spot: OriginSpot = {
+    const spot: StubOrigin = {
       group,
       name,
       address: `${host}:${port}`,
-      control: `${host}:${control}`,
-      child,
+      controlAddress: `${host}:${control}`,
+      process: child,
     };
     this.origins.push(spot);
     await child.start();
     return spot;
   }
 
-  async #lay(): Promise<void> {
+  async #createMachines(): Promise<void> {
     const { areas, edges, shields, stores } = this.#deployment;
     const area = (at: number): string => areas[at % areas.length] ?? 'here';
     const spots: {
@@ -183,7 +186,7 @@
       ['edge', edges],
     ].entries()) {
       for (let at = 0; at < Number(many); at += 1) {
-        const host = hostOf(row, at + 1);
+        const host = loopbackHost(row, at + 1);
         const ports = await Promise.all(Array.from({ length: 6 }, () => freePort(host)));
         spots.push({
           kind: kind === 'shield' ? 'shield' : kind === 'store' ? 'store' : 'edge',
@@ -200,13 +203,13 @@
       const [registry, door, main, admin, front] = spot.ports.map((port) => `${spot.host}:${port}`);
       const logs = join(this.#folder, 'log');
       const common = ['--area', spot.area, ...seeds.flatMap((one) => ['--seeds', one])];
-      const own = this.#faulty ? spot.host : undefined;
-      const children: Child[] = [];
+      const own = this.#canInjectFaults ? spot.host : undefined;
+      const children: FleetProcess[] = [];
       if (spot.kind !== 'edge') {
         children.push(
-          new Child(
+          new FleetProcess(
             `${spot.name}-registry`,
-            bin('registry'),
+            programScript('registry'),
             [
               '--node',
               `${spot.name}-registry`,
@@ -223,9 +226,9 @@
       }
       if (spot.kind === 'store') {
         children.push(
-          new Child(
+          new FleetProcess(
             spot.name,
-            bin('store'),
+            programScript('store'),
             [
               '--node',
               spot.name,
@@ -243,9 +246,9 @@
         );
       } else {
         children.push(
-          new Child(
+          new FleetProcess(
             spot.name,
-            bin('proxy'),
+            programScript('proxy'),
             [
               '--node',
               spot.name,
@@ -267,11 +270,11 @@
       this.machines.push({
         name: spot.name,
         kind: spot.kind,
-        area: spot.area,
+        zone: spot.area,
         host: spot.host,
-        children,
-        door: spot.kind === 'edge' ? String(front) : String(door),
-        admin: String(admin),
+        processes: children,
+        httpAddress: spot.kind === 'edge' ? String(front) : String(door),
+        adminAddress: String(admin),
       });
     }
   }
@@ -288,13 +291,13 @@
     return undefined;
   }
 
-  view(path: string): Promise<unknown> {
+  readView(path: string): Promise<unknown> {
     return this.#ask(path);
   }
 
   /** Whether an edge says it takes callers. */
-  async ready(machine: Machine): Promise<boolean> {
-    const reply = await got(`http://${machine.admin}/ready`, {
+  async isReady(machine: Machine): Promise<boolean> {
+    const reply = await got(`http://${machine.adminAddress}/ready`, {
       retry: { limit: 0 },
       throwHttpErrors: false,
       timeout: { request: 1000 },
@@ -303,63 +306,66 @@
   }
 
   /** Cuts ways between machines: what the first send to the second no longer arrives. */
-  cut(from: readonly Machine[], to: readonly Machine[]): void {
+  cutLinks(from: readonly Machine[], to: readonly Machine[]): void {
     const add = (list: Map<Machine, Set<string>>, one: Machine, host: string): void => {
       list.set(one, (list.get(one) ?? new Set()).add(host));
     };
     for (const one of from) {
       for (const other of to) {
         if (one === other) continue;
-        add(this.#holds, one, other.host);
+        add(this.#stalledPeers, one, other.host);
         // A channel comes up only where both ways are open.
-        add(this.#bars, one, other.host);
-        add(this.#bars, other, one.host);
+        add(this.#unreachablePeers, one, other.host);
+        add(this.#unreachablePeers, other, one.host);
       }
     }
-    this.#spread();
+    this.#sendLinkFaults();
   }
 
   /** Opens all ways again. */
-  heal(): void {
-    this.#holds.clear();
-    this.#bars.clear();
-    this.#spread();
+  healLinks(): void {
+    this.#stalledPeers.clear();
+    this.#unreachablePeers.clear();
+    this.#sendLinkFaults();
   }
 
   /** Makes all that machines send take longer. */
-  lag(ms: number): void {
-    for (const one of this.machines) for (const child of one.children) child.set({ lagMs: ms });
+  setLag(lagMs: number): void {
+    for (const one of this.machines)
+      for (const child of one.processes) child.setFaults({ lagMs: lagMs });
   }
 
-  #spread(): void {
+  #sendLinkFaults(): void {
     for (const one of this.machines)
-      for (const child of one.children)
-        child.set({
-          hold: [...(this.#holds.get(one) ?? [])],
-          bar: [...(this.#bars.get(one) ?? [])],
+      for (const child of one.processes)
+        child.setFaults({
+          hold: [...(this.#stalledPeers.get(one) ?? [])],
+          bar: [...(this.#unreachablePeers.get(one) ?? [])],
         });
   }
 
   /** The folder that a store keeps its data in. */
-  dataOf(name: string): string {
+  dataFolder(name: string): string {
     return join(this.#folder, 'data', name);
   }
 
   /** Waits until every edge takes callers. */
-  async allReady(span: number): Promise<boolean> {
-    const states = await Promise.all(this.edges.map((one) => until(span, () => this.ready(one))));
+  async waitUntilEdgesReady(timeoutMs: number): Promise<boolean> {
+    const states = await Promise.all(
+      this.edges.map((one) => waitUntil(timeoutMs, () => this.isReady(one))),
+    );
     return states.every((one) => one);
   }
 
   async stop(): Promise<void> {
     const all = [
-      ...this.machines.flatMap((one) => one.children),
-      ...this.origins.map((one) => one.child),
+      ...this.machines.flatMap((one) => one.processes),
+      ...this.origins.map((one) => one.process),
     ];
     await Promise.all(
       all.map((one) => {
         one.signal('SIGCONT');
-        return one.end('SIGKILL');
+        return one.stop('SIGKILL');
       }),
     );
   }
--- a/packages/devfleet/src/fleet/platform.ts
+++ b/packages/devfleet/src/fleet/readiness-probe.ts
@@ -1,39 +1,39 @@
 import type { Fleet, Machine } from './fleet.js';
 
 /** How often the platform asks each edge whether it is ready. */
-const lookSpan = 250;
+const probeIntervalMs = 250;
 
 /** A stand-in for the platform: it sends callers only to edges that reported ready when last asked. */
-export class Platform {
+export class ReadinessProbe {
   readonly #fleet: Fleet;
-  readonly #up = new Set<string>();
+  readonly #readyNames = new Set<string>();
   #timer: NodeJS.Timeout | undefined;
 
   constructor(fleet: Fleet) {
     this.#fleet = fleet;
   }
 
-  get ready(): readonly Machine[] {
-    return this.#fleet.edges.filter((one) => this.#up.has(one.name));
+  get readyEdges(): readonly Machine[] {
+    return this.#fleet.edges.filter((one) => this.#readyNames.has(one.name));
   }
 
-  async look(): Promise<void> {
+  async probe(): Promise<void> {
     await Promise.all(
       this.#fleet.edges.map(async (one) => {
-        const up = await this.#fleet.ready(one).catch(() => false);
-        if (up) this.#up.add(one.name);
-        else this.#up.delete(one.name);
+        const up = await this.#fleet.isReady(one).catch(() => false);
+        if (up) this.#readyNames.add(one.name);
+        else this.#readyNames.delete(one.name);
       }),
     );
   }
 
-  begin(): void {
+  start(): void {
     this.#timer = setInterval(() => {
-      void this.look();
-    }, lookSpan);
+      void this.probe();
+    }, probeIntervalMs);
   }
 
-  end(): void {
+  stop(): void {
     clearInterval(this.#timer);
   }
 }
--- a/packages/devfleet/src/load/callers.ts
+++ b/packages/devfleet/src/load/load-generator.ts
@@ -1,70 +1,70 @@
 import { Agent, type IncomingMessage, request } from 'node:http';
 import type { Deployment, Traffic } from '../deployment/schema.js';
-import { bytesOf, sizeOf } from '../origin/content.js';
+import { objectBytes, objectSize } from '../origin/content.js';
 import type { Machine } from '../fleet/fleet.js';
 
 /** What one request came to, as its caller saw it. */
-export interface Seen {
+export interface RequestRecord {
   readonly traffic: Traffic;
   readonly id: string;
   readonly path: string;
-  readonly at: number;
-  readonly ms: number;
+  readonly sentAt: number;
+  readonly elapsedMs: number;
   readonly status: number;
   /** `result`, `rejected`, `unknown`, or what else the answer called itself; `broken` where the channel broke. */
-  readonly kind: string;
-  readonly from: string;
-  readonly whole: 'yes' | 'no' | 'unread';
+  readonly outcome: string;
+  readonly answeredBy: string;
+  readonly bodyMatches: 'yes' | 'no' | 'unread';
   readonly revision: number | undefined;
   readonly edge: string;
   /** What a refusal or a fault gave as its reason. */
-  readonly why: string;
+  readonly reason: string;
 }
 
 /** Callers: open loop, each request at its own time whether or not others are answered. */
-export class Callers {
-  readonly seen: Seen[] = [];
+export class LoadGenerator {
+  readonly records: RequestRecord[] = [];
   readonly #deployment: Deployment;
   readonly #agents = new Map<string, Agent>();
   readonly #edges: () => readonly Machine[];
-  readonly #rate: number;
-  #count = 0;
-  #open = 0;
+  readonly #requestsPerSecond: number;
+  #sentCount = 0;
+  #pendingCount = 0;
   #timer: NodeJS.Timeout | undefined;
-  #due = 0;
+  #dueCount = 0;
   /** How often a caller that got no result asks again at once. */
-  impatience = 0;
+  maxImmediateRetries = 0;
 
   constructor(deployment: Deployment, rate: number, edges: () => readonly Machine[]) {
     this.#deployment = deployment;
-    this.#rate = rate;
+    this.#requestsPerSecond = rate;
     this.#edges = edges;
   }
 
-  begin(): void {
+  start(): void {
     const since = performance.now();
     let sent = 0;
     this.#timer = setInterval(() => {
-      this.#due = ((performance.now() - since) / 1000) * this.#rate;
-      while (sent < this.#due) {
+      this.#dueCount = ((performance.now() - since) / 1000) * this.#requestsPerSecond;
+      while (sent < this.#dueCount) {
         sent += 1;
-        this.#one();
+        this.#send();
       }
     }, 5);
   }
 
   /** Sends no more, and waits for what is under way. */
-  async finish(): Promise<void> {
+  async stop(): Promise<void> {
     clearInterval(this.#timer);
     const end = performance.now() + 20_000;
-    while (this.#open > 0 && performance.now() < end)
+    while (this.#pendingCount > 0 && performance.now() < end)
       await new Promise<void>((done) => {
         setTimeout(done, 20);
       });
     for (const agent of this.#agents.values()) agent.destroy();
   }
 
-  #elect(): Traffic {
+  #pickTraffic(): Traffic {
     const list = this.#deployment.traffic;
     let left = Math.random() * list.reduce((sum, one) => sum + one.weight, 0);
     for (const one of list) {
@@ -77,68 +77,74 @@
   }
 
   /** Sends one kind of request far too often for a while. */
-  async flood(name: string, rate: number, span: number): Promise<void> {
-    const traffic = this.#deployment.traffic.find((one) => one.name === name);
+  async flood(trafficName: string, requestsPerSecond: number, durationMs: number): Promise<void> {
+    const traffic = this.#deployment.traffic.find((one) => one.name === trafficName);
     const since = performance.now();
     let sent = 0;
-    while (performance.now() - since < span) {
-      for (const due = ((performance.now() - since) / 1000) * rate; sent < due; sent += 1)
-        this.#one(traffic);
+    while (performance.now() - since < durationMs) {
+      for (
+        const due = ((performance.now() - since) / 1000) * requestsPerSecond;
+        sent < due;
+        sent += 1
+      )
+        this.#send(traffic);
       await new Promise<void>((done) => {
         setTimeout(done, 5);
       });
     }
   }
 
-  #one(chosen?: Traffic, again = 0): void {
+  #send(chosen?: Traffic, retryCount = 0): void {
     const edges = this.#edges();
     const edge = edges[Math.floor(Math.random() * edges.length)];
     if (edge === undefined) return;
-    const traffic = chosen ?? this.#elect();
-    this.#count += 1;
-    const id = `q${process.pid}-${this.#count}`;
+    const traffic = chosen ?? this.#pickTraffic();
+    this.#sentCount += 1;
+    const id = `q${process.pid}-${this.#sentCount}`;
     const object = Math.floor(traffic.objects * Math.random() ** 3);
     const path = `${traffic.prefix}${object}`;
-    const size = sizeOf(path, traffic.bytes);
+    const size = objectSize(path, traffic.bytes);
     const query = traffic.unsafe
       ? ''
       : `?size=${size}${traffic.tagged ? `&tag=t${object % 20}` : ''}`;
-    const agent = this.#agents.get(edge.door) ?? new Agent({ keepAlive: true, maxSockets: 512 });
-    this.#agents.set(edge.door, agent);
+    const agent =
+      this.#agents.get(edge.httpAddress) ?? new Agent({ keepAlive: true, maxSockets: 512 });
+    this.#agents.set(edge.httpAddress, agent);
     const body = traffic.unsafe
       ? Buffer.from(JSON.stringify({ id, text: 'x'.repeat(size) }))
       : undefined;
     const at = performance.now();
-    this.#open += 1;
+    this.#pendingCount += 1;
     let over = false;
     const end = (
       status: number,
       kind: string,
       from: string,
-      whole: Seen['whole'],
+      whole: RequestRecord['bodyMatches'],
       revision: number | undefined,
       why = '',
     ): void => {
       if (over) return;
       over = true;
-      this.#open -= 1;
-      this.seen.push({
+      this.#pendingCount -= 1;
+      this.records.push({
         traffic,
         id,
         path,
-        at,
-        ms: performance.now() - at,
+        sentAt: at,
+        elapsedMs: performance.now() - at,
         status,
-        kind,
-        from,
-        whole,
+        outcome: kind,
+        answeredBy: from,
+        bodyMatches: whole,
         revision,
         edge: edge.name,
-        why,
+        reason: why,
       });
-      if (kind !== 'result' && again < this.impatience) this.#one(traffic, again + 1);
+      if (kind !== 'result' && retryCount < this.maxImmediateRetries)
+        this.#send(traffic, retryCount + 1);
     };
-    const [host, port] = edge.door.split(':');
+    const [host, port] = edge.httpAddress.split(':');
     const out = request(
       {
         host,
@@ -183,7 +189,7 @@
           else {
             const got = Buffer.concat(parts);
             const revision = Number(/ r(\d+)\n/.exec(got.subarray(0, 200).toString())?.[1] ?? NaN);
-            const fits = status !== 200 || got.equals(bytesOf(path, revision, size));
+            const fits = status !== 200 || got.equals(objectBytes(path, revision, size));
             end(
               status,
               status < 400 ? 'result' : `status${status}`,
--- a/packages/devfleet/src/main.ts
+++ b/packages/devfleet/src/main.ts
@@ -1,11 +1,11 @@
 import { join, resolve } from 'node:path';
 import meow from 'meow';
-import { type Plan, readPlan } from './deployment/schema.js';
-import { causes } from './run/causes.js';
-import { setUp } from './run/stage.js';
-import { runFull } from './run/full.js';
-import { runTrial } from './run/trial.js';
-import { soak } from './soak/soak.js';
+import { type DeploymentPlan, readDeploymentPlan } from './deployment/schema.js';
+import { faultScenarios } from './run/fault-scenarios.js';
+import { startFleet } from './run/fleet-setup.js';
+import { runUnderLoad } from './run/load-run.js';
+import { runFaultScenario } from './run/fault-run.js';
+import { runSoak } from './soak/soak.js';
 
 const cli = meow(
   `
@@ -22,7 +22,7 @@
     --scale X      multiply the requests a second (1)
     --edges N      start this many edges instead
     --shields N    start this many shields instead
-    --cause NAME   ${[...causes.keys()].join(', ')}
+    --cause NAME   ${[...faultScenarios.keys()].join(', ')}
     --seed N       the first seed of a soak (1)
     --runs N       how many seeds a soak plays, one after another (1)
     --folder DIR   where data and logs go (.devfleet)
@@ -47,15 +47,15 @@
   },
 );
 
-const quit = (fault: string): never => {
-  process.stderr.write(`devfleet: ${fault}\n`);
+const exitWithWrongUse = (message: string): never => {
+  process.stderr.write(`devfleet: ${message}\n`);
   process.exit(2);
 };
-const say = (text: string): void => {
+const print = (text: string): void => {
   process.stdout.write(`${text}\n`);
 };
 
-const shrink = (plan: Plan): Plan => ({
+const withSizeFlags = (plan: DeploymentPlan): DeploymentPlan => ({
   ...plan,
   deployment: {
     ...plan.deployment,
@@ -65,74 +65,86 @@
 });
 
 /** The part of a deployment's load that a soak sends. */
-const soakScale = 0.1;
+const soakLoadScale = 0.1;
 
 /** Plays seeds one after another; says whether every rule held in all of them. */
-const soakSeeds = async (plan: Plan, folder: string): Promise<boolean> => {
+const runSoaks = async (plan: DeploymentPlan, folder: string): Promise<boolean> => {
   let held = true;
   for (let seed = cli.flags.seed; seed < cli.flags.seed + cli.flags.runs; seed += 1) {
-    say(`seed ${seed}`);
+    print(`seed ${seed}`);
     const spanMs = cli.flags.seconds * 1000;
-    const { verdicts, troubles, overlaps, orders, confirmed } = await soak(plan, {
-      seed,
-      spanMs,
-      scale: soakScale * cli.flags.scale,
-      folder: join(folder, `soak-${seed}`),
-      say,
-    });
-    const broken = verdicts.filter((one) => !one.held && !one.timed);
+    const { ruleResults, faultCount, overlapCount, commandCount, confirmedCount } = await runSoak(
+      plan,
+      {
+        seed,
+        faultsDurationMs: spanMs,
+        loadScale: soakLoadScale * cli.flags.scale,
+        folder: join(folder, `soak-${seed}`),
+        print,
+      },
+    );
+    const broken = ruleResults.filter((one) => !one.isHeld && !one.isTimed);
     held &&= broken.length === 0;
-    say(
-      `seed ${seed}: ${broken.length === 0 ? 'all held' : `BROKEN ${broken.map((one) => one.rule).join(', ')}`}; ${troubles} troubles, ${overlaps} begun beside another, ${confirmed} of ${orders} orders confirmed`,
+    print(
+      `seed ${seed}: ${broken.length === 0 ? 'all held' : `BROKEN ${broken.map((one) => one.rule).join(', ')}`}; ${faultCount} troubles, ${overlapCount} begun beside another, ${confirmedCount} of ${commandCount} orders confirmed`,
     );
   }
   return held;
 };
 
-const isWhole = (raw: number, least: number): boolean => Number.isSafeInteger(raw) && raw >= least;
+const isWholeNumber = (raw: number, min: number): boolean =>
+  Number.isSafeInteger(raw) && raw >= min;
 
 const commands: ReadonlySet<string | undefined> = new Set(['run', 'up', 'fail', 'soak']);
 const [command, file] = cli.input;
-const cause = causes.get(cli.flags.cause);
+const scenario = faultScenarios.get(cli.flags.cause);
 if (!commands.has(command)) cli.showHelp(2);
-else if (file === undefined) quit('which deployment file?');
-else if (cause === undefined)
-  quit(`--cause ${cli.flags.cause}: one of ${[...causes.keys()].join(', ')}`);
-else if (!(cli.flags.seconds >= 1 && cli.flags.seconds <= 3600)) quit('--seconds: from 1 to 3600');
-else if (!isWhole(cli.flags.seed, 0)) quit('--seed: a whole number');
-else if (!isWhole(cli.flags.runs, 1)) quit('--runs: a whole number from 1');
-else if (!(cli.flags.scale > 0 && cli.flags.scale <= 20)) quit('--scale: over 0, at most 20');
+else if (file === undefined) exitWithWrongUse('which deployment file?');
+else if (scenario === undefined)
+  exitWithWrongUse(`--cause ${cli.flags.cause}: one of ${[...faultScenarios.keys()].join(', ')}`);
+else if (!(cli.flags.seconds >= 1 && cli.flags.seconds <= 3600))
+  exitWithWrongUse('--seconds: from 1 to 3600');
+else if (!isWholeNumber(cli.flags.seed, 0)) exitWithWrongUse('--seed: a whole number');
+else if (!isWholeNumber(cli.flags.runs, 1)) exitWithWrongUse('--runs: a whole number from 1');
+else if (!(cli.flags.scale > 0 && cli.flags.scale <= 20))
+  exitWithWrongUse('--scale: over 0, at most 20');
 else {
-  const read = readPlan(file);
-  if (read.isErr) quit(read.error.join('\n'));
+  const read = readDeploymentPlan(file);
+  if (read.isErr) exitWithWrongUse(read.error.join('\n'));
   else {
     const folder = resolve(cli.flags.folder);
     for (const signal of ['SIGINT', 'SIGTERM'] as const) process.on(signal, () => process.exit(1));
     try {
-      if (command === 'soak') process.exit((await soakSeeds(shrink(read.value), folder)) ? 0 : 1);
+      if (command === 'soak')
+        process.exit((await runSoaks(withSizeFlags(read.value), folder)) ? 0 : 1);
       if (command === 'fail') {
-        const report = await runTrial(shrink(read.value), cli.flags.cause, cause, {
-          seconds: cli.flags.seconds,
-          scale: cli.flags.scale,
-          folder,
-          say,
-        });
-        process.exit(report.verdicts.every((one) => one.held) ? 0 : 1);
+        const report = await runFaultScenario(
+          withSizeFlags(read.value),
+          cli.flags.cause,
+          scenario,
+          {
+            seconds: cli.flags.seconds,
+            loadScale: cli.flags.scale,
+            folder,
+            print,
+          },
+        );
+        process.exit(report.ruleResults.every((one) => one.isHeld) ? 0 : 1);
       }
       if (command === 'run') {
-        const report = await runFull(shrink(read.value), {
+        const report = await runUnderLoad(withSizeFlags(read.value), {
           seconds: cli.flags.seconds,
-          scale: cli.flags.scale,
+          loadScale: cli.flags.scale,
           folder,
-          say,
+          print,
         });
-        process.exit(report.verdicts.every((one) => one.held) ? 0 : 1);
+        process.exit(report.ruleResults.every((one) => one.isHeld) ? 0 : 1);
       }
-      const fleet = await setUp(shrink(read.value), folder, say);
+      const fleet = await startFleet(withSizeFlags(read.value), folder, print);
       for (const signal of ['SIGINT', 'SIGTERM'] as const)
         process.removeAllListeners(signal).on(signal, () => process.exit(0));
-      say(`registries: ${fleet.registries.join(',')}`);
-      say(`edges: ${fleet.edges.map((one) => one.door).join(' ')}`);
+      print(`registries: ${fleet.registries.join(',')}`);
+      print(`edges: ${fleet.edges.map((one) => one.httpAddress).join(' ')}`);
     } catch (problem) {
       process.stderr.write(
         `devfleet: ${problem instanceof Error ? problem.message : 'broke down'}\n`,
--- a/packages/devfleet/src/origin/standin.ts
+++ b/packages/devfleet/src/origin/stub-origin.ts
@@ -2,7 +2,7 @@
 import { type IncomingMessage, type ServerResponse, createServer } from 'node:http';
 import got from 'got';
 import meow from 'meow';
-import { bytesOf } from './content.js';
+import { objectBytes } from './content.js';
 
 // A stand-in for an origin: it announces itself, answers its health check, keeps to its slots, works, and writes down what it ran.
 const cli = meow('', {
@@ -22,7 +22,7 @@
 const { service, instance, slots, least, usual, release } = cli.flags;
 const registries = cli.flags.registries.split(',').filter((one) => one !== '');
 
-interface Mood {
+interface OriginBehaviour {
   slowMs: number;
   badShare: number;
   loseShare: number;
@@ -31,7 +31,7 @@
   wrongName: boolean;
   state: 'up' | 'leaving' | 'gone';
 }
-const mood: Mood = {
+const behaviour: OriginBehaviour = {
   slowMs: 0,
   badShare: 0,
   loseShare: 0,
@@ -41,39 +41,39 @@
   state: 'up',
 };
 const revisions = new Map<string, number>();
-const ran = new Map<string, number>();
-const stamps: number[] = [];
-let used = 0;
-let served = 0;
-let rejected = 0;
-let lastRun = 0;
+const runsByRequestId = new Map<string, number>();
+const runTimestamps: number[] = [];
+let usedSlots = 0;
+let servedCount = 0;
+let rejectedCount = 0;
+let lastRunAt = 0;
 
-const work = (): number => {
+const drawWorkMs = (): number => {
   const chance = Math.random();
   const usualPart = -Math.log(1 - chance) * (usual - least);
-  return least + Math.min(usualPart, usual * 8) + mood.slowMs;
+  return least + Math.min(usualPart, usual * 8) + behaviour.slowMs;
 };
 
-const bodyOf = async (request: IncomingMessage): Promise<Buffer> => {
+const readBody = async (request: IncomingMessage): Promise<Buffer> => {
   const parts: Buffer[] = [];
   for await (const part of request) if (Buffer.isBuffer(part)) parts.push(part);
   return Buffer.concat(parts);
 };
 
-const answer = (request: IncomingMessage, response: ServerResponse, body: Buffer): void => {
+const sendResult = (request: IncomingMessage, response: ServerResponse, body: Buffer): void => {
   const url = new URL(request.url ?? '/', 'http://origin');
   const unsafe = request.method !== 'GET' && request.method !== 'HEAD';
   const id = request.headers['x-request-id'];
-  if (unsafe && typeof id === 'string') ran.set(id, (ran.get(id) ?? 0) + 1);
-  served += 1;
-  lastRun = Date.now();
-  stamps.push(Date.now());
-  if (Math.random() < mood.loseShare) {
+  if (unsafe && typeof id === 'string') runsByRequestId.set(id, (runsByRequestId.get(id) ?? 0) + 1);
+  servedCount += 1;
+  lastRunAt = Date.now();
+  runTimestamps.push(Date.now());
+  if (Math.random() < behaviour.loseShare) {
     request.socket.destroy();
     return;
   }
-  response.setHeader('switchwheel-instance', mood.wrongName ? 'somebody-else' : instance);
-  if (Math.random() < mood.badShare) {
+  response.setHeader('switchwheel-instance', behaviour.wrongName ? 'somebody-else' : instance);
+  if (Math.random() < behaviour.badShare) {
     response.statusCode = 500;
     response.end('{"fault":"stand-in"}');
     return;
@@ -81,7 +81,7 @@
   const size = Number(url.searchParams.get('size') ?? 200);
   const whole = unsafe
     ? Buffer.from(JSON.stringify({ done: id ?? null, bytes: body.length }))
-    : bytesOf(url.pathname, revisions.get(url.pathname) ?? revisions.get('*') ?? 0, size);
+    : objectBytes(url.pathname, revisions.get(url.pathname) ?? revisions.get('*') ?? 0, size);
   response.setHeader('content-type', 'application/octet-stream');
   response.setHeader('content-length', whole.length);
   response.setHeader(
@@ -91,9 +91,9 @@
   response.setHeader('etag', `"${createHash('sha1').update(whole).digest('hex').slice(0, 16)}"`);
   const tag = url.searchParams.get('tag');
   if (tag !== null) response.setHeader('cache-tag', tag);
-  if (Math.random() < mood.corruptShare)
+  if (Math.random() < behaviour.corruptShare)
     whole[Math.floor(whole.length / 2)] = (whole[Math.floor(whole.length / 2)] ?? 0) ^ 0xff;
-  if (Math.random() < mood.cutShare) {
+  if (Math.random() < behaviour.cutShare) {
     response.write(whole.subarray(0, Math.floor(whole.length / 2)), () => request.socket.destroy());
     return;
   }
@@ -101,15 +101,15 @@
 };
 
 const server = createServer((request, response) => {
-  response.setHeader('switchwheel-instance', mood.wrongName ? 'somebody-else' : instance);
+  response.setHeader('switchwheel-instance', behaviour.wrongName ? 'somebody-else' : instance);
   if (request.url === '/health') {
-    response.statusCode = mood.state === 'up' ? 200 : 503;
-    response.end(JSON.stringify({ service, instance, release, state: mood.state }));
+    response.statusCode = behaviour.state === 'up' ? 200 : 503;
+    response.end(JSON.stringify({ service, instance, release, state: behaviour.state }));
     return;
   }
   const meant = request.headers['switchwheel-instance'];
   const unrun = (status: number): void => {
-    rejected += 1;
+    rejectedCount += 1;
     response.statusCode = status;
     response.setHeader('switchwheel-unrun', 'true');
     request.resume();
@@ -119,39 +119,39 @@
     unrun(421);
     return;
   }
-  if (used >= slots) {
+  if (usedSlots >= slots) {
     unrun(503);
     return;
   }
-  used += 1;
-  void bodyOf(request)
+  usedSlots += 1;
+  void readBody(request)
     .then((body) => {
       setTimeout(() => {
-        used -= 1;
-        answer(request, response, body);
-      }, work());
+        usedSlots -= 1;
+        sendResult(request, response, body);
+      }, drawWorkMs());
     })
     .catch(() => {
-      used -= 1;
+      usedSlots -= 1;
     });
 });
 server.keepAliveTimeout = 20_000;
 
-const json = (response: ServerResponse, value: object): void => {
+const sendJson = (response: ServerResponse, value: object): void => {
   response.setHeader('content-type', 'application/json');
   response.end(JSON.stringify(value));
 };
 
 const control = createServer((request, response) => {
-  void bodyOf(request).then(async (body) => {
+  void readBody(request).then(async (body) => {
     const raw: unknown = body.length === 0 ? {} : JSON.parse(body.toString());
     const given = new Map<string, unknown>(Object.entries(raw ?? {}));
     switch (request.url) {
       case '/mood':
         for (const [name, value] of given) {
-          if (name === 'wrongName') mood.wrongName = value === true;
+          if (name === 'wrongName') behaviour.wrongName = value === true;
           else if (name === 'state')
-            mood.state = value === 'leaving' ? 'leaving' : value === 'gone' ? 'gone' : 'up';
+            behaviour.state = value === 'leaving' ? 'leaving' : value === 'gone' ? 'gone' : 'up';
           else if (
             name === 'slowMs' ||
             name === 'badShare' ||
@@ -159,22 +159,35 @@
             name === 'corruptShare' ||
             name === 'cutShare'
           )
-            mood[name] = Number(value);
+            behaviour[name] = Number(value);
         }
         if (given.has('state')) await announce();
-        json(response, mood);
+        sendJson(response, behaviour);
         break;
       case '/revision': {
         const path = given.get('path');
         revisions.set(typeof path === 'string' ? path : '*', Number(given.get('revision') ?? 0));
-        json(response, {});
+        sendJson(response, {});
         break;
       }
       case '/ran':
-        json(response, { ran: [...ran], served, rejected, lastRun, stamps });
+        sendJson(response, {
+          ran: [...runsByRequestId],
+          served: servedCount,
+          rejected: rejectedCount,
+          lastRun: lastRunAt,
+          stamps: runTimestamps,
+        });
         break;
       default:
-        json(response, { service, instance, release, used, served, rejected });
+        sendJson(response, {
+          service,
+          instance,
+          release,
+          used: usedSlots,
+          served: servedCount,
+          rejected: rejectedCount,
+        });
     }
   });
 });
@@ -185,7 +198,14 @@
     const address = registries[(start + at) % registries.length] ?? '';
     const reply = await got
       .post(`http://${address}/v1/origins`, {
-        json: { service, instance, address: cli.flags.listen, release, slots, state: mood.state },
+        json: {
+          service,
+          instance,
+          address: cli.flags.listen,
+          release,
+          slots,
+          state: behaviour.state,
+        },
         retry: { limit: 0 },
         throwHttpErrors: false,
         timeout: { request: 1000 },
@@ -195,12 +215,12 @@
   }
 };
 
-const spot = (raw: string): { readonly host: string; readonly port: number } => {
-  const cut = raw.lastIndexOf(':');
-  return { host: raw.slice(0, cut), port: Number(raw.slice(cut + 1)) };
+const parseAddress = (address: string): { readonly host: string; readonly port: number } => {
+  const cut = address.lastIndexOf(':');
+  return { host: address.slice(0, cut), port: Number(address.slice(cut + 1)) };
 };
-server.listen({ ...spot(cli.flags.listen), backlog: 512 }, () => {
-  control.listen(spot(cli.flags.control), () => {
+server.listen({ ...parseAddress(cli.flags.listen), backlog: 512 }, () => {
+  control.listen(parseAddress(cli.flags.control), () => {
     process.stderr.write('{"text":"started"}\n');
     void announce();
     setInterval(() => {
@@ -209,6 +229,6 @@
   });
 });
 process.on('SIGTERM', () => {
-  mood.state = 'leaving';
+  behaviour.state = 'leaving';
   void announce().then(() => setTimeout(() => process.exit(0), 3000));
 });
--- a/packages/devfleet/src/report/rules.ts
+++ b/packages/devfleet/src/report/rules.ts
@@ -2,10 +2,10 @@
 import * as v from 'valibot';
 import { increment } from '@switchwheel/types';
 import type { Fleet } from '../fleet/fleet.js';
-import type { Seen } from '../load/callers.js';
-import type { Verdict } from './report.js';
+import type { RequestRecord } from '../load/load-generator.js';
+import type { RuleResult } from './report.js';
 
-const ranForm = v.object({
+const runsReplySchema = v.object({
   ran: v.array(v.tuple([v.string(), v.number()])),
   served: v.number(),
   rejected: v.number(),
@@ -17,46 +17,47 @@
 export const collectRuns = async (fleet: Fleet): Promise<ReadonlyMap<string, number>> => {
   const all = new Map<string, number>();
   for (const origin of fleet.origins) {
-    if (!origin.child.running) continue;
-    const reply = await got(`http://${origin.control}/ran`, {
+    if (!origin.process.isRunning) continue;
+    const reply = await got(`http://${origin.controlAddress}/ran`, {
       retry: { limit: 0 },
       timeout: { request: 5000 },
     });
-    for (const [id, many] of v.parse(ranForm, JSON.parse(reply.body)).ran) increment(all, id, many);
+    for (const [id, many] of v.parse(runsReplySchema, JSON.parse(reply.body)).ran)
+      increment(all, id, many);
   }
   return all;
 };
 
 /** Checks the rules about what ran and what callers were told, against the origins' own notes. */
-export const judgeRuns = (
-  seen: readonly Seen[],
+export const checkRuns = (
+  records: readonly RequestRecord[],
   runs: ReadonlyMap<string, number>,
-): readonly Verdict[] => {
+): readonly RuleResult[] => {
   const twice = [...runs].filter(([, many]) => many > 1);
-  const unsafe = seen.filter((one) => one.traffic.unsafe);
+  const unsafe = records.filter((one) => one.traffic.unsafe);
   const refused = unsafe.filter(
-    (one) => (one.kind === 'rejected' || one.kind === 'unready') && runs.has(one.id),
+    (one) => (one.outcome === 'rejected' || one.outcome === 'unready') && runs.has(one.id),
   );
-  const lostDone = unsafe.filter((one) => one.kind === 'result' && !runs.has(one.id));
-  const torn = seen.filter((one) => one.whole === 'no' && one.kind === 'result');
+  const lostDone = unsafe.filter((one) => one.outcome === 'result' && !runs.has(one.id));
+  const torn = records.filter((one) => one.bodyMatches === 'no' && one.outcome === 'result');
   return [
     {
-      timed: false,
+      isTimed: false,
       rule: 'R1 at most once',
-      held: twice.length === 0,
+      isHeld: twice.length === 0,
       text: `${runs.size} unsafe requests ran, ${twice.length} more than once`,
     },
     {
-      timed: false,
+      isTimed: false,
       rule: 'R2 refused is unrun',
-      held: refused.length === 0,
-      text: `${unsafe.filter((one) => one.kind === 'rejected').length} told refused, ${refused.length} of them ran; ${unsafe.filter((one) => one.kind === 'unknown').length} told unknown; ${lostDone.length} told done that no origin noted`,
+      isHeld: refused.length === 0,
+      text: `${unsafe.filter((one) => one.outcome === 'rejected').length} told refused, ${refused.length} of them ran; ${unsafe.filter((one) => one.outcome === 'unknown').length} told unknown; ${lostDone.length} told done that no origin noted`,
     },
     {
-      timed: false,
+      isTimed: false,
       rule: 'R3 whole answers',
-      held: torn.length === 0 && lostDone.length === 0,
-      text: `${seen.filter((one) => one.whole === 'yes').length} answers read, ${torn.length} unlike the origin's`,
+      isHeld: torn.length === 0 && lostDone.length === 0,
+      text: `${records.filter((one) => one.bodyMatches === 'yes').length} answers read, ${torn.length} unlike the origin's`,
     },
   ];
 };
--- a/packages/devfleet/src/run/causes.test.ts
+++ b/packages/devfleet/src/run/fault-scenarios.test.ts
@@ -4,15 +4,15 @@
 import { join } from 'node:path';
 import { test } from 'node:test';
 import { fileURLToPath } from 'node:url';
-import { readPlan } from '../deployment/schema.js';
-import { causes, inRow } from './causes.js';
-import { runTrial } from './trial.js';
+import { readDeploymentPlan } from '../deployment/schema.js';
+import { faultScenarios, inSequence } from './fault-scenarios.js';
+import { runFaultScenario } from './fault-run.js';
 
 const folder = mkdtempSync(join(tmpdir(), 'causes-'));
 process.on('exit', () => rmSync(folder, { recursive: true, force: true }));
 
 void test("real processes through cuts, ailing and lost disks, swapped registries and quarrelling operators: the origins' notes agree with what callers were told", async () => {
-  const read = readPlan(
+  const read = readDeploymentPlan(
     fileURLToPath(new URL('../../../../examples/carpatic/devfleet.json', import.meta.url)),
   );
   assert.ok(read.isOk);
@@ -32,21 +32,22 @@
     'reuse-address',
   ];
   assert.deepEqual(
-    names.filter((one) => !causes.has(one)),
+    names.filter((one) => !faultScenarios.has(one)),
     [],
   );
-  const report = await runTrial(plan, 'a row of causes', inRow(names), {
+  const report = await runFaultScenario(plan, 'a row of causes', inSequence(names), {
     seconds: 10,
-    scale: 0.1,
+    loadScale: 0.1,
     folder,
-    say: (text) => lines.push(text),
+    print: (text) => lines.push(text),
   });
   assert.deepEqual(
-    report.verdicts.filter((one) => !one.held && !one.timed),
+    report.ruleResults.filter((one) => !one.isHeld && !one.isTimed),
     [],
     lines.join('\n'),
   );
   assert.ok(
-    report.verdicts.length >= 11 && report.seen.filter((one) => one.kind === 'result').length > 500,
+    report.ruleResults.length >= 11 &&
+      report.records.filter((one) => one.outcome === 'result').length > 500,
   );
 });
--- a/packages/devfleet/src/run/stage.ts
+++ b/packages/devfleet/src/run/fleet-setup.ts
@@ -1,11 +1,11 @@
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import * as v from 'valibot';
-import type { Plan } from '../deployment/schema.js';
-import { Fleet, until } from '../fleet/fleet.js';
-import { operate } from './cli.js';
+import type { DeploymentPlan } from '../deployment/schema.js';
+import { Fleet, waitUntil } from '../fleet/fleet.js';
+import { runOperatorCommand } from './operator-command.js';
 
-const fleetView = v.object({
+const fleetViewSchema = v.object({
   generation: v.number(),
   feedAgeMs: v.nullable(v.number()),
   nodes: v.array(
@@ -21,32 +21,32 @@
   origins: v.array(v.object({ instance: v.string(), service: v.string(), state: v.string() })),
   verdicts: v.array(v.object({ service: v.string(), release: v.string(), state: v.string() })),
 });
-export type FleetView = v.InferOutput<typeof fleetView>;
+export type FleetView = v.InferOutput<typeof fleetViewSchema>;
 
-export const lookAt = async (fleet: Fleet): Promise<FleetView | undefined> => {
-  const read = v.safeParse(fleetView, await fleet.view('/v1/fleet'));
+export const readFleetView = async (fleet: Fleet): Promise<FleetView | undefined> => {
+  const read = v.safeParse(fleetViewSchema, await fleet.readView('/v1/fleet'));
   return read.success ? read.output : undefined;
 };
 
 /** How long a slow machine may take for a step; no verdict hangs on it. */
-export const patience = 60_000;
+export const stepTimeoutMs = 60_000;
 
 /** Starts a fleet, founds it and hands it its description, all by the command line. */
-export const setUp = async (
-  plan: Plan,
+export const startFleet = async (
+  plan: DeploymentPlan,
   folder: string,
-  say: (text: string) => void,
-  faulty = false,
+  print: (text: string) => void,
+  canInjectFaults = false,
 ): Promise<Fleet> => {
-  const fleet = new Fleet(plan.deployment, folder, faulty);
+  const fleet = new Fleet(plan.deployment, folder, canInjectFaults);
   const since = performance.now();
   await fleet.start();
-  say(
+  print(
     `${fleet.machines.length} machines and ${fleet.origins.length} origins started in ${Math.round(performance.now() - since)} ms`,
   );
   const core = plan.deployment.shields + plan.deployment.stores;
-  const whole = await until(patience, async () => {
-    const view = await lookAt(fleet);
+  const whole = await waitUntil(stepTimeoutMs, async () => {
+    const view = await readFleetView(fleet);
     return (
       view !== undefined &&
       view.nodes.filter((one) => one.open && one.role === 'registry').length === core &&
@@ -61,26 +61,27 @@
     ...named.flatMap((one) => ['--voter', `${one.name}-registry`]),
     ...named.filter((one) => one.kind === 'store').flatMap((one) => ['--store', one.name]),
   ];
-  const founded = await until(patience, async () => {
-    const done = await operate(fleet.registries, args);
-    if (done.code === 0) say(done.out.trim());
-    return done.code === 0;
+  const founded = await waitUntil(stepTimeoutMs, async () => {
+    const done = await runOperatorCommand(fleet.registries, args);
+    if (done.exitCode === 0) print(done.stdout.trim());
+    return done.exitCode === 0;
   });
   if (!founded) throw new Error('the fleet was not founded in a minute');
-  const applied = await until(patience, async () => {
-    const done = await operate(fleet.registries, [
+  const applied = await waitUntil(stepTimeoutMs, async () => {
+    const done = await runOperatorCommand(fleet.registries, [
       'apply',
-      plan.file,
+      plan.configurationFile,
       '--id',
       `first-${plan.deployment.name}`,
     ]);
-    if (done.code === 0) say(done.out.trim());
-    return done.code === 0;
+    if (done.exitCode === 0) print(done.stdout.trim());
+    return done.exitCode === 0;
   });
   if (!applied) throw new Error('the first description was not accepted in a minute');
-  if (!(await fleet.allReady(patience))) throw new Error('not every edge was ready in a minute');
-  const kept = await until(patience, async () => {
-    const view = await lookAt(fleet);
+  if (!(await fleet.waitUntilEdgesReady(stepTimeoutMs)))
+    throw new Error('not every edge was ready in a minute');
+  const kept = await waitUntil(stepTimeoutMs, async () => {
+    const view = await readFleetView(fleet);
     return (
       view !== undefined &&
       new Set(view.holders.map((one) => one.duty)).size >=
@@ -92,21 +93,33 @@
 };
 
 /** Writes the deployment's description to a file, with some parts of it set anew. */
-export const written = (plan: Plan, folder: string, name: string, parts: object): string => {
+export const writeConfiguration = (
+  plan: DeploymentPlan,
+  folder: string,
+  name: string,
+  overrides: object,
+): string => {
   mkdirSync(folder, { recursive: true });
   const file = join(folder, name);
   writeFileSync(
     file,
-    JSON.stringify({ ...v.parse(v.looseObject({}), plan.description), ...parts }),
+    JSON.stringify({ ...v.parse(v.looseObject({}), plan.configuration), ...overrides }),
   );
   return file;
 };
 
 /** Writes a description with a change in it, for a new generation. */
-export const changed = (plan: Plan, folder: string, name: string, waitlist: number): string => {
+export const writeChangedConfiguration = (
+  plan: DeploymentPlan,
+  folder: string,
+  name: string,
+  queueLimit: number,
+): string => {
   const { services } = v.parse(
     v.looseObject({ services: v.array(v.looseObject({})) }),
-    plan.description,
+    plan.configuration,
   );
-  return written(plan, folder, name, { services: services.map((one) => ({ ...one, waitlist })) });
+  return writeConfiguration(plan, folder, name, {
+    services: services.map((one) => ({ ...one, waitlist: queueLimit })),
+  });
 };
--- a/packages/devfleet/src/run/input.test.ts
+++ b/packages/devfleet/src/run/input.test.ts
@@ -8,25 +8,25 @@
 import { fileURLToPath } from 'node:url';
 import got, { type Response } from 'got';
 import * as v from 'valibot';
-import { type Plan, readPlan } from '../deployment/schema.js';
-import { type Fleet, type Machine, until } from '../fleet/fleet.js';
-import { bytesOf } from '../origin/content.js';
+import { type DeploymentPlan, readDeploymentPlan } from '../deployment/schema.js';
+import { type Fleet, type Machine, waitUntil } from '../fleet/fleet.js';
+import { objectBytes } from '../origin/content.js';
 import { collectRuns } from '../report/rules.js';
-import { operate } from './cli.js';
-import { lookAt, setUp } from './stage.js';
+import { runOperatorCommand } from './operator-command.js';
+import { readFleetView, startFleet } from './fleet-setup.js';
 
 const file = (path: string): string =>
   fileURLToPath(new URL(`../../../../${path}`, import.meta.url));
 const folder = mkdtempSync(join(tmpdir(), 'devfleet-'));
 let fleet: Fleet;
-let plan: Plan;
+let plan: DeploymentPlan;
 let edge: Machine;
 
 before(async () => {
-  const read = readPlan(file('examples/mallgyeol/devfleet.json'));
+  const read = readDeploymentPlan(file('examples/mallgyeol/devfleet.json'));
   assert.ok(read.isOk);
   plan = { ...read.value, deployment: { ...read.value.deployment, edges: 1, shields: 1 } };
-  fleet = await setUp(plan, folder, () => undefined);
+  fleet = await startFleet(plan, folder, () => undefined);
   const first = fleet.edges[0];
   assert.ok(first !== undefined);
   edge = first;
@@ -38,7 +38,7 @@
 
 const registry = (): string => fleet.registries[0] ?? '';
 const ask = (path: string, options: Record<string, unknown> = {}): Promise<Response<Buffer>> =>
-  got(`http://${edge.door}${path}`, {
+  got(`http://${edge.httpAddress}${path}`, {
     retry: { limit: 0 },
     throwHttpErrors: false,
     decompress: false,
@@ -76,7 +76,7 @@
     classes: v.array(v.record(v.string(), v.unknown())),
     routes: v.array(v.record(v.string(), v.unknown())),
   });
-  const copy = v.parse(form, JSON.parse(JSON.stringify(plan.description)));
+  const copy = v.parse(form, JSON.parse(JSON.stringify(plan.configuration)));
   edit(copy);
   return JSON.stringify(copy);
 };
@@ -86,7 +86,7 @@
     retry: { limit: 0 },
     throwHttpErrors: false,
   });
-const generation = async (): Promise<number> => (await lookAt(fleet))?.generation ?? -1;
+const generation = async (): Promise<number> => (await readFleetView(fleet))?.generation ?? -1;
 
 void test('an invalid description is refused whole, with every fault and its path, and the one in force stays', async () => {
   const held = await generation();
@@ -142,15 +142,15 @@
 
 void test('a stale base is refused with the generation in force, and a call that is asked twice has one outcome', async () => {
   const held = await generation();
-  const stale = await put(JSON.stringify(plan.description), `?base=${held + 7}`);
+  const stale = await put(JSON.stringify(plan.configuration), `?base=${held + 7}`);
   assert.equal(stale.statusCode, 409);
   assert.equal(
     v.parse(v.object({ generation: v.number() }), JSON.parse(stale.body)).generation,
     held,
   );
   const [one, two] = [
-    await put(JSON.stringify(plan.description), `?base=${held}&id=twice`),
-    await put(JSON.stringify(plan.description), `?base=${held}&id=twice`),
+    await put(JSON.stringify(plan.configuration), `?base=${held}&id=twice`),
+    await put(JSON.stringify(plan.configuration), `?base=${held}&id=twice`),
   ];
   assert.equal(one.statusCode, 200);
   assert.equal(two.body, one.body);
@@ -168,34 +168,34 @@
   const method = await ask('/clips/1', { method: 'DELETE' });
   assert.deepEqual([method.statusCode, method.headers.allow], [405, 'GET, HEAD']);
   const large = await raw(
-    edge.door,
+    edge.httpAddress,
     `POST /consent/1 HTTP/1.1\r\nhost: x\r\ncontent-length: 5000000\r\n\r\n`,
   );
   assert.match(large, /^HTTP\/1\.1 413 /);
   const both = await raw(
-    edge.door,
+    edge.httpAddress,
     'POST /consent/1 HTTP/1.1\r\nhost: x\r\ncontent-length: 5\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n',
   );
   assert.match(both, /^HTTP\/1\.1 400 /);
   const twice = await raw(
-    edge.door,
+    edge.httpAddress,
     'POST /consent/1 HTTP/1.1\r\nhost: x\r\ncontent-length: 5\r\ncontent-length: 6\r\n\r\nhello',
   );
   assert.match(twice, /^HTTP\/1\.1 400 /);
-  const noHost = await raw(edge.door, 'GET /clips/1 HTTP/1.1\r\n\r\n');
+  const noHost = await raw(edge.httpAddress, 'GET /clips/1 HTTP/1.1\r\n\r\n');
   assert.match(noHost, /^HTTP\/1\.1 400 /);
   const huge = await raw(
-    edge.door,
+    edge.httpAddress,
     `GET /clips/1 HTTP/1.1\r\nhost: x\r\nx-fill: ${'a'.repeat(40_000)}\r\n\r\n`,
   );
   assert.match(huge, /^HTTP\/1\.1 431 /);
-  assert.match(await raw(edge.door, 'rubbish\r\n\r\n'), /^HTTP\/1\.1 400 /);
+  assert.match(await raw(edge.httpAddress, 'rubbish\r\n\r\n'), /^HTTP\/1\.1 400 /);
 });
 
 void test('callers that send their headers or their bodies too slowly are ended', async () => {
   const [headers, body] = await Promise.all([
-    raw(edge.door, 'GET /clips/1 HTTP/1.1\r\nhost: x\r\n'),
-    raw(edge.door, 'POST /consent/1 HTTP/1.1\r\nhost: x\r\ncontent-length: 10\r\n\r\nab'),
+    raw(edge.httpAddress, 'GET /clips/1 HTTP/1.1\r\nhost: x\r\n'),
+    raw(edge.httpAddress, 'POST /consent/1 HTTP/1.1\r\nhost: x\r\ncontent-length: 10\r\n\r\nab'),
   ]);
   assert.match(headers, /^HTTP\/1\.1 408 /);
   assert.match(body, /^HTTP\/1\.1 408 /);
@@ -204,7 +204,7 @@
 void test('ranges, conditions and results beyond what is held whole', async () => {
   const path = '/clips/77';
   const whole = await ask(`${path}?size=50000`);
-  assert.ok(whole.rawBody.equals(bytesOf(path, 0, 50_000)));
+  assert.ok(whole.rawBody.equals(objectBytes(path, 0, 50_000)));
   const again = await ask(`${path}?size=50000`);
   assert.equal(again.headers['switchwheel-from'], 'edge');
   const part = await ask(`${path}?size=50000`, { headers: { range: 'bytes=100-199' } });
@@ -228,7 +228,7 @@
   assert.deepEqual([head.statusCode, head.headers['content-length']], [200, '50000']);
   const size = 9 * 1024 * 1024;
   const long = await ask(`/search/1?size=${size}`);
-  assert.ok(long.rawBody.equals(bytesOf('/search/1', 0, size)));
+  assert.ok(long.rawBody.equals(objectBytes('/search/1', 0, size)));
 });
 
 void test('origins that corrupt, cut or answer for somebody else: the caller gets an unknown outcome, never their bytes', async () => {
@@ -236,7 +236,7 @@
   const mood = (change: object): Promise<unknown> =>
     Promise.all(
       origins.map((one) =>
-        got.post(`http://${one.control}/mood`, { json: change, retry: { limit: 0 } }),
+        got.post(`http://${one.controlAddress}/mood`, { json: change, retry: { limit: 0 } }),
       ),
     );
   for (const change of [{ corruptShare: 1 }, { cutShare: 1 }, { wrongName: true }]) {
@@ -259,7 +259,7 @@
       .nodes.find((one) => one.node === edge.name)?.address ?? '';
   await raw(address, 'GET / HTTP/1.1\r\n\r\n');
   await raw(address, '\0\0\0\x04\0\0\0\0abcd');
-  const metrics = await got(`http://${edge.admin}/metrics`, { retry: { limit: 0 } });
+  const metrics = await got(`http://${edge.adminAddress}/metrics`, { retry: { limit: 0 } });
   assert.match(metrics.body, /switchwheel_foreign_channels_total [2-9]/);
 });
 
@@ -308,8 +308,8 @@
 });
 
 void test('the command line: check, diff, show, status, rollouts, releases, purge; plain words and exit codes', async () => {
-  const sw = (...args: readonly string[]): ReturnType<typeof operate> =>
-    operate(fleet.registries, args);
+  const sw = (...args: readonly string[]): ReturnType<typeof runOperatorCommand> =>
+    runOperatorCommand(fleet.registries, args);
   const odd = join(folder, 'odd.json');
   writeFileSync(
     odd,
@@ -318,9 +318,12 @@
     }),
   );
   const checked = await sw('check', odd);
-  assert.deepEqual([checked.code, checked.fault.includes('classes.0.share: at most 1')], [1, true]);
-  assert.equal((await sw('check', plan.file)).code, 0);
-  assert.equal((await sw('check', join(folder, 'none.json'))).code, 2);
+  assert.deepEqual(
+    [checked.exitCode, checked.stderr.includes('classes.0.share: at most 1')],
+    [1, true],
+  );
+  assert.equal((await sw('check', plan.configurationFile)).exitCode, 0);
+  assert.equal((await sw('check', join(folder, 'none.json'))).exitCode, 2);
   const other = join(folder, 'other.json');
   writeFileSync(
     other,
@@ -328,20 +331,20 @@
       copy.routes.pop();
     }),
   );
-  assert.equal((await sw('diff', other)).out.trim(), '- routes.search');
+  assert.equal((await sw('diff', other)).stdout.trim(), '- routes.search');
   assert.equal(
-    v.parse(v.looseObject({ format: v.number() }), JSON.parse((await sw('show')).out)).format,
+    v.parse(v.looseObject({ format: v.number() }), JSON.parse((await sw('show')).stdout)).format,
     1,
   );
-  assert.match((await sw('status')).out, /keeper:clips/);
-  assert.match((await sw('rollouts')).out, /generation/);
-  assert.match((await sw('releases')).out, /clips +r1 +good/);
-  assert.match((await sw('purge', '/clips/1', '--tag', 't1')).out, /accepted as purge \d+ of 2/);
-  assert.equal((await sw('purge')).code, 2);
-  assert.equal((await sw('jump')).code, 2);
-  const stale = await sw('apply', plan.file, '--base', '99');
-  assert.deepEqual([stale.code, stale.fault.includes('stale')], [1, true]);
-  assert.equal((await operate(['127.0.0.1:1'], ['status'])).code, 1);
+  assert.match((await sw('status')).stdout, /keeper:clips/);
+  assert.match((await sw('rollouts')).stdout, /generation/);
+  assert.match((await sw('releases')).stdout, /clips +r1 +good/);
+  assert.match((await sw('purge', '/clips/1', '--tag', 't1')).stdout, /accepted as purge \d+ of 2/);
+  assert.equal((await sw('purge')).exitCode, 2);
+  assert.equal((await sw('jump')).exitCode, 2);
+  const stale = await sw('apply', plan.configurationFile, '--base', '99');
+  assert.deepEqual([stale.exitCode, stale.stderr.includes('stale')], [1, true]);
+  assert.equal((await runOperatorCommand(['127.0.0.1:1'], ['status'])).exitCode, 1);
 });
 
 void test('a damaged disk file: refused with a plain word, then mended from the peer', async () => {
@@ -352,20 +355,20 @@
   const stores = async (): Promise<
     { readonly primary: string; readonly inSyncSet: number } | undefined
   > => {
-    const read = v.safeParse(view, await fleet.view('/v1/store'));
+    const read = v.safeParse(view, await fleet.readView('/v1/store'));
     return read.success
       ? { primary: read.output.store, inSyncSet: read.output.metadata.inSyncSet.length }
       : undefined;
   };
   assert.ok(
-    await until(60_000, async () => (await stores())?.inSyncSet === 2),
+    await waitUntil(60_000, async () => (await stores())?.inSyncSet === 2),
     'both stores in sync',
   );
   const before = await stores();
   const other = fleet.machines.find((one) => one.kind === 'store' && one.name !== before?.primary);
   assert.ok(other !== undefined);
-  const child = fleet.child(other.name);
-  await child.end('SIGKILL');
+  const child = fleet.process(other.name);
+  await child.stop('SIGKILL');
   const path = join(folder, 'data', other.name, 'table.lmdb');
   const bytes = readFileSync(path);
   // Every copy of a word that stands in the stored description is changed.
@@ -374,15 +377,22 @@
   writeFileSync(path, bytes);
   await child.start();
   const ready = async (): Promise<boolean> =>
-    (await got(`http://${other.admin}/ready`, { retry: { limit: 0 }, throwHttpErrors: false }))
-      .statusCode === 200;
-  assert.ok(await until(60_000, ready), 'in sync again by its own word');
-  assert.ok(await until(60_000, async () => (await stores())?.inSyncSet === 2), 'in sync again');
+    (
+      await got(`http://${other.adminAddress}/ready`, {
+        retry: { limit: 0 },
+        throwHttpErrors: false,
+      })
+    ).statusCode === 200;
+  assert.ok(await waitUntil(60_000, ready), 'in sync again by its own word');
+  assert.ok(
+    await waitUntil(60_000, async () => (await stores())?.inSyncSet === 2),
+    'in sync again',
+  );
   const log = readFileSync(join(folder, 'log', `${other.name}.log`), 'utf8');
   assert.match(log, /the disk is damaged: nothing of it is used/);
-  await child.end('SIGKILL');
+  await child.stop('SIGKILL');
   await child.start();
-  assert.ok(await until(60_000, ready), 'the mended disk is read');
+  assert.ok(await waitUntil(60_000, ready), 'the mended disk is read');
   const lines = readFileSync(join(folder, 'log', `${other.name}.log`), 'utf8')
     .split('\n')
     .filter((one) => one.includes('the disk is damaged'));
@@ -469,7 +479,7 @@
   const wrong = await box('nodes | where rolle = edge');
   assert.deepEqual([wrong.code, wrong.fault.includes('did you mean role?')], [2, true]);
   const stores = fleet.machines.filter((one) => one.kind === 'store');
-  await Promise.all(stores.flatMap((one) => one.children).map((one) => one.end('SIGKILL')));
+  await Promise.all(stores.flatMap((one) => one.processes).map((one) => one.stop('SIGKILL')));
   const rollouts = v.parse(form, JSON.parse((await box('rollouts')).out));
   assert.ok(
     rollouts.missing.length === 1 && rollouts.silent.length === 2,
--- a/packages/devfleet/src/run/cli.ts
+++ b/packages/devfleet/src/run/operator-command.ts
@@ -3,17 +3,17 @@
 
 const script = fileURLToPath(new URL('../../../switchwheel/bin/switchwheel.js', import.meta.url));
 
-export interface CliResult {
-  readonly code: number;
-  readonly out: string;
-  readonly fault: string;
+export interface CommandResult {
+  readonly exitCode: number;
+  readonly stdout: string;
+  readonly stderr: string;
 }
 
 /** Runs the operators' command line as an operator would. */
-export const operate = (
+export const runOperatorCommand = (
   registries: readonly string[],
   args: readonly string[],
-): Promise<CliResult> =>
+): Promise<CommandResult> =>
   new Promise((done) => {
     execFile(
       process.execPath,
@@ -21,9 +21,9 @@
       { maxBuffer: 64 * 1024 * 1024 },
       (fault, out, text) => {
         done({
-          code: fault === null ? 0 : typeof fault.code === 'number' ? fault.code : 1,
-          out,
-          fault: text,
+          exitCode: fault === null ? 0 : typeof fault.code === 'number' ? fault.code : 1,
+          stdout: out,
+          stderr: text,
         });
       },
     );
--- a/packages/devfleet/src/soak/soak.ts
+++ b/packages/devfleet/src/soak/soak.ts
@@ -6,69 +6,72 @@
 import { join } from 'node:path';
 import got from 'got';
 import * as v from 'valibot';
-import type { Plan } from '../deployment/schema.js';
-import { type Fleet, pause, until } from '../fleet/fleet.js';
-import { Platform } from '../fleet/platform.js';
-import { Callers } from '../load/callers.js';
-import { type Verdict, verdictTable } from '../report/report.js';
-import { collectRuns, judgeRuns } from '../report/rules.js';
-import { lookAt, setUp } from '../run/stage.js';
-import { Chance } from './chance.js';
-import { Operators } from './operators.js';
-import { TroubleMaker, countOverlaps, drawTroubles } from './troubles.js';
+import type { DeploymentPlan } from '../deployment/schema.js';
+import { type Fleet, delay, waitUntil } from '../fleet/fleet.js';
+import { ReadinessProbe } from '../fleet/readiness-probe.js';
+import { LoadGenerator } from '../load/load-generator.js';
+import { type RuleResult, ruleResultTable } from '../report/report.js';
+import { collectRuns, checkRuns } from '../report/rules.js';
+import { readFleetView, startFleet } from '../run/fleet-setup.js';
+import { SeededRandom } from './seeded-random.js';
+import { RacingOperators } from './racing-operators.js';
+import { FaultInjector, countOverlaps, drawFaults } from './random-faults.js';
 
 export interface SoakOptions {
   readonly seed: number;
   /** How long troubles come, in milliseconds. */
-  readonly spanMs: number;
+  readonly faultsDurationMs: number;
   /** Which part of the deployment's requests a second is sent. */
-  readonly scale: number;
+  readonly loadScale: number;
   readonly folder: string;
-  readonly say: (text: string) => void;
+  readonly print: (text: string) => void;
 }
 
 export interface SoakReport {
-  readonly verdicts: readonly Verdict[];
-  readonly troubles: number;
-  readonly overlaps: number;
-  readonly orders: number;
-  readonly confirmed: number;
+  readonly ruleResults: readonly RuleResult[];
+  readonly faultCount: number;
+  readonly overlapCount: number;
+  readonly commandCount: number;
+  readonly confirmedCount: number;
 }
 
 /** How long after the last trouble all must be in force again; no verdict hangs on a machine's speed within it. */
-const settleMs = 30_000;
-const brokenInvariant = 'an invariant is broken';
-const described = v.looseObject({ generation: v.number(), description: v.unknown() });
+const settleTimeoutMs = 30_000;
+const brokenInvariantMessage = 'an invariant is broken';
+const configurationReplySchema = v.looseObject({
+  generation: v.number(),
+  description: v.unknown(),
+});
 
-const verdict = (rule: string, held: boolean, text: string): Verdict => ({
+const verdict = (rule: string, held: boolean, text: string): RuleResult => ({
   rule,
-  held,
+  isHeld: held,
   text,
-  timed: false,
+  isTimed: false,
 });
 
 /** Lines of all logs that tell of a broken invariant. */
-const brokenInvariants = (folder: string): readonly string[] => {
+const brokenInvariantLines = (folder: string): readonly string[] => {
   const logs = join(folder, 'log');
   return readdirSync(logs).flatMap((name) =>
     readFileSync(join(logs, name), 'utf8')
       .split('\n')
-      .filter((line) => line.includes(brokenInvariant))
+      .filter((line) => line.includes(brokenInvariantMessage))
       .map((line) => `${name}: ${line.slice(0, 300)}`),
   );
 };
 
 /** Whether every node runs the newest generation, and it is at least the newest that was confirmed. */
-const isSettled = async (fleet: Fleet, confirmed: number): Promise<boolean> => {
-  const view = await lookAt(fleet);
-  if (view === undefined || view.generation < confirmed) return false;
+const isSettled = async (fleet: Fleet, confirmedGeneration: number): Promise<boolean> => {
+  const view = await readFleetView(fleet);
+  if (view === undefined || view.generation < confirmedGeneration) return false;
   const runners = view.nodes.filter((one) => one.role === 'edge' || one.role === 'shield');
   const isAll = runners.length === fleet.machines.filter((one) => one.kind !== 'store').length;
   return isAll && runners.every((one) => one.open && one.generation === view.generation);
 };
 
 /** Reads the description back from each registry. */
-const readBack = (fleet: Fleet): Promise<readonly unknown[]> =>
+const readConfigurations = (fleet: Fleet): Promise<readonly unknown[]> =>
   Promise.all(
     fleet.registries.map(async (registry) => {
       const reply = await got(`http://${registry}/v1/description`, {
@@ -82,27 +85,28 @@
     }),
   );
 
-const judgeReads = (reads: readonly unknown[], operators: Operators): Verdict => {
-  const newest = operators.newest;
-  const faults = reads.flatMap((raw) => {
-    const read = v.safeParse(described, raw);
+const checkReadBack = (replies: readonly unknown[], operators: RacingOperators): RuleResult => {
+  const newest = operators.newestConfirmed;
+  const faults = replies.flatMap((raw) => {
+    const read = v.safeParse(configurationReplySchema, raw);
     if (!read.success) return ['no answer'];
     const { generation, description } = read.output;
     if (generation < (newest?.generation ?? 0)) return [`generation ${generation}`];
     const isNewest = newest !== undefined && generation === newest.generation;
     const same =
-      !isNewest || canonical(description) === canonical(operators.describe(newest.content));
+      !isNewest ||
+      canonicalJson(description) === canonicalJson(operators.configurationWith(newest.content));
     return same ? [] : [`other content under ${generation}`];
   });
   return verdict(
     'the newest confirmed description is read back',
     faults.length === 0,
-    `${reads.length} registries asked for ${newest?.generation ?? 0}: ${faults.length === 0 ? 'all tell it' : faults.join('; ')}`,
+    `${replies.length} registries asked for ${newest?.generation ?? 0}: ${faults.length === 0 ? 'all tell it' : faults.join('; ')}`,
   );
 };
 
 /** A text that is the same for equal values, whatever the order of members. */
-const canonical = (raw: unknown): string =>
+const canonicalJson = (raw: unknown): string =>
   JSON.stringify(raw, (_, value: unknown) =>
     typeof value === 'object' && value !== null && !Array.isArray(value)
       ? Object.fromEntries(Object.entries(value).sort(([one], [two]) => (one < two ? -1 : 1)))
@@ -110,52 +114,52 @@
   );
 
 /** Plays one seed. */
-export const soak = async (plan: Plan, options: SoakOptions): Promise<SoakReport> => {
-  const { seed, spanMs, folder, say } = options;
-  const chance = new Chance(seed);
-  const fleet = await setUp(plan, folder, () => undefined, true);
+export const runSoak = async (plan: DeploymentPlan, options: SoakOptions): Promise<SoakReport> => {
+  const { seed, faultsDurationMs, folder, print } = options;
+  const chance = new SeededRandom(seed);
+  const fleet = await startFleet(plan, folder, () => undefined, true);
   try {
-    const platform = new Platform(fleet);
-    const rate = plan.deployment.perSecond * options.scale;
-    const callers = new Callers(plan.deployment, rate, () => platform.ready);
-    const troubles = drawTroubles(chance, fleet.machines, spanMs);
-    const operators = new Operators(plan, fleet.registries, new Chance(seed + 1));
-    await platform.look();
-    platform.begin();
-    callers.begin();
-    const work = operators.work();
-    await new TroubleMaker(fleet, say).play(troubles);
+    const platform = new ReadinessProbe(fleet);
+    const rate = plan.deployment.perSecond * options.loadScale;
+    const callers = new LoadGenerator(plan.deployment, rate, () => platform.readyEdges);
+    const troubles = drawFaults(chance, fleet.machines, faultsDurationMs);
+    const operators = new RacingOperators(plan, fleet.registries, new SeededRandom(seed + 1));
+    await platform.probe();
+    platform.start();
+    callers.start();
+    const work = operators.run();
+    await new FaultInjector(fleet, print).run(troubles);
     operators.stop();
     await work;
-    const confirmed = operators.newest?.generation ?? 0;
+    const confirmed = operators.newestConfirmed?.generation ?? 0;
     const since = performance.now();
-    const settled = await until(settleMs, () => isSettled(fleet, confirmed));
-    say(
+    const settled = await waitUntil(settleTimeoutMs, () => isSettled(fleet, confirmed));
+    print(
       `settled ${settled ? '' : 'NOT '}after ${Math.round(performance.now() - since)} ms of calm`,
     );
-    const reads = await readBack(fleet);
-    await pause(500);
-    await callers.finish();
-    platform.end();
-    const broken = brokenInvariants(folder);
+    const reads = await readConfigurations(fleet);
+    await delay(500);
+    await callers.stop();
+    platform.stop();
+    const broken = brokenInvariantLines(folder);
     const verdicts = [
       verdict('invariants', broken.length === 0, broken.join('\n') || 'none was found broken'),
       verdict('in force everywhere', settled, `the newest confirmed generation is ${confirmed}`),
-      judgeReads(reads, operators),
+      checkReadBack(reads, operators),
       verdict(
         'one answer to one order',
-        operators.disagreements.length === 0,
-        `${operators.orders.length} orders, ${operators.disagreements.length} with two answers`,
+        operators.conflicts.length === 0,
+        `${operators.commands.length} orders, ${operators.conflicts.length} with two answers`,
       ),
-      ...judgeRuns(callers.seen, await collectRuns(fleet)),
+      ...checkRuns(callers.records, await collectRuns(fleet)),
     ];
-    say(verdictTable(verdicts));
+    print(ruleResultTable(verdicts));
     return {
-      verdicts,
-      troubles: troubles.length,
-      overlaps: countOverlaps(troubles),
-      orders: operators.orders.length,
-      confirmed: operators.orders.filter((one) => one.confirmations > 0).length,
+      ruleResults: verdicts,
+      faultCount: troubles.length,
+      overlapCount: countOverlaps(troubles),
+      commandCount: operators.commands.length,
+      confirmedCount: operators.commands.filter((one) => one.confirmations > 0).length,
     };
   } finally {
     await fleet.stop();
--- a/packages/query-shell/src/index.ts
+++ b/packages/query-shell/src/index.ts
@@ -1,2 +1,2 @@
-export { parse, run, complete } from './query/query.js';
+export { parseQuery, runQuery, completions } from './query/query.js';
 export { tables } from './table/tables.js';
--- a/packages/query-shell/src/main.ts
+++ b/packages/query-shell/src/main.ts
@@ -1,7 +1,7 @@
 import meow from 'meow';
 import { isAddress } from '@switchwheel/types';
-import { helpText, readQuery } from './shell/ask.js';
-import { follow, shell } from './shell/shell.js';
+import { helpText, readQuery } from './shell/answer.js';
+import { runAndFollow, runShell } from './shell/shell.js';
 
 const cli = meow(
   `
@@ -36,14 +36,14 @@
   },
 );
 
-const quit = (fault: string): never => {
-  process.stderr.write(`query-shell: ${fault}\n`);
+const exitWithWrongUse = (message: string): never => {
+  process.stderr.write(`query-shell: ${message}\n`);
   process.exit(2);
 };
 const odd = Object.keys(cli.flags).find(
   (name) => !['registry', 'r', 'json', 'timeout', 'history'].includes(name),
 );
-if (odd !== undefined) quit(`--${odd}: no such flag`);
+if (odd !== undefined) exitWithWrongUse(`--${odd}: no such flag`);
 const given =
   (cli.flags.registry ?? []).length > 0
     ? (cli.flags.registry ?? [])
@@ -53,20 +53,20 @@
   .map((one) => one.trim())
   .filter((one) => one !== '');
 const wrong = names.find((one) => !isAddress(one));
-if (wrong !== undefined) quit(`--registry ${wrong}: an IP number and a port`);
+if (wrong !== undefined) exitWithWrongUse(`--registry ${wrong}: an IP number and a port`);
 const registries = names.filter(isAddress);
-if (registries.length === 0) quit('--registry: name at least one registry');
-if (!(cli.flags.timeout > 0)) quit('--timeout: milliseconds');
-const reach = { registries, spanMs: cli.flags.timeout, json: cli.flags.json };
+if (registries.length === 0) exitWithWrongUse('--registry: name at least one registry');
+if (!(cli.flags.timeout > 0)) exitWithWrongUse('--timeout: milliseconds');
+const target = { registries, timeoutMs: cli.flags.timeout, asJson: cli.flags.json };
 
 const line = cli.input.join(' ').trim();
-if (line === '') await shell(reach, cli.flags.history);
+if (line === '') await runShell(target, cli.flags.history);
 else {
   const query = readQuery(line);
-  if (query.isErr) quit(query.error);
+  if (query.isErr) exitWithWrongUse(query.error);
   const stop = new AbortController();
   process.on('SIGINT', () => stop.abort());
-  const answered = await follow(line, reach, stop.signal, (text) =>
+  const answered = await runAndFollow(line, target, stop.signal, (text) =>
     process.stdout.write(`${text}\n`),
   );
   process.exitCode = answered ? 0 : 1;
--- a/packages/query-shell/src/query/query.test.ts
+++ b/packages/query-shell/src/query/query.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { parse, run } from './query.js';
+import { parseQuery, runQuery } from './query.js';
 import type { Cell, Row } from '../table/tables.js';
 
 const row = (cells: Record<string, Cell>): Row => new Map(Object.entries(cells));
@@ -11,8 +11,8 @@
   row({ node: 'store-1', role: 'store', area: 'two', ready: true, generation: null }),
 ];
 const ask = (text: string): readonly unknown[] =>
-  run(
-    parse(text).unwrapOrElse((slip) => assert.fail(slip.text)),
+  runQuery(
+    parseQuery(text).unwrapOrElse((slip) => assert.fail(slip.text)),
     rows,
   ).map((one) => [...one.values()]);
 
@@ -33,7 +33,7 @@
   assert.deepEqual(ask('nodes | count'), [[4]]);
   assert.deepEqual(ask('nodes | sort generation | limit 1 | select node'), [['edge-2']]);
   assert.equal(
-    parse('nodes | follow 500ms')
+    parseQuery('nodes | follow 500ms')
       .map((one) => one.followMs)
       .unwrapOr(undefined),
     500,
@@ -55,9 +55,9 @@
     ['nodes where', [6, 'behind a bar']],
   ] as const);
   for (const [text, [at, part]] of slips) {
-    const parsed = parse(text);
+    const parsed = parseQuery(text);
     assert.ok(parsed.isErr, text);
-    assert.equal(parsed.error.at, at, `${text}: ${parsed.error.text}`);
+    assert.equal(parsed.error.offset, at, `${text}: ${parsed.error.text}`);
     assert.ok(parsed.error.text.includes(part), `${text}: ${parsed.error.text}`);
   }
 });
--- a/packages/query-shell/src/query/query.ts
+++ b/packages/query-shell/src/query/query.ts
@@ -2,25 +2,25 @@
 import { type Cell, type Row, tables } from '../table/tables.js';
 
 /** Where a query is wrong, and what may have been meant. */
-export interface Slip {
-  readonly at: number;
+export interface QueryError {
+  readonly offset: number;
   readonly text: string;
 }
 
-type Sign = '=' | '!=' | '<' | '>' | '<=' | '>=' | '~';
-const signs: readonly Sign[] = ['!=', '<=', '>=', '=', '<', '>', '~'];
+type Operator = '=' | '!=' | '<' | '>' | '<=' | '>=' | '~';
+const operators: readonly Operator[] = ['!=', '<=', '>=', '=', '<', '>', '~'];
 
-interface Test {
+interface Condition {
   readonly column: string;
-  readonly sign: Sign;
+  readonly operator: Operator;
   readonly value: string;
 }
 type Stage =
-  | { readonly stage: 'where'; readonly tests: readonly Test[] }
+  | { readonly stage: 'where'; readonly conditions: readonly Condition[] }
   | { readonly stage: 'select'; readonly columns: readonly string[] }
-  | { readonly stage: 'sort'; readonly column: string; readonly down: boolean }
+  | { readonly stage: 'sort'; readonly column: string; readonly isDescending: boolean }
   | { readonly stage: 'count'; readonly by: readonly string[] }
-  | { readonly stage: 'limit'; readonly many: number };
+  | { readonly stage: 'limit'; readonly maxRows: number };
 
 /** A query: one table, stages in order, and how often to ask again. */
 export interface Query {
@@ -29,15 +29,15 @@
   readonly followMs: number | undefined;
 }
 
-interface Word {
+interface Token {
   readonly text: string;
-  readonly at: number;
+  readonly offset: number;
 }
 
 const stageNames = ['where', 'select', 'sort', 'count', 'limit', 'follow'] as const;
 
 /** How unlike two words are, for suggestions. */
-const unlike = (one: string, two: string): number => {
+const editDistance = (one: string, two: string): number => {
   let row = Array.from({ length: two.length + 1 }, (_, at) => at);
   for (let a = 1; a <= one.length; a += 1) {
     const next = [a];
@@ -54,81 +54,91 @@
   return row[two.length] ?? 0;
 };
 
-const suggest = (word: string, list: readonly string[]): string => {
-  const best = [...list].sort((one, two) => unlike(word, one) - unlike(word, two))[0];
-  return best !== undefined && unlike(word, best) <= 3
+const suggestion = (word: string, candidates: readonly string[]): string => {
+  const best = [...candidates].sort(
+    (one, two) => editDistance(word, one) - editDistance(word, two),
+  )[0];
+  return best !== undefined && editDistance(word, best) <= 3
     ? `; did you mean ${best}?`
-    : `; one of ${list.join(', ')}`;
+    : `; one of ${candidates.join(', ')}`;
 };
 
-const wordsOf = (text: string): readonly Word[] =>
+const tokenize = (text: string): readonly Token[] =>
   [...text.matchAll(/"([^"]*)"|!=|<=|>=|[=<>~|,]|[^\s=<>~|,!"]+|\S/g)].map((found) => ({
     text: found[1] ?? found[0],
-    at: found.index,
+    offset: found.index,
   }));
 
-const slip = (at: number, text: string): Result<never, Slip> => err({ at, text });
+const queryError = (offset: number, text: string): Result<never, QueryError> =>
+  err({ offset, text });
 
 /** Cuts the words of a query at its bars. */
-const parts = (words: readonly Word[]): readonly (readonly Word[])[] => {
-  const out: Word[][] = [[]];
-  for (const word of words) {
+const splitAtBars = (tokens: readonly Token[]): readonly (readonly Token[])[] => {
+  const out: Token[][] = [[]];
+  for (const word of tokens) {
     if (word.text === '|') out.push([]);
     else out.at(-1)?.push(word);
   }
   return out;
 };
 
-const columnsOf = (
-  words: readonly Word[],
+const parseColumns = (
+  tokens: readonly Token[],
   known: readonly string[],
-): Result<readonly string[], Slip> => {
-  const names = words.filter((one) => one.text !== ',');
+): Result<readonly string[], QueryError> => {
+  const names = tokens.filter((one) => one.text !== ',');
   const odd = names.find((one) => !known.includes(one.text));
   return odd === undefined
     ? ok(names.map((one) => one.text))
-    : slip(odd.at, `no column ${odd.text}${suggest(odd.text, known)}`);
+    : queryError(odd.offset, `no column ${odd.text}${suggestion(odd.text, known)}`);
 };
 
-const whereOf = (
-  words: readonly Word[],
+const parseConditions = (
+  tokens: readonly Token[],
   known: readonly string[],
   end: number,
-): Result<readonly Test[], Slip> => {
-  const tests: Test[] = [];
-  for (let at = 0; at < words.length; at += 4) {
-    const [column, sign, value, more] = words.slice(at, at + 4);
+): Result<readonly Condition[], QueryError> => {
+  const tests: Condition[] = [];
+  for (let at = 0; at < tokens.length; at += 4) {
+    const [column, sign, value, more] = tokens.slice(at, at + 4);
     if (column === undefined) break;
     if (!known.includes(column.text))
-      return slip(column.at, `no column ${column.text}${suggest(column.text, known)}`);
-    const found = signs.find((one) => one === sign?.text);
+      return queryError(column.offset, `no column ${column.text}${suggestion(column.text, known)}`);
+    const found = operators.find((one) => one === sign?.text);
     if (found === undefined)
-      return slip(sign?.at ?? end, `after ${column.text} comes one of ${signs.join(' ')}`);
-    if (value === undefined) return slip(end, `${column.text} ${found} what?`);
+      return queryError(
+        sign?.offset ?? end,
+        `after ${column.text} comes one of ${operators.join(' ')}`,
+      );
+    if (value === undefined) return queryError(end, `${column.text} ${found} what?`);
     if (more !== undefined && more.text !== 'and')
-      return slip(more.at, `between tests stands "and", not ${more.text}`);
-    if (more !== undefined && at + 4 >= words.length)
-      return slip(end, 'after "and" comes another test');
-    tests.push({ column: column.text, sign: found, value: value.text });
+      return queryError(more.offset, `between tests stands "and", not ${more.text}`);
+    if (more !== undefined && at + 4 >= tokens.length)
+      return queryError(end, 'after "and" comes another test');
+    tests.push({ column: column.text, operator: found, value: value.text });
   }
   return tests.length === 0
-    ? slip(end, 'where what? for example: where role = edge and ready = false')
+    ? queryError(end, 'where what? for example: where role = edge and ready = false')
     : ok(tests);
 };
 
 /** Reads a query. */
-export const parse = (text: string): Result<Query, Slip> => {
-  const [head, ...rest] = parts(wordsOf(text));
+export const parseQuery = (text: string): Result<Query, QueryError> => {
+  const [head, ...rest] = splitAtBars(tokenize(text));
   const name = head?.[0];
-  if (name === undefined) return slip(0, `which table? one of ${[...tables.keys()].join(', ')}`);
+  if (name === undefined)
+    return queryError(0, `which table? one of ${[...tables.keys()].join(', ')}`);
   const table = tables.get(name.text);
   if (table === undefined)
-    return slip(name.at, `no table ${name.text}${suggest(name.text, [...tables.keys()])}`);
+    return queryError(
+      name.offset,
+      `no table ${name.text}${suggestion(name.text, [...tables.keys()])}`,
+    );
   const extra = head?.[1];
   if (extra !== undefined)
-    return slip(
-      extra.at,
-      `stages stand behind a bar: ${name.text} | ${suggest(extra.text, stageNames).slice(2)}`,
+    return queryError(
+      extra.offset,
+      `stages stand behind a bar: ${name.text} | ${suggestion(extra.text, stageNames).slice(2)}`,
     );
   let known = table.columns;
   const stages: Stage[] = [];
@@ -136,40 +146,47 @@
   for (const part of rest) {
     const [verb, ...args] = part;
     if (verb === undefined)
-      return slip(text.length, `a bar with nothing behind it; one of ${stageNames.join(', ')}`);
-    if (followMs !== undefined) return slip(verb.at, 'follow comes last');
+      return queryError(
+        text.length,
+        `a bar with nothing behind it; one of ${stageNames.join(', ')}`,
+      );
+    if (followMs !== undefined) return queryError(verb.offset, 'follow comes last');
     const end = text.length;
     switch (verb.text) {
       case 'where': {
-        const tests = whereOf(args, known, end);
+        const tests = parseConditions(args, known, end);
         if (tests.isErr) return err(tests.error);
-        stages.push({ stage: 'where', tests: tests.value });
+        stages.push({ stage: 'where', conditions: tests.value });
         break;
       }
       case 'select': {
-        const columns = columnsOf(args, known);
+        const columns = parseColumns(args, known);
         if (columns.isErr) return err(columns.error);
         if (columns.value.length === 0)
-          return slip(end, `select what? some of ${known.join(', ')}`);
+          return queryError(end, `select what? some of ${known.join(', ')}`);
         known = columns.value;
         stages.push({ stage: 'select', columns: columns.value });
         break;
       }
       case 'sort': {
         const [column, way, more] = args;
-        if (column === undefined) return slip(end, `sort by what? one of ${known.join(', ')}`);
+        if (column === undefined)
+          return queryError(end, `sort by what? one of ${known.join(', ')}`);
         if (!known.includes(column.text))
-          return slip(column.at, `no column ${column.text}${suggest(column.text, known)}`);
+          return queryError(
+            column.offset,
+            `no column ${column.text}${suggestion(column.text, known)}`,
+          );
         if (way !== undefined && way.text !== 'desc' && way.text !== 'asc')
-          return slip(way.at, `asc or desc, not ${way.text}`);
+          return queryError(way.offset, `asc or desc, not ${way.text}`);
         if (more !== undefined)
-          return slip(more.at, `nothing more behind ${way?.text ?? column.text}`);
-        stages.push({ stage: 'sort', column: column.text, down: way?.text === 'desc' });
+          return queryError(more.offset, `nothing more behind ${way?.text ?? column.text}`);
+        stages.push({ stage: 'sort', column: column.text, isDescending: way?.text === 'desc' });
         break;
       }
       case 'count': {
         const by = args[0]?.text === 'by' ? args.slice(1) : args;
-        const columns = columnsOf(by, known);
+        const columns = parseColumns(by, known);
         if (columns.isErr) return err(columns.error);
         known = [...columns.value, 'count'];
         stages.push({ stage: 'count', by: columns.value });
@@ -178,26 +195,29 @@
       case 'limit': {
         const many = Number(args[0]?.text);
         if (!Number.isSafeInteger(many) || many < 1)
-          return slip(args[0]?.at ?? end, 'limit takes a whole number from 1');
-        stages.push({ stage: 'limit', many });
+          return queryError(args[0]?.offset ?? end, 'limit takes a whole number from 1');
+        stages.push({ stage: 'limit', maxRows: many });
         break;
       }
       case 'follow': {
         const found = /^(\d+(?:\.\d+)?)(ms|s)?$/.exec(args[0]?.text ?? '2s');
         const span = found === null ? NaN : Number(found[1]) * (found[2] === 'ms' ? 1 : 1000);
         if (!(span >= 100))
-          return slip(args[0]?.at ?? end, 'follow takes a time of 100ms or more, such as 2s');
+          return queryError(
+            args[0]?.offset ?? end,
+            'follow takes a time of 100ms or more, such as 2s',
+          );
         followMs = span;
         break;
       }
       default:
-        return slip(verb.at, `no stage ${verb.text}${suggest(verb.text, stageNames)}`);
+        return queryError(verb.offset, `no stage ${verb.text}${suggestion(verb.text, stageNames)}`);
     }
   }
   return ok({ table: name.text, stages, followMs });
 };
 
-const compare = (one: Cell, two: Cell): number => {
+const compareCells = (one: Cell, two: Cell): number => {
   if (one === two) return 0;
   if (one === null) return 1;
   if (two === null) return -1;
@@ -205,7 +225,7 @@
   return String(one) < String(two) ? -1 : 1;
 };
 
-const passes = (row: Row, { column, sign, value }: Test): boolean => {
+const matches = (row: Row, { column, operator, value }: Condition): boolean => {
   const cell = row.get(column) ?? null;
   const goal: Cell =
     typeof cell === 'number' && value !== '' && !Number.isNaN(Number(value))
@@ -215,21 +235,21 @@
         : value === '-'
           ? null
           : value;
-  switch (sign) {
+  switch (operator) {
     case '=':
-      return compare(cell, goal) === 0;
+      return compareCells(cell, goal) === 0;
     case '!=':
-      return compare(cell, goal) !== 0;
+      return compareCells(cell, goal) !== 0;
     case '~':
       return String(cell ?? '').includes(value);
     case '<':
-      return cell !== null && compare(cell, goal) < 0;
+      return cell !== null && compareCells(cell, goal) < 0;
     case '>':
-      return cell !== null && compare(cell, goal) > 0;
+      return cell !== null && compareCells(cell, goal) > 0;
     case '<=':
-      return cell !== null && compare(cell, goal) <= 0;
+      return cell !== null && compareCells(cell, goal) <= 0;
     case '>=':
-      return cell !== null && compare(cell, goal) >= 0;
+      return cell !== null && compareCells(cell, goal) >= 0;
   }
 };
 
@@ -252,11 +272,11 @@
 };
 
 /** Runs the stages of a query over the rows of its table. */
-export const run = (query: Query, rows: readonly Row[]): readonly Row[] =>
+export const runQuery = (query: Query, rows: readonly Row[]): readonly Row[] =>
   query.stages.reduce<readonly Row[]>((list, stage) => {
     switch (stage.stage) {
       case 'where':
-        return list.filter((row) => stage.tests.every((test) => passes(row, test)));
+        return list.filter((row) => stage.conditions.every((test) => matches(row, test)));
       case 'select':
         return list.map(
           (row) => new Map(stage.columns.map((name) => [name, row.get(name) ?? null])),
@@ -264,18 +284,18 @@
       case 'sort':
         return [...list].sort(
           (one, two) =>
-            compare(one.get(stage.column) ?? null, two.get(stage.column) ?? null) *
-            (stage.down ? -1 : 1),
+            compareCells(one.get(stage.column) ?? null, two.get(stage.column) ?? null) *
+            (stage.isDescending ? -1 : 1),
         );
       case 'count':
         return countBy(list, stage.by);
       case 'limit':
-        return list.slice(0, stage.many);
+        return list.slice(0, stage.maxRows);
     }
   }, rows);
 
 /** What may come next at the end of a line. */
-export const complete = (line: string): readonly string[] => {
+export const completions = (line: string): readonly string[] => {
   const last = line.slice(line.lastIndexOf('|') + 1).trimStart();
   const table = tables.get(line.split('|')[0]?.trim() ?? '');
   if (!line.includes('|')) return [...tables.keys(), 'help', 'quit'];
--- a/packages/query-shell/src/shell/ask.ts
+++ b/packages/query-shell/src/shell/answer.ts
@@ -1,38 +1,42 @@
 import { type Result, err, ok } from 'true-myth/result';
 import type { Address } from '@switchwheel/types';
-import { gather } from '../gather/gather.js';
-import { type Query, parse, run } from '../query/query.js';
+import { collectSnapshot } from '../snapshot/collect.js';
+import { type Query, parseQuery, runQuery } from '../query/query.js';
 import { tables } from '../table/tables.js';
-import { printFresh, printRows, toJson } from './print.js';
+import { formatFreshness, formatRows, toJson } from './format.js';
 
-export interface Reach {
+export interface QueryTarget {
   readonly registries: readonly Address[];
-  readonly spanMs: number;
-  readonly json: boolean;
+  readonly timeoutMs: number;
+  readonly asJson: boolean;
 }
 
 /** What one asking came to: the text, and whether anything answered at all. */
-export interface Shown {
+export interface QueryOutput {
   readonly text: string;
-  readonly answered: boolean;
+  readonly hasAnswer: boolean;
 }
 
-export const show = async (query: Query, reach: Reach): Promise<Shown> => {
+export const answerQuery = async (query: Query, target: QueryTarget): Promise<QueryOutput> => {
   const table = tables.get(query.table);
-  const words = await gather(reach.registries, new Set(table?.wants ?? []), reach.spanMs);
-  const rows = run(query, table?.rows(words) ?? []);
-  const text = reach.json
+  const words = await collectSnapshot(
+    target.registries,
+    new Set(table?.sources ?? []),
+    target.timeoutMs,
+  );
+  const rows = runQuery(query, table?.rows(words) ?? []);
+  const text = target.asJson
     ? toJson(rows, words)
-    : `${printRows(rows)}\n${printFresh(words, rows.length)}`;
-  return { text, answered: words.fleets.length > 0 };
+    : `${formatRows(rows)}\n${formatFreshness(words, rows.length)}`;
+  return { text, hasAnswer: words.fleets.length > 0 };
 };
 
 /** Reads a query; a wrong one is shown with a mark under the place. */
 export const readQuery = (line: string): Result<Query, string> => {
-  const parsed = parse(line);
+  const parsed = parseQuery(line);
   return parsed.isOk
     ? ok(parsed.value)
-    : err(`wrong query\n${line}\n${' '.repeat(parsed.error.at)}^ ${parsed.error.text}`);
+    : err(`wrong query\n${line}\n${' '.repeat(parsed.error.offset)}^ ${parsed.error.text}`);
 };
 
 export const helpText = `A query is a table, then stages behind bars:
@@ -49,6 +53,6 @@
 
 Tests: = != < > <= >= and ~ (contains); "-" stands for nothing. Tables:
 
-${[...tables].map(([name, table]) => `  ${name.padEnd(12)} ${table.about}\n  ${''.padEnd(12)} ${table.columns.join(' ')}`).join('\n')}
+${[...tables].map(([name, table]) => `  ${name.padEnd(12)} ${table.summary}\n  ${''.padEnd(12)} ${table.columns.join(' ')}`).join('\n')}
 
 help, quit.`;
--- a/packages/query-shell/src/shell/output-forms.test.ts
+++ b/packages/query-shell/src/shell/output-forms.test.ts
@@ -2,9 +2,9 @@
 import { test } from 'node:test';
 import { toAddress } from '@switchwheel/types';
 import { portOf, schemaLines, snapshotsFor } from '@switchwheel/types/testing';
-import { fleetForm, proxyForm } from '../gather/gather.js';
+import { fleetSchema, proxySchema } from '../snapshot/collect.js';
 import { tables } from '../table/tables.js';
-import { readQuery, show } from './ask.js';
+import { readQuery, answerQuery } from './answer.js';
 
 const matchSnapshot = snapshotsFor(import.meta.dirname);
 
@@ -160,8 +160,8 @@
       for (const json of [false, true]) {
         const query = readQuery(name);
         if (query.isErr) throw new Error(query.error);
-        const reach = { registries: [toAddress(fleet.address)], spanMs: 5000, json };
-        const { text } = await show(query.value, reach);
+        const reach = { registries: [toAddress(fleet.address)], timeoutMs: 5000, asJson: json };
+        const { text } = await answerQuery(query.value, reach);
         outputs.push(`$ query-shell ${name}${json ? ' --json' : ''}\n${text}`);
       }
   } finally {
@@ -174,6 +174,6 @@
 void test('what is read from registries and proxies keeps its names', () => {
   matchSnapshot(
     'read-bodies',
-    `${schemaLines(fleetForm, '/v1/fleet')}\n\n${schemaLines(proxyForm, '/state')}`,
+    `${schemaLines(fleetSchema, '/v1/fleet')}\n\n${schemaLines(proxySchema, '/state')}`,
   );
 });
--- a/packages/query-shell/src/shell/shell.ts
+++ b/packages/query-shell/src/shell/shell.ts
@@ -1,9 +1,9 @@
 import { appendFileSync, existsSync, readFileSync } from 'node:fs';
 import { createInterface } from 'node:readline';
-import { complete } from '../query/query.js';
-import { type Reach, helpText, readQuery, show } from './ask.js';
+import { completions } from '../query/query.js';
+import { type QueryTarget, helpText, readQuery, answerQuery } from './answer.js';
 
-const pause = (ms: number, stop: AbortSignal): Promise<void> =>
+const delay = (ms: number, stop: AbortSignal): Promise<void> =>
   new Promise((done) => {
     const timer = setTimeout(done, ms);
     stop.addEventListener(
@@ -17,9 +17,9 @@
   });
 
 /** Asks again and again until stopped. */
-export const follow = async (
+export const runAndFollow = async (
   line: string,
-  reach: Reach,
+  target: QueryTarget,
   stop: AbortSignal,
   print: (text: string) => void,
 ): Promise<boolean> => {
@@ -30,17 +30,17 @@
   }
   let answered = false;
   do {
-    const shown = await show(query.value, reach);
-    answered = shown.answered;
+    const shown = await answerQuery(query.value, target);
+    answered = shown.hasAnswer;
     print(shown.text);
     if (query.value.followMs === undefined) break;
-    await pause(query.value.followMs, stop);
+    await delay(query.value.followMs, stop);
   } while (!stop.aborted);
   return answered;
 };
 
 /** The shell: a line is a query; history goes to a file if one is named. */
-export const shell = (reach: Reach, historyFile: string | undefined): Promise<void> => {
+export const runShell = (target: QueryTarget, historyFile: string | undefined): Promise<void> => {
   const past =
     historyFile !== undefined && existsSync(historyFile)
       ? readFileSync(historyFile, 'utf8')
@@ -57,7 +57,7 @@
     completer: (line: string): [string[], string] => {
       const word = /[^\s|,]*$/.exec(line)?.[0] ?? '';
       return [
-        complete(line)
+        completions(line)
           .filter((one) => one.startsWith(word))
           .map((one) => `${one} `),
         word,
@@ -78,7 +78,7 @@
       else if (line !== '') {
         if (historyFile !== undefined) appendFileSync(historyFile, `${line}\n`);
         stop = new AbortController();
-        await follow(line, reach, stop.signal, (text) => process.stdout.write(`${text}\n`));
+        await runAndFollow(line, target, stop.signal, (text) => process.stdout.write(`${text}\n`));
       }
       if (line !== 'quit' && line !== 'exit') lines.prompt();
     });
--- a/packages/query-shell/src/gather/gather.ts
+++ b/packages/query-shell/src/snapshot/collect.ts
@@ -2,49 +2,51 @@
 import * as v from 'valibot';
 import { type Address, isAddress } from '@switchwheel/types';
 
-const loose = v.looseObject;
-const text = v.nullish(v.string());
-const number = v.nullish(v.number());
+const looseObject = v.looseObject;
+const optionalString = v.nullish(v.string());
+const optionalNumber = v.nullish(v.number());
 
-const nodeForm = loose({
+const nodeSchema = looseObject({
   node: v.string(),
   role: v.string(),
   area: v.string(),
   address: v.string(),
-  admin: text,
+  admin: optionalString,
   registry: v.string(),
   open: v.boolean(),
   ageMs: v.number(),
   incarnation: v.number(),
-  generation: number,
-  hash: text,
-  phase: text,
+  generation: optionalNumber,
+  hash: optionalString,
+  phase: optionalString,
   ready: v.nullish(v.boolean()),
-  failed: v.nullish(loose({ text: v.string() })),
-  health: v.nullish(loose({ healthy: v.boolean(), text: v.string() })),
+  failed: v.nullish(looseObject({ text: v.string() })),
+  health: v.nullish(looseObject({ healthy: v.boolean(), text: v.string() })),
 });
-export const fleetForm = loose({
+export const fleetSchema = looseObject({
   registry: v.string(),
-  fleet: text,
+  fleet: optionalString,
   inTouch: v.boolean(),
-  feedAgeMs: number,
+  feedAgeMs: optionalNumber,
   epoch: v.number(),
   generation: v.number(),
-  purges: loose({ top: v.number(), floor: v.number() }),
+  purges: looseObject({ top: v.number(), floor: v.number() }),
   electorate: v.nullish(
-    loose({ serial: v.number(), members: v.array(loose({ node: v.string() })) }),
+    looseObject({ serial: v.number(), members: v.array(looseObject({ node: v.string() })) }),
   ),
-  voter: loose({
+  voter: looseObject({
     recovering: v.boolean(),
     grants: v.array(
-      loose({ duty: v.string(), epoch: v.number(), node: v.string(), leftMs: v.number() }),
+      looseObject({ duty: v.string(), epoch: v.number(), node: v.string(), leftMs: v.number() }),
     ),
   }),
-  nodes: v.array(nodeForm),
-  desired: v.array(loose({ node: v.string(), generation: v.number(), failed: text })),
-  holders: v.array(loose({ duty: v.string(), epoch: v.number(), node: v.string() })),
+  nodes: v.array(nodeSchema),
+  desired: v.array(
+    looseObject({ node: v.string(), generation: v.number(), failed: optionalString }),
+  ),
+  holders: v.array(looseObject({ duty: v.string(), epoch: v.number(), node: v.string() })),
   origins: v.array(
-    loose({
+    looseObject({
       service: v.string(),
       instance: v.string(),
       address: v.string(),
@@ -55,9 +57,9 @@
     }),
   ),
 });
-export type FleetWord = v.InferOutput<typeof fleetForm>;
+export type FleetState = v.InferOutput<typeof fleetSchema>;
 
-export const proxyForm = loose({
+export const proxySchema = looseObject({
   node: v.string(),
   role: v.string(),
   ready: v.boolean(),
@@ -66,18 +68,18 @@
   cacheLease: v.boolean(),
   forwarding: v.number(),
   keepers: v.array(
-    loose({
+    looseObject({
       service: v.string(),
       epoch: v.number(),
       closing: v.boolean(),
       legs: v.number(),
       typicalMs: v.number(),
-      waitlist: v.array(loose({ class: v.string(), waiting: v.number() })),
-      running: v.array(loose({ class: v.string(), running: v.number() })),
-      budget: loose({ traffic10s: v.number(), extra10s: v.number() }),
-      ceilingTokens: number,
+      waitlist: v.array(looseObject({ class: v.string(), waiting: v.number() })),
+      running: v.array(looseObject({ class: v.string(), running: v.number() })),
+      budget: looseObject({ traffic10s: v.number(), extra10s: v.number() }),
+      ceilingTokens: optionalNumber,
       origins: v.array(
-        loose({
+        looseObject({
           instance: v.string(),
           used: v.number(),
           slots: v.number(),
@@ -88,7 +90,7 @@
         }),
       ),
       trials: v.array(
-        loose({
+        looseObject({
           release: v.string(),
           state: v.string(),
           used: v.number(),
@@ -97,44 +99,46 @@
           bad: v.number(),
         }),
       ),
-      shares: v.nullish(v.array(loose({ class: v.string(), share: v.number() }))),
+      shares: v.nullish(v.array(looseObject({ class: v.string(), share: v.number() }))),
     }),
   ),
 });
-export type ProxyWord = v.InferOutput<typeof proxyForm>;
+export type ProxyState = v.InferOutput<typeof proxySchema>;
 
-const storedForms = {
-  rollouts: loose({
+const storedSchemas = {
+  rollouts: looseObject({
     rollouts: v.array(
-      loose({
+      looseObject({
         generation: v.number(),
         status: v.string(),
         wave: v.number(),
         waves: v.number(),
         troubled: v.boolean(),
         targets: v.array(
-          loose({ node: v.string(), status: v.string(), wave: v.number(), text: v.string() }),
+          looseObject({ node: v.string(), status: v.string(), wave: v.number(), text: v.string() }),
         ),
       }),
     ),
   }),
-  nodes: loose({
+  nodes: looseObject({
     nodes: v.array(
-      loose({
+      looseObject({
         node: v.string(),
-        assigned: v.nullish(loose({ generation: v.number() })),
-        desired: v.nullish(loose({ generation: v.number() })),
-        failed: text,
-        reported: loose({ generation: v.number(), phase: v.string() }),
+        assigned: v.nullish(looseObject({ generation: v.number() })),
+        desired: v.nullish(looseObject({ generation: v.number() })),
+        failed: optionalString,
+        reported: looseObject({ generation: v.number(), phase: v.string() }),
       }),
     ),
   }),
-  purges: loose({
-    purges: v.array(loose({ seq: v.number(), aims: v.array(loose({ by: v.string() })) })),
+  purges: looseObject({
+    purges: v.array(
+      looseObject({ seq: v.number(), aims: v.array(looseObject({ by: v.string() })) }),
+    ),
   }),
-  verdicts: loose({
+  verdicts: looseObject({
     verdicts: v.array(
-      loose({
+      looseObject({
         service: v.string(),
         release: v.string(),
         state: v.string(),
@@ -143,38 +147,41 @@
       }),
     ),
   }),
-  store: loose({
+  store: looseObject({
     store: v.string(),
     epoch: v.number(),
     entries: v.number(),
     waitlist: v.number(),
     metadata: v.nullish(
-      loose({ inSyncSet: v.array(v.string()), stores: v.array(loose({ node: v.string() })) }),
+      looseObject({
+        inSyncSet: v.array(v.string()),
+        stores: v.array(looseObject({ node: v.string() })),
+      }),
     ),
   }),
 } as const;
-export type Stored = {
-  readonly [K in keyof typeof storedForms]: v.InferOutput<(typeof storedForms)[K]> | undefined;
+export type StoredState = {
+  readonly [K in keyof typeof storedSchemas]: v.InferOutput<(typeof storedSchemas)[K]> | undefined;
 };
 
 /** All that could be learned of the fleet just now, and who did not answer. */
-export interface Words {
-  readonly fleets: readonly FleetWord[];
-  readonly proxies: readonly ProxyWord[];
-  readonly stored: Stored;
+export interface FleetSnapshot {
+  readonly fleets: readonly FleetState[];
+  readonly proxies: readonly ProxyState[];
+  readonly stored: StoredState;
   /** Processes that were asked and did not answer. */
-  readonly silent: readonly string[];
+  readonly unanswered: readonly string[];
   /** Parts that nobody could tell. */
   readonly missing: readonly string[];
   /** How old the oldest word used is, in milliseconds. */
   readonly ageMs: number;
 }
 
-const ask = async (address: string, path: string, span: number): Promise<unknown> => {
+const fetchJson = async (address: string, path: string, timeoutMs: number): Promise<unknown> => {
   const reply = await got(`http://${address}${path}`, {
     retry: { limit: 0 },
     throwHttpErrors: false,
-    timeout: { request: span },
+    timeout: { request: timeoutMs },
   }).catch(() => undefined);
   if (reply?.statusCode !== 200) return undefined;
   try {
@@ -185,33 +192,33 @@
   }
 };
 
-const read = <T>(schema: v.GenericSchema<unknown, T>, raw: unknown): T | undefined => {
+const parseAs = <T>(schema: v.GenericSchema<unknown, T>, raw: unknown): T | undefined => {
   const parsed = v.safeParse(schema, raw);
   return parsed.success ? parsed.output : undefined;
 };
 
-const firstOf = async <T>(
+const fetchFirst = async <T>(
   schema: v.GenericSchema<unknown, T>,
-  doors: readonly string[],
+  addresses: readonly string[],
   path: string,
-  span: number,
+  timeoutMs: number,
 ): Promise<T | undefined> => {
-  for (const door of doors.slice(0, 3)) {
-    const found = read(schema, await ask(door, path, span));
+  for (const door of addresses.slice(0, 3)) {
+    const found = parseAs(schema, await fetchJson(door, path, timeoutMs));
     if (found !== undefined) return found;
   }
   return undefined;
 };
 
 /** Asks every registry that is known, then every proxy, then the primary through a registry that answered. */
-export const gather = async (
+export const collectSnapshot = async (
   registries: readonly Address[],
-  wants: ReadonlySet<string>,
-  span: number,
-): Promise<Words> => {
+  sources: ReadonlySet<string>,
+  timeoutMs: number,
+): Promise<FleetSnapshot> => {
   const doors = new Set<string>(registries);
   const asked = new Set<string>();
-  const fleets: FleetWord[] = [];
+  const fleets: FleetState[] = [];
   const silent: string[] = [];
   const answering: string[] = [];
   for (;;) {
@@ -221,7 +228,7 @@
     const words = await Promise.all(
       next.map(async (door) => ({
         door,
-        word: read(fleetForm, await ask(door, '/v1/fleet', span)),
+        word: parseAs(fleetSchema, await fetchJson(door, '/v1/fleet', timeoutMs)),
       })),
     );
     for (const { door, word } of words) {
@@ -240,45 +247,47 @@
       if (isAddress(node.admin)) known.set(node.node, { admin: node.admin, role: node.role });
   const wanted = [...known].filter(
     ([, one]) =>
-      (one.role === 'shield' && wants.has('keepers')) ||
-      (one.role === 'edge' && wants.has('edges')),
+      (one.role === 'shield' && sources.has('keepers')) ||
+      (one.role === 'edge' && sources.has('edges')),
   );
-  const proxies: ProxyWord[] = [];
+  const proxies: ProxyState[] = [];
   await Promise.all(
     wanted.map(async ([name, one]) => {
-      const word = read(proxyForm, await ask(one.admin, '/state', span));
+      const word = parseAs(proxySchema, await fetchJson(one.admin, '/state', timeoutMs));
       if (word === undefined) silent.push(name);
       else proxies.push(word);
     }),
   );
   const best = [...answering].sort(
-    (one, two) => age(fleets, answering, one) - age(fleets, answering, two),
+    (one, two) => feedAge(fleets, answering, one) - feedAge(fleets, answering, two),
   );
   const storedOf = <T>(
     name: string,
     schema: v.GenericSchema<unknown, T>,
   ): Promise<T | undefined> =>
-    wants.has(name) ? firstOf(schema, best, `/v1/${name}`, span) : Promise.resolve(undefined);
-  const stored: Stored = {
-    rollouts: await storedOf('rollouts', storedForms.rollouts),
-    nodes: await storedOf('nodes', storedForms.nodes),
-    purges: await storedOf('purges', storedForms.purges),
-    verdicts: await storedOf('verdicts', storedForms.verdicts),
-    store: await storedOf('store', storedForms.store),
+    sources.has(name)
+      ? fetchFirst(schema, best, `/v1/${name}`, timeoutMs)
+      : Promise.resolve(undefined);
+  const stored: StoredState = {
+    rollouts: await storedOf('rollouts', storedSchemas.rollouts),
+    nodes: await storedOf('nodes', storedSchemas.nodes),
+    purges: await storedOf('purges', storedSchemas.purges),
+    verdicts: await storedOf('verdicts', storedSchemas.verdicts),
+    store: await storedOf('store', storedSchemas.store),
   };
   const missing = Object.entries(stored)
-    .filter(([name, word]) => wants.has(name) && word === undefined)
+    .filter(([name, word]) => sources.has(name) && word === undefined)
     .map(([name]) => `${name} (the primary does not answer)`);
   if (fleets.length === 0) missing.push('everything (no registry answers)');
   return {
     fleets,
     proxies: proxies.sort((one, two) => (one.node < two.node ? -1 : 1)),
     stored,
-    silent: silent.sort(),
+    unanswered: silent.sort(),
     missing,
     ageMs: Math.max(0, ...fleets.map((one) => one.feedAgeMs ?? 0)),
   };
 };
 
-const age = (fleets: readonly FleetWord[], doors: readonly string[], door: string): number =>
+const feedAge = (fleets: readonly FleetState[], doors: readonly string[], door: string): number =>
   fleets[doors.indexOf(door)]?.feedAgeMs ?? Infinity;
--- a/packages/query-shell/src/table/tables.ts
+++ b/packages/query-shell/src/table/tables.ts
@@ -1,25 +1,25 @@
-import type { FleetWord, Words } from '../gather/gather.js';
+import type { FleetState, FleetSnapshot } from '../snapshot/collect.js';
 
 export type Cell = string | number | boolean | null;
 export type Row = ReadonlyMap<string, Cell>;
 
 /** One table that can be asked, with its columns and what it is made from. */
 export interface Table {
-  readonly about: string;
+  readonly summary: string;
   readonly columns: readonly string[];
-  readonly wants: readonly string[];
-  readonly rows: (words: Words) => readonly Row[];
+  readonly sources: readonly string[];
+  readonly rows: (words: FleetSnapshot) => readonly Row[];
 }
 
 const row = (...cells: readonly (readonly [string, Cell | undefined])[]): Row =>
   new Map(cells.map(([name, cell]) => [name, cell ?? null]));
 
-type NodeWord = FleetWord['nodes'][number];
+type NodeState = FleetState['nodes'][number];
 
 /** The newest word on each node, whichever registry has it. */
-const newest = (words: Words): readonly NodeWord[] => {
-  const best = new Map<string, NodeWord>();
-  for (const fleet of words.fleets) {
+const newestNodes = (snapshot: FleetSnapshot): readonly NodeState[] => {
+  const best = new Map<string, NodeState>();
+  for (const fleet of snapshot.fleets) {
     for (const node of fleet.nodes) {
       const old = best.get(node.node);
       if (
@@ -33,14 +33,14 @@
   return [...best.values()].sort((one, two) => (one.node < two.node ? -1 : 1));
 };
 
-const desiredOf = (words: Words, node: string): number | undefined => {
-  const top = [...words.fleets].sort((one, two) => two.generation - one.generation)[0];
+const desiredGeneration = (snapshot: FleetSnapshot, node: string): number | undefined => {
+  const top = [...snapshot.fleets].sort((one, two) => two.generation - one.generation)[0];
   return top?.desired.find((one) => one.node === node)?.generation;
 };
 
-const origins = (words: Words): readonly FleetWord['origins'][number][] => {
-  const best = new Map<string, FleetWord['origins'][number]>();
-  for (const fleet of words.fleets) {
+const newestOrigins = (snapshot: FleetSnapshot): readonly FleetState['origins'][number][] => {
+  const best = new Map<string, FleetState['origins'][number]>();
+  for (const fleet of snapshot.fleets) {
     for (const one of fleet.origins) {
       const old = best.get(one.instance);
       if (old === undefined || one.ageMs < old.ageMs || one.state !== 'up')
@@ -50,10 +50,10 @@
   return [...best.values()];
 };
 
-const keepers = (
-  words: Words,
-): readonly (Words['proxies'][number]['keepers'][number] & { readonly node: string })[] =>
-  words.proxies.flatMap((proxy) => proxy.keepers.map((one) => ({ ...one, node: proxy.node })));
+const serviceLeaders = (
+  snapshot: FleetSnapshot,
+): readonly (FleetSnapshot['proxies'][number]['keepers'][number] & { readonly node: string })[] =>
+  snapshot.proxies.flatMap((proxy) => proxy.keepers.map((one) => ({ ...one, node: proxy.node })));
 
 const sum = (list: readonly number[]): number => list.reduce((total, one) => total + one, 0);
 
@@ -61,8 +61,8 @@
   [
     'nodes',
     {
-      about: 'every node, by the newest word on it',
-      wants: [],
+      summary: 'every node, by the newest word on it',
+      sources: [],
       columns: [
         'node',
         'role',
@@ -79,7 +79,7 @@
         'address',
       ],
       rows: (words) =>
-        newest(words).map((one) =>
+        newestNodes(words).map((one) =>
           row(
             ['node', one.node],
             ['role', one.role],
@@ -87,7 +87,7 @@
             ['open', one.open],
             ['ready', one.ready],
             ['generation', one.generation],
-            ['desired', desiredOf(words, one.node)],
+            ['desired', desiredGeneration(words, one.node)],
             ['phase', one.phase],
             ['healthy', one.health?.healthy],
             ['why', one.failed?.text ?? one.health?.text],
@@ -101,8 +101,8 @@
   [
     'sessions',
     {
-      about: 'each session as each registry tells it',
-      wants: [],
+      summary: 'each session as each registry tells it',
+      sources: [],
       columns: ['node', 'told', 'registry', 'open', 'age', 'incarnation'],
       rows: (words) =>
         words.fleets.flatMap((fleet) =>
@@ -124,11 +124,11 @@
   [
     'areas',
     {
-      about: 'areas with their nodes',
-      wants: [],
+      summary: 'areas with their nodes',
+      sources: [],
       columns: ['area', 'nodes', 'open', 'ready'],
       rows: (words) => {
-        const all = newest(words);
+        const all = newestNodes(words);
         return [...new Set(all.map((one) => one.area))].sort().map((area) => {
           const mine = all.filter((one) => one.area === area);
           return row(
@@ -144,11 +144,11 @@
   [
     'duties',
     {
-      about: 'duties with holders, epochs and the leases that voters know',
-      wants: [],
+      summary: 'duties with holders, epochs and the leases that voters know',
+      sources: [],
       columns: ['duty', 'node', 'epoch', 'voters', 'left'],
       rows: (words) => {
-        const best = new Map<string, FleetWord['holders'][number]>();
+        const best = new Map<string, FleetState['holders'][number]>();
         for (const fleet of words.fleets)
           for (const one of fleet.holders)
             if ((best.get(one.duty)?.epoch ?? -1) < one.epoch) best.set(one.duty, one);
@@ -174,8 +174,8 @@
   [
     'registries',
     {
-      about: 'registries: what each knows',
-      wants: [],
+      summary: 'registries: what each knows',
+      sources: [],
       columns: [
         'registry',
         'touch',
@@ -204,17 +204,17 @@
   [
     'generations',
     {
-      about: 'per node: assigned, desired, reported, failed',
-      wants: ['nodes'],
+      summary: 'per node: assigned, desired, reported, failed',
+      sources: ['nodes'],
       columns: ['node', 'assigned', 'desired', 'reported', 'phase', 'failed'],
       rows: (words) =>
         words.stored.nodes === undefined
-          ? newest(words)
+          ? newestNodes(words)
               .filter((one) => one.generation !== undefined)
               .map((one) =>
                 row(
                   ['node', one.node],
-                  ['desired', desiredOf(words, one.node)],
+                  ['desired', desiredGeneration(words, one.node)],
                   ['reported', one.generation],
                   ['phase', one.phase],
                   ['failed', one.failed?.text],
@@ -235,8 +235,8 @@
   [
     'rollouts',
     {
-      about: 'rollouts, newest first',
-      wants: ['rollouts'],
+      summary: 'rollouts, newest first',
+      sources: ['rollouts'],
       columns: ['generation', 'status', 'wave', 'waves', 'troubled', 'targets', 'failed'],
       rows: (words) =>
         (words.stored.rollouts?.rollouts ?? []).map((one) =>
@@ -255,8 +255,8 @@
   [
     'targets',
     {
-      about: 'targets of rollouts',
-      wants: ['rollouts'],
+      summary: 'targets of rollouts',
+      sources: ['rollouts'],
       columns: ['generation', 'node', 'wave', 'status', 'why'],
       rows: (words) =>
         (words.stored.rollouts?.rollouts ?? []).flatMap((one) =>
@@ -275,8 +275,8 @@
   [
     'services',
     {
-      about: 'services at their keepers',
-      wants: ['keepers'],
+      summary: 'services at their keepers',
+      sources: ['keepers'],
       columns: [
         'service',
         'keeper',
@@ -292,7 +292,7 @@
         'closing',
       ],
       rows: (words) =>
-        keepers(words).map((one) =>
+        serviceLeaders(words).map((one) =>
           row(
             ['service', one.service],
             ['keeper', one.node],
@@ -313,11 +313,11 @@
   [
     'classes',
     {
-      about: 'classes at each service: running, waiting, and what is on loan beyond their share',
-      wants: ['keepers'],
+      summary: 'classes at each service: running, waiting, and what is on loan beyond their share',
+      sources: ['keepers'],
       columns: ['service', 'class', 'running', 'waiting', 'share', 'loan'],
       rows: (words) =>
-        keepers(words).flatMap((one) =>
+        serviceLeaders(words).flatMap((one) =>
           one.running.map((load) => {
             const slots = sum(
               one.origins.filter((origin) => origin.up).map((origin) => origin.slots),
@@ -339,8 +339,8 @@
   [
     'origins',
     {
-      about: 'origins as announced, with what their keeper sees',
-      wants: ['keepers'],
+      summary: 'origins as announced, with what their keeper sees',
+      sources: ['keepers'],
       columns: [
         'instance',
         'service',
@@ -355,8 +355,8 @@
         'address',
       ],
       rows: (words) =>
-        origins(words).map((one) => {
-          const bay = keepers(words)
+        newestOrigins(words).map((one) => {
+          const bay = serviceLeaders(words)
             .flatMap((keeper) => keeper.origins)
             .find((each) => each.instance === one.instance);
           return row(
@@ -378,11 +378,11 @@
   [
     'trials',
     {
-      about: 'releases on trial and what is judged of them',
-      wants: ['keepers', 'verdicts'],
+      summary: 'releases on trial and what is judged of them',
+      sources: ['keepers', 'verdicts'],
       columns: ['service', 'release', 'state', 'spent', 'bad', 'used', 'granted', 'good'],
       rows: (words) => {
-        const live = keepers(words)
+        const live = serviceLeaders(words)
           .filter((one) => !one.closing)
           .flatMap((one) => one.trials.map((trial) => ({ ...trial, service: one.service })));
         const stored =
@@ -415,8 +415,8 @@
   [
     'purges',
     {
-      about: 'batches of purges that are kept',
-      wants: ['purges'],
+      summary: 'batches of purges that are kept',
+      sources: ['purges'],
       columns: ['number', 'aims', 'first'],
       rows: (words) =>
         (words.stored.purges?.purges ?? []).map((one) =>
@@ -431,8 +431,8 @@
   [
     'stores',
     {
-      about: 'stores: who is in sync',
-      wants: ['store'],
+      summary: 'stores: who is in sync',
+      sources: ['store'],
       columns: ['store', 'primary', 'inSyncSet', 'epoch', 'entries', 'waiting'],
       rows: (words) => {
         const told = words.stored.store;
@@ -452,8 +452,8 @@
   [
     'edges',
     {
-      about: 'edges: requests under way, purges heard, cache lease',
-      wants: ['edges'],
+      summary: 'edges: requests under way, purges heard, cache lease',
+      sources: ['edges'],
       columns: ['node', 'ready', 'generation', 'purged', 'lease', 'forwarding'],
       rows: (words) =>
         words.proxies
--- a/packages/switchwheel/src/command-line-forms.test.ts
+++ b/packages/switchwheel/src/command-line-forms.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { toAddress } from '@switchwheel/types';
 import { runCommands, snapshotsFor } from '@switchwheel/types/testing';
-import { type Options, run } from './command/run.js';
+import { type CommandOptions, runCommand } from './command/run.js';
 import { startStubRegistry } from './stub-registry.test-support.js';
 
 const matchSnapshot = snapshotsFor(import.meta.dirname);
@@ -44,8 +44,8 @@
   }
 });
 
-const optionsFor = (address: string, more: Partial<Options>): Options => ({
-  reach: { registries: [toAddress(address)], spanMs: 5000 },
+const optionsFor = (address: string, more: Partial<CommandOptions>): CommandOptions => ({
+  target: { registries: [toAddress(address)], timeoutMs: 5000 },
   json: false,
   base: undefined,
   force: false,
@@ -96,15 +96,15 @@
 const outputOf = async (
   words: readonly string[],
   address: string,
-  more: Partial<Options>,
+  more: Partial<CommandOptions>,
 ): Promise<string> => {
   const [command = '', ...rest] = words;
-  const { code, out, fault } = await run(command, rest, optionsFor(address, more));
+  const { exitCode, stdout, stderr } = await runCommand(command, rest, optionsFor(address, more));
   return [
     `$ switchwheel ${words.join(' ').replace(descriptionFile, 'FILE')}${more.json === true ? ' --json' : ''}`,
-    `exit code ${code}`,
-    ...(out === '' ? [] : ['stdout:', out]),
-    ...(fault === '' ? [] : ['stderr:', fault]),
+    `exit code ${exitCode}`,
+    ...(stdout === '' ? [] : ['stdout:', stdout]),
+    ...(stderr === '' ? [] : ['stderr:', stderr]),
   ].join('\n');
 };
 
@@ -115,7 +115,7 @@
 const outputsOf = async (
   lines: readonly (readonly string[])[],
   registry: { readonly address: string; readonly requests: readonly string[] },
-  more: Partial<Options> = {},
+  more: Partial<CommandOptions> = {},
 ): Promise<string> => {
   const outputs: string[] = [];
   for (const words of lines) {
--- a/packages/switchwheel/src/command/diff.ts
+++ b/packages/switchwheel/src/command/diff.ts
@@ -1,4 +1,4 @@
-import { at, isObject, listAt, text } from './show.js';
+import { memberOf, isObject, listMember, toText } from './json-text.js';
 
 interface Change {
   readonly path: string;
@@ -7,26 +7,26 @@
   readonly to: unknown;
 }
 
-const sorted = (raw: unknown): unknown => {
-  if (Array.isArray(raw)) return raw.map(sorted);
+const withSortedKeys = (raw: unknown): unknown => {
+  if (Array.isArray(raw)) return raw.map(withSortedKeys);
   if (!isObject(raw)) return raw;
   return Object.fromEntries(
     Object.entries(raw)
       .sort(([one], [two]) => (one < two ? -1 : 1))
-      .map(([key, value]) => [key, sorted(value)]),
+      .map(([key, value]) => [key, withSortedKeys(value)]),
   );
 };
-const same = (one: unknown, two: unknown): boolean =>
-  JSON.stringify(sorted(one)) === JSON.stringify(sorted(two));
-const named = (list: readonly unknown[]): ReadonlyMap<string, unknown> =>
-  new Map(list.map((one) => [text(at(one, 'name')), one]));
+const isEqualJson = (one: unknown, two: unknown): boolean =>
+  JSON.stringify(withSortedKeys(one)) === JSON.stringify(withSortedKeys(two));
+const byName = (list: readonly unknown[]): ReadonlyMap<string, unknown> =>
+  new Map(list.map((one) => [toText(memberOf(one, 'name')), one]));
 
 /** What a description would change, by the names of its parts. */
-export const diff = (old: unknown, fresh: unknown): readonly Change[] => {
+export const diffConfigurations = (before: unknown, after: unknown): readonly Change[] => {
   const out: Change[] = [];
   for (const family of ['classes', 'services', 'routes']) {
-    const was = named(listAt(old, family));
-    const is = named(listAt(fresh, family));
+    const was = byName(listMember(before, family));
+    const is = byName(listMember(after, family));
     for (const [name, from] of was)
       if (!is.has(name))
         out.push({ path: `${family}.${name}`, change: 'removed', from, to: undefined });
@@ -34,26 +34,26 @@
       const from = was.get(name);
       if (from === undefined)
         out.push({ path: `${family}.${name}`, change: 'added', from: undefined, to });
-      else if (!same(from, to))
+      else if (!isEqualJson(from, to))
         out.push({ path: `${family}.${name}`, change: 'changed', from, to });
     }
   }
-  if (!same(at(old, 'rollout'), at(fresh, 'rollout')))
+  if (!isEqualJson(memberOf(before, 'rollout'), memberOf(after, 'rollout')))
     out.push({
       path: 'rollout',
       change: 'changed',
-      from: at(old, 'rollout'),
-      to: at(fresh, 'rollout'),
+      from: memberOf(before, 'rollout'),
+      to: memberOf(after, 'rollout'),
     });
   return out;
 };
 
-export const diffLines = (changes: readonly Change[]): string =>
+export const formatDiff = (changes: readonly Change[]): string =>
   changes.length === 0
     ? 'nothing would change'
     : changes
         .map((one) => {
           if (one.change !== 'changed') return `${one.change === 'added' ? '+' : '-'} ${one.path}`;
-          return `~ ${one.path}\n    from ${JSON.stringify(sorted(one.from))}\n    to   ${JSON.stringify(sorted(one.to))}`;
+          return `~ ${one.path}\n    from ${JSON.stringify(withSortedKeys(one.from))}\n    to   ${JSON.stringify(withSortedKeys(one.to))}`;
         })
         .join('\n');
--- a/packages/switchwheel/src/command/run.ts
+++ b/packages/switchwheel/src/command/run.ts
@@ -4,18 +4,23 @@
 import { noGeneration, toHash } from '@switchwheel/types';
 import { buildConfiguration, splitIntoChunks, runToCompletion } from '@switchwheel/configuration';
 import { convertNginx, readNginx } from '@switchwheel/config-import';
-import { type Reach, type Reply, type Request, call } from '../call/call.js';
-import { diff, diffLines } from './diff.js';
-import { at, listAt, refusal, table, text } from './show.js';
+import {
+  type RegistryTarget,
+  type RegistryReply,
+  type RegistryRequest,
+  callRegistry,
+} from '../registry-client/registry-client.js';
+import { diffConfigurations, formatDiff } from './diff.js';
+import { memberOf, listMember, errorText, formatTable, toText } from './json-text.js';
 
 /** What a command prints and how the program ends. */
-export interface Outcome {
-  readonly code: 0 | 1 | 2;
-  readonly out: string;
-  readonly fault: string;
+export interface CommandResult {
+  readonly exitCode: 0 | 1 | 2;
+  readonly stdout: string;
+  readonly stderr: string;
 }
-export interface Options {
-  readonly reach: Reach;
+export interface CommandOptions {
+  readonly target: RegistryTarget;
   readonly json: boolean;
   readonly base: number | undefined;
   readonly force: boolean;
@@ -31,11 +36,11 @@
   readonly span: string;
 }
 
-const good = (out: string): Outcome => ({ code: 0, out, fault: '' });
-const bad = (fault: string): Outcome => ({ code: 1, out: '', fault });
-const wrong = (fault: string): Outcome => ({ code: 2, out: '', fault });
+const success = (stdout: string): CommandResult => ({ exitCode: 0, stdout, stderr: '' });
+const failure = (stderr: string): CommandResult => ({ exitCode: 1, stdout: '', stderr });
+const wrongUse = (stderr: string): CommandResult => ({ exitCode: 2, stdout: '', stderr });
 
-const readFile = (file: string | undefined): Result<unknown, string> => {
+const readJsonFile = (file: string | undefined): Result<unknown, string> => {
   if (file === undefined) return err('which file?');
   let raw: string;
   try {
@@ -51,23 +56,28 @@
   }
 };
 
-const ask = async (
-  options: Options,
-  request: Request,
-  show: (body: unknown) => string,
-): Promise<Outcome> => {
-  const reply = await call(options.reach, request);
-  if (reply.isErr) return bad(`no registry answers: ${reply.error}`);
-  return shown(options, reply.value, show);
+const requestAndShow = async (
+  options: CommandOptions,
+  request: RegistryRequest,
+  format: (body: unknown) => string,
+): Promise<CommandResult> => {
+  const reply = await callRegistry(options.target, request);
+  if (reply.isErr) return failure(`no registry answers: ${reply.error}`);
+  return resultOfReply(options, reply.value, format);
 };
 
-const shown = (options: Options, reply: Reply, show: (body: unknown) => string): Outcome => {
+const resultOfReply = (
+  options: CommandOptions,
+  reply: RegistryReply,
+  format: (body: unknown) => string,
+): CommandResult => {
   const fine = reply.status < 300;
-  if (options.json) return { code: fine ? 0 : 1, out: JSON.stringify(reply.body), fault: '' };
-  return fine ? good(show(reply.body)) : bad(refusal(reply.body));
+  if (options.json)
+    return { exitCode: fine ? 0 : 1, stdout: JSON.stringify(reply.body), stderr: '' };
+  return fine ? success(format(reply.body)) : failure(errorText(reply.body));
 };
 
-const checkHere = (raw: unknown): Outcome | undefined => {
+const checkConfiguration = (raw: unknown): CommandResult | undefined => {
   const bundle = runToCompletion(splitIntoChunks(raw));
   const faults = bundle.isErr ? bundle.error : undefined;
   const built = bundle.isErr
@@ -83,182 +93,200 @@
   return all === undefined
     ? undefined
     : {
-        code: 1,
-        out: '',
-        fault: refusal({ kind: 'invalid', text: 'the description is refused whole', faults: all }),
+        exitCode: 1,
+        stdout: '',
+        stderr: errorText({
+          kind: 'invalid',
+          text: 'the description is refused whole',
+          faults: all,
+        }),
       };
 };
 
-const check = (options: Options, file: string | undefined): Outcome => {
-  const raw = readFile(file);
-  if (raw.isErr) return wrong(raw.error);
-  const found = checkHere(raw.value);
+const checkFile = (options: CommandOptions, file: string | undefined): CommandResult => {
+  const raw = readJsonFile(file);
+  if (raw.isErr) return wrongUse(raw.error);
+  const found = checkConfiguration(raw.value);
   if (found !== undefined)
     return options.json
       ? {
           ...found,
-          out: JSON.stringify({
+          stdout: JSON.stringify({
             kind: 'invalid',
-            faults: found.fault
+            faults: found.stderr
               .split('\n')
               .slice(1)
               .map((one) => one.trim()),
           }),
-          fault: '',
+          stderr: '',
         }
       : found;
-  return good(options.json ? JSON.stringify({ kind: 'fits' }) : 'fits');
+  return success(options.json ? JSON.stringify({ kind: 'fits' }) : 'fits');
 };
 
-const importFile = (options: Options, file: string | undefined): Outcome => {
-  if (file === undefined) return wrong('which file?');
+const importFile = (options: CommandOptions, file: string | undefined): CommandResult => {
+  if (file === undefined) return wrongUse('which file?');
   const read = readNginx(file);
-  if (read.isErr) return wrong(`${read.error.file}:${read.error.line}: ${read.error.text}`);
+  if (read.isErr) return wrongUse(`${read.error.file}:${read.error.line}: ${read.error.text}`);
   const { description, skipped } = convertNginx(read.value);
-  const faults = checkHere(description);
+  const faults = checkConfiguration(description);
   if (faults !== undefined)
-    return { code: 1, out: '', fault: `what was read makes no description\n${faults.fault}` };
+    return {
+      exitCode: 1,
+      stdout: '',
+      stderr: `what was read makes no description\n${faults.stderr}`,
+    };
   const notes = skipped
     .map((one) => `${one.file}:${one.line}: not carried over: ${one.name} (${one.reason})`)
     .join('\n');
   if (options.strict && skipped.length > 0)
-    return bad(`${notes}\n${skipped.length} directives were not carried over`);
-  return { code: 0, out: JSON.stringify(description, null, 2), fault: notes };
+    return failure(`${notes}\n${skipped.length} directives were not carried over`);
+  return { exitCode: 0, stdout: JSON.stringify(description, null, 2), stderr: notes };
 };
 
-const current = async (options: Options): Promise<Result<Reply, string>> =>
-  call(options.reach, { method: 'GET', path: '/v1/description' });
+const readConfiguration = async (options: CommandOptions): Promise<Result<RegistryReply, string>> =>
+  callRegistry(options.target, { method: 'GET', path: '/v1/description' });
 
-const pause = (ms: number): Promise<void> =>
+const delay = (ms: number): Promise<void> =>
   new Promise((done) => {
     setTimeout(done, ms);
   });
 
 /** Waits until every node in touch reports the generation, or time is over. */
-const waitFor = async (options: Options, generation: number): Promise<string> => {
+const waitUntilInForce = async (options: CommandOptions, generation: number): Promise<string> => {
   const since = performance.now();
   let behind: readonly string[] = [];
   while (performance.now() - since < options.waitMs) {
-    const reply = await call(options.reach, { method: 'GET', path: '/v1/fleet' });
+    const reply = await callRegistry(options.target, { method: 'GET', path: '/v1/fleet' });
     const nodes = reply.isOk
-      ? listAt(reply.value.body, 'nodes').filter(
-          (one) => at(one, 'open') === true && ['edge', 'shield'].includes(text(at(one, 'role'))),
+      ? listMember(reply.value.body, 'nodes').filter(
+          (one) =>
+            memberOf(one, 'open') === true &&
+            ['edge', 'shield'].includes(toText(memberOf(one, 'role'))),
         )
       : [];
     behind = nodes
-      .filter((one) => Number(at(one, 'generation')) < generation)
-      .map((one) => text(at(one, 'node')));
+      .filter((one) => Number(memberOf(one, 'generation')) < generation)
+      .map((one) => toText(memberOf(one, 'node')));
     if (nodes.length > 0 && behind.length === 0)
       return `in force on ${nodes.length} nodes after ${Math.round(performance.now() - since)} ms`;
-    await pause(50);
+    await delay(50);
   }
   return `not yet in force on: ${behind.join(', ') || 'no node in touch'}`;
 };
 
-const apply = async (options: Options, file: string | undefined): Promise<Outcome> => {
-  const raw = readFile(file);
-  if (raw.isErr) return wrong(raw.error);
+const applyFile = async (
+  options: CommandOptions,
+  file: string | undefined,
+): Promise<CommandResult> => {
+  const raw = readJsonFile(file);
+  if (raw.isErr) return wrongUse(raw.error);
   let base = options.base;
   if (base === undefined && !options.force) {
     // The generation alone: the description in force may be too large for one frame.
-    const now = await call(options.reach, { method: 'GET', path: '/v1/store' });
-    if (now.isErr) return bad(`no registry answers: ${now.error}`);
-    if (now.value.status !== 200) return shown(options, now.value, () => '');
-    base = Number(at(now.value.body, 'generation'));
+    const now = await callRegistry(options.target, { method: 'GET', path: '/v1/store' });
+    if (now.isErr) return failure(`no registry answers: ${now.error}`);
+    if (now.value.status !== 200) return resultOfReply(options, now.value, () => '');
+    base = Number(memberOf(now.value.body, 'generation'));
   }
   const id = options.id ?? randomUUID();
   const query = new URLSearchParams({ id, ...(base === undefined ? {} : { base: String(base) }) });
-  const reply = await call(options.reach, {
+  const reply = await callRegistry(options.target, {
     method: 'PUT',
     path: `/v1/description?${query.toString()}`,
     body: JSON.stringify(raw.value),
   });
-  if (reply.isErr) return bad(`no registry answers; ask again with --id ${id}: ${reply.error}`);
-  if (reply.value.status !== 200) return shown(options, reply.value, () => '');
-  const generation = Number(at(reply.value.body, 'generation'));
-  const force = options.waitMs > 0 ? await waitFor(options, generation) : '';
+  if (reply.isErr) return failure(`no registry answers; ask again with --id ${id}: ${reply.error}`);
+  if (reply.value.status !== 200) return resultOfReply(options, reply.value, () => '');
+  const generation = Number(memberOf(reply.value.body, 'generation'));
+  const force = options.waitMs > 0 ? await waitUntilInForce(options, generation) : '';
   if (options.json)
-    return good(
+    return success(
       JSON.stringify({
         ...Object.fromEntries(Object.entries(reply.value.body ?? {})),
         rollout: force,
       }),
     );
-  return good(`accepted as generation ${generation} (id ${id})${force === '' ? '' : `\n${force}`}`);
+  return success(
+    `accepted as generation ${generation} (id ${id})${force === '' ? '' : `\n${force}`}`,
+  );
 };
 
-const compare = async (options: Options, file: string | undefined): Promise<Outcome> => {
-  const raw = readFile(file);
-  if (raw.isErr) return wrong(raw.error);
-  const now = await current(options);
-  if (now.isErr) return bad(`no registry answers: ${now.error}`);
-  if (now.value.status !== 200) return shown(options, now.value, () => '');
-  const changes = diff(at(now.value.body, 'description'), raw.value);
-  return good(
+const diffAgainstCurrent = async (
+  options: CommandOptions,
+  file: string | undefined,
+): Promise<CommandResult> => {
+  const raw = readJsonFile(file);
+  if (raw.isErr) return wrongUse(raw.error);
+  const now = await readConfiguration(options);
+  if (now.isErr) return failure(`no registry answers: ${now.error}`);
+  if (now.value.status !== 200) return resultOfReply(options, now.value, () => '');
+  const changes = diffConfigurations(memberOf(now.value.body, 'description'), raw.value);
+  return success(
     options.json
-      ? JSON.stringify({ generation: at(now.value.body, 'generation'), changes })
-      : diffLines(changes),
+      ? JSON.stringify({ generation: memberOf(now.value.body, 'generation'), changes })
+      : formatDiff(changes),
   );
 };
 
-const status = (options: Options): Promise<Outcome> =>
-  ask(options, { method: 'GET', path: '/v1/fleet' }, (body) => {
-    const nodes = listAt(body, 'nodes').map((one) => [
-      text(at(one, 'node')),
-      text(at(one, 'role')),
-      text(at(one, 'area')),
-      at(one, 'open') === true ? 'in touch' : 'out of touch',
-      text(at(one, 'generation')),
-      text(at(one, 'phase')),
-      text(at(one, 'ready')),
-      text(at(one, 'registry')),
-      `${text(at(one, 'ageMs'))} ms`,
+const showStatus = (options: CommandOptions): Promise<CommandResult> =>
+  requestAndShow(options, { method: 'GET', path: '/v1/fleet' }, (body) => {
+    const nodes = listMember(body, 'nodes').map((one) => [
+      toText(memberOf(one, 'node')),
+      toText(memberOf(one, 'role')),
+      toText(memberOf(one, 'area')),
+      memberOf(one, 'open') === true ? 'in touch' : 'out of touch',
+      toText(memberOf(one, 'generation')),
+      toText(memberOf(one, 'phase')),
+      toText(memberOf(one, 'ready')),
+      toText(memberOf(one, 'registry')),
+      `${toText(memberOf(one, 'ageMs'))} ms`,
     ]);
-    const holders = listAt(body, 'holders').map((one) => [
-      text(at(one, 'duty')),
-      text(at(one, 'node')),
-      text(at(one, 'epoch')),
+    const holders = listMember(body, 'holders').map((one) => [
+      toText(memberOf(one, 'duty')),
+      toText(memberOf(one, 'node')),
+      toText(memberOf(one, 'epoch')),
     ]);
     return [
-      `fleet ${text(at(body, 'fleet'))}, generation ${text(at(body, 'generation'))}, told by ${text(at(body, 'registry'))}, word of the primary ${text(at(body, 'feedAgeMs'))} ms old`,
+      `fleet ${toText(memberOf(body, 'fleet'))}, generation ${toText(memberOf(body, 'generation'))}, told by ${toText(memberOf(body, 'registry'))}, word of the primary ${toText(memberOf(body, 'feedAgeMs'))} ms old`,
       '',
-      table(
+      formatTable(
         ['node', 'role', 'area', 'session', 'generation', 'phase', 'ready', 'registry', 'heard'],
         nodes,
       ),
       '',
-      table(['duty', 'holder', 'epoch'], holders),
+      formatTable(['duty', 'holder', 'epoch'], holders),
     ].join('\n');
   });
 
-const releases = async (options: Options): Promise<Outcome> => {
-  const fleet = await call(options.reach, { method: 'GET', path: '/v1/fleet' });
-  if (fleet.isErr) return bad(`no registry answers: ${fleet.error}`);
-  const origins = listAt(fleet.value.body, 'origins');
-  const orders = await call(options.reach, { method: 'GET', path: '/v1/releases' });
+const showReleases = async (options: CommandOptions): Promise<CommandResult> => {
+  const fleet = await callRegistry(options.target, { method: 'GET', path: '/v1/fleet' });
+  if (fleet.isErr) return failure(`no registry answers: ${fleet.error}`);
+  const origins = listMember(fleet.value.body, 'origins');
+  const orders = await callRegistry(options.target, { method: 'GET', path: '/v1/releases' });
   const moves =
     orders.isOk && orders.value.status === 200 && !options.json
-      ? `${orderTable(orders.value.body)}\n\n`
+      ? `${releaseRequestTable(orders.value.body)}\n\n`
       : '';
-  return ask(
+  return requestAndShow(
     options,
     { method: 'GET', path: '/v1/verdicts' },
     (body) =>
       moves +
-      table(
+      formatTable(
         ['service', 'release', 'verdict', 'spent', 'bad', 'origins up'],
-        listAt(body, 'verdicts').map((one) => [
-          text(at(one, 'service')),
-          text(at(one, 'release')),
-          text(at(one, 'state')),
-          text(at(one, 'spent')),
-          text(at(one, 'bad')),
+        listMember(body, 'verdicts').map((one) => [
+          toText(memberOf(one, 'service')),
+          toText(memberOf(one, 'release')),
+          toText(memberOf(one, 'state')),
+          toText(memberOf(one, 'spent')),
+          toText(memberOf(one, 'bad')),
           String(
             origins.filter(
               (row) =>
-                at(row, 'service') === at(one, 'service') &&
-                at(row, 'release') === at(one, 'release') &&
-                at(row, 'state') === 'up',
+                memberOf(row, 'service') === memberOf(one, 'service') &&
+                memberOf(row, 'release') === memberOf(one, 'release') &&
+                memberOf(row, 'state') === 'up',
             ).length,
           ),
         ]),
@@ -266,81 +294,84 @@
   );
 };
 
-const spanOf = (raw: string): number | undefined => {
+const parseDurationMs = (raw: string): number | undefined => {
   const [, many, unit] = /^(\d+(?:\.\d+)?)(ms|s|m)$/.exec(raw) ?? [];
   if (many === undefined) return undefined;
   return Number(many) * (unit === 'ms' ? 1 : unit === 's' ? 1000 : 60_000);
 };
 
-const release = (
-  options: Options,
+const requestRelease = (
+  options: CommandOptions,
   service: string | undefined,
   target: string | undefined,
-): Promise<Outcome> => {
-  const spanMs = spanOf(options.span);
+): Promise<CommandResult> => {
+  const spanMs = parseDurationMs(options.span);
   if (service === undefined || target === undefined)
-    return Promise.resolve(wrong('release SERVICE TARGET'));
+    return Promise.resolve(wrongUse('release SERVICE TARGET'));
   if (spanMs === undefined)
-    return Promise.resolve(wrong(`--span ${options.span}: a span such as 16s, 500ms or 2m`));
+    return Promise.resolve(wrongUse(`--span ${options.span}: a span such as 16s, 500ms or 2m`));
   const id = options.id ?? randomUUID();
-  return ask(
+  return requestAndShow(
     options,
     { method: 'POST', path: '/v1/releases', body: JSON.stringify({ id, service, target, spanMs }) },
     (body) =>
-      `accepted: ${text(at(body, 'service'))} moves to ${text(at(body, 'target'))} (id ${id})`,
+      `accepted: ${toText(memberOf(body, 'service'))} moves to ${toText(memberOf(body, 'target'))} (id ${id})`,
   );
 };
 
-const orderTable = (body: unknown): string =>
-  table(
+const releaseRequestTable = (body: unknown): string =>
+  formatTable(
     ['service', 'settled', 'target', 'phase', 'share', 'spent', 'why'],
-    listAt(body, 'releases').map((one) => [
-      text(at(one, 'service')),
-      text(at(one, 'settled')),
-      text(at(one, 'target')),
-      text(at(one, 'phase')),
-      text(at(one, 'share')),
-      `${Math.round(Number(at(one, 'spentMs')) / 1000)}/${Math.round(Number(at(one, 'spanMs')) / 1000)} s`,
-      text(at(one, 'text')),
+    listMember(body, 'releases').map((one) => [
+      toText(memberOf(one, 'service')),
+      toText(memberOf(one, 'settled')),
+      toText(memberOf(one, 'target')),
+      toText(memberOf(one, 'phase')),
+      toText(memberOf(one, 'share')),
+      `${Math.round(Number(memberOf(one, 'spentMs')) / 1000)}/${Math.round(Number(memberOf(one, 'spanMs')) / 1000)} s`,
+      toText(memberOf(one, 'text')),
     ]),
   );
 
-const rollouts = (options: Options): Promise<Outcome> =>
-  ask(options, { method: 'GET', path: '/v1/rollouts' }, (body) => {
-    const rows = listAt(body, 'rollouts');
-    const head = table(
+const showRollouts = (options: CommandOptions): Promise<CommandResult> =>
+  requestAndShow(options, { method: 'GET', path: '/v1/rollouts' }, (body) => {
+    const rows = listMember(body, 'rollouts');
+    const head = formatTable(
       ['generation', 'status', 'wave', 'troubled', 'targets'],
       rows.map((one) => {
         const count = new Map<string, number>();
-        for (const target of listAt(one, 'targets'))
-          count.set(text(at(target, 'status')), (count.get(text(at(target, 'status'))) ?? 0) + 1);
+        for (const target of listMember(one, 'targets'))
+          count.set(
+            toText(memberOf(target, 'status')),
+            (count.get(toText(memberOf(target, 'status'))) ?? 0) + 1,
+          );
         return [
-          text(at(one, 'generation')),
-          text(at(one, 'status')),
-          `${Number(at(one, 'wave')) + 1}/${text(at(one, 'waves'))}`,
-          text(at(one, 'troubled')),
+          toText(memberOf(one, 'generation')),
+          toText(memberOf(one, 'status')),
+          `${Number(memberOf(one, 'wave')) + 1}/${toText(memberOf(one, 'waves'))}`,
+          toText(memberOf(one, 'troubled')),
           [...count].map(([name, many]) => `${many} ${name}`).join(', '),
         ];
       }),
     );
     const open = rows.flatMap((one) =>
-      listAt(one, 'targets')
+      listMember(one, 'targets')
         .filter((row) =>
-          ['failed', 'skipped', 'pending', 'in_progress'].includes(text(at(row, 'status'))),
+          ['failed', 'skipped', 'pending', 'in_progress'].includes(toText(memberOf(row, 'status'))),
         )
         .map((row) => [
-          text(at(one, 'generation')),
-          text(at(row, 'node')),
-          text(at(row, 'status')),
-          text(at(row, 'text')),
+          toText(memberOf(one, 'generation')),
+          toText(memberOf(row, 'node')),
+          toText(memberOf(row, 'status')),
+          toText(memberOf(row, 'text')),
         ]),
     );
     return open.length === 0
       ? head
-      : `${head}\n\n${table(['generation', 'node', 'status', 'why'], open)}`;
+      : `${head}\n\n${formatTable(['generation', 'node', 'status', 'why'], open)}`;
   });
 
-const purge = (options: Options, paths: readonly string[]): Promise<Outcome> => {
+const purge = (options: CommandOptions, paths: readonly string[]): Promise<CommandResult> => {
   const aims = [
     ...paths.map((path) => ({
       by: 'object',
@@ -350,76 +381,76 @@
     ...options.tags.map((tag) => ({ by: 'tag', tag })),
     ...(options.all ? [{ by: 'all' }] : []),
   ];
-  if (aims.length === 0) return Promise.resolve(wrong('purge what? paths, --tag, or --all'));
+  if (aims.length === 0) return Promise.resolve(wrongUse('purge what? paths, --tag, or --all'));
   const odd = paths.find((path) => !path.startsWith('/'));
-  if (odd !== undefined) return Promise.resolve(wrong(`${odd}: a path starts with /`));
+  if (odd !== undefined) return Promise.resolve(wrongUse(`${odd}: a path starts with /`));
   const id = options.id ?? randomUUID();
-  return ask(
+  return requestAndShow(
     options,
     { method: 'POST', path: '/v1/purges', body: JSON.stringify({ id, aims }) },
     (body) =>
-      `accepted as purge ${text(at(body, 'purge'))} of ${text(at(body, 'aims'))} (id ${id})`,
+      `accepted as purge ${toText(memberOf(body, 'purge'))} of ${toText(memberOf(body, 'aims'))} (id ${id})`,
   );
 };
 
 /** Runs one command of the operators' command line. */
-export const run = async (
+export const runCommand = async (
   command: string,
-  rest: readonly string[],
-  options: Options,
-): Promise<Outcome> => {
+  args: readonly string[],
+  options: CommandOptions,
+): Promise<CommandResult> => {
   switch (command) {
     case 'check':
-      return check(options, rest[0]);
+      return checkFile(options, args[0]);
     case 'import':
-      return importFile(options, rest[0]);
+      return importFile(options, args[0]);
     case 'apply':
-      return apply(options, rest[0]);
+      return applyFile(options, args[0]);
     case 'diff':
-      return compare(options, rest[0]);
+      return diffAgainstCurrent(options, args[0]);
     case 'show':
-      return ask(options, { method: 'GET', path: '/v1/description' }, (body) =>
-        JSON.stringify(at(body, 'description'), null, 2),
+      return requestAndShow(options, { method: 'GET', path: '/v1/description' }, (body) =>
+        JSON.stringify(memberOf(body, 'description'), null, 2),
       );
     case 'status':
-      return status(options);
+      return showStatus(options);
     case 'rollouts':
-      return rollouts(options);
+      return showRollouts(options);
     case 'release':
-      return release(options, rest[0], rest[1]);
+      return requestRelease(options, args[0], args[1]);
     case 'releases':
-      return releases(options);
+      return showReleases(options);
     case 'purge':
-      return purge(options, rest);
+      return purge(options, args);
     case 'call':
-      return rest[0] === undefined
-        ? wrong('which id?')
-        : ask(
+      return args[0] === undefined
+        ? wrongUse('which id?')
+        : requestAndShow(
             options,
-            { method: 'GET', path: `/v1/calls/${encodeURIComponent(rest[0])}` },
+            { method: 'GET', path: `/v1/calls/${encodeURIComponent(args[0])}` },
             (body) => JSON.stringify(body),
           );
     case 'found':
-      if (rest[0] === undefined) return wrong('found needs a name for the fleet');
-      return ask(
+      if (args[0] === undefined) return wrongUse('found needs a name for the fleet');
+      return requestAndShow(
         options,
         {
           method: 'POST',
           path: '/v1/fleet',
           body: JSON.stringify({
-            fleet: `${rest[0]}.${randomUUID().slice(0, 8)}`,
+            fleet: `${args[0]}.${randomUUID().slice(0, 8)}`,
             stores: options.stores,
             voters: options.voters,
           }),
         },
         (body) =>
-          `founded on ${listAt(body, 'stores').map(text).join(' and ')}; voters ${listAt(body, 'voters').map(text).join(', ')}`,
+          `founded on ${listMember(body, 'stores').map(toText).join(' and ')}; voters ${listMember(body, 'voters').map(toText).join(', ')}`,
       );
     case 'voter': {
-      const [change, node] = rest;
+      const [change, node] = args;
       if ((change !== 'add' && change !== 'remove') || node === undefined)
-        return wrong('voter add NODE, or voter remove NODE');
-      return ask(
+        return wrongUse('voter add NODE, or voter remove NODE');
+      return requestAndShow(
         options,
         {
           method: 'POST',
@@ -430,12 +461,12 @@
           }),
         },
         (body) =>
-          `accepted: ${listAt(at(body, 'electorate'), 'members')
-            .map((one) => text(at(one, 'node')))
+          `accepted: ${listMember(memberOf(body, 'electorate'), 'members')
+            .map((one) => toText(memberOf(one, 'node')))
             .join(', ')}`,
       );
     }
     default:
-      return wrong(`${command}: no such command; see switchwheel --help`);
+      return wrongUse(`${command}: no such command; see switchwheel --help`);
   }
 };
--- a/packages/switchwheel/src/index.ts
+++ b/packages/switchwheel/src/index.ts
@@ -1,1 +1,1 @@
-export { run } from './command/run.js';
+export { runCommand } from './command/run.js';
--- a/packages/switchwheel/src/main.ts
+++ b/packages/switchwheel/src/main.ts
@@ -1,6 +1,6 @@
 import meow from 'meow';
 import { isAddress } from '@switchwheel/types';
-import { run } from './command/run.js';
+import { runCommand } from './command/run.js';
 
 const cli = meow(
   `
@@ -64,7 +64,7 @@
   },
 );
 
-const known = new Set([
+const knownFlags = new Set([
   'registry',
   'r',
   'json',
@@ -81,16 +81,16 @@
   'timeout',
   'span',
 ]);
-const quit = (code: number, fault: string): never => {
-  process.stderr.write(`switchwheel: ${fault}\n`);
+const exitWith = (code: number, message: string): never => {
+  process.stderr.write(`switchwheel: ${message}\n`);
   process.exit(code);
 };
 
 const [command, ...rest] = cli.input;
 if (command === undefined) cli.showHelp(2);
 else {
-  const odd = Object.keys(cli.flags).find((name) => !known.has(name));
-  if (odd !== undefined) quit(2, `--${odd}: no such flag`);
+  const odd = Object.keys(cli.flags).find((name) => !knownFlags.has(name));
+  if (odd !== undefined) exitWith(2, `--${odd}: no such flag`);
   const given =
     (cli.flags.registry ?? []).length > 0
       ? (cli.flags.registry ?? [])
@@ -100,16 +100,16 @@
     .map((one) => one.trim())
     .filter((one) => one !== '');
   const wrong = names.find((one) => !isAddress(one));
-  if (wrong !== undefined) quit(2, `--registry ${wrong}: an IP number and a port`);
+  if (wrong !== undefined) exitWith(2, `--registry ${wrong}: an IP number and a port`);
   const registries = names.filter(isAddress);
   if (registries.length === 0 && command !== 'check' && command !== 'import')
-    quit(2, '--registry: name at least one registry');
+    exitWith(2, '--registry: name at least one registry');
   const { base, timeout, wait } = cli.flags;
   if (base !== undefined && !(Number.isSafeInteger(base) && base >= 0))
-    quit(2, '--base: a generation');
-  if (!(timeout > 0) || !(wait >= 0)) quit(2, '--timeout and --wait: milliseconds');
-  const outcome = await run(command, rest, {
-    reach: { registries, spanMs: timeout },
+    exitWith(2, '--base: a generation');
+  if (!(timeout > 0) || !(wait >= 0)) exitWith(2, '--timeout and --wait: milliseconds');
+  const outcome = await runCommand(command, rest, {
+    target: { registries, timeoutMs: timeout },
     json: cli.flags.json,
     base,
     force: cli.flags.force,
@@ -123,13 +123,13 @@
     waitMs: wait,
     span: cli.flags.span,
   });
-  if (outcome.out !== '') process.stdout.write(`${outcome.out}\n`);
-  if (outcome.fault !== '')
+  if (outcome.stdout !== '') process.stdout.write(`${outcome.stdout}\n`);
+  if (outcome.stderr !== '')
     process.stderr.write(
-      `${outcome.fault
+      `${outcome.stderr
         .split('\n')
         .map((one, at) => (at === 0 ? `switchwheel: ${one}` : one))
         .join('\n')}\n`,
     );
-  process.exitCode = outcome.code;
+  process.exitCode = outcome.exitCode;
 }
--- a/packages/switchwheel/src/call/call.ts
+++ b/packages/switchwheel/src/registry-client/registry-client.ts
@@ -3,24 +3,24 @@
 import type { Address } from '@switchwheel/types';
 
 /** What a registry answered. */
-export interface Reply {
+export interface RegistryReply {
   readonly status: number;
   readonly body: unknown;
 }
 
 /** Which registries to ask, and for how long. */
-export interface Reach {
+export interface RegistryTarget {
   readonly registries: readonly Address[];
-  readonly spanMs: number;
+  readonly timeoutMs: number;
 }
 
-export interface Request {
+export interface RegistryRequest {
   readonly method: 'GET' | 'PUT' | 'POST';
   readonly path: string;
   readonly body?: string;
 }
 
-const parse = (text: string): unknown => {
+const parseBody = (text: string): unknown => {
   try {
     const raw: unknown = JSON.parse(text);
     return raw;
@@ -32,22 +32,25 @@
 /**
  * Asks the registries in turn until one answers. Each write bears an id, so asking the next with the same id is safe.
  */
-export const call = async (reach: Reach, request: Request): Promise<Result<Reply, string>> => {
+export const callRegistry = async (
+  target: RegistryTarget,
+  request: RegistryRequest,
+): Promise<Result<RegistryReply, string>> => {
   const lost: string[] = [];
-  let last: Reply | undefined;
-  for (const address of reach.registries) {
+  let last: RegistryReply | undefined;
+  for (const address of target.registries) {
     try {
       const reply = await got(`http://${address}${request.path}`, {
         method: request.method,
         retry: { limit: 0 },
         throwHttpErrors: false,
         followRedirect: false,
-        timeout: { connect: 1000, request: reach.spanMs },
+        timeout: { connect: 1000, request: target.timeoutMs },
         ...(request.body === undefined
           ? {}
           : { body: request.body, headers: { 'content-type': 'application/json' } }),
       });
-      const body = parse(reply.body);
+      const body = parseBody(reply.body);
       if (reply.statusCode !== 503 && reply.statusCode !== 504)
         return ok({ status: reply.statusCode, body });
       last = { status: reply.statusCode, body };
