--- a/packages/devfleet/src/main.ts
+++ b/packages/devfleet/src/main.ts
@@ -6,6 +6,7 @@
 import { runUnderLoad } from './run/load-run.js';
 import { runFaultScenario } from './run/fault-run.js';
 import { runSoak } from './soak/soak.js';
+import { summarizeSoak } from './soak/soak-report.js';
 
 const cli = meow(
   `
@@ -67,29 +68,23 @@
 /** The part of a deployment's load that a soak sends. */
 const soakLoadScale = 0.1;
 
-/** Plays seeds one after another; says whether every rule held in all of them. */
+/** Plays seeds one after another; returns whether all of them are passed. */
 const runSoaks = async (plan: DeploymentPlan, folder: string): Promise<boolean> => {
-  let held = true;
+  let areAllPassed = true;
   for (let seed = cli.flags.seed; seed < cli.flags.seed + cli.flags.runs; seed += 1) {
     print(`seed ${seed}`);
-    const spanMs = cli.flags.seconds * 1000;
-    const { ruleResults, faultCount, overlapCount, commandCount, confirmedCount } = await runSoak(
-      plan,
-      {
-        seed,
-        faultsDurationMs: spanMs,
-        loadScale: soakLoadScale * cli.flags.scale,
-        folder: join(folder, `soak-${seed}`),
-        print,
-      },
-    );
-    const broken = ruleResults.filter((one) => !one.isHeld && !one.isTimed);
-    held &&= broken.length === 0;
-    print(
-      `seed ${seed}: ${broken.length === 0 ? 'all held' : `BROKEN ${broken.map((one) => one.rule).join(', ')}`}; ${faultCount} troubles, ${overlapCount} begun beside another, ${confirmedCount} of ${commandCount} orders confirmed`,
-    );
+    const report = await runSoak(plan, {
+      seed,
+      faultsDurationMs: cli.flags.seconds * 1000,
+      loadScale: soakLoadScale * cli.flags.scale,
+      folder: join(folder, `soak-${seed}`),
+      print,
+    });
+    const summary = summarizeSoak(seed, report);
+    print(summary.text);
+    areAllPassed &&= summary.isPassed;
   }
-  return held;
+  return areAllPassed;
 };
 
 const isWholeNumber = (raw: number, min: number): boolean =>
--- a/packages/devfleet/src/soak/soak.ts
+++ b/packages/devfleet/src/soak/soak.ts
@@ -15,6 +15,7 @@
 import { readFleetView, startFleet } from '../run/fleet-setup.js';
 import { SeededRandom } from './seeded-random.js';
 import { RacingOperators } from './racing-operators.js';
+import type { SoakReport } from './soak-report.js';
 import { FaultInjector, countOverlaps, drawFaults } from './random-faults.js';
 
 export interface SoakOptions {
@@ -27,14 +28,6 @@
   readonly print: (text: string) => void;
 }
 
-export interface SoakReport {
-  readonly ruleResults: readonly RuleResult[];
-  readonly faultCount: number;
-  readonly overlapCount: number;
-  readonly commandCount: number;
-  readonly confirmedCount: number;
-}
-
 /** How long after the last trouble all must be in force again; no verdict hangs on a machine's speed within it. */
 const settleTimeoutMs = 30_000;
 const brokenInvariantMessage = 'an invariant is broken';
