--- a/packages/switchwheel/src/command-line-forms.test.ts
+++ b/packages/switchwheel/src/command-line-forms.test.ts
@@ -2,7 +2,8 @@
 import { test } from 'node:test';
 import { toAddress } from '@switchwheel/types';
 import { runCommands, snapshotsFor } from '@switchwheel/types/testing';
-import { type CommandOptions, runCommand } from './command/run.js';
+import type { CommandOptions } from './command/command-result.js';
+import { runCommand } from './command/run.js';
 import { startStubRegistry } from './stub-registry.test-support.js';
 
 const matchSnapshot = snapshotsFor(import.meta.dirname);
--- a/packages/switchwheel/src/command/diff.ts
+++ b/packages/switchwheel/src/command/diff.ts
@@ -1,3 +1,5 @@
+/** The difference between two configurations, and how it is printed. */
+
 import { memberOf, isObject, listMember, toText } from './json-text.js';
 
 interface Change {
@@ -21,33 +23,34 @@
 const byName = (list: readonly unknown[]): ReadonlyMap<string, unknown> =>
   new Map(list.map((one) => [toText(memberOf(one, 'name')), one]));
 
-/** What a description would change, by the names of its parts. */
+/** What a configuration would change, by the names of its parts. */
 export const diffConfigurations = (before: unknown, after: unknown): readonly Change[] => {
-  const out: Change[] = [];
+  const changes: Change[] = [];
   for (const family of ['classes', 'services', 'routes']) {
-    const was = byName(listMember(before, family));
-    const is = byName(listMember(after, family));
-    for (const [name, from] of was)
-      if (!is.has(name))
-        out.push({ path: `${family}.${name}`, change: 'removed', from, to: undefined });
-    for (const [name, to] of is) {
-      const from = was.get(name);
+    const oldByName = byName(listMember(before, family));
+    const newByName = byName(listMember(after, family));
+    for (const [name, from] of oldByName)
+      if (!newByName.has(name))
+        changes.push({ path: `${family}.${name}`, change: 'removed', from, to: undefined });
+    for (const [name, to] of newByName) {
+      const from = oldByName.get(name);
       if (from === undefined)
-        out.push({ path: `${family}.${name}`, change: 'added', from: undefined, to });
+        changes.push({ path: `${family}.${name}`, change: 'added', from: undefined, to });
       else if (!isEqualJson(from, to))
-        out.push({ path: `${family}.${name}`, change: 'changed', from, to });
+        changes.push({ path: `${family}.${name}`, change: 'changed', from, to });
     }
   }
   if (!isEqualJson(memberOf(before, 'rollout'), memberOf(after, 'rollout')))
-    out.push({
+    changes.push({
       path: 'rollout',
       change: 'changed',
       from: memberOf(before, 'rollout'),
       to: memberOf(after, 'rollout'),
     });
-  return out;
+  return changes;
 };
 
+/** Changes as lines for people: `+` added, `-` removed, `~` changed. */
 export const formatDiff = (changes: readonly Change[]): string =>
   changes.length === 0
     ? 'nothing would change'
--- /dev/null
+++ b/packages/switchwheel/src/command/rollouts.ts
@@ -0,0 +1,50 @@
+/** The command `rollouts`: rollouts of configuration generations with their targets. */
+
+import { increment } from '@switchwheel/types';
+import type { CommandOptions, CommandResult } from './command-result.js';
+import { formatTable, listMember, memberOf, textsOf, toText } from './json-text.js';
+import { requestAndShow } from './registry-request.js';
+
+/** The states of a target that an operator may have to look at. */
+const unfinishedStates: ReadonlySet<string> = new Set([
+  'failed',
+  'skipped',
+  'pending',
+  'in_progress',
+]);
+
+const countByStatus = (targets: readonly unknown[]): string => {
+  const counts = new Map<string, number>();
+  for (const target of targets) increment(counts, toText(memberOf(target, 'status')));
+  return [...counts].map(([status, count]) => `${count} ${status}`).join(', ');
+};
+
+const rolloutTable = (rollouts: readonly unknown[]): string =>
+  formatTable(
+    ['generation', 'status', 'wave', 'troubled', 'targets'],
+    rollouts.map((rollout) => [
+      ...textsOf(rollout, ['generation', 'status']),
+      `${Number(memberOf(rollout, 'wave')) + 1}/${toText(memberOf(rollout, 'waves'))}`,
+      toText(memberOf(rollout, 'troubled')),
+      countByStatus(listMember(rollout, 'targets')),
+    ]),
+  );
+
+const unfinishedTargets = (rollout: unknown): readonly (readonly string[])[] =>
+  listMember(rollout, 'targets')
+    .filter((target) => unfinishedStates.has(toText(memberOf(target, 'status'))))
+    .map((target) => [
+      toText(memberOf(rollout, 'generation')),
+      ...textsOf(target, ['node', 'status', 'text']),
+    ]);
+
+/** `rollouts`: a table of rollouts, then the targets that are not done, if any. */
+export const showRollouts = (options: CommandOptions): Promise<CommandResult> =>
+  requestAndShow(options, { method: 'GET', path: '/v1/rollouts' }, (body) => {
+    const rollouts = listMember(body, 'rollouts');
+    const table = rolloutTable(rollouts);
+    const unfinished = rollouts.flatMap(unfinishedTargets);
+    return unfinished.length === 0
+      ? table
+      : `${table}\n\n${formatTable(['generation', 'node', 'status', 'why'], unfinished)}`;
+  });
--- a/packages/switchwheel/src/main.ts
+++ b/packages/switchwheel/src/main.ts
@@ -1,3 +1,5 @@
+/** The program `switchwheel`: reads and checks the command line, runs one command and prints its result. */
+
 import meow from 'meow';
 import { isAddress } from '@switchwheel/types';
 import { runCommand } from './command/run.js';
--- a/packages/switchwheel/src/registry-client/registry-client.ts
+++ b/packages/switchwheel/src/registry-client/registry-client.ts
@@ -1,19 +1,22 @@
+/** The HTTP client of the operators' command line: one request, tried at one registry after the other. */
+
 import got from 'got';
 import { type Result, err, ok } from 'true-myth/result';
 import type { Address } from '@switchwheel/types';
 
-/** What a registry answered. */
+/** The status and parsed body of a registry's response. */
 export interface RegistryReply {
   readonly status: number;
   readonly body: unknown;
 }
 
-/** Which registries to ask, and for how long. */
+/** Which registries to try, in order, and how long to wait for each. */
 export interface RegistryTarget {
   readonly registries: readonly Address[];
   readonly timeoutMs: number;
 }
 
+/** One request to a registry; `body` is JSON text. */
 export interface RegistryRequest {
   readonly method: 'GET' | 'PUT' | 'POST';
   readonly path: string;
@@ -30,13 +33,14 @@
 };
 
 /**
- * Asks the registries in turn until one answers. Each write bears an id, so asking the next with the same id is safe.
+ * Tries the registries in turn until one responds with anything but 503 or 504; the last such response stands if none
+ * does. Each write bears an id, so that a retry at the next registry is safe. The error lists why each was unreachable.
  */
 export const callRegistry = async (
   target: RegistryTarget,
   request: RegistryRequest,
 ): Promise<Result<RegistryReply, string>> => {
-  const lost: string[] = [];
+  const failures: string[] = [];
   let last: RegistryReply | undefined;
   for (const address of target.registries) {
     try {
@@ -55,8 +59,8 @@
         return ok({ status: reply.statusCode, body });
       last = { status: reply.statusCode, body };
     } catch (problem) {
-      lost.push(`${address}: ${problem instanceof Error ? problem.message : 'no answer'}`);
+      failures.push(`${address}: ${problem instanceof Error ? problem.message : 'no answer'}`);
     }
   }
-  return last === undefined ? err(lost.join('; ')) : ok(last);
+  return last === undefined ? err(failures.join('; ')) : ok(last);
 };
