--- a/packages/query-shell/src/main.ts
+++ b/packages/query-shell/src/main.ts
@@ -1,3 +1,5 @@
+/** The program `query-shell`: an interactive shell, or one query from the command line. It only reads. */
+
 import meow from 'meow';
 import { isAddress } from '@switchwheel/types';
 import { helpText, readQuery } from './shell/answer.js';
--- a/packages/query-shell/src/query/query.test.ts
+++ b/packages/query-shell/src/query/query.test.ts
@@ -1,7 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { parseQuery, runQuery } from './query.js';
-import type { Cell, Row } from '../table/tables.js';
+import type { Cell, Row } from '../table/table.js';
+import { parseQuery } from './parse.js';
+import { runQuery } from './run.js';
 
 const row = (cells: Record<string, Cell>): Row => new Map(Object.entries(cells));
 const rows = [
@@ -12,11 +13,11 @@
 ];
 const ask = (text: string): readonly unknown[] =>
   runQuery(
-    parseQuery(text).unwrapOrElse((slip) => assert.fail(slip.text)),
+    parseQuery(text).unwrapOrElse((error) => assert.fail(error.text)),
     rows,
   ).map((one) => [...one.values()]);
 
-void test('select, filter, order, count, limit', () => {
+void test('a query filters, selects, sorts, counts and limits the rows of its table', () => {
   assert.deepEqual(ask('nodes | where role = edge and ready = false | select node'), [['edge-2']]);
   assert.deepEqual(
     ask('nodes | where generation >= 4 | sort generation desc | select node generation'),
@@ -40,8 +41,8 @@
   );
 });
 
-void test('wrong queries get the place of the mistake and a suggestion', () => {
-  const slips = new Map([
+void test('a wrong query is refused with the offset of the mistake and a suggestion', () => {
+  const mistakes = new Map([
     ['', [0, 'which table?']],
     ['nods', [0, 'did you mean nodes?']],
     ['nodes | wher role = edge', [8, 'did you mean where?']],
@@ -54,7 +55,7 @@
     ['nodes |', [7, 'nothing behind it']],
     ['nodes where', [6, 'behind a bar']],
   ] as const);
-  for (const [text, [at, part]] of slips) {
+  for (const [text, [at, part]] of mistakes) {
     const parsed = parseQuery(text);
     assert.ok(parsed.isErr, text);
     assert.equal(parsed.error.offset, at, `${text}: ${parsed.error.text}`);
--- a/packages/query-shell/src/shell/answer.ts
+++ b/packages/query-shell/src/shell/answer.ts
@@ -1,37 +1,43 @@
+/** Answers one query: collects a snapshot of the fleet, runs the query, formats the result. */
+
 import { type Result, err, ok } from 'true-myth/result';
 import type { Address } from '@switchwheel/types';
 import { collectSnapshot } from '../snapshot/collect.js';
-import { type Query, parseQuery, runQuery } from '../query/query.js';
+import { parseQuery } from '../query/parse.js';
+import type { Query } from '../query/query.js';
+import { runQuery } from '../query/run.js';
 import { tables } from '../table/tables.js';
 import { formatFreshness, formatRows, toJson } from './format.js';
 
+/** Which registries a query starts from, and how long each process may take to answer. */
 export interface QueryTarget {
   readonly registries: readonly Address[];
   readonly timeoutMs: number;
   readonly asJson: boolean;
 }
 
-/** What one asking came to: the text, and whether anything answered at all. */
+/** The printed result of a query, and whether any registry answered. */
 export interface QueryOutput {
   readonly text: string;
   readonly hasAnswer: boolean;
 }
 
+/** Runs a query against the fleet as it is now. */
 export const answerQuery = async (query: Query, target: QueryTarget): Promise<QueryOutput> => {
   const table = tables.get(query.table);
-  const words = await collectSnapshot(
+  const snapshot = await collectSnapshot(
     target.registries,
     new Set(table?.sources ?? []),
     target.timeoutMs,
   );
-  const rows = runQuery(query, table?.rows(words) ?? []);
+  const rows = runQuery(query, table?.rows(snapshot) ?? []);
   const text = target.asJson
-    ? toJson(rows, words)
-    : `${formatRows(rows)}\n${formatFreshness(words, rows.length)}`;
-  return { text, hasAnswer: words.fleets.length > 0 };
+    ? toJson(rows, snapshot)
+    : `${formatRows(rows)}\n${formatFreshness(snapshot, rows.length)}`;
+  return { text, hasAnswer: snapshot.fleets.length > 0 };
 };
 
-/** Reads a query; a wrong one is shown with a mark under the place. */
+/** Parses a query; the error is a text for people with a mark under the mistake. */
 export const readQuery = (line: string): Result<Query, string> => {
   const parsed = parseQuery(line);
   return parsed.isOk
@@ -39,6 +45,7 @@
     : err(`wrong query\n${line}\n${' '.repeat(parsed.error.offset)}^ ${parsed.error.text}`);
 };
 
+/** The language of queries and the tables with their columns. */
 export const helpText = `A query is a table, then stages behind bars:
 
   nodes                                                  every node
--- a/packages/query-shell/src/shell/output-forms.test.ts
+++ b/packages/query-shell/src/shell/output-forms.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'node:test';
 import { toAddress } from '@switchwheel/types';
 import { portOf, schemaLines, snapshotsFor } from '@switchwheel/types/testing';
-import { fleetSchema, proxySchema } from '../snapshot/collect.js';
+import { fleetSchema, proxySchema } from '../snapshot/schemas.js';
 import { tables } from '../table/tables.js';
 import { readQuery, answerQuery } from './answer.js';
 
@@ -160,8 +160,8 @@
       for (const json of [false, true]) {
         const query = readQuery(name);
         if (query.isErr) throw new Error(query.error);
-        const reach = { registries: [toAddress(fleet.address)], timeoutMs: 5000, asJson: json };
-        const { text } = await answerQuery(query.value, reach);
+        const target = { registries: [toAddress(fleet.address)], timeoutMs: 5000, asJson: json };
+        const { text } = await answerQuery(query.value, target);
         outputs.push(`$ query-shell ${name}${json ? ' --json' : ''}\n${text}`);
       }
   } finally {
--- a/packages/query-shell/src/shell/shell.ts
+++ b/packages/query-shell/src/shell/shell.ts
@@ -1,8 +1,12 @@
+/** The interactive shell, and queries that are run again and again. */
+
 import { appendFileSync, existsSync, readFileSync } from 'node:fs';
 import { createInterface } from 'node:readline';
-import { completions } from '../query/query.js';
+import { completions } from '../query/completions.js';
 import { type QueryTarget, helpText, readQuery, answerQuery } from './answer.js';
 
+const maxHistoryLines = 500;
+
 const delay = (ms: number, stop: AbortSignal): Promise<void> =>
   new Promise((done) => {
     const timer = setTimeout(done, ms);
@@ -16,7 +20,7 @@
     );
   });
 
-/** Asks again and again until stopped. */
+/** Runs a query once, or until stopped if it follows; returns whether the last run had an answer. */
 export const runAndFollow = async (
   line: string,
   target: QueryTarget,
@@ -28,32 +32,32 @@
     print(query.error);
     return false;
   }
-  let answered = false;
+  let hasAnswer = false;
   do {
-    const shown = await answerQuery(query.value, target);
-    answered = shown.hasAnswer;
-    print(shown.text);
+    const output = await answerQuery(query.value, target);
+    hasAnswer = output.hasAnswer;
+    print(output.text);
     if (query.value.followMs === undefined) break;
     await delay(query.value.followMs, stop);
   } while (!stop.aborted);
-  return answered;
+  return hasAnswer;
 };
 
-/** The shell: a line is a query; history goes to a file if one is named. */
+/** Reads queries line by line until the input ends; the history is kept in a file if one is named. */
 export const runShell = (target: QueryTarget, historyFile: string | undefined): Promise<void> => {
-  const past =
+  const history =
     historyFile !== undefined && existsSync(historyFile)
       ? readFileSync(historyFile, 'utf8')
           .split('\n')
           .filter((one) => one !== '')
           .reverse()
-          .slice(0, 500)
+          .slice(0, maxHistoryLines)
       : [];
   const lines = createInterface({
     input: process.stdin,
     output: process.stdout,
     prompt: 'query-shell> ',
-    history: past,
+    history,
     completer: (line: string): [string[], string] => {
       const word = /[^\s|,]*$/.exec(line)?.[0] ?? '';
       return [
@@ -65,14 +69,14 @@
     },
   });
   let stop = new AbortController();
-  let waiting: Promise<unknown> = Promise.resolve();
+  let lastCommand: Promise<unknown> = Promise.resolve();
   lines.on('SIGINT', () => {
     stop.abort();
     lines.prompt();
   });
   lines.on('line', (raw) => {
     const line = raw.trim();
-    waiting = waiting.then(async () => {
+    lastCommand = lastCommand.then(async () => {
       if (line === 'quit' || line === 'exit') lines.close();
       else if (line === 'help') process.stdout.write(`${helpText}\n`);
       else if (line !== '') {
@@ -87,7 +91,7 @@
   return new Promise((done) =>
     lines.on('close', () => {
       stop.abort();
-      void waiting.then(() => done());
+      void lastCommand.then(() => done());
     }),
   );
 };
--- a/packages/query-shell/src/snapshot/collect.ts
+++ b/packages/query-shell/src/snapshot/collect.ts
@@ -1,293 +1,143 @@
-import got from 'got';
-import * as v from 'valibot';
-import { type Address, isAddress } from '@switchwheel/types';
-
-const looseObject = v.looseObject;
-const optionalString = v.nullish(v.string());
-const optionalNumber = v.nullish(v.number());
-
-const nodeSchema = looseObject({
-  node: v.string(),
-  role: v.string(),
-  area: v.string(),
-  address: v.string(),
-  admin: optionalString,
-  registry: v.string(),
-  open: v.boolean(),
-  ageMs: v.number(),
-  incarnation: v.number(),
-  generation: optionalNumber,
-  hash: optionalString,
-  phase: optionalString,
-  ready: v.nullish(v.boolean()),
-  failed: v.nullish(looseObject({ text: v.string() })),
-  health: v.nullish(looseObject({ healthy: v.boolean(), text: v.string() })),
-});
-export const fleetSchema = looseObject({
-  registry: v.string(),
-  fleet: optionalString,
-  inTouch: v.boolean(),
-  feedAgeMs: optionalNumber,
-  epoch: v.number(),
-  generation: v.number(),
-  purges: looseObject({ top: v.number(), floor: v.number() }),
-  electorate: v.nullish(
-    looseObject({ serial: v.number(), members: v.array(looseObject({ node: v.string() })) }),
-  ),
-  voter: looseObject({
-    recovering: v.boolean(),
-    grants: v.array(
-      looseObject({ duty: v.string(), epoch: v.number(), node: v.string(), leftMs: v.number() }),
-    ),
-  }),
-  nodes: v.array(nodeSchema),
-  desired: v.array(
-    looseObject({ node: v.string(), generation: v.number(), failed: optionalString }),
-  ),
-  holders: v.array(looseObject({ duty: v.string(), epoch: v.number(), node: v.string() })),
-  origins: v.array(
-    looseObject({
-      service: v.string(),
-      instance: v.string(),
-      address: v.string(),
-      release: v.string(),
-      slots: v.number(),
-      state: v.string(),
-      ageMs: v.number(),
-    }),
-  ),
-});
-export type FleetState = v.InferOutput<typeof fleetSchema>;
-
-export const proxySchema = looseObject({
-  node: v.string(),
-  role: v.string(),
-  ready: v.boolean(),
-  generation: v.number(),
-  purged: v.number(),
-  cacheLease: v.boolean(),
-  forwarding: v.number(),
-  keepers: v.array(
-    looseObject({
-      service: v.string(),
-      epoch: v.number(),
-      closing: v.boolean(),
-      legs: v.number(),
-      typicalMs: v.number(),
-      waitlist: v.array(looseObject({ class: v.string(), waiting: v.number() })),
-      running: v.array(looseObject({ class: v.string(), running: v.number() })),
-      budget: looseObject({ traffic10s: v.number(), extra10s: v.number() }),
-      ceilingTokens: optionalNumber,
-      origins: v.array(
-        looseObject({
-          instance: v.string(),
-          used: v.number(),
-          slots: v.number(),
-          up: v.boolean(),
-          probe: v.string(),
-          typicalMs: v.number(),
-          passedOverMs: v.number(),
-        }),
-      ),
-      trials: v.array(
-        looseObject({
-          release: v.string(),
-          state: v.string(),
-          used: v.number(),
-          granted: v.number(),
-          good: v.number(),
-          bad: v.number(),
-        }),
-      ),
-      shares: v.nullish(v.array(looseObject({ class: v.string(), share: v.number() }))),
-    }),
-  ),
-});
-export type ProxyState = v.InferOutput<typeof proxySchema>;
+/**
+ * Collects the state of a fleet for one query: every registry that can be found, then the proxies that the query needs,
+ * then what the primary store answers through a registry. What a table makes of it is left to the tables.
+ */
 
-const storedSchemas = {
-  rollouts: looseObject({
-    rollouts: v.array(
-      looseObject({
-        generation: v.number(),
-        status: v.string(),
-        wave: v.number(),
-        waves: v.number(),
-        troubled: v.boolean(),
-        targets: v.array(
-          looseObject({ node: v.string(), status: v.string(), wave: v.number(), text: v.string() }),
-        ),
-      }),
-    ),
-  }),
-  nodes: looseObject({
-    nodes: v.array(
-      looseObject({
-        node: v.string(),
-        assigned: v.nullish(looseObject({ generation: v.number() })),
-        desired: v.nullish(looseObject({ generation: v.number() })),
-        failed: optionalString,
-        reported: looseObject({ generation: v.number(), phase: v.string() }),
-      }),
-    ),
-  }),
-  purges: looseObject({
-    purges: v.array(
-      looseObject({ seq: v.number(), aims: v.array(looseObject({ by: v.string() })) }),
-    ),
-  }),
-  verdicts: looseObject({
-    verdicts: v.array(
-      looseObject({
-        service: v.string(),
-        release: v.string(),
-        state: v.string(),
-        spent: v.number(),
-        bad: v.number(),
-      }),
-    ),
-  }),
-  store: looseObject({
-    store: v.string(),
-    epoch: v.number(),
-    entries: v.number(),
-    waitlist: v.number(),
-    metadata: v.nullish(
-      looseObject({
-        inSyncSet: v.array(v.string()),
-        stores: v.array(looseObject({ node: v.string() })),
-      }),
-    ),
-  }),
-} as const;
-export type StoredState = {
-  readonly [K in keyof typeof storedSchemas]: v.InferOutput<(typeof storedSchemas)[K]> | undefined;
-};
+import type * as v from 'valibot';
+import { type Address, isAddress } from '@switchwheel/types';
+import { fetchAs, fetchFirst } from './fetch.js';
+import {
+  type FleetState,
+  type ProxyState,
+  type StoredState,
+  fleetSchema,
+  proxySchema,
+  storedSchemas,
+} from './schemas.js';
 
-/** All that could be learned of the fleet just now, and who did not answer. */
+/** All that could be learned of the fleet, and which processes did not answer. */
 export interface FleetSnapshot {
+  /** The fleet as each registry that answered sees it. */
   readonly fleets: readonly FleetState[];
   readonly proxies: readonly ProxyState[];
   readonly stored: StoredState;
-  /** Processes that were asked and did not answer. */
+  /** Processes that did not answer: the address of a registry, the name of a proxy. */
   readonly unanswered: readonly string[];
-  /** Parts that nobody could tell. */
+  /** Parts that no process could answer, each with the reason. */
   readonly missing: readonly string[];
-  /** How old the oldest word used is, in milliseconds. */
+  /** The age of the oldest message of the primary that a registry relied on. */
   readonly ageMs: number;
 }
 
-const fetchJson = async (address: string, path: string, timeoutMs: number): Promise<unknown> => {
-  const reply = await got(`http://${address}${path}`, {
-    retry: { limit: 0 },
-    throwHttpErrors: false,
-    timeout: { request: timeoutMs },
-  }).catch(() => undefined);
-  if (reply?.statusCode !== 200) return undefined;
-  try {
-    const raw: unknown = JSON.parse(reply.body);
-    return raw;
-  } catch {
-    return undefined;
-  }
-};
-
-const parseAs = <T>(schema: v.GenericSchema<unknown, T>, raw: unknown): T | undefined => {
-  const parsed = v.safeParse(schema, raw);
-  return parsed.success ? parsed.output : undefined;
-};
-
-const fetchFirst = async <T>(
-  schema: v.GenericSchema<unknown, T>,
-  addresses: readonly string[],
-  path: string,
-  timeoutMs: number,
-): Promise<T | undefined> => {
-  for (const door of addresses.slice(0, 3)) {
-    const found = parseAs(schema, await fetchJson(door, path, timeoutMs));
-    if (found !== undefined) return found;
-  }
-  return undefined;
-};
+interface RegistryAnswer {
+  readonly address: string;
+  readonly fleet: FleetState;
+}
 
-/** Asks every registry that is known, then every proxy, then the primary through a registry that answered. */
-export const collectSnapshot = async (
+/** Asks the registries that are given, then those that they name, until none is new. */
+const collectRegistries = async (
   registries: readonly Address[],
-  sources: ReadonlySet<string>,
   timeoutMs: number,
-): Promise<FleetSnapshot> => {
-  const doors = new Set<string>(registries);
+  unanswered: string[],
+): Promise<readonly RegistryAnswer[]> => {
+  const addresses = new Set<string>(registries);
   const asked = new Set<string>();
-  const fleets: FleetState[] = [];
-  const silent: string[] = [];
-  const answering: string[] = [];
+  const answers: RegistryAnswer[] = [];
   for (;;) {
-    const next = [...doors].filter((one) => !asked.has(one));
-    if (next.length === 0) break;
-    for (const one of next) asked.add(one);
-    const words = await Promise.all(
-      next.map(async (door) => ({
-        door,
-        word: parseAs(fleetSchema, await fetchJson(door, '/v1/fleet', timeoutMs)),
+    const next = [...addresses].filter((address) => !asked.has(address));
+    if (next.length === 0) return answers;
+    for (const address of next) asked.add(address);
+    const replies = await Promise.all(
+      next.map(async (address) => ({
+        address,
+        fleet: await fetchAs(fleetSchema, address, '/v1/fleet', timeoutMs),
       })),
     );
-    for (const { door, word } of words) {
-      if (word === undefined) silent.push(door);
-      else {
-        fleets.push(word);
-        answering.push(door);
-        for (const node of word.nodes)
-          if (node.role === 'registry' && isAddress(node.admin)) doors.add(node.admin);
+    for (const { address, fleet } of replies) {
+      if (fleet === undefined) {
+        unanswered.push(address);
+        continue;
       }
+      answers.push({ address, fleet });
+      for (const node of fleet.nodes)
+        if (node.role === 'registry' && isAddress(node.admin)) addresses.add(node.admin);
     }
   }
+};
+
+/** Asks the shields and edges that the sources call for, sorted by name. */
+const collectProxies = async (
+  fleets: readonly FleetState[],
+  sources: ReadonlySet<string>,
+  timeoutMs: number,
+  unanswered: string[],
+): Promise<readonly ProxyState[]> => {
   const known = new Map<string, { readonly admin: string; readonly role: string }>();
-  for (const word of fleets)
-    for (const node of word.nodes)
+  for (const fleet of fleets)
+    for (const node of fleet.nodes)
       if (isAddress(node.admin)) known.set(node.node, { admin: node.admin, role: node.role });
   const wanted = [...known].filter(
-    ([, one]) =>
-      (one.role === 'shield' && sources.has('keepers')) ||
-      (one.role === 'edge' && sources.has('edges')),
+    ([, { role }]) =>
+      (role === 'shield' && sources.has('keepers')) || (role === 'edge' && sources.has('edges')),
   );
   const proxies: ProxyState[] = [];
   await Promise.all(
-    wanted.map(async ([name, one]) => {
-      const word = parseAs(proxySchema, await fetchJson(one.admin, '/state', timeoutMs));
-      if (word === undefined) silent.push(name);
-      else proxies.push(word);
+    wanted.map(async ([name, { admin }]) => {
+      const proxy = await fetchAs(proxySchema, admin, '/state', timeoutMs);
+      if (proxy === undefined) unanswered.push(name);
+      else proxies.push(proxy);
     }),
   );
-  const best = [...answering].sort(
-    (one, two) => feedAge(fleets, answering, one) - feedAge(fleets, answering, two),
-  );
-  const storedOf = <T>(
+  return proxies.sort((one, two) => (one.node < two.node ? -1 : 1));
+};
+
+/** Asks for the stored parts through the registries that heard from the primary last. */
+const collectStored = async (
+  answers: readonly RegistryAnswer[],
+  sources: ReadonlySet<string>,
+  timeoutMs: number,
+): Promise<StoredState> => {
+  const feedAgeMs = ({ fleet }: RegistryAnswer): number => fleet.feedAgeMs ?? Infinity;
+  const addresses = [...answers]
+    .sort((one, two) => feedAgeMs(one) - feedAgeMs(two))
+    .map(({ address }) => address);
+  const fetchPart = <T>(
     name: string,
     schema: v.GenericSchema<unknown, T>,
   ): Promise<T | undefined> =>
     sources.has(name)
-      ? fetchFirst(schema, best, `/v1/${name}`, timeoutMs)
+      ? fetchFirst(schema, addresses, `/v1/${name}`, timeoutMs)
       : Promise.resolve(undefined);
-  const stored: StoredState = {
-    rollouts: await storedOf('rollouts', storedSchemas.rollouts),
-    nodes: await storedOf('nodes', storedSchemas.nodes),
-    purges: await storedOf('purges', storedSchemas.purges),
-    verdicts: await storedOf('verdicts', storedSchemas.verdicts),
-    store: await storedOf('store', storedSchemas.store),
+  return {
+    rollouts: await fetchPart('rollouts', storedSchemas.rollouts),
+    nodes: await fetchPart('nodes', storedSchemas.nodes),
+    purges: await fetchPart('purges', storedSchemas.purges),
+    verdicts: await fetchPart('verdicts', storedSchemas.verdicts),
+    store: await fetchPart('store', storedSchemas.store),
   };
+};
+
+/** Collects what a query needs; `sources` names the parts beside the registries' own state. */
+export const collectSnapshot = async (
+  registries: readonly Address[],
+  sources: ReadonlySet<string>,
+  timeoutMs: number,
+): Promise<FleetSnapshot> => {
+  const unanswered: string[] = [];
+  const answers = await collectRegistries(registries, timeoutMs, unanswered);
+  const fleets = answers.map(({ fleet }) => fleet);
+  const proxies = await collectProxies(fleets, sources, timeoutMs, unanswered);
+  const stored = await collectStored(answers, sources, timeoutMs);
   const missing = Object.entries(stored)
-    .filter(([name, word]) => sources.has(name) && word === undefined)
+    .filter(([name, part]) => sources.has(name) && part === undefined)
     .map(([name]) => `${name} (the primary does not answer)`);
   if (fleets.length === 0) missing.push('everything (no registry answers)');
   return {
     fleets,
-    proxies: proxies.sort((one, two) => (one.node < two.node ? -1 : 1)),
+    proxies,
     stored,
-    unanswered: silent.sort(),
+    unanswered: unanswered.sort(),
     missing,
-    ageMs: Math.max(0, ...fleets.map((one) => one.feedAgeMs ?? 0)),
+    ageMs: Math.max(0, ...fleets.map((fleet) => fleet.feedAgeMs ?? 0)),
   };
 };
-
-const feedAge = (fleets: readonly FleetState[], doors: readonly string[], door: string): number =>
-  fleets[doors.indexOf(door)]?.feedAgeMs ?? Infinity;
