--- a/packages/query-shell/src/shell/shell.ts
+++ b/packages/query-shell/src/shell/shell.ts
@@ -1,9 +1,13 @@
+/** The interactive shell, and queries that are run again and again. */
+
 import { appendFileSync, existsSync, readFileSync } from 'node:fs';
 import { createInterface } from 'node:readline';
-import { complete } from '../query/query.js';
-import { type Reach, helpText, readQuery, show } from './ask.js';
+import { completions } from '../query/completions.js';
+import { type QueryTarget, helpText, readQuery, answerQuery } from './answer.js';
+
+const maxHistoryLines = 500;
 
-const pause = (ms: number, stop: AbortSignal): Promise<void> =>
+const delay = (ms: number, stop: AbortSignal): Promise<void> =>
   new Promise((done) => {
     const timer = setTimeout(done, ms);
     stop.addEventListener(
@@ -16,10 +20,10 @@
     );
   });
 
-/** Asks again and again until stopped. */
-export const follow = async (
+/** Runs a query once, or until stopped if it follows; returns whether the last run had an answer. */
+export const runAndFollow = async (
   line: string,
-  reach: Reach,
+  target: QueryTarget,
   stop: AbortSignal,
   print: (text: string) => void,
 ): Promise<boolean> => {
@@ -28,36 +32,36 @@
     print(query.error);
     return false;
   }
-  let answered = false;
+  let hasAnswer = false;
   do {
-    const shown = await show(query.value, reach);
-    answered = shown.answered;
-    print(shown.text);
+    const output = await answerQuery(query.value, target);
+    hasAnswer = output.hasAnswer;
+    print(output.text);
     if (query.value.followMs === undefined) break;
-    await pause(query.value.followMs, stop);
+    await delay(query.value.followMs, stop);
   } while (!stop.aborted);
-  return answered;
+  return hasAnswer;
 };
 
-/** The shell: a line is a query; history goes to a file if one is named. */
-export const shell = (reach: Reach, historyFile: string | undefined): Promise<void> => {
-  const past =
+/** Reads queries line by line until the input ends; the history is kept in a file if one is named. */
+export const runShell = (target: QueryTarget, historyFile: string | undefined): Promise<void> => {
+  const history =
     historyFile !== undefined && existsSync(historyFile)
       ? readFileSync(historyFile, 'utf8')
           .split('\n')
           .filter((one) => one !== '')
           .reverse()
-          .slice(0, 500)
+          .slice(0, maxHistoryLines)
       : [];
   const lines = createInterface({
     input: process.stdin,
     output: process.stdout,
     prompt: 'query-shell> ',
-    history: past,
+    history,
     completer: (line: string): [string[], string] => {
       const word = /[^\s|,]*$/.exec(line)?.[0] ?? '';
       return [
-        complete(line)
+        completions(line)
           .filter((one) => one.startsWith(word))
           .map((one) => `${one} `),
         word,
@@ -65,20 +69,20 @@
     },
   });
   let stop = new AbortController();
-  let waiting: Promise<unknown> = Promise.resolve();
+  let lastCommand: Promise<unknown> = Promise.resolve();
   lines.on('SIGINT', () => {
     stop.abort();
     lines.prompt();
   });
   lines.on('line', (raw) => {
     const line = raw.trim();
-    waiting = waiting.then(async () => {
+    lastCommand = lastCommand.then(async () => {
       if (line === 'quit' || line === 'exit') lines.close();
       else if (line === 'help') process.stdout.write(`${helpText}\n`);
       else if (line !== '') {
         if (historyFile !== undefined) appendFileSync(historyFile, `${line}\n`);
         stop = new AbortController();
-        await follow(line, reach, stop.signal, (text) => process.stdout.write(`${text}\n`));
+        await runAndFollow(line, target, stop.signal, (text) => process.stdout.write(`${text}\n`));
       }
       if (line !== 'quit' && line !== 'exit') lines.prompt();
     });
@@ -87,7 +91,7 @@
   return new Promise((done) =>
     lines.on('close', () => {
       stop.abort();
-      void waiting.then(() => done());
+      void lastCommand.then(() => done());
     }),
   );
 };
--- a/packages/switchwheel/src/index.ts
+++ b/packages/switchwheel/src/index.ts
@@ -1,1 +1,3 @@
-export { run } from './command/run.js';
+/** The operators' command line of switchwheel, as a function. */
+
+export { runCommand } from './command/run.js';
