--- a/packages/model-checker/src/cluster/agenda.ts
+++ b/packages/model-checker/src/cluster/event-queue.ts
@@ -1,11 +1,11 @@
 /** A queue of what happens when; entries of one time keep the order in which they were added. */
-export class Agenda<T> {
+export class EventQueue<T> {
   #entries: { readonly at: number; readonly order: number; readonly item: T }[] = [];
   #order = 0;
 
   /** An independent copy. */
-  clone(): Agenda<T> {
-    const copy = new Agenda<T>();
+  clone(): EventQueue<T> {
+    const copy = new EventQueue<T>();
     copy.#entries = [...this.#entries];
     copy.#order = this.#order;
     return copy;
@@ -30,7 +30,7 @@
     return this.#entries.at(-1)?.at;
   }
 
-  take(): { readonly at: number; readonly item: T } | undefined {
+  takeNext(): { readonly at: number; readonly item: T } | undefined {
     return this.#entries.pop();
   }
 
--- a/packages/model-checker/src/cluster/invariants.test.ts
+++ b/packages/model-checker/src/cluster/invariants.test.ts
@@ -3,7 +3,7 @@
 import { noSeq, toNodeId, toSeq } from '@switchwheel/types';
 import type { Electorate } from '@switchwheel/transport';
 import { InvariantMonitor, majoritiesIntersect } from './invariants.js';
-import { addressOf } from './names.js';
+import { addressOf } from './endpoints.js';
 
 const electorate = (serial: number, ...machines: readonly number[]): Electorate => ({
   serial: serial === 0 ? noSeq : toSeq(serial),
--- a/packages/model-checker/src/cluster/invariants.ts
+++ b/packages/model-checker/src/cluster/invariants.ts
@@ -27,7 +27,7 @@
 }
 
 /** How often the invariants were put to the test: a run that tests nothing proves nothing. */
-export interface Exercise {
+export interface ExerciseCounts {
   confirmedWrites: number;
   reads: number;
   leasesWon: number;
@@ -60,7 +60,7 @@
   violation: Violation | undefined;
   /** Invariants that are not judged, as it is known that they do not hold. */
   readonly ignored: ReadonlySet<Invariant>;
-  exercise: Exercise = { confirmedWrites: 0, reads: 0, leasesWon: 0, electorateChanges: 0 };
+  exercise: ExerciseCounts = { confirmedWrites: 0, reads: 0, leasesWon: 0, electorateChanges: 0 };
 
   constructor(ignored: ReadonlySet<Invariant> = new Set()) {
     this.ignored = ignored;
--- a/packages/model-checker/src/cluster/links.ts
+++ b/packages/model-checker/src/cluster/links.ts
@@ -1,7 +1,7 @@
 import type { Endpoint, MessageFault } from '../schedule/deviation.js';
 
 /** A cut that stands: whose messages it stops, in which way, and until when. */
-export interface StandingCut {
+export interface ActiveCut {
   readonly machine: number;
   readonly peer: number | 'all';
   readonly way: 'both' | 'inbound' | 'outbound';
@@ -9,7 +9,7 @@
   readonly until: number;
 }
 
-const stops = (cut: StandingCut, from: number, to: number): boolean => {
+const isBlocking = (cut: ActiveCut, from: number, to: number): boolean => {
   const outbound = cut.machine === from && (cut.peer === 'all' || cut.peer === to);
   const inbound = cut.machine === to && (cut.peer === 'all' || cut.peer === from);
   return (outbound && cut.way !== 'inbound') || (inbound && cut.way !== 'outbound');
@@ -17,13 +17,13 @@
 
 /** The cut that a message meets now, the longest first. */
 export const cutBetween = (
-  cuts: readonly StandingCut[],
+  cuts: readonly ActiveCut[],
   from: number,
   to: number,
   now: number,
-): StandingCut | undefined =>
+): ActiveCut | undefined =>
   cuts
-    .filter((one) => now < one.until && stops(one, from, to))
+    .filter((one) => now < one.until && isBlocking(one, from, to))
     .sort((one, two) => two.until - one.until)[0];
 
 const sameEndpoint = (one: Endpoint, two: Endpoint): boolean =>
--- a/packages/model-checker/src/cluster/machine.ts
+++ b/packages/model-checker/src/cluster/machine.ts
@@ -17,42 +17,42 @@
 import type { Role } from '../schedule/deviation.js';
 import type { ClusterLayout } from '../schedule/scenario.js';
 import type { DiskImage } from './disk.js';
-import { addressOf, nodeOf } from './names.js';
+import { addressOf, nodeOf } from './endpoints.js';
 
 /** A machine with its processes' states; never changed in place. */
 export interface Machine {
   readonly index: number;
-  readonly running: boolean;
-  readonly paused: boolean;
+  readonly isRunning: boolean;
+  readonly isPaused: boolean;
   /** How often it was started; 0 if it never was. */
-  readonly life: number;
+  readonly incarnation: number;
   readonly clockOffset: number;
   readonly clockRate: number;
   readonly registry: RegistryState | undefined;
   readonly store: StoreState | undefined;
   readonly disk: DiskImage | undefined;
-  readonly diskTrouble: 'none' | 'stalled' | 'full';
+  readonly diskFault: 'none' | 'stalled' | 'full';
   /** When the last trouble that a fault caused here was over; -Infinity if there was none. */
-  readonly troubledUntil: number;
+  readonly faultedUntil: number;
   /** When it last ran again after a crash. */
   readonly crashedUntil: number;
 }
 
-const firstReading = 5000;
-const readingStep = 1117;
+const firstClockReading = 5000;
+const clockReadingStep = 1117;
 
 export const newMachine = (layout: ClusterLayout, index: number): Machine => ({
   index,
-  running: false,
-  paused: false,
-  life: 0,
-  clockOffset: firstReading + readingStep * index,
+  isRunning: false,
+  isPaused: false,
+  incarnation: 0,
+  clockOffset: firstClockReading + clockReadingStep * index,
   clockRate: layout.clockRates[index] ?? 1,
   registry: undefined,
   store: undefined,
   disk: undefined,
-  diskTrouble: 'none',
-  troubledUntil: -Infinity,
+  diskFault: 'none',
+  faultedUntil: -Infinity,
   crashedUntil: -Infinity,
 });
 
@@ -65,7 +65,7 @@
   role,
   area: toZoneName(`zone-${machine.index}`),
   address: addressOf({ machine: machine.index, role }),
-  incarnation: toIncarnation(machine.life),
+  incarnation: toIncarnation(machine.incarnation),
 });
 
 export const peerOf = (machine: Machine, role: Role): Peer => {
@@ -98,9 +98,14 @@
 
 /** Starts the processes of a machine; only a founder's first life may found the cluster. */
 export const startMachine = (machine: Machine, layout: ClusterLayout, at: number): Machine => {
-  const next: Machine = { ...machine, life: machine.life + 1, running: true, paused: false };
-  const founds = next.life === 1 && machine.index < layout.founders;
-  const seed = (layout.seed * 7919 + machine.index * 104_729 + next.life * 1_299_709) >>> 0;
+  const next: Machine = {
+    ...machine,
+    incarnation: machine.incarnation + 1,
+    isRunning: true,
+    isPaused: false,
+  };
+  const founds = next.incarnation === 1 && machine.index < layout.founders;
+  const seed = (layout.seed * 7919 + machine.index * 104_729 + next.incarnation * 1_299_709) >>> 0;
   const registry = newRegistryState(
     memberOf(next, 'registry'),
     seedsOf(layout),
@@ -123,8 +128,8 @@
 /** Ends the processes of a machine. */
 export const stopMachine = (machine: Machine): Machine => ({
   ...machine,
-  running: false,
-  paused: false,
+  isRunning: false,
+  isPaused: false,
   registry: undefined,
   store: undefined,
 });
--- a/packages/model-checker/src/cluster/operator.ts
+++ b/packages/model-checker/src/cluster/operator.ts
@@ -3,16 +3,16 @@
 import { configurationHash, contentHash } from '@switchwheel/configuration';
 
 /** How often the operator acts. */
-export const operatorInterval = 110;
+export const operatorIntervalMs = 110;
 /** How long it waits for an answer before it asks another machine, with the same id. */
-const retryAfter = 1300;
+const retryAfterMs = 1300;
 /** How often a write is sent again at most. */
 const maxAttempts = 4;
 /** How many writes it has under way at most. */
-const maxOpen = 6;
+const maxOpenWrites = 6;
 
 /** A call that a registry is to be given, and what the operator keeps to judge the answer. */
-export interface OperatorCall {
+export interface OperatorRequest {
   readonly machine: number;
   readonly call: ExternalRequest;
   readonly expected:
@@ -28,7 +28,7 @@
 
 /** Two operators hand in different contents under some numbers: one of them is refused. */
 type Author = 'write' | 'rival';
-const rivalTurns = 6;
+const turnsPerRival = 6;
 
 const writeCall = (
   number: number,
@@ -56,7 +56,11 @@
 }
 export const newOperator: Operator = { turn: 0, nextNumber: 1, open: [] };
 
-const toWrite = (number: number, machine: number, author: Author = 'write'): OperatorCall => {
+const writeRequest = (
+  number: number,
+  machine: number,
+  author: Author = 'write',
+): OperatorRequest => {
   const call = writeCall(number, author, toCommandId(`${author}-${number}`));
   return { machine, call, expected: { kind: 'write', number, hash: call.hash } };
 };
@@ -66,25 +70,25 @@
   operator: Operator,
   machines: number,
   now: number,
-): readonly [Operator, readonly OperatorCall[]] => {
-  const calls: OperatorCall[] = [];
-  const due = operator.open.filter((one) => now - one.sentAt >= retryAfter);
-  const waiting = operator.open.filter((one) => now - one.sentAt < retryAfter);
+): readonly [Operator, readonly OperatorRequest[]] => {
+  const calls: OperatorRequest[] = [];
+  const due = operator.open.filter((one) => now - one.sentAt >= retryAfterMs);
+  const waiting = operator.open.filter((one) => now - one.sentAt < retryAfterMs);
   const repeated = due.filter((one) => one.attempts < maxAttempts);
   for (const one of repeated)
-    calls.push(toWrite(one.number, (one.number + one.attempts) % machines));
+    calls.push(writeRequest(one.number, (one.number + one.attempts) % machines));
   const open = [
     ...waiting,
     ...repeated.map((one) => ({ ...one, sentAt: now, attempts: one.attempts + 1 })),
   ];
   let nextNumber = operator.nextNumber;
-  if (operator.turn % 2 === 0 && open.length < maxOpen) {
-    calls.push(toWrite(nextNumber, nextNumber % machines));
+  if (operator.turn % 2 === 0 && open.length < maxOpenWrites) {
+    calls.push(writeRequest(nextNumber, nextNumber % machines));
     open.push({ number: nextNumber, sentAt: now, attempts: 1 });
     nextNumber += 1;
   }
-  if (operator.turn % rivalTurns === 1)
-    calls.push(toWrite(nextNumber - 1, operator.turn % machines, 'rival'));
+  if (operator.turn % turnsPerRival === 1)
+    calls.push(writeRequest(nextNumber - 1, operator.turn % machines, 'rival'));
   calls.push({
     machine: operator.turn % machines,
     call: { verb: 'view', id: toCommandId(`read-${operator.turn}`), what: 'description' },
--- a/packages/model-checker/src/cluster/simulation.ts
+++ b/packages/model-checker/src/cluster/simulation.ts
@@ -13,34 +13,34 @@
 } from '@switchwheel/membership';
 import type { Crash, Cut, Deviation, Endpoint, MessageFault, Role } from '../schedule/deviation.js';
 import type { ClusterLayout } from '../schedule/scenario.js';
-import { Agenda } from './agenda.js';
+import { EventQueue } from './event-queue.js';
 import { type DiskImage, applyWrite, readImage } from './disk.js';
 import { type Invariant, InvariantMonitor } from './invariants.js';
-import { type StandingCut, cutBetween, faultApplies } from './links.js';
+import { type ActiveCut, cutBetween, faultApplies } from './links.js';
 import { type Machine, clockOf, newMachine, peerOf, startMachine, stopMachine } from './machine.js';
-import { addressOf, endpointAt, nodeOf } from './names.js';
+import { addressOf, endpointAt, nodeOf } from './endpoints.js';
 import {
   type Operator,
-  type OperatorCall,
+  type OperatorRequest,
   closeWrite,
   newOperator,
-  operatorInterval,
+  operatorIntervalMs,
   operatorTurn,
 } from './operator.js';
 
 /** How long a message takes within a machine and between machines, and a write to a disk. */
-const localLatency = 1;
-const networkLatency = 2;
-const diskLatency = 3;
-const compileLatency = 1;
-const tickInterval = 30;
+const localLatencyMs = 1;
+const networkLatencyMs = 2;
+const diskLatencyMs = 3;
+const compileLatencyMs = 1;
+const tickIntervalMs = 30;
 /** How long the machines must have been well for a lost disk to be one loss at a time. */
-const recoveryTime = 5000;
+const recoveryMs = 5000;
 /** How long a machine must have been well to count as reachable when a write is confirmed. */
-const settledTime = 3000;
+const settledMs = 3000;
 
-type Item =
-  | { readonly kind: 'tick'; readonly process: Endpoint; readonly life: number }
+type ScheduledEvent =
+  | { readonly kind: 'tick'; readonly target: Endpoint; readonly incarnation: number }
   | {
       readonly kind: 'message';
       readonly from: Peer;
@@ -49,22 +49,22 @@
       readonly frame: Frame;
     }
   | { readonly kind: 'gone'; readonly of: Endpoint; readonly to: Endpoint }
-  | { readonly kind: 'read disk'; readonly machine: number; readonly life: number }
+  | { readonly kind: 'read disk'; readonly machine: number; readonly incarnation: number }
   | {
       readonly kind: 'disk write';
       readonly machine: number;
-      readonly life: number;
+      readonly incarnation: number;
       readonly write: DiskWrite;
     }
   | {
       readonly kind: 'store event';
       readonly machine: number;
-      readonly life: number;
+      readonly incarnation: number;
       readonly event: (now: ReturnType<typeof toTimestamp>) => StoreEvent;
     }
   | {
       readonly kind: 'call';
-      readonly call: OperatorCall;
+      readonly call: OperatorRequest;
       readonly floor: number;
       readonly ref: number;
     }
@@ -89,15 +89,15 @@
   readonly layout: ClusterLayout;
   #now = 0;
   #steps = 0;
-  #ref = 0;
-  #agenda = new Agenda<Item>();
+  #lastRequest = 0;
+  #eventQueue = new EventQueue<ScheduledEvent>();
   #machines: Machine[];
-  #held: Item[] = [];
-  #cuts: StandingCut[] = [];
+  #heldEvents: ScheduledEvent[] = [];
+  #cuts: ActiveCut[] = [];
   #messageFaults: MessageFault[] = [];
   #operator: Operator = newOperator;
-  #waiting = new Map<number, { readonly call: OperatorCall; readonly floor: number }>();
-  #diskLost = false;
+  #pendingReplies = new Map<number, { readonly call: OperatorRequest; readonly floor: number }>();
+  #isDiskLost = false;
   #monitor = new InvariantMonitor();
   /** Told of each event that a process acted on, and of each message sent. */
   observer: ((occurrence: Occurrence) => void) | undefined;
@@ -110,22 +110,22 @@
       : Array.from({ length: size }, (_, index) => newMachine(layout, index));
     if (machines !== undefined) return;
     for (let index = 0; index < layout.founders; index += 1)
-      this.#agenda.add(index * 2, { kind: 'start', machine: index });
-    this.#agenda.add(operatorInterval, { kind: 'operator' });
+      this.#eventQueue.add(index * 2, { kind: 'start', machine: index });
+    this.#eventQueue.add(operatorIntervalMs, { kind: 'operator' });
   }
 
   clone(): Simulation {
     const copy = new Simulation(this.layout, this.#machines);
     copy.#now = this.#now;
     copy.#steps = this.#steps;
-    copy.#ref = this.#ref;
-    copy.#agenda = this.#agenda.clone();
-    copy.#held = [...this.#held];
+    copy.#lastRequest = this.#lastRequest;
+    copy.#eventQueue = this.#eventQueue.clone();
+    copy.#heldEvents = [...this.#heldEvents];
     copy.#cuts = [...this.#cuts];
     copy.#messageFaults = [...this.#messageFaults];
     copy.#operator = this.#operator;
-    copy.#waiting = new Map(this.#waiting);
-    copy.#diskLost = this.#diskLost;
+    copy.#pendingReplies = new Map(this.#pendingReplies);
+    copy.#isDiskLost = this.#isDiskLost;
     copy.#monitor = this.#monitor.clone();
     return copy;
   }
@@ -155,18 +155,18 @@
   /** Adds a deviation that is still to come. */
   deviate(deviation: Deviation): void {
     if (deviation.kind === 'message') this.#messageFaults.push(deviation);
-    else this.#agenda.add(deviation.at, { kind: 'deviation', deviation });
+    else this.#eventQueue.add(deviation.at, { kind: 'deviation', deviation });
   }
 
   /** Runs until a moment, or until an invariant does not hold. */
   runUntil(end: number): void {
     while (this.#monitor.violation === undefined) {
-      const next = this.#agenda.nextAt;
+      const next = this.#eventQueue.nextAt;
       if (next === undefined || next > end) break;
-      const entry = this.#agenda.take();
+      const entry = this.#eventQueue.takeNext();
       if (entry === undefined) break;
       this.#now = Math.max(this.#now, entry.at);
-      this.#act(entry.item);
+      this.#runEvent(entry.item);
     }
     this.#now = Math.max(this.#now, end);
   }
@@ -175,16 +175,16 @@
     return this.#machines[index];
   }
 
-  #change(index: number, change: Partial<Machine>): void {
+  #updateMachine(index: number, change: Partial<Machine>): void {
     const machine = this.#machines[index];
     if (machine !== undefined) this.#machines[index] = { ...machine, ...change };
   }
 
-  #after(span: number, item: Item): void {
-    this.#agenda.add(this.#now + span, item);
+  #schedule(span: number, item: ScheduledEvent): void {
+    this.#eventQueue.add(this.#now + span, item);
   }
 
-  #act(item: Item): void {
+  #runEvent(item: ScheduledEvent): void {
     switch (item.kind) {
       case 'operator':
         this.#runOperator();
@@ -199,28 +199,28 @@
         this.#wake(item.machine);
         return;
       case 'disk well':
-        this.#change(item.machine, { diskTrouble: 'none', troubledUntil: this.#now });
-        this.#release((one) => one.kind === 'disk write' && one.machine === item.machine);
+        this.#updateMachine(item.machine, { diskFault: 'none', faultedUntil: this.#now });
+        this.#releaseHeld((one) => one.kind === 'disk write' && one.machine === item.machine);
         return;
       case 'disk write':
         this.#writeDisk(item);
         return;
       default:
-        this.#actAsProcess(item);
+        this.#runProcessEvent(item);
     }
   }
 
   /** Puts back what was held, in its order. */
-  #release(matches: (item: Item) => boolean, delay = 0): void {
-    const due = this.#held.filter(matches);
-    this.#held = this.#held.filter((one) => !matches(one));
-    for (const one of due) this.#after(delay, one);
+  #releaseHeld(matches: (item: ScheduledEvent) => boolean, delay = 0): void {
+    const due = this.#heldEvents.filter(matches);
+    this.#heldEvents = this.#heldEvents.filter((one) => !matches(one));
+    for (const one of due) this.#schedule(delay, one);
   }
 
-  #machineOf(item: Item): number {
+  #machineIndexOf(item: ScheduledEvent): number {
     switch (item.kind) {
       case 'tick':
-        return item.process.machine;
+        return item.target.machine;
       case 'message':
       case 'gone':
         return item.to.machine;
@@ -234,20 +234,20 @@
     }
   }
 
-  #actAsProcess(item: Item): void {
-    const machine = this.#machine(this.#machineOf(item));
-    if (machine === undefined || !machine.running) return;
-    if ('life' in item && item.life !== machine.life) return;
-    if (machine.paused) {
-      this.#held.push(item);
+  #runProcessEvent(item: ScheduledEvent): void {
+    const machine = this.#machine(this.#machineIndexOf(item));
+    if (machine === undefined || !machine.isRunning) return;
+    if ('incarnation' in item && item.incarnation !== machine.incarnation) return;
+    if (machine.isPaused) {
+      this.#heldEvents.push(item);
       return;
     }
     this.#steps += 1;
     const now = clockOf(machine, this.#now);
     switch (item.kind) {
       case 'tick':
-        this.#deliver(machine, item.process.role, { kind: 'tick', now });
-        this.#after(tickInterval, item);
+        this.#deliver(machine, item.target.role, { kind: 'tick', now });
+        this.#schedule(tickIntervalMs, item);
         break;
       case 'message':
         this.#deliver(machine, item.to.role, {
@@ -271,7 +271,7 @@
         this.#stepStore(machine, item.event(now));
         break;
       case 'call':
-        this.#waiting.set(item.ref, { call: item.call, floor: item.floor });
+        this.#pendingReplies.set(item.ref, { call: item.call, floor: item.floor });
         this.#stepRegistry(machine, {
           kind: 'requestReceived',
           now,
@@ -309,14 +309,14 @@
   #stepStore(machine: Machine, event: StoreEvent): void {
     if (machine.store === undefined) return;
     const result = storeTransition(machine.store, event);
-    this.#change(machine.index, { store: result.state });
+    this.#updateMachine(machine.index, { store: result.state });
     for (const effect of result.effects) this.#runStoreEffect(machine, effect);
   }
 
   #stepRegistry(machine: Machine, event: RegistryEvent): void {
     if (machine.registry === undefined) return;
     const result = registryTransition(machine.registry, event);
-    this.#change(machine.index, { registry: result.state });
+    this.#updateMachine(machine.index, { registry: result.state });
     this.#monitor.onVoter(
       nodeOf({ machine: machine.index, role: 'registry' }),
       result.state.voter.electorate,
@@ -325,16 +325,21 @@
   }
 
   #runStoreEffect(machine: Machine, effect: StoreEffect): void {
-    const { index, life } = machine;
+    const { index, incarnation } = machine;
     switch (effect.kind) {
       case 'writeToDisk':
-        this.#after(diskLatency, { kind: 'disk write', machine: index, life, write: effect.write });
+        this.#schedule(diskLatencyMs, {
+          kind: 'disk write',
+          machine: index,
+          incarnation,
+          write: effect.write,
+        });
         break;
       case 'compileConfiguration':
-        this.#after(compileLatency, {
+        this.#schedule(compileLatencyMs, {
           kind: 'store event',
           machine: index,
-          life,
+          incarnation,
           event: (now) => ({ kind: 'configurationCompiled', now, hash: effect.hash, faults: [] }),
         });
         break;
@@ -368,17 +373,17 @@
     this.#send({ kind: 'message', from: peerOf(machine, role), sender, to, frame });
   }
 
-  #send(message: Extract<Item, { kind: 'message' }>): void {
+  #send(message: Extract<ScheduledEvent, { kind: 'message' }>): void {
     const { sender, to, frame } = message;
     const cut = cutBetween(this.#cuts, sender.machine, to.machine, this.#now);
     if (cut?.messages === 'lost') return;
-    const latency = sender.machine === to.machine ? localLatency : networkLatency;
+    const latency = sender.machine === to.machine ? localLatencyMs : networkLatencyMs;
     const arrival = cut === undefined ? latency : cut.until - this.#now + latency;
     const fault = this.#messageFaults.find((one) =>
       faultApplies(one, frame.kind, sender, to, this.#now),
     );
     if (fault === undefined) {
-      this.#after(arrival, message);
+      this.#schedule(arrival, message);
       return;
     }
     this.#messageFaults = this.#messageFaults.filter((one) => one !== fault);
@@ -386,29 +391,29 @@
       case 'drop':
         break;
       case 'delay':
-        this.#after(arrival + fault.action.byMs, message);
+        this.#schedule(arrival + fault.action.byMs, message);
         break;
       case 'repeat':
-        this.#after(arrival, message);
-        this.#after(arrival + fault.action.afterMs, message);
+        this.#schedule(arrival, message);
+        this.#schedule(arrival + fault.action.afterMs, message);
         break;
     }
   }
 
-  #writeDisk(item: Extract<Item, { kind: 'disk write' }>): void {
+  #writeDisk(item: Extract<ScheduledEvent, { kind: 'disk write' }>): void {
     const machine = this.#machine(item.machine);
-    if (machine?.running !== true || machine.life !== item.life) return;
-    if (machine.diskTrouble === 'stalled') {
-      this.#held.push(item);
+    if (machine?.isRunning !== true || machine.incarnation !== item.incarnation) return;
+    if (machine.diskFault === 'stalled') {
+      this.#heldEvents.push(item);
       return;
     }
-    const full = machine.diskTrouble === 'full';
-    if (!full) this.#store(machine, item.write);
+    const full = machine.diskFault === 'full';
+    if (!full) this.#storeWrite(machine, item.write);
     const { id } = item.write;
-    this.#after(0, {
+    this.#schedule(0, {
       kind: 'store event',
       machine: item.machine,
-      life: item.life,
+      incarnation: item.incarnation,
       event: (now) =>
         full
           ? { kind: 'writeFailed', now, writeId: id, reason: 'no room', isDiskFull: true }
@@ -416,34 +421,34 @@
     });
   }
 
-  #store(machine: Machine, write: DiskWrite): void {
+  #storeWrite(machine: Machine, write: DiskWrite): void {
     const node = nodeOf({ machine: machine.index, role: 'store' });
     this.#monitor.onDiskWrite(node, machine.disk, write, this.#now);
-    this.#change(machine.index, { disk: applyWrite(machine.disk, write) });
+    this.#updateMachine(machine.index, { disk: applyWrite(machine.disk, write) });
   }
 
   #runOperator(): void {
     const [operator, calls] = operatorTurn(this.#operator, this.layout.founders, this.#now);
     this.#operator = operator;
     for (const call of calls) {
-      this.#ref += 1;
-      this.#after(networkLatency, {
+      this.#lastRequest += 1;
+      this.#schedule(networkLatencyMs, {
         kind: 'call',
         call,
         floor: this.#monitor.highestConfirmed,
-        ref: this.#ref,
+        ref: this.#lastRequest,
       });
     }
-    this.#after(operatorInterval, { kind: 'operator' });
+    this.#schedule(operatorIntervalMs, { kind: 'operator' });
   }
 
   #onReply(ref: number, status: number, body: string): void {
-    const asked = this.#waiting.get(ref);
+    const asked = this.#pendingReplies.get(ref);
     if (asked === undefined) return;
-    this.#waiting.delete(ref);
+    this.#pendingReplies.delete(ref);
     if (status !== 200) return;
     const { expected } = asked.call;
-    const answer = readAnswer(body);
+    const answer = parseAnswer(body);
     if (expected.kind === 'read') this.#monitor.onRead(answer.generation, asked.floor, this.#now);
     else {
       this.#operator = closeWrite(this.#operator, expected.number);
@@ -454,14 +459,14 @@
 
   /** A primary answers that a number is accepted: the copies are counted right then. */
   #checkConfirmation(machine: Machine, status: number, body: string): void {
-    const answer = readAnswer(body);
+    const answer = parseAnswer(body);
     const store = machine.store;
     if (status !== 200 || answer.kind !== 'accepted' || store?.metadata === undefined) return;
     const metadata = this.#machine(machine.index)?.store?.metadata ?? store.metadata;
     const images = new Map<NodeId, DiskImage | undefined>(
       this.#machines.map((one) => [nodeOf({ machine: one.index, role: 'store' }), one.disk]),
     );
-    const well = this.#machines.filter((one) => this.#wellFor(one, settledTime)).length;
+    const well = this.#machines.filter((one) => this.#isHealthyFor(one, settledMs)).length;
     this.#monitor.onConfirming(
       answer.generation,
       nodeOf({ machine: machine.index, role: 'store' }),
@@ -473,7 +478,7 @@
   }
 
   /** Whether a machine runs and nothing has been the matter with it for a while. */
-  #wellFor(machine: Machine, span: number): boolean {
+  #isHealthyFor(machine: Machine, span: number): boolean {
     const cut = this.#cuts.some(
       (one) =>
         (one.machine === machine.index || one.peer === machine.index || one.peer === 'all') &&
@@ -481,40 +486,40 @@
         this.#now - one.until < span,
     );
     return (
-      machine.running &&
-      !machine.paused &&
-      machine.diskTrouble === 'none' &&
+      machine.isRunning &&
+      !machine.isPaused &&
+      machine.diskFault === 'none' &&
       !cut &&
-      this.#now - machine.troubledUntil >= span
+      this.#now - machine.faultedUntil >= span
     );
   }
 
   #start(index: number): void {
     const machine = this.#machine(index);
-    if (machine === undefined || machine.running) return;
+    if (machine === undefined || machine.isRunning) return;
     const next = startMachine(machine, this.layout, this.#now);
     this.#machines[index] = {
       ...next,
-      troubledUntil: this.#now,
-      crashedUntil: next.life === 1 ? -Infinity : this.#now,
+      faultedUntil: this.#now,
+      crashedUntil: next.incarnation === 1 ? -Infinity : this.#now,
     };
-    const { life } = next;
-    this.#after(1, { kind: 'read disk', machine: index, life });
+    const { incarnation } = next;
+    this.#schedule(1, { kind: 'read disk', machine: index, incarnation });
     for (const [place, role] of (['registry', 'store'] as const).entries())
-      this.#after(3 + place * 11 + index * 5, {
+      this.#schedule(3 + place * 11 + index * 5, {
         kind: 'tick',
-        process: { machine: index, role },
-        life,
+        target: { machine: index, role },
+        incarnation,
       });
   }
 
   #wake(index: number): void {
     const machine = this.#machine(index);
-    if (machine?.paused !== true) return;
-    this.#change(index, { paused: false, troubledUntil: this.#now });
+    if (machine?.isPaused !== true) return;
+    this.#updateMachine(index, { isPaused: false, faultedUntil: this.#now });
     // A process that slept in its wait for sockets may read all of them before its timers.
-    this.#release((one) => this.#machineOf(one) === index && one.kind !== 'tick');
-    this.#release((one) => this.#machineOf(one) === index, tickInterval);
+    this.#releaseHeld((one) => this.#machineIndexOf(one) === index && one.kind !== 'tick');
+    this.#releaseHeld((one) => this.#machineIndexOf(one) === index, tickIntervalMs);
   }
 
   #runDeviation(deviation: Deviation): void {
@@ -524,17 +529,17 @@
         break;
       case 'pause': {
         const machine = this.#machine(deviation.machine);
-        if (machine?.running !== true || machine.paused) break;
-        this.#change(deviation.machine, { paused: true });
-        this.#after(deviation.forMs, { kind: 'wake', machine: deviation.machine });
+        if (machine?.isRunning !== true || machine.isPaused) break;
+        this.#updateMachine(deviation.machine, { isPaused: true });
+        this.#schedule(deviation.forMs, { kind: 'wake', machine: deviation.machine });
         break;
       }
       case 'cut':
         this.#cut(deviation);
         break;
       case 'disk':
-        this.#change(deviation.machine, { diskTrouble: deviation.trouble });
-        this.#after(deviation.forMs, { kind: 'disk well', machine: deviation.machine });
+        this.#updateMachine(deviation.machine, { diskFault: deviation.trouble });
+        this.#schedule(deviation.forMs, { kind: 'disk well', machine: deviation.machine });
         break;
       case 'join':
         this.#start(deviation.machine);
@@ -546,53 +551,57 @@
 
   #cut(deviation: Cut): void {
     this.#cuts = [
-      ...this.#cuts.filter((one) => this.#now - one.until < recoveryTime),
+      ...this.#cuts.filter((one) => this.#now - one.until < recoveryMs),
       { ...deviation, until: this.#now + deviation.forMs },
     ];
   }
 
   /** Whether losing this disk now is a single loss: no other machine down lately, at most one in trouble. */
   #isSingleLoss(index: number): boolean {
-    const others = this.#machines.filter((one) => one.index !== index && one.life > 0);
-    const down = others.some((one) => !one.running || this.#now - one.crashedUntil < recoveryTime);
-    const troubled = others.filter((one) => !this.#wellFor(one, recoveryTime)).length;
-    return !this.#diskLost && !down && troubled <= 1;
+    const others = this.#machines.filter((one) => one.index !== index && one.incarnation > 0);
+    const down = others.some((one) => !one.isRunning || this.#now - one.crashedUntil < recoveryMs);
+    const troubled = others.filter((one) => !this.#isHealthyFor(one, recoveryMs)).length;
+    return !this.#isDiskLost && !down && troubled <= 1;
   }
 
   #crash(deviation: Crash): void {
     const machine = this.#machine(deviation.machine);
-    if (machine?.running !== true) return;
+    if (machine?.isRunning !== true) return;
     const lost = deviation.disk === 'lost' && this.#isSingleLoss(machine.index);
-    const pending = this.#pendingWrites(machine);
+    const pending = this.#takePendingWrite(machine);
     if (deviation.disk === 'kept with pending write' && pending !== undefined)
-      this.#store(machine, pending);
+      this.#storeWrite(machine, pending);
     const current = this.#machine(deviation.machine) ?? machine;
     this.#machines[machine.index] = {
       ...stopMachine(current),
       disk: lost ? undefined : current.disk,
     };
-    this.#diskLost ||= lost;
-    this.#held = this.#held.filter((one) => this.#machineOf(one) !== machine.index);
+    this.#isDiskLost ||= lost;
+    this.#heldEvents = this.#heldEvents.filter(
+      (one) => this.#machineIndexOf(one) !== machine.index,
+    );
     for (const other of this.#machines)
-      if (other.index !== machine.index && other.running) this.#announceEnd(machine, other);
+      if (other.index !== machine.index && other.isRunning) this.#announceEnd(machine, other);
     if (Number.isFinite(deviation.forMs))
-      this.#after(deviation.forMs, { kind: 'start', machine: machine.index });
+      this.#schedule(deviation.forMs, { kind: 'start', machine: machine.index });
   }
 
   /** The first write that the disk had in hand. */
-  #pendingWrites(machine: Machine): DiskWrite | undefined {
-    const isPending = (item: Item): boolean =>
-      item.kind === 'disk write' && item.machine === machine.index && item.life === machine.life;
-    const pending = [...this.#held.filter(isPending), ...this.#agenda.extract(isPending)];
+  #takePendingWrite(machine: Machine): DiskWrite | undefined {
+    const isPending = (item: ScheduledEvent): boolean =>
+      item.kind === 'disk write' &&
+      item.machine === machine.index &&
+      item.incarnation === machine.incarnation;
+    const pending = [...this.#heldEvents.filter(isPending), ...this.#eventQueue.extract(isPending)];
     const first = pending[0];
-    return first?.kind === 'disk write' && machine.diskTrouble === 'none' ? first.write : undefined;
+    return first?.kind === 'disk write' && machine.diskFault === 'none' ? first.write : undefined;
   }
 
   #announceEnd(machine: Machine, other: Machine): void {
     if (cutBetween(this.#cuts, machine.index, other.index, this.#now) !== undefined) return;
     for (const of of ['registry', 'store'] as const)
       for (const role of ['registry', 'store'] as const)
-        this.#after(networkLatency, {
+        this.#schedule(networkLatencyMs, {
           kind: 'gone',
           of: { machine: machine.index, role: of },
           to: { machine: other.index, role },
@@ -606,7 +615,7 @@
 }
 
 /** The parts of an answer that matter here. */
-const readAnswer = (body: string): Answer => ({
+const parseAnswer = (body: string): Answer => ({
   kind: /"kind":"([a-z]+)"/.exec(body)?.[1] ?? '',
   generation: Number(/"generation":(\d+)/.exec(body)?.[1] ?? 0),
 });
--- a/packages/model-checker/src/explore/candidates.ts
+++ b/packages/model-checker/src/explore/candidates.ts
@@ -16,12 +16,12 @@
   'called',
 ]);
 
-const shortDelay = 400;
+const shortDelayMs = 400;
 /** More than a lease. */
-const longDelay = 1400;
-const restartTime = 5;
+const longDelayMs = 1400;
+const restartMs = 5;
 /** A fault is set after the event that sent the message beside it. */
-const afterEvent = 0.5;
+const afterEventMs = 0.5;
 
 const messageDeviations = (one: Occurrence): readonly Deviation[] => {
   const { at, frame, from, to } = one;
@@ -29,25 +29,25 @@
   const base = { kind: 'message', at, frame, from, to } as const;
   return [
     { ...base, action: { action: 'drop' } },
-    { ...base, action: { action: 'delay', byMs: shortDelay } },
-    { ...base, action: { action: 'delay', byMs: longDelay } },
-    { ...base, action: { action: 'repeat', afterMs: longDelay } },
+    { ...base, action: { action: 'delay', byMs: shortDelayMs } },
+    { ...base, action: { action: 'delay', byMs: longDelayMs } },
+    { ...base, action: { action: 'repeat', afterMs: longDelayMs } },
   ];
 };
 
 const machineDeviations = (machine: number, sentAt: number): readonly Deviation[] => {
-  const at = sentAt + afterEvent;
+  const at = sentAt + afterEventMs;
   return [
-    { kind: 'crash', at, machine, forMs: restartTime, disk: 'kept' },
-    { kind: 'crash', at, machine, forMs: restartTime, disk: 'lost' },
-    { kind: 'crash', at, machine, forMs: longDelay, disk: 'kept with pending write' },
-    { kind: 'pause', at, machine, forMs: shortDelay * 2 },
-    { kind: 'pause', at, machine, forMs: longDelay },
-    { kind: 'cut', at, machine, peer: 'all', way: 'both', messages: 'lost', forMs: longDelay },
-    { kind: 'cut', at, machine, peer: 'all', way: 'both', messages: 'held', forMs: longDelay },
-    { kind: 'cut', at, machine, peer: 'all', way: 'inbound', messages: 'lost', forMs: longDelay },
-    { kind: 'disk', at, machine, trouble: 'stalled', forMs: longDelay },
-    { kind: 'disk', at, machine, trouble: 'full', forMs: longDelay },
+    { kind: 'crash', at, machine, forMs: restartMs, disk: 'kept' },
+    { kind: 'crash', at, machine, forMs: restartMs, disk: 'lost' },
+    { kind: 'crash', at, machine, forMs: longDelayMs, disk: 'kept with pending write' },
+    { kind: 'pause', at, machine, forMs: shortDelayMs * 2 },
+    { kind: 'pause', at, machine, forMs: longDelayMs },
+    { kind: 'cut', at, machine, peer: 'all', way: 'both', messages: 'lost', forMs: longDelayMs },
+    { kind: 'cut', at, machine, peer: 'all', way: 'both', messages: 'held', forMs: longDelayMs },
+    { kind: 'cut', at, machine, peer: 'all', way: 'inbound', messages: 'lost', forMs: longDelayMs },
+    { kind: 'disk', at, machine, trouble: 'stalled', forMs: longDelayMs },
+    { kind: 'disk', at, machine, trouble: 'full', forMs: longDelayMs },
   ];
 };
 
@@ -60,7 +60,7 @@
     (one) =>
       one.store !== undefined && holdsLease(one.store.candidate, clockOf(one, simulation.now)),
   );
-  const others = simulation.machines.filter((one) => one.running && one !== leader);
+  const others = simulation.machines.filter((one) => one.isRunning && one !== leader);
   const withCopy = others.find((one) => one.disk !== undefined);
   const without = others.find((one) => one.disk === undefined);
   return new Set(
--- a/packages/model-checker/src/explore/exhaustive.ts
+++ b/packages/model-checker/src/explore/exhaustive.ts
@@ -3,7 +3,7 @@
 import type { Deviation } from '../schedule/deviation.js';
 import type { ClusterLayout, Scenario } from '../schedule/scenario.js';
 import { candidateDeviations } from './candidates.js';
-import { checkpointBefore, formedAt, formedCluster, runEnd, traceFrom } from './run.js';
+import { checkpointBefore, formedAtMs, formedCluster, runEnd, traceFrom } from './run.js';
 
 /** Bounds of a search over all placements of deviations. */
 export interface ExhaustiveBounds {
@@ -19,7 +19,7 @@
 }
 
 /** An invariant that failed, with the schedule that brings it about. */
-export interface Found {
+export interface FoundViolation {
   readonly scenario: Scenario;
   readonly violation: Violation;
   /** How many states had been looked at by then. */
@@ -28,7 +28,7 @@
 
 /** What was looked at. */
 export interface ExhaustiveResult {
-  readonly found: readonly Found[];
+  readonly found: readonly FoundViolation[];
   readonly states: number;
   readonly runs: number;
   readonly confirmedWrites: number;
@@ -38,7 +38,7 @@
 
 /** Tries every placement of up to so many deviations in a window of the default schedule. */
 class ExhaustiveSearch {
-  readonly found: Found[] = [];
+  readonly found: FoundViolation[] = [];
   states = 0;
   runs = 0;
   confirmedWrites = 0;
@@ -57,7 +57,7 @@
       this.complete = false;
       return;
     }
-    const windowEnd = formedAt + this.#bounds.depth;
+    const windowEnd = formedAtMs + this.#bounds.depth;
     const last = chosen.at(-1);
     const goesOn = chosen.length < this.#bounds.faults;
     const trace = traceFrom(start, last, goesOn ? windowEnd : start.now, runEnd(chosen));
@@ -72,7 +72,7 @@
     }
     if (!goesOn) return;
     const reduceTo = chosen.length === 0 && this.#bounds.faults > 1 ? start : undefined;
-    const after = last?.at ?? formedAt;
+    const after = last?.at ?? formedAtMs;
     for (const one of candidateDeviations(trace.occurrences, after, windowEnd, reduceTo)) {
       const checkpoint = checkpointBefore(trace, one.at);
       if (checkpoint !== undefined) this.explore(checkpoint, [...chosen, one]);
--- a/packages/model-checker/src/explore/random-walk.ts
+++ b/packages/model-checker/src/explore/random-walk.ts
@@ -2,11 +2,11 @@
 import type { Invariant } from '../cluster/invariants.js';
 import { clockOf } from '../cluster/machine.js';
 import type { Occurrence, Simulation } from '../cluster/simulation.js';
-import { type Deviation, type MessageFault, endOf } from '../schedule/deviation.js';
+import { type Deviation, type MessageFault, deviationEnd } from '../schedule/deviation.js';
 import { corpus } from '../schedule/corpus.js';
 import { type ClusterLayout, type Scenario, platformLayout } from '../schedule/scenario.js';
-import { Chooser } from './chooser.js';
-import { type RunResult, formedAt, formedCluster, resultOf, runEnd } from './run.js';
+import { RandomChoices } from './random-choices.js';
+import { type RunResult, formedAtMs, formedCluster, resultOf, runEnd } from './run.js';
 
 /** Bounds of a random walk. */
 export interface WalkBounds {
@@ -26,7 +26,7 @@
 
 type DeviationKind = Deviation['kind'];
 
-const kinds: readonly [DeviationKind, ...DeviationKind[]] = [
+const deviationKinds: readonly [DeviationKind, ...DeviationKind[]] = [
   'message',
   'message',
   'message',
@@ -38,9 +38,9 @@
   'disk',
 ];
 /** Between two events: a schedule that is replayed has its deviations at the same place in their order. */
-const afterOccurrence = 0.5;
+const afterOccurrenceMs = 0.5;
 /** How likely a message of a kind has a deviation set beside it. */
-const interest: Readonly<Record<string, number>> = {
+const deviationProbabilities: Readonly<Record<string, number>> = {
   'vote-request': 0.05,
   vote: 0.05,
   replicate: 0.04,
@@ -54,60 +54,60 @@
 };
 const clockVariants: readonly (readonly number[])[] = [[], [0.98, 1.02, 1.02], [1.02, 0.98, 0.98]];
 
-const span = (choose: Chooser): number =>
-  choose.one(
-    choose.between(20, 300),
-    choose.between(300, 900),
-    choose.between(900, 1500),
-    choose.between(1500, 3000),
+const randomDurationMs = (choose: RandomChoices): number =>
+  choose.pick(
+    choose.integer(20, 300),
+    choose.integer(300, 900),
+    choose.integer(900, 1500),
+    choose.integer(1500, 3000),
   );
 
 const machineDeviation = (
-  choose: Chooser,
+  choose: RandomChoices,
   kind: Exclude<DeviationKind, 'message' | 'join'>,
   at: number,
   machine: number,
   founders: number,
 ): Deviation => {
-  const forMs = span(choose);
+  const forMs = randomDurationMs(choose);
   switch (kind) {
     case 'crash':
       return {
         kind,
         at,
         machine,
-        forMs: choose.one(5, choose.between(5, 200), forMs),
-        disk: choose.one('kept', 'kept', 'kept with pending write', 'lost'),
+        forMs: choose.pick(5, choose.integer(5, 200), forMs),
+        disk: choose.pick('kept', 'kept', 'kept with pending write', 'lost'),
       };
     case 'pause':
       return { kind, at, machine, forMs };
     case 'disk':
-      return { kind, at, machine, trouble: choose.one('stalled', 'full'), forMs };
+      return { kind, at, machine, trouble: choose.pick('stalled', 'full'), forMs };
     case 'cut': {
-      const peer = choose.between(0, founders - 1);
+      const peer = choose.integer(0, founders - 1);
       return {
         kind,
         at,
         machine,
-        peer: peer === machine || choose.hit(0.6) ? 'all' : peer,
-        way: choose.one('both', 'both', 'inbound', 'outbound'),
-        messages: choose.one('lost', 'held'),
+        peer: peer === machine || choose.happens(0.6) ? 'all' : peer,
+        way: choose.pick('both', 'both', 'inbound', 'outbound'),
+        messages: choose.pick('lost', 'held'),
         forMs,
       };
     }
   }
 };
 
-const messageAction = (choose: Chooser): MessageFault['action'] =>
-  choose.one<MessageFault['action']>(
+const messageAction = (choose: RandomChoices): MessageFault['action'] =>
+  choose.pick<MessageFault['action']>(
     { action: 'drop' },
-    { action: 'delay', byMs: span(choose) },
-    { action: 'repeat', afterMs: span(choose) },
+    { action: 'delay', byMs: randomDurationMs(choose) },
+    { action: 'repeat', afterMs: randomDurationMs(choose) },
   );
 
 /** The deviation beside an occurrence: of its message, or of one of the two machines. */
 const deviationAt = (
-  choose: Chooser,
+  choose: RandomChoices,
   kind: DeviationKind,
   occurrence: Occurrence,
   founders: number,
@@ -115,9 +115,9 @@
   const { at, frame, from, to } = occurrence;
   if (kind === 'message' && frame !== undefined && from !== undefined && to !== undefined)
     return { kind, at, frame, from, to, action: messageAction(choose) };
-  const machine = choose.hit(0.5) ? occurrence.machine : (to?.machine ?? occurrence.machine);
+  const machine = choose.happens(0.5) ? occurrence.machine : (to?.machine ?? occurrence.machine);
   const machineKind = kind === 'message' || kind === 'join' ? 'crash' : kind;
-  return machineDeviation(choose, machineKind, at + afterOccurrence, machine, founders);
+  return machineDeviation(choose, machineKind, at + afterOccurrenceMs, machine, founders);
 };
 
 /** The machine whose store holds the lease now. */
@@ -131,29 +131,33 @@
 class Walker {
   readonly deviations: Deviation[] = [];
   readonly #simulation: Simulation;
-  readonly #choose: Chooser;
-  readonly #kinds: readonly [DeviationKind, ...DeviationKind[]];
-  readonly #most: number;
+  readonly #random: RandomChoices;
+  readonly #deviationKinds: readonly [DeviationKind, ...DeviationKind[]];
+  readonly #maxDeviations: number;
   readonly #bounds: WalkBounds;
 
-  constructor(simulation: Simulation, choose: Chooser, bounds: WalkBounds) {
+  constructor(simulation: Simulation, choose: RandomChoices, bounds: WalkBounds) {
     this.#simulation = simulation;
-    this.#choose = choose;
+    this.#random = choose;
     this.#bounds = bounds;
-    this.#kinds = [choose.one(...kinds), choose.one(...kinds), choose.one(...kinds)];
-    this.#most = choose.between(1, bounds.faults);
+    this.#deviationKinds = [
+      choose.pick(...deviationKinds),
+      choose.pick(...deviationKinds),
+      choose.pick(...deviationKinds),
+    ];
+    this.#maxDeviations = choose.integer(1, bounds.faults);
   }
 
   /** Begins with what moves the duty, or with a machine that joins. */
-  begin(): void {
-    const choose = this.#choose;
+  start(): void {
+    const choose = this.#random;
     const { founders } = this.#simulation.layout;
-    const at = formedAt + choose.between(1, 300);
-    if (choose.hit(0.15)) this.add({ kind: 'join', at, machine: founders });
-    if (choose.hit(0.2)) return;
+    const at = formedAtMs + choose.integer(1, 300);
+    if (choose.happens(0.15)) this.add({ kind: 'join', at, machine: founders });
+    if (choose.happens(0.2)) return;
     const leader = leaderOf(this.#simulation);
-    const machine = choose.hit(0.7) ? leader : choose.between(0, founders - 1);
-    const kind = choose.one<'crash' | 'pause' | 'cut'>('crash', 'pause', 'cut', 'cut');
+    const machine = choose.happens(0.7) ? leader : choose.integer(0, founders - 1);
+    const kind = choose.pick<'crash' | 'pause' | 'cut'>('crash', 'pause', 'cut', 'cut');
     this.add(machineDeviation(choose, kind, at, machine, founders));
   }
 
@@ -164,50 +168,50 @@
   }
 
   observe(occurrence: Occurrence): void {
-    if (occurrence.kind !== 'message' || this.deviations.length >= this.#most) return;
-    if (occurrence.at > formedAt + this.#bounds.depth) return;
-    if (!this.#choose.hit(interest[occurrence.frame ?? ''] ?? 0)) return;
-    const kind = this.#choose.one(...this.#kinds);
-    this.add(deviationAt(this.#choose, kind, occurrence, this.#simulation.layout.founders));
+    if (occurrence.kind !== 'message' || this.deviations.length >= this.#maxDeviations) return;
+    if (occurrence.at > formedAtMs + this.#bounds.depth) return;
+    if (!this.#random.happens(deviationProbabilities[occurrence.frame ?? ''] ?? 0)) return;
+    const kind = this.#random.pick(...this.#deviationKinds);
+    this.add(deviationAt(this.#random, kind, occurrence, this.#simulation.layout.founders));
   }
 }
 
-const layoutOf = (choose: Chooser, seed: number, bounds: WalkBounds): ClusterLayout => ({
-  ...platformLayout(bounds.members[seed % bounds.members.length] ?? 3, 1 + choose.between(0, 1)),
-  clockRates: clockVariants[choose.between(0, clockVariants.length - 1)] ?? [],
+const layoutOf = (choose: RandomChoices, seed: number, bounds: WalkBounds): ClusterLayout => ({
+  ...platformLayout(bounds.members[seed % bounds.members.length] ?? 3, 1 + choose.integer(0, 1)),
+  clockRates: clockVariants[choose.integer(0, clockVariants.length - 1)] ?? [],
 });
 
 const corpusShare = 0.25;
 const jitter = 120;
 
 /** Now and then a schedule of the corpus, its times moved a little, to deviate from further. */
-const baseOf = (choose: Chooser, seed: number, bounds: WalkBounds): Scenario => {
+const baseOf = (choose: RandomChoices, seed: number, bounds: WalkBounds): Scenario => {
   const [first, ...others] = corpus;
-  if (first === undefined || !choose.hit(corpusShare))
+  if (first === undefined || !choose.happens(corpusShare))
     return { layout: layoutOf(choose, seed, bounds), deviations: [] };
-  const { layout, deviations } = choose.one(first, ...others).scenario;
+  const { layout, deviations } = choose.pick(first, ...others).scenario;
   return {
-    layout: { ...layout, seed: 1 + choose.between(0, 5) },
-    deviations: deviations.map((one) => ({ ...one, at: one.at + choose.between(-jitter, jitter) })),
+    layout: { ...layout, seed: 1 + choose.integer(0, 5) },
+    deviations: deviations.map((one) => ({ ...one, at: one.at + choose.integer(-jitter, jitter) })),
   };
 };
 
 /** Walks from the formed cluster, deviating at random from the default schedule. */
 export const randomWalk = (seed: number, bounds: WalkBounds): Walk => {
-  const choose = new Chooser(seed);
+  const choose = new RandomChoices(seed);
   const { layout, deviations } = baseOf(choose, seed, bounds);
   const simulation = formedCluster(layout, bounds.ignored);
   const before = simulation.steps;
   const walker = new Walker(simulation, choose, bounds);
-  if (deviations.length === 0) walker.begin();
+  if (deviations.length === 0) walker.start();
   else for (const one of deviations) walker.add(one);
   simulation.observer = (occurrence) => {
     walker.observe(occurrence);
   };
-  simulation.runUntil(formedAt + bounds.depth);
+  simulation.runUntil(formedAtMs + bounds.depth);
   simulation.observer = undefined;
   // What is over by then needs no further run than it takes to settle.
-  const last = Math.max(...walker.deviations.map(endOf).filter(Number.isFinite), formedAt);
+  const last = Math.max(...walker.deviations.map(deviationEnd).filter(Number.isFinite), formedAtMs);
   simulation.runUntil(Math.min(runEnd(walker.deviations), last + 4000));
   return {
     scenario: { layout, deviations: walker.deviations },
--- a/packages/model-checker/src/explore/run.ts
+++ b/packages/model-checker/src/explore/run.ts
@@ -1,13 +1,13 @@
 import type { Invariant, Violation } from '../cluster/invariants.js';
 import { type Occurrence, Simulation } from '../cluster/simulation.js';
-import { type Deviation, endOf } from '../schedule/deviation.js';
+import { type Deviation, deviationEnd } from '../schedule/deviation.js';
 import type { ClusterLayout, Scenario } from '../schedule/scenario.js';
 
 /** When the cluster stands and is written to: deviations begin here. */
-export const formedAt = 2500;
+export const formedAtMs = 2500;
 /** How long a run goes on after its last deviation is over. */
-export const settleTime = 3200;
-const checkpointInterval = 100;
+export const settleMs = 3200;
+const checkpointIntervalMs = 100;
 
 /** What one run came to. */
 export interface RunResult {
@@ -21,13 +21,13 @@
 }
 
 const finiteEnd = (deviation: Deviation): number => {
-  const end = endOf(deviation);
+  const end = deviationEnd(deviation);
   return Number.isFinite(end) ? end : deviation.at;
 };
 
 /** When a run with these deviations is over. */
 export const runEnd = (deviations: readonly Deviation[]): number =>
-  Math.max(formedAt, ...deviations.map(finiteEnd)) + settleTime;
+  Math.max(formedAtMs, ...deviations.map(finiteEnd)) + settleMs;
 
 const formedClusters = new Map<string, Simulation>();
 
@@ -41,7 +41,7 @@
   if (known !== undefined) return known.clone();
   const simulation = new Simulation(layout);
   simulation.ignore(ignored);
-  simulation.runUntil(formedAt);
+  simulation.runUntil(formedAtMs);
   formedClusters.set(key, simulation);
   return simulation.clone();
 };
@@ -85,7 +85,7 @@
   const checkpoints: Simulation[] = [simulation.clone()];
   const occurrences: Occurrence[] = [];
   simulation.observer = (one) => occurrences.push(one);
-  for (let at = simulation.now + checkpointInterval; at < windowEnd; at += checkpointInterval) {
+  for (let at = simulation.now + checkpointIntervalMs; at < windowEnd; at += checkpointIntervalMs) {
     simulation.runUntil(at);
     checkpoints.push(simulation.clone());
   }
--- a/packages/model-checker/src/explore/search.ts
+++ b/packages/model-checker/src/explore/search.ts
@@ -1,6 +1,6 @@
 import type { Invariant } from '../cluster/invariants.js';
 import { type Scenario, platformLayout } from '../schedule/scenario.js';
-import { exploreExhaustively, type Found } from './exhaustive.js';
+import { exploreExhaustively, type FoundViolation } from './exhaustive.js';
 import { randomWalk } from './random-walk.js';
 import { corpus } from '../schedule/corpus.js';
 import { runScenario } from './run.js';
@@ -27,14 +27,14 @@
   readonly complete: ReadonlyMap<number, boolean>;
   readonly walks: number;
   readonly confirmedWrites: number;
-  readonly found: readonly Found[];
+  readonly found: readonly FoundViolation[];
 }
 
 const placementShare = 0.5;
 
 /** Searches within the bounds. */
 export const search = (bounds: SearchBounds): SearchReport => {
-  const found: Found[] = [];
+  const found: FoundViolation[] = [];
   const complete = new Map<number, boolean>();
   let states = 0;
   let placements = 0;
--- a/packages/model-checker/src/schedule/deviation.ts
+++ b/packages/model-checker/src/schedule/deviation.ts
@@ -43,7 +43,7 @@
 }
 
 /** A disk takes nothing for a while: it stalls, or refuses as it is full. */
-export interface DiskTrouble {
+export interface DiskFault {
   readonly kind: 'disk';
   readonly at: number;
   readonly machine: number;
@@ -71,10 +71,10 @@
     | { readonly action: 'repeat'; readonly afterMs: number };
 }
 
-export type Deviation = Crash | Pause | Cut | DiskTrouble | Join | MessageFault;
+export type Deviation = Crash | Pause | Cut | DiskFault | Join | MessageFault;
 
 /** When the last consequence that a schedule itself brings about is over. */
-export const endOf = (deviation: Deviation): number => {
+export const deviationEnd = (deviation: Deviation): number => {
   switch (deviation.kind) {
     case 'join':
       return deviation.at;
--- a/packages/model-checker/src/seeded-bugs/hunt.ts
+++ b/packages/model-checker/src/seeded-bugs/hunt.ts
@@ -1,7 +1,7 @@
 import { spawn } from 'node:child_process';
 import { join } from 'node:path';
 import { fileURLToPath } from 'node:url';
-import { copyBuilt, faultOf, takeOut, type Guard } from '@switchwheel/simulator/guard';
+import { copyBuilt, guardError, removeGuard, type Guard } from '@switchwheel/simulator/guard';
 
 const root = fileURLToPath(new URL('../../../..', import.meta.url));
 
@@ -56,14 +56,14 @@
   const copy = copyBuilt(root);
   try {
     for (const bug of bugs) {
-      const fault = faultOf(copy.root, bug);
+      const fault = guardError(copy.root, bug);
       if (fault !== undefined) throw new Error(fault);
-      const putBack = takeOut(copy, bug);
+      const putBack = removeGuard(copy, bug);
       const result = await runChecker(copy.root, args);
       putBack();
       report({ bug, ...result });
     }
   } finally {
-    copy.drop();
+    copy.remove();
   }
 };
--- a/packages/model-checker/src/seeded-bugs/list.test.ts
+++ b/packages/model-checker/src/seeded-bugs/list.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { fileURLToPath } from 'node:url';
-import { faultOf } from '@switchwheel/simulator/guard';
+import { guardError } from '@switchwheel/simulator/guard';
 import { knownViolations } from '../known-violations.js';
 import { type HuntResult, huntSeededBugs } from './hunt.js';
 import { seededBugs } from './list.js';
@@ -9,7 +9,7 @@
 const root = fileURLToPath(new URL('../../../..', import.meta.url));
 
 void test('the text of each seeded bug stands once in its built file', () => {
-  const faults = seededBugs.map((one) => faultOf(root, one)).filter((one) => one !== undefined);
+  const faults = seededBugs.map((one) => guardError(root, one)).filter((one) => one !== undefined);
   assert.deepEqual(faults, []);
 });
 
--- a/packages/simulator/src/digest/direct-edge.ts
+++ b/packages/simulator/src/digest/direct-edge.ts
@@ -1,20 +1,20 @@
 /** Digests of an edge that sends straight to origins. */
-import { type CallerRecord, bodyOf, statusOf } from '../direct/rules.js';
-import { playDirect } from '../direct/run.js';
+import { type CallerRecord, bodyOf, statusOf } from '../direct/request-rules.js';
+import { runDirectEdge } from '../direct/run.js';
 import { RunDigest } from './run-digest.js';
 import { type DigestSuite, seedRange } from './suite.js';
 
 const addCaller = (digest: RunDigest, caller: CallerRecord): void => {
-  digest.add(caller.id, caller.target, caller.sentAt, caller.leastRevision, caller.left);
-  for (const { at, word } of caller.told)
-    digest.add(at, statusOf(word), Buffer.byteLength(bodyOf(word)));
+  digest.add(caller.id, caller.target, caller.sentAt, caller.leastRevision, caller.hasLeft);
+  for (const { at, reply } of caller.replies)
+    digest.add(at, statusOf(reply), Buffer.byteLength(bodyOf(reply)));
 };
 
 const digestDirect = (seed: number): string => {
   const digest = new RunDigest();
-  const run = playDirect(seed);
+  const run = runDirectEdge(seed);
   for (const attempt of run.sentAttempts) digest.add(attempt.at, attempt.id, attempt.address);
-  for (const record of run.runRecords) digest.add(record.id, record.instance, record.target);
+  for (const record of run.executionRecords) digest.add(record.id, record.instance, record.target);
   for (const caller of run.callerRecords) addCaller(digest, caller);
   digest.add(...[...run.counts.values()].sort((left, right) => left - right));
   digest.add(run.violations.length);
--- a/packages/simulator/src/direct/leg.ts
+++ b/packages/simulator/src/direct/attempt-port.ts
@@ -6,9 +6,9 @@
   type OriginClient,
   defaultHeaderNames,
 } from '@switchwheel/routing';
-import type { Agenda } from '../world/agenda.js';
-import type { Chance } from '../world/chance.js';
-import type { Conduct, OriginFleet, SimulatedOrigin } from './origin.js';
+import type { EventQueue } from '../world/event-queue.js';
+import type { SeededRandom } from '../world/seeded-random.js';
+import type { OriginBehaviour, OriginFleet, DirectOrigin } from './origin.js';
 
 /** What stands in the body of an object at a revision. */
 export const objectBody = (target: string, revision: number): string => `${target}@${revision}`;
@@ -21,27 +21,27 @@
 }
 
 /** How late a late answer is, in milliseconds: sometimes after the request's deadline. */
-const lateMs = [300, 2600] as const;
+const lateAnswerRangeMs = [300, 2600] as const;
 
 /** Statuses that promise that nothing ran, given here by origins that did run the request. */
-const falsePromises = [408, 429, 503] as const;
+const misleadingStatuses = [408, 429, 503] as const;
 
 /** Carries requests to simulated origins in the way that the socket port reports them. */
-export class SimulatedLegs implements OriginClient {
+export class SimulatedAttemptPort implements OriginClient {
   readonly sent: SentAttempt[] = [];
-  readonly #agenda: Agenda;
-  readonly #chance: Chance;
+  readonly #eventQueue: EventQueue;
+  readonly #random: SeededRandom;
   readonly #fleet: OriginFleet;
   readonly #revisionOf: (target: string) => number;
 
   constructor(
-    agenda: Agenda,
-    chance: Chance,
+    agenda: EventQueue,
+    chance: SeededRandom,
     fleet: OriginFleet,
     revisionOf: (target: string) => number,
   ) {
-    this.#agenda = agenda;
-    this.#chance = chance;
+    this.#eventQueue = agenda;
+    this.#random = chance;
     this.#fleet = fleet;
     this.#revisionOf = revisionOf;
   }
@@ -51,32 +51,32 @@
   }
 
   send(order: AttemptRequest, ears: AttemptHandlers): () => void {
-    this.sent.push({ at: this.#agenda.now, id: order.id, address: order.address });
+    this.sent.push({ at: this.#eventQueue.now, id: order.id, address: order.address });
     let cut = false;
-    const conduct = this.#fleet.conduct();
+    const conduct = this.#fleet.pickBehaviour();
     // What is cut on its way may arrive all the same.
-    const arrivesAnyway = this.#chance.hit(0.5);
+    const arrivesAnyway = this.#random.happens(0.5);
     const report = (tell: () => void): void => {
       if (!cut) tell();
     };
-    this.#agenda.after(this.#chance.between(0.2, 5), () => {
+    this.#eventQueue.schedule(this.#random.uniform(0.2, 5), () => {
       if (cut && !arrivesAnyway) return;
-      const origin = this.#fleet.at(order.address);
+      const origin = this.#fleet.originAt(order.address);
       if (conduct === 'unopened' || origin === undefined)
         report(() => ears.onFailure(false, 'the connection did not open'));
-      else if (!names(order, origin))
-        report(() => ears.onResponse({ ...plain(421, ''), isUnprocessed: true }));
-      else this.#work(order, origin, conduct, ears, report);
+      else if (!isAddressedTo(order, origin))
+        report(() => ears.onResponse({ ...plainAnswer(421, ''), isUnprocessed: true }));
+      else this.#executeRequest(order, origin, conduct, ears, report);
     });
     return () => {
       cut = true;
     };
   }
 
-  #work(
+  #executeRequest(
     order: AttemptRequest,
-    origin: SimulatedOrigin,
-    conduct: Conduct,
+    origin: DirectOrigin,
+    conduct: OriginBehaviour,
     ears: AttemptHandlers,
     report: (tell: () => void) => void,
   ): void {
@@ -86,35 +86,35 @@
       return;
     }
     if (conduct === 'full') {
-      report(() => ears.onResponse({ ...plain(503, ''), isUnprocessed: true }));
+      report(() => ears.onResponse({ ...plainAnswer(503, ''), isUnprocessed: true }));
       return;
     }
-    this.#fleet.run(origin, order);
+    this.#fleet.recordExecution(origin, order);
     if (conduct === 'silent') return;
     const body =
       order.method === 'GET'
         ? objectBody(order.target, this.#revisionOf(order.target))
         : `done ${order.id}`;
-    const [least, most] = conduct === 'late' ? lateMs : [2, 60];
-    this.#agenda.after(this.#chance.between(least, most), () => {
+    const [least, most] = conduct === 'late' ? lateAnswerRangeMs : [2, 60];
+    this.#eventQueue.schedule(this.#random.uniform(least, most), () => {
       if (conduct === 'answer' || conduct === 'late')
-        report(() => ears.onResponse(plain(200, body)));
-      else if (conduct === 'failure') report(() => ears.onResponse(plain(500, 'failed')));
+        report(() => ears.onResponse(plainAnswer(200, body)));
+      else if (conduct === 'failure') report(() => ears.onResponse(plainAnswer(500, 'failed')));
       else if (conduct === 'false promise') {
-        const status = this.#chance.one(falsePromises) ?? 503;
-        report(() => ears.onResponse(plain(status, 'failed')));
+        const status = this.#random.pick(misleadingStatuses) ?? 503;
+        report(() => ears.onResponse(plainAnswer(status, 'failed')));
       } else broke();
     });
   }
 }
 
 /** Whether the request names this origin, or none: only then does it run. */
-const names = (order: AttemptRequest, origin: SimulatedOrigin): boolean => {
+const isAddressedTo = (order: AttemptRequest, origin: DirectOrigin): boolean => {
   const named = order.fields.find(([name]) => name === defaultHeaderNames.targetInstance);
   return named === undefined || named[1] === origin.instance;
 };
 
-const plain = (status: number, body: string): OriginResponse => ({
+const plainAnswer = (status: number, body: string): OriginResponse => ({
   status,
   fields: [],
   body: Buffer.from(body),
--- a/packages/simulator/src/direct/direct.test.ts
+++ b/packages/simulator/src/direct/direct.test.ts
@@ -1,6 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { playDirect } from './run.js';
+import { runDirectEdge } from './run.js';
 
 const seeds = 40;
 
@@ -8,7 +8,7 @@
   const counts = new Map<string, number>();
   let requests = 0;
   for (let seed = 1; seed <= seeds; seed += 1) {
-    const run = playDirect(seed);
+    const run = runDirectEdge(seed);
     assert.deepEqual(run.violations.slice(0, 5), [], `seed ${seed}`);
     requests += run.requests;
     for (const [name, many] of run.counts) counts.set(name, (counts.get(name) ?? 0) + many);
--- a/packages/simulator/src/direct/origin.ts
+++ b/packages/simulator/src/direct/origin.ts
@@ -1,9 +1,9 @@
 import type { Address, InstanceId, ServiceName } from '@switchwheel/types';
 import type { AttemptRequest } from '@switchwheel/routing';
-import type { Chance } from '../world/chance.js';
+import type { SeededRandom } from '../world/seeded-random.js';
 
 /** What a simulated origin, or the way to it, does with one request. */
-export type Conduct =
+export type OriginBehaviour =
   | 'answer'
   | 'late'
   | 'silent'
@@ -17,7 +17,7 @@
   | 'reset after';
 
 /** The troubles of origins, besides a plain answer. */
-export const troubles: readonly Conduct[] = [
+export const originFaults: readonly OriginBehaviour[] = [
   'late',
   'silent',
   'full',
@@ -31,7 +31,7 @@
 ];
 
 /** One run of a request, as the origin itself writes it down. */
-export interface RunRecord {
+export interface ExecutionRecord {
   readonly id: string;
   readonly method: string;
   readonly target: string;
@@ -41,7 +41,7 @@
 }
 
 /** A simulated origin: it works on what names it, and writes down what it ran. */
-export interface SimulatedOrigin {
+export interface DirectOrigin {
   readonly instance: InstanceId;
   readonly service: ServiceName;
   readonly address: Address;
@@ -49,32 +49,32 @@
 
 /** The simulated origins, by the address at which they are reached now, and what they ran. */
 export class OriginFleet {
-  readonly runs: RunRecord[] = [];
-  readonly #byAddress = new Map<Address, SimulatedOrigin>();
-  readonly #chance: Chance;
+  readonly executions: ExecutionRecord[] = [];
+  readonly #byAddress = new Map<Address, DirectOrigin>();
+  readonly #random: SeededRandom;
   /** The share of requests that meet a trouble. */
-  troubleShare = 0.3;
+  faultProbability = 0.3;
 
-  constructor(chance: Chance) {
-    this.#chance = chance;
+  constructor(chance: SeededRandom) {
+    this.#random = chance;
   }
 
   /** Starts an origin at an address; whoever had the address before is gone. */
-  start(origin: SimulatedOrigin): void {
+  start(origin: DirectOrigin): void {
     this.#byAddress.set(origin.address, origin);
   }
 
-  at(address: Address): SimulatedOrigin | undefined {
+  originAt(address: Address): DirectOrigin | undefined {
     return this.#byAddress.get(address);
   }
 
-  conduct(): Conduct {
-    if (!this.#chance.hit(this.troubleShare)) return 'answer';
-    return this.#chance.one(troubles) ?? 'answer';
+  pickBehaviour(): OriginBehaviour {
+    if (!this.#random.happens(this.faultProbability)) return 'answer';
+    return this.#random.pick(originFaults) ?? 'answer';
   }
 
-  run(origin: SimulatedOrigin, order: AttemptRequest): void {
-    this.runs.push({
+  recordExecution(origin: DirectOrigin, order: AttemptRequest): void {
+    this.executions.push({
       id: order.id,
       method: order.method,
       target: order.target,
--- a/packages/simulator/src/direct/rules.ts
+++ b/packages/simulator/src/direct/request-rules.ts
@@ -1,7 +1,7 @@
 import { errorResponseFor } from '@switchwheel/types';
 import type { ClientReply } from '@switchwheel/routing';
-import type { RunRecord } from './origin.js';
-import { objectBody } from './leg.js';
+import type { ExecutionRecord } from './origin.js';
+import { objectBody } from './attempt-port.js';
 
 /** The rules of requests that are judged here. */
 export type RequestRule =
@@ -17,8 +17,8 @@
   readonly deadline: number;
   /** The revision that the object had at the last purge before the request. */
   readonly leastRevision: number;
-  left: boolean;
-  readonly told: { readonly at: number; readonly word: ClientReply }[];
+  hasLeft: boolean;
+  readonly replies: { readonly at: number; readonly reply: ClientReply }[];
 }
 
 export interface Violation {
@@ -28,9 +28,9 @@
 }
 
 /** Statuses that promise that a request has not run and never will. */
-const promises: ReadonlySet<number> = new Set([408, 421, 429, 503]);
+const notExecutedStatuses: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 /** How far past its deadline a request may be told: one turn of the clock. */
-const tellMarginMs = 40;
+const replyMarginMs = 40;
 
 /** The status that a caller is answered with. */
 export const statusOf = (word: ClientReply): number => {
@@ -49,19 +49,20 @@
   const add = (rule: RequestRule, text: string): void => {
     found.push({ rule, id: one.id, text });
   };
-  const [first] = one.told;
-  if (one.told.length > 1) add('MIXED', 'told more than once');
+  const [first] = one.replies;
+  if (one.replies.length > 1) add('MIXED', 'told more than once');
   if (first === undefined) {
-    if (!one.left) add('LOST', 'never told');
+    if (!one.hasLeft) add('LOST', 'never told');
     return found;
   }
-  if (first.at > one.deadline + tellMarginMs)
+  if (first.at > one.deadline + replyMarginMs)
     add('LOST', `told ${first.at - one.deadline} ms late`);
-  const status = statusOf(first.word);
-  if (one.method !== 'GET' && ran && promises.has(status)) add('REFUSED', `told ${status}`);
-  if (first.word.kind === 'failure' && status === 503 && first.word.retryAfterMs <= 0)
+  const status = statusOf(first.reply);
+  if (one.method !== 'GET' && ran && notExecutedStatuses.has(status))
+    add('REFUSED', `told ${status}`);
+  if (first.reply.kind === 'failure' && status === 503 && first.reply.retryAfterMs <= 0)
     add('RETRY', 'not told when to come back');
-  if (status === 200) judgeBody(one, bodyOf(first.word), add);
+  if (status === 200) judgeBody(one, bodyOf(first.reply), add);
   return found;
 };
 
@@ -82,7 +83,7 @@
 /** Judges a run from what the origins wrote down and what the callers were told. */
 export const judge = (
   callers: ReadonlyMap<string, CallerRecord>,
-  runs: readonly RunRecord[],
+  runs: readonly ExecutionRecord[],
   mayRun: (target: string, service: string) => boolean,
 ): readonly Violation[] => {
   const counts = new Map<string, number>();
--- a/packages/simulator/src/direct/run.ts
+++ b/packages/simulator/src/direct/run.ts
@@ -20,36 +20,36 @@
 } from '@switchwheel/configuration';
 import { type NodeAgent, Cache, newNodeAgent } from '@switchwheel/proxy-core';
 import { EdgeRouter, defaultEdgeLimits, defaultHeaderNames } from '@switchwheel/routing';
-import { Agenda } from '../world/agenda.js';
-import { Chance } from '../world/chance.js';
-import { type SentAttempt, SimulatedLegs } from './leg.js';
-import { OriginFleet, type RunRecord, type SimulatedOrigin } from './origin.js';
-import { type CallerRecord, type Violation, judge } from './rules.js';
+import { EventQueue } from '../world/event-queue.js';
+import { SeededRandom } from '../world/seeded-random.js';
+import { type SentAttempt, SimulatedAttemptPort } from './attempt-port.js';
+import { OriginFleet, type ExecutionRecord, type DirectOrigin } from './origin.js';
+import { type CallerRecord, type Violation, judge } from './request-rules.js';
 
 /** What a run brought about. */
 export interface DirectRun {
   readonly violations: readonly Violation[];
   readonly requests: number;
-  readonly runs: number;
+  readonly executions: number;
   readonly counts: ReadonlyMap<string, number>;
   /** Every request, with all that its caller was told. */
   readonly callerRecords: readonly CallerRecord[];
   /** What the origins ran, in their order. */
-  readonly runRecords: readonly RunRecord[];
+  readonly executionRecords: readonly ExecutionRecord[];
   /** What the edge sent to origins, in its order. */
   readonly sentAttempts: readonly SentAttempt[];
 }
 
 const host = 'one.example';
-const spanMs = 1500;
-const tickMs = 30;
-const runMs = 20_000;
+const requestTimeoutMs = 1500;
+const tickIntervalMs = 30;
+const runDurationMs = 20_000;
 /** Of a stop, how long what is under way may go on. */
-const stopMs = 4000;
+const stopGraceMs = 4000;
 const services = [toServiceName('clips'), toServiceName('edits')] as const;
 
 /** One configuration: both routes of the service named. */
-const tableFor = (service: ServiceName, generation: number): CompiledConfiguration => {
+const buildTable = (service: ServiceName, generation: number): CompiledConfiguration => {
   const bundle = runToCompletion(
     splitIntoChunks({
       format: 1,
@@ -88,27 +88,27 @@
 
 /** An edge that sends straight to origins, with callers and origins in all their troubles, from one seed. */
 class DirectWorld {
-  readonly agenda = new Agenda();
-  readonly chance: Chance;
+  readonly eventQueue = new EventQueue();
+  readonly random: SeededRandom;
   readonly fleet: OriginFleet;
   readonly callers = new Map<string, CallerRecord>();
   readonly cache = new Cache(1_000_000);
-  readonly line: EdgeRouter;
-  readonly legs: SimulatedLegs;
+  readonly router: EdgeRouter;
+  readonly attemptPort: SimulatedAttemptPort;
   readonly #tables: readonly CompiledConfiguration[];
-  readonly #standing = new Map<InstanceId, SimulatedOrigin>();
+  readonly #knownOrigins = new Map<InstanceId, DirectOrigin>();
   readonly #revisions = new Map<string, number>();
-  readonly #purged = new Map<string, number>();
-  #cabin: NodeAgent;
-  #purges = 0;
-  #started = 0;
-  #accepting = true;
+  readonly #purgedRevisions = new Map<string, number>();
+  #nodeAgent: NodeAgent;
+  #purgeCount = 0;
+  #originCount = 0;
+  #isAccepting = true;
 
   constructor(seed: number) {
-    this.chance = new Chance(seed);
-    this.fleet = new OriginFleet(this.chance.part());
-    this.fleet.troubleShare = this.chance.between(0, 0.7);
-    this.#tables = services.map((service, at) => tableFor(service, at + 1));
+    this.random = new SeededRandom(seed);
+    this.fleet = new OriginFleet(this.random.fork());
+    this.fleet.faultProbability = this.random.uniform(0, 0.7);
+    this.#tables = services.map((service, at) => buildTable(service, at + 1));
     const member = {
       node: toNodeId('e1'),
       role: 'edge' as const,
@@ -117,14 +117,17 @@
       incarnation: toIncarnation(1),
     };
     const fresh = newNodeAgent(member, [], { seed });
-    this.#cabin = { ...fresh, nodeSession: { ...fresh.nodeSession, members: [member] } };
-    this.legs = new SimulatedLegs(this.agenda, this.chance.part(), this.fleet, (target) =>
-      this.#revisionOf(target),
+    this.#nodeAgent = { ...fresh, nodeSession: { ...fresh.nodeSession, members: [member] } };
+    this.attemptPort = new SimulatedAttemptPort(
+      this.eventQueue,
+      this.random.fork(),
+      this.fleet,
+      (target) => this.#revisionOf(target),
     );
-    this.line = new EdgeRouter(
-      { now: () => this.#now(), nodeAgent: () => this.#cabin },
+    this.router = new EdgeRouter(
+      { now: () => this.#now(), nodeAgent: () => this.#nodeAgent },
       this.cache,
-      this.legs,
+      this.attemptPort,
       {
         zone: toZoneName('a'),
         headerNames: defaultHeaderNames,
@@ -136,29 +139,29 @@
   }
 
   run(): void {
-    this.#repeat(() => this.#tick(), tickMs, tickMs);
-    this.#repeat(() => this.#ask(), 1, 30);
-    this.agenda.after(this.chance.between(5, 200), () => this.#adopt());
+    this.#repeat(() => this.#tick(), tickIntervalMs, tickIntervalMs);
+    this.#repeat(() => this.#sendRequest(), 1, 30);
+    this.eventQueue.schedule(this.random.uniform(5, 200), () => this.#activateTable());
     for (let at = 0; at < 4; at += 1) this.#startOrigin(at);
-    this.#repeat(() => this.#startOrigin(this.chance.whole(0, 4)), 300, 2500);
-    this.#repeat(() => this.#adopt(), 1000, 5000);
-    this.#repeat(() => this.#change(), 50, 600);
-    this.agenda.after(runMs, () => {
-      this.agenda.after(this.chance.between(0, 2600), () => {
-        this.#accepting = false;
+    this.#repeat(() => this.#startOrigin(this.random.integer(0, 4)), 300, 2500);
+    this.#repeat(() => this.#activateTable(), 1000, 5000);
+    this.#repeat(() => this.#changeObject(), 50, 600);
+    this.eventQueue.schedule(runDurationMs, () => {
+      this.eventQueue.schedule(this.random.uniform(0, 2600), () => {
+        this.#isAccepting = false;
       });
-      this.agenda.after(stopMs, () => this.line.abortAll());
+      this.eventQueue.schedule(stopGraceMs, () => this.router.abortAll());
     });
-    while (this.agenda.step(runMs + stopMs + 100));
+    while (this.eventQueue.runNext(runDurationMs + stopGraceMs + 100));
   }
 
   #now(): ReturnType<typeof toTimestamp> {
-    return toTimestamp(100_000 + this.agenda.now);
+    return toTimestamp(100_000 + this.eventQueue.now);
   }
 
   #repeat(act: () => void, least: number, most: number): void {
-    this.agenda.after(this.chance.between(least, most), () => {
-      if (this.agenda.now > runMs + stopMs) return;
+    this.eventQueue.schedule(this.random.uniform(least, most), () => {
+      if (this.eventQueue.now > runDurationMs + stopGraceMs) return;
       act();
       this.#repeat(act, least, most);
     });
@@ -166,46 +169,49 @@
 
   #tick(): void {
     const at = this.#now();
-    const { nodeSession } = this.#cabin;
-    this.#cabin = {
-      ...this.#cabin,
+    const { nodeSession } = this.#nodeAgent;
+    this.#nodeAgent = {
+      ...this.#nodeAgent,
       purgesCurrentAsOf: at,
       nodeSession: { ...nodeSession, registryHeardAt: at },
     };
-    this.line.tick(at);
+    this.router.tick(at);
   }
 
-  #adopt(): void {
-    const table = this.chance.one(this.#tables);
-    if (table !== undefined) this.#cabin = { ...this.#cabin, compiledConfiguration: table };
+  #activateTable(): void {
+    const table = this.random.pick(this.#tables);
+    if (table !== undefined) this.#nodeAgent = { ...this.#nodeAgent, compiledConfiguration: table };
   }
 
   /** An origin starts at an address that another one, perhaps of another service, may have had. */
   #startOrigin(place: number): void {
-    this.#started += 1;
+    this.#originCount += 1;
     const address = toAddress(`10.0.1.${place + 1}:80`);
-    const service = this.chance.hit(0.5) ? services[0] : services[1];
-    const origin = { instance: toInstanceId(`o${this.#started}`), service, address };
+    const service = this.random.happens(0.5) ? services[0] : services[1];
+    const origin = { instance: toInstanceId(`o${this.#originCount}`), service, address };
     this.fleet.start(origin);
     // The edge hears of it some time later.
-    this.agenda.after(this.chance.between(0, 800), () => {
-      for (const other of [...this.#standing.values()])
-        if (other.address === address) this.#standing.delete(other.instance);
-      this.#standing.set(origin.instance, origin);
-      this.#learn();
+    this.eventQueue.schedule(this.random.uniform(0, 800), () => {
+      for (const other of [...this.#knownOrigins.values()])
+        if (other.address === address) this.#knownOrigins.delete(other.instance);
+      this.#knownOrigins.set(origin.instance, origin);
+      this.#updateOrigins();
     });
   }
 
-  #learn(): void {
+  #updateOrigins(): void {
     const at = this.#now();
     const origins = new Map(
-      [...this.#standing.values()].map((one) => [
+      [...this.#knownOrigins.values()].map((one) => [
         one.instance,
         { ...one, release: toRelease('r1'), slots: 8, state: 'up' as const, lastHeardAt: at },
       ]),
     );
-    this.#cabin = { ...this.#cabin, nodeSession: { ...this.#cabin.nodeSession, origins } };
-    this.line.updateFleet(this.#cabin);
+    this.#nodeAgent = {
+      ...this.#nodeAgent,
+      nodeSession: { ...this.#nodeAgent.nodeSession, origins },
+    };
+    this.router.updateFleet(this.#nodeAgent);
   }
 
   #revisionOf(target: string): number {
@@ -213,33 +219,33 @@
   }
 
   /** An object changes, and its old revisions are purged. */
-  #change(): void {
-    const target = `/clips/${this.chance.whole(1, 3)}`;
+  #changeObject(): void {
+    const target = `/clips/${this.random.integer(1, 3)}`;
     this.#revisions.set(target, this.#revisionOf(target) + 1);
-    this.#purges += 1;
-    const top = toSeq(this.#purges);
+    this.#purgeCount += 1;
+    const top = toSeq(this.#purgeCount);
     this.cache.purge([{ seq: top, aims: [{ by: 'object', host, path: target }] }], false, top);
-    this.line.onPurged();
-    this.#cabin = { ...this.#cabin, lastPurgeSeq: top };
-    this.#purged.set(target, this.#revisionOf(target));
+    this.router.onPurged();
+    this.#nodeAgent = { ...this.#nodeAgent, lastPurgeSeq: top };
+    this.#purgedRevisions.set(target, this.#revisionOf(target));
   }
 
-  #ask(): void {
-    if (!this.#accepting) return;
+  #sendRequest(): void {
+    if (!this.#isAccepting) return;
     const id = `t${this.callers.size}`;
-    const method = this.chance.hit(0.4) ? 'POST' : 'GET';
+    const method = this.random.happens(0.4) ? 'POST' : 'GET';
     const target =
-      method === 'POST' ? `/edit/${this.callers.size}` : `/clips/${this.chance.whole(1, 3)}`;
+      method === 'POST' ? `/edit/${this.callers.size}` : `/clips/${this.random.integer(1, 3)}`;
     const record: CallerRecord = {
       id,
       method,
       target,
       body: method === 'POST' ? `body of ${id}` : '',
-      sentAt: this.agenda.now,
-      deadline: this.agenda.now + spanMs,
-      leastRevision: this.#purged.get(target) ?? 0,
-      left: false,
-      told: [],
+      sentAt: this.eventQueue.now,
+      deadline: this.eventQueue.now + requestTimeoutMs,
+      leastRevision: this.#purgedRevisions.get(target) ?? 0,
+      hasLeft: false,
+      replies: [],
     };
     this.callers.set(id, record);
     const call = {
@@ -249,33 +255,33 @@
       target,
       fields: [],
       body: Buffer.from(record.body),
-      timeoutMs: spanMs,
+      timeoutMs: requestTimeoutMs,
     };
-    const leave = this.line.serve(call, (word) => {
-      record.told.push({ at: this.agenda.now, word });
+    const leave = this.router.serve(call, (word) => {
+      record.replies.push({ at: this.eventQueue.now, reply: word });
     });
-    if (this.chance.hit(0.1))
-      this.agenda.after(this.chance.between(1, 400), () => {
-        if (record.told.length > 0) return;
-        record.left = true;
+    if (this.random.happens(0.1))
+      this.eventQueue.schedule(this.random.uniform(1, 400), () => {
+        if (record.replies.length > 0) return;
+        record.hasLeft = true;
         leave();
       });
   }
 }
 
 /** Plays one seed and judges it. */
-export const playDirect = (seed: number): DirectRun => {
+export const runDirectEdge = (seed: number): DirectRun => {
   const world = new DirectWorld(seed);
   world.run();
   const mayRun = (target: string, service: string): boolean =>
     target.startsWith('/edit/') || service === 'clips';
   return {
-    violations: judge(world.callers, world.fleet.runs, mayRun),
+    violations: judge(world.callers, world.fleet.executions, mayRun),
     requests: world.callers.size,
-    runs: world.fleet.runs.length,
-    counts: world.line.counts,
+    executions: world.fleet.executions.length,
+    counts: world.router.counts,
     callerRecords: [...world.callers.values()],
-    runRecords: world.fleet.runs,
-    sentAttempts: world.legs.sent,
+    executionRecords: world.fleet.executions,
+    sentAttempts: world.attemptPort.sent,
   };
 };
--- a/packages/simulator/src/guard/copy.ts
+++ b/packages/simulator/src/guard/built-copy.ts
@@ -14,12 +14,12 @@
 import type { Guard } from './list.js';
 
 /** A copy of the built workspace, in which one guard can be taken out. */
-export interface Copy {
+export interface BuiltCopy {
   readonly root: string;
-  readonly drop: () => void;
+  readonly remove: () => void;
 }
 
-export const copyBuilt = (root: string): Copy => {
+export const copyBuilt = (root: string): BuiltCopy => {
   const place = mkdtempSync(join(tmpdir(), 'guards-'));
   const drop = (): void => rmSync(place, { recursive: true, force: true });
   mkdirSync(join(place, 'node_modules', '@switchwheel'), { recursive: true });
@@ -37,21 +37,21 @@
     cpSync(join(from, 'dist'), join(to, 'dist'), { recursive: true });
     symlinkSync(to, join(place, 'node_modules', '@switchwheel', name));
   }
-  return { root: place, drop };
+  return { root: place, remove: drop };
 };
 
 /** Where a text stands in another one. */
-interface Place {
+interface TextRange {
   readonly start: number;
   readonly end: number;
 }
 
 /** Every place where a text stands, white space left out of account on both sides. */
-const placesOf = (text: string, sought: string): readonly Place[] => {
+const occurrencesOf = (text: string, sought: string): readonly TextRange[] => {
   const positions = [...text.matchAll(/\S/gu)].map((one) => one.index);
   const dense = positions.map((at) => text.charAt(at)).join('');
   const needle = sought.replace(/\s/gu, '');
-  const places: Place[] = [];
+  const places: TextRange[] = [];
   for (let at = dense.indexOf(needle); at >= 0; at = dense.indexOf(needle, at + 1)) {
     const start = positions[at];
     const last = positions[at + needle.length - 1];
@@ -61,20 +61,20 @@
 };
 
 /** Why a guard can't be taken out; nothing if it can. */
-export const faultOf = (root: string, guard: Guard): string | undefined => {
+export const guardError = (root: string, guard: Guard): string | undefined => {
   const path = join(root, 'packages', guard.file);
   if (!existsSync(path)) return `${guard.file}: not there, for the guard "${guard.name}"`;
-  const many = placesOf(readFileSync(path, 'utf8'), guard.from).length;
+  const many = occurrencesOf(readFileSync(path, 'utf8'), guard.from).length;
   return many === 1
     ? undefined
     : `${guard.file}: the text of the guard "${guard.name}" stands there ${many} times, not once`;
 };
 
 /** Takes a guard out of a copy; gives what puts it back. */
-export const takeOut = (copy: Copy, guard: Guard): (() => void) => {
+export const removeGuard = (copy: BuiltCopy, guard: Guard): (() => void) => {
   const path = join(copy.root, 'packages', guard.file);
   const text = readFileSync(path, 'utf8');
-  const place = placesOf(text, guard.from)[0];
+  const place = occurrencesOf(text, guard.from)[0];
   if (place === undefined) throw new Error(`${guard.name}: its text is not there`);
   writeFileSync(path, text.slice(0, place.start) + guard.to + text.slice(place.end));
   return () => writeFileSync(path, text);
--- a/packages/simulator/src/guard/index.ts
+++ b/packages/simulator/src/guard/index.ts
@@ -1,2 +1,2 @@
-export { type Copy, copyBuilt, faultOf, takeOut } from './copy.js';
+export { type BuiltCopy, copyBuilt, guardError, removeGuard } from './built-copy.js';
 export type { Guard } from './list.js';
--- a/packages/simulator/src/guard/main.ts
+++ b/packages/simulator/src/guard/main.ts
@@ -2,7 +2,7 @@
 import { join } from 'node:path';
 import { fileURLToPath } from 'node:url';
 import meow from 'meow';
-import { type Copy, copyBuilt, faultOf, takeOut } from './copy.js';
+import { type BuiltCopy, copyBuilt, guardError, removeGuard } from './built-copy.js';
 import { type Guard, guards } from './list.js';
 
 const cli = meow(
@@ -53,7 +53,7 @@
   ...only
     .filter((text) => !guards.some((one) => one.name.includes(text) || one.rule === text))
     .map((text) => `--only: no guard is named ${text}`),
-  ...chosen.map((one) => faultOf(root, one)).filter((one) => one !== undefined),
+  ...chosen.map((one) => guardError(root, one)).filter((one) => one !== undefined),
 ];
 if (faults.length > 0) {
   for (const line of faults) process.stderr.write(`guards: ${line}\n`);
@@ -70,16 +70,16 @@
   'proxy-core/dist/service-leader/service-leader.test.js',
   'proxy-core/dist/cache/cache.test.js',
   'simulator/dist/run/operators.test.js',
-  'simulator/dist/run/given-up.test.js',
-  'simulator/dist/run/copies.test.js',
-  'simulator/dist/run/leaving.test.js',
+  'simulator/dist/run/request-deadlines.test.js',
+  'simulator/dist/run/replication.test.js',
+  'simulator/dist/run/origin-departure.test.js',
   'simulator/dist/run/failures.test.js',
-  ...(cli.flags.storms ? ['simulator/dist/run/storm.test.js'] : []),
+  ...(cli.flags.storms ? ['simulator/dist/run/random-faults.test.js'] : []),
 ];
 const span = 600_000;
 
 /** Runs one file of tests up to the first that goes red; gives its name. */
-const runFile = (copy: Copy, file: string): Promise<string | undefined> =>
+const runFile = (copy: BuiltCopy, file: string): Promise<string | undefined> =>
   new Promise((done) => {
     const child = spawn(
       process.execPath,
@@ -101,7 +101,7 @@
     });
   });
 
-const run = async (copy: Copy): Promise<string | undefined> => {
+const run = async (copy: BuiltCopy): Promise<string | undefined> => {
   for (const file of files) {
     const red = await runFile(copy, file);
     if (red !== undefined) return red;
@@ -114,7 +114,7 @@
 const work = async (): Promise<void> => {
   const copy = copyBuilt(root);
   for (let guard = waiting.shift(); guard !== undefined; guard = waiting.shift()) {
-    const back = takeOut(copy, guard);
+    const back = removeGuard(copy, guard);
     const red = await run(copy);
     back();
     if (red === undefined) missed.push(guard);
@@ -122,7 +122,7 @@
       `${guard.rule.padEnd(12)} ${guard.name}: ${red === undefined ? 'NOTHING NOTICES' : `red: ${red}`}`,
     );
   }
-  copy.drop();
+  copy.remove();
 };
 await Promise.all(Array.from({ length: Math.min(cli.flags.atOnce, chosen.length) }, work));
 say(
--- a/packages/simulator/src/history/checker.test.ts
+++ b/packages/simulator/src/history/checker.test.ts
@@ -4,11 +4,11 @@
 import {
   type ConfigurationRead,
   type ConfigurationWrite,
-  type Ending,
+  type Outcome,
   History,
   type Operation,
   type PurgeWrite,
-  type ReleaseWrite,
+  type RolloutRequest,
 } from './history.js';
 
 const write = (
@@ -16,20 +16,20 @@
   hash: string,
   startedAt: number,
   endedAt: number | undefined,
-  ending: Ending = endedAt === undefined ? 'unknown' : 'acknowledged',
+  ending: Outcome = endedAt === undefined ? 'unknown' : 'acknowledged',
 ): ConfigurationWrite => ({
   kind: 'write',
-  numbered: true,
+  isNumbered: true,
   version: { number, hash },
   startedAt,
   endedAt,
-  ending,
+  outcome: ending,
 });
 
 /** A write to which the control side gives the number. */
 const given = (...args: Parameters<typeof write>): ConfigurationWrite => ({
   ...write(...args),
-  numbered: false,
+  isNumbered: false,
 });
 
 const read = (
@@ -42,22 +42,29 @@
   version: number === 0 ? undefined : { number, hash },
   startedAt,
   endedAt,
-  ending: 'acknowledged',
+  outcome: 'acknowledged',
 });
 
 const release = (
   key: string,
   order: number | undefined,
   startedAt: number,
-  ending: Ending = 'acknowledged',
-): ReleaseWrite => ({ kind: 'release', key, order, startedAt, endedAt: startedAt + 1, ending });
+  ending: Outcome = 'acknowledged',
+): RolloutRequest => ({
+  kind: 'release',
+  key,
+  order,
+  startedAt,
+  endedAt: startedAt + 1,
+  outcome: ending,
+});
 
 const purge = (number: number, startedAt: number): PurgeWrite => ({
   kind: 'purge',
   number,
   startedAt,
   endedAt: startedAt + 1,
-  ending: 'acknowledged',
+  outcome: 'acknowledged',
 });
 
 const bites = (name: string, text: string, operations: readonly Operation[]): void => {
@@ -209,8 +216,8 @@
   const history = new History(() => now);
   const open = history.begin(write(5, 'a', 1, undefined));
   now = 3;
-  open.end({ ending: 'acknowledged' });
+  open.end({ outcome: 'acknowledged' });
   now = 4;
-  open.end({ ending: 'refused' });
+  open.end({ outcome: 'refused' });
   assert.deepEqual(history.operations, [write(5, 'a', 1, 3)]);
 });
--- a/packages/simulator/src/history/history.ts
+++ b/packages/simulator/src/history/history.ts
@@ -13,7 +13,7 @@
 }
 
 /** How an operation ended, as its caller saw it. An unknown one may or may not have taken effect. */
-export type Ending = 'acknowledged' | 'refused' | 'unknown';
+export type Outcome = 'acknowledged' | 'refused' | 'unknown';
 
 interface Timed {
   readonly startedAt: number;
@@ -25,24 +25,24 @@
 export interface ConfigurationWrite extends Timed {
   readonly kind: 'write';
   /** Whether the operator gave the number. */
-  readonly numbered: boolean;
+  readonly isNumbered: boolean;
   readonly version: SentVersion;
-  readonly ending: Ending;
+  readonly outcome: Outcome;
 }
 
 /** The configuration was read back; undefined if none was there yet. */
 export interface ConfigurationRead extends Timed {
   readonly kind: 'read';
-  readonly ending: 'acknowledged' | 'unknown';
+  readonly outcome: 'acknowledged' | 'unknown';
   readonly version: Version | undefined;
 }
 
 /** An order to move a service to a release; sent again it bears the same key. */
-export interface ReleaseWrite extends Timed {
+export interface RolloutRequest extends Timed {
   readonly kind: 'release';
   /** Names the order itself, whatever often it is sent. */
   readonly key: string;
-  readonly ending: Ending;
+  readonly outcome: Outcome;
   /** The number under which the control side runs it, where it is acknowledged. */
   readonly order: number | undefined;
 }
@@ -50,11 +50,11 @@
 /** Objects were purged; `number` is that of the purge, where it is acknowledged. */
 export interface PurgeWrite extends Timed {
   readonly kind: 'purge';
-  readonly ending: Ending;
+  readonly outcome: Outcome;
   readonly number: number | undefined;
 }
 
-export type Operation = ConfigurationWrite | ConfigurationRead | ReleaseWrite | PurgeWrite;
+export type Operation = ConfigurationWrite | ConfigurationRead | RolloutRequest | PurgeWrite;
 
 /** An operation that has no answer yet: ended by exactly one call of `end`. */
 export interface OpenOperation<T extends Operation> {
--- a/packages/simulator/src/history/operators.ts
+++ b/packages/simulator/src/history/operators.ts
@@ -1,182 +1,186 @@
 /** Operators in the simulation that number their configurations, send orders again, and record what they were told. */
 import { type ServiceName, toCommandId, toGeneration, toRelease } from '@switchwheel/types';
 import { splitIntoChunks, runToCompletion } from '@switchwheel/configuration';
-import type { SimRegistry, Told } from '../cast/registry.js';
-import type { Chance } from '../world/chance.js';
-import { describe } from '../world/describe.js';
+import type { SimulatedRegistry, RegistryReply } from '../processes/registry.js';
+import type { SeededRandom } from '../world/seeded-random.js';
+import { createConfiguration } from '../world/configuration.js';
 import type { World } from '../world/world.js';
 import type {
   ConfigurationRead,
   ConfigurationWrite,
-  Ending,
+  Outcome,
   History,
-  ReleaseWrite,
+  RolloutRequest,
   Version,
 } from './history.js';
 
 /** How long an operator waits for an answer before it sends the same order again. */
-const answerMs = 1500;
-const readEveryMs = 700;
-const releaseSpanMs = 6000;
+const answerTimeoutMs = 1500;
+const readIntervalMs = 700;
+const rolloutDurationMs = 6000;
 /** By how much an operator's number rises at most. */
-const numberStep = 5;
+const maxNumberStep = 5;
 
 /** How an answer of the control side ends an operation for its caller. */
-export const endingOf = (status: number): Ending => {
+export const outcomeOfStatus = (status: number): Outcome => {
   if (status === 200) return 'acknowledged';
   return status >= 400 && status < 500 ? 'refused' : 'unknown';
 };
 
-const field = (body: string, name: string): number | undefined => {
+const numberField = (body: string, name: string): number | undefined => {
   const found = new RegExp(`"${name}":(\\d+)`).exec(body)?.[1];
   return found === undefined ? undefined : Number(found);
 };
 
 /** The configuration that a read returned; undefined if there is none. */
-export const versionOf = (body: string): Version | undefined => {
-  const number = field(body, 'generation');
+export const parseVersion = (body: string): Version | undefined => {
+  const number = numberField(body, 'generation');
   const hash = /"hash":"([0-9a-f]+)"/.exec(body)?.[1];
   return number === undefined || number === 0 || hash === undefined ? undefined : { number, hash };
 };
 
 /** One order of a configuration, as it can be sent any number of times. */
-interface Configuration {
+interface SentConfiguration {
   readonly number: number;
-  readonly mark: number;
+  readonly marker: number;
 }
 
-export class SimOperators {
+export class SimulatedOperators {
   readonly #world: World;
   readonly #history: History;
-  readonly #chance: Chance;
-  #calls = 0;
+  readonly #random: SeededRandom;
+  #requestCount = 0;
   #lastNumber = 0;
   #lastRelease = 0;
-  readonly #sent: Configuration[] = [];
-  readonly #ordered: { readonly service: ServiceName; readonly target: string }[] = [];
-  #reading = false;
+  readonly #sentConfigurations: SentConfiguration[] = [];
+  readonly #sentRollouts: { readonly service: ServiceName; readonly target: string }[] = [];
+  #isReading = false;
 
   constructor(world: World, history: History) {
     this.#world = world;
     this.#history = history;
-    this.#chance = world.chance.part();
+    this.#random = world.random.fork();
   }
 
   /** Reads the configuration back again and again, through any registry, until the run ends. */
   beginReading(): void {
-    this.#reading = true;
+    this.#isReading = true;
     const next = (): void => {
-      if (!this.#reading) return;
+      if (!this.#isReading) return;
       this.read();
-      this.#world.agenda.after(readEveryMs, next);
+      this.#world.eventQueue.schedule(readIntervalMs, next);
     };
     next();
   }
 
   endReading(): void {
-    this.#reading = false;
+    this.#isReading = false;
   }
 
   /** Two operators send different configurations under one new number, at once. */
-  race(): void {
+  applyConcurrently(): void {
     const number = this.#nextNumber();
     for (let operator = 0; operator < 2; operator += 1) {
-      const configuration = { number, mark: this.#chance.whole(1, 1_000_000) };
-      this.#sent.push(configuration);
+      const configuration = { number, marker: this.#random.integer(1, 1_000_000) };
+      this.#sentConfigurations.push(configuration);
       this.#submit(configuration, 4);
     }
   }
 
   /** One operator sends a configuration under a new number. */
   apply(): void {
-    const configuration = { number: this.#nextNumber(), mark: this.#chance.whole(1, 1_000_000) };
-    this.#sent.push(configuration);
+    const configuration = {
+      number: this.#nextNumber(),
+      marker: this.#random.integer(1, 1_000_000),
+    };
+    this.#sentConfigurations.push(configuration);
     this.#submit(configuration, 4);
   }
 
   /** An order that was sent earlier comes again. */
-  repeat(): void {
-    const configuration = this.#chance.one(this.#sent);
+  repeatConfiguration(): void {
+    const configuration = this.#random.pick(this.#sentConfigurations);
     if (configuration !== undefined) this.#submit(configuration, 2);
   }
 
   /** A new release is ordered; origins of it need not stand. */
-  orderRelease(): void {
-    const service = this.#chance.one(this.#world.layout.services)?.name;
+  requestRollout(): void {
+    const service = this.#random.pick(this.#world.layout.services)?.name;
     if (service === undefined) return;
     this.#lastRelease += 1;
     const order = { service, target: `ordered-${this.#lastRelease}` };
-    this.#ordered.push(order);
-    this.#submitRelease(order, 3);
+    this.#sentRollouts.push(order);
+    this.#submitRollout(order, 3);
   }
 
   /** An order of a release that was sent lately comes again. */
-  repeatRelease(): void {
-    const order = this.#chance.one(this.#ordered.slice(-3));
-    if (order !== undefined) this.#submitRelease(order, 2);
+  repeatRollout(): void {
+    const order = this.#random.pick(this.#sentRollouts.slice(-3));
+    if (order !== undefined) this.#submitRollout(order, 2);
   }
 
   read(): void {
-    const registry = this.#registry();
+    const registry = this.#pickRegistry();
     if (registry === undefined) return;
     const open = this.#history.begin<ConfigurationRead>({
       kind: 'read',
       version: undefined,
-      ending: 'unknown',
-      startedAt: this.#world.agenda.now,
+      outcome: 'unknown',
+      startedAt: this.#world.eventQueue.now,
       endedAt: undefined,
     });
-    registry.call({ verb: 'view', id: this.#call(), what: 'description' }, (told) => {
-      if (told.status === 200) open.end({ ending: 'acknowledged', version: versionOf(told.body) });
-      else open.end({ ending: 'unknown' });
+    registry.call({ verb: 'view', id: this.#nextRequestId(), what: 'description' }, (told) => {
+      if (told.status === 200)
+        open.end({ outcome: 'acknowledged', version: parseVersion(told.body) });
+      else open.end({ outcome: 'unknown' });
     });
   }
 
   #nextNumber(): number {
     const known = this.#world.primary()?.state?.control.configuration?.offer.generation ?? 0;
-    this.#lastNumber = Math.max(known, this.#lastNumber) + this.#chance.whole(1, numberStep);
+    this.#lastNumber = Math.max(known, this.#lastNumber) + this.#random.integer(1, maxNumberStep);
     return this.#lastNumber;
   }
 
-  #call(): ReturnType<typeof toCommandId> {
-    this.#calls += 1;
-    return toCommandId(`history-${this.#calls}`);
+  #nextRequestId(): ReturnType<typeof toCommandId> {
+    this.#requestCount += 1;
+    return toCommandId(`history-${this.#requestCount}`);
   }
 
-  #registry(): SimRegistry | undefined {
-    return this.#chance.one(this.#world.registries.filter((one) => one.alive && !one.frozen));
+  #pickRegistry(): SimulatedRegistry | undefined {
+    return this.#random.pick(this.#world.registries.filter((one) => one.isAlive && !one.isFrozen));
   }
 
   /** Sends an order, and again while it has no clear answer: each time a call of its own, to any registry. */
-  #sendAgain(send: (done: (told: Told) => void) => void, tries: number): void {
+  #sendUntilAnswered(send: (done: (told: RegistryReply) => void) => void, tries: number): void {
     let answered = false;
     send((told) => {
-      answered ||= endingOf(told.status) !== 'unknown';
+      answered ||= outcomeOfStatus(told.status) !== 'unknown';
     });
-    this.#world.agenda.after(answerMs, () => {
-      if (!answered && tries > 1) this.#sendAgain(send, tries - 1);
+    this.#world.eventQueue.schedule(answerTimeoutMs, () => {
+      if (!answered && tries > 1) this.#sendUntilAnswered(send, tries - 1);
     });
   }
 
-  #submit(configuration: Configuration, tries: number): void {
+  #submit(configuration: SentConfiguration, tries: number): void {
     const bundle = runToCompletion(
-      splitIntoChunks(describe(this.#world.layout, configuration.mark)),
+      splitIntoChunks(createConfiguration(this.#world.layout, configuration.marker)),
     );
     if (bundle.isErr) throw new Error(JSON.stringify(bundle.error));
     const { hash, chunkHashes, chunks } = bundle.value;
     const { number } = configuration;
-    this.#sendAgain((done) => {
-      const registry = this.#registry();
+    this.#sendUntilAnswered((done) => {
+      const registry = this.#pickRegistry();
       if (registry === undefined) return;
       const open = this.#history.begin<ConfigurationWrite>({
         kind: 'write',
-        numbered: true,
+        isNumbered: true,
         version: { number, hash },
-        ending: 'unknown',
-        startedAt: this.#world.agenda.now,
+        outcome: 'unknown',
+        startedAt: this.#world.eventQueue.now,
         endedAt: undefined,
       });
-      const id = this.#call();
+      const id = this.#nextRequestId();
       const asked = toGeneration(number);
       registry.call(
         {
@@ -189,39 +193,42 @@
           chunks,
         },
         (told) => {
-          open.end({ ending: endingOf(told.status) });
+          open.end({ outcome: outcomeOfStatus(told.status) });
           done(told);
         },
       );
     }, tries);
   }
 
-  #submitRelease(
+  #submitRollout(
     order: { readonly service: ServiceName; readonly target: string },
     tries: number,
   ): void {
     const { service, target } = order;
-    this.#sendAgain((done) => {
-      const registry = this.#registry();
+    this.#sendUntilAnswered((done) => {
+      const registry = this.#pickRegistry();
       if (registry === undefined) return;
-      const open = this.#history.begin<ReleaseWrite>({
+      const open = this.#history.begin<RolloutRequest>({
         kind: 'release',
         key: `${service} ${target}`,
         order: undefined,
-        ending: 'unknown',
-        startedAt: this.#world.agenda.now,
+        outcome: 'unknown',
+        startedAt: this.#world.eventQueue.now,
         endedAt: undefined,
       });
       registry.call(
         {
           verb: 'release',
-          id: this.#call(),
+          id: this.#nextRequestId(),
           service,
           target: toRelease(target),
-          spanMs: releaseSpanMs,
+          spanMs: rolloutDurationMs,
         },
         (told) => {
-          open.end({ ending: endingOf(told.status), order: field(told.body, 'order') });
+          open.end({
+            outcome: outcomeOfStatus(told.status),
+            order: numberField(told.body, 'order'),
+          });
           done(told);
         },
       );
--- a/packages/simulator/src/index.ts
+++ b/packages/simulator/src/index.ts
@@ -1,3 +1,3 @@
 export * from './world/world.js';
-export * from './cast/callers.js';
-export * from './rules/rules.js';
+export * from './processes/callers.js';
+export * from './rules/rule-checker.js';
--- a/packages/simulator/src/cast/content.ts
+++ b/packages/simulator/src/processes/object-content.ts
@@ -1,29 +1,29 @@
 /** What an object's bytes are, as its origin makes them: the larger ones do not fit where whole results are held. */
-export const contentOf = (
+export const objectContent = (
   path: string,
   revision: number,
   request: string,
-  stamp: number,
+  createdAt: number,
 ): Buffer => {
   const object = Number(/(\d+)$/.exec(path)?.[1] ?? 0);
-  const head = `${revision} ${path} ${request} ${stamp} `;
+  const head = `${revision} ${path} ${request} ${createdAt} `;
   const size = object % 5 === 4 ? 9000 : 80 + object * 20;
   return Buffer.from(head.padEnd(size, `${path}.${revision}.`));
 };
 
-export const isLarge = (path: string): boolean => contentOf(path, 0, '', 0).length > 4000;
+export const isLargeObject = (path: string): boolean => objectContent(path, 0, '', 0).length > 4000;
 
 /** What an origin's bytes say that they are. */
-export interface Content {
+export interface ObjectContent {
   readonly revision: number;
   readonly object: string;
   readonly request: string;
   /** When the origin made it. */
-  readonly stamp: number;
+  readonly createdAt: number;
 }
 
 /** Reads bytes; nothing if they are not all of an object. */
-export const readContent = (body: Buffer): Content | undefined => {
+export const parseObjectContent = (body: Buffer): ObjectContent | undefined => {
   const [revision, object, request, stamp] = body.toString('latin1').split(' ');
   if (
     revision === undefined ||
@@ -32,7 +32,7 @@
     stamp === undefined
   )
     return undefined;
-  return contentOf(object, Number(revision), request, Number(stamp)).equals(body)
-    ? { revision: Number(revision), object, request, stamp: Number(stamp) }
+  return objectContent(object, Number(revision), request, Number(stamp)).equals(body)
+    ? { revision: Number(revision), object, request, createdAt: Number(stamp) }
     : undefined;
 };
--- a/packages/simulator/src/cast/proxy.ts
+++ b/packages/simulator/src/processes/proxy.ts
@@ -30,10 +30,10 @@
   newProxyState,
   proxyTransition,
 } from '@switchwheel/proxy-core';
-import { Actor, type Stage } from '../world/actor.js';
-import { readContent } from './content.js';
-import type { SimOrigin } from './origin.js';
-import { Wire } from './wire.js';
+import { SimulatedProcess, type SimulationContext } from '../world/process.js';
+import { parseObjectContent } from './object-content.js';
+import type { SimulatedOrigin } from './origin.js';
+import { SimulatedChannel } from './channel.js';
 
 /** What a caller is told in the end. */
 export interface CallerResult {
@@ -47,13 +47,13 @@
   /** The request that the origin says it answers. */
   readonly request: string;
   /** When its origin made it. */
-  readonly stamp: number;
-  readonly from: string;
+  readonly createdAt: number;
+  readonly source: string;
   readonly retryMs: number;
 }
 
 /** A request as it goes through the simulation. */
-export interface Request {
+export interface SimulatedRequest {
   readonly id: string;
   readonly method: string;
   readonly path: string;
@@ -61,27 +61,27 @@
 }
 
 /** Small measures, so that simulated results come in several parts and the larger ones stream. */
-const sizes: TransferLimits = {
+const streamLimits: TransferLimits = {
   maxBufferedBytes: 4000,
   chunkBytes: 900,
   windowBytes: 2500,
   maxCoalescedWaiters: 64,
 };
 
-const faultOf = (kind: 'broken' | ErrorKind, text: string, retryMs = 0): CallerResult => ({
+const failedResult = (kind: 'broken' | ErrorKind, text: string, retryMs = 0): CallerResult => ({
   kind,
   text,
   status: 0,
   revision: -1,
   object: '',
   request: '',
-  stamp: 0,
-  from: '',
+  createdAt: 0,
+  source: '',
   retryMs,
 });
 
-const resultOf = (status: number, body: Buffer, from: string): CallerResult => {
-  const read = status === 200 ? readContent(body) : undefined;
+const completeResult = (status: number, body: Buffer, from: string): CallerResult => {
+  const read = status === 200 ? parseObjectContent(body) : undefined;
   return {
     kind: 'result',
     text: '',
@@ -89,50 +89,53 @@
     revision: read?.revision ?? -1,
     object: read?.object ?? '',
     request: read?.request ?? '',
-    stamp: read?.stamp ?? 0,
-    from,
+    createdAt: read?.createdAt ?? 0,
+    source: from,
     retryMs: 0,
   };
 };
 
-const toResult = (told: Reply): CallerResult => {
+const toCallerResult = (told: Reply): CallerResult => {
   switch (told.kind) {
     case 'failure':
-      return faultOf(told.errorKind, told.text, told.retryMs);
+      return failedResult(told.errorKind, told.text, told.retryMs);
     case 'cached':
-      return resultOf(told.entry.status, told.entry.body, told.source);
+      return completeResult(told.entry.status, told.entry.body, told.source);
     case 'complete':
-      return resultOf(told.status, told.body, told.source);
+      return completeResult(told.status, told.body, told.source);
   }
 };
 
 /** A proxy in the simulation: all that ships but for sockets, which are virtual. */
-export class SimProxy extends Actor {
+export class SimulatedProxy extends SimulatedProcess {
   readonly role: 'edge' | 'shield';
   readonly #seeds: () => readonly Address[];
-  readonly #origins: () => readonly SimOrigin[];
+  readonly #origins: () => readonly SimulatedOrigin[];
   #store: StateMachine<ProxyState, ProxyEvent> | undefined;
   #cache = new Cache(4 * 1024 * 1024);
   #edge: EdgeRequestHandler | undefined;
   #shield: ShieldRequestHandler | undefined;
-  readonly #wires = new Map<Address, Set<Wire>>();
-  readonly #dropped = new Set<string>();
+  readonly #channels = new Map<Address, Set<SimulatedChannel>>();
+  readonly #cancelledAttempts = new Set<string>();
   /** Whether it takes no new callers as it is about to end. */
-  #shut = false;
+  #isClosedToCallers = false;
   /** Whether this machine can't apply descriptions: a fault of its own. */
-  lame = false;
+  failsToCompile = false;
   /** The generation that came into force, when, in which life. */
-  readonly adopted: { readonly generation: number; readonly at: number; readonly life: number }[] =
-    [];
+  readonly activations: {
+    readonly generation: number;
+    readonly at: number;
+    readonly incarnationNumber: number;
+  }[] = [];
 
   constructor(
-    stage: Stage,
+    stage: SimulationContext,
     role: 'edge' | 'shield',
     node: NodeId,
     address: Address,
     area: string,
     seeds: () => readonly Address[],
-    origins: () => readonly SimOrigin[],
+    origins: () => readonly SimulatedOrigin[],
   ) {
     super(stage, node, address, area);
     this.role = role;
@@ -141,15 +144,15 @@
   }
 
   get state(): ProxyState | undefined {
-    return this.alive ? this.#store?.state() : undefined;
+    return this.isAlive ? this.#store?.state() : undefined;
   }
 
-  get ready(): boolean {
+  get isReady(): boolean {
     const { state } = this;
-    return state !== undefined && !this.frozen && isReady(state.nodeAgent, this.clock);
+    return state !== undefined && !this.isFrozen && isReady(state.nodeAgent, this.clock);
   }
 
-  get stopping(): boolean {
+  get isStopping(): boolean {
     return this.state?.nodeAgent.isStopping === true;
   }
 
@@ -163,7 +166,8 @@
         (state?.leaders.get(name)?.attempts.size ?? 0) > 0
       );
     });
-    if (this.frozen && past) this.stage.tried.note('a keeper woke past its lease with legs open');
+    if (this.isFrozen && past)
+      this.context.coverage.record('a keeper woke past its lease with legs open');
     super.wake();
   }
 
@@ -172,91 +176,91 @@
     return new Map([...(this.#edge?.counts ?? []), ...(this.#shield?.counts ?? [])]);
   }
 
-  protected boot(): void {
+  protected onStart(): void {
     const member: Member = {
       node: this.node,
       role: this.role,
-      area: toZoneName(this.area),
+      area: toZoneName(this.zone),
       address: this.address,
       door: this.address,
       incarnation: this.incarnation,
     };
-    const before = this.adopted.at(-1);
-    if (before !== undefined && this.stage.generation() > before.generation)
-      this.stage.tried.note('R5: a node started again under a newer generation');
-    this.#shut = false;
-    this.#dropped.clear();
+    const before = this.activations.at(-1);
+    if (before !== undefined && this.context.highestAcknowledgedGeneration() > before.generation)
+      this.context.coverage.record('R5: a node started again under a newer generation');
+    this.#isClosedToCallers = false;
+    this.#cancelledAttempts.clear();
     this.#cache = new Cache(4 * 1024 * 1024);
     const first = newProxyState(member, this.#seeds(), {
-      seed: Math.floor(this.stage.chance.next() * 4294967296),
+      seed: Math.floor(this.context.random.next() * 4294967296),
     });
     const store = this.makeStore<ProxyState, ProxyEvent, ProxyEffect>(
       proxyTransition,
       first,
-      (effect) => this.#run(effect),
+      (effect) => this.#runEffect(effect),
     );
     this.#store = store;
     const desk = new CacheLookup(this.#cache);
     const cab = {
       now: (): Timestamp => this.clock,
       state: store.state,
-      dispatch: (make: (now: Timestamp) => ProxyEvent): void => this.#tell(make),
+      dispatch: (make: (now: Timestamp) => ProxyEvent): void => this.#dispatchNow(make),
     };
     this.#edge = new EdgeRequestHandler(
-      `${this.node}.${this.life}`,
+      `${this.node}.${this.incarnationNumber}`,
       desk,
       (to, ears) => {
-        const other = this.stage.actors.get(to);
-        const wire = new Wire(
-          this.stage,
+        const other = this.context.processes.get(to);
+        const wire = new SimulatedChannel(
+          this.context,
           this,
           other,
           {
             ...ears,
             closed: () => {
-              this.#wires.get(to)?.delete(wire);
+              this.#channels.get(to)?.delete(wire);
               ears.closed();
             },
           },
           (channel) =>
-            other instanceof SimProxy
+            other instanceof SimulatedProxy
               ? other.#accept(channel)
               : { frame: () => undefined, closed: () => undefined },
         );
-        const list = this.#wires.get(to) ?? new Set<Wire>();
-        this.#wires.set(to, list.add(wire));
+        const list = this.#channels.get(to) ?? new Set<SimulatedChannel>();
+        this.#channels.set(to, list.add(wire));
         return wire.channel();
       },
       cab,
-      sizes,
+      streamLimits,
     );
     this.#shield = new ShieldRequestHandler(
       {
-        send: (name, request, ears) => this.#leg(name, request, ears),
+        send: (name, request, ears) => this.#startAttempt(name, request, ears),
         cancel: (name) => {
-          this.#dropped.add(name);
+          this.#cancelledAttempts.add(name);
         },
       },
       desk,
       cab,
       () => undefined,
-      sizes,
+      streamLimits,
     );
   }
 
-  protected ended(): void {
-    this.#wires.clear();
+  protected onEnd(): void {
+    this.#channels.clear();
     this.#edge = undefined;
     this.#shield = undefined;
   }
 
-  event(make: (now: Timestamp) => ProcessEvent): void {
-    this.#tell(make);
+  dispatch(make: (now: Timestamp) => ProcessEvent): void {
+    this.#dispatchNow(make);
   }
 
-  override gone(address: Address): void {
-    super.gone(address);
-    for (const wire of this.#wires.get(address) ?? []) wire.gone();
+  override peerEnded(address: Address): void {
+    super.peerEnded(address);
+    for (const wire of this.#channels.get(address) ?? []) wire.remoteProcessEnded();
   }
 
   #accept(
@@ -271,31 +275,32 @@
   }
 
   /** A planned stop, as the shipped program goes about it; calls back when the process has ended. */
-  stop(then: (how: ShutdownPhase) => void): void {
-    this.act(() => {
+  stop(onStopped: (how: ShutdownPhase) => void): void {
+    this.execute(() => {
       const since = this.clock;
-      if (this.#open() > 0) this.stage.tried.note('R11: a node was stopped with requests open');
+      if (this.#openWork() > 0)
+        this.context.coverage.record('R11: a node was stopped with requests open');
       if ((this.state?.activeLeaders.size ?? 0) > 0)
-        this.stage.tried.note('R11: a keeper was stopped');
-      this.#tell((now) => ({ kind: 'stopRequested', now }));
+        this.context.coverage.record('R11: a keeper was stopped');
+      this.#dispatchNow((now) => ({ kind: 'stopRequested', now }));
       const look = (): void => {
-        const how = shutdownPhase(this.role, since, this.#open(), this.clock);
-        this.#shut = how !== 'serving';
+        const how = shutdownPhase(this.role, since, this.#openWork(), this.clock);
+        this.#isClosedToCallers = how !== 'serving';
         if (how === 'serving' || how === 'draining') {
-          this.later(20, look);
+          this.schedule(20, look);
           return;
         }
         if (how === 'aborting') this.#edge?.abortAll('this node stops');
-        this.later(how === 'aborting' ? 100 : 0, () => {
+        this.schedule(how === 'aborting' ? 100 : 0, () => {
           this.kill('planned');
-          then(how);
+          onStopped(how);
         });
       };
       look();
     });
   }
 
-  #open(): number {
+  #openWork(): number {
     const legs = [...(this.#store?.state().leaders.values() ?? [])].reduce(
       (sum, one) => sum + one.attempts.size,
       0,
@@ -303,28 +308,28 @@
     return (this.#edge?.openRequests ?? 0) + (this.#shield?.inbound.size ?? 0) + legs;
   }
 
-  #tell(make: (now: Timestamp) => ProxyEvent): void {
+  #dispatchNow(make: (now: Timestamp) => ProxyEvent): void {
     this.#store?.dispatch(make(this.clock));
   }
 
   /** Takes a caller's request; the caller hears nothing if this process dies first. Gives what to call when the caller leaves. */
-  serve(request: Request, done: (result: CallerResult) => void): () => void {
+  serve(request: SimulatedRequest, onResult: (result: CallerResult) => void): () => void {
     let leave = (): void => undefined;
-    const { life } = this;
-    if (!this.alive) {
-      done(faultOf('unready', 'nobody listens', 1000));
+    const { incarnationNumber } = this;
+    if (!this.isAlive) {
+      onResult(failedResult('unready', 'nobody listens', 1000));
       return leave;
     }
-    this.act(() => {
-      if (this.#shut) {
-        done(faultOf('unready', 'nobody listens', 1000));
+    this.execute(() => {
+      if (this.#isClosedToCallers) {
+        onResult(failedResult('unready', 'nobody listens', 1000));
         return;
       }
       const edge = this.#edge;
       const found = edge?.findRoute(request.method, 'sim', request.path);
       if (edge === undefined || found === undefined) return;
       if ('told' in found) {
-        done(toResult(found.told));
+        onResult(toCallerResult(found.told));
         return;
       }
       const call: ClientRequest = {
@@ -336,16 +341,16 @@
         remoteAddress: '10.9.9.9',
       };
       const caller: ClientConnection = {
-        reply: (told) => done(toResult(told)),
-        startStream: (status, _, length) => this.#spout(status, length, done),
+        reply: (told) => onResult(toCallerResult(told)),
+        startStream: (status, _, length) => this.#streamingCaller(status, length, onResult),
       };
       leave = edge.serve(found.track, call, caller);
     });
-    return () => this.act(() => leave(), life);
+    return () => this.execute(() => leave(), incarnationNumber);
   }
 
   /** A caller that takes a result in parts, and sees whether it is all there. */
-  #spout(
+  #streamingCaller(
     status: number,
     length: number | undefined,
     done: (result: CallerResult) => void,
@@ -362,27 +367,27 @@
         parts.push(bytes);
         // A caller takes a result as whole once all the bytes that were told are there, whatever comes after.
         if (length !== undefined && whole().length >= length)
-          end(resultOf(status, whole().subarray(0, length), 'stream'));
-        this.later(this.stage.chance.between(0.1, 5), more);
+          end(completeResult(status, whole().subarray(0, length), 'stream'));
+        this.schedule(this.context.random.uniform(0.1, 5), more);
       },
       end: () =>
         end(
           length === undefined
-            ? resultOf(status, whole(), 'stream')
-            : faultOf('broken', 'shorter than told'),
+            ? completeResult(status, whole(), 'stream')
+            : failedResult('broken', 'shorter than told'),
         ),
-      abort: (why) => end(faultOf('broken', why)),
+      abort: (why) => end(failedResult('broken', why)),
     };
   }
 
-  #run(effect: ProxyEffect): void {
+  #runEffect(effect: ProxyEffect): void {
     switch (effect.kind) {
       case 'send':
       case 'log':
-        this.wire(effect);
+        this.runWireEffect(effect);
         break;
       case 'compileConfiguration':
-        this.later(this.stage.chance.between(2, 40), () => {
+        this.schedule(this.context.random.uniform(2, 40), () => {
           const built = runToCompletion(
             buildConfiguration(
               effect.chunkTexts,
@@ -391,8 +396,8 @@
               effect.previous,
             ),
           );
-          this.#tell((now) =>
-            built.isOk && !this.lame
+          this.#dispatchNow((now) =>
+            built.isOk && !this.failsToCompile
               ? {
                   kind: 'configurationCompiled',
                   now,
@@ -409,10 +414,10 @@
         });
         break;
       case 'adoptConfiguration':
-        this.adopted.push({
+        this.activations.push({
           generation: effect.compiledConfiguration.generation,
-          at: this.stage.agenda.now,
-          life: this.life,
+          at: this.context.eventQueue.now,
+          incarnationNumber: this.incarnationNumber,
         });
         break;
       case 'purgeCache':
@@ -441,8 +446,8 @@
           !holdsLease(candidate, this.clock) ||
           heldEpoch(candidate) !== keeper?.epoch
         )
-          this.stage.breaches.push(
-            `${this.node} sent a leg as ${effect.leader} past its lease at ${Math.round(this.stage.agenda.now)}`,
+          this.context.selfReportedViolations.push(
+            `${this.node} sent a leg as ${effect.leader} past its lease at ${Math.round(this.context.eventQueue.now)}`,
           );
         this.#shield?.run(effect);
         break;
@@ -455,17 +460,17 @@
     }
   }
 
-  #originAt(address: Address): SimOrigin | undefined {
-    return this.#origins().find((one) => one.address === address && one.alive);
+  #originAt(address: Address): SimulatedOrigin | undefined {
+    return this.#origins().find((one) => one.address === address && one.isAlive);
   }
 
   #probe(effect: Extract<ProxyEffect, { kind: 'checkHealth' }>): void {
     const { service, instance, address } = effect;
-    this.later(this.stage.chance.between(1, 5), () => {
+    this.schedule(this.context.random.uniform(1, 5), () => {
       const good =
-        this.stage.net.open(this.node, 'origins') &&
-        this.#originAt(address)?.probe(instance) === true;
-      this.#tell((now) => ({
+        this.context.network.isOpen(this.node, 'origins') &&
+        this.#originAt(address)?.answerProbe(instance) === true;
+      this.#dispatchNow((now) => ({
         kind: 'healthChecked',
         now,
         service,
@@ -476,39 +481,39 @@
     });
   }
 
-  #leg(name: string, request: AttemptRequest, ears: AttemptHandlers): void {
-    const { life } = this;
+  #startAttempt(name: string, request: AttemptRequest, ears: AttemptHandlers): void {
+    const { incarnationNumber } = this;
     // What comes back keeps its order.
     let free = 0;
     const near = (work: () => void): void => {
-      free = Math.max(free, this.stage.agenda.now + this.stage.chance.between(0.3, 2));
-      this.stage.agenda.after(free - this.stage.agenda.now, () =>
-        this.act(() => {
-          if (this.#dropped.has(name)) return;
-          if (this.stage.net.open(this.node, 'origins')) work();
+      free = Math.max(free, this.context.eventQueue.now + this.context.random.uniform(0.3, 2));
+      this.context.eventQueue.schedule(free - this.context.eventQueue.now, () =>
+        this.execute(() => {
+          if (this.#cancelledAttempts.has(name)) return;
+          if (this.context.network.isOpen(this.node, 'origins')) work();
           else
             ears.failed({
               mayHaveBeenSent: true,
               isTimeout: false,
               text: 'cut off from the origin',
             });
-        }, life),
+        }, incarnationNumber),
       );
     };
     const origin = this.#originAt(request.address);
-    this.later(request.timeoutMs, () => {
-      if (!this.#dropped.has(name))
+    this.schedule(request.timeoutMs, () => {
+      if (!this.#cancelledAttempts.has(name))
         ears.failed({ mayHaveBeenSent: true, isTimeout: true, text: 'no result in time' });
     });
-    if (origin === undefined || !this.stage.net.open(this.node, 'origins')) {
-      this.later(2, () => {
-        if (!this.#dropped.has(name))
+    if (origin === undefined || !this.context.network.isOpen(this.node, 'origins')) {
+      this.schedule(2, () => {
+        if (!this.#cancelledAttempts.has(name))
           ears.failed({ mayHaveBeenSent: false, isTimeout: false, text: 'no one listens' });
       });
       return;
     }
-    this.stage.agenda.after(this.stage.chance.between(0.3, 2), () =>
-      origin.take(request, {
+    this.context.eventQueue.schedule(this.context.random.uniform(0.3, 2), () =>
+      origin.handleRequest(request, {
         head: (status, fields) => near(() => ears.head(status, fields)),
         chunk: (bytes, more) => near(() => ears.chunk(bytes, more)),
         ended: () => near(() => ears.ended()),
--- a/packages/simulator/src/cast/registry.ts
+++ b/packages/simulator/src/processes/registry.ts
@@ -14,24 +14,24 @@
   newRegistryState,
   registryTransition,
 } from '@switchwheel/membership';
-import { Actor, type Stage } from '../world/actor.js';
+import { SimulatedProcess, type SimulationContext } from '../world/process.js';
 
-export interface Told {
+export interface RegistryReply {
   readonly status: number;
   readonly body: string;
 }
 
 /** A registry in the simulation. */
-export class SimRegistry extends Actor {
+export class SimulatedRegistry extends SimulatedProcess {
   readonly #seeds: () => readonly Address[];
   /** Whether nodes that run nothing may start on what disks hold. */
-  readonly #eager: boolean;
+  readonly #startsFromDisks: boolean;
   #store: StateMachine<RegistryState, RegistryEvent> | undefined;
-  #ref = 0;
-  readonly #waiting = new Map<number, (told: Told) => void>();
+  #lastRequest = 0;
+  readonly #pendingReplies = new Map<number, (told: RegistryReply) => void>();
 
   constructor(
-    stage: Stage,
+    stage: SimulationContext,
     node: NodeId,
     address: Address,
     area: string,
@@ -40,59 +40,66 @@
   ) {
     super(stage, node, address, area);
     this.#seeds = seeds;
-    this.#eager = eager;
+    this.#startsFromDisks = eager;
   }
 
   get state(): RegistryState | undefined {
-    return this.alive ? this.#store?.state() : undefined;
+    return this.isAlive ? this.#store?.state() : undefined;
   }
 
-  protected boot(): void {
+  protected onStart(): void {
     const member: Member = {
       node: this.node,
       role: 'registry',
-      area: toZoneName(this.area),
+      area: toZoneName(this.zone),
       address: this.address,
       door: this.address,
       incarnation: this.incarnation,
     };
-    const dice = { seed: Math.floor(this.stage.chance.next() * 4294967296) };
-    const first = newRegistryState(member, this.#seeds(), this.clock, dice, undefined, this.#eager);
+    const dice = { seed: Math.floor(this.context.random.next() * 4294967296) };
+    const first = newRegistryState(
+      member,
+      this.#seeds(),
+      this.clock,
+      dice,
+      undefined,
+      this.#startsFromDisks,
+    );
     this.#store = this.makeStore<RegistryState, RegistryEvent, RegistryEffect>(
       registryTransition,
       first,
       (effect) => {
         if (effect.kind === 'reply') {
-          const done = this.#waiting.get(effect.correlationId);
-          this.#waiting.delete(effect.correlationId);
+          const done = this.#pendingReplies.get(effect.correlationId);
+          this.#pendingReplies.delete(effect.correlationId);
           done?.({ status: effect.status, body: effect.body });
-        } else this.wire(effect);
+        } else this.runWireEffect(effect);
       },
     );
   }
 
-  protected ended(): void {
-    this.#waiting.clear();
+  protected onEnd(): void {
+    this.#pendingReplies.clear();
   }
 
-  event(make: (now: Timestamp) => ProcessEvent): void {
+  dispatch(make: (now: Timestamp) => ProcessEvent): void {
     this.#store?.dispatch(make(this.clock));
   }
 
   /** Asks the process to stop: its vote is taken over by others meanwhile. */
   stop(): void {
-    this.act(() => this.#store?.dispatch({ kind: 'stopRequested', now: this.clock }));
+    this.execute(() => this.#store?.dispatch({ kind: 'stopRequested', now: this.clock }));
   }
 
   /** A call from outside; no answer ever comes if the process dies first. */
-  call(call: ExternalRequest, done: (told: Told) => void): void {
-    this.act(() => {
-      this.#ref += 1;
-      this.#waiting.set(this.#ref, done);
+  call(call: ExternalRequest, onReply: (told: RegistryReply) => void): void {
+    this.execute(() => {
+      this.#lastRequest += 1;
+      this.#pendingReplies.set(this.#lastRequest, onReply);
       this.#store?.dispatch({
         kind: 'requestReceived',
         now: this.clock,
-        correlationId: this.#ref,
+        correlationId: this.#lastRequest,
         request: call,
       });
     });
--- a/packages/simulator/src/cast/store.ts
+++ b/packages/simulator/src/processes/store.ts
@@ -21,18 +21,18 @@
 } from '@switchwheel/replicated-store';
 import { holdsLease } from '@switchwheel/election';
 import { buildConfiguration, runToCompletion } from '@switchwheel/configuration';
-import { Actor, type Stage } from '../world/actor.js';
-import { VirtualDisk } from '../world/disk.js';
+import { SimulatedProcess, type SimulationContext } from '../world/process.js';
+import { VirtualDisk } from '../world/virtual-disk.js';
 
 /** A store in the simulation, on a virtual disk that outlives the process. */
-export class SimStore extends Actor {
+export class SimulatedStore extends SimulatedProcess {
   readonly disk: VirtualDisk<DiskWrite>;
   readonly #seeds: () => readonly Address[];
-  readonly #limits: ReplicationSettings | undefined;
+  readonly #replication: ReplicationSettings | undefined;
   #store: StateMachine<StoreState, StoreEvent> | undefined;
 
   constructor(
-    stage: Stage,
+    stage: SimulationContext,
     node: NodeId,
     address: Address,
     area: string,
@@ -41,64 +41,64 @@
   ) {
     super(stage, node, address, area);
     this.#seeds = seeds;
-    this.#limits = limits;
-    this.disk = new VirtualDisk(stage.agenda, stage.chance.part());
+    this.#replication = limits;
+    this.disk = new VirtualDisk(stage.eventQueue, stage.random.fork());
   }
 
   get state(): StoreState | undefined {
-    return this.alive ? this.#store?.state() : undefined;
+    return this.isAlive ? this.#store?.state() : undefined;
   }
 
-  protected boot(): void {
+  protected onStart(): void {
     const member: Member = {
       node: this.node,
       role: 'store',
-      area: toZoneName(this.area),
+      area: toZoneName(this.zone),
       address: this.address,
       incarnation: this.incarnation,
     };
     const first = newStoreState(
       member,
       this.#seeds(),
-      { seed: Math.floor(this.stage.chance.next() * 4294967296) },
-      this.#limits,
+      { seed: Math.floor(this.context.random.next() * 4294967296) },
+      this.#replication,
     );
     this.#store = this.makeStore<StoreState, StoreEvent, StoreEffect>(
       storeTransition,
       first,
-      (effect) => this.#run(effect),
+      (effect) => this.#runEffect(effect),
     );
-    const found = this.#found();
-    this.later(this.stage.chance.between(5, 30), () =>
-      this.#tell((now) => ({ kind: 'diskRead', now, contents: found })),
+    const found = this.#readDisk();
+    this.schedule(this.context.random.uniform(5, 30), () =>
+      this.#dispatchNow((now) => ({ kind: 'diskRead', now, contents: found })),
     );
   }
 
   override wake(): void {
     const { state, clock } = this;
-    if (this.frozen && state?.isServing === true && !holdsLease(state.candidate, clock))
-      this.stage.tried.note('a primary woke past its lease');
+    if (this.isFrozen && state?.isServing === true && !holdsLease(state.candidate, clock))
+      this.context.coverage.record('a primary woke past its lease');
     super.wake();
   }
 
-  protected ended(): void {
-    this.disk.lose();
+  protected onEnd(): void {
+    this.disk.losePower();
   }
 
   /** Whether it has the answer to a call. */
-  keeps(id: CommandId): boolean {
+  hasResultOf(id: CommandId): boolean {
     return this.state?.control.commandOutcomes.has(id) === true;
   }
 
   /** How far the write under way here has come, if there is one. */
-  get writing(): 'disk' | 'copy' | undefined {
+  get writePhase(): 'disk' | 'copy' | undefined {
     const phase = this.state?.primaryWrite?.phase;
     return phase === 'disk' || phase === 'copy' ? phase : undefined;
   }
 
   /** What the disk holds, put together from all that was ever synced. */
-  #found(): DiskContents {
-    if (this.disk.torn) return { status: 'damaged', reason: 'torn' };
+  #readDisk(): DiskContents {
+    if (this.disk.isTorn) return { status: 'damaged', reason: 'torn' };
     const last = this.disk.synced.at(-1);
     if (last === undefined) return { status: 'empty' };
     const entries = new Map<string, KeyedEntry>();
@@ -115,18 +115,18 @@
     };
   }
 
-  #tell(make: (now: Timestamp) => StoreEvent): void {
+  #dispatchNow(make: (now: Timestamp) => StoreEvent): void {
     this.#store?.dispatch(make(this.clock));
   }
 
-  event(make: (now: Timestamp) => ProcessEvent): void {
-    this.#tell(make);
+  dispatch(make: (now: Timestamp) => ProcessEvent): void {
+    this.#dispatchNow(make);
   }
 
   /** Asks the process to stop, within the grace if it is given. */
   stop(graceMs?: number): void {
-    this.act(() =>
-      this.#tell((now) => ({
+    this.execute(() =>
+      this.#dispatchNow((now) => ({
         kind: 'stopRequested',
         now,
         ...(graceMs === undefined ? {} : { graceMs }),
@@ -134,16 +134,16 @@
     );
   }
 
-  #run(effect: StoreEffect): void {
+  #runEffect(effect: StoreEffect): void {
     switch (effect.kind) {
       case 'writeToDisk': {
         const { write } = effect;
-        const life = this.life;
+        const life = this.incarnationNumber;
         this.disk.write(write, (ok, full) => {
-          if (ok && write.wipesFirst) this.disk.torn = false;
-          this.act(
+          if (ok && write.wipesFirst) this.disk.isTorn = false;
+          this.execute(
             () =>
-              this.#tell((now) =>
+              this.#dispatchNow((now) =>
                 ok
                   ? { kind: 'writeSynced', now, writeId: write.id }
                   : {
@@ -160,11 +160,11 @@
         break;
       }
       case 'compileConfiguration':
-        this.later(this.stage.chance.between(1, 20), () => {
+        this.schedule(this.context.random.uniform(1, 20), () => {
           const built = runToCompletion(
             buildConfiguration(effect.texts, toGeneration(0), effect.hash),
           );
-          this.#tell((now) => ({
+          this.#dispatchNow((now) => ({
             kind: 'configurationCompiled',
             now,
             hash: effect.hash,
@@ -173,11 +173,11 @@
         });
         break;
       case 'completeStop':
-        this.later(20, () => this.kill());
+        this.schedule(20, () => this.kill());
         break;
       case 'send':
       case 'log':
-        this.wire(effect);
+        this.runWireEffect(effect);
         break;
     }
   }
--- a/packages/simulator/src/rules/tried.ts
+++ b/packages/simulator/src/rules/coverage.ts
@@ -1,7 +1,7 @@
 import { increment } from '@switchwheel/types';
 
 /** What a run must have done for its verdict on each rule to mean anything. */
-export const trials = [
+export const coverageGoals = [
   'R1: an unsafe result was lost after the work',
   'R1: an origin died with an unsafe request in hand',
   'R2: a request was told as refused',
@@ -45,21 +45,24 @@
   'an area was lost',
   'callers asked again at once',
 ] as const;
-export type Trial = (typeof trials)[number];
+export type CoverageGoal = (typeof coverageGoals)[number];
 
 /** Counts how often each rule was truly put to the test. */
-export class Tried {
-  readonly counts = new Map<Trial, number>();
+export class Coverage {
+  readonly counts = new Map<CoverageGoal, number>();
 
-  note(trial: Trial, many = 1): void {
+  record(trial: CoverageGoal, many = 1): void {
     increment(this.counts, trial, many);
   }
 }
 
-export const addCounts = (sum: Map<Trial, number>, counts: ReadonlyMap<Trial, number>): void => {
+export const addCounts = (
+  sum: Map<CoverageGoal, number>,
+  counts: ReadonlyMap<CoverageGoal, number>,
+): void => {
   for (const [name, many] of counts) increment(sum, name, many);
 };
 
 /** Those that never came about. */
-export const untried = (counts: ReadonlyMap<Trial, number>): readonly Trial[] =>
-  trials.filter((one) => (counts.get(one) ?? 0) === 0);
+export const missingGoals = (counts: ReadonlyMap<CoverageGoal, number>): readonly CoverageGoal[] =>
+  coverageGoals.filter((one) => (counts.get(one) ?? 0) === 0);
--- a/packages/simulator/src/rules/bites.test.ts
+++ b/packages/simulator/src/rules/rule-checker.test.ts
@@ -1,21 +1,21 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { toGeneration, toTimestamp, toRelease } from '@switchwheel/types';
-import { acts, clips, scene, type Scene } from '../run/stage.js';
+import { acts, clips, createFixture, type Fixture } from '../run/fixture.js';
 
 /** Runs a small calm fleet, breaks one rule on purpose in what happened, and gives what the checkers found. */
-const spoil = (act: (run: Scene) => void): readonly string[] => {
-  const run = scene(5, 60);
-  run.callers.begin();
-  run.world.run(3000);
+const spoil = (act: (run: Fixture) => void): readonly string[] => {
+  const run = createFixture(5, 60);
+  run.callers.start();
+  run.world.runFor(3000);
   act(run);
-  run.world.run(3500);
-  run.callers.end();
-  run.world.run(4000);
-  return run.rules.finish();
+  run.world.runFor(3500);
+  run.callers.stop();
+  run.world.runFor(4000);
+  return run.ruleChecker.finish();
 };
 
-const bites = (rule: string, act: (run: Scene) => void): void => {
+const bites = (rule: string, act: (run: Fixture) => void): void => {
   void test(`the checker of ${rule} bites`, () => {
     const found = spoil(act);
     assert.ok(
@@ -25,7 +25,7 @@
   });
 };
 
-const originOf = (run: Scene, service = clips): Scene['world']['origins'][number] => {
+const originOf = (run: Fixture, service = clips): Fixture['world']['origins'][number] => {
   const found = run.world.origins.find((one) => one.service === service);
   assert.ok(found !== undefined);
   return found;
@@ -39,28 +39,28 @@
 });
 
 bites('R1', (run) => {
-  const done = run.callers.asked.find((one) => one.unsafe && one.result?.kind === 'result');
-  originOf(run).runs.push({ request: done?.id ?? '', at: 0, unsafe: true });
+  const done = run.callers.requests.find((one) => one.isUnsafe && one.result?.kind === 'result');
+  originOf(run).executions.push({ requestId: done?.id ?? '', at: 0, isUnsafe: true });
 });
 bites('R2', (run) => {
-  const done = run.callers.asked.find((one) => one.unsafe && one.result?.kind === 'result');
+  const done = run.callers.requests.find((one) => one.isUnsafe && one.result?.kind === 'result');
   if (done?.result !== undefined) done.result = { ...done.result, kind: 'rejected' };
 });
 bites('R3', (run) => {
-  const done = run.callers.asked.find((one) => one.result?.kind === 'result');
+  const done = run.callers.requests.find((one) => one.result?.kind === 'result');
   if (done?.result !== undefined) done.result = { ...done.result, object: '/somebody/else' };
 });
 bites('R4', (run) => {
   const write = run.world.apply(9);
-  run.world.until(1000, () => write.told !== undefined);
+  run.world.runUntil(1000, () => write.reply !== undefined);
   const proxy = run.world.proxies[0];
   assert.ok(proxy !== undefined);
-  run.world.run(300);
-  proxy.adopted.splice(0);
+  run.world.runFor(300);
+  proxy.activations.splice(0);
 });
 bites('R5', (run) => {
   run.world.apply(9);
-  run.world.run(1500);
+  run.world.runFor(1500);
   const proxy = run.world.proxies[0];
   const offer = proxy?.state?.nodeAgent.compiledConfiguration;
   assert.ok(proxy !== undefined && offer !== undefined);
@@ -75,19 +75,19 @@
 bites('R6', (run) => {
   const origin = originOf(run);
   origin.leave('leaving');
-  run.world.run(2500);
-  origin.arrivals.push(run.world.agenda.now);
+  run.world.runFor(2500);
+  origin.arrivals.push(run.world.eventQueue.now);
 });
 bites('R7', (run) => {
   const [path, edge] = ['/clips/read/1', run.world.edges[0]];
   assert.ok(edge !== undefined);
   const purge = run.world.purge([path], [{ by: 'object', path }]);
-  run.world.until(1000, () => purge.told !== undefined);
-  run.world.run(2500);
-  const asked = run.callers.one({ edge, kind: 'read' });
-  run.world.run(400);
+  run.world.runUntil(1000, () => purge.reply !== undefined);
+  run.world.runFor(2500);
+  const asked = run.callers.send({ edge, kind: 'read' });
+  run.world.runFor(400);
   assert.ok(asked !== undefined);
-  run.callers.asked.push({
+  run.callers.requests.push({
     ...asked,
     path,
     result: {
@@ -97,29 +97,29 @@
       revision: 0,
       object: path,
       request: '',
-      stamp: run.world.agenda.now,
-      from: 'edge',
+      createdAt: run.world.eventQueue.now,
+      source: 'edge',
       retryMs: 0,
     },
-    doneAt: run.world.agenda.now,
+    answeredAt: run.world.eventQueue.now,
   });
 });
 bites('R8', (run) => {
   for (let at = 0; at < 200; at += 1)
-    for (const request of [`x${at}`, `x${at}`]) originOf(run).takes.push({ request, at: 3000 });
+    for (const request of [`x${at}`, `x${at}`]) originOf(run).attempts.push({ request, at: 3000 });
 });
 bites('R9', (run) => {
-  for (let at = 0; at < 500; at += 1) originOf(run, acts).sent.push(3000);
+  for (let at = 0; at < 500; at += 1) originOf(run, acts).contactTimes.push(3000);
 });
 bites('R10', (run) => {
   const origin = run.world.addOrigin(clips, 8, 'r9');
-  run.rules.badReleases.add(toRelease('r9'));
+  run.ruleChecker.badReleases.add(toRelease('r9'));
   for (let at = 0; at < 300; at += 1) origin.arrivals.push(3100);
 });
 bites('lost write', (run) => {
   const write = run.world.apply(9);
-  run.world.until(1000, () => write.told !== undefined);
-  write.told = { at: run.world.agenda.now, status: 200, generation: 99, purge: 0, hash: '' };
+  run.world.runUntil(1000, () => write.reply !== undefined);
+  write.reply = { at: run.world.eventQueue.now, status: 200, generation: 99, purge: 0, hash: '' };
 });
 bites('one holder', (run) => {
   const [one, two] = run.world.shields;
@@ -141,6 +141,6 @@
     Object.assign(shield.state?.nodeAgent ?? {}, {
       candidates: new Map([[service, { ...held, phase }]]),
     });
-    run.rules.step(shield);
+    run.ruleChecker.checkProcess(shield);
   }
 });
--- a/packages/simulator/src/run/bounded-state.test.ts
+++ b/packages/simulator/src/run/bounded-state.test.ts
@@ -83,7 +83,12 @@
     edges: 1,
     shields: 1,
     stores: 3,
-    limits: { copies: 3, tolerate: 1, electorateFollowsRegistries: false, persistsOrigins: true },
+    replication: {
+      copies: 3,
+      tolerate: 1,
+      electorateFollowsRegistries: false,
+      persistsOrigins: true,
+    },
     services: [{ name: clips, origins: 1, slots: 4, perSecond: undefined }],
   });
   world.form();
@@ -95,11 +100,11 @@
     if (at % descriptionEvery === 0)
       world.apply(1000 + at, undefined, at % largeEvery === 0 ? 'huge' : 'plain');
     else world.purge([], [{ by: 'tag', tag: `tag-${at}` }]);
-    world.run(changeInterval);
+    world.runFor(changeInterval);
   }
   // The round ends on a plain description, so that rounds are alike.
   world.apply(900_000 + from);
-  world.run(4000);
+  world.runFor(4000);
 };
 
 void test('400 descriptions and 2,000 purges: no map of a store or registry, and not the table, grows once it is full', () => {
@@ -109,7 +114,7 @@
     orderRound(world, round * changesPerRound);
     line.push(measure(world));
   }
-  const told = world.writes.filter((one) => one.told?.status === 200);
+  const told = world.writes.filter((one) => one.reply?.status === 200);
   assert.ok(
     told.length > 0.95 * rounds * changesPerRound,
     `${told.length} of ${world.writes.length} taken`,
@@ -122,21 +127,21 @@
 
 void test('500 origins come and go: a minute later nothing is left of them, in registries, stores and nodes', () => {
   const world = formed(72);
-  world.run(3000);
+  world.runFor(3000);
   const before = measure(world);
   for (let turn = 0; turn < 10; turn += 1) {
     const fresh = Array.from({ length: 50 }, () => world.addOrigin(clips, 2));
-    world.run(1500);
+    world.runFor(1500);
     // Half of them say that they leave, the others are silent from now on.
     for (const [at, origin] of fresh.entries()) {
       if (at % 2 === 0) origin.crash();
       else origin.leave('gone');
     }
-    world.run(1500);
+    world.runFor(1500);
     for (const origin of fresh) origin.crash();
   }
   const busy = measure(world);
-  world.run(75_000);
+  world.runFor(75_000);
   assert.deepEqual(growth(before, measure(world)), []);
   assert.ok([...busy].some(([name, size]) => name.endsWith('.origins') && size > 300));
   for (const proxy of world.proxies) {
--- a/packages/simulator/src/run/calm.test.ts
+++ b/packages/simulator/src/run/calm.test.ts
@@ -1,8 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { toServiceName } from '@switchwheel/types';
-import { SimCallers } from '../cast/callers.js';
-import { Rules } from '../rules/rules.js';
+import { SimulatedCallers } from '../processes/callers.js';
+import { RuleChecker } from '../rules/rule-checker.js';
 import { World } from '../world/world.js';
 
 void test('a calm fleet serves everything and goes on doing so for longer than an origin may be silent', () => {
@@ -15,20 +15,20 @@
       { name: toServiceName('acts'), origins: 2, slots: 5, perSecond: 100 },
     ],
   });
-  const callers = new SimCallers(world, 60);
-  const rules = new Rules(world, callers);
+  const callers = new SimulatedCallers(world, 60);
+  const rules = new RuleChecker(world, callers);
   world.form();
-  callers.begin();
-  world.run(14_000);
+  callers.start();
+  world.runFor(14_000);
   world.apply(2);
-  world.run(4000);
-  callers.end();
-  world.run(4000);
+  world.runFor(4000);
+  callers.stop();
+  world.runFor(4000);
   assert.deepEqual(rules.finish(), []);
-  const failed = callers.asked.filter((one) => one.result?.kind !== 'result');
+  const failed = callers.requests.filter((one) => one.result?.kind !== 'result');
   assert.deepEqual(
     failed.map((one) => [one.id, one.path, Math.round(one.sentAt), one.result]),
     [],
   );
-  assert.ok(callers.asked.length > 500);
+  assert.ok(callers.requests.length > 500);
 });
--- a/packages/simulator/src/run/racing-orders.test.ts
+++ b/packages/simulator/src/run/concurrent-rollouts.test.ts
@@ -10,9 +10,9 @@
   splitIntoChunks,
   runToCompletion,
 } from '@switchwheel/configuration';
-import type { SimRegistry, Told } from '../cast/registry.js';
-import { describe } from '../world/describe.js';
-import { type Scene, close, scene } from './stage.js';
+import type { SimulatedRegistry, RegistryReply } from '../processes/registry.js';
+import { createConfiguration } from '../world/configuration.js';
+import { type Fixture, finishRun, createFixture } from './fixture.js';
 
 /** How long a confirmed description may take to be in force on every node. */
 const inForceLimit = 1500;
@@ -22,8 +22,8 @@
 const secondMark = 11;
 const racingMark = 12;
 
-const bundleOf = (run: Scene, mark: number): ChunkedConfiguration => {
-  const bundle = runToCompletion(splitIntoChunks(describe(run.world.layout, mark)));
+const bundleOf = (run: Fixture, mark: number): ChunkedConfiguration => {
+  const bundle = runToCompletion(splitIntoChunks(createConfiguration(run.world.layout, mark)));
   if (bundle.isErr) throw new Error(JSON.stringify(bundle.error));
   return bundle.value;
 };
@@ -31,10 +31,10 @@
 /** An order on its way, and what it was told. */
 interface Order {
   readonly number: Generation;
-  told: Told | undefined;
+  told: RegistryReply | undefined;
 }
 
-const send = (run: Scene, registry: SimRegistry, number: number, mark: number): Order => {
+const send = (run: Fixture, registry: SimulatedRegistry, number: number, mark: number): Order => {
   const order: Order = { number: toGeneration(number), told: undefined };
   const id = toCommandId(`order-${number}`);
   const { hash, chunkHashes: pieces, chunks: texts } = bundleOf(run, mark);
@@ -55,25 +55,25 @@
   return order;
 };
 
-const registryAt = (run: Scene, at: number): SimRegistry => {
+const registryAt = (run: Fixture, at: number): SimulatedRegistry => {
   const found = run.world.registries[at % run.world.registries.length];
   if (found === undefined) throw new Error('no registry');
   return found;
 };
 
-const apply = (run: Scene, number: number, mark: number): void => {
+const apply = (run: Fixture, number: number, mark: number): void => {
   const order = send(run, registryAt(run, 0), number, mark);
-  run.world.until(5000, () => order.told !== undefined);
+  run.world.runUntil(5000, () => order.told !== undefined);
   assert.equal(order.told?.status, 200, `order ${number}`);
 };
 
 /** Whether every proxy runs a generation. */
-const isInForce = (run: Scene, number: number): boolean =>
+const isInForce = (run: Fixture, number: number): boolean =>
   run.world.proxies.every(
     (one) => one.state?.nodeAgent.compiledConfiguration?.generation === number,
   );
 
-const missingPieces = (run: Scene): number => {
+const missingPieces = (run: Fixture): number => {
   const control = run.world.primary()?.state?.control;
   assert.ok(control?.configuration !== undefined);
   return control.configuration.offer.pieces.filter((one) => !control.chunks.has(one)).length;
@@ -81,27 +81,27 @@
 
 for (const offset of offsets) {
   void test(`an order that returns to an earlier content, ${offset} ms after one that drops it, is in force in time`, () => {
-    const run = scene(700 + offset, 2, {
+    const run = createFixture(700 + offset, 2, {
       edges: 3,
       shields: 2,
       stores: 3,
-      limits: { copies: 3, tolerate: 1, electorateFollowsRegistries: false },
+      replication: { copies: 3, tolerate: 1, electorateFollowsRegistries: false },
     });
     apply(run, 2, firstMark);
-    assert.ok(run.world.until(inForceLimit, () => isInForce(run, 2)));
+    assert.ok(run.world.runUntil(inForceLimit, () => isInForce(run, 2)));
     apply(run, 3, secondMark);
-    assert.ok(run.world.until(inForceLimit, () => isInForce(run, 3)));
+    assert.ok(run.world.runUntil(inForceLimit, () => isInForce(run, 3)));
     const dropping = send(run, registryAt(run, 0), 4, racingMark);
-    run.world.run(offset);
+    run.world.runFor(offset);
     const returning = send(run, registryAt(run, 1), 5, firstMark);
-    run.world.until(5000, () => dropping.told !== undefined && returning.told !== undefined);
+    run.world.runUntil(5000, () => dropping.told !== undefined && returning.told !== undefined);
     assert.equal(returning.told?.status, 200);
     assert.equal(dropping.told?.status, 200);
     assert.equal(missingPieces(run), 0, 'the table holds each piece of the description in force');
     assert.ok(
-      run.world.until(inForceLimit, () => isInForce(run, 5)),
+      run.world.runUntil(inForceLimit, () => isInForce(run, 5)),
       'in force in time',
     );
-    assert.deepEqual(close(run), []);
+    assert.deepEqual(finishRun(run), []);
   });
 }
--- a/packages/simulator/src/run/description-repair.test.ts
+++ b/packages/simulator/src/run/configuration-repair.test.ts
@@ -6,19 +6,21 @@
 import { test } from 'node:test';
 import type { Hash } from '@switchwheel/types';
 import { controlKeys } from '@switchwheel/configuration';
-import { type Scene, scene } from './stage.js';
+import { type Fixture, createFixture } from './fixture.js';
 
 const generation = 2;
 const inForceLimit = 2500;
 
-const offerOf = (run: Scene): { readonly generation: number; readonly pieces: readonly Hash[] } => {
+const offerOf = (
+  run: Fixture,
+): { readonly generation: number; readonly pieces: readonly Hash[] } => {
   const offer = run.world.primary()?.state?.control.configuration?.offer;
   assert.ok(offer !== undefined);
   return offer;
 };
 
 /** Takes a piece off every disk, as if its write had never been told to keep it. */
-const erasePiece = (run: Scene, hash: Hash): void => {
+const erasePiece = (run: Fixture, hash: Hash): void => {
   const key = controlKeys.piece(hash);
   for (const { disk } of run.world.stores) {
     const kept = disk.synced.map((write) => ({
@@ -29,12 +31,12 @@
   }
 };
 
-const runsEverywhere = (run: Scene): boolean =>
+const runsEverywhere = (run: Fixture): boolean =>
   run.world.proxies.every(
     (one) => one.state?.nodeAgent.compiledConfiguration?.generation === generation,
   );
 
-const violations = (run: Scene): number =>
+const violations = (run: Fixture): number =>
   run.world.stores.reduce(
     (sum, one) => sum + (one.state?.violations.get('description-whole') ?? 0),
     0,
@@ -42,14 +44,14 @@
 
 for (const seed of [801, 802, 803]) {
   void test(`a piece that no disk holds is told as a violation and comes back from a registry, seed ${seed}`, () => {
-    const run = scene(seed, 2, {
+    const run = createFixture(seed, 2, {
       edges: 3,
       shields: 2,
       stores: 3,
-      limits: { copies: 3, tolerate: 1, electorateFollowsRegistries: false },
+      replication: { copies: 3, tolerate: 1, electorateFollowsRegistries: false },
     });
     run.world.apply(11);
-    assert.ok(run.world.until(3000, () => runsEverywhere(run)));
+    assert.ok(run.world.runUntil(3000, () => runsEverywhere(run)));
     const lost = offerOf(run).pieces.at(-1);
     assert.ok(lost !== undefined);
     assert.equal(violations(run), 0);
@@ -57,16 +59,16 @@
     erasePiece(run, lost);
     for (const store of run.world.stores) store.start();
     assert.ok(
-      run.world.until(5000, () => violations(run) > 0),
+      run.world.runUntil(5000, () => violations(run) > 0),
       'the violation is counted',
     );
     const isWhole = (): boolean => run.world.primary()?.state?.control.chunks.has(lost) === true;
-    assert.ok(run.world.until(8000, isWhole), 'the piece is in the table again');
+    assert.ok(run.world.runUntil(8000, isWhole), 'the piece is in the table again');
     const [edge] = run.world.edges;
     edge?.kill();
     edge?.start();
     assert.ok(
-      run.world.until(inForceLimit, () => runsEverywhere(run)),
+      run.world.runUntil(inForceLimit, () => runsEverywhere(run)),
       'a new start runs it',
     );
   });
--- a/packages/simulator/src/run/large-description.test.ts
+++ b/packages/simulator/src/run/large-configuration.test.ts
@@ -11,17 +11,17 @@
   runToCompletion,
 } from '@switchwheel/configuration';
 import { type Frame, serializeFrame, maxFrameBytes } from '@switchwheel/transport';
-import type { SimRegistry, Told } from '../cast/registry.js';
-import type { Actor, Meter } from '../world/actor.js';
-import { describe } from '../world/describe.js';
-import { type Layout, World } from '../world/world.js';
+import type { SimulatedRegistry, RegistryReply } from '../processes/registry.js';
+import type { SimulatedProcess, Meter } from '../world/process.js';
+import { createConfiguration } from '../world/configuration.js';
+import { type FleetLayout, World } from '../world/world.js';
 
-const layout: Layout = {
+const layout: FleetLayout = {
   seed: 41,
   edges: 2,
   shields: 2,
   stores: 3,
-  limits: { copies: 3, tolerate: 1, electorateFollowsRegistries: false },
+  replication: { copies: 3, tolerate: 1, electorateFollowsRegistries: false },
   services: [{ name: toServiceName('clips'), origins: 1, slots: 4, perSecond: undefined }],
 };
 
@@ -38,17 +38,17 @@
 class WeighingWorld extends World {
   largestFrame = 0;
   readonly meter: Meter = {
-    sent: (_from: Actor, _to: Actor, frame: Frame) => {
+    sent: (_from: SimulatedProcess, _to: SimulatedProcess, frame: Frame) => {
       if (weighed.has(frame.kind))
         this.largestFrame = Math.max(this.largestFrame, serializeFrame(frame).length);
     },
-    step: <T>(_actor: Actor, work: () => T): T => work(),
+    step: <T>(_actor: SimulatedProcess, work: () => T): T => work(),
   };
 }
 
 /** A description of many routes, each padded to a length. */
 const descriptionOf = (routes: number, pathLength: number): object => ({
-  ...describe(layout, 1),
+  ...createConfiguration(layout, 1),
   routes: Array.from({ length: routes }, (_, at) => ({
     name: `route-${at}`,
     path: `/objects/${at}/`.padEnd(pathLength, 'x'),
@@ -66,22 +66,22 @@
 const settled = (
   world: World,
   spanMs: number,
-  begin: (done: (told: Told) => void) => void,
-): Told | undefined => {
-  let told: Told | undefined;
+  begin: (done: (told: RegistryReply) => void) => void,
+): RegistryReply | undefined => {
+  let told: RegistryReply | undefined;
   begin((answer) => {
     told = answer;
   });
-  world.until(spanMs, () => told !== undefined);
+  world.runUntil(spanMs, () => told !== undefined);
   return told;
 };
 
 const apply = (
   world: World,
-  registry: SimRegistry,
+  registry: SimulatedRegistry,
   id: string,
   bundle: ChunkedConfiguration,
-): Told | undefined =>
+): RegistryReply | undefined =>
   settled(world, 15_000, (done) => {
     registry.call(
       { verb: 'apply', id: toCommandId(id), baseGeneration: undefined, ...bundle },
@@ -89,12 +89,16 @@
     );
   });
 
-const readBack = (world: World, registry: SimRegistry, id: string): Told | undefined =>
+const readBack = (
+  world: World,
+  registry: SimulatedRegistry,
+  id: string,
+): RegistryReply | undefined =>
   settled(world, 25_000, (done) => {
     registry.call({ verb: 'view', id: toCommandId(id), what: 'description' }, done);
   });
 
-const assertEqualDescription = (told: Told | undefined, description: object): void => {
+const assertEqualDescription = (told: RegistryReply | undefined, description: object): void => {
   assert.ok(told?.status === 200, told?.body.slice(0, 200));
   const held: unknown = JSON.parse(told.body);
   assert.ok(typeof held === 'object' && held !== null && 'description' in held);
@@ -116,11 +120,11 @@
     assert.ok(bytes >= least, `${bytes} bytes`);
     const [first] = world.registries;
     assert.ok(first !== undefined);
-    const appliedFrom = world.agenda.now;
+    const appliedFrom = world.eventQueue.now;
     assert.equal(apply(world, first, 'large', bundle)?.status, 200);
-    const acknowledgedAt = world.agenda.now;
+    const acknowledgedAt = world.eventQueue.now;
     assert.ok(
-      world.until(5000, () =>
+      world.runUntil(5000, () =>
         world.edges.every(
           (edge) => edge.state?.nodeAgent.compiledConfiguration?.hash === bundle.hash,
         ),
@@ -128,14 +132,14 @@
       'in force at each edge',
     );
     context.diagnostic(
-      `${bytes} bytes: acknowledged after ${Math.round(acknowledgedAt - appliedFrom)} ms, in force ${Math.round(world.agenda.now - acknowledgedAt)} ms later (simulated time)`,
+      `${bytes} bytes: acknowledged after ${Math.round(acknowledgedAt - appliedFrom)} ms, in force ${Math.round(world.eventQueue.now - acknowledgedAt)} ms later (simulated time)`,
     );
-    world.run(2000);
+    world.runFor(2000);
     for (const [at, registry] of world.registries.entries())
       assertEqualDescription(readBack(world, registry, `read-${at}`), description);
     const inSync = (): readonly string[] => world.primary()?.state?.metadata?.inSyncSet ?? [];
     assert.ok(
-      world.until(5000, () => inSync().length === 3),
+      world.runUntil(5000, () => inSync().length === 3),
       'all stores took the write',
     );
     const gone = world.stores.find((one) => one !== world.primary());
@@ -143,7 +147,7 @@
     world.dropStore(gone);
     const fresh = world.addStore('store-9', 9);
     assert.ok(
-      world.until(8000, () => inSync().includes(fresh.node)),
+      world.runUntil(8000, () => inSync().includes(fresh.node)),
       'a new store got all of it',
     );
     assert.ok(world.largestFrame <= maxFrameBytes, `a frame of ${world.largestFrame} bytes`);
@@ -170,10 +174,10 @@
         },
         () => undefined,
       );
-    world.agenda.after(50, change);
+    world.eventQueue.schedule(50, change);
   };
   change();
-  world.run(2000);
+  world.runFor(2000);
   for (let turn = 0; turn < 10; turn += 1) {
     const before = world.primary()?.state?.control.configuration?.offer.generation ?? noGeneration;
     const registry = world.registries[1 + (turn % (world.registries.length - 1))];
@@ -183,7 +187,7 @@
     assert.ok(told?.status === 200, told?.body.slice(0, 200));
     const generation = Number(/"generation":(\d+)/.exec(told.body)?.[1]);
     assert.ok(generation >= before && generation <= after, `${before} ${generation} ${after}`);
-    world.run(70);
+    world.runFor(70);
   }
   working = false;
 });
--- a/packages/simulator/src/run/many-changes.test.ts
+++ b/packages/simulator/src/run/many-changes.test.ts
@@ -4,9 +4,9 @@
  */
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import type { SimStore } from '../cast/store.js';
-import type { Write } from '../world/world.js';
-import { type Scene, close, scene } from './stage.js';
+import type { SimulatedStore } from '../processes/store.js';
+import type { OperatorWrite } from '../world/world.js';
+import { type Fixture, finishRun, createFixture } from './fixture.js';
 
 /** Changes come this often, in milliseconds: 20 a second. */
 const changeInterval = 50;
@@ -18,29 +18,29 @@
 type Disk = 'its own disk' | 'an old disk' | 'a torn disk' | 'no disk';
 const disks: readonly Disk[] = ['its own disk', 'an old disk', 'a torn disk', 'no disk'];
 
-const inSyncSet = (run: Scene): readonly string[] =>
+const inSyncSet = (run: Fixture): readonly string[] =>
   run.world.primary()?.state?.metadata?.inSyncSet ?? [];
 
 /** A formed fleet of three stores, all of them in sync. */
-const fleet = (seed: number): Scene => {
-  const run = scene(seed, 2, {
+const fleet = (seed: number): Fixture => {
+  const run = createFixture(seed, 2, {
     edges: 1,
     shields: 2,
     stores: 3,
-    limits: { copies, tolerate: 1, electorateFollowsRegistries: false },
+    replication: { copies, tolerate: 1, electorateFollowsRegistries: false },
   });
-  run.callers.begin();
-  assert.ok(run.world.until(10_000, () => inSyncSet(run).length === copies));
+  run.callers.start();
+  assert.ok(run.world.runUntil(10_000, () => inSyncSet(run).length === copies));
   return run;
 };
 
 /** Operators who hand in a change every 50 ms until they are stopped: three purges to each description. */
 class Operators {
-  readonly writes: Write[] = [];
-  readonly #run: Scene;
+  readonly writes: OperatorWrite[] = [];
+  readonly #run: Fixture;
   #working = true;
 
-  constructor(run: Scene) {
+  constructor(run: Fixture) {
     this.#run = run;
     this.#next();
   }
@@ -49,8 +49,8 @@
     this.#working = false;
   }
 
-  get confirmed(): readonly Write[] {
-    return this.writes.filter((one) => one.told?.status === 200);
+  get confirmed(): readonly OperatorWrite[] {
+    return this.writes.filter((one) => one.reply?.status === 200);
   }
 
   #next(): void {
@@ -62,11 +62,11 @@
         ? world.apply(1000 + serial)
         : world.purge([], [{ by: 'tag', tag: `tag-${serial}` }]),
     );
-    world.agenda.after(changeInterval, () => this.#next());
+    world.eventQueue.schedule(changeInterval, () => this.#next());
   }
 }
 
-const changeDisk = (store: SimStore, disk: Disk, since: number): void => {
+const changeDisk = (store: SimulatedStore, disk: Disk, since: number): void => {
   switch (disk) {
     case 'its own disk':
       break;
@@ -74,7 +74,7 @@
       store.disk.synced.splice(since);
       break;
     case 'a torn disk':
-      store.disk.torn = true;
+      store.disk.isTorn = true;
       break;
     case 'no disk':
       store.disk.wipe();
@@ -83,30 +83,30 @@
 };
 
 /** Restarts a backup after a span of changes that go on; tells how long it took to be in sync again. */
-const catchUp = (run: Scene, disk: Disk, awayMs: number): number => {
+const catchUp = (run: Fixture, disk: Disk, awayMs: number): number => {
   const { world } = run;
   const backup = world.stores.find(
     (one) => one !== world.primary() && inSyncSet(run).includes(one.node),
   );
   assert.ok(backup !== undefined);
   const oldest = backup.disk.synced.length;
-  world.run(1000);
+  world.runFor(1000);
   backup.kill();
-  world.run(awayMs);
+  world.runFor(awayMs);
   assert.ok(!inSyncSet(run).includes(backup.node), 'it was left out');
   changeDisk(backup, disk, oldest);
-  const startedAt = world.agenda.now;
+  const startedAt = world.eventQueue.now;
   backup.start();
-  world.until(20_000, () => inSyncSet(run).includes(backup.node));
-  return world.agenda.now - startedAt;
+  world.runUntil(20_000, () => inSyncSet(run).includes(backup.node));
+  return world.eventQueue.now - startedAt;
 };
 
 /** Whatever was confirmed is what the primary holds: the newest generation and the newest purge. */
-const keepsNewest = (run: Scene, operators: Operators, what: string): void => {
+const keepsNewest = (run: Fixture, operators: Operators, what: string): void => {
   const control = run.world.primary()?.state?.control;
   const confirmed = operators.confirmed;
-  const generation = Math.max(...confirmed.map((one) => one.told?.generation ?? 0));
-  const purge = Math.max(...confirmed.map((one) => one.told?.purge ?? 0));
+  const generation = Math.max(...confirmed.map((one) => one.reply?.generation ?? 0));
+  const purge = Math.max(...confirmed.map((one) => one.reply?.purge ?? 0));
   assert.ok((control?.configuration?.offer.generation ?? 0) >= generation, `${what}: generation`);
   assert.ok((control?.purges.at(-1)?.seq ?? 0) >= purge, `${what}: purge`);
 };
@@ -116,19 +116,19 @@
     for (const [at, awayMs] of [2000, 15_000].entries()) {
       const run = fleet(500 + at);
       const operators = new Operators(run);
-      run.world.run(1000);
+      run.world.runFor(1000);
       const took = catchUp(run, disk, awayMs);
       const before = operators.confirmed.length;
-      run.world.run(2000);
+      run.world.runFor(2000);
       operators.stop();
-      run.world.run(3000);
+      run.world.runFor(3000);
       assert.ok(took <= catchUpLimit, `away ${awayMs} ms: in sync after ${Math.round(took)} ms`);
       assert.ok(
         operators.confirmed.length - before > 30,
         `away ${awayMs} ms: writes were confirmed all the while`,
       );
       keepsNewest(run, operators, `away ${awayMs} ms`);
-      assert.deepEqual(close(run), []);
+      assert.deepEqual(finishRun(run), []);
     }
   });
 }
@@ -141,24 +141,24 @@
     const old = world.stores.find((one) => one !== world.primary());
     assert.ok(old !== undefined);
     const oldest = old.disk.synced.length;
-    world.run(1000);
+    world.runFor(1000);
     old.kill();
-    world.run(15_000);
+    world.runFor(15_000);
     changeDisk(old, disk, oldest);
     const led = world.primary();
     led?.kill();
     old.start();
     assert.ok(
-      world.until(5000, () => world.primary() !== undefined),
+      world.runUntil(5000, () => world.primary() !== undefined),
       'a primary',
     );
     assert.notEqual(world.primary()?.node, old.node);
     keepsNewest(run, operators, disk);
-    world.run(2000);
+    world.runFor(2000);
     led?.start();
     operators.stop();
-    world.run(5000);
+    world.runFor(5000);
     keepsNewest(run, operators, disk);
-    assert.deepEqual(close(run), []);
+    assert.deepEqual(finishRun(run), []);
   }
 });
--- a/packages/simulator/src/run/cut-off.test.ts
+++ b/packages/simulator/src/run/network-partition.test.ts
@@ -3,11 +3,11 @@
 import { test } from 'node:test';
 import { maxLeaseMs } from '@switchwheel/election';
 import { toCommandId } from '@switchwheel/types';
-import type { SimProxy } from '../cast/proxy.js';
-import type { SimRegistry, Told } from '../cast/registry.js';
-import type { SimStore } from '../cast/store.js';
-import type { Actor } from '../world/actor.js';
-import { type Scene, close, scene, seeds } from './stage.js';
+import type { SimulatedProxy } from '../processes/proxy.js';
+import type { SimulatedRegistry, RegistryReply } from '../processes/registry.js';
+import type { SimulatedStore } from '../processes/store.js';
+import type { SimulatedProcess } from '../world/process.js';
+import { type Fixture, finishRun, createFixture, seedRange } from './fixture.js';
 
 const cutSpan = 20_000;
 /** How long a registry may take to know that it is cut off, and a call to be answered there. */
@@ -18,71 +18,81 @@
 
 /** The machine that is cut off: a store with its registry. */
 interface Machine {
-  readonly store: SimStore;
-  readonly registry: SimRegistry;
-  readonly actors: readonly Actor[];
+  readonly store: SimulatedStore;
+  readonly registry: SimulatedRegistry;
+  readonly actors: readonly SimulatedProcess[];
 }
 
-const fleet = (seed: number): Scene => {
-  const run = scene(seed, 20, {
+const fleet = (seed: number): Fixture => {
+  const run = createFixture(seed, 20, {
     edges: 3,
     shields: 2,
     stores: 3,
-    limits: { copies: 2, tolerate: 1, electorateFollowsRegistries: false },
-    eager: true,
+    replication: { copies: 2, tolerate: 1, electorateFollowsRegistries: false },
+    startsFromDisks: true,
   });
-  run.callers.begin();
-  run.world.run(2000);
+  run.callers.start();
+  run.world.runFor(2000);
   return run;
 };
 
-const primaryMachine = (run: Scene): Machine => {
+const primaryMachine = (run: Fixture): Machine => {
   const store = run.world.primary();
   assert.ok(store !== undefined);
   const registry = run.world.registries.find((one) => one.node === `${store.node}-registry`);
   assert.ok(registry !== undefined);
-  return { store, registry, actors: run.ground.machineOf(store) };
+  return { store, registry, actors: run.faults.processesOnMachineOf(store) };
 };
 
 /** One way to lose a machine: what is done to each direction of each of its links. */
 interface Cut {
   readonly name: string;
-  readonly link: (run: Scene, from: Actor, to: Actor, outward: boolean) => void;
+  readonly link: (
+    run: Fixture,
+    from: SimulatedProcess,
+    to: SimulatedProcess,
+    outward: boolean,
+  ) => void;
 }
 
-const reset = (one: Actor, other: Actor): void => {
-  if (one.alive) one.act(() => one.gone(other.address));
+const reset = (one: SimulatedProcess, other: SimulatedProcess): void => {
+  if (one.isAlive) one.execute(() => one.peerEnded(other.address));
 };
 const cutWays: readonly Cut[] = [
-  { name: 'silent', link: (run, from, to) => run.world.net.cut(from.node, to.node) },
-  { name: 'stalled', link: (run, from, to) => run.world.net.stall(from.node, to.node) },
-  { name: 'refused', link: (run, from, to) => run.world.net.refuse(from.node, to.node) },
+  { name: 'silent', link: (run, from, to) => run.world.network.cut(from.node, to.node) },
+  { name: 'stalled', link: (run, from, to) => run.world.network.stall(from.node, to.node) },
+  { name: 'refused', link: (run, from, to) => run.world.network.refuse(from.node, to.node) },
   {
     name: 'reset',
     link: (run, from, to) => {
-      run.world.net.cut(from.node, to.node);
+      run.world.network.cut(from.node, to.node);
       reset(from, to);
     },
   },
   {
     name: 'outward only',
     link: (run, from, to, outward) => {
-      if (outward) run.world.net.cut(from.node, to.node);
+      if (outward) run.world.network.cut(from.node, to.node);
     },
   },
   {
     name: 'inward only',
     link: (run, from, to, outward) => {
-      if (!outward) run.world.net.stall(from.node, to.node);
+      if (!outward) run.world.network.stall(from.node, to.node);
     },
   },
 ];
 
 /** Cuts a machine off from all others but those of its own side. */
-const cutOff = (run: Scene, machine: Machine, way: Cut, side: readonly Actor[] = []): void => {
+const cutOff = (
+  run: Fixture,
+  machine: Machine,
+  way: Cut,
+  side: readonly SimulatedProcess[] = [],
+): void => {
   const inner = [...machine.actors, ...side];
   for (const one of inner) {
-    for (const other of run.world.all) {
+    for (const other of run.world.allProcesses) {
       if (inner.includes(other)) continue;
       way.link(run, one, other, true);
       way.link(run, other, one, false);
@@ -94,33 +104,33 @@
 interface Asked {
   readonly at: number;
   readonly verb: 'purge' | 'view';
-  told: (Told & { readonly at: number }) | undefined;
+  told: (RegistryReply & { readonly at: number }) | undefined;
 }
 
 let serial = 0;
-const ask = (run: Scene, registry: SimRegistry, verb: Asked['verb']): Asked => {
+const ask = (run: Fixture, registry: SimulatedRegistry, verb: Asked['verb']): Asked => {
   serial += 1;
   const id = toCommandId(`cut-off-${serial}`);
-  const asked: Asked = { at: run.world.agenda.now, verb, told: undefined };
+  const asked: Asked = { at: run.world.eventQueue.now, verb, told: undefined };
   registry.call(
     verb === 'view'
       ? { verb, id, what: 'description' }
       : { verb, id, aims: [{ by: 'tag', tag: `none-${serial}` }] },
     (told) => {
-      asked.told = { ...told, at: run.world.agenda.now };
+      asked.told = { ...told, at: run.world.eventQueue.now };
     },
   );
   return asked;
 };
 
 /** Applies a description, with as many tries as it takes; gives its generation. */
-const applied = (run: Scene, mark: number): number => {
+const applied = (run: Fixture, mark: number): number => {
   for (let turn = 0; turn < 30; turn += 1) {
-    const before = run.world.generation();
+    const before = run.world.highestAcknowledgedGeneration();
     const write = run.world.apply(mark * 100 + turn);
-    run.world.until(1500, () => write.told !== undefined);
-    if (write.told?.status === 200 && run.world.generation() > before)
-      return run.world.generation();
+    run.world.runUntil(1500, () => write.reply !== undefined);
+    if (write.reply?.status === 200 && run.world.highestAcknowledgedGeneration() > before)
+      return run.world.highestAcknowledgedGeneration();
   }
   assert.fail('no description is taken');
 };
@@ -149,11 +159,11 @@
 /** No node came to run a description that an acknowledged one had replaced. */
 const judgeAdopted = (
   acks: readonly { readonly generation: number; readonly at: number }[],
-  nodes: readonly SimProxy[],
+  nodes: readonly SimulatedProxy[],
   name: string,
 ): void => {
   for (const node of nodes) {
-    for (const one of node.adopted) {
+    for (const one of node.activations) {
       const newest = Math.max(
         0,
         ...acks.filter((ack) => ack.at + spreadLimit < one.at).map((ack) => ack.generation),
@@ -168,113 +178,115 @@
 
 interface CutRun {
   /** Which nodes are on the side that is cut off. */
-  readonly side?: (run: Scene) => readonly Actor[];
+  readonly side?: (run: Fixture) => readonly SimulatedProcess[];
   /** What happens in the midst of the cut. */
-  readonly midway?: (run: Scene, machine: Machine) => void;
+  readonly midway?: (run: Fixture, machine: Machine) => void;
 }
 
 /** The whole course: a cut of the primary's machine, orders on both sides, starts of edges, the healing. */
-const play = (seed: number, way: Cut, { side, midway }: CutRun = {}): Scene => {
+const play = (seed: number, way: Cut, { side, midway }: CutRun = {}): Fixture => {
   const run = fleet(seed);
   const { world } = run;
   const machine = primaryMachine(run);
   const { registry } = machine;
   const name = `${way.name}, seed ${seed}`;
-  const since = world.agenda.now;
+  const since = world.eventQueue.now;
   cutOff(run, machine, way, side?.(run));
   const asked: Asked[] = [];
   const look = (until: number): void => {
-    while (world.agenda.now - since < until) {
-      if (registry.alive) asked.push(ask(run, registry, 'view'), ask(run, registry, 'purge'));
-      world.run(250);
+    while (world.eventQueue.now - since < until) {
+      if (registry.isAlive) asked.push(ask(run, registry, 'view'), ask(run, registry, 'purge'));
+      world.runFor(250);
     }
   };
   // The first calls come after the last answer of the primary that was under way.
-  world.run(100);
+  world.runFor(100);
   look(4000);
   const acks: { readonly generation: number; readonly at: number }[] = [];
   for (let turn = 0; turn < 3; turn += 1) {
     const generation = applied(run, 50 + turn);
-    acks.push({ generation, at: world.agenda.now });
+    acks.push({ generation, at: world.eventQueue.now });
   }
   // Edges with an empty memory: one knows the cut-off registry among others, one nothing else.
   const others = world.registries.filter((one) => one !== registry).map((one) => one.address);
   const fresh = world.addEdge('fresh-edge', 1, [registry.address, ...others.slice(0, 2)]);
   const lost = world.addEdge('lost-edge', 2, [registry.address]);
-  for (const other of world.all) {
+  for (const other of world.allProcesses) {
     if (machine.actors.includes(other) || other === lost) continue;
-    world.net.cut(lost.node, other.node);
-    world.net.cut(other.node, lost.node);
+    world.network.cut(lost.node, other.node);
+    world.network.cut(other.node, lost.node);
   }
-  const started = world.agenda.now;
-  const newest = world.generation();
+  const started = world.eventQueue.now;
+  const newest = world.highestAcknowledgedGeneration();
   if (side === undefined)
     assert.ok(
-      world.until(1500, () => fresh.adopted.at(-1)?.generation === newest),
-      `${name}: the fresh edge runs ${JSON.stringify(fresh.adopted)} of ${newest}`,
+      world.runUntil(1500, () => fresh.activations.at(-1)?.generation === newest),
+      `${name}: the fresh edge runs ${JSON.stringify(fresh.activations)} of ${newest}`,
     );
-  const restartedAt = world.agenda.now;
+  const restartedAt = world.eventQueue.now;
   midway?.(run, machine);
   look(Math.max(cutSpan, started - since + 3000));
-  assert.deepEqual(lost.adopted, [], `${name}: an edge met the cut-off registry alone`);
+  assert.deepEqual(lost.activations, [], `${name}: an edge met the cut-off registry alone`);
   judgeAnswers(
     since,
     restartedAt,
-    asked.filter((one) => one.at < world.agenda.now - answerLimit),
+    asked.filter((one) => one.at < world.eventQueue.now - answerLimit),
     name,
   );
-  const cutEnd = world.agenda.now;
-  world.net.heal();
-  world.run(3000);
+  const cutEnd = world.eventQueue.now;
+  world.network.heal();
+  world.runFor(3000);
   judgeAdopted(acks, world.proxies, name);
   assert.ok(
-    world.until(5000, () => world.proxies.every((one) => one.ready)),
+    world.runUntil(5000, () => world.proxies.every((one) => one.isReady)),
     `${name}: all are ready again`,
   );
   const last = applied(run, 90);
   assert.ok(
-    world.until(3000, () => world.proxies.every((one) => one.adopted.at(-1)?.generation === last)),
-    `${name}: ${last} is in force ${Math.round(world.agenda.now - cutEnd)} ms after the cut`,
+    world.runUntil(3000, () =>
+      world.proxies.every((one) => one.activations.at(-1)?.generation === last),
+    ),
+    `${name}: ${last} is in force ${Math.round(world.eventQueue.now - cutEnd)} ms after the cut`,
   );
   return run;
 };
 
 for (const way of cutWays)
   void test(`the primary's machine is cut off for twenty seconds, ${way.name}`, () => {
-    for (const seed of seeds(2)) assert.deepEqual(close(play(seed, way)), []);
+    for (const seed of seedRange(2)) assert.deepEqual(finishRun(play(seed, way)), []);
   });
 
 const silent: Cut = {
   name: 'silent',
-  link: (run, from, to) => run.world.net.cut(from.node, to.node),
+  link: (run, from, to) => run.world.network.cut(from.node, to.node),
 };
 
 void test('processes of the cut-off machine restart there: they hand out and confirm nothing', () => {
-  for (const seed of seeds(2)) {
-    const midway = (run: Scene, machine: Machine): void => {
+  for (const seed of seedRange(2)) {
+    const midway = (run: Fixture, machine: Machine): void => {
       for (const one of machine.actors) {
         one.kill();
-        run.world.agenda.after(200, () => one.start());
+        run.world.eventQueue.schedule(200, () => one.start());
       }
     };
-    assert.deepEqual(close(play(seed, silent, { midway })), []);
+    assert.deepEqual(finishRun(play(seed, silent, { midway })), []);
   }
 });
 
 void test('the primary is cut off with its clients: an edge on its side takes nothing old and starts on nothing', () => {
-  for (const seed of seeds(2)) {
-    const side = (run: Scene): readonly Actor[] => run.world.edges.slice(0, 1);
-    const midway = (run: Scene): void => {
+  for (const seed of seedRange(2)) {
+    const side = (run: Fixture): readonly SimulatedProcess[] => run.world.edges.slice(0, 1);
+    const midway = (run: Fixture): void => {
       const edge = run.world.edges[0];
       edge?.kill();
-      run.world.agenda.after(100, () => edge?.start());
+      run.world.eventQueue.schedule(100, () => edge?.start());
     };
-    assert.deepEqual(close(play(seed, silent, { side, midway })), []);
+    assert.deepEqual(finishRun(play(seed, silent, { side, midway })), []);
   }
 });
 
 void test('a registry that is cut off from the stores alone, or from the voters alone, answers within a second', () => {
-  for (const seed of seeds(2)) {
+  for (const seed of seedRange(2)) {
     for (const role of ['stores', 'registries'] as const) {
       const run = fleet(seed);
       const { world } = run;
@@ -283,25 +295,25 @@
       assert.ok(registry !== undefined);
       for (const other of world[role]) {
         if (other === registry) continue;
-        world.net.cut(registry.node, other.node);
-        world.net.cut(other.node, registry.node);
+        world.network.cut(registry.node, other.node);
+        world.network.cut(other.node, registry.node);
       }
-      world.run(100);
+      world.runFor(100);
       const asked: Asked[] = [];
       for (let at = 0; at < cutSpan; at += 250) {
         asked.push(ask(run, registry, 'view'), ask(run, registry, 'purge'));
-        world.run(250);
+        world.runFor(250);
       }
-      world.run(answerLimit);
+      world.runFor(answerLimit);
       for (const one of asked) {
         const what = `cut off from ${role}, seed ${seed}: ${one.verb} ${one.told?.status}`;
         assert.ok(one.told !== undefined && one.told.at - one.at <= answerLimit, what);
         // While it still reaches the primary it may pass calls on; those are confirmed there.
         if (role === 'stores') assert.ok([503, 504].includes(one.told.status), what);
       }
-      world.net.heal();
-      world.run(3000);
-      assert.deepEqual(close(run), []);
+      world.network.heal();
+      world.runFor(3000);
+      assert.deepEqual(finishRun(run), []);
     }
   }
 });
