--- a/packages/simulator/src/run/operators.test.ts
+++ b/packages/simulator/src/run/operators.test.ts
@@ -6,9 +6,9 @@
   splitIntoChunks,
   runToCompletion,
 } from '@switchwheel/configuration';
-import type { SimRegistry, Told } from '../cast/registry.js';
-import { describe } from '../world/describe.js';
-import { type Scene, clips, close, scene, seeds } from './stage.js';
+import type { SimulatedRegistry, RegistryReply } from '../processes/registry.js';
+import { createConfiguration } from '../world/configuration.js';
+import { type Fixture, clips, finishRun, createFixture, seedRange } from './fixture.js';
 
 const r2 = toRelease('r2');
 const r3 = toRelease('r3');
@@ -21,21 +21,21 @@
   return toCommandId(`operator-${callCount}`);
 };
 
-const bundleOf = (run: Scene, mark: number): ChunkedConfiguration => {
-  const bundle = runToCompletion(splitIntoChunks(describe(run.world.layout, mark)));
+const bundleOf = (run: Fixture, mark: number): ChunkedConfiguration => {
+  const bundle = runToCompletion(splitIntoChunks(createConfiguration(run.world.layout, mark)));
   if (bundle.isErr) throw new Error(JSON.stringify(bundle.error));
   return bundle.value;
 };
-const hashOfMark = (run: Scene, mark: number): string => bundleOf(run, mark).hash;
+const hashOfMark = (run: Fixture, mark: number): string => bundleOf(run, mark).hash;
 
 /** Sends a numbered configuration through one registry; the answer comes into the box. */
 const send = (
-  run: Scene,
-  registry: SimRegistry,
+  run: Fixture,
+  registry: SimulatedRegistry,
   number: number,
   mark: number,
-): { answer: Told | undefined } => {
-  const box: { answer: Told | undefined } = { answer: undefined };
+): { answer: RegistryReply | undefined } => {
+  const box: { answer: RegistryReply | undefined } = { answer: undefined };
   const { hash, chunkHashes, chunks } = bundleOf(run, mark);
   registry.call(
     {
@@ -54,62 +54,63 @@
   return box;
 };
 
-const registryAt = (run: Scene, at: number): SimRegistry => {
-  const alive = run.world.registries.filter((one) => one.alive);
+const registryAt = (run: Fixture, at: number): SimulatedRegistry => {
+  const alive = run.world.registries.filter((one) => one.isAlive);
   const found = alive[at % alive.length];
   if (found === undefined) throw new Error('no registry lives');
   return found;
 };
 
-const isClear = (told: Told | undefined): told is Told => told !== undefined && told.status < 500;
+const isClear = (told: RegistryReply | undefined): told is RegistryReply =>
+  told !== undefined && told.status < 500;
 
 /** Sends a numbered configuration again and again, each time to another registry, until it has a clear answer. */
-const submit = (run: Scene, number: number, mark: number, first = 0): Told => {
+const submit = (run: Fixture, number: number, mark: number, first = 0): RegistryReply => {
   for (let turn = 0; turn < 8; turn += 1) {
     const box = send(run, registryAt(run, first + turn), number, mark);
-    run.world.until(answerSpan, () => box.answer !== undefined);
+    run.world.runUntil(answerSpan, () => box.answer !== undefined);
     if (isClear(box.answer)) return box.answer;
-    run.world.run(500);
+    run.world.runFor(500);
   }
   throw new Error('no clear answer');
 };
 
-const orderRelease = (run: Scene, target: Release, first = 0): Told => {
+const orderRelease = (run: Fixture, target: Release, first = 0): RegistryReply => {
   for (let turn = 0; turn < 8; turn += 1) {
-    let answer: Told | undefined;
+    let answer: RegistryReply | undefined;
     registryAt(run, first + turn).call(
       { verb: 'release', id: freshCall(), service: clips, target, spanMs: releaseSpan },
       (told) => {
         answer = told;
       },
     );
-    run.world.until(answerSpan, () => answer !== undefined);
+    run.world.runUntil(answerSpan, () => answer !== undefined);
     if (isClear(answer)) return answer;
-    run.world.run(500);
+    run.world.runFor(500);
   }
   throw new Error('no clear answer');
 };
 
-const stored = (run: Scene): { readonly generation: number; readonly hash: string } | undefined =>
+const stored = (run: Fixture): { readonly generation: number; readonly hash: string } | undefined =>
   run.world.primary()?.state?.control.configuration?.offer;
 const releaseRecord = (
-  run: Scene,
+  run: Fixture,
 ): { readonly order: number; readonly phase: string } | undefined =>
   run.world.primary()?.state?.control.releases.get(clips);
 
-const killAll = (run: Scene): void => {
-  for (const actor of run.world.all) {
+const killAll = (run: Fixture): void => {
+  for (const actor of run.world.allProcesses) {
     actor.kill();
-    run.world.agenda.after(200, () => actor.start());
+    run.world.eventQueue.schedule(200, () => actor.start());
   }
-  run.world.run(12_000);
+  run.world.runFor(12_000);
 };
 
-const takeOver = (run: Scene): void => {
+const takeOver = (run: Fixture): void => {
   const lost = run.world.primary();
   lost?.kill();
-  run.world.agenda.after(3000, () => lost?.start());
-  const moved = run.world.until(8000, () => {
+  run.world.eventQueue.schedule(3000, () => lost?.start());
+  const moved = run.world.runUntil(8000, () => {
     const now = run.world.primary();
     return now !== undefined && now !== lost;
   });
@@ -117,10 +118,10 @@
 };
 
 void test('two operators race under one number: one is confirmed, the other refused with both hashes named', () => {
-  for (const seed of seeds(6)) {
-    const run = scene(seed, 10);
+  for (const seed of seedRange(6)) {
+    const run = createFixture(seed, 10);
     const boxes = [11, 12].map((mark, at) => send(run, registryAt(run, at), 7, mark));
-    run.world.until(answerSpan, () => boxes.every((one) => one.answer !== undefined));
+    run.world.runUntil(answerSpan, () => boxes.every((one) => one.answer !== undefined));
     const statuses = boxes.map((one) => one.answer?.status).sort();
     assert.deepEqual(statuses, [200, 409], JSON.stringify(boxes));
     const refused = boxes.find((one) => one.answer?.status === 409)?.answer?.body ?? '';
@@ -132,13 +133,13 @@
       assert.equal(submit(run, 7, won === 11 ? 12 : 11, at).status, 409);
       assert.equal(submit(run, 7, won, at).status, 200);
     }
-    assert.deepEqual(close(run), []);
+    assert.deepEqual(finishRun(run), []);
   }
 });
 
 void test('a number keeps its content through newer numbers, a takeover and a full loss', () => {
-  for (const seed of seeds(3)) {
-    const run = scene(seed, 10);
+  for (const seed of seedRange(3)) {
+    const run = createFixture(seed, 10);
     assert.equal(submit(run, 5, 21).status, 200);
     assert.equal(submit(run, 9, 22).status, 200);
     const holds = (when: string): void => {
@@ -153,12 +154,12 @@
     holds('after a takeover');
     killAll(run);
     holds('after a full loss');
-    assert.deepEqual(close(run), []);
+    assert.deepEqual(finishRun(run), []);
   }
 });
 
 void test('a number below the newest that nobody took is acknowledged, alters nothing, and has one content from then on', () => {
-  const run = scene(100, 10);
+  const run = createFixture(100, 10);
   assert.equal(submit(run, 9, 31).status, 200);
   assert.equal(submit(run, 4, 32).status, 200);
   assert.equal(submit(run, 4, 33).status, 409);
@@ -166,53 +167,53 @@
   assert.equal(submit(run, 4, 33).status, 409);
   assert.equal(submit(run, 4, 32).status, 200);
   assert.deepEqual([stored(run)?.generation, stored(run)?.hash], [9, hashOfMark(run, 31)]);
-  assert.deepEqual(close(run), []);
+  assert.deepEqual(finishRun(run), []);
 });
 
 void test('a lower number that comes while a higher one is written is acknowledged and alters nothing', () => {
-  for (const seed of seeds(6)) {
-    const run = scene(seed, 10);
+  for (const seed of seedRange(6)) {
+    const run = createFixture(seed, 10);
     const boxes = [
       send(run, registryAt(run, 0), 20, 41),
       send(run, registryAt(run, 1), 15, 42),
       send(run, registryAt(run, 2), 20, 41),
     ];
-    run.world.until(answerSpan, () => boxes.every((one) => one.answer !== undefined));
+    run.world.runUntil(answerSpan, () => boxes.every((one) => one.answer !== undefined));
     assert.deepEqual(
       boxes.map((one) => one.answer?.status),
       [200, 200, 200],
     );
     assert.deepEqual([stored(run)?.generation, stored(run)?.hash], [20, hashOfMark(run, 41)]);
-    assert.deepEqual(close(run), []);
+    assert.deepEqual(finishRun(run), []);
   }
 });
 
 void test('a configuration whose answer is lost with the primary is acknowledged again, everywhere', () => {
-  for (const seed of seeds(6)) {
-    const run = scene(seed, 10);
+  for (const seed of seedRange(6)) {
+    const run = createFixture(seed, 10);
     const box = send(run, registryAt(run, 0), 7, 51);
     const primary = run.world.primary();
     // The write lasts on the primary's disk or on both when it dies: whichever, the same order is acknowledged.
-    run.world.until(2000, () => primary?.writing === (seed % 2 === 0 ? 'disk' : 'copy'));
+    run.world.runUntil(2000, () => primary?.writePhase === (seed % 2 === 0 ? 'disk' : 'copy'));
     takeOver(run);
-    run.world.until(answerSpan, () => box.answer !== undefined);
+    run.world.runUntil(answerSpan, () => box.answer !== undefined);
     assert.ok(box.answer === undefined || box.answer.status !== 409, JSON.stringify(box.answer));
     for (let at = 0; at < 3; at += 1) assert.equal(submit(run, 7, 51, at).status, 200);
     assert.equal(submit(run, 7, 52).status, 409);
     assert.deepEqual([stored(run)?.generation, stored(run)?.hash], [7, hashOfMark(run, 51)]);
-    assert.deepEqual(close(run), []);
+    assert.deepEqual(finishRun(run), []);
   }
 });
 
 void test('an order of a release that was accepted is acknowledged again after another one, and not begun twice', () => {
-  for (const seed of seeds(2)) {
-    const run = scene(seed, 40);
-    run.callers.begin();
+  for (const seed of seedRange(2)) {
+    const run = createFixture(seed, 40);
+    run.callers.start();
     run.world.addOrigin(clips, 8, 'r2');
     run.world.addOrigin(clips, 8, 'r3');
-    run.world.run(1500);
+    run.world.runFor(1500);
     assert.equal(orderRelease(run, r2).status, 200);
-    assert.ok(run.world.until(12_000, () => releaseRecord(run)?.phase === 'good'));
+    assert.ok(run.world.runUntil(12_000, () => releaseRecord(run)?.phase === 'good'));
     assert.equal(orderRelease(run, r3).status, 200);
     const second = releaseRecord(run)?.order;
     assert.equal(
@@ -221,38 +222,38 @@
       'the first again while the second is under way',
     );
     assert.equal(releaseRecord(run)?.order, second);
-    assert.ok(run.world.until(12_000, () => releaseRecord(run)?.phase === 'good'));
+    assert.ok(run.world.runUntil(12_000, () => releaseRecord(run)?.phase === 'good'));
     assert.equal(orderRelease(run, r2, 2).status, 200, 'the first again after the second');
     assert.equal(releaseRecord(run)?.order, second);
     killAll(run);
     assert.equal(orderRelease(run, r2).status, 200, 'the first again after a full loss');
     assert.equal(orderRelease(run, r3).status, 200, 'the second again after a full loss');
     assert.equal(releaseRecord(run)?.order, second);
-    assert.deepEqual(close(run), []);
+    assert.deepEqual(finishRun(run), []);
   }
 });
 
 void test('an order whose release was judged bad is acknowledged again after its term, and not begun twice', () => {
-  for (const seed of seeds(2)) {
-    const run = scene(seed, 40);
-    run.callers.begin();
-    run.world.run(1500);
+  for (const seed of seedRange(2)) {
+    const run = createFixture(seed, 40);
+    run.callers.start();
+    run.world.runFor(1500);
     // No origin of this release stands: it is judged bad at its term.
     assert.equal(orderRelease(run, r2).status, 200);
-    assert.ok(run.world.until(12_000, () => releaseRecord(run)?.phase === 'bad'));
+    assert.ok(run.world.runUntil(12_000, () => releaseRecord(run)?.phase === 'bad'));
     const first = releaseRecord(run)?.order;
-    run.world.run(2000);
+    run.world.runFor(2000);
     assert.equal(orderRelease(run, r2, 1).status, 200);
     assert.equal(releaseRecord(run)?.order, first);
     killAll(run);
     assert.equal(orderRelease(run, r2, 2).status, 200);
     assert.equal(releaseRecord(run)?.order, first);
-    assert.deepEqual(close(run), []);
+    assert.deepEqual(finishRun(run), []);
   }
 });
 
 void test('an origin that leaves tells so again, to any registry, and is acknowledged each time', () => {
-  const run = scene(100, 10);
+  const run = createFixture(100, 10);
   const origin = run.world.origins[0];
   assert.ok(origin !== undefined);
   const { service, instance, address, release, slots } = origin;
@@ -264,7 +265,7 @@
         status = told.status;
       },
     );
-    run.world.until(2000, () => status !== 0);
+    run.world.runUntil(2000, () => status !== 0);
     return status;
   };
   for (const state of ['leaving', 'leaving', 'gone', 'leaving', 'gone'] as const)
@@ -273,5 +274,5 @@
   for (const state of ['gone', 'leaving'] as const)
     for (let at = 0; at < 3; at += 1)
       assert.equal(announce(state, at), 200, `${state} at ${at} after a full loss`);
-  assert.deepEqual(close(run), []);
+  assert.deepEqual(finishRun(run), []);
 });
--- a/packages/simulator/src/run/storm.test.ts
+++ b/packages/simulator/src/run/random-faults.test.ts
@@ -1,19 +1,28 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { increment } from '@switchwheel/types';
-import { type HistoryPoint, historyPoints, untestedPoints } from '../history/checker.js';
-import { type Trial, addCounts, untried } from '../rules/tried.js';
-import { seeds } from './stage.js';
-import { storm } from './storm.js';
+import {
+  type HistoryCoverageGoal,
+  historyCoverageGoals,
+  untestedPoints,
+} from '../history/checker.js';
+import { type CoverageGoal, addCounts, missingGoals } from '../rules/coverage.js';
+import { seedRange } from './fixture.js';
+import { runRandomFaults } from './random-faults.js';
 
-const tried = new Map<Trial, number>();
+const tried = new Map<CoverageGoal, number>();
 
-for (const seed of seeds(10)) {
+for (const seed of seedRange(10)) {
   void test(`a storm of twenty-five faults of all kinds, seed ${seed}: every rule holds and the fleet serves again`, () => {
-    const report = storm({ seed, steps: 25, only: [], skip: new Set() });
-    addCounts(tried, report.tried);
-    assert.deepEqual(report.broken, []);
-    assert.ok(report.acted.length === 25 && report.results > 500);
+    const report = runRandomFaults({
+      seed,
+      faultCount: 25,
+      namePrefixes: [],
+      skippedFaults: new Set(),
+    });
+    addCounts(tried, report.coverage);
+    assert.deepEqual(report.violations, []);
+    assert.ok(report.causedFaults.length === 25 && report.results > 500);
   });
 }
 
@@ -40,9 +49,14 @@
 for (const [at, [name, only]] of narrow.entries()) {
   void test(`a storm of ${name}`, () => {
     for (const seed of [500 + at, 600 + at, 700 + at]) {
-      const report = storm({ seed, steps: 25, only, skip: new Set() });
-      addCounts(tried, report.tried);
-      assert.deepEqual(report.broken, []);
+      const report = runRandomFaults({
+        seed,
+        faultCount: 25,
+        namePrefixes: only,
+        skippedFaults: new Set(),
+      });
+      addCounts(tried, report.coverage);
+      assert.deepEqual(report.violations, []);
     }
   });
 }
@@ -60,34 +74,40 @@
   ['full losses', ['kill everything', 'lose an area', 'fill disk', 'apply', 'purge']],
 ];
 const orders: readonly string[] = ['numbered', 'order a release'];
-const historyTried = new Map<HistoryPoint, number>();
+const historyTried = new Map<HistoryCoverageGoal, number>();
 for (const [at, [name, only]] of operatorTrouble.entries()) {
   void test(`a storm of operators' orders beside ${name}: their history is linearizable`, () => {
     for (const seed of [540 + at, 640 + at, 740 + at]) {
-      const report = storm({ seed, steps: 40, only: [...orders, ...only], skip: new Set() });
-      for (const [point, many] of report.history) increment(historyTried, point, many);
-      assert.deepEqual(report.broken, []);
+      const report = runRandomFaults({
+        seed,
+        faultCount: 40,
+        namePrefixes: [...orders, ...only],
+        skippedFaults: new Set(),
+      });
+      for (const [point, many] of report.historyCoverage) increment(historyTried, point, many);
+      assert.deepEqual(report.violations, []);
     }
   });
 }
 
 void test('the storms of orders put every point of the history to the test', (t) => {
-  for (const point of historyPoints) t.diagnostic(`${historyTried.get(point) ?? 0}  ${point}`);
+  for (const point of historyCoverageGoals)
+    t.diagnostic(`${historyTried.get(point) ?? 0}  ${point}`);
   assert.deepEqual(untestedPoints(historyTried), []);
 });
 
 void test('the storms before put every rule to the test', () => {
-  assert.deepEqual(untried(tried), []);
+  assert.deepEqual(missingGoals(tried), []);
 });
 
 void test('one seed is one run', () => {
   const traces = [0, 1].map(() => {
     const lines: string[] = [];
-    const report = storm({
+    const report = runRandomFaults({
       seed: 77,
-      steps: 12,
-      only: [],
-      skip: new Set(),
+      faultCount: 12,
+      namePrefixes: [],
+      skippedFaults: new Set(),
       trace: (text) => lines.push(text),
     });
     return JSON.stringify([lines, report.events, report.results]);
--- a/packages/simulator/src/run/registry-link.test.ts
+++ b/packages/simulator/src/run/registry-link.test.ts
@@ -1,18 +1,18 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { isConnected } from '@switchwheel/membership';
-import type { SimProxy } from '../cast/proxy.js';
-import { type Scene, close, scene, seeds } from './stage.js';
+import type { SimulatedProxy } from '../processes/proxy.js';
+import { type Fixture, finishRun, createFixture, seedRange } from './fixture.js';
 
-const registryOf = (proxy: SimProxy): string | undefined =>
+const registryOf = (proxy: SimulatedProxy): string | undefined =>
   proxy.state?.nodeAgent.nodeSession.registryLink?.address;
 
 /** Lets time pass and counts how often each node changes its registry; its session must stand all the while. */
-const watch = (run: Scene, span: number): ReadonlyMap<SimProxy, readonly number[]> => {
-  const moves = new Map<SimProxy, number[]>();
+const watch = (run: Fixture, span: number): ReadonlyMap<SimulatedProxy, readonly number[]> => {
+  const moves = new Map<SimulatedProxy, number[]>();
   const last = new Map(run.world.proxies.map((one) => [one, registryOf(one)]));
   for (let at = 0; at < span; at += 5) {
-    run.world.run(5);
+    run.world.runFor(5);
     for (const proxy of run.world.proxies) {
       const { state } = proxy;
       assert.ok(
@@ -21,7 +21,7 @@
       );
       const now = registryOf(proxy);
       if (now !== last.get(proxy))
-        moves.set(proxy, [...(moves.get(proxy) ?? []), run.world.agenda.now]);
+        moves.set(proxy, [...(moves.get(proxy) ?? []), run.world.eventQueue.now]);
       last.set(proxy, now);
     }
   }
@@ -29,18 +29,18 @@
 };
 
 void test('a registry that no longer hears the primary is left by its nodes, though it answers; what is applied then is in force everywhere', () => {
-  for (const seed of seeds(4)) {
-    const run = scene(seed, 40);
-    run.callers.begin();
-    run.world.run(2000);
+  for (const seed of seedRange(4)) {
+    const run = createFixture(seed, 40);
+    run.callers.start();
+    run.world.runFor(2000);
     const edge = run.world.edges[0];
     const registry = run.world.registries.find(
       (one) => edge !== undefined && one.address === registryOf(edge),
     );
     assert.ok(edge !== undefined && registry !== undefined);
     for (const store of run.world.stores) {
-      run.world.net.cut(store.node, registry.node);
-      run.world.net.cut(registry.node, store.node);
+      run.world.network.cut(store.node, registry.node);
+      run.world.network.cut(registry.node, store.node);
     }
     // Its word of the primary counts for 1.2 s, half a second later nodes go.
     watch(run, 2200);
@@ -48,27 +48,27 @@
     let write = run.world.apply(50);
     for (
       let tries = 1;
-      tries < 4 && !run.world.until(1000, () => write.told !== undefined);
+      tries < 4 && !run.world.runUntil(1000, () => write.reply !== undefined);
       tries += 1
     )
       write = run.world.apply(50 + tries);
-    assert.ok(run.world.until(1000, () => write.told !== undefined));
+    assert.ok(run.world.runUntil(1000, () => write.reply !== undefined));
     watch(run, 1500);
     assert.ok(
       run.world.proxies.every((one) => registryOf(one) !== registry.address),
       'nobody stays or comes back',
     );
-    run.world.net.heal();
-    run.world.run(3000);
-    assert.deepEqual(close(run), []);
+    run.world.network.heal();
+    run.world.runFor(3000);
+    assert.deepEqual(finishRun(run), []);
   }
 });
 
 void test('with no primary at all nodes look around, each at most twice a second, and their sessions stand', () => {
-  for (const seed of seeds(2)) {
-    const run = scene(seed, 20);
-    run.callers.begin();
-    run.world.run(2000);
+  for (const seed of seedRange(2)) {
+    const run = createFixture(seed, 20);
+    run.callers.start();
+    run.world.runFor(2000);
     for (const store of run.world.stores) store.kill();
     const moves = watch(run, 6000);
     assert.equal(moves.size, run.world.proxies.length, 'everyone looks around');
@@ -76,9 +76,9 @@
       for (const [at, time] of times.entries())
         assert.ok(at === 0 || time - (times[at - 1] ?? 0) >= 490, times.join(', '));
     for (const store of run.world.stores) store.start();
-    run.world.run(6000);
+    run.world.runFor(6000);
     const after = watch(run, 1500);
     assert.equal(after.size, 0, 'with a primary everyone stays');
-    assert.deepEqual(close(run), []);
+    assert.deepEqual(finishRun(run), []);
   }
 });
--- a/packages/simulator/src/run/second-loss.test.ts
+++ b/packages/simulator/src/run/second-loss.test.ts
@@ -2,9 +2,9 @@
 import { test } from 'node:test';
 import { type ZoneName, toZoneName } from '@switchwheel/types';
 import type { ReplicationSettings } from '@switchwheel/replicated-store';
-import type { SimRegistry } from '../cast/registry.js';
-import type { SimStore } from '../cast/store.js';
-import { World, type Write } from '../world/world.js';
+import type { SimulatedRegistry } from '../processes/registry.js';
+import type { SimulatedStore } from '../processes/store.js';
+import { World, type OperatorWrite } from '../world/world.js';
 
 /** Within which span of a replacement the next loss is borne, and an order is acknowledged. */
 const syncMs = 4000;
@@ -13,8 +13,8 @@
 
 /** A core machine: a registry and a store, which start and fail together. */
 interface Machine {
-  readonly registry: SimRegistry;
-  readonly store: SimStore;
+  readonly registry: SimulatedRegistry;
+  readonly store: SimulatedStore;
 }
 
 type Loss = 'killed' | 'power off' | 'disk wiped' | 'frozen';
@@ -24,7 +24,7 @@
 class Core {
   readonly world: World;
   readonly machines: Machine[] = [];
-  readonly #kept: Write[] = [];
+  readonly #kept: OperatorWrite[] = [];
   #mark = 10;
   #added = 0;
 
@@ -41,8 +41,8 @@
       shields: 0,
       stores: size,
       services: [],
-      storeAreas: areas,
-      limits: {
+      storeZones: areas,
+      replication: {
         copies: tolerate + 2,
         tolerate,
         electorateFollowsRegistries: true,
@@ -56,7 +56,7 @@
       assert.ok(registry !== undefined);
       this.machines.push({ registry, store });
     }
-    this.world.run(6000);
+    this.world.runFor(6000);
     this.order('at first');
   }
 
@@ -70,7 +70,7 @@
   /** The machine that is not the primary's, by its place among these. */
   backupMachine(at: number): Machine {
     const primary = this.primaryMachine;
-    const others = this.machines.filter((one) => one !== primary && one.store.alive);
+    const others = this.machines.filter((one) => one !== primary && one.store.isAlive);
     const found = others[at % others.length];
     assert.ok(found !== undefined);
     return found;
@@ -83,20 +83,20 @@
 
   /** An order is acknowledged in time, sent again as operators do, and all earlier ones are kept. */
   order(what: string): void {
-    const from = this.world.agenda.now;
+    const from = this.world.eventQueue.now;
     this.#mark += 1;
     let write = this.world.apply(this.#mark);
     const isAcknowledged = (): boolean => {
-      if (write.told?.status === 200) return true;
-      const silent = this.world.agenda.now - write.sentAt > 1000;
-      if (write.told !== undefined || silent)
+      if (write.reply?.status === 200) return true;
+      const silent = this.world.eventQueue.now - write.sentAt > 1000;
+      if (write.reply !== undefined || silent)
         write = this.world.apply(this.#mark, undefined, 'plain', write);
       return false;
     };
-    const acknowledged = this.world.until(ackMs, isAcknowledged);
+    const acknowledged = this.world.runUntil(ackMs, isAcknowledged);
     assert.ok(
       acknowledged,
-      `${what}: no acknowledgement ${Math.round(this.world.agenda.now - from)} ms on; electorate ${this.electorate.join(', ')}`,
+      `${what}: no acknowledgement ${Math.round(this.world.eventQueue.now - from)} ms on; electorate ${this.electorate.join(', ')}`,
     );
     this.#kept.push(write);
     this.assertKept(what);
@@ -105,7 +105,7 @@
   assertKept(what: string): void {
     const primary = this.world.primary();
     for (const one of this.#kept)
-      assert.ok(primary?.keeps(one.id) === true, `${what}: ${one.id} is lost`);
+      assert.ok(primary?.hasResultOf(one.id) === true, `${what}: ${one.id} is lost`);
   }
 
   /** A new machine with an empty disk. */
@@ -128,15 +128,15 @@
 
   /** A machine is asked to stop, ends by itself and goes for good; says how long that took. */
   leave(machine: Machine): number {
-    const from = this.world.agenda.now;
+    const from = this.world.eventQueue.now;
     machine.registry.stop();
     machine.store.stop(graceMs);
     assert.ok(
-      this.world.until(graceMs + 100, () => !machine.store.alive),
+      this.world.runUntil(graceMs + 100, () => !machine.store.isAlive),
       `${machine.store.node} ends within its grace`,
     );
     this.drop(machine);
-    return this.world.agenda.now - from;
+    return this.world.eventQueue.now - from;
   }
 
   lose(machine: Machine, loss: Loss): void {
@@ -155,10 +155,10 @@
 }
 
 const replace = (core: Core, old: Machine, planned: boolean): Machine => {
-  const area = old.store.area;
+  const area = old.store.zone;
   if (planned) core.leave(old);
   else core.drop(old);
-  core.world.run(core.world.chance.between(200, 1500));
+  core.world.runFor(core.world.random.uniform(200, 1500));
   return core.add(area);
 };
 
@@ -178,7 +178,7 @@
         const core = new Core(100 + size * 10 + at, size, tolerate);
         const old = at % 2 === 0 ? core.backupMachine(at) : core.primaryMachine;
         const fresh = replace(core, old, planned);
-        core.world.run(syncMs);
+        core.world.runFor(syncMs);
         const what = `${loss} after the replacement of ${old.store.node}`;
         const lost = [core.primaryMachine];
         if (tolerate > 1)
@@ -189,9 +189,9 @@
         for (const one of lost) core.lose(one, loss);
         core.order(what);
         for (const one of lost) core.restore(one, loss);
-        core.world.run(syncMs);
+        core.world.runFor(syncMs);
         core.order(`${what}, restored`);
-        assert.deepEqual(core.world.breaches, []);
+        assert.deepEqual(core.world.selfReportedViolations, []);
       }
     });
   }
@@ -201,15 +201,15 @@
   for (const seed of [1, 2, 3, 4, 5, 6]) {
     const core = new Core(seed, 3, 1);
     replace(core, core.backupMachine(seed), seed % 2 === 0);
-    core.world.run(17_000);
+    core.world.runFor(17_000);
     replace(core, core.backupMachine(seed + 1), seed % 2 !== 0);
-    core.world.run(syncMs);
+    core.world.runFor(syncMs);
     const frozen = seed % 3 === 0 ? core.primaryMachine : core.backupMachine(seed);
     core.lose(frozen, 'frozen');
     core.order('frozen');
-    core.world.run(8000);
+    core.world.runFor(8000);
     core.restore(frozen, 'frozen');
-    core.world.run(syncMs);
+    core.world.runFor(syncMs);
     core.order('thawed');
   }
 });
@@ -220,8 +220,8 @@
     for (const old of [...core.machines]) {
       core.leave(old);
       core.order(`${size}: after ${old.store.node} left`);
-      core.add(old.store.area);
-      core.world.run(syncMs);
+      core.add(old.store.zone);
+      core.world.runFor(syncMs);
     }
     core.lose(core.primaryMachine, 'power off');
     core.order(`${size}: power off after the roll`);
@@ -232,17 +232,17 @@
   for (const seed of [11, 12, 13, 14]) {
     const core = new Core(seed, 3, 1);
     const old = core.primaryMachine;
-    core.world.run(core.world.chance.between(0, 400));
-    const from = core.world.agenda.now;
+    core.world.runFor(core.world.random.uniform(0, 400));
+    const from = core.world.eventQueue.now;
     old.registry.stop();
     old.store.stop(graceMs);
     assert.ok(
-      core.world.until(
+      core.world.runUntil(
         1000,
         () => core.world.primary() !== undefined && core.world.primary() !== old.store,
       ),
     );
-    assert.ok(core.world.agenda.now - from < 300, `${core.world.agenda.now - from} ms`);
+    assert.ok(core.world.eventQueue.now - from < 300, `${core.world.eventQueue.now - from} ms`);
   }
 });
 
@@ -275,7 +275,7 @@
   loss: Loss,
 ): readonly Machine[] => {
   const lost = core.machines.filter(
-    (one) => (ofArea.get(toZoneName(one.store.area)) ?? one.store.area) === domain,
+    (one) => (ofArea.get(toZoneName(one.store.zone)) ?? one.store.zone) === domain,
   );
   for (const one of lost) core.lose(one, loss);
   return lost;
@@ -308,13 +308,13 @@
         domainOfZone: ofArea,
       });
       replace(core, at % 2 === 0 ? core.backupMachine(at) : core.primaryMachine, at === 1);
-      core.world.run(syncMs);
+      core.world.runFor(syncMs);
       const loss = losses[at % losses.length] ?? 'killed';
       const lost = loseDomain(core, domain, ofArea, loss);
       core.order(`${domain} ${loss}`);
-      core.world.run(8000);
+      core.world.runFor(8000);
       for (const one of lost) core.restore(one, loss);
-      core.world.run(syncMs);
+      core.world.runFor(syncMs);
       const next = domains[(at + 1) % domains.length] ?? domain;
       loseDomain(core, next, ofArea, 'power off');
       core.order(`then ${next}`);
--- a/packages/simulator/src/run/soak.ts
+++ b/packages/simulator/src/run/soak.ts
@@ -1,8 +1,12 @@
 import meow from 'meow';
 import { increment } from '@switchwheel/types';
-import { type HistoryPoint, historyPoints } from '../history/checker.js';
-import { type Trial, addCounts, trials } from '../rules/tried.js';
-import { type StormOptions, type StormReport, storm } from './storm.js';
+import { type HistoryCoverageGoal, historyCoverageGoals } from '../history/checker.js';
+import { type CoverageGoal, addCounts, coverageGoals } from '../rules/coverage.js';
+import {
+  type RandomFaultOptions,
+  type RandomFaultReport,
+  runRandomFaults,
+} from './random-faults.js';
 
 const cli = meow(
   `
@@ -58,54 +62,59 @@
 };
 
 /** Leaves faults out one by one for as long as the run still fails. */
-const shrink = (options: StormOptions, report: StormReport): ReadonlySet<number> => {
-  let skip = new Set(options.skip);
-  for (const step of report.acted) {
+const shrink = (options: RandomFaultOptions, report: RandomFaultReport): ReadonlySet<number> => {
+  let skip = new Set(options.skippedFaults);
+  for (const step of report.causedFaults) {
     const tried = new Set([...skip, step]);
-    if (storm({ ...options, skip: tried }).broken.length > 0) skip = tried;
+    if (runRandomFaults({ ...options, skippedFaults: tried }).violations.length > 0) skip = tried;
   }
   return skip;
 };
 
 const first = cli.flags.seed ?? Math.floor(Math.random() * 4294967296);
 const total = new Map<string, number>();
-const tried = new Map<Trial, number>();
-const historyTried = new Map<HistoryPoint, number>();
+const tried = new Map<CoverageGoal, number>();
+const historyTried = new Map<HistoryCoverageGoal, number>();
 let requests = 0;
 let results = 0;
 let failing = 0;
 const began = performance.now();
 for (let run = 0; run < cli.flags.runs; run += 1) {
-  const options: StormOptions = {
+  const options: RandomFaultOptions = {
     seed: (first + run) >>> 0,
-    steps: cli.flags.steps,
-    only: cli.flags.only ?? [],
-    skip: new Set(),
+    faultCount: cli.flags.steps,
+    namePrefixes: cli.flags.only ?? [],
+    skippedFaults: new Set(),
     ...(cli.flags.trace ? { trace: say } : {}),
   };
-  const report = storm(options);
-  addCounts(tried, report.tried);
-  for (const [point, many] of report.history) increment(historyTried, point, many);
+  const report = runRandomFaults(options);
+  addCounts(tried, report.coverage);
+  for (const [point, many] of report.historyCoverage) increment(historyTried, point, many);
   requests += report.requests;
   results += report.results;
   for (const [name, many] of report.faults) increment(total, name, many);
-  if (report.broken.length === 0) continue;
+  if (report.violations.length === 0) continue;
   failing += 1;
-  say(`seed ${options.seed}, ${options.steps} steps:`);
-  for (const line of report.broken.slice(0, 3)) say(`  ${line}`);
-  if (report.broken.length > 3) say(`  and ${report.broken.length - 3} more`);
+  say(`seed ${options.seed}, ${options.faultCount} steps:`);
+  for (const line of report.violations.slice(0, 3)) say(`  ${line}`);
+  if (report.violations.length > 3) say(`  and ${report.violations.length - 3} more`);
   if (cli.flags.shrink) {
     const skip = shrink(
-      { seed: options.seed, steps: options.steps, only: options.only, skip: new Set() },
+      {
+        seed: options.seed,
+        faultCount: options.faultCount,
+        namePrefixes: options.namePrefixes,
+        skippedFaults: new Set(),
+      },
       report,
     );
-    const left = report.acted.filter((step) => !skip.has(step));
+    const left = report.causedFaults.filter((step) => !skip.has(step));
     say(`  still fails with only steps ${left.join(', ')}:`);
-    storm({
+    runRandomFaults({
       seed: options.seed,
-      steps: options.steps,
-      only: options.only,
-      skip,
+      faultCount: options.faultCount,
+      namePrefixes: options.namePrefixes,
+      skippedFaults: skip,
       trace: (text) => say(`    ${text}`),
     });
   }
@@ -119,7 +128,7 @@
     .map(([name, many]) => `${name} ${many}`)
     .join(', ')}`,
 );
-for (const name of trials) say(`${String(tried.get(name) ?? 0).padStart(8)}  ${name}`);
-for (const point of historyPoints)
+for (const name of coverageGoals) say(`${String(tried.get(name) ?? 0).padStart(8)}  ${name}`);
+for (const point of historyCoverageGoals)
   say(`${String(historyTried.get(point) ?? 0).padStart(8)}  history: ${point}`);
 process.exitCode = failing > 0 ? 1 : 0;
--- a/packages/simulator/src/scale/fleet.ts
+++ b/packages/simulator/src/scale/fleet.ts
@@ -10,14 +10,14 @@
   toServiceName,
 } from '@switchwheel/types';
 import { splitIntoChunks, runToCompletion } from '@switchwheel/configuration';
-import { SimRegistry, type Told } from '../cast/registry.js';
-import { SimStore } from '../cast/store.js';
-import { Tried } from '../rules/tried.js';
-import type { Actor, Stage } from '../world/actor.js';
-import { Agenda } from '../world/agenda.js';
-import { Chance } from '../world/chance.js';
-import { describe } from '../world/describe.js';
-import { Net } from '../world/net.js';
+import { SimulatedRegistry, type RegistryReply } from '../processes/registry.js';
+import { SimulatedStore } from '../processes/store.js';
+import { Coverage } from '../rules/coverage.js';
+import type { SimulatedProcess, SimulationContext } from '../world/process.js';
+import { EventQueue } from '../world/event-queue.js';
+import { SeededRandom } from '../world/seeded-random.js';
+import { createConfiguration } from '../world/configuration.js';
+import { Network } from '../world/network.js';
 import { Gauge } from './meter.js';
 import { HollowNode, type Tables } from './node.js';
 
@@ -43,35 +43,36 @@
 const numbers = (many: number): readonly number[] => Array.from({ length: many }, (_, at) => at);
 
 /** A fleet whose core is whole and whose edges are hollow. */
-export class HollowFleet implements Stage {
-  readonly agenda = new Agenda();
-  readonly chance: Chance;
-  readonly net: Net;
-  readonly actors = new Map<Address, Actor>();
+export class HollowFleet implements SimulationContext {
+  readonly eventQueue = new EventQueue();
+  readonly random: SeededRandom;
+  readonly network: Network;
+  readonly processes = new Map<Address, SimulatedProcess>();
   readonly logs: string[] = [];
-  readonly tried = new Tried();
-  readonly breaches: string[] = [];
+  readonly coverage = new Coverage();
+  readonly selfReportedViolations: string[] = [];
   readonly meter = new Gauge();
-  readonly after = (): void => undefined;
-  readonly generation = (): number => 0;
+  readonly afterEvent = (): void => undefined;
+  readonly highestAcknowledgedGeneration = (): number => 0;
   readonly size: Size;
-  readonly registries: readonly SimRegistry[];
-  readonly stores: readonly SimStore[];
+  readonly registries: readonly SimulatedRegistry[];
+  readonly stores: readonly SimulatedStore[];
   readonly nodes: readonly HollowNode[];
   #calls = 0;
 
   constructor(size: Size) {
     this.size = size;
-    this.chance = new Chance(size.seed);
-    this.net = new Net(this.agenda, this.chance.part());
+    this.random = new SeededRandom(size.seed);
+    this.network = new Network(this.eventQueue, this.random.fork());
     const tables: Tables = new Map();
     const area = (at: number): string => `area-${at % size.areas}`;
     const seeds = (): readonly Address[] => this.registries.slice(0, 3).map((one) => one.address);
     this.registries = numbers(size.registries).map(
-      (at) => new SimRegistry(this, toNodeId(`registry-${at}`), addressOf(0, at), area(at), seeds),
+      (at) =>
+        new SimulatedRegistry(this, toNodeId(`registry-${at}`), addressOf(0, at), area(at), seeds),
     );
     this.stores = numbers(size.stores).map(
-      (at) => new SimStore(this, toNodeId(`store-${at}`), addressOf(1, at), area(at), seeds),
+      (at) => new SimulatedStore(this, toNodeId(`store-${at}`), addressOf(1, at), area(at), seeds),
     );
     this.nodes = numbers(size.nodes).map(
       (at) =>
@@ -84,18 +85,18 @@
   }
 
   run(span: number): void {
-    const end = this.agenda.now + span;
-    while (this.agenda.step(end));
+    const end = this.eventQueue.now + span;
+    while (this.eventQueue.runNext(end));
   }
 
   /** How long it takes until something is so, looked at every few milliseconds; undefined if it is not in time. */
   until(span: number, test: () => boolean): number | undefined {
-    const began = this.agenda.now;
+    const began = this.eventQueue.now;
     while (!test()) {
-      if (this.agenda.now - began >= span) return undefined;
+      if (this.eventQueue.now - began >= span) return undefined;
       this.run(stepMs);
     }
-    return this.agenda.now - began;
+    return this.eventQueue.now - began;
   }
 
   /** As `until`, but what is not so in time is a fault. */
@@ -105,7 +106,7 @@
     return took;
   }
 
-  get primary(): SimStore | undefined {
+  get primary(): SimulatedStore | undefined {
     return this.stores.find(
       (one) => one.state?.isServing === true && one.state.candidate.phase.phase === 'holdingLease',
     );
@@ -125,10 +126,10 @@
     this.apply(1);
     // Origins first: each word of a new one goes to all nodes there are.
     for (const at of numbers(this.size.origins))
-      this.agenda.after((at * comeMs) / this.size.origins, () => this.#announce(at));
+      this.eventQueue.schedule((at * comeMs) / this.size.origins, () => this.#announce(at));
     this.run(comeMs);
     for (const [at, one] of this.nodes.entries())
-      this.agenda.after((at * comeMs) / this.nodes.length, () => one.start());
+      this.eventQueue.schedule((at * comeMs) / this.nodes.length, () => one.start());
     this.must('all run the description', 20_000, () =>
       this.nodes.every((one) => one.generation >= 1),
     );
@@ -156,7 +157,7 @@
           ),
         (told) => {
           founded = told.status === 200;
-          if (!founded) this.agenda.after(100, ask);
+          if (!founded) this.eventQueue.schedule(100, ask);
         },
       );
     };
@@ -185,15 +186,15 @@
         ),
       () => undefined,
     );
-    this.agenda.after(announceMs, () => this.#announce(at));
+    this.eventQueue.schedule(announceMs, () => this.#announce(at));
   }
 
   /** A call from outside to any registry that lives. */
   call(
-    make: (registry: SimRegistry, done: (told: Told) => void) => void,
-    done: (told: Told) => void,
+    make: (registry: SimulatedRegistry, done: (told: RegistryReply) => void) => void,
+    done: (told: RegistryReply) => void,
   ): void {
-    const registry = this.chance.one(this.registries.filter((one) => one.alive));
+    const registry = this.random.pick(this.registries.filter((one) => one.isAlive));
     if (registry !== undefined) make(registry, done);
   }
 
@@ -206,7 +207,10 @@
   apply(mark: number): void {
     const bundle = runToCompletion(
       splitIntoChunks(
-        describe({ services: this.services.map((name) => ({ name, perSecond: undefined })) }, mark),
+        createConfiguration(
+          { services: this.services.map((name) => ({ name, perSecond: undefined })) },
+          mark,
+        ),
       ),
     ).unwrapOrElse((faults) => {
       throw new Error(JSON.stringify(faults));
@@ -249,7 +253,7 @@
   /** Whether every node has its session at a registry that lives and knows of it. */
   stands(): boolean {
     const near = new Map(
-      this.registries.filter((one) => one.alive).map((one) => [one.address, one] as const),
+      this.registries.filter((one) => one.isAlive).map((one) => [one.address, one] as const),
     );
     return this.nodes.every((one) => {
       const nodeSession = one.state?.nodeSession;
--- a/packages/simulator/src/scale/measure.ts
+++ b/packages/simulator/src/scale/measure.ts
@@ -98,7 +98,7 @@
 const purgeEvenly = (fleet: HollowFleet, trial: Trial): void => {
   const many = Math.round((trial.purges * trial.windowMs) / 1000);
   for (let at = 0; at < many; at += 1)
-    fleet.agenda.after((at * trial.windowMs) / many, () => fleet.purge(() => undefined));
+    fleet.eventQueue.schedule((at * trial.windowMs) / many, () => fleet.purge(() => undefined));
 };
 
 const configSpan = (fleet: HollowFleet): number | undefined => {
@@ -121,7 +121,7 @@
   const lost = fleet.registries.slice(0, many);
   for (const one of lost) one.kill();
   if (many === fleet.registries.length)
-    fleet.agenda.after(500, () => {
+    fleet.eventQueue.schedule(500, () => {
       for (const one of lost) one.start();
     });
   const took = fleet.until(longest, () => fleet.stands());
--- a/packages/simulator/src/scale/meter.ts
+++ b/packages/simulator/src/scale/meter.ts
@@ -1,5 +1,5 @@
 import { type Frame, deserializeFrame, serializeFrame } from '@switchwheel/transport';
-import type { Actor, Meter } from '../world/actor.js';
+import type { SimulatedProcess, Meter } from '../world/process.js';
 
 /** The length and the checksum that a channel puts before each frame. */
 const headBytes = 8;
@@ -53,7 +53,7 @@
     return this.#kinds;
   }
 
-  readonly sent = (from: Actor, to: Actor, frame: Frame): void => {
+  readonly sent = (from: SimulatedProcess, to: SimulatedProcess, frame: Frame): void => {
     if (!this.open) return;
     const sender = this.of(from.node);
     const taker = this.of(to.node);
@@ -69,7 +69,7 @@
     this.#kinds.set(frame.kind, row);
   };
 
-  readonly step = <T>(actor: Actor, work: () => T): T => {
+  readonly step = <T>(actor: SimulatedProcess, work: () => T): T => {
     if (!this.open) return work();
     const began = performance.now();
     const result = work();
--- a/packages/simulator/src/scale/node.ts
+++ b/packages/simulator/src/scale/node.ts
@@ -18,13 +18,13 @@
   nodeAgentTransition,
   newNodeAgent,
 } from '@switchwheel/proxy-core';
-import { Actor, type Stage } from '../world/actor.js';
+import { SimulatedProcess, type SimulationContext } from '../world/process.js';
 
 /** Descriptions that hollow nodes share once one of them compiled them. */
 export type Tables = Map<string, CompiledConfiguration>;
 
 /** An edge's control side alone: it takes part in everything and carries no traffic. */
-export class HollowNode extends Actor {
+export class HollowNode extends SimulatedProcess {
   readonly #seeds: () => readonly Address[];
   readonly #tables: Tables;
   #store: StateMachine<NodeAgent, NodeAgentEvent> | undefined;
@@ -33,7 +33,7 @@
   generation = 0;
 
   constructor(
-    stage: Stage,
+    stage: SimulationContext,
     node: NodeId,
     address: Address,
     area: string,
@@ -46,25 +46,25 @@
   }
 
   get state(): NodeAgent | undefined {
-    return this.alive ? this.#store?.state() : undefined;
+    return this.isAlive ? this.#store?.state() : undefined;
   }
 
   /** As the shipped edge's loop. */
-  protected override get pace(): readonly [number, number] {
+  protected override get tickIntervalMs(): readonly [number, number] {
     return [48, 52];
   }
 
-  protected boot(): void {
+  protected onStart(): void {
     const member: Member = {
       node: this.node,
       role: 'edge',
-      area: toZoneName(this.area),
+      area: toZoneName(this.zone),
       address: this.address,
       door: this.address,
       incarnation: this.incarnation,
     };
     const first = newNodeAgent(member, this.#seeds(), {
-      seed: Math.floor(this.stage.chance.next() * 4294967296),
+      seed: Math.floor(this.context.random.next() * 4294967296),
     });
     this.#store = this.makeStore<NodeAgent, NodeAgentEvent, NodeAgentEffect>(
       nodeAgentTransition,
@@ -73,18 +73,18 @@
     );
   }
 
-  protected ended(): void {
+  protected onEnd(): void {
     this.#store = undefined;
   }
 
-  event(make: (now: Timestamp) => ProcessEvent): void {
+  dispatch(make: (now: Timestamp) => ProcessEvent): void {
     this.#store?.dispatch(make(this.clock));
   }
 
   #run(effect: NodeAgentEffect): void {
     switch (effect.kind) {
       case 'compileConfiguration':
-        this.later(1, () => this.#build(effect));
+        this.schedule(1, () => this.#build(effect));
         break;
       case 'adoptConfiguration':
         this.generation = effect.compiledConfiguration.generation;
@@ -97,7 +97,7 @@
         break;
       case 'send':
       case 'log':
-        this.wire(effect);
+        this.runWireEffect(effect);
     }
   }
 
--- a/packages/simulator/src/world/describe.ts
+++ b/packages/simulator/src/world/configuration.ts
@@ -1,9 +1,9 @@
 import type { ServiceName } from '@switchwheel/types';
 
 /** What a simulated operator hands over: a good description, one that may not be taken, or a very large one. */
-export type Shape = 'plain' | 'invalid' | 'huge';
+export type ConfigurationVariant = 'plain' | 'invalid' | 'huge';
 
-interface Plan {
+interface ConfiguredFleet {
   readonly services: readonly {
     readonly name: ServiceName;
     readonly perSecond: number | undefined;
@@ -11,22 +11,26 @@
   }[];
 }
 
-const hugeRoutes = 1500;
+const hugeRouteCount = 1500;
 
 /** The second service's objects live shortly. */
-export const lifetimeOf = (service: string): number => (service === 'acts' ? 1000 : 4000);
+export const cacheLifetimeOf = (service: string): number => (service === 'acts' ? 1000 : 4000);
 
 /** A description for simulated fleets; `mark` only makes it unlike others. */
-export const describe = (layout: Plan, mark: number, shape: Shape = 'plain'): object => ({
+export const createConfiguration = (
+  layout: ConfiguredFleet,
+  marker: number,
+  variant: ConfigurationVariant = 'plain',
+): object => ({
   format: 1,
   classes: [
     { name: 'read', latencyMs: 200, share: 0.5, lendsTo: ['bulk'] },
-    { name: 'act', latencyMs: 400, share: shape === 'invalid' && mark % 2 === 0 ? 0.6 : 0.3 },
+    { name: 'act', latencyMs: 400, share: variant === 'invalid' && marker % 2 === 0 ? 0.6 : 0.3 },
     { name: 'bulk', share: 0.1 },
   ],
   services: layout.services.map((one) => ({
     name: one.name,
-    waitlist: 200 + (mark % 100),
+    waitlist: 200 + (marker % 100),
     ...(one.perSecond === undefined ? {} : { perSecond: one.perSecond }),
     ...(one.hedgeMs === undefined ? {} : { hedgeMs: one.hedgeMs }),
   })),
@@ -38,7 +42,7 @@
         service: one.name,
         class: 'read',
         timeoutMs: 3000,
-        cache: { lifetimeMs: lifetimeOf(one.name) },
+        cache: { lifetimeMs: cacheLifetimeOf(one.name) },
       },
       {
         name: `${one.name}-plain`,
@@ -63,15 +67,15 @@
         timeoutMs: 3000,
       },
       {
-        name: `mark-${mark}-${one.name}`,
-        path: `/${one.name}/mark/${mark}`,
-        service: shape === 'invalid' && mark % 2 === 1 ? 'nobody' : one.name,
+        name: `mark-${marker}-${one.name}`,
+        path: `/${one.name}/mark/${marker}`,
+        service: variant === 'invalid' && marker % 2 === 1 ? 'nobody' : one.name,
         class: 'bulk',
       },
     ]),
-    ...Array.from({ length: shape === 'huge' ? hugeRoutes : 0 }, (_, at) => ({
+    ...Array.from({ length: variant === 'huge' ? hugeRouteCount : 0 }, (_, at) => ({
       name: `huge-${at}`,
-      path: `/huge/${at}/${at % 7 === 0 ? mark : 0}`,
+      path: `/huge/${at}/${at % 7 === 0 ? marker : 0}`,
       service: layout.services[0]?.name ?? '',
       class: 'bulk',
     })),
--- a/packages/simulator/src/world/agenda.ts
+++ b/packages/simulator/src/world/event-queue.ts
@@ -1,22 +1,22 @@
-interface Row {
+interface ScheduledEvent {
   readonly at: number;
   readonly order: number;
-  readonly act: () => void;
+  readonly run: () => void;
 }
 
 /** What happens when, in one order for one seed. */
-export class Agenda {
-  readonly #heap: Row[] = [];
-  #order = 0;
+export class EventQueue {
+  readonly #heap: ScheduledEvent[] = [];
+  #lastOrder = 0;
   now = 0;
 
-  after(span: number, act: () => void): void {
-    this.#order += 1;
-    this.#push({ at: this.now + Math.max(0, span), order: this.#order, act });
+  schedule(delayMs: number, run: () => void): void {
+    this.#lastOrder += 1;
+    this.#push({ at: this.now + Math.max(0, delayMs), order: this.#lastOrder, run });
   }
 
   /** Does the next thing; false when there is none before the end. */
-  step(end: number): boolean {
+  runNext(end: number): boolean {
     const top = this.#heap[0];
     if (top === undefined || top.at > end) {
       this.now = end;
@@ -24,22 +24,22 @@
     }
     this.#pop();
     this.now = top.at;
-    top.act();
+    top.run();
     return true;
   }
 
-  #before(one: Row, two: Row): boolean {
+  #isBefore(one: ScheduledEvent, two: ScheduledEvent): boolean {
     return one.at < two.at || (one.at === two.at && one.order < two.order);
   }
 
-  #push(row: Row): void {
+  #push(row: ScheduledEvent): void {
     const heap = this.#heap;
     let at = heap.length;
     heap.push(row);
     while (at > 0) {
       const up = (at - 1) >> 1;
       const parent = heap[up];
-      if (parent === undefined || !this.#before(row, parent)) break;
+      if (parent === undefined || !this.#isBefore(row, parent)) break;
       heap[at] = parent;
       at = up;
     }
@@ -56,9 +56,9 @@
       const first = heap[left];
       if (first === undefined) break;
       const second = heap[left + 1];
-      const down = second !== undefined && this.#before(second, first) ? left + 1 : left;
+      const down = second !== undefined && this.#isBefore(second, first) ? left + 1 : left;
       const child = heap[down];
-      if (child === undefined || !this.#before(child, last)) break;
+      if (child === undefined || !this.#isBefore(child, last)) break;
       heap[at] = child;
       at = down;
     }
--- /dev/null
+++ b/packages/simulator/src/world/process.ts
@@ -0,0 +1,226 @@
+import {
+  type Address,
+  type Incarnation,
+  type Timestamp,
+  type NodeId,
+  type StateMachine,
+  createStateMachine,
+  toIncarnation,
+  toTimestamp,
+} from '@switchwheel/types';
+import {
+  type Peer,
+  type Frame,
+  type ProcessEffect,
+  type ProcessEvent,
+  deserializeFrame,
+  serializeFrame,
+} from '@switchwheel/transport';
+import type { Transition } from '@switchwheel/types';
+import type { EventQueue } from './event-queue.js';
+import type { SeededRandom } from './seeded-random.js';
+import type { Coverage } from '../rules/coverage.js';
+import type { Network } from './network.js';
+
+/** Measures what actors send and what their machines' steps take. */
+export interface Meter {
+  readonly sent: (from: SimulatedProcess, to: SimulatedProcess, frame: Frame) => void;
+  readonly step: <T>(actor: SimulatedProcess, work: () => T) => T;
+}
+
+/** What all actors of one run share. */
+export interface SimulationContext {
+  readonly eventQueue: EventQueue;
+  readonly random: SeededRandom;
+  readonly network: Network;
+  readonly processes: Map<Address, SimulatedProcess>;
+  /** Called after each event that any machine acted on. */
+  afterEvent: (actor: SimulatedProcess) => void;
+  readonly logs: string[];
+  readonly coverage: Coverage;
+  /** What an actor saw itself do that it may not. */
+  readonly selfReportedViolations: string[];
+  /** The highest generation that any operator was told. */
+  readonly highestAcknowledgedGeneration: () => number;
+  readonly meter?: Meter;
+}
+
+/** A process in the simulation: started, killed, frozen and woken; it runs the machine that ships. */
+export abstract class SimulatedProcess {
+  readonly context: SimulationContext;
+  readonly node: NodeId;
+  readonly address: Address;
+  readonly zone: string;
+  /** A machine's clock starts anywhere and runs a little fast or slow. */
+  readonly #clockOffset: number;
+  readonly #clockRate: number;
+  #isAlive = false;
+  #isFrozen = false;
+  #incarnationNumber = 0;
+  readonly #heldWork: (() => void)[] = [];
+  readonly #endings = new Map<number, 'killed' | 'planned'>();
+
+  constructor(stage: SimulationContext, node: NodeId, address: Address, area: string) {
+    this.context = stage;
+    this.node = node;
+    this.address = address;
+    this.zone = area;
+    this.#clockOffset = stage.random.uniform(1000, 1_000_000);
+    this.#clockRate = 1 + stage.random.uniform(-0.005, 0.005);
+    stage.processes.set(address, this);
+  }
+
+  get isAlive(): boolean {
+    return this.#isAlive;
+  }
+
+  get isFrozen(): boolean {
+    return this.#isFrozen;
+  }
+
+  get incarnationNumber(): number {
+    return this.#incarnationNumber;
+  }
+
+  get incarnation(): Incarnation {
+    return toIncarnation(this.#incarnationNumber);
+  }
+
+  /** The time by this machine's own clock. */
+  get clock(): Timestamp {
+    return toTimestamp(this.#clockOffset + this.context.eventQueue.now * this.#clockRate);
+  }
+
+  get peer(): Peer {
+    return { node: this.node, address: this.address, incarnation: this.incarnation };
+  }
+
+  start(): void {
+    if (this.#isAlive) return;
+    this.#isAlive = true;
+    this.#isFrozen = false;
+    this.#heldWork.splice(0);
+    this.#incarnationNumber += 1;
+    this.onStart();
+    this.#tick(this.#incarnationNumber);
+  }
+
+  /** How a life of it came to its end. */
+  endOf(incarnationNumber: number): 'alive' | 'killed' | 'planned' {
+    return this.#endings.get(incarnationNumber) ?? 'alive';
+  }
+
+  kill(how: 'killed' | 'planned' = 'killed'): void {
+    if (!this.#isAlive) return;
+    this.#endings.set(this.#incarnationNumber, how);
+    this.#isAlive = false;
+    this.#isFrozen = false;
+    this.#heldWork.splice(0);
+    this.onEnd();
+    // Channels end: whoever can be told hears of it.
+    for (const other of this.context.processes.values()) {
+      if (other !== this && other.isAlive)
+        this.context.network.sendDatagram(this.node, other.node, () =>
+          other.execute(() => other.peerEnded(this.address)),
+        );
+    }
+  }
+
+  freeze(): void {
+    if (this.#isAlive) this.#isFrozen = true;
+  }
+
+  /** Wakes: all that came meanwhile is acted on at once, in its order. */
+  wake(): void {
+    if (!this.#isFrozen) return;
+    this.#isFrozen = false;
+    for (const act of this.#heldWork.splice(0)) if (this.#isAlive) act();
+  }
+
+  /** Runs something as part of this process: later if it is frozen, not at all if it is another life. */
+  execute(work: () => void, incarnationNumber = this.#incarnationNumber): void {
+    const guarded = (): void => {
+      if (!this.#isAlive || incarnationNumber !== this.#incarnationNumber) return;
+      work();
+      this.context.afterEvent(this);
+    };
+    if (this.#isFrozen) this.#heldWork.push(guarded);
+    else guarded();
+  }
+
+  /** Lets something come about later, for this life of the process only. */
+  schedule(delayMs: number, work: () => void): void {
+    const life = this.#incarnationNumber;
+    this.context.eventQueue.schedule(delayMs, () => this.execute(work, life));
+  }
+
+  #tick(incarnationNumber: number): void {
+    this.context.eventQueue.schedule(this.context.random.uniform(...this.tickIntervalMs), () => {
+      if (!this.#isAlive || incarnationNumber !== this.#incarnationNumber) return;
+      if (!this.#isFrozen) this.execute(() => this.dispatch((now) => ({ kind: 'tick', now })));
+      this.#tick(incarnationNumber);
+    });
+  }
+
+  protected runWireEffect(effect: ProcessEffect): void {
+    if (effect.kind === 'log') {
+      if (effect.level !== 'info')
+        this.context.logs.push(
+          `${Math.round(this.context.eventQueue.now)} ${this.node} ${effect.message} ${[...(effect.fields ?? [])].map(([key, value]) => `${key}=${String(value)}`).join(' ')}`,
+        );
+      return;
+    }
+    this.send(effect.to, effect.frame);
+  }
+
+  protected send(to: Address, frame: Frame): void {
+    const other = this.context.processes.get(to);
+    if (other === undefined) return;
+    this.context.meter?.sent(this, other, frame);
+    if (this.context.network.isRefused(this.node, other.node)) {
+      this.schedule(1, () => this.peerEnded(to));
+      return;
+    }
+    const from = this.peer;
+    const life = other.incarnationNumber;
+    // Now and then what is sent goes through the real coding, so that frames and their checks stay in step.
+    const told = this.context.random.happens(0.02)
+      ? deserializeFrame(serializeFrame(frame)).unwrapOrElse((fault) => {
+          throw new Error(`${frame.kind}: ${fault.text}`);
+        })
+      : frame;
+    this.context.network.sendDatagram(this.node, other.node, () => {
+      if (other.incarnationNumber === life)
+        other.execute(
+          () => other.dispatch((now) => ({ kind: 'frameReceived', now, from, frame: told })),
+          life,
+        );
+    });
+  }
+
+  peerEnded(address: Address): void {
+    this.dispatch((now) => ({ kind: 'peerDisconnected', now, address }));
+  }
+
+  /** The least and the most milliseconds between two ticks. */
+  protected get tickIntervalMs(): readonly [number, number] {
+    return [20, 30];
+  }
+
+  protected abstract onStart(): void;
+  protected abstract onEnd(): void;
+  abstract dispatch(make: (now: Timestamp) => ProcessEvent): void;
+
+  protected makeStore<S, E, F>(
+    reduce: (state: S, event: E) => Transition<S, F>,
+    first: S,
+    run: (effect: F) => void,
+  ): StateMachine<S, E> {
+    const { meter } = this.context;
+    return createStateMachine<S, E, F>(
+      meter === undefined ? reduce : (state, event) => meter.step(this, () => reduce(state, event)),
+      first,
+      run,
+    );
+  }
+}
--- a/packages/simulator/src/world/world.ts
+++ b/packages/simulator/src/world/world.ts
@@ -9,34 +9,34 @@
   toRelease,
 } from '@switchwheel/types';
 import { splitIntoChunks, runToCompletion } from '@switchwheel/configuration';
-import { Agenda } from './agenda.js';
-import type { Actor, Stage } from './actor.js';
-import { Chance } from './chance.js';
-import { Net } from './net.js';
-import { SimOrigin } from '../cast/origin.js';
-import { SimProxy } from '../cast/proxy.js';
-import { SimRegistry, type Told } from '../cast/registry.js';
-import { SimStore } from '../cast/store.js';
+import { EventQueue } from './event-queue.js';
+import type { SimulatedProcess, SimulationContext } from './process.js';
+import { SeededRandom } from './seeded-random.js';
+import { Network } from './network.js';
+import { SimulatedOrigin } from '../processes/origin.js';
+import { SimulatedProxy } from '../processes/proxy.js';
+import { SimulatedRegistry, type RegistryReply } from '../processes/registry.js';
+import { SimulatedStore } from '../processes/store.js';
 import { type ConfigurationWrite, History, type PurgeWrite } from '../history/history.js';
-import { endingOf } from '../history/operators.js';
-import { Tried } from '../rules/tried.js';
-import { type Shape, describe } from './describe.js';
+import { outcomeOfStatus } from '../history/operators.js';
+import { Coverage } from '../rules/coverage.js';
+import { type ConfigurationVariant, createConfiguration } from './configuration.js';
 import { toCommandId, toFleetId, toGeneration } from '@switchwheel/types';
 import type { PurgeTarget } from '@switchwheel/transport';
 import type { ReplicationSettings } from '@switchwheel/replicated-store';
 
 /** How large a simulated fleet is, and what stands behind it. */
-export interface Layout {
+export interface FleetLayout {
   readonly seed: number;
   readonly edges: number;
   readonly shields: number;
   /** How many machines have a disk; two if it isn't said. */
   readonly stores?: number;
-  readonly limits?: ReplicationSettings;
+  readonly replication?: ReplicationSettings;
   /** Whether nodes that run nothing may start on what disks hold. */
-  readonly eager?: boolean;
+  readonly startsFromDisks?: boolean;
   /** The areas of the machines with a disk, in their order; they go round by four if it isn't said. */
-  readonly storeAreas?: readonly string[];
+  readonly storeZones?: readonly string[];
   readonly services: readonly {
     readonly name: ServiceName;
     readonly origins: number;
@@ -47,14 +47,14 @@
 }
 
 /** One write of an operator, with all that became of it. */
-export interface Write {
+export interface OperatorWrite {
   readonly id: CommandId;
   readonly kind: 'apply' | 'purge';
   readonly sentAt: number;
-  readonly mark: number;
+  readonly marker: number;
   /** Whether its description is one that may not be taken. */
-  readonly invalid: boolean;
-  told:
+  readonly isInvalid: boolean;
+  reply:
     | {
         readonly at: number;
         readonly status: number;
@@ -72,33 +72,33 @@
   Number(new RegExp(`"${name}":(\\d+)`).exec(body)?.[1] ?? 0);
 
 /** A whole simulated fleet. */
-export class World implements Stage {
-  readonly agenda = new Agenda();
-  readonly chance: Chance;
-  readonly net: Net;
-  readonly actors = new Map<Address, Actor>();
+export class World implements SimulationContext {
+  readonly eventQueue = new EventQueue();
+  readonly random: SeededRandom;
+  readonly network: Network;
+  readonly processes = new Map<Address, SimulatedProcess>();
   readonly logs: string[] = [];
-  readonly registries: SimRegistry[] = [];
-  readonly stores: SimStore[] = [];
-  readonly proxies: SimProxy[] = [];
-  readonly origins: SimOrigin[] = [];
-  readonly writes: Write[] = [];
-  readonly tried = new Tried();
+  readonly registries: SimulatedRegistry[] = [];
+  readonly stores: SimulatedStore[] = [];
+  readonly proxies: SimulatedProxy[] = [];
+  readonly origins: SimulatedOrigin[] = [];
+  readonly writes: OperatorWrite[] = [];
+  readonly coverage = new Coverage();
   /** What operators asked, and what they were told. */
-  readonly history = new History(() => this.agenda.now);
-  readonly breaches: string[] = [];
-  readonly layout: Layout;
+  readonly history = new History(() => this.eventQueue.now);
+  readonly selfReportedViolations: string[] = [];
+  readonly layout: FleetLayout;
   readonly #revisions = new Map<string, { readonly revision: number; readonly since: number }[]>();
-  #origin = 0;
-  #write = 0;
-  after: (actor: Actor) => void = () => undefined;
+  #originCount = 0;
+  #writeCount = 0;
+  afterEvent: (actor: SimulatedProcess) => void = () => undefined;
   /** Whether a node is out of reach of the fleet. */
-  isOut: (proxy: SimProxy) => boolean = () => false;
+  isUnreachable: (proxy: SimulatedProxy) => boolean = () => false;
 
-  constructor(layout: Layout) {
+  constructor(layout: FleetLayout) {
     this.layout = layout;
-    this.chance = new Chance(layout.seed);
-    this.net = new Net(this.agenda, this.chance.part());
+    this.random = new SeededRandom(layout.seed);
+    this.network = new Network(this.eventQueue, this.random.fork());
     const seeds = (): readonly Address[] => this.registries.slice(0, 3).map((one) => one.address);
     const areas = ['one', 'two', 'three', 'four'];
     const area = (at: number): string => areas[at % areas.length] ?? 'one';
@@ -109,30 +109,30 @@
           ? `shield-${at + 1}-registry`
           : `store-${at - layout.shields + 1}-registry`;
       this.registries.push(
-        new SimRegistry(
+        new SimulatedRegistry(
           this,
           toNodeId(name),
           toAddress(`10.0.0.${at + 1}:1`),
-          layout.storeAreas?.[at - layout.shields] ?? area(at),
+          layout.storeZones?.[at - layout.shields] ?? area(at),
           seeds,
-          layout.eager,
+          layout.startsFromDisks,
         ),
       );
     }
     for (let at = 0; at < stores; at += 1)
       this.stores.push(
-        new SimStore(
+        new SimulatedStore(
           this,
           toNodeId(`store-${at + 1}`),
           toAddress(`10.0.1.${at + 1}:1`),
-          layout.storeAreas?.[at] ?? area(at + 1),
+          layout.storeZones?.[at] ?? area(at + 1),
           seeds,
-          layout.limits,
+          layout.replication,
         ),
       );
     for (let at = 0; at < layout.shields; at += 1)
       this.proxies.push(
-        new SimProxy(
+        new SimulatedProxy(
           this,
           'shield',
           toNodeId(`shield-${at + 1}`),
@@ -144,7 +144,7 @@
       );
     for (let at = 0; at < layout.edges; at += 1)
       this.proxies.push(
-        new SimProxy(
+        new SimulatedProxy(
           this,
           'edge',
           toNodeId(`edge-${at + 1}`),
@@ -157,13 +157,13 @@
   }
 
   /** A new core machine's registry, found by the seeds that are there now. */
-  addRegistry(name: string, at: number, area = 'one'): SimRegistry {
+  addRegistry(name: string, index: number, zone = 'one'): SimulatedRegistry {
     const seeds = this.registries.slice(0, 3).map((one) => one.address);
-    const registry = new SimRegistry(
+    const registry = new SimulatedRegistry(
       this,
       toNodeId(name),
-      toAddress(`10.0.9.${at}:1`),
-      area,
+      toAddress(`10.0.9.${index}:1`),
+      zone,
       () => seeds,
     );
     this.registries.push(registry);
@@ -172,12 +172,12 @@
   }
 
   /** A new edge with an empty memory, which is told of some registries. */
-  addEdge(name: string, at: number, seeds: readonly Address[]): SimProxy {
-    const edge = new SimProxy(
+  addEdge(name: string, index: number, seeds: readonly Address[]): SimulatedProxy {
+    const edge = new SimulatedProxy(
       this,
       'edge',
       toNodeId(name),
-      toAddress(`10.0.7.${at}:1`),
+      toAddress(`10.0.7.${index}:1`),
       'one',
       () => seeds,
       () => this.origins,
@@ -188,15 +188,15 @@
   }
 
   /** A new machine with a blank disk. */
-  addStore(name: string, at: number, area = 'one'): SimStore {
+  addStore(name: string, index: number, zone = 'one'): SimulatedStore {
     const seeds = this.registries.slice(0, 3).map((one) => one.address);
-    const store = new SimStore(
+    const store = new SimulatedStore(
       this,
       toNodeId(name),
-      toAddress(`10.0.8.${at}:1`),
-      area,
+      toAddress(`10.0.8.${index}:1`),
+      zone,
       () => seeds,
-      this.layout.limits,
+      this.layout.replication,
     );
     this.stores.push(store);
     store.start();
@@ -204,57 +204,63 @@
   }
 
   /** A store is gone for good, with its disk. */
-  dropStore(store: SimStore): void {
+  dropStore(store: SimulatedStore): void {
     store.kill();
     this.stores.splice(this.stores.indexOf(store), 1);
-    this.actors.delete(store.address);
+    this.processes.delete(store.address);
   }
 
   /** A registry is gone for good: nothing names it any more. */
-  dropRegistry(registry: SimRegistry): void {
+  dropRegistry(registry: SimulatedRegistry): void {
     registry.kill();
     this.registries.splice(this.registries.indexOf(registry), 1);
-    this.actors.delete(registry.address);
+    this.processes.delete(registry.address);
   }
 
-  get all(): readonly Actor[] {
+  get allProcesses(): readonly SimulatedProcess[] {
     return [...this.registries, ...this.stores, ...this.proxies];
   }
 
-  get edges(): readonly SimProxy[] {
+  get edges(): readonly SimulatedProxy[] {
     return this.proxies.filter((one) => one.role === 'edge');
   }
 
-  get shields(): readonly SimProxy[] {
+  get shields(): readonly SimulatedProxy[] {
     return this.proxies.filter((one) => one.role === 'shield');
   }
 
-  find(name: string): Actor {
-    const found = this.all.find((one) => one.node === name);
+  findProcess(name: string): SimulatedProcess {
+    const found = this.allProcesses.find((one) => one.node === name);
     if (found === undefined) throw new Error(`no actor ${name}`);
     return found;
   }
 
-  run(span: number): void {
-    const end = this.agenda.now + span;
-    while (this.agenda.step(end));
+  runFor(durationMs: number): void {
+    const end = this.eventQueue.now + durationMs;
+    while (this.eventQueue.runNext(end));
   }
 
   /** Runs until something is so, or time is over; says whether it was. */
-  until(span: number, test: () => boolean): boolean {
-    const end = this.agenda.now + span;
-    while (!test()) if (!this.agenda.step(end)) return test();
+  runUntil(timeoutMs: number, condition: () => boolean): boolean {
+    const end = this.eventQueue.now + timeoutMs;
+    while (!condition()) if (!this.eventQueue.runNext(end)) return condition();
     return true;
   }
 
-  addOrigin(service: ServiceName, slots: number, release = 'r1', address?: Address): SimOrigin {
-    this.#origin += 1;
+  addOrigin(
+    service: ServiceName,
+    slots: number,
+    release = 'r1',
+    address?: Address,
+  ): SimulatedOrigin {
+    this.#originCount += 1;
     const spot =
-      address ?? toAddress(`10.1.${Math.floor(this.#origin / 200)}.${(this.#origin % 200) + 1}:80`);
-    const origin = new SimOrigin(
+      address ??
+      toAddress(`10.1.${Math.floor(this.#originCount / 200)}.${(this.#originCount % 200) + 1}:80`);
+    const origin = new SimulatedOrigin(
       this,
       service,
-      toInstanceId(`${service}.${this.#origin}`),
+      toInstanceId(`${service}.${this.#originCount}`),
       spot,
       toRelease(release),
       slots,
@@ -267,11 +273,11 @@
 
   /** Starts every process and origin, founds the fleet and applies a first description. */
   form(): void {
-    for (const actor of this.all)
-      this.agenda.after(this.chance.between(0, 100), () => actor.start());
+    for (const actor of this.allProcesses)
+      this.eventQueue.schedule(this.random.uniform(0, 100), () => actor.start());
     for (const service of this.layout.services)
       for (let at = 0; at < service.origins; at += 1) this.addOrigin(service.name, service.slots);
-    const met = this.until(5000, () =>
+    const met = this.runUntil(5000, () =>
       this.registries.every(
         (one) =>
           one.state !== undefined &&
@@ -295,27 +301,27 @@
         },
         (told) => {
           founded = told.status === 200;
-          if (!founded) this.agenda.after(100, found);
+          if (!founded) this.eventQueue.schedule(100, found);
         },
       );
     };
     found();
-    if (!this.until(5000, () => founded)) throw new Error('the fleet was not founded');
-    if (!this.until(5000, () => this.primary() !== undefined)) throw new Error('no primary');
+    if (!this.runUntil(5000, () => founded)) throw new Error('the fleet was not founded');
+    if (!this.runUntil(5000, () => this.primary() !== undefined)) throw new Error('no primary');
     this.apply(1);
     const up = (): boolean =>
-      this.proxies.every((one) => one.ready) &&
-      this.layout.services.every((one) => this.keeperOf(one.name) !== undefined);
-    if (!this.until(8000, up))
+      this.proxies.every((one) => one.isReady) &&
+      this.layout.services.every((one) => this.serviceLeaderOf(one.name) !== undefined);
+    if (!this.runUntil(8000, up))
       throw new Error(
         `not in force: ${this.proxies
-          .filter((one) => !one.ready)
+          .filter((one) => !one.isReady)
           .map((one) => one.node)
-          .join(', ')} ${JSON.stringify(this.writes.map((one) => one.told))}`,
+          .join(', ')} ${JSON.stringify(this.writes.map((one) => one.reply))}`,
       );
   }
 
-  primary(): SimStore | undefined {
+  primary(): SimulatedStore | undefined {
     return this.stores.find(
       (one) =>
         one.state?.isServing === true &&
@@ -324,7 +330,7 @@
     );
   }
 
-  keeperOf(service: ServiceName): SimProxy | undefined {
+  serviceLeaderOf(service: ServiceName): SimulatedProxy | undefined {
     return this.shields.find((one) => one.state?.activeLeaders.has(service));
   }
 
@@ -332,9 +338,9 @@
     return this.#revisions.get(path)?.at(-1)?.revision ?? 0;
   }
 
-  bump(path: string): void {
+  advanceRevision(path: string): void {
     const list = this.#revisions.get(path) ?? [];
-    list.push({ revision: this.revisionOf(path) + 1, since: this.agenda.now });
+    list.push({ revision: this.revisionOf(path) + 1, since: this.eventQueue.now });
     this.#revisions.set(path, list);
   }
 
@@ -343,21 +349,24 @@
     return this.#revisions.get(path)?.find((one) => one.revision > revision)?.since;
   }
 
-  #someRegistry(): SimRegistry | undefined {
-    return this.chance.one(this.registries.filter((one) => one.alive && !one.frozen));
+  #pickRegistry(): SimulatedRegistry | undefined {
+    return this.random.pick(this.registries.filter((one) => one.isAlive && !one.isFrozen));
   }
 
-  #send(write: Write, call: (registry: SimRegistry, done: (told: Told) => void) => void): void {
-    const registry = this.#someRegistry();
+  #send(
+    write: OperatorWrite,
+    call: (registry: SimulatedRegistry, done: (told: RegistryReply) => void) => void,
+  ): void {
+    const registry = this.#pickRegistry();
     if (registry === undefined) return;
     call(registry, (told) => {
       if (
         told.status === 200 &&
-        write.paths.some((path) => this.origins.some((one) => one.worksOn(path)))
+        write.paths.some((path) => this.origins.some((one) => one.isWorkingOn(path)))
       )
-        this.tried.note('R7: a purge raced a fetch');
-      write.told ??= {
-        at: this.agenda.now,
+        this.coverage.record('R7: a purge raced a fetch');
+      write.reply ??= {
+        at: this.eventQueue.now,
         status: told.status,
         generation: parseNumber(told.body, 'generation'),
         purge: parseNumber(told.body, 'purge'),
@@ -367,38 +376,45 @@
   }
 
   /** The highest generation that any operator was told. */
-  generation(): number {
+  highestAcknowledgedGeneration(): number {
     return Math.max(
       0,
-      ...this.writes.map((one) => (one.told?.status === 200 ? one.told.generation : 0)),
+      ...this.writes.map((one) => (one.reply?.status === 200 ? one.reply.generation : 0)),
     );
   }
 
   /** An operator hands a description over; `mark` makes it one of its own. */
-  apply(mark: number, base?: number, shape: Shape = 'plain', again?: Write): Write {
-    this.#write += 1;
-    const write: Write = {
-      id: again?.id ?? toCommandId(`w${this.#write}`),
+  apply(
+    marker: number,
+    base?: number,
+    variant: ConfigurationVariant = 'plain',
+    repeated?: OperatorWrite,
+  ): OperatorWrite {
+    this.#writeCount += 1;
+    const write: OperatorWrite = {
+      id: repeated?.id ?? toCommandId(`w${this.#writeCount}`),
       kind: 'apply',
-      sentAt: this.agenda.now,
-      mark,
-      invalid: shape === 'invalid',
-      told: undefined,
+      sentAt: this.eventQueue.now,
+      marker,
+      isInvalid: variant === 'invalid',
+      reply: undefined,
       paths: [],
       revisions: new Map(),
     };
     this.writes.push(write);
-    const bundle = runToCompletion(splitIntoChunks(describe(this.layout, mark, shape)));
+    const bundle = runToCompletion(
+      splitIntoChunks(createConfiguration(this.layout, marker, variant)),
+    );
     if (bundle.isErr) throw new Error(JSON.stringify(bundle.error));
     const order: readonly Hash[] = bundle.value.chunkHashes;
     this.#send(write, (registry, done) => {
       const { hash } = bundle.value;
       const open = this.history.begin<ConfigurationWrite>({
         kind: 'write',
-        numbered: false,
+        isNumbered: false,
         version: { number: undefined, hash },
-        ending: 'unknown',
-        startedAt: this.agenda.now,
+        outcome: 'unknown',
+        startedAt: this.eventQueue.now,
         endedAt: undefined,
       });
       registry.call(
@@ -412,7 +428,7 @@
         },
         (told) => {
           const number = told.status === 200 ? parseNumber(told.body, 'generation') : undefined;
-          open.end({ ending: endingOf(told.status), version: { number, hash } });
+          open.end({ outcome: outcomeOfStatus(told.status), version: { number, hash } });
           done(told);
         },
       );
@@ -421,16 +437,16 @@
   }
 
   /** An operator changes objects at the origins and purges them. */
-  purge(paths: readonly string[], aims: readonly PurgeTarget[]): Write {
-    this.#write += 1;
-    for (const path of paths) this.bump(path);
-    const write: Write = {
-      id: toCommandId(`w${this.#write}`),
+  purge(paths: readonly string[], aims: readonly PurgeTarget[]): OperatorWrite {
+    this.#writeCount += 1;
+    for (const path of paths) this.advanceRevision(path);
+    const write: OperatorWrite = {
+      id: toCommandId(`w${this.#writeCount}`),
       kind: 'purge',
-      sentAt: this.agenda.now,
-      mark: 0,
-      invalid: false,
-      told: undefined,
+      sentAt: this.eventQueue.now,
+      marker: 0,
+      isInvalid: false,
+      reply: undefined,
       paths,
       revisions: new Map(paths.map((path) => [path, this.revisionOf(path)])),
     };
@@ -439,13 +455,13 @@
       const open = this.history.begin<PurgeWrite>({
         kind: 'purge',
         number: undefined,
-        ending: 'unknown',
-        startedAt: this.agenda.now,
+        outcome: 'unknown',
+        startedAt: this.eventQueue.now,
         endedAt: undefined,
       });
       registry.call({ verb: 'purge', id: write.id, aims }, (told) => {
         const number = told.status === 200 ? parseNumber(told.body, 'purge') : undefined;
-        open.end({ ending: endingOf(told.status), number });
+        open.end({ outcome: outcomeOfStatus(told.status), number });
         done(told);
       });
     });
