--- a/packages/simulator/src/run/large-configuration.test.ts
+++ b/packages/simulator/src/run/large-configuration.test.ts
@@ -12,7 +12,7 @@
 } from '@switchwheel/configuration';
 import { type Frame, serializeFrame, maxFrameBytes } from '@switchwheel/transport';
 import type { SimulatedRegistry, RegistryReply } from '../processes/registry.js';
-import type { SimulatedProcess, Meter } from '../world/process.js';
+import type { FrameObserver } from '../world/process.js';
 import { createConfiguration } from '../world/configuration.js';
 import { type FleetLayout, World } from '../world/world.js';
 
@@ -37,12 +37,11 @@
 /** A world that weighs the frames which bear pieces. */
 class WeighingWorld extends World {
   largestFrame = 0;
-  readonly meter: Meter = {
-    sent: (_from: SimulatedProcess, _to: SimulatedProcess, frame: Frame) => {
+  override readonly frameObserver: FrameObserver = {
+    frameSent: (_from, _to, frame) => {
       if (weighed.has(frame.kind))
         this.largestFrame = Math.max(this.largestFrame, serializeFrame(frame).length);
     },
-    step: <T>(_actor: SimulatedProcess, work: () => T): T => work(),
   };
 }
 
--- /dev/null
+++ b/packages/simulator/src/run/steady-traffic.test.ts
@@ -0,0 +1,263 @@
+/**
+ * What a fleet in which nothing happens sends over its control channels, and that a change, a purge
+ * and the loss of registries come to an end. The rates bound what each further node costs the
+ * registries; `docs/CAPACITY.md` reckons with them.
+ */
+
+import assert from 'node:assert/strict';
+import { test } from 'node:test';
+import { toServiceName } from '@switchwheel/types';
+import { type Frame, serializeFrame } from '@switchwheel/transport';
+import type { SimulatedProxy } from '../processes/proxy.js';
+import { World } from '../world/world.js';
+
+/** What a fleet is made of; of its nodes one is a shield, as each shield brings a registry. */
+interface FleetSize {
+  readonly nodes: number;
+  readonly origins: number;
+  readonly services: number;
+}
+
+const stores = 2;
+const shields = 1;
+/** One beside each shield and each store. */
+const registries = shields + stores;
+/** Each registry gossips to each other one. */
+const registryLinks = registries * (registries - 1);
+const smallFleet: FleetSize = { nodes: 6, origins: 4, services: 2 };
+
+const settleMs = 2000;
+const windowMs = 2000;
+/** How long a change, a purge or a reconnection may take. */
+const completionLimitMs = 20_000;
+/** The length and the checksum that a channel puts before each frame. */
+const frameHeaderBytes = 8;
+
+interface FrameCount {
+  readonly messages: number;
+  readonly bytes: number;
+}
+
+/** Control traffic of one window, as counts and bytes a second. */
+interface Traffic {
+  readonly byKind: ReadonlyMap<Frame['kind'], FrameCount>;
+  /** Bytes that arrived at one edge, the mean of all edges. */
+  readonly bytesPerEdge: number;
+}
+
+/** A formed fleet in which nothing goes on. */
+const calmFleet = ({ nodes, origins, services }: FleetSize): World => {
+  const world = new World({
+    seed: 1,
+    edges: nodes - shields,
+    shields,
+    stores,
+    services: Array.from({ length: services }, (_, index) => ({
+      name: toServiceName(`service-${index}`),
+      origins: origins / services,
+      slots: 8,
+      perSecond: undefined,
+    })),
+  });
+  world.form();
+  world.runFor(settleMs);
+  return world;
+};
+
+/** Counts all control frames of one window. */
+const measureTraffic = (world: World): Traffic => {
+  const byKind = new Map<Frame['kind'], FrameCount>();
+  const edges = new Set<string>(world.edges.map((edge) => edge.node));
+  let edgeBytes = 0;
+  world.frameObserver = {
+    frameSent: (_from, to, frame) => {
+      const bytes = serializeFrame(frame).length + frameHeaderBytes;
+      const known = byKind.get(frame.kind) ?? { messages: 0, bytes: 0 };
+      byKind.set(frame.kind, { messages: known.messages + 1, bytes: known.bytes + bytes });
+      if (edges.has(to.node)) edgeBytes += bytes;
+    },
+  };
+  world.runFor(windowMs);
+  world.frameObserver = undefined;
+  const seconds = windowMs / 1000;
+  return {
+    byKind: new Map(
+      [...byKind].map(([kind, { messages, bytes }]) => [
+        kind,
+        { messages: messages / seconds, bytes: bytes / seconds },
+      ]),
+    ),
+    bytesPerEdge: edgeBytes / edges.size / seconds,
+  };
+};
+
+const trafficOf = (size: FleetSize): Traffic => measureTraffic(calmFleet(size));
+
+/** The same while purges come evenly over the window. */
+const trafficWithPurges = (size: FleetSize, purgesPerSecond: number): Traffic => {
+  const world = calmFleet(size);
+  const count = (purgesPerSecond * windowMs) / 1000;
+  for (let index = 0; index < count; index += 1) {
+    const path = `/service-0/read/${index}`;
+    world.eventQueue.schedule((index * windowMs) / count, () => {
+      world.purge([path], [{ by: 'object', path }]);
+    });
+  }
+  return measureTraffic(world);
+};
+
+const messagesPerSecond = (traffic: Traffic, kind: Frame['kind']): number =>
+  traffic.byKind.get(kind)?.messages ?? 0;
+
+const bytesPerMessage = (traffic: Traffic, kind: Frame['kind']): number => {
+  const count = traffic.byKind.get(kind);
+  assert.ok(count !== undefined, `no frame of kind ${kind}`);
+  return count.bytes / count.messages;
+};
+
+/** Each node and each store heartbeats at most four times a second, and is replied to as often. */
+const assertHeartbeatRate = (traffic: Traffic, nodes: number): void => {
+  const heartbeats = messagesPerSecond(traffic, 'heartbeat');
+  const senders = nodes + stores;
+  assert.ok(heartbeats > senders * 3, `${heartbeats} heartbeats of ${senders} processes`);
+  assert.ok(heartbeats <= senders * 4.5, `${heartbeats} heartbeats of ${senders} processes`);
+};
+
+void test('each process heartbeats three to four and a half times a second, whatever the fleet', () => {
+  assertHeartbeatRate(trafficOf(smallFleet), 6);
+  assertHeartbeatRate(trafficOf({ ...smallFleet, nodes: 12 }), 12);
+});
+
+void test('each heartbeat of a calm fleet is replied to once', () => {
+  const traffic = trafficOf(smallFleet);
+  const unanswered =
+    messagesPerSecond(traffic, 'heartbeat') - messagesPerSecond(traffic, 'heartbeat-reply');
+  assert.ok(Math.abs(unanswered) <= 2, `${unanswered} heartbeats a second without a reply`);
+});
+
+void test('only registries gossip, and no more of it with more nodes', () => {
+  for (const nodes of [6, 12]) {
+    const gossip = messagesPerSecond(trafficOf({ ...smallFleet, nodes }), 'gossip');
+    assert.ok(gossip <= registryLinks * 3.5, `${gossip} frames of gossip with ${nodes} nodes`);
+  }
+});
+
+void test('a calm process is sent the list of members at most one and a half times a second', () => {
+  const nodes = 12;
+  const lists = messagesPerSecond(trafficOf({ ...smallFleet, nodes }), 'member-list');
+  assert.ok(lists <= (nodes + stores) * 1.5, `${lists} member lists`);
+});
+
+void test('an edge hears at most twice as much in a fleet of twice as many nodes', () => {
+  const six = trafficOf(smallFleet).bytesPerEdge;
+  const twelve = trafficOf({ ...smallFleet, nodes: 12 }).bytesPerEdge;
+  assert.ok(six > 0 && twelve < 2 * six + 2500, `${six} and ${twelve} bytes a second`);
+});
+
+void test('the same seed sends the same frames', () => {
+  assert.deepEqual([...trafficOf(smallFleet).byKind], [...trafficOf(smallFleet).byKind]);
+});
+
+/** Bytes of a heartbeat's reply, the mean of a window, without the results of canaries. */
+const replyBytes = (size: FleetSize, isReceiver: (node: string) => boolean): number => {
+  const world = calmFleet(size);
+  let count = 0;
+  let bytes = 0;
+  world.frameObserver = {
+    frameSent: (_from, to, frame) => {
+      if (frame.kind !== 'heartbeat-reply' || !isReceiver(to.node)) return;
+      count += 1;
+      bytes += serializeFrame({ ...frame, verdicts: [] }).length + frameHeaderBytes;
+    },
+  };
+  world.runFor(windowMs);
+  assert.ok(count > 0);
+  return bytes / count;
+};
+
+/** What the record of one release takes in a reply. */
+const releaseRecordBytes = 82;
+const fewServices: FleetSize = { ...smallFleet, origins: 12 };
+const manyServices: FleetSize = { ...fewServices, services: 12 };
+const moreServices = manyServices.services - fewServices.services;
+
+void test('the releases of each service are told again to the stores alone', () => {
+  const isAny = (): boolean => true;
+  const few = replyBytes(fewServices, isAny);
+  const many = replyBytes(manyServices, isAny);
+  assert.ok(
+    many < few + moreServices * releaseRecordBytes * 0.4,
+    `${few} and ${many} bytes in a reply`,
+  );
+});
+
+void test('a reply to a calm edge does not grow with the number of services', () => {
+  const isEdge = (node: string): boolean => node.startsWith('edge-');
+  const few = replyBytes(fewServices, isEdge);
+  const many = replyBytes(manyServices, isEdge);
+  assert.ok(many < few + releaseRecordBytes, `${few} and ${many} bytes in a reply`);
+});
+
+void test('a feed with a purge does not grow with the number of nodes', () => {
+  const six = bytesPerMessage(trafficWithPurges(smallFleet, 10), 'feed');
+  const twelve = bytesPerMessage(trafficWithPurges({ ...smallFleet, nodes: 12 }, 10), 'feed');
+  assert.ok(twelve < six + 20, `${six} and ${twelve} bytes in a feed`);
+});
+
+const adoptedGeneration = (proxy: SimulatedProxy): number =>
+  proxy.state?.nodeAgent.compiledConfiguration?.generation ?? 0;
+
+void test('a change of the configuration comes into force on every node', () => {
+  const world = calmFleet(smallFleet);
+  world.apply(2);
+  const isInForce = (): boolean => world.proxies.every((proxy) => adoptedGeneration(proxy) >= 2);
+  assert.ok(!isInForce());
+  assert.ok(world.runUntil(completionLimitMs, isInForce));
+});
+
+void test('a purge reaches every node', () => {
+  const world = calmFleet(smallFleet);
+  const path = '/service-0/read/1';
+  const purge = world.purge([path], [{ by: 'object', path }]);
+  const isDone = (): boolean => {
+    const seq = purge.reply?.status === 200 ? purge.reply.purge : undefined;
+    return (
+      seq !== undefined &&
+      world.proxies.every((proxy) => (proxy.state?.nodeAgent.lastPurgeSeq ?? 0) >= seq)
+    );
+  };
+  assert.ok(!isDone());
+  assert.ok(world.runUntil(completionLimitMs, isDone));
+});
+
+/** Whether every node has its session at a registry that lives and knows of it. */
+const hasAllSessions = (world: World): boolean =>
+  world.proxies.every((proxy) => {
+    const link = proxy.state?.nodeAgent.nodeSession.registryLink;
+    const registry = world.registries.find((one) => one.isAlive && one.address === link?.address);
+    return (
+      registry !== undefined &&
+      link?.lastHeardAt !== undefined &&
+      registry.state?.sessions.get(proxy.node)?.registry === registry.node
+    );
+  });
+
+void test('the nodes of a lost registry find another one', () => {
+  const world = calmFleet(smallFleet);
+  const nodeRegistry = world.edges[0]?.state?.nodeAgent.nodeSession.registryLink?.address;
+  const lost = world.registries.find((registry) => registry.address === nodeRegistry);
+  assert.ok(lost !== undefined && hasAllSessions(world));
+  lost.kill();
+  assert.ok(!hasAllSessions(world));
+  assert.ok(world.runUntil(completionLimitMs, () => hasAllSessions(world)));
+});
+
+void test('every node has a session again after all registries were lost and restarted', () => {
+  const world = calmFleet(smallFleet);
+  for (const registry of world.registries) registry.kill();
+  world.eventQueue.schedule(500, () => {
+    for (const registry of world.registries) registry.start();
+  });
+  assert.ok(!hasAllSessions(world));
+  assert.ok(world.runUntil(completionLimitMs, () => hasAllSessions(world)));
+});
--- a/packages/simulator/src/world/process.ts
+++ b/packages/simulator/src/world/process.ts
@@ -22,10 +22,9 @@
 import type { Coverage } from '../rules/coverage.js';
 import type { Network } from './network.js';
 
-/** Measures what actors send and what their machines' steps take. */
-export interface Meter {
-  readonly sent: (from: SimulatedProcess, to: SimulatedProcess, frame: Frame) => void;
-  readonly step: <T>(actor: SimulatedProcess, work: () => T) => T;
+/** Sees each control frame that a process sends to another; it draws nothing and schedules nothing. */
+export interface FrameObserver {
+  readonly frameSent: (from: SimulatedProcess, to: SimulatedProcess, frame: Frame) => void;
 }
 
 /** What all actors of one run share. */
@@ -42,7 +41,7 @@
   readonly selfReportedViolations: string[];
   /** The highest generation that any operator was told. */
   readonly highestAcknowledgedGeneration: () => number;
-  readonly meter?: Meter;
+  readonly frameObserver?: FrameObserver | undefined;
 }
 
 /** A process in the simulation: started, killed, frozen and woken; it runs the machine that ships. */
@@ -176,7 +175,7 @@
   protected send(to: Address, frame: Frame): void {
     const other = this.context.processes.get(to);
     if (other === undefined) return;
-    this.context.meter?.sent(this, other, frame);
+    this.context.frameObserver?.frameSent(this, other, frame);
     if (this.context.network.isRefused(this.node, other.node)) {
       this.schedule(1, () => this.peerEnded(to));
       return;
@@ -216,11 +215,6 @@
     first: S,
     run: (effect: F) => void,
   ): StateMachine<S, E> {
-    const { meter } = this.context;
-    return createStateMachine<S, E, F>(
-      meter === undefined ? reduce : (state, event) => meter.step(this, () => reduce(state, event)),
-      first,
-      run,
-    );
+    return createStateMachine<S, E, F>(reduce, first, run);
   }
 }
--- a/packages/simulator/src/world/world.ts
+++ b/packages/simulator/src/world/world.ts
@@ -10,7 +10,7 @@
 } from '@switchwheel/types';
 import { splitIntoChunks, runToCompletion } from '@switchwheel/configuration';
 import { EventQueue } from './event-queue.js';
-import type { SimulatedProcess, SimulationContext } from './process.js';
+import type { FrameObserver, SimulatedProcess, SimulationContext } from './process.js';
 import { SeededRandom } from './seeded-random.js';
 import { Network } from './network.js';
 import { SimulatedOrigin } from '../processes/origin.js';
@@ -92,6 +92,8 @@
   #originCount = 0;
   #writeCount = 0;
   afterEvent: (actor: SimulatedProcess) => void = () => undefined;
+  /** Sees every control frame, where a run needs it. */
+  frameObserver: FrameObserver | undefined;
   /** Whether a node is out of reach of the fleet. */
   isUnreachable: (proxy: SimulatedProxy) => boolean = () => false;
 
