--- /dev/null
+++ b/packages/simulator/src/fault/caller-faults.ts
@@ -0,0 +1,33 @@
+/** Callers that ask more than they should. */
+
+import type { Fault } from './fault.js';
+
+export const callerFaults: readonly Fault[] = [
+  {
+    name: 'impatient callers',
+    weight: 1,
+    cause: (context) => {
+      context.log('callers ask again at once');
+      context.callers.maxImmediateRetries = 4;
+      context.world.eventQueue.schedule(context.randomMs(2000, 8000), () => {
+        context.callers.maxImmediateRetries = 0;
+      });
+    },
+  },
+  {
+    name: 'flood',
+    weight: 1,
+    cause: (context) => {
+      const { world } = context;
+      const service = world.random.pick(world.layout.services)?.name;
+      if (service === undefined) return;
+      const kind = world.random.pick(['plain', 'act'] as const) ?? 'plain';
+      context.log(`flood of ${kind} at ${service}`);
+      context.callers.floodedUntil.set(`/${service}/${kind}/`, world.eventQueue.now + 8000);
+      for (let at = 0; at < 900; at += 1)
+        world.eventQueue.schedule(at * 2.5, () => {
+          context.callers.send({ kind, service, flood: true });
+        });
+    },
+  },
+];
--- /dev/null
+++ b/packages/simulator/src/fault/process-actions.ts
@@ -0,0 +1,68 @@
+/** What faults do to single processes: end, freeze, stop and restart them, and note what that puts to the test. */
+
+import { windowSum } from '@switchwheel/proxy-core';
+import { SimulatedProxy } from '../processes/proxy.js';
+import { SimulatedStore } from '../processes/store.js';
+import type { SimulatedProcess } from '../world/process.js';
+import type { FaultContext } from './fault-context.js';
+
+export const restartAfter = (context: FaultContext, target: SimulatedProcess, span: number): void =>
+  context.world.eventQueue.schedule(span, () => target.start());
+
+/** Whether a store has written what its operator was not told yet. */
+export const hasUnansweredWrite = ({ world }: FaultContext, store: SimulatedStore): boolean =>
+  world.writes.some((one) => one.reply === undefined && store.hasResultOf(one.id));
+
+/** Notes what losing a process just now puts to the test. */
+const recordLossCoverage = (context: FaultContext, target: SimulatedProcess): void => {
+  const { world } = context;
+  if (target instanceof SimulatedStore) {
+    const primary = world.primary() === target;
+    const fresh = world.writes.some(
+      (one) => one.reply?.status === 200 && world.eventQueue.now - one.reply.at < 1000,
+    );
+    if (primary && fresh) world.coverage.record('R4: a primary was lost just after it accepted');
+    if (target.writePhase === 'disk') world.coverage.record('a write was cut before its sync');
+    if (target.writePhase === 'copy')
+      world.coverage.record('a write was cut between the two disks');
+    if (primary && hasUnansweredWrite(context, target))
+      world.coverage.record('a write was cut before its answer');
+  }
+  if (!(target instanceof SimulatedProxy)) return;
+  for (const name of target.state?.activeLeaders.values() ?? []) {
+    const leader = target.state?.leaders.get(name);
+    if (leader === undefined) continue;
+    if ([...leader.canaries.values()].some((one) => one.state === 'trial'))
+      world.coverage.record('R10: a keeper was lost during a trial');
+    if (windowSum(leader.recentExtraAttempts, target.clock) > 5)
+      world.coverage.record('R8: a keeper was lost with extra legs just sent');
+  }
+};
+
+export const killFor = (context: FaultContext, target: SimulatedProcess, span: number): void => {
+  recordLossCoverage(context, target);
+  context.log(`kill ${target.node} for ${Math.round(span)}`);
+  target.kill();
+  restartAfter(context, target, span);
+};
+
+export const freezeFor = (context: FaultContext, target: SimulatedProcess, span: number): void => {
+  recordLossCoverage(context, target);
+  context.log(`freeze ${target.node} for ${Math.round(span)}`);
+  target.freeze();
+  context.world.eventQueue.schedule(span, () => target.wake());
+};
+
+/** A planned stop: a warning, then the platform's hard stop six seconds later. */
+export const stopProxy = (context: FaultContext, proxy: SimulatedProxy): void => {
+  if (!proxy.isAlive || proxy.isFrozen) return;
+  context.log(`stop ${proxy.node}`);
+  const { eventQueue } = context.world;
+  const { incarnationNumber } = proxy;
+  proxy.stop(() => eventQueue.schedule(200, () => proxy.start()));
+  eventQueue.schedule(6000, () => {
+    if (!proxy.isAlive || proxy.incarnationNumber !== incarnationNumber) return;
+    proxy.kill();
+    eventQueue.schedule(200, () => proxy.start());
+  });
+};
--- a/packages/simulator/src/history/operators.ts
+++ b/packages/simulator/src/history/operators.ts
@@ -5,14 +5,8 @@
 import type { SeededRandom } from '../world/seeded-random.js';
 import { createConfiguration } from '../world/configuration.js';
 import type { World } from '../world/world.js';
-import type {
-  ConfigurationRead,
-  ConfigurationWrite,
-  Outcome,
-  History,
-  RolloutRequest,
-  Version,
-} from './history.js';
+import type { ConfigurationRead, ConfigurationWrite, History, RolloutRequest } from './history.js';
+import { numberField, outcomeOfStatus, parseVersion } from './replies.js';
 
 /** How long an operator waits for an answer before it sends the same order again. */
 const answerTimeoutMs = 1500;
@@ -21,24 +15,6 @@
 /** By how much an operator's number rises at most. */
 const maxNumberStep = 5;
 
-/** How an answer of the control side ends an operation for its caller. */
-export const outcomeOfStatus = (status: number): Outcome => {
-  if (status === 200) return 'acknowledged';
-  return status >= 400 && status < 500 ? 'refused' : 'unknown';
-};
-
-const numberField = (body: string, name: string): number | undefined => {
-  const found = new RegExp(`"${name}":(\\d+)`).exec(body)?.[1];
-  return found === undefined ? undefined : Number(found);
-};
-
-/** The configuration that a read returned; undefined if there is none. */
-export const parseVersion = (body: string): Version | undefined => {
-  const number = numberField(body, 'generation');
-  const hash = /"hash":"([0-9a-f]+)"/.exec(body)?.[1];
-  return number === undefined || number === 0 || hash === undefined ? undefined : { number, hash };
-};
-
 /** One order of a configuration, as it can be sent any number of times. */
 interface SentConfiguration {
   readonly number: number;
--- a/packages/simulator/src/run/failures.test.ts
+++ b/packages/simulator/src/run/failures.test.ts
@@ -1,7 +1,7 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { toCommandId, toRelease } from '@switchwheel/types';
-import { stopProxy } from '../fault/faults.js';
+import { stopProxy } from '../fault/process-actions.js';
 import {
   type Fixture,
   acts,
--- a/packages/simulator/src/run/fixture.ts
+++ b/packages/simulator/src/run/fixture.ts
@@ -1,6 +1,6 @@
 import { increment as add, toServiceName } from '@switchwheel/types';
 import { SimulatedCallers } from '../processes/callers.js';
-import { FaultContext } from '../fault/faults.js';
+import { FaultContext } from '../fault/fault-context.js';
 import { RuleChecker } from '../rules/rule-checker.js';
 import { type FleetLayout, World } from '../world/world.js';
 
--- a/packages/simulator/src/run/random-faults.ts
+++ b/packages/simulator/src/run/random-faults.ts
@@ -1,12 +1,9 @@
 import { increment, toServiceName } from '@switchwheel/types';
 import { SimulatedCallers } from '../processes/callers.js';
-import {
-  type Fault,
-  FaultContext,
-  allFaults,
-  numberedCommandFaults,
-  pickFault,
-} from '../fault/faults.js';
+import { allFaults } from '../fault/all-faults.js';
+import { FaultContext } from '../fault/fault-context.js';
+import { type Fault, pickFault } from '../fault/fault.js';
+import { numberedCommandFaults } from '../fault/operator-commands.js';
 import { type HistoryCoverageGoal, checkHistory } from '../history/checker.js';
 import { SimulatedOperators } from '../history/operators.js';
 import { RuleChecker } from '../rules/rule-checker.js';
--- a/packages/simulator/src/world/world.ts
+++ b/packages/simulator/src/world/world.ts
@@ -18,7 +18,7 @@
 import { SimulatedRegistry, type RegistryReply } from '../processes/registry.js';
 import { SimulatedStore } from '../processes/store.js';
 import { type ConfigurationWrite, History, type PurgeWrite } from '../history/history.js';
-import { outcomeOfStatus } from '../history/operators.js';
+import { numberField, outcomeOfStatus } from '../history/replies.js';
 import { Coverage } from '../rules/coverage.js';
 import { type ConfigurationVariant, createConfiguration } from './configuration.js';
 import { toCommandId, toFleetId, toGeneration } from '@switchwheel/types';
@@ -68,9 +68,6 @@
   readonly revisions: ReadonlyMap<string, number>;
 }
 
-const parseNumber = (body: string, name: string): number =>
-  Number(new RegExp(`"${name}":(\\d+)`).exec(body)?.[1] ?? 0);
-
 /** A whole simulated fleet. */
 export class World implements SimulationContext {
   readonly eventQueue = new EventQueue();
@@ -370,8 +367,8 @@
       write.reply ??= {
         at: this.eventQueue.now,
         status: told.status,
-        generation: parseNumber(told.body, 'generation'),
-        purge: parseNumber(told.body, 'purge'),
+        generation: numberField(told.body, 'generation') ?? 0,
+        purge: numberField(told.body, 'purge') ?? 0,
         hash: /"hash":"([0-9a-f]+)"/.exec(told.body)?.[1] ?? '',
       };
     });
@@ -429,7 +426,8 @@
           chunks: bundle.value.chunks,
         },
         (told) => {
-          const number = told.status === 200 ? parseNumber(told.body, 'generation') : undefined;
+          const number =
+            told.status === 200 ? (numberField(told.body, 'generation') ?? 0) : undefined;
           open.end({ outcome: outcomeOfStatus(told.status), version: { number, hash } });
           done(told);
         },
@@ -462,7 +460,7 @@
         endedAt: undefined,
       });
       registry.call({ verb: 'purge', id: write.id, aims }, (told) => {
-        const number = told.status === 200 ? parseNumber(told.body, 'purge') : undefined;
+        const number = told.status === 200 ? (numberField(told.body, 'purge') ?? 0) : undefined;
         open.end({ outcome: outcomeOfStatus(told.status), number });
         done(told);
       });
