--- a/packages/model-checker/src/seeded-bugs/list.ts
+++ b/packages/model-checker/src/seeded-bugs/list.ts
@@ -1,7 +1,8 @@
 import type { Guard } from '@switchwheel/simulator/guard';
 
-const candidate = 'election/dist/candidate/candidate.js';
+const candidate = 'election/dist/candidate/vote-count.js';
 const voter = 'election/dist/voter/voter.js';
+const voterRecovery = 'election/dist/voter/recovery.js';
 const write = 'replicated-store/dist/log-write/primary-write.js';
 const candidacy = 'replicated-store/dist/leadership/candidacy.js';
 const backupWrite = 'replicated-store/dist/log-write/backup-write.js';
@@ -21,55 +22,55 @@
     rule: 'one valid lease',
     file: voter,
     from: 'if (now < abstentionEnd(state))',
-    to: 'if (!ballot.renew && now < abstentionEnd(state))',
+    to: 'if (!request.renew && now < abstentionEnd(state))',
   },
   {
     name: 'a recovering voter believes only an echo of its own life',
     rule: 'a primary has every confirmed write',
     file: voter,
-    from: 'ballot.voterLife === state.incarnation &&',
+    from: 'request.voterLife === state.incarnation &&',
     to: '',
   },
   {
     name: 'a peer remembers for a recovering voter only what it said after the abstention',
     rule: 'a primary has every confirmed write',
-    file: voter,
-    from: 'memory.lastGossipHeard?.incarnation === state.incarnation && memory.lastGossipHeard.at >= abstentionEnd(state)',
+    file: voterRecovery,
+    from: 'peerGrants.lastGossipHeard?.incarnation === state.incarnation && peerGrants.lastGossipHeard.at >= abstentionEnd(state)',
     to: 'true',
   },
   {
     name: 'the margin of a lease',
     rule: 'one valid lease',
     file: candidate,
-    from: 'last + lease - leaseSafetyMarginMs',
-    to: 'last + lease + 100',
+    from: 'decisive + leaseMs - leaseSafetyMarginMs',
+    to: 'decisive + leaseMs + 100',
   },
   {
     name: 'a lease is counted from before it was asked for',
     rule: 'one valid lease',
     file: candidate,
-    from: 'at: word.at, recovering: word.recovering,',
-    to: 'at: now, recovering: word.recovering,',
+    from: 'at: vote.at, recovering: vote.recovering,',
+    to: 'at: now, recovering: vote.recovering,',
   },
   {
     name: 'a lease that ran out stays over',
     rule: 'one valid lease',
     file: candidate,
-    from: "if (own.phase === 'holdingLease' && now >= own.leaseEndsAt)",
+    from: "if (phase.phase === 'holdingLease' && now >= phase.leaseEndsAt)",
     to: 'if (false)',
   },
   {
     name: 'a lease that stands is respected',
     rule: 'one valid lease',
     file: voter,
-    from: 'if (mine.leaseHolder !== ballot.node && now < mine.leaseEndsAt)',
+    from: 'if (grant.leaseHolder !== request.node && now < grant.leaseEndsAt)',
     to: 'if (false)',
   },
   {
     name: 'a vote is only for a higher epoch',
     rule: 'one primary per epoch',
     file: voter,
-    from: 'if (ballot.epoch <= mine.epoch)',
+    from: 'if (request.epoch <= grant.epoch)',
     to: 'if (false)',
   },
   {
@@ -83,14 +84,14 @@
     name: 'recovering votes do not count',
     rule: 'a primary has every confirmed write',
     file: candidate,
-    from: 'one !== undefined && (context.countsRecoveringVoters || !one.recovering)',
-    to: 'one !== undefined',
+    from: 'vote !== undefined && (context.countsRecoveringVoters || !vote.recovering)',
+    to: 'vote !== undefined',
   },
   {
     name: 'only stores in sync are elected',
     rule: 'a primary has every confirmed write',
     file: voter,
-    from: 'if (ballot.duty === primaryLease && !mine.inSyncSet.includes(ballot.node))',
+    from: 'if (request.duty === primaryLease && !grant.inSyncSet.includes(request.node))',
     to: 'if (false)',
   },
   {
--- a/packages/simulator/src/guard/list.ts
+++ b/packages/simulator/src/guard/list.ts
@@ -21,7 +21,7 @@
 const desk = 'proxy-core/dist/cache/cache-lookup.js';
 const cache = 'proxy-core/dist/cache/cache.js';
 const proxy = 'proxy-core/dist/proxy/proxy.js';
-const candidate = 'election/dist/candidate/candidate.js';
+const candidate = 'election/dist/candidate/vote-count.js';
 const voter = 'election/dist/voter/voter.js';
 const primaryWrite = 'replicated-store/dist/log-write/primary-write.js';
 const decideCanary = 'replicated-store/dist/commands/decide-canary.js';
@@ -72,14 +72,14 @@
     name: 'the margin of a lease',
     rule: 'one holder',
     file: candidate,
-    from: 'last + lease - leaseSafetyMarginMs',
-    to: 'last + lease + 50',
+    from: 'decisive + leaseMs - leaseSafetyMarginMs',
+    to: 'decisive + leaseMs + 50',
   },
   {
     name: 'a lease that ran out stays over',
     rule: 'one holder',
     file: candidate,
-    from: "if (own.phase === 'holdingLease' && now >= own.leaseEndsAt)",
+    from: "if (phase.phase === 'holdingLease' && now >= phase.leaseEndsAt)",
     to: 'if (false)',
   },
   {
@@ -93,21 +93,21 @@
     name: 'a lease that stands is respected',
     rule: 'one holder',
     file: voter,
-    from: 'if (mine.leaseHolder !== ballot.node && now < mine.leaseEndsAt)',
+    from: 'if (grant.leaseHolder !== request.node && now < grant.leaseEndsAt)',
     to: 'if (false)',
   },
   {
     name: 'recovering votes do not count',
     rule: 'lost write',
     file: candidate,
-    from: 'one !== undefined && (context.countsRecoveringVoters || !one.recovering)',
-    to: 'one !== undefined',
+    from: 'vote !== undefined && (context.countsRecoveringVoters || !vote.recovering)',
+    to: 'vote !== undefined',
   },
   {
     name: 'only stores in sync are elected',
     rule: 'lost write',
     file: voter,
-    from: 'if (ballot.duty === primaryLease && !mine.inSyncSet.includes(ballot.node))',
+    from: 'if (request.duty === primaryLease && !grant.inSyncSet.includes(request.node))',
     to: 'if (false)',
   },
   {
