--- a/packages/runtime/src/disk/disk.test.ts
+++ b/packages/runtime/src/disk/disk.test.ts
@@ -1,3 +1,5 @@
+/** The data folder on a real disk: atomicity, checksums, damaged files, a full disk, bounded growth. */
+
 import assert from 'node:assert/strict';
 import { spawnSync } from 'node:child_process';
 import { mkdtempSync, readFileSync, readdirSync, rmSync, statSync, writeFileSync } from 'node:fs';
@@ -6,7 +8,7 @@
 import { test } from 'node:test';
 import { Disk, type StoredRow } from './disk.js';
 
-const inFolder = async (work: (folder: string) => Promise<void>): Promise<void> => {
+const inTemporaryFolder = async (work: (folder: string) => Promise<void>): Promise<void> => {
   const folder = mkdtempSync(join(tmpdir(), 'disk-'));
   try {
     await work(folder);
@@ -15,9 +17,16 @@
   }
 };
 
-const filled = async (folder: string): Promise<void> => {
+const keysOn = (disk: Disk): readonly string[] =>
+  disk
+    .read()
+    .unwrapOr([])
+    .map((row) => row.key);
+
+/** Writes two rows. */
+const writeTwoRows = async (folder: string): Promise<void> => {
   const disk = new Disk(folder);
-  const done = await disk.write({
+  const written = await disk.write({
     puts: [
       { key: 'one', text: 'first' },
       { key: 'two', text: 'second'.repeat(50) },
@@ -25,41 +34,29 @@
     deletes: [],
     clearFirst: false,
   });
-  assert.ok(done.isOk);
+  assert.ok(written.isOk);
   await disk.close();
 };
 
-void test('what was written is read again, changes and wipes as a whole', () =>
-  inFolder(async (folder) => {
-    await filled(folder);
+void test('changes are read back, and a change that clears leaves only its own rows', () =>
+  inTemporaryFolder(async (folder) => {
+    await writeTwoRows(folder);
     const disk = new Disk(folder);
-    assert.deepEqual(
-      disk
-        .read()
-        .unwrapOr([])
-        .map((row) => row.key),
-      ['one', 'two'],
-    );
+    assert.deepEqual(keysOn(disk), ['one', 'two']);
     await disk.write({
       puts: [{ key: 'three', text: 'third' }],
       deletes: ['one'],
       clearFirst: false,
     });
-    assert.deepEqual(
-      disk
-        .read()
-        .unwrapOr([])
-        .map((row) => row.key),
-      ['three', 'two'],
-    );
+    assert.deepEqual(keysOn(disk), ['three', 'two']);
     await disk.write({ puts: [{ key: 'four', text: 'fourth' }], deletes: [], clearFirst: true });
     assert.deepEqual(disk.read().unwrapOr([]), [{ key: 'four', text: 'fourth' }]);
     await disk.close();
   }));
 
-void test('a changed byte in an entry makes the disk damaged, in plain words', () =>
-  inFolder(async (folder) => {
-    await filled(folder);
+void test('a row that does not match its checksum makes reading fail with the row named', () =>
+  inTemporaryFolder(async (folder) => {
+    await writeTwoRows(folder);
     const file = join(folder, 'table.lmdb');
     const bytes = readFileSync(file);
     for (
@@ -75,48 +72,48 @@
     await disk.close();
   }));
 
-void test('a file that does not begin as it must is set aside, and so is one that ended the process three times', () =>
-  inFolder(async (folder) => {
-    await filled(folder);
+void test('a file without the magic number is set aside, and so is one that ended the process three times', () =>
+  inTemporaryFolder(async (folder) => {
+    await writeTwoRows(folder);
     writeFileSync(join(folder, 'table.lmdb'), Buffer.alloc(8192, 7));
     const first = new Disk(folder);
     assert.equal(first.quarantineReason, 'the file does not begin as it must');
     assert.deepEqual(first.read().unwrapOr([]), []);
     await first.close();
-    await filled(folder);
+    await writeTwoRows(folder);
     writeFileSync(join(folder, 'opening'), '3');
     const second = new Disk(folder);
     assert.equal(second.quarantineReason, 'the process ended 3 times while reading it');
     await second.close();
   }));
 
-/** Writes until the file may not grow any more, in a process of its own, whose rejections that nobody took are counted. */
-const script = (folder: string): string => `
+/** A program that writes until its data file may not grow any more, and counts rejections that nobody handled. */
+const fillDiskScript = (folder: string): string => `
 import { Disk } from ${JSON.stringify(join(import.meta.dirname, 'disk.js'))};
-import { isCommitFault } from ${JSON.stringify(join(import.meta.dirname, 'fault.js'))};
-let foreign = 0;
-process.on('unhandledRejection', (fault) => { if (!isCommitFault(fault)) foreign += 1; });
+import { isCommitFailure } from ${JSON.stringify(join(import.meta.dirname, 'commit-failure.js'))};
+let unexpected = 0;
+process.on('unhandledRejection', (reason) => { if (!isCommitFailure(reason)) unexpected += 1; });
 const disk = new Disk(${JSON.stringify(folder)});
 disk.read();
-const told = [];
+const outcomes = [];
 for (let at = 0; at < 12; at += 1) {
   const write = (name) => disk.write({ clearFirst: false, deletes: [], puts: [{ key: name + at, text: 'x'.repeat(20000) }] });
-  for (const one of await Promise.all([write('a'), write('b')])) told.push(one.isOk ? 'ok' : one.error.text);
+  for (const result of await Promise.all([write('a'), write('b')])) outcomes.push(result.isOk ? 'ok' : result.error.text);
 }
 await new Promise((done) => { setImmediate(done); });
-console.log(JSON.stringify({ foreign, told }));
+console.log(JSON.stringify({ unexpected, outcomes }));
 process.exit(0);
 `;
 
-void test('a disk that takes no more refuses each write with the reason, and ends nothing', () =>
-  inFolder((folder) => {
+void test('a full disk fails each write with the reason and ends nothing', () =>
+  inTemporaryFolder((folder) => {
     const run = spawnSync(
       'bash',
       [
         '-c',
         'ulimit -f 200; trap "" XFSZ; exec "$0" --input-type=module -e "$1"',
         process.execPath,
-        script(folder),
+        fillDiskScript(folder),
       ],
       { encoding: 'utf8' },
     );
@@ -125,22 +122,22 @@
     assert.ok(
       typeof last === 'object' &&
         last !== null &&
-        'foreign' in last &&
-        'told' in last &&
-        Array.isArray(last.told),
+        'unexpected' in last &&
+        'outcomes' in last &&
+        Array.isArray(last.outcomes),
     );
-    assert.equal(last.foreign, 0, "no rejection but the library's own, which programs let be");
-    const told = last.told.map(String);
-    assert.ok(told.includes('ok') && told.at(-1) !== 'ok', told.join(', '));
+    assert.equal(last.unexpected, 0, "no rejection but the library's own, which programs let be");
+    const outcomes = last.outcomes.map(String);
+    assert.ok(outcomes.includes('ok') && outcomes.at(-1) !== 'ok', outcomes.join(', '));
     assert.ok(
-      told.every((one) => one === 'ok' || !one.startsWith('Commit failed')),
-      told.join(', '),
+      outcomes.every((outcome) => outcome === 'ok' || !outcome.startsWith('Commit failed')),
+      outcomes.join(', '),
     );
     return Promise.resolve();
   }));
 
-void test('the data file does not grow with the number of changes: 150 states of 4 MiB grown and shrunk, 1,500 small changes', () =>
-  inFolder(async (folder) => {
+void test('the data file does not grow with the number of changes (150 states of 4 MiB, 1,500 small changes)', () =>
+  inTemporaryFolder(async (folder) => {
     const file = join(folder, 'table.lmdb');
     const disk = new Disk(folder);
     const rows = (round: number): readonly StoredRow[] =>
@@ -167,8 +164,8 @@
     assert.ok(late < 32 * 1024 * 1024, `${late} bytes`);
   }));
 
-void test('files set aside as damaged do not pile up: the last one is kept', () =>
-  inFolder(async (folder) => {
+void test('of the files set aside as damaged only the last one is kept', () =>
+  inTemporaryFolder(async (folder) => {
     const file = join(folder, 'table.lmdb');
     for (let turn = 0; turn < 4; turn += 1) {
       writeFileSync(file, `no data file ${turn}`);
@@ -176,7 +173,7 @@
       assert.ok(disk.quarantineReason !== undefined);
       await disk.close();
     }
-    const aside = readdirSync(folder).filter((name) => name.includes('.damaged'));
-    assert.equal(aside.length, 1, aside.join(', '));
-    assert.equal(readFileSync(join(folder, aside[0] ?? ''), 'utf8'), 'no data file 3');
+    const quarantined = readdirSync(folder).filter((name) => name.includes('.damaged'));
+    assert.equal(quarantined.length, 1, quarantined.join(', '));
+    assert.equal(readFileSync(join(folder, quarantined[0] ?? ''), 'utf8'), 'no data file 3');
   }));
--- a/packages/runtime/src/disk/disk.ts
+++ b/packages/runtime/src/disk/disk.ts
@@ -1,141 +1,116 @@
+/**
+ * The data folder of a program: rows in one lmdb file, each with a checksum. It is read whole at the
+ * start and only written after that; what the rows mean is up to the program.
+ */
+
 import { createHash } from 'node:crypto';
-import {
-  closeSync,
-  existsSync,
-  mkdirSync,
-  openSync,
-  readFileSync,
-  readSync,
-  renameSync,
-  rmSync,
-  writeFileSync,
-} from 'node:fs';
+import { mkdirSync } from 'node:fs';
 import { join } from 'node:path';
 import { type RootDatabase, open } from 'lmdb';
-import type { Result } from 'true-myth/result';
-import { err, ok } from 'true-myth/result';
-import { causeOf } from './fault.js';
+import { type Result, err, ok } from 'true-myth/result';
+import { commitFailureCause } from './commit-failure.js';
+import { prepareForReading, readingFinished } from './quarantine.js';
+
+const dataFileName = 'table.lmdb';
+const markerFileName = 'opening';
+const maxDatabaseBytes = 1024 * 1024 * 1024;
+const maxReaders = 4;
+const checksumDigits = 32;
 
-/** One row as it lies on the disk, with a checksum of its own. */
+/** One row of the data folder. */
 export interface StoredRow {
   readonly key: string;
   readonly text: string;
 }
 
-/** One change of the disk: all of it lasts, or none. */
+/** One atomic change: clears first if asked to, then deletes, then puts. */
 export interface StorageChange {
   readonly puts: readonly StoredRow[];
   readonly deletes: readonly string[];
   readonly clearFirst: boolean;
 }
 
-const sum = (key: string, text: string): string =>
-  createHash('sha256').update(key).update('\0').update(text).digest('hex').slice(0, 32);
+/** Why a change could not be written. */
+export interface WriteFailure {
+  readonly text: string;
+  /** Whether the disk or the database has no space left. */
+  readonly full: boolean;
+}
+
+const checksum = (key: string, text: string): string =>
+  createHash('sha256').update(key).update('\0').update(text).digest('hex').slice(0, checksumDigits);
 
-const mostTries = 3;
+const isOutOfSpace = (errorText: string): boolean =>
+  /ENOSPC|MDB_MAP_FULL|No space/i.test(errorText);
 
-/** Whether a file begins as the library's files do. */
-const looksWhole = (file: string): boolean => {
-  const head = Buffer.alloc(28);
-  const handle = openSync(file, 'r');
-  const size = readSync(handle, head, 0, head.length, 0);
-  closeSync(handle);
-  return size === head.length && head.readUInt32LE(24) === 0xbeefc0de;
-};
+const openDatabase = (file: string): RootDatabase<string, string> =>
+  open<string, string>({
+    path: file,
+    encoding: 'string',
+    // Overlapping sync would acknowledge a commit before it is durable.
+    overlappingSync: false,
+    noMemInit: false,
+    mapSize: maxDatabaseBytes,
+    compression: false,
+    cache: false,
+    maxReaders,
+  });
 
-/** The one data folder of a program: read whole at start, then only written. */
+/** See the module's comment. */
 export class Disk {
-  readonly #base: RootDatabase<string, string>;
+  readonly #database: RootDatabase<string, string>;
+  readonly #markerFile: string;
 
-  /** What made the file that was found unusable, if it was set aside. */
+  /** Why the data file that was there was set aside as damaged; undefined if it was not. */
   readonly quarantineReason: string | undefined;
-  readonly #mark: string;
 
+  /** Opens or creates the data folder; throws if it can't be used. */
   constructor(folder: string) {
     mkdirSync(folder, { recursive: true });
-    const file = join(folder, 'table.lmdb');
-    this.#mark = join(folder, 'opening');
-    // A file damaged in the wrong place ends the process while it is read: after some such starts it is set aside.
-    const tries = existsSync(this.#mark) ? Number(readFileSync(this.#mark, 'utf8')) || 0 : 0;
-    const damaged = !existsSync(file)
-      ? undefined
-      : !looksWhole(file)
-        ? 'the file does not begin as it must'
-        : tries >= mostTries
-          ? `the process ended ${tries} times while reading it`
-          : undefined;
-    if (damaged !== undefined) {
-      // One is kept to be looked at: more of them would fill the disk.
-      renameSync(file, `${file}.damaged`);
-      rmSync(`${file}-lock`, { force: true });
-    }
-    this.quarantineReason = damaged;
-    this.#countStart(damaged === undefined ? tries + 1 : 1);
-    this.#base = Disk.#open(folder);
-  }
-
-  /** Counts the starts that ended while reading; a full disk takes no count, and must not keep a process from starting. */
-  #countStart(starts: number): void {
-    try {
-      writeFileSync(this.#mark, String(starts), { flush: true });
-    } catch {
-      // The start goes on: reading needs no room.
-    }
-  }
-
-  static #open(folder: string): RootDatabase<string, string> {
-    // Overlapping sync would let a commit be told before it lasts: it is turned off, so that a commit waits for the real sync.
-    return open<string, string>({
-      path: join(folder, 'table.lmdb'),
-      encoding: 'string',
-      overlappingSync: false,
-      noMemInit: false,
-      mapSize: 1024 * 1024 * 1024,
-      compression: false,
-      cache: false,
-      maxReaders: 4,
-    });
+    const dataFile = join(folder, dataFileName);
+    this.#markerFile = join(folder, markerFileName);
+    this.quarantineReason = prepareForReading(dataFile, this.#markerFile);
+    this.#database = openDatabase(dataFile);
   }
 
-  /** Reads all rows; one that does not fit its checksum makes the whole disk damaged. */
+  /** Reads all rows; fails with the reason if any of them does not match its checksum. */
   read(): Result<readonly StoredRow[], string> {
     const rows: StoredRow[] = [];
     try {
-      for (const { key, value } of this.#base.getRange()) {
-        const cut = value.indexOf(' ');
-        const text = value.slice(cut + 1);
-        if (cut < 0 || sum(key, text) !== value.slice(0, cut))
+      for (const { key, value } of this.#database.getRange()) {
+        const separatorIndex = value.indexOf(' ');
+        const text = value.slice(separatorIndex + 1);
+        if (separatorIndex < 0 || checksum(key, text) !== value.slice(0, separatorIndex))
           return err(`the entry ${key} does not fit its checksum`);
         rows.push({ key, text });
       }
-    } catch (problem) {
-      return err(problem instanceof Error ? problem.message : 'unreadable');
+    } catch (error) {
+      return err(error instanceof Error ? error.message : 'unreadable');
     }
-    rmSync(this.#mark, { force: true });
+    readingFinished(this.#markerFile);
     return ok(rows);
   }
 
-  /** Writes a change; settles once it is synced. */
-  async write(
-    change: StorageChange,
-  ): Promise<Result<true, { readonly text: string; readonly full: boolean }>> {
+  /** Writes a change; settles once it is durable, or has failed and changed nothing. */
+  async write(change: StorageChange): Promise<Result<true, WriteFailure>> {
     try {
-      await this.#base.transaction(() => {
-        if (change.clearFirst) this.#base.clearSync();
-        for (const key of change.deletes) this.#base.removeSync(key);
-        for (const row of change.puts)
-          this.#base.putSync(row.key, `${sum(row.key, row.text)} ${row.text}`);
+      await this.#database.transaction(() => {
+        if (change.clearFirst) this.#database.clearSync();
+        for (const key of change.deletes) this.#database.removeSync(key);
+        for (const { key, text } of change.puts)
+          this.#database.putSync(key, `${checksum(key, text)} ${text}`);
       });
-      await this.#base.flushed;
+      await this.#database.flushed;
       return ok(true);
-    } catch (problem) {
-      const cause = await causeOf(problem);
+    } catch (error) {
+      const cause = await commitFailureCause(error);
       const text = cause instanceof Error ? cause.message : 'unwritable';
-      return err({ text, full: /ENOSPC|MDB_MAP_FULL|No space/i.test(text) });
+      return err({ text, full: isOutOfSpace(text) });
     }
   }
 
+  /** Closes the data file; settles when writes under way have ended. */
   async close(): Promise<void> {
-    await this.#base.close();
+    await this.#database.close();
   }
 }
--- a/packages/runtime/src/http/admin-forms.test.ts
+++ b/packages/runtime/src/http/admin-forms.test.ts
@@ -1,43 +1,47 @@
+/** Holds the administration paths' responses word for word. */
+
 import { test } from 'node:test';
 import { toAddress } from '@switchwheel/types';
 import { httpExchange, responseText, snapshotsFor } from '@switchwheel/types/testing';
-import { adminApp, metricSample, withLabel } from './admin.js';
+import { adminApp } from './admin.js';
 import { startHttpServer } from './http-server.js';
+import { metricSample, withLabel } from './metrics.js';
 
 const matchSnapshot = snapshotsFor(import.meta.dirname);
-const readings = () => [
+const samples = () => [
   metricSample('example', 1),
   withLabel(metricSample('example_total', 2.5), 'what', 'a "quoted" value'),
 ];
 
-const told = async (title: string, app: ReturnType<typeof adminApp>): Promise<string> => {
+/** The responses of an app at every path of interest, as text. */
+const responsesOf = async (title: string, app: ReturnType<typeof adminApp>): Promise<string> => {
   const listener = await startHttpServer(app, toAddress('127.0.0.1:0'));
   try {
-    const answers: string[] = [title];
+    const responses: string[] = [title];
     for (const path of ['/live', '/ready', '/metrics', '/state', '/other']) {
-      const asked = { method: 'GET', path };
-      answers.push(responseText(asked, await httpExchange(listener.port(), asked)));
+      const request = { method: 'GET', path };
+      responses.push(responseText(request, await httpExchange(listener.port(), request)));
     }
     const oversized = { method: 'GET', path: '/live', headers: { 'x-long': 'x'.repeat(20_000) } };
-    answers.push(responseText(oversized, await httpExchange(listener.port(), oversized)));
-    return answers.join('\n');
+    responses.push(responseText(oversized, await httpExchange(listener.port(), oversized)));
+    return responses.join('\n');
   } finally {
     listener.stopAccepting();
   }
 };
 
 void test('the administration paths answer as before', async () => {
-  const full = await told(
+  const full = await responsesOf(
     'ready, with a state',
     adminApp(
       () => true,
-      readings,
+      samples,
       () => ({ node: 'n1' }),
     ),
   );
-  const bare = await told(
+  const bare = await responsesOf(
     'not ready, without a state',
-    adminApp(() => false, readings),
+    adminApp(() => false, samples),
   );
   matchSnapshot('admin-paths', `${full}\n\n${bare}`);
 });
--- a/packages/runtime/src/http/admin.ts
+++ b/packages/runtime/src/http/admin.ts
@@ -1,39 +1,16 @@
-import Koa from 'koa';
-
-/** One reading for /metrics. */
-export interface MetricSample {
-  readonly name: string;
-  readonly labels: ReadonlyMap<string, string>;
-  readonly value: number;
-}
-
-const line = (one: MetricSample): string => {
-  const labels = [...one.labels].map(([key, value]) => `${key}=${JSON.stringify(value)}`).join(',');
-  return `switchwheel_${one.name}${labels === '' ? '' : `{${labels}}`} ${one.value}`;
-};
-
-/** The media type of readings as text. */
-export const metricsContentType = 'text/plain; version=0.0.4';
+/** The HTTP paths for operators and the platform: liveness, readiness, metrics and the state of a process. */
 
-/** Readings as scrapers take them. */
-export const formatMetrics = (readings: readonly MetricSample[]): string =>
-  `${readings.map(line).join('\n')}\n`;
-export const metricSample = (name: string, value: number): MetricSample => ({
-  name,
-  labels: new Map(),
-  value,
-});
+import Koa from 'koa';
+import { type MetricSample, formatMetrics, metricsContentType } from './metrics.js';
 
-/** A reading with one more label, to tell programs apart that share a process. */
-export const withLabel = (one: MetricSample, name: string, value: string): MetricSample => ({
-  ...one,
-  labels: new Map([...one.labels, [name, value]]),
-});
+const readyStatus = 200;
+const notReadyStatus = 503;
+const notFoundStatus = 404;
 
-/** The door for whoever runs the machine: live, ready, metrics and the state as it stands. */
+/** The app that serves `/live`, `/ready`, `/metrics` and, if there is a `state`, `/state`. */
 export const adminApp = (
-  ready: () => boolean,
-  readings: () => readonly MetricSample[],
+  isReady: () => boolean,
+  samples: () => readonly MetricSample[],
   state?: () => object,
 ): Koa => {
   const app = new Koa();
@@ -43,20 +20,22 @@
       case '/live':
         ctx.body = { live: true };
         return;
-      case '/ready':
-        ctx.status = ready() ? 200 : 503;
-        ctx.body = { ready: ctx.status === 200 };
+      case '/ready': {
+        const ready = isReady();
+        ctx.status = ready ? readyStatus : notReadyStatus;
+        ctx.body = { ready };
         return;
+      }
       case '/metrics':
         ctx.type = metricsContentType;
-        ctx.body = formatMetrics(readings());
+        ctx.body = formatMetrics(samples());
         return;
       default:
         if (ctx.path === '/state' && state !== undefined) {
           ctx.body = state();
           return;
         }
-        ctx.status = 404;
+        ctx.status = notFoundStatus;
         ctx.body = {
           kind: 'absent',
           text: `live, ready${state === undefined ? ' or metrics' : ', metrics or state'}`,
--- a/packages/runtime/src/http/http-server.ts
+++ b/packages/runtime/src/http/http-server.ts
@@ -1,43 +1,60 @@
+/** HTTP servers for callers outside the fleet, with bounds on time and size. */
+
 import { type Server, createServer } from 'node:http';
-import type { AddressInfo } from 'node:net';
 import type Koa from 'koa';
 import type { Address } from '@switchwheel/types';
 import { splitAddress } from '@switchwheel/transport';
 
-/** How outside callers are held to time and size. */
+/** What a client may take: times in milliseconds until headers and the whole request have arrived. */
 export interface HttpServerLimits {
   readonly headersTimeoutMs: number;
   readonly requestTimeoutMs: number;
   readonly maxHeaderBytes: number;
 }
+
+/** Limits for small requests. */
 export const defaultHttpServerLimits: HttpServerLimits = {
   headersTimeoutMs: 5000,
   requestTimeoutMs: 15_000,
   maxHeaderBytes: 16 * 1024,
 };
 
-/** An HTTP door for outside callers. */
+const timeoutCheckIntervalMs = 1000;
+const keepAliveTimeoutMs = 10_000;
+const listenBacklog = 1024;
+
+/** A server that listens. */
 export interface HttpServer {
   readonly server: Server;
+  /** The port that it is bound to; 0 once it is closed. */
   readonly port: () => number;
-  /** Takes no new channels and ends those that are idle. */
+  /** Accepts no new connections and closes idle ones; requests in flight are served to their end. */
   readonly stopAccepting: () => void;
 }
 
-/** Opens a door: slow, oversized and ambiguous requests get their 4xx and a closed channel from the HTTP library itself. */
-export const startHttpServer = (
-  app: Koa,
-  at: Address,
-  rules: HttpServerLimits = defaultHttpServerLimits,
-): Promise<HttpServer> => {
+const statusLineOf = (errorCode: string | undefined): string => {
+  switch (errorCode) {
+    case 'HPE_HEADER_OVERFLOW':
+      return '431 Request Header Fields Too Large';
+    case 'ERR_HTTP_REQUEST_TIMEOUT':
+      return '408 Request Timeout';
+    default:
+      return '400 Bad Request';
+  }
+};
+
+const malformedResponse = (errorCode: string | undefined): string =>
+  `HTTP/1.1 ${statusLineOf(errorCode)}\r\nconnection: close\r\ncontent-type: application/json\r\n\r\n{"kind":"malformed"}\n`;
+
+const createLimitedServer = (app: Koa, limits: HttpServerLimits): Server => {
   const handle = app.callback();
   const server = createServer(
     {
-      maxHeaderSize: rules.maxHeaderBytes,
-      headersTimeout: rules.headersTimeoutMs,
-      requestTimeout: rules.requestTimeoutMs,
-      connectionsCheckingInterval: 1000,
-      keepAliveTimeout: 10_000,
+      maxHeaderSize: limits.maxHeaderBytes,
+      headersTimeout: limits.headersTimeoutMs,
+      requestTimeout: limits.requestTimeoutMs,
+      connectionsCheckingInterval: timeoutCheckIntervalMs,
+      keepAliveTimeout: keepAliveTimeoutMs,
       insecureHTTPParser: false,
       requireHostHeader: true,
     },
@@ -45,30 +62,35 @@
       void handle(request, response);
     },
   );
-  server.on('clientError', (fault: Error & { code?: string }, socket) => {
-    const status =
-      fault.code === 'HPE_HEADER_OVERFLOW'
-        ? '431 Request Header Fields Too Large'
-        : fault.code === 'ERR_HTTP_REQUEST_TIMEOUT'
-          ? '408 Request Timeout'
-          : '400 Bad Request';
-    if (socket.writable)
-      socket.end(
-        `HTTP/1.1 ${status}\r\nconnection: close\r\ncontent-type: application/json\r\n\r\n{"kind":"malformed"}\n`,
-      );
+  server.on('clientError', (error: Error & { code?: string }, socket) => {
+    if (socket.writable) socket.end(malformedResponse(error.code));
     else socket.destroy();
   });
-  return new Promise((done, fail) => {
-    server.once('error', fail);
-    server.listen({ ...splitAddress(at), backlog: 1024 }, () => {
-      server.off('error', fail);
-      const bound = (): AddressInfo | string | null => server.address();
-      done({
+  return server;
+};
+
+const boundPort = (server: Server): number => {
+  const bound = server.address();
+  return bound !== null && typeof bound === 'object' ? bound.port : 0;
+};
+
+/**
+ * Starts a server; rejects if the address can't be bound. Slow, oversized and ambiguous requests are
+ * answered with their 4xx and a closed connection before the app sees them.
+ */
+export const startHttpServer = (
+  app: Koa,
+  at: Address,
+  limits: HttpServerLimits = defaultHttpServerLimits,
+): Promise<HttpServer> => {
+  const server = createLimitedServer(app, limits);
+  return new Promise((resolve, reject) => {
+    server.once('error', reject);
+    server.listen({ ...splitAddress(at), backlog: listenBacklog }, () => {
+      server.off('error', reject);
+      resolve({
         server,
-        port: () => {
-          const spot = bound();
-          return spot !== null && typeof spot === 'object' ? spot.port : 0;
-        },
+        port: () => boundPort(server),
         stopAccepting: () => {
           server.close();
           server.closeIdleConnections();
--- a/packages/runtime/src/http/request-body.ts
+++ b/packages/runtime/src/http/request-body.ts
@@ -1,25 +1,32 @@
+/** Request bodies of bounded size. */
+
 import type { IncomingMessage } from 'node:http';
 import { type Result, err, ok } from 'true-myth/result';
 import { type Failure, failure } from '@switchwheel/types';
 
-/** Reads a whole body, up to a size. */
+/**
+ * Reads a whole body of at most `maxBytes`. Fails as `oversized` as soon as the declared or received
+ * length exceeds that, and as `malformed` if the client breaks off.
+ */
 export const readBody = async (
   request: IncomingMessage,
-  limit: number,
+  maxBytes: number,
 ): Promise<Result<Buffer, Failure>> => {
-  const told = Number(request.headers['content-length'] ?? 0);
-  if (told > limit) return err(failure('oversized', `a body of at most ${limit} bytes`));
-  const parts: Buffer[] = [];
-  let size = 0;
+  const oversized = (): Result<Buffer, Failure> =>
+    err(failure('oversized', `a body of at most ${maxBytes} bytes`));
+  const declaredBytes = Number(request.headers['content-length'] ?? 0);
+  if (declaredBytes > maxBytes) return oversized();
+  const chunks: Buffer[] = [];
+  let receivedBytes = 0;
   try {
-    for await (const part of request) {
-      if (!Buffer.isBuffer(part)) continue;
-      size += part.length;
-      if (size > limit) return err(failure('oversized', `a body of at most ${limit} bytes`));
-      parts.push(part);
+    for await (const chunk of request) {
+      if (!Buffer.isBuffer(chunk)) continue;
+      receivedBytes += chunk.length;
+      if (receivedBytes > maxBytes) return oversized();
+      chunks.push(chunk);
     }
   } catch {
     return err(failure('malformed', 'the body broke off'));
   }
-  return ok(Buffer.concat(parts));
+  return ok(Buffer.concat(chunks));
 };
--- a/packages/runtime/src/index.ts
+++ b/packages/runtime/src/index.ts
@@ -1,4 +1,11 @@
+/**
+ * What every program needs beside its state machine: settings, logs, the event loop that binds the
+ * machine to clock and network, HTTP servers, metrics, a data folder, and an orderly shutdown. Knows
+ * nothing of what the programs do.
+ */
+
 export * from './settings/settings.js';
+export * from './settings/settings-definition.js';
 export * from './log/logger.js';
 export * from './run/clock.js';
 export * from './run/event-loop.js';
@@ -8,4 +15,5 @@
 export * from './http/http-server.js';
 export * from './http/request-body.js';
 export * from './http/admin.js';
+export * from './http/metrics.js';
 export * from './disk/disk.js';
--- a/packages/runtime/src/log/logger.ts
+++ b/packages/runtime/src/log/logger.ts
@@ -1,39 +1,48 @@
+/** Structured logs: one JSON object a line, on standard error. */
+
 import { type ConsolaInstance, LogLevels, createConsola } from 'consola';
 
-const levels = new Map([
+const consolaLevels = new Map([
   ['debug', LogLevels.debug],
   ['info', LogLevels.info],
   ['warn', LogLevels.warn],
   ['error', LogLevels.error],
 ]);
 
-/** What a program logs with: one JSON object a line, on standard error. */
+/** Writes log lines. */
 export interface Logger {
+  /** Writes a message with typed fields; lines below the configured level are dropped. */
   readonly write: (
     level: 'info' | 'warn' | 'error',
-    text: string,
-    facts?: ReadonlyMap<string, string | number | boolean>,
+    message: string,
+    fields?: ReadonlyMap<string, string | number | boolean>,
   ) => void;
 }
 
-/** A log of JSON lines for one node. */
+/** Makes the logger of one node; an unknown level counts as `info`. */
 export const createLogger = (program: string, node: string, level: string): Logger => {
   const consola: ConsolaInstance = createConsola({
-    level: levels.get(level) ?? LogLevels.info,
+    level: consolaLevels.get(level) ?? LogLevels.info,
     throttle: 0,
     reporters: [
       {
-        log: (row) => {
-          const args: readonly unknown[] = row.args;
-          const [text, facts] = args;
-          const more: readonly (readonly [string, unknown])[] =
-            facts instanceof Map ? [...facts].map(([key, value]) => [String(key), value]) : [];
-          process.stderr.write(
-            `${JSON.stringify({ at: row.date.toISOString(), level: row.type, program, node, text: String(text), ...Object.fromEntries(more) })}\n`,
-          );
+        log: (entry) => {
+          const args: readonly unknown[] = entry.args;
+          const [message, fields] = args;
+          const fieldEntries: readonly (readonly [string, unknown])[] =
+            fields instanceof Map ? [...fields].map(([name, value]) => [String(name), value]) : [];
+          const line = {
+            at: entry.date.toISOString(),
+            level: entry.type,
+            program,
+            node,
+            text: String(message),
+            ...Object.fromEntries(fieldEntries),
+          };
+          process.stderr.write(`${JSON.stringify(line)}\n`);
         },
       },
     ],
   });
-  return { write: (kind, text, facts) => consola[kind](text, facts) };
+  return { write: (entryLevel, message, fields) => consola[entryLevel](message, fields) };
 };
--- a/packages/runtime/src/run/event-loop.ts
+++ b/packages/runtime/src/run/event-loop.ts
@@ -1,69 +1,105 @@
+/**
+ * Binds a process's state machine to the real clock and network: ticks, frames and lost connections go
+ * in; frames and log lines go out. Effects of the process's own kinds are left to its runner.
+ */
+
 import {
+  type StateMachine,
   type Timestamp,
   type Transition,
-  type StateMachine,
   createStateMachine,
 } from '@switchwheel/types';
-import type { ProcessEffect, ProcessEvent, ChannelPool } from '@switchwheel/transport';
+import type { ChannelPool, ProcessEffect, ProcessEvent } from '@switchwheel/transport';
 import type { Logger } from '../log/logger.js';
 import { now } from './clock.js';
 
-/** How often time is let pass over a machine. */
+/** How often a machine gets a tick, in milliseconds. */
 export const tickIntervalMs = 25;
 
-/** A machine bound to the real clock and network. */
+/** A machine that runs on the real clock and network. */
 export interface EventLoop<S, E> {
   readonly machine: StateMachine<S, E>;
-  /** Hands an event over with the time at which it is acted on. */
+  /** Dispatches the event that `make` builds with the current time. */
   readonly dispatch: (make: (now: Timestamp) => E) => void;
+  /** Ends the ticks; frames are still handled until the channels are closed. */
   readonly stop: () => void;
-  /** The longest time in milliseconds that the loop was held up since last asked. */
+  /** The longest time in milliseconds that ticks were late by since the last call. */
   readonly takeMaxLagMs: () => number;
 }
 
-/** Runs a machine: time, frames and channels go in, effects go out. */
-export const runEventLoop = <S, E, F>(
-  reduce: (state: S, event: E | ProcessEvent) => Transition<S, F | ProcessEffect>,
-  first: S,
-  yard: ChannelPool,
-  log: Logger,
-  run: (effect: F, tell: EventLoop<S, E | ProcessEvent>['dispatch']) => void,
-  isWire: (effect: F | ProcessEffect) => effect is ProcessEffect,
-  span = tickIntervalMs,
-  also: () => void = () => undefined,
-): EventLoop<S, E | ProcessEvent> => {
-  const effect = (one: F | ProcessEffect): void => {
-    if (!isWire(one)) run(one, tell);
-    else if (one.kind === 'send') yard.send(one.to, one.frame);
-    else log.write(one.level, one.message, one.fields);
-  };
-  const store = createStateMachine<S, E | ProcessEvent, F | ProcessEffect>(reduce, first, effect);
-  const tell = (make: (now: Timestamp) => E | ProcessEvent): void => store.dispatch(make(now()));
-  yard.on('frame', (from, frame) =>
-    tell((at) => ({ kind: 'frameReceived', now: at, from, frame })),
-  );
-  yard.on('gone', (address) => tell((at) => ({ kind: 'peerDisconnected', now: at, address })));
-  yard.on('fault', (text) => log.write('warn', text));
-  let last = now();
-  let worst = 0;
+/** A repeated call that knows how late it was. */
+interface Ticker {
+  readonly stop: () => void;
+  readonly takeMaxLagMs: () => number;
+}
+
+const startTicker = (intervalMs: number, onTick: () => void): Ticker => {
+  let lastTickAt = now();
+  let maxLagMs = 0;
   const timer = setInterval(() => {
-    const at = now();
-    worst = Math.max(worst, at - last - span);
-    last = at;
-    tell((moment) => ({ kind: 'tick', now: moment }));
-    also();
-  }, span);
+    const tickAt = now();
+    maxLagMs = Math.max(maxLagMs, tickAt - lastTickAt - intervalMs);
+    lastTickAt = tickAt;
+    onTick();
+  }, intervalMs);
   return {
-    machine: store,
-    dispatch: tell,
     stop: () => clearInterval(timer),
     takeMaxLagMs: () => {
-      const held = worst;
-      worst = 0;
-      return held;
+      const lagMs = maxLagMs;
+      maxLagMs = 0;
+      return lagMs;
     },
   };
 };
 
+/**
+ * Starts a machine.
+ *
+ * @param reduce the reducer of the process
+ * @param initialState its state before the first event
+ * @param channels carries frames to and from other processes
+ * @param log gets the machine's log lines and the channels' faults
+ * @param runEffect carries out effects of the process's own kinds
+ * @param isShared tells the effects of all processes from those of its own kinds
+ * @param intervalMs how often the machine gets a tick
+ * @param afterTick is called after each tick
+ */
+export const runEventLoop = <S, E, F>(
+  reduce: (state: S, event: E | ProcessEvent) => Transition<S, F | ProcessEffect>,
+  initialState: S,
+  channels: ChannelPool,
+  log: Logger,
+  runEffect: (effect: F, dispatch: EventLoop<S, E | ProcessEvent>['dispatch']) => void,
+  isShared: (effect: F | ProcessEffect) => effect is ProcessEffect,
+  intervalMs = tickIntervalMs,
+  afterTick: () => void = () => undefined,
+): EventLoop<S, E | ProcessEvent> => {
+  const runAnyEffect = (effect: F | ProcessEffect): void => {
+    if (!isShared(effect)) runEffect(effect, dispatch);
+    else if (effect.kind === 'send') channels.send(effect.to, effect.frame);
+    else log.write(effect.level, effect.message, effect.fields);
+  };
+  const machine = createStateMachine<S, E | ProcessEvent, F | ProcessEffect>(
+    reduce,
+    initialState,
+    runAnyEffect,
+  );
+  const dispatch = (make: (now: Timestamp) => E | ProcessEvent): void =>
+    machine.dispatch(make(now()));
+  channels.on('frame', (from, frame) =>
+    dispatch((receivedAt) => ({ kind: 'frameReceived', now: receivedAt, from, frame })),
+  );
+  channels.on('gone', (address) =>
+    dispatch((closedAt) => ({ kind: 'peerDisconnected', now: closedAt, address })),
+  );
+  channels.on('fault', (message) => log.write('warn', message));
+  const ticker = startTicker(intervalMs, () => {
+    dispatch((tickAt) => ({ kind: 'tick', now: tickAt }));
+    afterTick();
+  });
+  return { machine, dispatch, stop: ticker.stop, takeMaxLagMs: ticker.takeMaxLagMs };
+};
+
+/** Whether an effect is one that the event loop carries out for every process. */
 export const isProcessEffect = (effect: { readonly kind: string }): effect is ProcessEffect =>
   effect.kind === 'send' || effect.kind === 'log';
--- a/packages/runtime/src/run/running-program.ts
+++ b/packages/runtime/src/run/running-program.ts
@@ -1,10 +1,13 @@
+/** What is common to programs that run inside this process. */
+
 /** A program that runs in this process. */
 export interface RunningProgram {
+  /** Stops it in order; settles when everything of it has ended. */
   readonly stop: () => Promise<void>;
 }
 
-/** Lets time pass, in milliseconds. */
+/** Settles after a time in milliseconds. */
 export const delay = (ms: number): Promise<void> =>
-  new Promise((done) => {
-    setTimeout(done, ms);
+  new Promise((resolve) => {
+    setTimeout(resolve, ms);
   });
--- a/packages/runtime/src/run/shutdown.ts
+++ b/packages/runtime/src/run/shutdown.ts
@@ -1,49 +1,54 @@
-import { causeOf, isCommitFault } from '../disk/fault.js';
+/** Orderly shutdown on signals, and the end of the process on an unexpected error. */
+
+import { commitFailureCause, isCommitFailure } from '../disk/commit-failure.js';
 import type { Logger } from '../log/logger.js';
 
-/** How long a stop may take: the platform's hard stop comes after six seconds. */
+/** How long a shutdown may take, in milliseconds: the platform kills the process after six seconds. */
 export const shutdownTimeoutMs = 5000;
 
-/** Calls back once when the process is asked to stop, and ends it in any case before the hard stop. */
+const exitOnUnexpectedErrors = (log: Logger): void => {
+  process.on('uncaughtException', (error) => {
+    log.write('error', 'uncaught exception', new Map([['error', error.stack ?? error.message]]));
+    process.exit(1);
+  });
+  process.on('unhandledRejection', (reason) => {
+    // Whoever wrote was told that the commit failed; the library rejects promises of its own as well.
+    if (isCommitFailure(reason)) {
+      void commitFailureCause(reason);
+      return;
+    }
+    const text = reason instanceof Error ? (reason.stack ?? reason.message) : String(reason);
+    log.write('error', 'unhandled rejection', new Map([['error', text]]));
+    process.exit(1);
+  });
+};
+
+/**
+ * On SIGTERM or SIGINT calls `stop` once and exits with 0 when it settles, or with 1 if that takes
+ * longer than `timeoutMs`. SIGHUP ends nothing: settings are read at the next start.
+ */
 export const handleShutdownSignals = (
   log: Logger,
   stop: () => Promise<void>,
-  span = shutdownTimeoutMs,
+  timeoutMs = shutdownTimeoutMs,
 ): void => {
-  let asked = false;
-  const begin = (signal: string): void => {
-    if (asked) return;
-    asked = true;
-    log.write('info', 'stopping', new Map([['signal', signal]]));
-    const late = setTimeout(() => {
-      log.write('error', 'not everything ended in time');
+  let isShuttingDown = false;
+  const shutDown = (signal: string): void => {
+    if (isShuttingDown) return;
+    isShuttingDown = true;
+    log.write('info', 'shutting down', new Map([['signal', signal]]));
+    const timer = setTimeout(() => {
+      log.write('error', 'shutdown timed out');
       process.exit(1);
-    }, span);
+    }, timeoutMs);
     void stop().then(() => {
-      clearTimeout(late);
-      log.write('info', 'stopped');
+      clearTimeout(timer);
+      log.write('info', 'shutdown complete');
       process.exit(0);
     });
   };
-  process.on('SIGTERM', () => begin('SIGTERM'));
-  // The settings are read again at the next start; this signal ends nothing.
-  process.on('SIGHUP', () => log.write('info', 'the settings have changed'));
-  process.on('SIGINT', () => begin('SIGINT'));
-  process.on('uncaughtException', (fault) => {
-    log.write('error', 'broke down', new Map([['why', fault.stack ?? fault.message]]));
-    process.exit(1);
-  });
-  process.on('unhandledRejection', (fault) => {
-    // Whoever wrote was told that the commit failed; the library rejects promises of its own as well.
-    if (isCommitFault(fault)) {
-      void causeOf(fault);
-      return;
-    }
-    log.write(
-      'error',
-      'broke down',
-      new Map([['why', fault instanceof Error ? (fault.stack ?? fault.message) : String(fault)]]),
-    );
-    process.exit(1);
-  });
+  process.on('SIGTERM', () => shutDown('SIGTERM'));
+  process.on('SIGHUP', () => log.write('info', 'settings changed, read at the next start'));
+  process.on('SIGINT', () => shutDown('SIGINT'));
+  exitOnUnexpectedErrors(log);
 };
--- a/packages/runtime/src/run/time-slicing.ts
+++ b/packages/runtime/src/run/time-slicing.ts
@@ -1,25 +1,27 @@
-/** How long one slice of work may hold the loop, in milliseconds. */
-const sliceSpan = 12;
+/** Long computations as generators, run in slices between other work of the process. */
 
-/** Runs sliced work to its end without holding the loop for long. */
+/** For how long one slice may block the event loop, in milliseconds. */
+const sliceMs = 12;
+
+/** Runs a generator to its end, yielding to the event loop after each slice; rejects if it throws. */
 export const runTimeSliced = <T>(work: Generator<undefined, T>): Promise<T> =>
-  new Promise((done, fail) => {
-    const go = (): void => {
-      const until = performance.now() + sliceSpan;
+  new Promise((resolve, reject) => {
+    const runSlice = (): void => {
+      const sliceEnd = performance.now() + sliceMs;
       try {
         for (;;) {
           const next = work.next();
           if (next.done === true) {
-            done(next.value);
+            resolve(next.value);
             return;
           }
-          if (performance.now() > until) break;
+          if (performance.now() > sliceEnd) break;
         }
-      } catch (problem) {
-        fail(problem instanceof Error ? problem : new Error('slice'));
+      } catch (error) {
+        reject(error instanceof Error ? error : new Error('slice'));
         return;
       }
-      setImmediate(go);
+      setImmediate(runSlice);
     };
-    go();
+    runSlice();
   });
--- a/packages/runtime/src/boot/settings-forms.test.ts
+++ b/packages/runtime/src/settings/settings-forms.test.ts
@@ -1,3 +1,5 @@
+/** Holds the settings that all programs share, and what is printed about wrong ones, word for word. */
+
 import { writeFileSync, mkdtempSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -6,10 +8,10 @@
 import { schemaLines, snapshotsFor } from '@switchwheel/types/testing';
 import {
   type ProgramDefinition,
-  commonSettingsSchema,
   commonSettingDefinitions,
-  readSettings,
-} from '../settings/settings.js';
+  commonSettingsSchema,
+} from './settings-definition.js';
+import { readSettings } from './settings.js';
 
 const matchSnapshot = snapshotsFor(import.meta.dirname);
 const program: ProgramDefinition = {
@@ -20,19 +22,21 @@
 const schema = v.strictObject({ ...commonSettingsSchema, many: v.optional(v.number('a number')) });
 
 const outcome = (argv: readonly string[]): string => {
-  const read = readSettings(program, schema, argv);
-  return read.isOk ? JSON.stringify(read.value) : read.error.join('\n');
+  const settings = readSettings(program, schema, argv);
+  return settings.isOk ? JSON.stringify(settings.value) : settings.error.join('\n');
 };
 
 void test('the settings that all programs share keep their names, types and checks', () => {
-  const settings = commonSettingDefinitions.map((one) => `--${one.name} ${one.type}: ${one.help}`);
+  const settings = commonSettingDefinitions.map(
+    (setting) => `--${setting.name} ${setting.type}: ${setting.help}`,
+  );
   matchSnapshot(
     'common-settings',
     `${settings.join('\n')}\n\n${schemaLines(v.strictObject(commonSettingsSchema), 'settings')}`,
   );
 });
 
-void test('settings from file and flags are read, and wrong ones told, as before', () => {
+void test('settings from file and flags are read, and wrong ones reported, as before', () => {
   const folder = mkdtempSync(join(tmpdir(), 'settings-'));
   const place = ['--node', 'n1', '--area', 'a', '--seeds', '127.0.0.1:2,127.0.0.1:3'];
   const right = [...place, '--listen', '127.0.0.1:1'];
@@ -63,8 +67,8 @@
         ['--boot', write('odd.json', JSON.stringify({ ...whole, odd: 1 }))],
       ],
     ];
-    const told = cases.map(([name, argv]) => `${name}:\n${outcome(argv)}`);
-    matchSnapshot('settings-read', told.join('\n\n').replaceAll(folder, 'FOLDER'));
+    const outcomes = cases.map(([name, argv]) => `${name}:\n${outcome(argv)}`);
+    matchSnapshot('settings-read', outcomes.join('\n\n').replaceAll(folder, 'FOLDER'));
   } finally {
     rmSync(folder, { recursive: true });
   }
--- a/packages/runtime/src/settings/settings.ts
+++ b/packages/runtime/src/settings/settings.ts
@@ -1,51 +1,27 @@
+/** Reads a program's settings from flags and a file; a flag overrides the file. */
+
 import { readFileSync } from 'node:fs';
 import meow from 'meow';
 import * as v from 'valibot';
 import { type Result, err, ok } from 'true-myth/result';
-import * as g from '@switchwheel/types';
-
-/** What every program of the fleet needs to know of its place. */
-export const commonSettingsSchema = {
-  node: g.nodeId,
-  area: g.zoneName,
-  listen: g.address,
-  seeds: v.pipe(v.array(g.address), v.maxLength(3, 'three seeds at most')),
-  log: v.optional(
-    v.picklist(['debug', 'info', 'warn', 'error'], 'one of debug, info, warn, error'),
-    'info',
-  ),
-};
+import type { ProgramDefinition, SettingDefinition } from './settings-definition.js';
 
-/** How a setting is given on the command line. */
-export interface SettingDefinition {
-  readonly name: string;
-  readonly type: 'text' | 'list' | 'number';
-  readonly help: string;
-}
+const programVersion = '0.1.0';
+const wrongSettingsExitCode = 2;
 
-export const commonSettingDefinitions: readonly SettingDefinition[] = [
-  { name: 'node', type: 'text', help: 'the name of this node, its own in the fleet' },
-  { name: 'area', type: 'text', help: 'the area this machine stands in' },
-  { name: 'listen', type: 'text', help: 'IP:port for the other processes' },
-  {
-    name: 'seeds',
-    type: 'list',
-    help: 'IP:port of up to three registries, to find the fleet; repeat the flag or part by commas',
-  },
-  { name: 'log', type: 'text', help: 'debug, info, warn or error (info)' },
-];
-
-/** A program, as its help tells it. */
-export interface ProgramDefinition {
-  readonly name: string;
-  readonly description: string;
-  readonly settings: readonly SettingDefinition[];
-}
+/** The flag that names the file of settings; it is not itself a setting. */
+const fileFlag: SettingDefinition = {
+  name: 'boot',
+  type: 'text',
+  help: 'a JSON file with these settings; flags go before it',
+};
+
+type RawSettings = ReadonlyMap<string, unknown>;
 
 const isObject = (raw: unknown): raw is object =>
   typeof raw === 'object' && raw !== null && !Array.isArray(raw);
 
-const fromFile = (file: string): Result<ReadonlyMap<string, unknown>, string> => {
+const readSettingsFile = (file: string): Result<RawSettings, string> => {
   let text: string;
   try {
     text = readFileSync(file, 'utf8');
@@ -57,18 +33,17 @@
     return isObject(raw)
       ? ok(new Map<string, unknown>(Object.entries(raw)))
       : err(`boot: ${file} does not hold a JSON object`);
-  } catch (problem) {
+  } catch (error) {
     return err(
-      `boot: ${file} is not JSON: ${problem instanceof Error ? problem.message : 'unreadable'}`,
+      `boot: ${file} is not JSON: ${error instanceof Error ? error.message : 'unreadable'}`,
     );
   }
 };
 
-const helpOf = (program: ProgramDefinition): string => {
-  const rows = [
-    ...program.settings,
-    { name: 'boot', type: 'text', help: 'a JSON file with these settings; flags go before it' },
-  ].map((one) => `    --${one.name.padEnd(10)} ${one.help}`);
+const helpText = (program: ProgramDefinition): string => {
+  const rows = [...program.settings, fileFlag].map(
+    (setting) => `    --${setting.name.padEnd(10)} ${setting.help}`,
+  );
   return `
   Usage
     $ ${program.name} [--boot FILE] [flags]
@@ -84,68 +59,96 @@
 const flagValue = (setting: SettingDefinition, raw: unknown): unknown => {
   if (setting.type === 'list' && Array.isArray(raw))
     return raw
-      .flatMap((one) => String(one).split(','))
-      .map((one) => one.trim())
-      .filter((one) => one !== '');
+      .flatMap((item) => String(item).split(','))
+      .map((item) => item.trim())
+      .filter((item) => item !== '');
   if (setting.type === 'number') return raw === '' ? raw : Number(raw);
   return raw;
 };
 
-/** Reads settings from file and flags; every fault is told, each in one line. */
-export const readSettings = <T>(
-  program: ProgramDefinition,
-  schema: v.GenericSchema<unknown, T>,
-  argv: readonly string[],
-): Result<T, readonly string[]> => {
+/** What a command line holds: flags by name, and words that are no flag. */
+interface CommandLine {
+  readonly flags: RawSettings;
+  readonly words: readonly string[];
+}
+
+/** Parses a command line; `--help` and `--version` print and end the process. */
+const parseCommandLine = (program: ProgramDefinition, argv: readonly string[]): CommandLine => {
   const flags = Object.fromEntries(
-    [...program.settings, { name: 'boot', type: 'text', help: '' } as const].map((one) => [
-      one.name,
-      one.type === 'list'
+    [...program.settings, fileFlag].map((setting) => [
+      setting.name,
+      setting.type === 'list'
         ? { type: 'string' as const, isMultiple: true as const }
         : { type: 'string' as const },
     ]),
   );
-  const read = meow(helpOf(program), {
+  const parsed = meow(helpText(program), {
     importMeta: import.meta,
     argv: [...argv],
     flags,
     description: program.description,
-    version: '0.1.0',
+    version: programVersion,
   });
-  const given = new Map<string, unknown>(Object.entries(read.flags));
-  const faults: string[] = read.input.map((one) => `${one}: not a flag`);
-  for (const name of given.keys()) {
-    if (name !== 'boot' && !program.settings.some((one) => one.name === name))
-      faults.push(`${name}: no such setting`);
-  }
-  const merged = new Map<string, unknown>();
-  const file = given.get('boot');
-  if (typeof file === 'string') {
-    const held = fromFile(file);
-    if (held.isErr) faults.push(held.error);
-    else for (const [name, value] of held.value) merged.set(name, value);
-  }
+  return { flags: new Map<string, unknown>(Object.entries(parsed.flags)), words: parsed.input };
+};
+
+const commandLineErrors = (
+  program: ProgramDefinition,
+  { flags, words }: CommandLine,
+): readonly string[] => {
+  const knownNames = new Set([...program.settings, fileFlag].map((setting) => setting.name));
+  return [
+    ...words.map((word) => `${word}: not a flag`),
+    ...[...flags.keys()]
+      .filter((name) => !knownNames.has(name))
+      .map((name) => `${name}: no such setting`),
+  ];
+};
+
+/** The settings that are given as flags. */
+const settingsOfFlags = (program: ProgramDefinition, flags: RawSettings): RawSettings => {
+  const given = new Map<string, unknown>();
   for (const setting of program.settings) {
-    const raw = given.get(setting.name);
+    const raw = flags.get(setting.name);
     if (raw === undefined || (Array.isArray(raw) && raw.length === 0)) continue;
-    merged.set(setting.name, flagValue(setting, raw));
+    given.set(setting.name, flagValue(setting, raw));
   }
-  const checked = v.safeParse(schema, Object.fromEntries(merged));
-  if (checked.success && faults.length === 0) return ok(checked.output);
-  const issues = checked.success
+  return given;
+};
+
+/** Reads settings from file and flags; fails with one line for each thing that is wrong. */
+export const readSettings = <T>(
+  program: ProgramDefinition,
+  schema: v.GenericSchema<unknown, T>,
+  argv: readonly string[],
+): Result<T, readonly string[]> => {
+  const commandLine = parseCommandLine(program, argv);
+  const fileName = commandLine.flags.get(fileFlag.name);
+  const file =
+    typeof fileName === 'string'
+      ? readSettingsFile(fileName)
+      : ok<RawSettings, string>(new Map<string, unknown>());
+  const errors = [...commandLineErrors(program, commandLine), ...(file.isErr ? [file.error] : [])];
+  const settings = new Map([
+    ...(file.isOk ? file.value : []),
+    ...settingsOfFlags(program, commandLine.flags),
+  ]);
+  const parsed = v.safeParse(schema, Object.fromEntries(settings));
+  if (parsed.success && errors.length === 0) return ok(parsed.output);
+  const issues = parsed.success
     ? []
-    : checked.issues.map((issue) => `${v.getDotPath(issue) ?? 'settings'}: ${issue.message}`);
-  return err([...new Set([...faults, ...issues])]);
+    : parsed.issues.map((issue) => `${v.getDotPath(issue) ?? 'settings'}: ${issue.message}`);
+  return err([...new Set([...errors, ...issues])]);
 };
 
-/** Reads settings or ends the program with exit code 2. */
+/** Reads settings; if any is wrong, prints one line for each to standard error and exits with code 2. */
 export const readSettingsOrExit = <T>(
   program: ProgramDefinition,
   schema: v.GenericSchema<unknown, T>,
 ): T => {
-  const read = readSettings(program, schema, process.argv.slice(2));
+  const settings = readSettings(program, schema, process.argv.slice(2));
   process.title = program.name;
-  if (read.isOk) return read.value;
-  for (const line of read.error) process.stderr.write(`${program.name}: ${line}\n`);
-  process.exit(2);
+  if (settings.isOk) return settings.value;
+  for (const line of settings.error) process.stderr.write(`${program.name}: ${line}\n`);
+  process.exit(wrongSettingsExitCode);
 };
