--- a/packages/election/src/voter/voter.test.ts
+++ b/packages/election/src/voter/voter.test.ts
@@ -1,3 +1,5 @@
+/** Voters: abstention after a restart, renewals, recovery, and elections that are given up. */
+
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
--- a/packages/types/src/failure/failure-forms.test.ts
+++ b/packages/types/src/failure/failure-forms.test.ts
@@ -1,3 +1,5 @@
+/** Holds the error kinds word for word, as they are part of the protocol. */
+
 import { test } from 'node:test';
 import { snapshotsFor } from '../testing/index.js';
 import { errorKinds, errorResponseFor } from './failure.js';
--- a/packages/types/src/testing/command.ts
+++ b/packages/types/src/testing/command.ts
@@ -1,3 +1,5 @@
+/** Runs programs in processes of their own, for tests of command lines. */
+
 import { execFile, spawn } from 'node:child_process';
 import { once } from 'node:events';
 import { readFileSync } from 'node:fs';
--- a/packages/types/src/testing/http.ts
+++ b/packages/types/src/testing/http.ts
@@ -1,3 +1,5 @@
+/** HTTP over the loopback interface, for tests that hold responses word for word. */
+
 import { request } from 'node:http';
 import { createServer } from 'node:net';
 import { type Address, toAddress } from '../id/name.js';
@@ -9,6 +11,8 @@
   readonly headers?: Readonly<Record<string, string>>;
   readonly body?: string;
 }
+
+/** The response to it. */
 export interface HttpResponse {
   readonly status: number;
   /** Header lines in the order and case they came in. */
--- a/packages/types/src/testing/index.ts
+++ b/packages/types/src/testing/index.ts
@@ -1,4 +1,5 @@
 /** Support for tests that hold outer forms against committed snapshots; no program imports it. */
+
 export * from './schema-outline.js';
 export { type CommandLine, type RunningProgram, runCommands, startProgram } from './command.js';
 export {
--- a/packages/types/src/testing/json-shape.ts
+++ b/packages/types/src/testing/json-shape.ts
@@ -1,3 +1,5 @@
+/** Outlines of JSON values, for tests that hold the form of a body and not its content. */
+
 const typeName = (value: unknown): string => (value === null ? 'null' : typeof value);
 
 const linesOf = (value: unknown, path: string): readonly string[] => {
--- a/packages/types/src/testing/metrics.ts
+++ b/packages/types/src/testing/metrics.ts
@@ -1,3 +1,5 @@
+/** Holds the names, labels and help of metrics against snapshots. */
+
 import type { MatchSnapshot } from './snapshot.js';
 
 const isComment = (line: string): boolean => line.startsWith('#');
--- a/packages/types/src/testing/schema-lines.ts
+++ b/packages/types/src/testing/schema-lines.ts
@@ -1,3 +1,5 @@
+/** Schemas as lines of text with their messages, for tests that hold what an operator or a client is shown. */
+
 /** Reads a member of a schema object, whose type depends on the kind of schema. */
 const memberOf = (raw: unknown, name: string): unknown =>
   typeof raw === 'object' && raw !== null ? Reflect.get(raw, name) : undefined;
--- a/packages/types/src/testing/schema-outline.test.ts
+++ b/packages/types/src/testing/schema-outline.test.ts
@@ -1,3 +1,5 @@
+/** Outlines of schemas. */
+
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import * as v from 'valibot';
--- a/packages/types/src/testing/schema-outline.ts
+++ b/packages/types/src/testing/schema-outline.ts
@@ -4,6 +4,7 @@
  * An outline has every key, literal, option, bound and default of a schema, and none of its messages. A custom schema
  * has no parts to look at, so its outline lists which of a fixed set of samples it accepts.
  */
+
 import * as v from 'valibot';
 
 /** A schema, or a part of one, as it is written to JSON. */
--- a/packages/types/src/testing/snapshot.ts
+++ b/packages/types/src/testing/snapshot.ts
@@ -1,3 +1,5 @@
+/** Text snapshots in a package's `fixtures/` folder. */
+
 import assert from 'node:assert/strict';
 import { existsSync, mkdirSync, readFileSync, writeFileSync } from 'node:fs';
 import { dirname, join } from 'node:path';
