--- a/packages/replicated-store/src/commands/configuration-upload.ts
+++ b/packages/replicated-store/src/commands/configuration-upload.ts
@@ -23,26 +23,32 @@
   storeChunksCommands,
 } from './chunks.js';
 import type { ApplyCommand } from './command.js';
-import { enqueue, sendReply } from './queue.js';
+import { enqueue } from './queue.js';
+import { sendRejection } from './replies.js';
 import { type StoreState, ownId } from '../state/state.js';
 import type { StoreTransition } from '../state/transition.js';
 
+/** How long all chunks of a configuration may take before its command is rejected. */
 const chunksTimeoutMs = 6000;
 
+/** What an operator waits before it sends such a configuration again. */
+const chunksTimeoutRetryMs = 1000;
+
+/** How long a request for chunks may stay without one before it is sent again. */
 const chunkRequestIntervalMs = 300;
 
 type AwaitingChunks = NonNullable<ReturnType<StoreState['awaitingChunks']['get']>>;
 
-/** Whether this very order is on its way already. */
-const isUnderWay = (state: StoreState, { caller: asker }: ApplyCommand): boolean =>
-  state.awaitingChunks.has(asker.id) ||
-  [...state.compiling.values()].flat().some((one) => one.caller.id === asker.id) ||
+/** Whether this very command is on its way already. */
+const isUnderWay = (state: StoreState, { caller }: ApplyCommand): boolean =>
+  state.awaitingChunks.has(caller.id) ||
+  [...state.compiling.values()].flat().some((command) => command.caller.id === caller.id) ||
   state.commandQueue.some(
-    (one) => one.kind === 'applyConfiguration' && one.caller.id === asker.id,
+    (command) => command.kind === 'applyConfiguration' && command.caller.id === caller.id,
   ) ||
-  (state.primaryWrite?.replies.some((one) => one.id === asker.id) ?? false);
+  (state.primaryWrite?.replies.some((reply) => reply.id === caller.id) ?? false);
 
-/** Has the description compiled with the nodes' own code once all its pieces are here. */
+/** Has the configuration compiled once all its chunks are here; one that is being compiled already is not again. */
 const compile = (state: StoreState, command: ApplyCommand): StoreTransition => {
   const others = state.compiling.get(command.hash) ?? [];
   const next = {
@@ -50,29 +56,34 @@
     compiling: withEntry(state.compiling, command.hash, [...others, command]),
   };
   if (others.length > 0) return transition(next);
-  const texts = command.chunkHashes.map((one) => state.heldChunks.get(one) ?? '');
+  const texts = command.chunkHashes.map((hash) => state.heldChunks.get(hash) ?? '');
   return transition(next, { kind: 'compileConfiguration', hash: command.hash, texts });
 };
 
-/** Asks for some of the pieces that lack: the next ones when these are here. */
+/** Requests some of the chunks that are missing; the next ones once these are here. */
 const requestChunks = (
   state: StoreState,
-  one: Pick<AwaitingChunks, 'command' | 'since'>,
+  upload: Pick<AwaitingChunks, 'command' | 'since'>,
   missing: readonly Hash[],
   now: Timestamp,
 ): StoreTransition => {
   const hashes = missing.slice(0, maxChunksPerRequest);
-  const lacking = withEntry(state.awaitingChunks, one.command.caller.id, {
-    ...one,
+  const awaitingChunks = withEntry(state.awaitingChunks, upload.command.caller.id, {
+    ...upload,
     requestedAt: now,
     outstandingChunks: hashes.length,
   });
   return transition(
-    { ...state, awaitingChunks: lacking },
-    send(one.command.caller.to, { kind: 'piece-request', node: ownId(state), hashes: [...hashes] }),
+    { ...state, awaitingChunks },
+    send(upload.command.caller.to, {
+      kind: 'piece-request',
+      node: ownId(state),
+      hashes: [...hashes],
+    }),
   );
 };
 
+/** An operator hands a configuration in: its chunks are requested unless they are here. */
 export const onApply = (
   before: StoreState,
   command: ApplyCommand,
@@ -85,19 +96,22 @@
   return requestChunks(state, { command, since: now }, missing, now);
 };
 
-/** Goes on with an order that waits for pieces, once those that it asked for last are here. */
+/** Goes on with an upload once the chunks that it requested last are here. */
 const advanceApply = (
   state: StoreState,
   id: CommandId,
-  one: AwaitingChunks,
+  upload: AwaitingChunks,
   now: Timestamp,
 ): StoreTransition => {
-  const missing = missingChunks(state, one.command.chunkHashes);
-  if (missing.length > 0) return requestChunks(state, one, missing, now);
-  return compile({ ...state, awaitingChunks: withoutEntry(state.awaitingChunks, id) }, one.command);
+  const missing = missingChunks(state, upload.command.chunkHashes);
+  if (missing.length > 0) return requestChunks(state, upload, missing, now);
+  return compile(
+    { ...state, awaitingChunks: withoutEntry(state.awaitingChunks, id) },
+    upload.command,
+  );
 };
 
-/** A piece of a description came in. */
+/** A chunk came in; one whose content doesn't fit its hash is ignored. */
 export const onChunk = (
   state: StoreState,
   chunk: FrameOf<'piece'>,
@@ -107,29 +121,29 @@
     return transition(state);
   const held = { ...state, heldChunks: withEntry(state.heldChunks, chunk.hash, chunk.data) };
   let next = storeLackingChunk(held, chunk.hash);
-  for (const [id, one] of state.awaitingChunks) {
-    if (!one.command.chunkHashes.includes(chunk.hash)) continue;
-    if (one.outstandingChunks > 1) {
-      const row = { ...one, outstandingChunks: one.outstandingChunks - 1, requestedAt: now };
+  for (const [id, upload] of state.awaitingChunks) {
+    if (!upload.command.chunkHashes.includes(chunk.hash)) continue;
+    if (upload.outstandingChunks > 1) {
+      const row = { ...upload, outstandingChunks: upload.outstandingChunks - 1, requestedAt: now };
       next = transition(
         { ...next.state, awaitingChunks: withEntry(next.state.awaitingChunks, id, row) },
         ...next.effects,
       );
-    } else next = prependEffects(next.effects, advanceApply(next.state, id, one, now));
+    } else next = prependEffects(next.effects, advanceApply(next.state, id, upload, now));
   }
   return next;
 };
 
-/** Queues a description, and before it the writes that store the pieces of a large one. */
+/** Queues a configuration, and before it the writes that store the chunks of a large one. */
 const enqueueApply = (state: StoreState, command: ApplyCommand): StoreTransition => {
-  const ahead = command.faults.length > 0 ? [] : storeChunksCommands(state, command);
+  const storeChunks = command.faults.length > 0 ? [] : storeChunksCommands(state, command);
   let next: StoreTransition = transition(state);
-  for (const one of [...ahead, command])
-    next = prependEffects(next.effects, enqueue(next.state, one));
+  for (const queued of [...storeChunks, command])
+    next = prependEffects(next.effects, enqueue(next.state, queued));
   return next;
 };
 
-/** The compile of a description ended. */
+/** A configuration was compiled: all commands that bring it go on, with the faults that were found. */
 export const onCompiled = (
   state: StoreState,
   hash: Hash,
@@ -144,31 +158,26 @@
   return next;
 };
 
-/** Lets time pass over calls that lack pieces. */
+/** Requests chunks again that did not come, and rejects uploads that took too long. */
 export const tickAwaitingChunks = (before: StoreState, now: Timestamp): StoreTransition => {
   const state = releaseChunks(before);
   let next: StoreTransition = transition(state);
-  for (const [id, one] of state.awaitingChunks) {
-    if (now - one.since > chunksTimeoutMs) {
-      const told = sendReply({
-        ...one.command.caller,
-        status: 503,
-        body: JSON.stringify({
-          kind: 'rejected',
-          id,
-          text: 'not all pieces came in time',
-          retryAfterMs: 1000,
-        }),
-      });
+  for (const [id, upload] of state.awaitingChunks) {
+    if (now - upload.since > chunksTimeoutMs) {
+      const rejection = sendRejection(
+        upload.command.caller,
+        'not all pieces came in time',
+        chunksTimeoutRetryMs,
+      );
       next = prependEffects(
         next.effects,
         transition(
           { ...next.state, awaitingChunks: withoutEntry(next.state.awaitingChunks, id) },
-          told,
+          rejection,
         ),
       );
-    } else if (now - one.requestedAt > chunkRequestIntervalMs) {
-      next = prependEffects(next.effects, advanceApply(next.state, id, one, now));
+    } else if (now - upload.requestedAt > chunkRequestIntervalMs) {
+      next = prependEffects(next.effects, advanceApply(next.state, id, upload, now));
     }
   }
   return next;
--- a/packages/replicated-store/src/log-write/abandoned-write.ts
+++ b/packages/replicated-store/src/log-write/abandoned-write.ts
@@ -4,27 +4,18 @@
 
 import { clockOrigin, transition } from '@switchwheel/types';
 import type { CommandReply } from '../commands/command.js';
-import { sendReply } from '../commands/queue.js';
+import { sendUnknownOutcome } from '../commands/replies.js';
 import type { StoreEffect } from '../state/events.js';
 import type { PrimaryWrite } from '../state/open-writes.js';
 import type { StoreState } from '../state/state.js';
 import { withPuts } from '../state/table.js';
 import type { StoreTransition } from '../state/transition.js';
 
-export const unknownOutcomeReplies = (results: readonly CommandReply[]): readonly StoreEffect[] =>
-  results.map((one) =>
-    sendReply({
-      ...one,
-      status: 504,
-      body: JSON.stringify({
-        kind: 'unknown',
-        id: one.id,
-        text: 'the duty moved while this was being written; ask again with this id',
-      }),
-    }),
-  );
+/** Tells all callers of a write that its outcome is not known. */
+export const unknownOutcomeReplies = (replies: readonly CommandReply[]): readonly StoreEffect[] =>
+  replies.map(sendUnknownOutcome);
 
-/** What lasts on this disk alone stays in the table: the digests will tell it from what the next primary has. */
+/** Keeps in the table what is on this disk alone: a later resync finds by the digests how it differs from the primary's. */
 export const applyLocally = (state: StoreState, primaryWrite: PrimaryWrite): StoreState => ({
   ...state,
   primaryWrite: undefined,
@@ -36,7 +27,7 @@
   control: primaryWrite.controlAfter,
 });
 
-/** Gives a write up that this store can no longer finish: whether it takes effect is not known. */
+/** Gives up the write that is open: its callers are told that the outcome is not known. */
 export const abandon = (state: StoreState): StoreTransition => {
   const primaryWrite = state.primaryWrite;
   if (primaryWrite === undefined || primaryWrite.phase === 'orphan') return transition(state);
--- a/packages/replicated-store/src/log-write/backup-write.ts
+++ b/packages/replicated-store/src/log-write/backup-write.ts
@@ -10,7 +10,7 @@
 import { notePrimary } from '../leadership/primary-sightings.js';
 import { startBackupWrite } from './disk-writes.js';
 import { continueResync } from '../resync/learner-resync.js';
-import type { StoreEffect } from '../state/events.js';
+import type { StoreEffect, WriteFailed } from '../state/events.js';
 import type { BackupWrite } from '../state/open-writes.js';
 import { type StoreState, ownId } from '../state/state.js';
 import { isSameStamp, withPuts } from '../state/table.js';
@@ -80,18 +80,14 @@
   const next = isSameStamp(state.stamp, write.prior) || isSameStamp(state.stamp, write.stamp);
   if (!next)
     return transition(state, ...(required ? [acknowledgement(state, wanted, false, 'a gap')] : []));
-  return startBackupWrite(
-    state,
-    {
-      startedAt: now,
-      purpose: 'replicate',
-      ...wanted,
-      puts: write.puts,
-      stamps: new Map(),
-      commandId: undefined,
-    },
-    false,
-  );
+  return startBackupWrite(state, {
+    startedAt: now,
+    purpose: 'replicate',
+    ...wanted,
+    puts: write.puts,
+    stamps: new Map(),
+    commandId: undefined,
+  });
 };
 
 /** A mend or a copy lasts on this disk. */
@@ -151,10 +147,7 @@
 
 export const onBackupWriteFailed = (
   state: StoreState,
-  writeId: number,
-  reason: string,
-  isDiskFull: boolean,
-  now: Timestamp,
+  { writeId, reason, isDiskFull, now }: WriteFailed,
 ): StoreTransition => {
   const backupWrite = state.backupWrite;
   if (backupWrite?.id !== writeId) return transition(state);
--- a/packages/replicated-store/src/log-write/commit.ts
+++ b/packages/replicated-store/src/log-write/commit.ts
@@ -6,7 +6,7 @@
 import { type Timestamp, toTimestamp, transition } from '@switchwheel/types';
 import { send } from '@switchwheel/transport';
 import type { Command } from '../commands/command.js';
-import { sendReply } from '../commands/queue.js';
+import { sendReply } from '../commands/replies.js';
 import { hasEnoughReplicas } from '../leadership/replica-placement.js';
 import { feedSubscribers } from '../registries/feed.js';
 import type { StoreEffect } from '../state/events.js';
--- a/packages/replicated-store/src/log-write/disk-writes.ts
+++ b/packages/replicated-store/src/log-write/disk-writes.ts
@@ -3,18 +3,18 @@
  */
 
 import { transition } from '@switchwheel/types';
-import type { ClusterMetadata, LogPosition, TableMutation } from '@switchwheel/transport';
 import type { StoreEffect } from '../state/events.js';
-import type { BackupWrite } from '../state/open-writes.js';
+import type { BackupWrite, PrimaryWrite } from '../state/open-writes.js';
 import type { StoreState } from '../state/state.js';
 import type { StoreTransition } from '../state/transition.js';
 
-export const diskWrite = (
-  id: number,
-  metadata: ClusterMetadata,
-  stamp: LogPosition,
-  puts: readonly TableMutation[],
-): StoreEffect => ({
+/** Puts a write of the primary on its own disk. */
+export const diskWrite = ({
+  id,
+  metadata,
+  stamp,
+  puts,
+}: Pick<PrimaryWrite, 'id' | 'metadata' | 'stamp' | 'puts'>): StoreEffect => ({
   kind: 'writeToDisk',
   write: {
     id,
@@ -26,27 +26,29 @@
   },
 });
 
+/**
+ * Opens a write that this store takes from elsewhere and puts it on the disk. A bootstrap, and the first write to a
+ * damaged disk, clear the disk first.
+ */
 export const startBackupWrite = (
   state: StoreState,
-  backupWrite: Omit<BackupWrite, 'id'>,
-  wipe: boolean,
+  content: Omit<BackupWrite, 'id'>,
 ): StoreTransition => {
-  const own: BackupWrite = { ...backupWrite, id: state.nextWriteId };
-  const sets = own.puts.flatMap(({ key, data }) =>
-    data === null ? [] : [{ key, data, stamp: own.stamps.get(key) ?? own.stamp }],
-  );
-  const drops = own.puts.flatMap(({ key, data }) => (data === null ? [key] : []));
+  const backupWrite: BackupWrite = { ...content, id: state.nextWriteId };
+  const { id, metadata, stamp, puts, stamps } = backupWrite;
   return transition(
-    { ...state, backupWrite: own, nextWriteId: state.nextWriteId + 1 },
+    { ...state, backupWrite, nextWriteId: state.nextWriteId + 1 },
     {
       kind: 'writeToDisk',
       write: {
-        id: own.id,
-        metadata: own.metadata,
-        stamp: own.stamp,
-        entries: sets,
-        deletedKeys: drops,
-        wipesFirst: wipe || state.mustWipe,
+        id,
+        metadata,
+        stamp,
+        entries: puts.flatMap(({ key, data }) =>
+          data === null ? [] : [{ key, data, stamp: stamps.get(key) ?? stamp }],
+        ),
+        deletedKeys: puts.flatMap(({ key, data }) => (data === null ? [key] : [])),
+        wipesFirst: backupWrite.purpose === 'bootstrap' || state.mustWipe,
       },
     },
   );
--- a/packages/replicated-store/src/log-write/primary-write.ts
+++ b/packages/replicated-store/src/log-write/primary-write.ts
@@ -4,25 +4,15 @@
  */
 
 import {
-  type Invariant,
   type Timestamp,
   clockOrigin,
   nextSeq,
   prependEffects,
   transition,
 } from '@switchwheel/types';
-import {
-  type ClusterMetadata,
-  type FrameOf,
-  type LogPosition,
-  type TableMutation,
-  log,
-} from '@switchwheel/transport';
+import { type ClusterMetadata, type FrameOf, type LogPosition, log } from '@switchwheel/transport';
 import { heldEpoch, holdsLease } from '@switchwheel/election';
-import { applyPuts } from '@switchwheel/configuration';
-import type { CommandReply } from '../commands/command.js';
-import { decide } from '../commands/decide.js';
-import { sendReply } from '../commands/queue.js';
+import { sendRejection, sendReply } from '../commands/replies.js';
 import { isPrimary } from '../leadership/candidacy.js';
 import { handOverLeadership } from '../leadership/hand-over.js';
 import { abandon, applyLocally, unknownOutcomeReplies } from './abandoned-write.js';
@@ -36,7 +26,8 @@
   replicationTargets,
   unacknowledgedBackups,
 } from './replication.js';
-import { maxBatchCharacters, nextBatch } from './write-batch.js';
+import { changesNothing, decideBatch, nextBatch } from './write-batch.js';
+import type { WriteFailed } from '../state/events.js';
 import { noteViolations } from '../state/invariants.js';
 import type { PrimaryWrite } from '../state/open-writes.js';
 import type { StoreState } from '../state/state.js';
@@ -45,47 +36,66 @@
 /** How long a backup may take before another store replaces it. */
 export const replicationTimeoutMs = 400;
 
-/** How long the own disk may make no progress before the duty is given up. */
+/** How long the own disk may make no progress before the lease is given up. */
 export const diskTimeoutMs = 700;
 
+/** How long a backup may be silent before the write is sent to it again. */
 const resendIntervalMs = 150;
 
-/** How often a full disk is tried again for the metadata of a holding. */
+/** How often a full disk is tried again for the metadata of an epoch. */
 const fullDiskRetryMs = 1000;
 
+/** What an operator waits before it sends a command again that the disk refused. */
+const diskRefusedRetryMs = 2000;
+
+/** How recently a backup must have been heard to take the lease over from a primary whose disk is full. */
+const successorHeardWithinMs = 1000;
+
+/** For how long a store doesn't ask for the lease again, by the reason for which it gave it up. */
+const standDownMs = { abandonedWriteOnDisk: 500, stalledDisk: 5000, refusedWrite: 10_000 };
+
 const noAcknowledgements: PrimaryWrite['acknowledgedBy'] = new Set();
 
-/** Opens a write with nothing in it but a metadata. */
+/** A new write, about to go to the own disk. */
+const newPrimaryWrite = (
+  state: StoreState,
+  content: Pick<
+    PrimaryWrite,
+    'metadata' | 'stamp' | 'puts' | 'controlAfter' | 'replies' | 'canaryReports'
+  >,
+  now: Timestamp,
+): PrimaryWrite => ({
+  ...content,
+  id: state.nextWriteId,
+  phase: 'disk',
+  isOnOwnDisk: false,
+  phaseStartedAt: now,
+  lastSentAt: now,
+  acknowledgedBy: noAcknowledgements,
+  previousStamp: state.stamp,
+});
+
+/** Opens a write that changes nothing but the cluster metadata. */
 export const writeMetadata = (
   state: StoreState,
   metadata: ClusterMetadata,
   now: Timestamp,
 ): StoreTransition => {
   const stamp: LogPosition = { epoch: metadata.epoch, seq: nextSeq(state.stamp.seq) };
-  const primaryWrite: PrimaryWrite = {
-    id: state.nextWriteId,
-    phase: 'disk',
-    isOnOwnDisk: false,
-    phaseStartedAt: now,
-    lastSentAt: now,
-    metadata,
-    acknowledgedBy: noAcknowledgements,
-    stamp,
-    previousStamp: state.stamp,
-    puts: [],
-    controlAfter: state.control,
-    replies: [],
-    canaryReports: [],
-  };
+  const primaryWrite = newPrimaryWrite(
+    state,
+    { metadata, stamp, puts: [], controlAfter: state.control, replies: [], canaryReports: [] },
+    now,
+  );
   return transition(
     { ...state, primaryWrite, nextWriteId: state.nextWriteId + 1 },
-    diskWrite(primaryWrite.id, metadata, stamp, []),
+    diskWrite(primaryWrite),
   );
 };
 
-/** Takes what waits, in its order, and makes one write of it. */
+/** Makes one write of the commands that wait, in their order, unless one is open. */
 export const startWrite = (state: StoreState, now: Timestamp): StoreTransition => {
-  const metadata = state.metadata;
+  const { metadata } = state;
   if (
     state.primaryWrite !== undefined ||
     metadata === undefined ||
@@ -94,82 +104,49 @@
     !isPrimary(state, now)
   )
     return transition(state);
-  const { commands: batch, rest, lacksReplicas } = nextBatch(state, metadata, now);
-  if (batch.length === 0) return transition(lacksReplicas ? noteShortage(state, now) : state);
+  const { commands, rest, lacksReplicas } = nextBatch(state, metadata, now);
+  if (commands.length === 0) return transition(lacksReplicas ? noteShortage(state, now) : state);
   const stamp: LogPosition = { epoch: heldEpoch(state.candidate), seq: nextSeq(state.stamp.seq) };
-  let draft = state.control;
-  let electorate = metadata.electorate;
-  let next = state;
-  const puts: TableMutation[] = [];
-  const results: CommandReply[] = [];
-  const rejections: CommandReply[] = [];
-  const violations: Invariant[] = [];
-  const tried: PrimaryWrite['canaryReports'][number][] = [];
-  let taken = 0;
-  let characters = 0;
-  for (const command of batch) {
-    if (characters >= maxBatchCharacters) break;
-    taken += 1;
-    const decision = decide(next, draft, command, stamp.seq, now);
-    draft = applyPuts(draft, decision.puts);
-    puts.push(...decision.puts);
-    for (const one of decision.puts) characters += one.data?.length ?? 0;
-    results.push(...decision.repliesAfterWrite);
-    rejections.push(...decision.immediateReplies);
-    electorate = decision.electorate ?? electorate;
-    violations.push(...(decision.violations ?? []));
-    if (command.kind === 'recordCanary') tried.push({ to: command.to, report: command.report });
-    if (command.kind === 'advanceRollout')
-      next = {
-        ...next,
-        targetStatusSeen: decision.seen ?? next.targetStatusSeen,
-        rolloutOpenedAt: decision.opened,
-      };
-  }
-  const noted = noteViolations(next, violations);
-  next = { ...noted.state, commandQueue: [...batch.slice(taken), ...rest] };
-  const told = [...noted.effects, ...rejections.map(sendReply)];
-  if (puts.length === 0 && results.length === 0 && electorate === metadata.electorate) {
-    return transition(next, ...told, ...tried.flatMap((one) => canaryReplies(draft, one)));
-  }
-  const primaryWrite: PrimaryWrite = {
-    id: state.nextWriteId,
-    phase: 'disk',
-    isOnOwnDisk: false,
-    phaseStartedAt: now,
-    lastSentAt: now,
-    acknowledgedBy: noAcknowledgements,
-    stamp,
-    previousStamp: state.stamp,
-    puts,
-    controlAfter: draft,
-    replies: results,
-    canaryReports: tried,
-    metadata: electorate === metadata.electorate ? metadata : { ...metadata, electorate },
-  };
+  const batch = decideBatch(state, metadata, commands, stamp.seq, now);
+  const { puts, replies, canaryReports, control: controlAfter, electorate } = batch;
+  const noted = noteViolations(batch.state, batch.violations);
+  const next: StoreState = { ...noted.state, commandQueue: [...batch.undecided, ...rest] };
+  const effects = [...noted.effects, ...batch.immediateReplies.map(sendReply)];
+  if (changesNothing(batch, metadata))
+    return transition(
+      next,
+      ...effects,
+      ...canaryReports.flatMap((report) => canaryReplies(controlAfter, report)),
+    );
+  const metadataAfter = electorate === metadata.electorate ? metadata : { ...metadata, electorate };
+  const primaryWrite = newPrimaryWrite(
+    state,
+    { metadata: metadataAfter, stamp, puts, controlAfter, replies, canaryReports },
+    now,
+  );
   return transition(
     { ...next, primaryWrite, nextWriteId: state.nextWriteId + 1 },
-    ...told,
-    diskWrite(primaryWrite.id, primaryWrite.metadata, stamp, puts),
+    ...effects,
+    diskWrite(primaryWrite),
   );
 };
 
-/** The own disk has the write: the backups are next, those in sync must have it too. */
+/** Whether this store holds the lease under whose epoch a write is open. */
+const holdsLeaseOf = (state: StoreState, primaryWrite: PrimaryWrite, now: Timestamp): boolean =>
+  holdsLease(state.candidate, now) && heldEpoch(state.candidate) === primaryWrite.metadata.epoch;
+
+/** The own disk has the write: the backups are next, all in sync must have it too. */
 export const onPrimaryWriteSynced = (
   state: StoreState,
   writeId: number,
   now: Timestamp,
 ): StoreTransition => {
-  const primaryWrite = state.primaryWrite;
+  const { primaryWrite } = state;
   if (primaryWrite?.id !== writeId) return transition(state);
   if (primaryWrite.phase === 'orphan') return transition(applyLocally(state, primaryWrite));
   if (primaryWrite.phase !== 'disk') return transition(state);
-  if (
-    !holdsLease(state.candidate, now) ||
-    heldEpoch(state.candidate) !== primaryWrite.metadata.epoch
-  ) {
+  if (!holdsLeaseOf(state, primaryWrite, now))
     return abandon({ ...state, primaryWrite: { ...primaryWrite, phase: 'copy' } });
-  }
   const next: PrimaryWrite = {
     ...primaryWrite,
     phase: 'copy',
@@ -178,35 +155,38 @@
     phaseStartedAt: now,
     lastSentAt: now,
   };
-  const whole = unacknowledgedBackups(state, next).length === 0;
-  if (whole) return prependEffects(replicateToAll(state, next, now), commitWrite(state, next, now));
+  const isComplete = unacknowledgedBackups(state, next).length === 0;
+  if (isComplete)
+    return prependEffects(replicateToAll(state, next, now), commitWrite(state, next, now));
   return transition({ ...state, primaryWrite: next }, ...replicateToAll(state, next, now));
 };
 
+/** Whether a backup that is in sync can take the lease over and has room on its disk. */
+const hasSuccessorWithRoom = (
+  state: StoreState,
+  primaryWrite: PrimaryWrite,
+  now: Timestamp,
+): boolean =>
+  [...state.peers.values()].some(
+    (peer) =>
+      primaryWrite.metadata.inSyncSet.includes(peer.node) &&
+      !peer.isDiskFull &&
+      !peer.isStopping &&
+      now - peer.heardAt < successorHeardWithinMs,
+  );
+
 /** The own disk did not take the write: it never takes effect, unless this disk has had it since before. */
 export const onPrimaryWriteFailed = (
   state: StoreState,
-  writeId: number,
-  reason: string,
-  isDiskFull: boolean,
-  now: Timestamp,
+  { writeId, reason, isDiskFull, now }: WriteFailed,
 ): StoreTransition => {
-  const primaryWrite = state.primaryWrite;
+  const { primaryWrite } = state;
   if (primaryWrite?.id !== writeId) return transition(state);
   if (primaryWrite.phase === 'orphan') return transition({ ...state, primaryWrite: undefined });
-  const rejected = primaryWrite.isOnOwnDisk
+  const rejections = primaryWrite.isOnOwnDisk
     ? unknownOutcomeReplies(primaryWrite.replies)
-    : primaryWrite.replies.map((one) =>
-        sendReply({
-          ...one,
-          status: 503,
-          body: JSON.stringify({
-            kind: 'rejected',
-            id: one.id,
-            text: `the disk took nothing: ${reason}`,
-            retryAfterMs: 2000,
-          }),
-        }),
+    : primaryWrite.replies.map((reply) =>
+        sendRejection(reply, `the disk took nothing: ${reason}`, diskRefusedRetryMs),
       );
   const next: StoreState = {
     ...(primaryWrite.isOnOwnDisk ? applyLocally(state, primaryWrite) : state),
@@ -215,106 +195,88 @@
     primaryWrite: undefined,
     diskFullAt: isDiskFull ? now : state.diskFullAt,
   };
-  const words = log('error', 'the disk refused a write', ['why', reason]);
-  const heir = [...state.peers.values()].some(
-    (one) =>
-      primaryWrite.metadata.inSyncSet.includes(one.node) &&
-      !one.isDiskFull &&
-      !one.isStopping &&
-      now - one.heardAt < 1000,
-  );
-  // With a peer in sync whose disk has room the duty goes to it.
-  if (!isDiskFull || heir)
-    return prependEffects([words, ...rejected], handOverLeadership(next, 10_000, now));
-  // Otherwise reads and pushes go on, and writes are rejected until there is room.
-  const written = state.isServing && primaryWrite.metadata.epoch === state.metadata?.epoch;
+  const logLine = log('error', 'write to disk failed', ['why', reason]);
+  if (!isDiskFull || hasSuccessorWithRoom(state, primaryWrite, now))
+    return prependEffects(
+      [logLine, ...rejections],
+      handOverLeadership(next, standDownMs.refusedWrite, now),
+    );
+  // Without a successor reads and feeds go on, and writes are rejected until there is room.
+  const isEpochWritten = state.isServing && primaryWrite.metadata.epoch === state.metadata?.epoch;
   return transition(
-    { ...next, isServing: true, isReadOnly: state.isReadOnly || !written },
-    words,
-    ...rejected,
+    { ...next, isServing: true, isReadOnly: state.isReadOnly || !isEpochWritten },
+    logLine,
+    ...rejections,
   );
 };
 
-/** A backup answered a copy: once all in sync have it the write counts. */
+/** Whether an acknowledgement is for the open write, under the metadata that it has now. */
+const isForOpenWrite = (
+  primaryWrite: PrimaryWrite | undefined,
+  acknowledgement: FrameOf<'replicated'>,
+): primaryWrite is PrimaryWrite =>
+  primaryWrite?.phase === 'copy' &&
+  acknowledgement.epoch === primaryWrite.stamp.epoch &&
+  acknowledgement.seq === primaryWrite.stamp.seq &&
+  // One under an earlier epoch does not show that this epoch's metadata is on that disk.
+  acknowledgement.metadataEpoch === primaryWrite.metadata.epoch;
+
+/** A backup acknowledged or refused a write: once all in sync have it, it is committed. */
 export const onReplicated = (
   before: StoreState,
   acknowledgement: FrameOf<'replicated'>,
   now: Timestamp,
 ): StoreTransition => {
-  const state = acknowledgement.ok ? noteAcknowledgement(before, acknowledgement, now) : before;
-  const primaryWrite = state.primaryWrite;
-  // An acknowledgement under an earlier epoch does not show that this epoch's metadata is on that disk.
-  if (
-    primaryWrite?.phase !== 'copy' ||
-    acknowledgement.epoch !== primaryWrite.stamp.epoch ||
-    acknowledgement.seq !== primaryWrite.stamp.seq ||
-    acknowledgement.metadataEpoch !== primaryWrite.metadata.epoch
-  )
-    return transition(state);
-  const isRequired = primaryWrite.metadata.inSyncSet.includes(acknowledgement.node);
-  if (!acknowledgement.ok && !isRequired) return transition(state);
-  if (!acknowledgement.ok)
+  const { node, ok, text } = acknowledgement;
+  const state = ok ? noteAcknowledgement(before, acknowledgement, now) : before;
+  const { primaryWrite } = state;
+  if (!isForOpenWrite(primaryWrite, acknowledgement)) return transition(state);
+  const isRequired = primaryWrite.metadata.inSyncSet.includes(node);
+  if (!ok && !isRequired) return transition(state);
+  if (!ok)
     return prependEffects(
-      [
-        log(
-          'warn',
-          'a backup did not take a write',
-          ['store', acknowledgement.node],
-          ['why', acknowledgement.text],
-        ),
-      ],
-      replaceBackups(noteRefusal(state, acknowledgement.node), [acknowledgement.node], now),
+      [log('warn', 'backup refused a write', ['store', node], ['why', text])],
+      replaceBackups(noteRefusal(state, node), [node], now),
     );
-  if (
-    !holdsLease(state.candidate, now) ||
-    heldEpoch(state.candidate) !== primaryWrite.metadata.epoch
-  )
-    return transition(state);
+  if (!holdsLeaseOf(state, primaryWrite, now)) return transition(state);
   const next: PrimaryWrite = {
     ...primaryWrite,
-    acknowledgedBy: new Set([...primaryWrite.acknowledgedBy, acknowledgement.node]),
+    acknowledgedBy: new Set([...primaryWrite.acknowledgedBy, node]),
   };
-  const whole = isRequired && unacknowledgedBackups(state, next).length === 0;
-  return whole ? commitWrite(state, next, now) : transition({ ...state, primaryWrite: next });
+  const isComplete = isRequired && unacknowledgedBackups(state, next).length === 0;
+  return isComplete ? commitWrite(state, next, now) : transition({ ...state, primaryWrite: next });
 };
 
-/** Lets time pass over a write. */
-export const tickPrimaryWrite = (state: StoreState, now: Timestamp): StoreTransition => {
-  const primaryWrite = state.primaryWrite;
+/** The metadata of the epoch that this store was granted. */
+const metadataOfLease = (state: StoreState, metadata: ClusterMetadata): ClusterMetadata => ({
+  ...metadata,
+  epoch: heldEpoch(state.candidate),
+  inSyncSet: [...state.candidate.inSyncSet],
+});
+
+/** A primary whose full disk didn't take the metadata of its epoch tries it again now and then. */
+const retryMetadata = (state: StoreState, now: Timestamp): StoreTransition => {
   if (
-    primaryWrite === undefined &&
-    state.isReadOnly &&
-    state.metadata !== undefined &&
-    state.candidate.phase.phase === 'holdingLease'
-  ) {
-    if (now - (state.diskFullAt ?? clockOrigin) < fullDiskRetryMs) return transition(state);
-    return writeMetadata(
-      { ...state, diskFullAt: now },
-      {
-        ...state.metadata,
-        epoch: heldEpoch(state.candidate),
-        inSyncSet: [...state.candidate.inSyncSet],
-      },
-      now,
-    );
-  }
-  if (primaryWrite === undefined) return transition(state);
-  if (primaryWrite.phase === 'orphan') return transition(state);
-  if (primaryWrite.phase === 'disk') {
-    if (
-      now - primaryWrite.phaseStartedAt <= diskTimeoutMs ||
-      state.candidate.phase.phase !== 'holdingLease'
-    )
-      return transition(state);
-    return prependEffects(
-      [log('error', 'the disk makes no progress; giving the duty up')],
-      handOverLeadership(state, 5000, now),
-    );
-  }
-  if (state.candidate.phase.phase !== 'holdingLease') return transition(state);
-  const late = unacknowledgedBackups(state, primaryWrite);
+    !state.isReadOnly ||
+    state.metadata === undefined ||
+    state.candidate.phase.phase !== 'holdingLease' ||
+    now - (state.diskFullAt ?? clockOrigin) < fullDiskRetryMs
+  )
+    return transition(state);
+  return writeMetadata({ ...state, diskFullAt: now }, metadataOfLease(state, state.metadata), now);
+};
+
+/** Replaces backups that are late, and sends the write again to those that have yet to acknowledge it. */
+const tickReplication = (
+  state: StoreState,
+  primaryWrite: PrimaryWrite,
+  now: Timestamp,
+): StoreTransition => {
+  const missing = unacknowledgedBackups(state, primaryWrite);
   const isLate = now - primaryWrite.phaseStartedAt > replicationTimeoutMs;
-  const replaced: StoreTransition = isLate ? replaceBackups(state, late, now) : transition(state);
+  const replaced: StoreTransition = isLate
+    ? replaceBackups(state, missing, now)
+    : transition(state);
   const open = replaced.state.primaryWrite;
   if (
     open === undefined ||
@@ -322,37 +284,46 @@
     now - open.lastSentAt <= resendIntervalMs
   )
     return replaced;
-  const again = replicationTargets(replaced.state, open.metadata, now).filter((one) =>
-    late.includes(one.node),
+  const targets = replicationTargets(replaced.state, open.metadata, now).filter((store) =>
+    missing.includes(store.node),
   );
   const resent: StoreState = { ...replaced.state, primaryWrite: { ...open, lastSentAt: now } };
-  return transition(resent, ...replaced.effects, ...replicateTo(open, again));
+  return transition(resent, ...replaced.effects, ...replicateTo(open, targets));
 };
 
-/** This store won: the metadata of its holding is written before anything else. */
+/** Bounds the time that an open write takes, on the own disk and at the backups. */
+export const tickPrimaryWrite = (state: StoreState, now: Timestamp): StoreTransition => {
+  const { primaryWrite } = state;
+  if (primaryWrite === undefined) return retryMetadata(state, now);
+  if (primaryWrite.phase === 'orphan' || state.candidate.phase.phase !== 'holdingLease')
+    return transition(state);
+  if (primaryWrite.phase === 'copy') return tickReplication(state, primaryWrite, now);
+  if (now - primaryWrite.phaseStartedAt <= diskTimeoutMs) return transition(state);
+  return prependEffects(
+    [log('error', 'disk stalled, giving up the lease')],
+    handOverLeadership(state, standDownMs.stalledDisk, now),
+  );
+};
+
+/** This store won the lease: the metadata of its epoch is written before anything else. */
 export const onElected = (state: StoreState, now: Timestamp): StoreTransition => {
-  const metadata = state.metadata;
+  const { metadata, primaryWrite } = state;
   if (metadata === undefined) return transition(state);
-  const own: ClusterMetadata = {
-    ...metadata,
-    epoch: heldEpoch(state.candidate),
-    inSyncSet: [...state.candidate.inSyncSet],
+  if (primaryWrite?.phase === 'orphan')
+    return handOverLeadership(state, standDownMs.abandonedWriteOnDisk, now);
+  const metadataOfEpoch = metadataOfLease(state, metadata);
+  if (primaryWrite === undefined || !state.isServing)
+    return writeMetadata({ ...state, primaryWrite: undefined }, metadataOfEpoch, now);
+  // A write was open when the in-sync set changed: it goes on under the new metadata.
+  const next: PrimaryWrite = {
+    ...primaryWrite,
+    id: state.nextWriteId,
+    metadata: { ...metadataOfEpoch, electorate: primaryWrite.metadata.electorate },
+    phase: 'disk',
+    phaseStartedAt: now,
   };
-  const primaryWrite = state.primaryWrite;
-  if (primaryWrite?.phase === 'orphan') return handOverLeadership(state, 500, now);
-  if (primaryWrite !== undefined && state.isServing) {
-    // A write was under way when the in-sync set changed: it goes on under the new metadata.
-    const next: PrimaryWrite = {
-      ...primaryWrite,
-      id: state.nextWriteId,
-      metadata: { ...own, electorate: primaryWrite.metadata.electorate },
-      phase: 'disk',
-      phaseStartedAt: now,
-    };
-    return transition(
-      { ...state, primaryWrite: next, nextWriteId: state.nextWriteId + 1 },
-      diskWrite(next.id, next.metadata, next.stamp, next.puts),
-    );
-  }
-  return writeMetadata({ ...state, primaryWrite: undefined }, own, now);
+  return transition(
+    { ...state, primaryWrite: next, nextWriteId: state.nextWriteId + 1 },
+    diskWrite(next),
+  );
 };
--- a/packages/replicated-store/src/machine.ts
+++ b/packages/replicated-store/src/machine.ts
@@ -106,8 +106,8 @@
         : onPrimaryWriteSynced(state, event.writeId, event.now);
     case 'writeFailed':
       return state.backupWrite?.id === event.writeId
-        ? onBackupWriteFailed(state, event.writeId, event.reason, event.isDiskFull, event.now)
-        : onPrimaryWriteFailed(state, event.writeId, event.reason, event.isDiskFull, event.now);
+        ? onBackupWriteFailed(state, event)
+        : onPrimaryWriteFailed(state, event);
     case 'configurationCompiled':
       return onCompiled(state, event.hash, event.faults);
     case 'stopRequested':
--- a/packages/replicated-store/src/resync/bootstrap.ts
+++ b/packages/replicated-store/src/resync/bootstrap.ts
@@ -33,18 +33,14 @@
     stores: proposal.stores,
     electorate: proposal.electorate,
   };
-  return startBackupWrite(
-    state,
-    {
-      startedAt: now,
-      purpose: 'bootstrap',
-      replyTo: from.address,
-      metadata,
-      stamp: { epoch: metadata.epoch, seq: nextSeq(noSeq) },
-      puts: [],
-      stamps: new Map(),
-      commandId: proposal.id,
-    },
-    true,
-  );
+  return startBackupWrite(state, {
+    startedAt: now,
+    purpose: 'bootstrap',
+    replyTo: from.address,
+    metadata,
+    stamp: { epoch: metadata.epoch, seq: nextSeq(noSeq) },
+    puts: [],
+    stamps: new Map(),
+    commandId: proposal.id,
+  });
 };
--- a/packages/replicated-store/src/resync/learner-resync.ts
+++ b/packages/replicated-store/src/resync/learner-resync.ts
@@ -53,20 +53,16 @@
   const puts: readonly TableMutation[] = extra.map((one) => ({ key: one.key, data: null }));
   return prependEffects(
     fetch,
-    startBackupWrite(
-      state,
-      {
-        startedAt: now,
-        purpose: 'resync',
-        replyTo: from.address,
-        metadata: state.metadata,
-        stamp: noStamp,
-        puts,
-        stamps: new Map(),
-        commandId: undefined,
-      },
-      false,
-    ),
+    startBackupWrite(state, {
+      startedAt: now,
+      purpose: 'resync',
+      replyTo: from.address,
+      metadata: state.metadata,
+      stamp: noStamp,
+      puts,
+      stamps: new Map(),
+      commandId: undefined,
+    }),
   );
 };
 
@@ -101,20 +97,16 @@
     return transition(state);
   // Until it is settled, this store has no stamp: no write can follow, and it does not stand.
   const stamp = batch.settled?.stamp ?? noStamp;
-  return startBackupWrite(
-    state,
-    {
-      startedAt: now,
-      purpose: 'resync',
-      replyTo: from.address,
-      metadata: batch.metadata,
-      stamp,
-      puts,
-      stamps,
-      commandId: undefined,
-    },
-    false,
-  );
+  return startBackupWrite(state, {
+    startedAt: now,
+    purpose: 'resync',
+    replyTo: from.address,
+    metadata: batch.metadata,
+    stamp,
+    puts,
+    stamps,
+    commandId: undefined,
+  });
 };
 
 /** After a mend was written the next one is, or the primary is asked at once what is still unlike. */
--- a/packages/replicated-store/src/state/events.ts
+++ b/packages/replicated-store/src/state/events.ts
@@ -43,6 +43,9 @@
   /** The process is asked to stop, within the grace if it is given. */
   | { readonly kind: 'stopRequested'; readonly now: Timestamp; readonly graceMs?: number };
 
+/** The disk did not take a write. */
+export type WriteFailed = Extract<StoreEvent, { kind: 'writeFailed' }>;
+
 /** One write to the disk: all of it lasts, or none. */
 export interface DiskWrite {
   readonly id: number;
