--- a/packages/replicated-store/src/commands/decide-node.ts
+++ b/packages/replicated-store/src/commands/decide-node.ts
@@ -2,16 +2,18 @@
  * Decides what is recorded of a node from its reports.
  */
 
-import { equalAsJson } from '@switchwheel/types';
+import { type NodeId, equalAsJson } from '@switchwheel/types';
 import {
   type ControlState,
   type NodeRecord,
   controlKeys,
+  deleteRecord,
   putRecord,
 } from '@switchwheel/configuration';
 import type { Command } from './command.js';
 import { type Decision, noChange } from './decision.js';
 
+/** Records what a node reports; an earlier run of its process changes nothing. */
 export const decideNode = (
   control: ControlState,
   command: Extract<Command, { kind: 'recordNode' }>,
@@ -19,7 +21,7 @@
   const known = control.nodes.get(command.node);
   const { role, incarnation, online, report } = command;
   if (known !== undefined && known.incarnation > incarnation) return noChange;
-  const fresh = known?.incarnation !== incarnation;
+  const isNewRun = known?.incarnation !== incarnation;
   const row: NodeRecord = {
     role,
     incarnation,
@@ -28,8 +30,15 @@
     assigned: known?.assigned,
     desired: known?.desired,
     // A new run of a node starts without a mark; a mark ends when the node runs what it was for.
-    failed: report.failed?.hash ?? (fresh || report.phase === 'applied' ? undefined : known.failed),
+    failed:
+      report.failed?.hash ?? (isNewRun || report.phase === 'applied' ? undefined : known.failed),
   };
   if (known !== undefined && equalAsJson(known, row)) return noChange;
   return { ...noChange, puts: [putRecord(controlKeys.node(command.node), row)] };
 };
+
+/** Forgets a node that is offline. */
+export const decideForgetNode = (control: ControlState, node: NodeId): Decision =>
+  control.nodes.get(node)?.online === false
+    ? { ...noChange, puts: [deleteRecord(controlKeys.node(node))] }
+    : noChange;
--- a/packages/replicated-store/src/commands/decide-rollout.ts
+++ b/packages/replicated-store/src/commands/decide-rollout.ts
@@ -3,23 +3,31 @@
  */
 
 import * as v from 'valibot';
+import type { Timestamp } from '@switchwheel/types';
 import type { TableMutation } from '@switchwheel/transport';
 import {
   type ControlState,
-  configurationHeader as headSchema,
+  configurationHeader as headerSchema,
   controlKeys,
+  planRollout,
   policy as policySchema,
+  tickRollout,
 } from '@switchwheel/configuration';
+import type { StoreState } from '../state/state.js';
+import { type Decision, noChange } from './decision.js';
 
-export const rolloutPolicyOf = (control: ControlState): v.InferOutput<typeof policySchema> => {
-  const first = control.configuration?.offer.pieces[0];
-  const text = first === undefined ? undefined : control.chunks.get(first);
-  const read = text === undefined ? undefined : v.safeParse(headSchema, JSON.parse(text));
-  return read?.success === true ? read.output.rollout : v.parse(policySchema, {});
+const revisioned = v.object({ rev: v.number() });
+
+/** The rollout policy of the configuration in force; the default one if it can't be read. */
+const rolloutPolicyOf = (control: ControlState): v.InferOutput<typeof policySchema> => {
+  const headerHash = control.configuration?.offer.pieces[0];
+  const text = headerHash === undefined ? undefined : control.chunks.get(headerHash);
+  const header = text === undefined ? undefined : v.safeParse(headerSchema, JSON.parse(text));
+  return header?.success === true ? header.output.rollout : v.parse(policySchema, {});
 };
 
 /** Compare-and-set: a change of a rollout or a target counts only on the revision it was made from. */
-export const onlyCurrentRevisions = (
+const onlyCurrentRevisions = (
   control: ControlState,
   puts: readonly TableMutation[],
 ): readonly TableMutation[] =>
@@ -28,12 +36,35 @@
     const old = key.startsWith('target/')
       ? control.targets.get(key)
       : key.startsWith('rollout/')
-        ? [...control.rollouts.values()].find((one) => controlKeys.rollout(one.generation) === key)
+        ? [...control.rollouts.values()].find(
+            (rollout) => controlKeys.rollout(rollout.generation) === key,
+          )
         : undefined;
     if (old === undefined) return true;
-    const read = v.safeParse(v.object({ rev: v.number() }), JSON.parse(data));
+    const read = v.safeParse(revisioned, JSON.parse(data));
     return (
       read.success &&
       (read.output.rev === old.rev + 1 || (key.startsWith('rollout/') && read.output.rev === 0))
     );
   });
+
+/** Plans the rollout of the configuration in force over the known nodes. */
+export const decideRolloutPlan = (control: ControlState): Decision => ({
+  ...noChange,
+  puts: onlyCurrentRevisions(control, planRollout(control, rolloutPolicyOf(control))),
+});
+
+/** Advances the open rollout by what its nodes report. */
+export const decideRolloutAdvance = (
+  state: StoreState,
+  control: ControlState,
+  now: Timestamp,
+): Decision => {
+  const result = tickRollout(control, state.targetStatusSeen, state.rolloutOpenedAt, now);
+  return {
+    ...noChange,
+    puts: onlyCurrentRevisions(control, result.puts),
+    seen: result.seen,
+    opened: result.opened,
+  };
+};
--- a/packages/replicated-store/src/commands/decide.ts
+++ b/packages/replicated-store/src/commands/decide.ts
@@ -3,22 +3,17 @@
  * that bears the changes is log-write's business.
  */
 
-import type { Seq } from '@switchwheel/types';
-import {
-  type ControlState,
-  controlKeys,
-  deleteRecord,
-  planRollout,
-  tickRollout,
-} from '@switchwheel/configuration';
+import type { Seq, Timestamp } from '@switchwheel/types';
+import type { ControlState } from '@switchwheel/configuration';
 import { decideApply } from './apply-configuration.js';
 import { chunkPuts } from './chunks.js';
 import type { Command } from './command.js';
 import { decideCanary } from './decide-canary.js';
-import { decideNode } from './decide-node.js';
+import { decideForgetNode, decideNode } from './decide-node.js';
 import { decidePurge } from './decide-purge.js';
-import { onlyCurrentRevisions, rolloutPolicyOf } from './decide-rollout.js';
-import { type Decision, commandReply, earlierReply, noChange, rememberReply } from './decision.js';
+import { decideRolloutAdvance, decideRolloutPlan } from './decide-rollout.js';
+import { type Decision, noChange } from './decision.js';
+import { decideElectorate } from './electorate-command.js';
 import { decideRelease, decideRolloutRequest } from './rollout-request.js';
 import { originPuts } from '../origins/origin-records.js';
 import type { StoreState } from '../state/state.js';
@@ -29,11 +24,8 @@
   control: ControlState,
   command: Command,
   seq: Seq,
-  now: StoreState['rolloutsAdvancedAt'],
-): Decision & {
-  readonly seen?: StoreState['targetStatusSeen'];
-  readonly opened?: StoreState['rolloutOpenedAt'];
-} => {
+  now: Timestamp,
+): Decision => {
   switch (command.kind) {
     case 'applyConfiguration':
       return decideApply(state, control, command, seq);
@@ -41,56 +33,18 @@
       return { ...noChange, puts: chunkPuts(state, control, command.hashes) };
     case 'purge':
       return decidePurge(control, command, seq);
-    case 'changeElectorate': {
-      const again = earlierReply(control, command, seq);
-      if (again !== undefined) return again;
-      if (
-        state.metadata !== undefined &&
-        command.electorate.serial <= state.metadata.electorate.serial
-      ) {
-        return {
-          ...noChange,
-          immediateReplies: [
-            commandReply(command, 409, {
-              kind: 'stale',
-              text: 'the electorate changed meanwhile; ask again with a new id',
-            }),
-          ],
-        };
-      }
-      const result = commandReply(command, 200, {
-        kind: 'accepted',
-        electorate: command.electorate,
-      });
-      return {
-        ...noChange,
-        repliesAfterWrite: [result],
-        puts: rememberReply(control, result, seq),
-        electorate: command.electorate,
-      };
-    }
+    case 'changeElectorate':
+      return decideElectorate(state, control, command, seq);
     case 'followRegistries':
       return { ...noChange, electorate: command.electorate };
     case 'recordNode':
       return decideNode(control, command);
     case 'forgetNode':
-      return control.nodes.get(command.node)?.online === false
-        ? { ...noChange, puts: [deleteRecord(controlKeys.node(command.node))] }
-        : noChange;
+      return decideForgetNode(control, command.node);
     case 'recordCanary':
       return decideCanary(control, command);
-    case 'requestRollout': {
-      const again = earlierReply(control, command, seq);
-      if (again !== undefined) return again;
-      const ordered = decideRolloutRequest(state, control, command, now);
-      const result = commandReply(command, ordered.status, ordered.body);
-      if (ordered.status !== 200) return { ...noChange, immediateReplies: [result] };
-      return {
-        ...noChange,
-        repliesAfterWrite: [result],
-        puts: [...ordered.puts, ...rememberReply(control, result, seq)],
-      };
-    }
+    case 'requestRollout':
+      return decideRolloutRequest(state, control, command, seq, now);
     case 'recordRelease':
       return { ...noChange, puts: decideRelease(control, command.record) };
     case 'recordOrigins':
@@ -104,18 +58,8 @@
         ),
       };
     case 'planRollout':
-      return {
-        ...noChange,
-        puts: onlyCurrentRevisions(control, planRollout(control, rolloutPolicyOf(control))),
-      };
-    case 'advanceRollout': {
-      const result = tickRollout(control, state.targetStatusSeen, state.rolloutOpenedAt, now);
-      return {
-        ...noChange,
-        puts: onlyCurrentRevisions(control, result.puts),
-        seen: result.seen,
-        opened: result.opened,
-      };
-    }
+      return decideRolloutPlan(control);
+    case 'advanceRollout':
+      return decideRolloutAdvance(state, control, now);
   }
 };
--- a/packages/replicated-store/src/commands/decision.ts
+++ b/packages/replicated-store/src/commands/decision.ts
@@ -11,15 +11,19 @@
   maxKeptOutcomes,
   putRecord,
 } from '@switchwheel/configuration';
+import type { StoreState } from '../state/state.js';
 import type { Command, CommandReply } from './command.js';
 
-/** What a command comes to: changes of the table, and what to tell whom once they last. */
+/** What a command comes to: changes of the table, and the replies that are sent once these are committed. */
 export interface Decision {
   readonly puts: readonly TableMutation[];
   readonly repliesAfterWrite: readonly CommandReply[];
-  /** Told at once: nothing is written for them. */
+  /** Sent at once: nothing is written for them. */
   readonly immediateReplies: readonly CommandReply[];
   readonly electorate?: Electorate;
+  /** With an advanced rollout: since when each target has had its status, and when the rollout was opened. */
+  readonly seen?: StoreState['targetStatusSeen'];
+  readonly opened?: StoreState['rolloutOpenedAt'];
   /** Invariants that were found broken on the way. */
   readonly violations?: readonly Invariant[];
 }
--- a/packages/replicated-store/src/commands/electorate-command.ts
+++ b/packages/replicated-store/src/commands/electorate-command.ts
@@ -2,21 +2,55 @@
  * Operators' changes of the electorate, by one member at a time.
  */
 
-import * as v from 'valibot';
-import { nextSeq } from '@switchwheel/types';
+import type * as v from 'valibot';
+import { type Seq, nextSeq } from '@switchwheel/types';
 import type { Electorate } from '@switchwheel/transport';
-import { electorateBody } from './command-bodies.js';
+import type { ControlState } from '@switchwheel/configuration';
+import type { StoreState } from '../state/state.js';
+import type { electorateBody } from './command-bodies.js';
+import type { Command } from './command.js';
+import { type Decision, commandReply, earlierReply, noChange, rememberReply } from './decision.js';
 
+/** The electorate after an operator's change; undefined unless it changes by one member, or moves one. */
 export const changedElectorate = (
-  old: Electorate,
+  current: Electorate,
   body: v.InferOutput<typeof electorateBody>,
 ): Electorate | undefined => {
-  const without = old.members.filter(
-    (one) => one.node !== body.remove && one.node !== body.add?.node,
+  const kept = current.members.filter(
+    (member) => member.node !== body.remove && member.node !== body.add?.node,
   );
-  const members = body.add === undefined ? without : [...without, body.add];
-  const delta = members.length - old.members.length;
-  const moved = body.add !== undefined && delta === 0;
-  if (members.length === 0 || (delta === 0 && !moved)) return undefined;
-  return { serial: nextSeq(old.serial), members };
+  const members = body.add === undefined ? kept : [...kept, body.add];
+  const difference = members.length - current.members.length;
+  const isMoved = body.add !== undefined && difference === 0;
+  if (members.length === 0 || (difference === 0 && !isMoved)) return undefined;
+  return { serial: nextSeq(current.serial), members };
+};
+
+/** Replaces the electorate, unless it has changed since the command came. */
+export const decideElectorate = (
+  state: StoreState,
+  control: ControlState,
+  command: Extract<Command, { kind: 'changeElectorate' }>,
+  seq: Seq,
+): Decision => {
+  const earlier = earlierReply(control, command, seq);
+  if (earlier !== undefined) return earlier;
+  const { electorate } = command;
+  if (state.metadata !== undefined && electorate.serial <= state.metadata.electorate.serial)
+    return {
+      ...noChange,
+      immediateReplies: [
+        commandReply(command, 409, {
+          kind: 'stale',
+          text: 'the electorate changed meanwhile; ask again with a new id',
+        }),
+      ],
+    };
+  const reply = commandReply(command, 200, { kind: 'accepted', electorate });
+  return {
+    ...noChange,
+    repliesAfterWrite: [reply],
+    puts: rememberReply(control, reply, seq),
+    electorate,
+  };
 };
--- a/packages/replicated-store/src/commands/rollout-request.ts
+++ b/packages/replicated-store/src/commands/rollout-request.ts
@@ -2,7 +2,7 @@
  * Decides operators' requests to move a service to a release, and the progress that the primary records of them.
  */
 
-import type { Release, ServiceName, Timestamp } from '@switchwheel/types';
+import type { Release, Seq, ServiceName, Timestamp } from '@switchwheel/types';
 import type { TableMutation } from '@switchwheel/transport';
 import {
   type ControlState,
@@ -14,6 +14,7 @@
   settledRollout,
 } from '@switchwheel/configuration';
 import type { Command } from './command.js';
+import { type Decision, commandReply, earlierReply, noChange, rememberReply } from './decision.js';
 import {
   elapsedOf,
   liveOriginsByRelease,
@@ -21,36 +22,32 @@
 } from '../releases/release-progress.js';
 import type { StoreState } from '../state/state.js';
 
-/** What an order comes to: an answer, and the record it opens. */
-interface RolloutRequestDecision {
-  readonly status: 200 | 409;
-  readonly body: object;
-  readonly puts: readonly TableMutation[];
-}
-
-/** The release to go back to: the settled one, unless none of it stands any more and another does. */
+/** The release to go back to: the settled one, unless no origin of it is up any more and one of another is. */
 const settledReleaseFor = (
   state: StoreState,
   known: ReleaseRollout,
   service: ServiceName,
   target: Release,
 ): Release | undefined => {
-  const standing = liveOriginsByRelease(state, service);
-  if (known.settled !== undefined && (known.settled === target || standing.has(known.settled)))
+  const liveOrigins = liveOriginsByRelease(state, service);
+  if (known.settled !== undefined && (known.settled === target || liveOrigins.has(known.settled)))
     return known.settled;
-  return mostCommonRelease(standing, target) ?? known.settled;
+  return mostCommonRelease(liveOrigins, target) ?? known.settled;
 };
 
-/** Opens an order to move a service to a release, unless it stands already or another one is under way. */
+/** Opens a rollout to a release, unless it was accepted before or another one is under way. */
 export const decideRolloutRequest = (
   state: StoreState,
   control: ControlState,
   command: Extract<Command, { kind: 'requestRollout' }>,
+  seq: Seq,
   now: Timestamp,
-): RolloutRequestDecision => {
+): Decision => {
+  const earlier = earlierReply(control, command, seq);
+  if (earlier !== undefined) return earlier;
   const { service, target, spanMs } = command;
   const known = control.releases.get(service) ?? settledRollout(service, undefined);
-  const ordered = requestReleaseRollout(
+  const requested = requestReleaseRollout(
     known,
     settledReleaseFor(state, known, service, target),
     target,
@@ -58,26 +55,31 @@
     elapsedOf(state, known, now),
     (state.settings.releases ?? releaseSettings).duplicateWindowMs,
   );
-  const accepted = { kind: 'accepted', service, target };
-  switch (ordered.kind) {
-    case 'conflict':
-      return {
-        status: 409,
-        body: {
+  if (requested.kind === 'conflict')
+    return {
+      ...noChange,
+      immediateReplies: [
+        commandReply(command, 409, {
           kind: 'stale',
-          text: `the order to ${ordered.target ?? 'another release'} is under way`,
-        },
-        puts: [],
-      };
-    case 'alreadyAccepted':
-      return { status: 200, body: { ...accepted, order: ordered.order }, puts: [] };
-    case 'opened':
-      return {
-        status: 200,
-        body: { ...accepted, order: ordered.order.order },
-        puts: [putRecord(controlKeys.release(service), ordered.order)],
-      };
-  }
+          text: `the order to ${requested.target ?? 'another release'} is under way`,
+        }),
+      ],
+    };
+  const isOpened = requested.kind === 'opened';
+  const reply = commandReply(command, 200, {
+    kind: 'accepted',
+    service,
+    target,
+    order: isOpened ? requested.order.order : requested.order,
+  });
+  return {
+    ...noChange,
+    repliesAfterWrite: [reply],
+    puts: [
+      ...(isOpened ? [putRecord(controlKeys.release(service), requested.order)] : []),
+      ...rememberReply(control, reply, seq),
+    ],
+  };
 };
 
 /** Compare-and-set: a change counts only on the record that it was made from. */
@@ -86,11 +88,11 @@
   next: ReleaseRollout,
 ): readonly TableMutation[] => {
   const known = control.releases.get(next.service);
-  const fits =
+  const isCurrent =
     known === undefined
       ? next.phase === 'none'
       : known.order === next.order &&
         (next.serial === known.serial + 1 ||
           (next.serial === known.serial && next.spentMs > known.spentMs));
-  return fits ? [putRecord(controlKeys.release(next.service), next)] : [];
+  return isCurrent ? [putRecord(controlKeys.release(next.service), next)] : [];
 };
--- a/packages/replicated-store/src/log-write/commit.ts
+++ b/packages/replicated-store/src/log-write/commit.ts
@@ -15,11 +15,13 @@
 import { withPuts } from '../state/table.js';
 import type { StoreTransition } from '../state/transition.js';
 
-/** At most how often the engine acts on events; the first is acted on at once. */
+/** At most how often a rollout is advanced by what its nodes report; the first report counts at once. */
 const rolloutThrottleMs = 250;
 
+/** One object for all, so that a state without held chunks equals the next. */
 const noHeldChunks: StoreState['heldChunks'] = new Map();
 
+/** Families of keys that change nothing that nodes are to run. */
 const keyPrefixesWithoutNodeChange = [
   'purge/',
   'call/',
@@ -35,82 +37,98 @@
   state.isReadOnly ||
   primaryWrite.metadata.epoch !== state.metadata?.epoch ||
   primaryWrite.puts.some(
-    (one) => !keyPrefixesWithoutNodeChange.some((family) => one.key.startsWith(family)),
+    ({ key }) => !keyPrefixesWithoutNodeChange.some((prefix) => key.startsWith(prefix)),
   );
 
-/** The write lasts wherever it must: it counts, and everyone is told. */
-export const commitWrite = (
+/** Whether a write is the first of an epoch, by which this store begins to serve. */
+const beginsServing = (state: StoreState): boolean => !state.isServing || state.isReadOnly;
+
+/** The state with a committed write in it. */
+const withCommitted = (
   state: StoreState,
   primaryWrite: PrimaryWrite,
   now: Timestamp,
+): StoreState => ({
+  ...state,
+  primaryWrite: undefined,
+  stamp: primaryWrite.stamp,
+  table: withPuts(state.table, primaryWrite.puts, primaryWrite.stamp),
+  control: primaryWrite.controlAfter,
+  metadata: primaryWrite.metadata,
+  isServing: true,
+  isReadOnly: false,
+  diskFullAt: undefined,
+  shortageSince: hasEnoughReplicas(state, primaryWrite.metadata.inSyncSet)
+    ? undefined
+    : (state.shortageSince ?? now),
+  lastNodeChangeSeq: changesNodes(state, primaryWrite)
+    ? primaryWrite.stamp.seq
+    : state.lastNodeChangeSeq,
+});
+
+const rolloutKeyPrefixes = ['node/', 'target/', 'rollout/'];
+
+/** When the open rollout is advanced next: soon if something that it rests on changed. */
+const nextRolloutAdvance = (
+  state: StoreState,
+  primaryWrite: PrimaryWrite,
+  now: Timestamp,
+): Timestamp | undefined => {
+  const changesRollout = primaryWrite.puts.some(({ key }) =>
+    rolloutKeyPrefixes.some((prefix) => key.startsWith(prefix)),
+  );
+  if (!beginsServing(state) && !changesRollout) return state.rolloutsDueAt;
+  const earliest = Math.max(now, state.rolloutsAdvancedAt + rolloutThrottleMs);
+  return toTimestamp(Math.min(state.rolloutsDueAt ?? Infinity, earliest));
+};
+
+/** Whether no configuration is on its way that may rely on chunks in memory. */
+const needsNoChunks = (state: StoreState): boolean =>
+  state.awaitingChunks.size === 0 &&
+  state.compiling.size === 0 &&
+  !state.commandQueue.some(
+    (command) => command.kind === 'applyConfiguration' || command.kind === 'storeChunks',
+  );
+
+/** Takes in a write that is on every disk it must be on, answers its callers and feeds the registries. */
+export const commitWrite = (
+  before: StoreState,
+  primaryWrite: PrimaryWrite,
+  now: Timestamp,
 ): StoreTransition => {
-  const first = !state.isServing || state.isReadOnly;
-  const table = withPuts(state.table, primaryWrite.puts, primaryWrite.stamp);
+  const state = withCommitted(before, primaryWrite, now);
+  const changesConfiguration =
+    state.control.configuration?.offer.generation !==
+    before.control.configuration?.offer.generation;
+  // A rollout that was just opened is advanced at once: the throttle is for what its nodes report.
+  const plansRollout = changesConfiguration || beginsServing(before);
+  const rolloutCommands: readonly Command[] = plansRollout
+    ? [{ kind: 'planRollout' }, { kind: 'advanceRollout' }]
+    : [];
   const next: StoreState = {
     ...state,
-    primaryWrite: undefined,
-    stamp: primaryWrite.stamp,
-    table,
-    control: primaryWrite.controlAfter,
-    metadata: primaryWrite.metadata,
-    isServing: true,
-    isReadOnly: false,
-    diskFullAt: undefined,
-    shortageSince: hasEnoughReplicas(state, primaryWrite.metadata.inSyncSet)
-      ? undefined
-      : (state.shortageSince ?? now),
-    lastNodeChangeSeq: changesNodes(state, primaryWrite)
-      ? primaryWrite.stamp.seq
-      : state.lastNodeChangeSeq,
-  };
-  const commands: Command[] = [];
-  const stored =
-    primaryWrite.controlAfter.configuration?.offer.generation !==
-    state.control.configuration?.offer.generation;
-  // A rollout that was just opened gets its first turn at once: the throttle is for events of targets.
-  if (stored || first) commands.push({ kind: 'planRollout' }, { kind: 'advanceRollout' });
-  const lists = primaryWrite.puts.some(
-    (one) =>
-      one.key.startsWith('node/') ||
-      one.key.startsWith('target/') ||
-      one.key.startsWith('rollout/'),
-  );
-  const due =
-    first || lists
-      ? toTimestamp(
-          Math.min(
-            next.rolloutsDueAt ?? Infinity,
-            Math.max(now, next.rolloutsAdvancedAt + rolloutThrottleMs),
-          ),
-        )
-      : next.rolloutsDueAt;
-  const idle =
-    next.awaitingChunks.size === 0 &&
-    next.compiling.size === 0 &&
-    !next.commandQueue.some(
-      (one) => one.kind === 'applyConfiguration' || one.kind === 'storeChunks',
-    );
-  const planned = {
-    ...next,
-    heldChunks: idle ? noHeldChunks : next.heldChunks,
-    rolloutsDueAt: due,
-    rolloutPlannedAt: stored || first ? now : next.rolloutPlannedAt,
-    commandQueue: [...commands, ...next.commandQueue],
+    heldChunks: needsNoChunks(state) ? noHeldChunks : state.heldChunks,
+    rolloutsDueAt: nextRolloutAdvance(before, primaryWrite, now),
+    rolloutPlannedAt: plansRollout ? now : state.rolloutPlannedAt,
+    commandQueue: [...rolloutCommands, ...state.commandQueue],
   };
-  const told = [
+  return transition(
+    next,
     ...primaryWrite.replies.map(sendReply),
-    ...primaryWrite.canaryReports.flatMap((one) => canaryReplies(primaryWrite.controlAfter, one)),
-  ];
-  const fed = feedSubscribers(planned, now);
-  return transition(planned, ...told, ...fed);
+    ...primaryWrite.canaryReports.flatMap((report) =>
+      canaryReplies(primaryWrite.controlAfter, report),
+    ),
+    ...feedSubscribers(next, now),
+  );
 };
 
+/** The recorded result of a canary, to the service leader that reported on it. */
 export const canaryReplies = (
   control: StoreState['control'],
-  one: PrimaryWrite['canaryReports'][number],
+  { to, report }: PrimaryWrite['canaryReports'][number],
 ): readonly StoreEffect[] => {
   const verdict = [...control.canaryResults.values()].find(
-    (row) => row.service === one.report.service && row.release === one.report.release,
+    (result) => result.service === report.service && result.release === report.release,
   );
-  return verdict === undefined ? [] : [send(one.to, { kind: 'tried', verdict, at: one.report.at })];
+  return verdict === undefined ? [] : [send(to, { kind: 'tried', verdict, at: report.at })];
 };
