--- a/packages/replicated-store/src/leadership/lease.ts
+++ b/packages/replicated-store/src/leadership/lease.ts
@@ -4,16 +4,17 @@
  */
 
 import { type Timestamp, prependEffects, transition } from '@switchwheel/types';
-import { type FrameOf, log } from '@switchwheel/transport';
-import { countVote, heldEpoch } from '@switchwheel/election';
-import { electionContext } from './candidacy.js';
+import { type Electorate, type FrameOf, log } from '@switchwheel/transport';
+import { countVote, heldEpoch, observeEpoch, tickCandidate } from '@switchwheel/election';
+import { type NodeSession, highestEpoch } from '@switchwheel/membership';
+import { chooseBackups, electionContext, wantsElection } from './candidacy.js';
 import { endLeadership } from './hand-over.js';
 import { onElected } from '../log-write/primary-write.js';
 import type { StoreState } from '../state/state.js';
 import type { StoreTransition } from '../state/transition.js';
 
-/** Follows a change of the stand: a win is served, a loss ends all that was under way. */
-export const onCandidateTransition = (
+/** Follows a change of the candidate: a lease that was won is served, the end of one ends all that was under way. */
+const onCandidateTransition = (
   before: StoreState,
   after: StoreState,
   now: Timestamp,
@@ -22,35 +23,56 @@
   const is = after.candidate.phase.phase;
   if (was === 'requestingVotes' && is === 'holdingLease')
     return prependEffects(
-      [log('info', 'won the duty', ['epoch', heldEpoch(after.candidate)])],
+      [log('info', 'primary lease acquired', ['epoch', heldEpoch(after.candidate)])],
       onElected(after, now),
     );
-  if ((was === 'requestingVotes' || was === 'holdingLease') && is === 'idle') {
-    const ended = endLeadership(after);
-    return prependEffects(was === 'holdingLease' ? [log('warn', 'the duty is over')] : [], ended);
-  }
+  if ((was === 'requestingVotes' || was === 'holdingLease') && is === 'idle')
+    return prependEffects(
+      was === 'holdingLease' ? [log('warn', 'primary lease lost')] : [],
+      endLeadership(after),
+    );
   return transition(after);
 };
 
+/** The session with the newest electorate that is known. */
+const withElectorate = (session: NodeSession, electorate: Electorate | undefined): NodeSession =>
+  electorate === undefined ||
+  (session.electorate !== undefined && session.electorate.serial >= electorate.serial)
+    ? session
+    : { ...session, electorate };
+
+/** A voter answers a request for the lease, or for its renewal. */
 export const onVote = (
   state: StoreState,
   vote: FrameOf<'vote'>,
   now: Timestamp,
 ): StoreTransition => {
-  if (state.metadata === undefined) return transition(state);
-  const nodeSession =
-    vote.electorate === undefined ||
-    (state.session.electorate !== undefined &&
-      state.session.electorate.serial >= vote.electorate.serial)
-      ? state.session
-      : { ...state.session, electorate: vote.electorate };
-  const base = { ...state, session: nodeSession };
-  return onCandidateTransition(
-    base,
-    {
-      ...base,
-      candidate: countVote(base.candidate, electionContext(base, state.metadata, now), vote, now),
-    },
+  const { metadata } = state;
+  if (metadata === undefined) return transition(state);
+  const before: StoreState = { ...state, session: withElectorate(state.session, vote.electorate) };
+  const context = electionContext(before, metadata, now);
+  const candidate = countVote(before.candidate, context, vote, now);
+  return onCandidateTransition(before, { ...before, candidate }, now);
+};
+
+/** Requests, renews or gives up the lease as time passes; a store without a fleet does not. */
+export const tickLease = (state: StoreState, now: Timestamp): StoreTransition => {
+  const { metadata } = state;
+  if (metadata === undefined || state.phase !== 'member') return transition(state);
+  const before: StoreState =
+    state.candidate.phase.phase === 'idle'
+      ? { ...state, candidate: { ...state.candidate, inSyncSet: chooseBackups(state, now) } }
+      : state;
+  const ticked = tickCandidate(
+    observeEpoch(before.candidate, highestEpoch(before.session, before.candidate.leaseName)),
+    electionContext(before, metadata, now),
+    wantsElection(before, now),
+    before.randomState,
     now,
   );
+  const { candidate, dice: randomState } = ticked.state;
+  return prependEffects(
+    ticked.effects,
+    onCandidateTransition(before, { ...before, candidate, randomState }, now),
+  );
 };
--- a/packages/replicated-store/src/registries/node-contacts.ts
+++ b/packages/replicated-store/src/registries/node-contacts.ts
@@ -3,74 +3,64 @@
  */
 
 import {
+  type NodeId,
   type Timestamp,
   prependEffects,
   transition,
   withEntry,
   withoutEntry,
 } from '@switchwheel/types';
+import type { NodeRecord } from '@switchwheel/configuration';
 import { enqueue } from '../commands/queue.js';
 import { type StoreState, ownId } from '../state/state.js';
 import type { StoreTransition } from '../state/transition.js';
 
+/** How long a node may be out of touch with all registries before it is recorded as offline. */
 const nodeOfflineAfterMs = 2000;
 
-/** How long a node may be out of touch before it is forgotten. */
+/** How long a node may be offline before it is forgotten. */
 const forgetNodeAfterMs = 3_600_000;
 
-/** Nodes that no registry has told of for a while are out of touch. */
+/** Checks one node; a node of which nothing was heard yet gets the whole time from now on. */
+const checkNode = (
+  state: StoreState,
+  node: NodeId,
+  record: NodeRecord,
+  now: Timestamp,
+): StoreTransition => {
+  const contact = state.nodeContacts.get(node);
+  if (contact === undefined)
+    return transition({
+      ...state,
+      nodeContacts: withEntry(state.nodeContacts, node, { registry: ownId(state), heardAt: now }),
+    });
+  const silentMs = now - contact.heardAt;
+  if (!record.online)
+    return silentMs > forgetNodeAfterMs
+      ? enqueue(
+          { ...state, nodeContacts: withoutEntry(state.nodeContacts, node) },
+          { kind: 'forgetNode', node },
+        )
+      : transition(state);
+  const isQueued = state.commandQueue.some(
+    (command) => command.kind === 'recordNode' && command.node === node,
+  );
+  if (silentMs < nodeOfflineAfterMs || isQueued) return transition(state);
+  const { role, incarnation, reported } = record;
+  return enqueue(state, {
+    kind: 'recordNode',
+    node,
+    role,
+    incarnation,
+    online: false,
+    report: reported,
+  });
+};
+
+/** Records nodes as offline that no registry has reported for a while, and forgets them in the end. */
 export const markSilentNodesOffline = (state: StoreState, now: Timestamp): StoreTransition => {
   let next: StoreTransition = transition(state);
-  for (const [node, row] of state.control.nodes) {
-    const near = state.nodeContacts.get(node);
-    if (!row.online && near !== undefined && now - near.heardAt > forgetNodeAfterMs) {
-      next = prependEffects(
-        next.effects,
-        enqueue(
-          { ...next.state, nodeContacts: withoutEntry(next.state.nodeContacts, node) },
-          { kind: 'forgetNode', node },
-        ),
-      );
-      continue;
-    }
-    if (!row.online && near === undefined)
-      next = transition(
-        {
-          ...next.state,
-          nodeContacts: withEntry(next.state.nodeContacts, node, {
-            registry: ownId(state),
-            heardAt: now,
-          }),
-        },
-        ...next.effects,
-      );
-    if (!row.online || (near !== undefined && now - near.heardAt < nodeOfflineAfterMs)) continue;
-    if (near === undefined) {
-      next = transition(
-        {
-          ...next.state,
-          nodeContacts: withEntry(next.state.nodeContacts, node, {
-            registry: ownId(state),
-            heardAt: now,
-          }),
-        },
-        ...next.effects,
-      );
-      continue;
-    }
-    if (next.state.commandQueue.some((one) => one.kind === 'recordNode' && one.node === node))
-      continue;
-    next = prependEffects(
-      next.effects,
-      enqueue(next.state, {
-        kind: 'recordNode',
-        node,
-        role: row.role,
-        incarnation: row.incarnation,
-        online: false,
-        report: row.reported,
-      }),
-    );
-  }
+  for (const [node, record] of state.control.nodes)
+    next = prependEffects(next.effects, checkNode(next.state, node, record, now));
   return next;
 };
--- a/packages/replicated-store/src/registries/subscriptions.ts
+++ b/packages/replicated-store/src/registries/subscriptions.ts
@@ -2,75 +2,126 @@
  * Subscriptions of registries at the primary: each brings what its nodes report and is answered by a feed.
  */
 
-import { type Timestamp, equalAsJson, noSeq, transition, withEntry } from '@switchwheel/types';
+import {
+  type Timestamp,
+  equalAsJson,
+  noSeq,
+  prependEffects,
+  transition,
+  withEntry,
+} from '@switchwheel/types';
 import type { FrameOf } from '@switchwheel/transport';
 import { heldEpoch } from '@switchwheel/election';
 import { enqueue } from '../commands/queue.js';
 import { isPrimary } from '../leadership/candidacy.js';
 import { feedSubscriber } from './feed.js';
-import type { StoreEffect } from '../state/events.js';
 import type { Subscriber } from '../state/peers.js';
 import type { StoreState } from '../state/state.js';
 import type { StoreTransition } from '../state/transition.js';
 
+type Subscription = FrameOf<'subscribe'>;
+type NodeReport = Subscription['reports'][number];
+
+const subscriberOf = (
+  state: StoreState,
+  subscription: Subscription,
+  now: Timestamp,
+): Subscriber => ({
+  address: subscription.registry.address,
+  zone: subscription.registry.area,
+  voter: subscription.voter,
+  heardAt: now,
+  serial: subscription.epoch === heldEpoch(state.candidate) ? subscription.serial : noSeq,
+  purged: subscription.purged,
+});
+
+/** Whether a report says what is recorded of its node already. */
+const isRecorded = (state: StoreState, report: NodeReport): boolean => {
+  const recorded = state.control.nodes.get(report.node);
+  return (
+    recorded?.incarnation === report.incarnation &&
+    recorded.online === report.open &&
+    recorded.role === report.role &&
+    equalAsJson(recorded.reported, report.report)
+  );
+};
+
+const isQueued = (state: StoreState, report: NodeReport): boolean =>
+  state.commandQueue.some(
+    (command) =>
+      command.kind === 'recordNode' &&
+      command.node === report.node &&
+      command.incarnation === report.incarnation &&
+      equalAsJson(command.report, report.report) &&
+      command.online === report.open,
+  );
+
+/** Whether a report of a lost connection doesn't count, as the node is in touch by way of another registry. */
+const isSuperseded = (
+  state: StoreState,
+  registry: Subscription['registry'],
+  { node, open }: NodeReport,
+): boolean => {
+  const contact = state.nodeContacts.get(node);
+  return !open && contact !== undefined && contact.registry !== registry.node;
+};
+
+/** Notes by which registry a node is in touch, and queues what its report changes. */
+const onNodeReport = (
+  state: StoreState,
+  registry: Subscription['registry'],
+  report: NodeReport,
+  now: Timestamp,
+): StoreTransition => {
+  const { node, role, incarnation, open } = report;
+  if (isSuperseded(state, registry, report)) return transition(state);
+  const next: StoreState = open
+    ? {
+        ...state,
+        nodeContacts: withEntry(state.nodeContacts, node, {
+          registry: registry.node,
+          heardAt: now,
+        }),
+      }
+    : state;
+  if (isRecorded(next, report) || isQueued(next, report)) return transition(next);
+  return enqueue(next, {
+    kind: 'recordNode',
+    node,
+    role,
+    incarnation,
+    online: open,
+    report: report.report,
+  });
+};
+
+/** Whether a subscription brings a node of which nothing is recorded yet: the rollout has to be planned anew. */
+const bringsNewNode = (state: StoreState, subscription: Subscription): boolean =>
+  subscription.reports.some(
+    (report) =>
+      !state.control.nodes.has(report.node) && !isSuperseded(state, subscription.registry, report),
+  );
+
+/** A registry subscribes, or renews its subscription: the primary takes the reports in and sends a feed. */
 export const onSubscribe = (
   state: StoreState,
-  subscription: FrameOf<'subscribe'>,
+  subscription: Subscription,
   now: Timestamp,
 ): StoreTransition => {
   if (!isPrimary(state, now)) return transition(state);
-  const row: Subscriber = {
-    address: subscription.registry.address,
-    zone: subscription.registry.area,
-    voter: subscription.voter,
-    heardAt: now,
-    serial: subscription.epoch === heldEpoch(state.candidate) ? subscription.serial : noSeq,
-    purged: subscription.purged,
-  };
-  let next: StoreState = {
+  const { registry } = subscription;
+  const subscriber = subscriberOf(state, subscription, now);
+  const subscribed: StoreState = {
     ...state,
-    subscribers: withEntry(state.subscribers, subscription.registry.node, row),
+    subscribers: withEntry(state.subscribers, registry.node, subscriber),
   };
-  const effects: StoreEffect[] = [...feedSubscriber(next, row, subscription.at, now)];
-  let touch = next.nodeContacts;
-  let fresh = false;
-  for (const one of subscription.reports) {
-    const known = state.control.nodes.get(one.node);
-    const near = touch.get(one.node);
-    if (!one.open && near !== undefined && near.registry !== subscription.registry.node) continue;
-    if (one.open)
-      touch = withEntry(touch, one.node, { registry: subscription.registry.node, heardAt: now });
-    const same =
-      known?.incarnation === one.incarnation &&
-      known.online === one.open &&
-      known.role === one.role &&
-      equalAsJson(known.reported, one.report);
-    if (same) continue;
-    fresh ||= known === undefined;
-    const waits = next.commandQueue.some(
-      (command) =>
-        command.kind === 'recordNode' &&
-        command.node === one.node &&
-        command.incarnation === one.incarnation &&
-        equalAsJson(command.report, one.report) &&
-        command.online === one.open,
-    );
-    if (waits) continue;
-    const queued = enqueue(next, {
-      kind: 'recordNode',
-      node: one.node,
-      role: one.role,
-      incarnation: one.incarnation,
-      online: one.open,
-      report: one.report,
-    });
-    next = queued.state;
-    effects.push(...queued.effects);
-  }
-  if (fresh) {
-    const queued = enqueue(next, { kind: 'planRollout' });
-    next = queued.state;
-    effects.push(...queued.effects);
-  }
-  return transition({ ...next, nodeContacts: touch }, ...effects);
+  let next: StoreTransition = transition(
+    subscribed,
+    ...feedSubscriber(subscribed, subscriber, subscription.at, now),
+  );
+  for (const report of subscription.reports)
+    next = prependEffects(next.effects, onNodeReport(next.state, registry, report, now));
+  return bringsNewNode(state, subscription)
+    ? prependEffects(next.effects, enqueue(next.state, { kind: 'planRollout' }))
+    : next;
 };
--- a/packages/replicated-store/src/tick.ts
+++ b/packages/replicated-store/src/tick.ts
@@ -4,20 +4,14 @@
  */
 
 import { type Timestamp, prependEffects, transition } from '@switchwheel/types';
-import { observeEpoch, tickCandidate } from '@switchwheel/election';
-import { highestEpoch, tickSession } from '@switchwheel/membership';
+import { tickSession } from '@switchwheel/membership';
 import { tickChunkRepair } from './commands/chunk-repair.js';
 import { tickAwaitingChunks } from './commands/configuration-upload.js';
 import { enqueue } from './commands/queue.js';
-import {
-  chooseBackups,
-  electionContext,
-  isPrimary,
-  wantsElection,
-} from './leadership/candidacy.js';
+import { isPrimary } from './leadership/candidacy.js';
 import { followRegistries } from './leadership/electorate-changes.js';
 import { tickStop } from './leadership/graceful-stop.js';
-import { onCandidateTransition } from './leadership/lease.js';
+import { tickLease } from './leadership/lease.js';
 import { tickPrimaryWrite } from './log-write/primary-write.js';
 import { tickOrigins } from './origins/origin-records.js';
 import { heartbeatContent } from './registries/heartbeat.js';
@@ -29,80 +23,83 @@
 import type { StoreState } from './state/state.js';
 import type { StoreTransition } from './state/transition.js';
 
+/** How often a rollout is planned without a cause. */
 const rolloutPlanIntervalMs = 60_000;
 
+/** How often a rollout is advanced without a cause. */
 const rolloutIntervalMs = 5000;
 
+/** How often a store without a primary sends a hint. */
 const hintIntervalMs = 300;
 
-const tickPrimary = (state: StoreState, now: Timestamp): StoreTransition => {
-  const seated = followRegistries(state, now);
-  let next = prependEffects(seated.effects, markSilentNodesOffline(seated.state, now));
-  if (now - next.state.rolloutPlannedAt >= rolloutPlanIntervalMs)
-    next = prependEffects(
-      next.effects,
-      enqueue({ ...next.state, rolloutPlannedAt: now }, { kind: 'planRollout' }),
-    );
-  next = prependEffects(next.effects, tickChunkRepair(next.state, now));
-  next = prependEffects(next.effects, tickReleases(next.state, now));
-  next = prependEffects(next.effects, tickOrigins(next.state, now));
-  const due = next.state.rolloutsDueAt;
-  if (
-    (due !== undefined && now >= due) ||
-    now - next.state.rolloutsAdvancedAt >= rolloutIntervalMs
-  ) {
-    next = prependEffects(
-      next.effects,
-      enqueue(
-        { ...next.state, rolloutsDueAt: undefined, rolloutsAdvancedAt: now },
+/** Queues what the open rollout needs now and then. */
+const tickRolloutPlan = (state: StoreState, now: Timestamp): StoreTransition =>
+  now - state.rolloutPlannedAt >= rolloutPlanIntervalMs
+    ? enqueue({ ...state, rolloutPlannedAt: now }, { kind: 'planRollout' })
+    : transition(state);
+
+const tickRolloutAdvance = (state: StoreState, now: Timestamp): StoreTransition => {
+  const isDue = state.rolloutsDueAt !== undefined && now >= state.rolloutsDueAt;
+  return isDue || now - state.rolloutsAdvancedAt >= rolloutIntervalMs
+    ? enqueue(
+        { ...state, rolloutsDueAt: undefined, rolloutsAdvancedAt: now },
         { kind: 'advanceRollout' },
-      ),
-    );
-  }
+      )
+    : transition(state);
+};
+
+/** Hints keep the pace of the statuses; one that became due within this tick brings no hint. */
+const tickHint = (state: StoreState, now: Timestamp, atStart: StoreState): StoreTransition =>
+  now - atStart.statusSentAt >= hintIntervalMs
+    ? transition(state, ...sendHint(state, now))
+    : transition(state);
+
+const tickNodeSession = (state: StoreState, now: Timestamp): StoreTransition => {
+  const session = tickSession(state.session, heartbeatContent(state, now, false), now);
+  return transition({ ...state, session: session.state }, ...session.effects);
+};
+
+/** What one part of a store does with a tick, given the state as it is now and as it was when the tick began. */
+type TickHandler = (state: StoreState, now: Timestamp, atStart: StoreState) => StoreTransition;
+
+/** What every store does with a tick, in this order. */
+const storeTicks: readonly TickHandler[] = [
+  tickNodeSession,
+  tickLease,
+  tickHint,
+  sendStatus,
+  tickPrimaryWrite,
+  tickAwaitingChunks,
+  tickStop,
+];
+
+/** What the primary does beside, in this order. */
+const primaryTicks: readonly TickHandler[] = [
+  followRegistries,
+  markSilentNodesOffline,
+  tickRolloutPlan,
+  tickChunkRepair,
+  tickReleases,
+  tickOrigins,
+  tickRolloutAdvance,
+];
+
+const runTicks = (
+  before: StoreState,
+  handlers: readonly TickHandler[],
+  now: Timestamp,
+): StoreTransition => {
+  let next: StoreTransition = transition(before);
+  for (const handler of handlers)
+    next = prependEffects(next.effects, handler(next.state, now, before));
   return next;
 };
 
+/** Time passes: each part of the store does what is due. */
 export const onTick = (before: StoreState, now: Timestamp): StoreTransition => {
   if (before.phase === 'reading') return transition(before);
-  const state = expireSilentMembers(before, now);
-  const drifted = tickSession(state.session, heartbeatContent(state, now, false), now);
-  let next: StoreTransition = transition({ ...state, session: drifted.state }, ...drifted.effects);
-  const metadata = next.state.metadata;
-  if (metadata !== undefined && state.phase === 'member') {
-    const base: StoreState =
-      next.state.candidate.phase.phase === 'idle'
-        ? {
-            ...next.state,
-            candidate: { ...next.state.candidate, inSyncSet: chooseBackups(next.state, now) },
-          }
-        : next.state;
-    const known = observeEpoch(
-      base.candidate,
-      highestEpoch(base.session, base.candidate.leaseName),
-    );
-    const passed = tickCandidate(
-      known,
-      electionContext(base, metadata, now),
-      wantsElection(base, now),
-      base.randomState,
-      now,
-    );
-    next = prependEffects(
-      [...next.effects, ...passed.effects],
-      onCandidateTransition(
-        base,
-        { ...base, candidate: passed.state.candidate, randomState: passed.state.dice },
-        now,
-      ),
-    );
-  }
-  if (now - state.statusSentAt >= hintIntervalMs)
-    next = transition(next.state, ...next.effects, ...sendHint(next.state, now));
-  next = prependEffects(next.effects, sendStatus(next.state, now));
-  next = prependEffects(next.effects, tickPrimaryWrite(next.state, now));
-  next = prependEffects(next.effects, tickAwaitingChunks(next.state, now));
-  next = prependEffects(next.effects, tickStop(next.state, now));
+  const next = runTicks(expireSilentMembers(before, now), storeTicks, now);
   return isPrimary(next.state, now)
-    ? prependEffects(next.effects, tickPrimary(next.state, now))
+    ? prependEffects(next.effects, runTicks(next.state, primaryTicks, now))
     : next;
 };
