--- a/packages/model-checker/src/seeded-bugs/list.ts
+++ b/packages/model-checker/src/seeded-bugs/list.ts
@@ -139,8 +139,8 @@
     name: 'a backup takes no copy past a gap',
     rule: 'a primary has every confirmed write',
     file: backupWrite,
-    from: 'const next = isSameStamp(state.stamp, write.prior) || isSameStamp(state.stamp, write.stamp);',
-    to: 'const next = true;',
+    from: 'const isNext = isSameStamp(state.stamp, write.prior) || isSameStamp(state.stamp, write.stamp);',
+    to: 'const isNext = true;',
   },
   {
     name: 'a lower number does not replace a higher one',
--- a/packages/replicated-store/src/commands/chunk-requests.ts
+++ b/packages/replicated-store/src/commands/chunk-requests.ts
@@ -8,7 +8,7 @@
 import type { StoreState } from '../state/state.js';
 import type { StoreTransition } from '../state/transition.js';
 
-/** Tells of pieces that were asked for and that the table does not hold. */
+/** Log lines for chunks that were requested and are not in the table. */
 const logMissedChunks = (
   state: StoreState,
   from: Peer,
@@ -17,14 +17,14 @@
   hashes.map((hash) =>
     log(
       'warn',
-      'asked for a piece that the table does not hold',
-      ['piece', hash],
+      'requested chunk is not in the table',
+      ['chunk', hash],
       ['from', from.node],
       ['inForce', state.control.configuration?.offer.pieces.includes(hash) === true ? 'yes' : 'no'],
     ),
   );
 
-/** A registry lacks pieces of the description in force. */
+/** A registry requests chunks of the configuration in force. */
 export const onChunkRequest = (
   state: StoreState,
   from: Peer,
--- a/packages/replicated-store/src/leadership/electorate-changes.ts
+++ b/packages/replicated-store/src/leadership/electorate-changes.ts
@@ -25,20 +25,22 @@
 export const followRegistries = (before: StoreState, now: Timestamp): StoreTransition => {
   const noted = notePolledElectorate(before, now);
   const state = noted === before ? before : renewLeaseSoon(noted);
-  const open =
+  const isChanging =
     state.primaryWrite !== undefined ||
     state.commandQueue.some(
-      (one) => one.kind === 'changeElectorate' || one.kind === 'followRegistries',
+      ({ kind }) => kind === 'changeElectorate' || kind === 'followRegistries',
     );
   const electorate =
-    state.settings.electorateFollowsRegistries && !open ? nextElectorate(state, now) : undefined;
+    state.settings.electorateFollowsRegistries && !isChanging
+      ? nextElectorate(state, now)
+      : undefined;
   if (electorate === undefined) return transition(state);
   const queued = enqueue(state, { kind: 'followRegistries', electorate });
   return prependEffects(
     [
-      log('info', 'the electorate follows the registries', [
+      log('info', 'electorate change queued', [
         'members',
-        electorate.members.map((one) => one.node).join(', '),
+        electorate.members.map((member) => member.node).join(', '),
       ]),
     ],
     queued,
--- a/packages/replicated-store/src/log-write/backup-replacement.ts
+++ b/packages/replicated-store/src/log-write/backup-replacement.ts
@@ -43,7 +43,7 @@
 import type { StoreState } from '../state/state.js';
 import type { StoreTransition } from '../state/transition.js';
 
-/** Notes since when copies have been lacking. */
+/** Notes since when there have been too few replicas. */
 export const noteShortage = (state: StoreState, now: Timestamp): StoreState =>
   state.shortageSince === undefined ? { ...state, shortageSince: now } : state;
 
@@ -55,7 +55,7 @@
 ): ClusterMetadata['stores'] => {
   const added = set.flatMap((node) => {
     const peer = state.peers.get(node);
-    const isNamed = metadata.stores.some((one) => one.node === node);
+    const isNamed = metadata.stores.some((store) => store.node === node);
     return isNamed || peer === undefined ? [] : [{ node, address: peer.address }];
   });
   return [...metadata.stores, ...added];
@@ -74,14 +74,14 @@
   };
   const next: StoreState = { ...state, metadata };
   const context = electionContext(next, metadata, now);
-  const asked = startElection(state.candidate, context, set, now);
-  return transition({ ...next, candidate: asked.state }, ...asked.effects);
+  const election = startElection(state.candidate, context, set, now);
+  return transition({ ...next, candidate: election.state }, ...election.effects);
 };
 
-/** Whether a backup that is late still speaks and has not refused: its disk may only be slow. */
+/** Whether a backup that is late is still in touch and has not refused: its disk may only be slow. */
 const awaitsLateBackup = (state: StoreState, lost: readonly NodeId[], now: Timestamp): boolean =>
-  lost.some((one) => {
-    const peer = state.peers.get(one);
+  lost.some((node) => {
+    const peer = state.peers.get(node);
     return (
       peer?.metadata !== undefined &&
       !peer.isDiskFull &&
@@ -91,8 +91,8 @@
   });
 
 /**
- * Whether waiting may bring another copy. A primary that does not serve yet can bring nobody up, so
- * it goes on with what there is; orders wait for the copies once it serves.
+ * Whether waiting may bring another replica. A primary that does not serve yet can resync nobody, so
+ * it goes on with what there is; operators' commands wait for the replicas once it serves.
  */
 const mayBecomeEnough = (
   state: StoreState,
@@ -113,19 +113,19 @@
   now: Timestamp,
 ): StoreTransition => {
   if (state.metadata === undefined || !holdsLease(state.candidate, now)) return transition(state);
-  const kept = state.candidate.inSyncSet.filter((one) => !lost.includes(one));
+  const kept = state.candidate.inSyncSet.filter((node) => !lost.includes(node));
   const learners = caughtUpLearners(state, [...kept, ...lost], now);
   const set = chooseReplicas(state, kept, learners);
   const isEnough = hasEnoughReplicas(state, set);
   if (!isEnough && mayBecomeEnough(state, set, lost, now))
     return transition(noteShortage(state, now));
-  const words = isEnough
-    ? log('warn', 'backups are replaced', ['lost', lost.join(', ')], ['set', set.join(', ')])
+  const logLine = isEnough
+    ? log('warn', 'backups replaced', ['lost', lost.join(', ')], ['set', set.join(', ')])
     : log(
         'error',
-        'going on with fewer copies than asked for: no other store in reach has a working disk',
+        'in-sync set reduced: no other store in reach has a working disk',
         ['lost', lost.join(', ')],
         ['set', set.join(', ')],
       );
-  return prependEffects([words], requestInSyncSet(state, set, now));
+  return prependEffects([logLine], requestInSyncSet(state, set, now));
 };
--- a/packages/replicated-store/src/log-write/backup-write.ts
+++ b/packages/replicated-store/src/log-write/backup-write.ts
@@ -13,11 +13,13 @@
 import type { StoreEffect, WriteFailed } from '../state/events.js';
 import type { BackupWrite } from '../state/open-writes.js';
 import { type StoreState, ownId } from '../state/state.js';
-import { isSameStamp, withPuts } from '../state/table.js';
+import { type Table, isSameStamp, withPuts } from '../state/table.js';
 import type { StoreTransition } from '../state/transition.js';
 
+/** How many writes may wait; a store that is further behind is resynced. */
 const maxQueuedReplications = 16;
 
+/** The reply to the primary: the write is on this disk, or why not. */
 const acknowledgement = (
   state: StoreState,
   backupWrite: Pick<BackupWrite, 'replyTo' | 'metadata' | 'stamp'>,
@@ -34,23 +36,22 @@
     text,
   });
 
-/** Keeps a write that came while another one is on its way to the disk: a learner would have a gap else. */
+/** Keeps a write that came while another one is on its way to the disk: without it a learner would have a gap. */
 const queueReplication = (
   state: StoreState,
   from: Peer,
   write: FrameOf<'replicate'>,
 ): StoreState => {
   const isKnown = state.replicationQueue.some(
-    (one) =>
-      isSameStamp(one.frame.stamp, write.stamp) &&
-      one.frame.metadata.epoch === write.metadata.epoch,
+    ({ frame }) =>
+      isSameStamp(frame.stamp, write.stamp) && frame.metadata.epoch === write.metadata.epoch,
   );
   return isKnown || state.replicationQueue.length >= maxQueuedReplications
     ? state
     : { ...state, replicationQueue: [...state.replicationQueue, { from, frame: write }] };
 };
 
-/** Takes the next write that waits, if there is one. */
+/** Takes the next write that waits, if there is one and the disk is free. */
 const continueReplication = (state: StoreState, now: Timestamp): StoreTransition => {
   const [next, ...rest] = state.replicationQueue;
   if (next === undefined || state.backupWrite !== undefined) return transition(state);
@@ -58,98 +59,106 @@
   return prependEffects(taken.effects, continueReplication(taken.state, now));
 };
 
-/** The primary copies a write here. */
+/** The primary replicates a write: it is taken if it follows the last one that is here. */
 export const onReplicate = (
   before: StoreState,
   from: Peer,
   write: FrameOf<'replicate'>,
   now: Timestamp,
 ): StoreTransition => {
-  const metadata = before.metadata;
+  const { metadata } = before;
   if (metadata === undefined || metadata.fleet !== write.metadata.fleet) return transition(before);
-  const wanted = { replyTo: from.address, metadata: write.metadata, stamp: write.stamp };
+  const replicated = { replyTo: from.address, metadata: write.metadata, stamp: write.stamp };
   if (write.metadata.epoch < metadata.epoch || write.metadata.epoch < heldEpoch(before.candidate))
-    return transition(before, acknowledgement(before, wanted, false, 'an older epoch'));
+    return transition(before, acknowledgement(before, replicated, false, 'an older epoch'));
   const state = notePrimary(before, write.metadata, now);
   if (isSameStamp(state.stamp, write.stamp) && metadata.epoch === write.metadata.epoch)
-    return transition(state, acknowledgement(state, wanted, true, ''));
+    return transition(state, acknowledgement(state, replicated, true, ''));
   if (state.backupWrite !== undefined) return transition(queueReplication(state, from, write));
   if (state.primaryWrite !== undefined) return transition(state);
-  const required = write.metadata.inSyncSet.includes(ownId(state));
+  const isRequired = write.metadata.inSyncSet.includes(ownId(state));
   // It may have the write itself already, from before the in-sync set changed.
-  const next = isSameStamp(state.stamp, write.prior) || isSameStamp(state.stamp, write.stamp);
-  if (!next)
-    return transition(state, ...(required ? [acknowledgement(state, wanted, false, 'a gap')] : []));
+  const isNext = isSameStamp(state.stamp, write.prior) || isSameStamp(state.stamp, write.stamp);
+  if (!isNext)
+    return transition(
+      state,
+      ...(isRequired ? [acknowledgement(state, replicated, false, 'a gap')] : []),
+    );
   return startBackupWrite(state, {
     startedAt: now,
     purpose: 'replicate',
-    ...wanted,
+    ...replicated,
     puts: write.puts,
     stamps: new Map(),
     commandId: undefined,
   });
 };
 
-/** A mend or a copy lasts on this disk. */
-export const onBackupWriteSynced = (
+/** The reply to a bootstrap; none is due if this store was not asked by a command. */
+const bootstrapReply = (
   state: StoreState,
+  backupWrite: BackupWrite,
+  ok: boolean,
+  text: string,
+): readonly StoreEffect[] => {
+  const { commandId: id } = backupWrite;
+  if (id === undefined) return [];
+  return [send(backupWrite.replyTo, { kind: 'bootstrapped', id, node: ownId(state), ok, text })];
+};
+
+/** The table with a write in it; entries of a resync keep the stamps that they have at the primary. */
+const tableWith = (
+  table: Table,
+  { puts, stamp, stamps }: Pick<BackupWrite, 'puts' | 'stamp' | 'stamps'>,
+): Table =>
+  stamps.size === 0
+    ? withPuts(table, puts, stamp)
+    : puts.reduce((next, put) => withPuts(next, [put], stamps.get(put.key) ?? stamp), table);
+
+/** A write that was taken from elsewhere is on this disk: it is acknowledged, and the next one is taken. */
+export const onBackupWriteSynced = (
+  before: StoreState,
   writeId: number,
   now: Timestamp,
 ): StoreTransition => {
-  const backupWrite = state.backupWrite;
-  if (backupWrite?.id !== writeId) return transition(state);
-  const base: StoreState = {
-    ...state,
+  const { backupWrite } = before;
+  if (backupWrite?.id !== writeId) return transition(before);
+  const { metadata, stamp, purpose } = backupWrite;
+  const state: StoreState = {
+    ...before,
     backupWrite: undefined,
     mustWipe: false,
     diskFullAt: undefined,
     standDownUntil: clockOrigin,
-    metadata: backupWrite.metadata,
+    metadata,
     diskDamage: '',
-    phase: state.phase === 'empty' ? 'member' : state.phase,
+    phase: before.phase === 'empty' ? 'member' : before.phase,
+    stamp,
   };
-  if (backupWrite.purpose === 'bootstrap') {
-    const told =
-      backupWrite.commandId === undefined
-        ? []
-        : [
-            send(backupWrite.replyTo, {
-              kind: 'bootstrapped' as const,
-              id: backupWrite.commandId,
-              node: ownId(state),
-              ok: true,
-              text: '',
-            }),
-          ];
+  if (purpose === 'bootstrap')
     return transition(
-      { ...base, stamp: backupWrite.stamp },
-      log('info', 'this store belongs to a fleet now', ['fleet', backupWrite.metadata.fleet]),
-      ...told,
+      state,
+      log('info', 'bootstrapped', ['fleet', metadata.fleet]),
+      ...bootstrapReply(state, backupWrite, true, ''),
     );
-  }
-  let table = state.table;
-  if (backupWrite.stamps.size === 0) table = withPuts(table, backupWrite.puts, backupWrite.stamp);
-  else
-    for (const one of backupWrite.puts)
-      table = withPuts(table, [one], backupWrite.stamps.get(one.key) ?? backupWrite.stamp);
   const next: StoreState = {
-    ...base,
-    table,
+    ...state,
+    table: tableWith(state.table, backupWrite),
     control: applyPuts(state.control, backupWrite.puts),
-    stamp: backupWrite.stamp,
   };
   const resumed =
-    backupWrite.purpose === 'replicate'
-      ? transition(next, acknowledgement(state, backupWrite, true, ''))
+    purpose === 'replicate'
+      ? transition(next, acknowledgement(next, backupWrite, true, ''))
       : continueResync(next, now);
   return prependEffects(resumed.effects, continueReplication(resumed.state, now));
 };
 
+/** The disk did not take a write that came from elsewhere; what waited behind it is dropped. */
 export const onBackupWriteFailed = (
   state: StoreState,
   { writeId, reason, isDiskFull, now }: WriteFailed,
 ): StoreTransition => {
-  const backupWrite = state.backupWrite;
+  const { backupWrite } = state;
   if (backupWrite?.id !== writeId) return transition(state);
   const next: StoreState = {
     ...state,
@@ -160,17 +169,7 @@
   };
   if (backupWrite.purpose === 'replicate')
     return transition(next, acknowledgement(state, backupWrite, false, reason));
-  if (backupWrite.purpose === 'bootstrap' && backupWrite.commandId !== undefined) {
-    return transition(
-      next,
-      send(backupWrite.replyTo, {
-        kind: 'bootstrapped',
-        id: backupWrite.commandId,
-        node: ownId(state),
-        ok: false,
-        text: reason,
-      }),
-    );
-  }
-  return transition(next, log('error', 'the disk refused a mend', ['why', reason]));
+  if (backupWrite.purpose === 'bootstrap' && backupWrite.commandId !== undefined)
+    return transition(next, ...bootstrapReply(state, backupWrite, false, reason));
+  return transition(next, log('error', 'resync write failed', ['why', reason]));
 };
--- a/packages/replicated-store/src/releases/release-progress.ts
+++ b/packages/replicated-store/src/releases/release-progress.ts
@@ -27,20 +27,20 @@
 import type { StoreState } from '../state/state.js';
 import type { StoreTransition } from '../state/transition.js';
 
-/** How many origins of each release of a service stand. */
+/** How many origins of each release of a service are up. */
 export const liveOriginsByRelease = (
   state: StoreState,
   service: ServiceName,
 ): ReadonlyMap<Release, number> => {
-  const standing = new Map<Release, number>();
+  const counts = new Map<Release, number>();
   for (const one of state.session.origins.values()) {
     if (one.service === service && one.state === 'up')
-      standing.set(one.release, (standing.get(one.release) ?? 0) + 1);
+      counts.set(one.release, (counts.get(one.release) ?? 0) + 1);
   }
-  return standing;
+  return counts;
 };
 
-/** The release that most origins bear, other than one. */
+/** The release that most origins run, other than `except`; the lesser name if several have as many. */
 export const mostCommonRelease = (
   liveOrigins: ReadonlyMap<Release, number>,
   except?: Release,
@@ -49,13 +49,13 @@
     .filter(([release]) => release !== except)
     .sort(([one, many], [two, more]) => more - many || (one < two ? -1 : 1))[0]?.[0];
 
-/** How much of an order's span is over, as far as this store knows. */
+/** How much of a rollout's time span is over, in milliseconds, as far as this store knows. */
 export const elapsedOf = (state: StoreState, order: ReleaseRollout, now: Timestamp): number => {
   const own = state.releaseWatches.get(order.service);
   return own?.order === order.order ? Math.max(order.spentMs, elapsedAt(own, now)) : order.spentMs;
 };
 
-/** Watches the orders that need it, from where the record says they are. */
+/** Watches the rollouts that need it, from where their records say they are. */
 const withReleaseWatches = (state: StoreState, now: Timestamp): StoreState => {
   let watches = state.releaseWatches;
   for (const [service, one] of state.control.releases) {
@@ -66,7 +66,7 @@
   return kept === state.releaseWatches ? state : { ...state, releaseWatches: kept };
 };
 
-/** Whether a change of a service's record is in its turn or being written already. */
+/** Whether a change of a service's record is queued or being written already. */
 const hasPendingChange = (state: StoreState, service: ServiceName): boolean =>
   state.commandQueue.some(
     (one) =>
@@ -95,13 +95,13 @@
     state.settings.releases ?? releaseSettings,
   );
   if (next === order) return transition(state);
-  const told =
+  const logLines =
     next.phase === order.phase
       ? []
       : [
           log(
             'info',
-            'an order of a release goes on',
+            'release rollout advanced',
             ['service', order.service],
             ['target', next.target ?? ''],
             ['phase', next.phase],
@@ -109,10 +109,10 @@
             ['why', next.text],
           ),
         ];
-  return prependEffects(told, enqueue(state, { kind: 'recordRelease', record: next }));
+  return prependEffects(logLines, enqueue(state, { kind: 'recordRelease', record: next }));
 };
 
-/** Notes on which release each service stands that has no record yet. */
+/** Records the release that each service runs of which there is no record yet. */
 const recordSettledReleases = (state: StoreState): StoreTransition => {
   let next: StoreTransition = transition(state);
   const services = new Set(
@@ -132,7 +132,7 @@
   return next;
 };
 
-/** Lets time pass over the orders of releases. */
+/** Advances the rollouts of releases, and records the releases of services that have no record yet. */
 export const tickReleases = (state: StoreState, now: Timestamp): StoreTransition => {
   let next = recordSettledReleases(withReleaseWatches(state, now));
   for (const order of state.control.releases.values())
@@ -140,7 +140,7 @@
   return next;
 };
 
-/** An edge tells what it counts; a release that it shows to be bad is judged at once. */
+/** An edge reports its counts; a release that they show to be bad is judged at once. */
 export const onTally = (
   before: StoreState,
   tally: FrameOf<'tally'>,
--- a/packages/replicated-store/src/resync/bootstrap.ts
+++ b/packages/replicated-store/src/resync/bootstrap.ts
@@ -9,27 +9,27 @@
 import { type StoreState, ownId } from '../state/state.js';
 import type { StoreTransition } from '../state/transition.js';
 
-/** An operator founds a fleet on this store and its peer. */
+/** A registry proposes a fleet; agreed to as often as it comes, and refused once the store belongs to another one. */
 export const onBootstrap = (
   state: StoreState,
   from: Peer,
   proposal: FrameOf<'bootstrap'>,
   now: Timestamp,
 ): StoreTransition => {
-  const answer = (ok: boolean, text: string): StoreEffect =>
+  const reply = (ok: boolean, text: string): StoreEffect =>
     send(from.address, { kind: 'bootstrapped', id: proposal.id, node: ownId(state), ok, text });
   const known = state.metadata;
-  if (known?.fleet === proposal.fleet) return transition(state, answer(true, ''));
+  if (known?.fleet === proposal.fleet) return transition(state, reply(true, ''));
   if (known !== undefined && known.epoch > 0)
-    return transition(state, answer(false, `belongs to the fleet ${known.fleet}`));
+    return transition(state, reply(false, `belongs to the fleet ${known.fleet}`));
   if (!state.mayBootstrap)
-    return transition(state, answer(false, 'no fleet is founded on this store'));
+    return transition(state, reply(false, 'no fleet is founded on this store'));
   if (state.phase === 'reading' || state.backupWrite !== undefined)
-    return transition(state, answer(false, 'busy; found again'));
+    return transition(state, reply(false, 'busy; found again'));
   const metadata: ClusterMetadata = {
     fleet: proposal.fleet,
     epoch: noEpoch,
-    inSyncSet: proposal.stores.map((one) => one.node),
+    inSyncSet: proposal.stores.map((store) => store.node),
     stores: proposal.stores,
     electorate: proposal.electorate,
   };
--- a/packages/replicated-store/src/resync/learner-resync.ts
+++ b/packages/replicated-store/src/resync/learner-resync.ts
@@ -13,15 +13,16 @@
 import { isNewerStamp, isSameStamp, keysInRange, rangeDigests } from '../state/table.js';
 import type { StoreTransition } from '../state/transition.js';
 
+/** How many frames of entries may wait for the disk. */
 const maxQueuedResyncs = 64;
 
-/** Whether a store may be mended by the holder of this epoch. */
+/** Whether this store may be resynced by the primary of an epoch. */
 const acceptsResync = (state: StoreState, epoch: number): boolean =>
   !inSync(state) &&
   state.primaryWrite === undefined &&
   epoch >= Math.max(state.metadata?.epoch ?? 0, state.excludedAtEpoch);
 
-/** The primary lists a range that is unlike: what is wrong here is dropped, what is lacking is fetched. */
+/** The primary lists a range that differs: what it doesn't have is deleted here, what is missing is fetched. */
 export const onRangeListing = (
   state: StoreState,
   from: Peer,
@@ -31,26 +32,26 @@
   if (!acceptsResync(state, listing.epoch)) return transition(state);
   // What came here since the listing was made is not in it.
   if (isNewerStamp(state.stamp, listing.stamp)) return transition(state);
-  const listed = new Map(listing.keys.map((one) => [one.key, one.stamp]));
-  const lacking = listing.keys.filter((one) => {
-    const mine = state.table.get(one.key);
-    return mine === undefined || !isSameStamp(mine.stamp, one.stamp);
+  const listed = new Set(listing.keys.map(({ key }) => key));
+  const missing = listing.keys.filter(({ key, stamp }) => {
+    const entry = state.table.get(key);
+    return entry === undefined || !isSameStamp(entry.stamp, stamp);
   });
-  const extra = keysInRange(state.table, listing.range).filter((one) => !listed.has(one.key));
+  const extra = keysInRange(state.table, listing.range).filter(({ key }) => !listed.has(key));
   const fetch: readonly StoreEffect[] =
-    lacking.length === 0
+    missing.length === 0
       ? []
       : [
           send(from.address, {
             kind: 'fetch-entries',
             node: ownId(state),
             epoch: listing.epoch,
-            keys: lacking.map((one) => one.key),
+            keys: missing.map(({ key }) => key),
           }),
         ];
   if (extra.length === 0 || state.metadata === undefined || state.backupWrite !== undefined)
     return transition(state, ...fetch);
-  const puts: readonly TableMutation[] = extra.map((one) => ({ key: one.key, data: null }));
+  const puts: readonly TableMutation[] = extra.map(({ key }) => ({ key, data: null }));
   return prependEffects(
     fetch,
     startBackupWrite(state, {
@@ -66,10 +67,12 @@
   );
 };
 
+/** Whether the table equals the one that has these digests. */
 const digestsMatch = (state: StoreState, otherDigests: readonly string[]): boolean => {
-  const mine = rangeDigests(state.table);
+  const own = rangeDigests(state.table);
   return (
-    mine.length === otherDigests.length && mine.every((one, range) => one === otherDigests[range])
+    own.length === otherDigests.length &&
+    own.every((digest, range) => digest === otherDigests[range])
   );
 };
 
@@ -90,12 +93,12 @@
     return transition(state);
   if (state.metadata !== undefined && state.metadata.fleet !== batch.metadata.fleet)
     return transition(state);
-  const stamps = new Map(batch.entries.map((one) => [one.key, one.stamp]));
-  const puts = batch.entries.map((one) => ({ key: one.key, data: one.data }));
+  const stamps = new Map(batch.entries.map(({ key, stamp: entryStamp }) => [key, entryStamp]));
+  const puts = batch.entries.map(({ key, data }) => ({ key, data }));
   // What was equal when the primary compared may have changed since.
   if (batch.settled !== undefined && !digestsMatch(state, batch.settled.digests))
     return transition(state);
-  // Until it is settled, this store has no stamp: no write can follow, and it does not stand.
+  // Until the primary settles it, this store has no stamp: no write can follow, and it is no candidate.
   const stamp = batch.settled?.stamp ?? noStamp;
   return startBackupWrite(state, {
     startedAt: now,
@@ -109,7 +112,7 @@
   });
 };
 
-/** After a mend was written the next one is, or the primary is asked at once what is still unlike. */
+/** Takes the next frame of entries, or asks the primary at once, by a status, what still differs. */
 export const continueResync = (state: StoreState, now: Timestamp): StoreTransition => {
   const [next, ...rest] = state.resyncQueue;
   if (next !== undefined)
--- a/packages/replicated-store/src/resync/peer-status.ts
+++ b/packages/replicated-store/src/resync/peer-status.ts
@@ -18,14 +18,15 @@
   now: Timestamp,
 ): Timestamp => {
   if (before === undefined || now - before.heardAt >= peerTimeoutMs) return now;
-  const moved =
+  const hasMoved =
     !isSameStamp(before.stamp, status.stamp) ||
     before.isDiskFull !== status.full ||
     (status.digests.length > 0 &&
-      status.digests.some((one, range) => one !== before.digests[range]));
-  return moved ? now : before.progressAt;
+      status.digests.some((digest, range) => digest !== before.digests[range]));
+  return hasMoved ? now : before.progressAt;
 };
 
+/** Takes a peer's status in. A primary that gave its lease up counts as silent at once. */
 export const notePeerStatus = (
   state: StoreState,
   from: Peer,
@@ -33,7 +34,7 @@
   now: Timestamp,
 ): StoreState => {
   const before = state.peers.get(status.node);
-  const row: PeerStatus = {
+  const peer: PeerStatus = {
     node: status.node,
     address: from.address,
     metadata: status.metadata,
@@ -45,14 +46,14 @@
     digests: status.digests.length > 0 ? status.digests : (before?.digests ?? []),
     progressAt: lastProgressAt(before, status, now),
   };
-  const led =
+  const noted =
     status.primary && status.metadata !== undefined
       ? notePrimary(state, status.metadata, now)
       : state;
-  const left = !status.primary && before?.isPrimary === true;
+  const gaveLeaseUp = !status.primary && before?.isPrimary === true;
   return {
-    ...led,
-    primaryHeardAt: left ? toTimestamp(now - primaryTimeoutMs) : led.primaryHeardAt,
-    peers: new Map([...state.peers, [status.node, row]]),
+    ...noted,
+    primaryHeardAt: gaveLeaseUp ? toTimestamp(now - primaryTimeoutMs) : noted.primaryHeardAt,
+    peers: new Map([...state.peers, [status.node, peer]]),
   };
 };
--- a/packages/replicated-store/src/resync/primary-resync.ts
+++ b/packages/replicated-store/src/resync/primary-resync.ts
@@ -21,8 +21,10 @@
 import { isSameStamp, keysInRange, rangeDigests } from '../state/table.js';
 import type { StoreTransition } from '../state/transition.js';
 
+/** No more entries join a frame once it bears so many characters. */
 const resyncBatchCharacters = 1024 * 1024;
 
+/** How many ranges are listed in answer to one status. */
 const resyncRangesPerReply = 8;
 
 /** Whether a store with this stamp has the last confirmed write, or the one that is open. */
@@ -30,7 +32,7 @@
   isSameStamp(stamp, state.stamp) ||
   (state.primaryWrite !== undefined && isSameStamp(stamp, state.primaryWrite.stamp));
 
-/** A peer tells where it stands. */
+/** A peer sends its status: the primary replaces a backup that lost its disk, and resyncs learners. */
 export const onPeerStatus = (
   state: StoreState,
   from: Peer,
@@ -38,11 +40,11 @@
   now: Timestamp,
 ): StoreTransition => {
   const noted = notePeerStatus(state, from, status, now);
-  const metadata = state.metadata;
+  const { metadata } = state;
   if (metadata === undefined || !isPrimary(state, now)) return transition(noted);
   if (status.metadata !== undefined && status.metadata.fleet !== metadata.fleet)
     return transition(noted);
-  // A store that counts as in sync and says that it holds nothing has lost its disk: it is replaced at once, and then mended.
+  // A store of the in-sync set that has no metadata has lost its disk: it is replaced at once, and then resynced.
   if (metadata.inSyncSet.includes(status.node) && status.metadata === undefined)
     return replaceBackups(noted, [status.node], now);
   if (metadata.inSyncSet.includes(status.node) || status.digests.length === 0)
@@ -52,7 +54,7 @@
   return resyncLearner(pickLearner(noted, metadata, now), from, status, metadata, now);
 };
 
-/** Mends the spare whose turn it is, or takes it in once it is equal; all have their turn while copies are lacking. */
+/** Resyncs the learner whose turn it is, and promotes it once it is equal; all have their turn while there are too few replicas. */
 const resyncLearner = (
   state: StoreState,
   from: Peer,
@@ -62,16 +64,18 @@
 ): StoreTransition => {
   if (state.activeResync?.node !== status.node && state.shortageSince === undefined)
     return transition(state);
-  const mine = rangeDigests(state.table);
-  const unlike = mine.flatMap((one, range) => (one === status.digests[range] ? [] : [range]));
-  const shown: ClusterMetadata = {
+  const ownDigests = rangeDigests(state.table);
+  const differingRanges = ownDigests.flatMap((digest, range) =>
+    digest === status.digests[range] ? [] : [range],
+  );
+  const metadataWithLearner: ClusterMetadata = {
     ...metadata,
     stores: storesWithLearner(state, from, metadata, now),
   };
-  if (unlike.length > 0) {
+  if (differingRanges.length > 0) {
     return transition(
       state,
-      ...unlike.slice(0, resyncRangesPerReply).map((range) =>
+      ...differingRanges.slice(0, resyncRangesPerReply).map((range) =>
         send(from.address, {
           kind: 'range-listing' as const,
           epoch: metadata.epoch,
@@ -88,26 +92,27 @@
       send(from.address, {
         kind: 'resync-entries',
         epoch: metadata.epoch,
-        metadata: shown,
-        settled: { stamp: state.stamp, digests: mine },
+        metadata: metadataWithLearner,
+        settled: { stamp: state.stamp, digests: ownDigests },
         entries: [],
       }),
       ...replicateOpenWrite(state, from.address),
     );
   }
-  // Equal to the last entry and stamp, and nothing is being written: it is in sync from the next epoch on.
+  // Equal in entries and stamp, and no write is open: it is in sync from the next epoch on.
   return mayPromote(state, status.node, now)
-    ? promoteLearner(state, from, shown, now)
+    ? promoteLearner(state, from, metadataWithLearner, now)
     : transition(state);
 };
 
+/** A learner requests entries that it lacks: as many are sent as fit a frame, which counts as progress. */
 export const onFetchEntries = (
   state: StoreState,
   from: Peer,
   request: FrameOf<'fetch-entries'>,
   now: Timestamp,
 ): StoreTransition => {
-  const metadata = state.metadata;
+  const { metadata } = state;
   if (metadata === undefined || !isPrimary(state, now) || request.epoch !== metadata.epoch)
     return transition(state);
   const entries: FrameOf<'resync-entries'>['entries'] = [];
@@ -119,12 +124,12 @@
     size += entry.data.length;
     if (size > resyncBatchCharacters) break;
   }
-  const mending =
+  const activeResync =
     state.activeResync?.node === request.node
       ? { node: request.node, since: now }
       : state.activeResync;
   return transition(
-    { ...state, activeResync: mending },
+    { ...state, activeResync },
     send(from.address, { kind: 'resync-entries', epoch: metadata.epoch, metadata, entries }),
   );
 };
--- a/packages/replicated-store/src/resync/status.ts
+++ b/packages/replicated-store/src/resync/status.ts
@@ -10,22 +10,23 @@
 import { rangeDigests } from '../state/table.js';
 import type { StoreTransition } from '../state/transition.js';
 
+/** How often a store sends its status. */
 const statusIntervalMs = 300;
 
-/** How long a write to this disk may take before the disk counts as one that takes none. */
+/** How long a write to this disk may take before the disk counts as stalled. */
 const stalledDiskMs = 1000;
 
-/** Who is told where this store stands: everyone by the primary and while there is none, else those whom it concerns. */
+/** Who gets the status: all stores from the primary, and while there is none; else the primary, and backups among themselves. */
 const statusTargets = (
   state: StoreState,
   now: Timestamp,
 ): readonly ClusterMetadata['stores'][number]['address'][] => {
-  const leader = isPrimary(state, now)
+  const primary = isPrimary(state, now)
     ? undefined
     : [...state.peers.values()].find(
-        (one) => one.isPrimary && now - one.heardAt < primaryTimeoutMs,
+        (peer) => peer.isPrimary && now - peer.heardAt < primaryTimeoutMs,
       );
-  if (leader !== undefined) {
+  if (primary !== undefined) {
     const peers =
       state.metadata?.stores.filter(
         (one) =>
@@ -33,7 +34,7 @@
           inSync(state) &&
           state.metadata?.inSyncSet.includes(one.node),
       ) ?? [];
-    return [...new Set([leader.address, ...peers.map((one) => one.address)])];
+    return [...new Set([primary.address, ...peers.map((one) => one.address)])];
   }
   const known =
     state.metadata?.stores.filter((one) => one.node !== ownId(state)).map((one) => one.address) ??
@@ -44,7 +45,7 @@
   return [...new Set([...known, ...near])];
 };
 
-/** Tells the other stores where this one stands; a store out of sync is mended by the answer. */
+/** Sends this store's status when it is due; the primary's answer to a store out of sync resyncs it. */
 export const sendStatus = (state: StoreState, now: Timestamp): StoreTransition => {
   if (
     now - state.statusSentAt < statusIntervalMs ||
@@ -53,12 +54,12 @@
   )
     return transition(state);
   const primary = isPrimary(state, now);
-  const away =
+  const isOutOfSync =
     !primary &&
     !inSync(state) &&
     state.backupWrite === undefined &&
     state.primaryWrite === undefined;
-  const word: FrameOf<'replica-status'> = {
+  const status: FrameOf<'replica-status'> = {
     kind: 'replica-status',
     node: ownId(state),
     stamp: state.stamp,
@@ -69,11 +70,11 @@
       (state.backupWrite !== undefined && now - state.backupWrite.startedAt > stalledDiskMs),
     ...(state.stopping === undefined ? {} : { leaving: true }),
     at: now,
-    digests: away ? rangeDigests(state.table) : [],
+    digests: isOutOfSync ? rangeDigests(state.table) : [],
     ...(state.metadata === undefined ? {} : { metadata: state.metadata }),
   };
   return transition(
     { ...state, statusSentAt: now },
-    ...statusTargets(state, now).map((to) => send(to, word)),
+    ...statusTargets(state, now).map((to) => send(to, status)),
   );
 };
--- a/packages/replicated-store/src/state/disk-recovery.ts
+++ b/packages/replicated-store/src/state/disk-recovery.ts
@@ -11,50 +11,52 @@
 import type { StoreState } from './state.js';
 import type { StoreTransition } from './transition.js';
 
+/** The process has read the disk: the store takes its state from it, or waits for one. */
 export const onDiskRead = (
   before: StoreState,
-  found: DiskContents,
+  contents: DiskContents,
   now: Timestamp,
 ): StoreTransition => {
   const state: StoreState = { ...before, startedAt: now };
-  if (found.status === 'empty')
+  if (contents.status === 'empty')
     return transition(
       { ...state, phase: 'empty' },
-      log('info', 'the disk is empty: this store is no member until it is founded or mended'),
+      log('info', 'disk empty, waiting for a bootstrap or a resync'),
     );
-  if (found.status === 'damaged') {
+  if (contents.status === 'damaged') {
     return transition(
-      { ...state, phase: 'empty', mustWipe: true, diskDamage: `damaged disk: ${found.reason}` },
-      log('error', 'the disk is damaged: nothing of it is used, a peer has to mend this store', [
-        'why',
-        found.reason,
-      ]),
+      { ...state, phase: 'empty', mustWipe: true, diskDamage: `damaged disk: ${contents.reason}` },
+      log(
+        'error',
+        'the disk is damaged: nothing of it is used until a primary resyncs this store',
+        ['why', contents.reason],
+      ),
     );
   }
-  const table = new Map(found.entries.map(({ key, ...entry }) => [key, entry]));
+  const table = new Map(contents.entries.map(({ key, ...entry }) => [key, entry]));
   const control = applyPuts(
     emptyControlState,
-    found.entries.map(({ key, data }) => ({ key, data })),
+    contents.entries.map(({ key, data }) => ({ key, data })),
   );
   const next: StoreState = {
     ...state,
     phase: 'member',
-    metadata: found.metadata,
-    stamp: found.stamp,
+    metadata: contents.metadata,
+    stamp: contents.stamp,
     table,
     control,
     candidate: observeEpoch(
-      { ...state.candidate, inSyncSet: found.metadata.inSyncSet },
-      found.metadata.epoch,
+      { ...state.candidate, inSyncSet: contents.metadata.inSyncSet },
+      contents.metadata.epoch,
     ),
   };
   return transition(
     next,
     log(
       'info',
-      'the disk is read',
-      ['entries', found.entries.length],
-      ['epoch', found.metadata.epoch],
+      'disk loaded',
+      ['entries', contents.entries.length],
+      ['epoch', contents.metadata.epoch],
       ['generation', control.configuration?.offer.generation ?? 0],
     ),
   );
