--- a/packages/replicated-store/src/commands/chunks.ts
+++ b/packages/replicated-store/src/commands/chunks.ts
@@ -9,31 +9,32 @@
 import type { ApplyCommand, Command } from './command.js';
 import type { StoreState } from '../state/state.js';
 
-/** The most characters of pieces that one command adds to a write. */
+/** The most characters of chunks that one command adds to a write. */
 export const maxChunkCharactersPerWrite = 1024 * 1024;
 
+/** The most chunks that are requested at once. */
 export const maxChunksPerRequest = 64;
 
 type StoreChunksCommand = Extract<Command, { kind: 'storeChunks' }>;
 
-/** Keeps the pieces that an order needs and the table has: from here on its fate does not depend on the table. */
-export const holdChunks = (state: StoreState, order: readonly Hash[]): StoreState => {
-  const found = order.flatMap((hash) => {
+/** Keeps the chunks that an upload needs and the table has: from here on it does not depend on the table. */
+export const holdChunks = (state: StoreState, hashes: readonly Hash[]): StoreState => {
+  const held = hashes.flatMap((hash) => {
     const data = state.heldChunks.has(hash) ? undefined : state.control.chunks.get(hash);
     return data === undefined ? [] : [[hash, data] as const];
   });
-  return found.length === 0
+  return held.length === 0
     ? state
-    : { ...state, heldChunks: new Map([...state.heldChunks, ...found]) };
+    : { ...state, heldChunks: new Map([...state.heldChunks, ...held]) };
 };
 
-/** The pieces of an order that are not held: they have to be asked for. */
+/** The chunks of an upload that are not held: they have to be requested. */
 export const missingChunks = (
   state: Pick<StoreState, 'heldChunks'>,
-  order: readonly Hash[],
-): readonly Hash[] => order.filter((hash) => !state.heldChunks.has(hash));
+  hashes: readonly Hash[],
+): readonly Hash[] => hashes.filter((hash) => !state.heldChunks.has(hash));
 
-/** The held pieces that are not in the table yet, or not any more. */
+/** The held chunks that are not in the table yet, or not any more. */
 const unstoredChunks = (
   state: Pick<StoreState, 'heldChunks'>,
   control: ControlState,
@@ -44,7 +45,7 @@
     return data === undefined ? [] : [{ hash, data }];
   });
 
-/** The writes that go before a description: none if its pieces fit the write that puts it in force. */
+/** The writes that go before a configuration: none if its chunks fit the write that puts it in force. */
 export const storeChunksCommands = (
   state: StoreState,
   command: ApplyCommand,
@@ -62,7 +63,7 @@
   return batches.length === 1 ? [] : batches.map((hashes) => ({ kind: 'storeChunks', hashes }));
 };
 
-/** The entries that store the pieces which came in. */
+/** The entries that store the chunks which came in. */
 export const chunkPuts = (
   state: Pick<StoreState, 'heldChunks'>,
   control: ControlState,
@@ -73,13 +74,13 @@
     data,
   }));
 
-/** The pieces that a command which waits for its write relies on. */
+/** The chunks that a queued command relies on. */
 const chunksOf = (command: Command): readonly Hash[] => {
   if (command.kind === 'applyConfiguration') return command.chunkHashes;
   return command.kind === 'storeChunks' ? command.hashes : [];
 };
 
-/** Drops the pieces that neither this description, nor the one in force, nor a waiting one needs. */
+/** Deletes the chunks that neither this configuration, nor the one in force, nor a queued one needs. */
 export const unusedChunks = (
   state: Pick<StoreState, 'commandQueue'>,
   control: ControlState,
@@ -96,17 +97,17 @@
     .map((hash) => deleteRecord(controlKeys.piece(hash)));
 };
 
-/** Gives up the pieces in memory that no description under way needs. */
+/** Frees the chunks in memory that no configuration under way needs. */
 export const releaseChunks = (state: StoreState): StoreState => {
   if (state.heldChunks.size === 0) return state;
-  const ordersUnderWay = [
-    ...[...state.awaitingChunks.values()].map((one) => one.command),
+  const uploads = [
+    ...[...state.awaitingChunks.values()].map((upload) => upload.command),
     ...[...state.compiling.values()].flat(),
   ];
   const needed = new Set([
-    ...ordersUnderWay.flatMap((one) => one.chunkHashes),
+    ...uploads.flatMap((command) => command.chunkHashes),
     ...state.commandQueue.flatMap(chunksOf),
   ]);
-  const heldPieces = filterEntries(state.heldChunks, (_, hash) => needed.has(hash));
-  return heldPieces === state.heldChunks ? state : { ...state, heldChunks: heldPieces };
+  const heldChunks = filterEntries(state.heldChunks, (_, hash) => needed.has(hash));
+  return heldChunks === state.heldChunks ? state : { ...state, heldChunks };
 };
--- a/packages/replicated-store/src/commands/command.ts
+++ b/packages/replicated-store/src/commands/command.ts
@@ -17,13 +17,13 @@
 import type { Electorate, NodeStatus, PurgeTarget } from '@switchwheel/transport';
 import type { ReleaseRollout, ValidationIssue } from '@switchwheel/configuration';
 
-/** Who waits for the answer to a call. */
+/** Who waits for the reply to an operator's command: the registry that forwarded it, and the command's id. */
 export interface Caller {
   readonly to: Address;
   readonly id: CommandId;
 }
 
-/** What is to become one write, in its turn. */
+/** What is to become part of a write; those with a caller are an operator's. */
 export type Command =
   | {
       readonly kind: 'applyConfiguration';
@@ -34,7 +34,7 @@
       readonly requestedGeneration: Generation | undefined;
       readonly faults: readonly ValidationIssue[];
     }
-  /** Pieces of a description that is too large for one write: they are stored before it. */
+  /** Chunks of a configuration that is too large for one write: they are stored before it. */
   | { readonly kind: 'storeChunks'; readonly hashes: readonly Hash[] }
   | { readonly kind: 'purge'; readonly caller: Caller; readonly targets: readonly PurgeTarget[] }
   | { readonly kind: 'changeElectorate'; readonly caller: Caller; readonly electorate: Electorate }
@@ -61,6 +61,7 @@
   | { readonly kind: 'planRollout' }
   | { readonly kind: 'advanceRollout' };
 
+/** A service leader's counts of a canary; `at` is by the sender's clock and comes back in the reply. */
 export interface CanaryReport {
   readonly service: ServiceName;
   readonly release: Release;
@@ -72,6 +73,7 @@
   readonly at: Timestamp;
 }
 
+/** The reply to an operator's command: an HTTP status and a body of JSON. */
 export interface CommandReply {
   readonly to: Address;
   readonly id: CommandId;
--- a/packages/replicated-store/src/commands/decide-canary.ts
+++ b/packages/replicated-store/src/commands/decide-canary.ts
@@ -6,6 +6,7 @@
 import type { Command } from './command.js';
 import { type Decision, noChange } from './decision.js';
 
+/** Takes a service leader's counts of a canary into its record: counts only grow, and a bad result stays. */
 export const decideCanary = (
   control: ControlState,
   command: Extract<Command, { kind: 'recordCanary' }>,
--- a/packages/replicated-store/src/commands/decide-purge.ts
+++ b/packages/replicated-store/src/commands/decide-purge.ts
@@ -15,16 +15,17 @@
 import type { Command } from './command.js';
 import { type Decision, commandReply, earlierReply, noChange, rememberReply } from './decision.js';
 
+/** Numbers a purge and keeps it; the oldest are deleted once there are too many. */
 export const decidePurge = (
   control: ControlState,
   command: Extract<Command, { kind: 'purge' }>,
   seq: Seq,
 ): Decision => {
-  const again = earlierReply(control, command, seq);
-  if (again !== undefined) return again;
+  const earlier = earlierReply(control, command, seq);
+  if (earlier !== undefined) return earlier;
   const number = nextSeq(latestPurge(control));
   const batch: Purge = { seq: number, aims: [...command.targets] };
-  const result = commandReply(command, 200, {
+  const reply = commandReply(command, 200, {
     kind: 'accepted',
     purge: number,
     aims: command.targets.length,
@@ -32,11 +33,11 @@
   const old = purgesToDrop(control.purges, batch);
   return {
     ...noChange,
-    repliesAfterWrite: [result],
+    repliesAfterWrite: [reply],
     puts: [
       putRecord(controlKeys.purge(number), batch),
       ...old.map((one) => deleteRecord(controlKeys.purge(one.seq))),
-      ...rememberReply(control, result, seq),
+      ...rememberReply(control, reply, seq),
     ],
   };
 };
--- a/packages/replicated-store/src/leadership/candidacy.ts
+++ b/packages/replicated-store/src/leadership/candidacy.ts
@@ -10,52 +10,49 @@
   toTimestamp,
   transition,
 } from '@switchwheel/types';
-import type {
-  ClusterMetadata,
-  Electorate,
-  LeaseHolder,
-  ProcessEffect,
-} from '@switchwheel/transport';
+import type { ClusterMetadata, LeaseHolder, ProcessEffect } from '@switchwheel/transport';
 import { type ElectionContext, holdsLease, stepDown } from '@switchwheel/election';
 import { backupTimeoutMs, chooseReplicas } from './replica-placement.js';
+import { newerElectorate } from './electorate.js';
 import type { PeerStatus } from '../state/peers.js';
 import { type StoreState, noStamp, ownId } from '../state/state.js';
 import { isNewerStamp, isSameStamp } from '../state/table.js';
 
-/** How fresh a peer's consent must be. */
+/** How old a peer's status may be that counts as evidence, in milliseconds (as all times here). */
 const evidenceMaxAgeMs = 500;
 
-/** How long the primary must be silent before a backup stands. */
+/** How long the primary must be silent before a backup asks for the lease. */
 export const primaryTimeoutMs = 700;
 
-/** How much longer each backup waits than the one before it, so that not all stand at once. */
+/** How much longer each backup waits than the one before it, so that not all ask at once. */
 const candidacyDelayPerRankMs = 40;
 
 /** How much longer a learner waits than the backups before it asks whether it was promoted. */
 const learnerCandidacyDelayMs = 300;
 
-/** How long a store without voters that remember waits for those of its in-sync set that do not speak. */
+/** How long a store whose voters are all recovering waits for silent members of its in-sync set. */
 const silentPeerTimeoutMs = 1400;
 
-/** How long it waits for others to speak up when one of its in-sync set has lost its disk. */
+/** How long it waits for others to be heard when a member of its in-sync set has lost its disk. */
 const lostDiskWaitMs = 1000;
 
+/** Whether this store is the primary: it holds the lease, and the metadata of its epoch is on every disk it must be on. */
 export const isPrimary = (state: StoreState, now: Timestamp): boolean =>
   state.isServing && holdsLease(state.candidate, now);
 
 /** Whether the table is the state at its stamp: while a resync changes it there is no such stamp. */
 const hasConsistentTable = (state: StoreState): boolean => !isSameStamp(state.stamp, noStamp);
 
-/** Whether this store holds every confirmed write, as far as it knows. */
+/** Whether this store holds every committed write, as far as it knows. */
 export const inSync = (state: StoreState): boolean =>
   state.metadata !== undefined &&
   hasConsistentTable(state) &&
   state.metadata.inSyncSet.includes(ownId(state)) &&
   state.excludedAtEpoch <= state.metadata.epoch;
 
+/** What a peer's status says of epochs after this store's own. */
 type PeerEvidence = 'same' | 'later' | 'empty' | 'silent';
 
-/** What a peer's record says of holdings after this store's own metadata. */
 const peerEvidence = (
   state: StoreState,
   metadata: ClusterMetadata,
@@ -70,58 +67,59 @@
     : 'same';
 };
 
-/** Whether a store is heard that belongs to a later holding without this one. */
+/** Whether a store is heard that belongs to a later in-sync set without this one. */
 const newerPrimaryHeard = (state: StoreState, metadata: ClusterMetadata, now: Timestamp): boolean =>
   [...state.peers.values()].some(
-    (word) =>
-      now - word.heardAt < silentPeerTimeoutMs &&
-      word.metadata?.fleet === metadata.fleet &&
-      word.metadata.epoch > metadata.epoch &&
-      !word.metadata.inSyncSet.includes(ownId(state)),
+    (peer) =>
+      now - peer.heardAt < silentPeerTimeoutMs &&
+      peer.metadata?.fleet === metadata.fleet &&
+      peer.metadata.epoch > metadata.epoch &&
+      !peer.metadata.inSyncSet.includes(ownId(state)),
   );
 
-/** Whether no later holding can have confirmed anything without this store, as far as records tell: then it needs no voter that remembers. */
+/**
+ * Whether no later primary can have committed anything without this store, by the evidence of its in-sync set. Then
+ * the votes of recovering voters count.
+ */
 const survivorsProveNoNewerPrimary = (
   state: StoreState,
   metadata: ClusterMetadata,
   now: Timestamp,
 ): boolean => {
   const others = metadata.inSyncSet
-    .filter((one) => one !== ownId(state))
-    .map((one) => {
-      const word = state.peers.get(one);
+    .filter((node) => node !== ownId(state))
+    .map((node) => {
+      const peer = state.peers.get(node);
       return {
-        tells: peerEvidence(state, metadata, word, now),
-        heard: Math.max(word?.heardAt ?? state.startedAt, state.startedAt),
+        evidence: peerEvidence(state, metadata, peer, now),
+        heardAt: Math.max(peer?.heardAt ?? state.startedAt, state.startedAt),
       };
     });
   if (newerPrimaryHeard(state, metadata, now)) return false;
-  if (others.every((one) => one.tells === 'same')) return true;
+  if (others.every(({ evidence }) => evidence === 'same')) return true;
   if (
     metadata.epoch === noEpoch ||
-    others.some((one) => one.tells === 'later') ||
+    others.some(({ evidence }) => evidence === 'later') ||
     now - state.startedAt < lostDiskWaitMs
   )
     return false;
-  // A disk that is lost tells nothing ever again; one that is silent can have gone on only if it lost all who speak at once.
-  const silent = others.filter((one) => one.tells === 'silent');
-  const same = 1 + others.filter((one) => one.tells === 'same').length;
+  // A lost disk can't have been in a later set; a silent store can, but only if it lost all that are heard at once.
+  const silent = others.filter(({ evidence }) => evidence === 'silent');
+  const same = 1 + others.filter(({ evidence }) => evidence === 'same').length;
   return (
     silent.length === 0 ||
     (same > state.settings.tolerate &&
-      silent.every((one) => now - one.heard >= silentPeerTimeoutMs))
+      silent.every(({ heardAt }) => now - heardAt >= silentPeerTimeoutMs))
   );
 };
 
+/** What the election package needs to know of this store to request and count votes. */
 export const electionContext = (
   state: StoreState,
   metadata: ClusterMetadata,
   now: Timestamp,
 ): ElectionContext => {
-  const known = state.session.electorate;
-  const electorate: Electorate =
-    known !== undefined && known.serial > metadata.electorate.serial ? known : metadata.electorate;
-  const held: LeaseHolder = {
+  const holderRecord: LeaseHolder = {
     duty: state.candidate.leaseName,
     epoch: metadata.epoch,
     node: ownId(state),
@@ -129,31 +127,31 @@
   };
   return {
     fleet: metadata.fleet,
-    electorate,
-    holderRecord: held,
+    electorate: newerElectorate(metadata.electorate, state.session.electorate),
+    holderRecord,
     countsRecoveringVoters: inSync(state) && survivorsProveNoNewerPrimary(state, metadata, now),
   };
 };
 
-/** The stores in sync that are in touch, whose disks take writes, and that do not leave. */
+/** The stores of the in-sync set that are in touch, whose disks take writes, and that are not stopping. */
 export const reachableInSync = (
   state: StoreState,
   now: Timestamp,
   includesStopping = false,
 ): ClusterMetadata['inSyncSet'] =>
-  (state.metadata?.inSyncSet ?? []).filter((one) => {
-    const word = state.peers.get(one);
+  (state.metadata?.inSyncSet ?? []).filter((node) => {
+    const peer = state.peers.get(node);
     return (
-      one === ownId(state) ||
-      (word?.metadata !== undefined &&
-        word.metadata.fleet === state.metadata?.fleet &&
-        !word.isDiskFull &&
-        (includesStopping || !word.isStopping) &&
-        now - word.heardAt < backupTimeoutMs)
+      node === ownId(state) ||
+      (peer?.metadata !== undefined &&
+        peer.metadata.fleet === state.metadata?.fleet &&
+        !peer.isDiskFull &&
+        (includesStopping || !peer.isStopping) &&
+        now - peer.heardAt < backupTimeoutMs)
     );
   });
 
-/** The stores to stand with: those in sync that are in touch, no more than copies are wanted. */
+/** The in-sync set to ask for: this store, and those in sync that are in touch, no more than replicas are wanted. */
 export const chooseBackups = (state: StoreState, now: Timestamp): ClusterMetadata['inSyncSet'] => {
   const own = [ownId(state)];
   // What a promoted learner knows of the others is older than the epoch that names it.
@@ -168,7 +166,7 @@
 const mayBePromoted = (state: StoreState): boolean =>
   state.metadata !== undefined && !inSync(state) && hasConsistentTable(state);
 
-/** Whether this store may and should stand for the duty. */
+/** Whether this store may and should ask for the lease. */
 export const wantsElection = (state: StoreState, now: Timestamp): boolean => {
   if (state.phase !== 'member' || now < state.standDownUntil) return false;
   if (!inSync(state) && !mayBePromoted(state)) return false;
@@ -182,20 +180,20 @@
   );
 };
 
-/** Gives the duty up for a while. */
+/** Gives the lease up, and doesn't ask for it again for `standDownMs`. */
 export const resignLease = (
   state: StoreState,
   standDownMs: number,
   now: Timestamp,
 ): Transition<StoreState, ProcessEffect> => {
-  const given = stepDown(
+  const resigned = stepDown(
     state.candidate,
     state.metadata === undefined ? undefined : electionContext(state, state.metadata, now),
     now,
     0,
   );
   return transition(
-    { ...state, candidate: given.state, standDownUntil: toTimestamp(now + standDownMs) },
-    ...given.effects,
+    { ...state, candidate: resigned.state, standDownUntil: toTimestamp(now + standDownMs) },
+    ...resigned.effects,
   );
 };
--- a/packages/replicated-store/src/leadership/electorate.ts
+++ b/packages/replicated-store/src/leadership/electorate.ts
@@ -29,7 +29,7 @@
 
 const defaultRecoveryWindowMs = 4000;
 
-/** The part of `syncMs` for which a voter is silent before its seat may go. */
+/** The part of `recoveryWindowMs` for which a voter is silent before its seat may go. */
 const silentVoterShare = 0.4;
 
 const minElectorate = 3;
@@ -60,13 +60,14 @@
 const nextSerial = (serial: Seq, epoch: Epoch): Seq =>
   toSeq(Math.max(serial + 1, epoch * serialsPerEpoch));
 
-/** The newest electorate this store knows: the one that it polls as a candidate and as the holder. */
+/** Of the stored electorate and the one that voters made known, the one with the higher serial. */
+export const newerElectorate = (stored: Electorate, heard: Electorate | undefined): Electorate =>
+  heard !== undefined && heard.serial > stored.serial ? heard : stored;
+
+/** The newest electorate that this store knows: the one that it polls as a candidate and as primary. */
 export const polledElectorate = (state: StoreState): Electorate | undefined => {
   const stored = state.metadata?.electorate;
-  const heard = state.session.electorate;
-  return stored !== undefined && heard !== undefined && heard.serial > stored.serial
-    ? heard
-    : stored;
+  return stored === undefined ? undefined : newerElectorate(stored, state.session.electorate);
 };
 
 /** Notes since when the electorate that this store polls has been the one that it polls. */
@@ -81,7 +82,7 @@
   const holding = state.candidate.phase;
   const { serial, since } = state.polledElectorate;
   if (holding.phase !== 'holdingLease' || serial !== set.serial) return false;
-  const renewed = set.members.filter((one) => (holding.votes.get(one.node)?.at ?? -1) > since);
+  const renewed = set.members.filter(({ node }) => (holding.votes.get(node)?.at ?? -1) > since);
   return renewed.length >= quorumSize(set.members.length);
 };
 
@@ -91,7 +92,7 @@
   now: Timestamp,
 ): Registries => {
   const { failureDomains, recoveryWindowMs = defaultRecoveryWindowMs } = state.settings;
-  const silenceLimit = recoveryWindowMs * silentVoterShare;
+  const silenceLimitMs = recoveryWindowMs * silentVoterShare;
   return {
     isLive: (node) => {
       const known = state.subscribers.get(node);
@@ -101,12 +102,12 @@
       const known = state.subscribers.get(node);
       return (
         known?.voter === 'leaving' ||
-        now - Math.max(known?.heardAt ?? leaseWonAt, leaseWonAt) >= silenceLimit
+        now - Math.max(known?.heardAt ?? leaseWonAt, leaseWonAt) >= silenceLimitMs
       );
     },
     domainOf: (node) => {
-      const area = state.subscribers.get(node)?.zone;
-      return area === undefined ? node : (failureDomains?.domainOfZone.get(area) ?? area);
+      const zone = state.subscribers.get(node)?.zone;
+      return zone === undefined ? node : (failureDomains?.domainOfZone.get(zone) ?? zone);
     },
     toleratedDomains: failureDomains?.tolerate ?? 0,
   };
--- a/packages/replicated-store/src/leadership/hand-over.ts
+++ b/packages/replicated-store/src/leadership/hand-over.ts
@@ -8,7 +8,7 @@
 import type { StoreState } from '../state/state.js';
 import type { StoreTransition } from '../state/transition.js';
 
-/** Ends all that was under way in a holding. */
+/** Ends all that was under way under a lease. */
 export const endLeadership = (state: StoreState): StoreTransition =>
   abandon({
     ...state,
@@ -22,14 +22,14 @@
     shortageSince: undefined,
   });
 
-/** Gives the duty up for a while, and with it all that was under way. */
+/** Gives the lease up, and with it all that was under way, and doesn't ask for it again for `standDownMs`. */
 export const handOverLeadership = (
   state: StoreState,
   standDownMs: number,
   now: Timestamp,
 ): StoreTransition => {
   const resigned = resignLease(state, standDownMs, now);
-  // The peer hears of it at once: the next greeting is due now.
+  // The peers hear of it at once: the next status is due now.
   return prependEffects(
     resigned.effects,
     endLeadership({ ...resigned.state, statusSentAt: clockOrigin }),
--- a/packages/replicated-store/src/leadership/replica-placement.ts
+++ b/packages/replicated-store/src/leadership/replica-placement.ts
@@ -1,8 +1,8 @@
 /**
- * Placement of copies: which stores make up the in-sync set, and how many losses a set bears.
+ * Placement of replicas: which stores make up the in-sync set, and how many losses a set bears.
  *
  * A set is sufficient if `tolerate` machines, and `failureDomains.tolerate` zones or regions, can be
- * lost at once with one copy left: it has a machine more, and stands in a domain more.
+ * lost at once with one replica left: it has a machine more, and is in a domain more.
  */
 
 import type { NodeId, Timestamp } from '@switchwheel/types';
@@ -10,45 +10,46 @@
 import { type StoreState, ownId } from '../state/state.js';
 import { isSameStamp } from '../state/table.js';
 
-/** How long a store may be silent before it counts as out of reach. */
+/** How long a store may be silent before it counts as out of reach, in milliseconds (as all times here). */
 export const peerTimeoutMs = 1000;
 
 /** How long a learner or backup may be silent and still be chosen. */
 export const backupTimeoutMs = 650;
 
-/** How long a spare that makes no progress is waited for while copies are lacking. */
+/** How long a learner that makes no progress is waited for while there are too few replicas. */
 const learnerStallTimeoutMs = 1500;
 
 /** How long a new primary waits to hear of the stores that it has not heard yet. */
 const peerDiscoveryMs = 700;
 
-/** How old the last word of a store may be at most for its silence to be known for what it is. */
+/** How recently before the election a store must have been heard for its silence since to count. */
 const recentlyHeardMs = 2000;
 
+/** The zone of a store, if this store knows it. */
 const knownZoneOf = (
   state: StoreState,
   node: NodeId,
 ): StoreState['session']['member']['area'] | undefined =>
   node === ownId(state)
     ? state.session.member.area
-    : state.session.members.find((one) => one.node === node)?.area;
+    : state.session.members.find((member) => member.node === node)?.area;
 
-/** The area (zone) of a store; one that is not known counts as an area of its own. */
+/** The zone of a store; one that is not known counts as a zone of its own. */
 export const zoneOf = (state: StoreState, node: NodeId): string =>
   knownZoneOf(state, node) ?? `around ${node}`;
 
-/** The failure domain of a store, if its area is known. */
+/** The failure domain of a store, if its zone is known. */
 const domainOf = (state: StoreState, node: NodeId): string | undefined => {
-  const area = knownZoneOf(state, node);
-  return area === undefined
+  const zone = knownZoneOf(state, node);
+  return zone === undefined
     ? undefined
-    : (state.settings.failureDomains?.domainOfZone.get(area) ?? area);
+    : (state.settings.failureDomains?.domainOfZone.get(zone) ?? zone);
 };
 
 const domainsOf = (state: StoreState, set: readonly NodeId[]): ReadonlySet<string> =>
-  new Set(set.map((one) => domainOf(state, one)).filter((one) => one !== undefined));
+  new Set(set.map((node) => domainOf(state, node)).filter((domain) => domain !== undefined));
 
-/** Whether a set of copies bears the losses that the settings ask it to bear. */
+/** Whether a set of replicas bears the losses that the settings ask it to bear. */
 export const hasEnoughReplicas = (state: StoreState, set: readonly NodeId[]): boolean =>
   set.length > state.settings.tolerate &&
   domainsOf(state, set).size > (state.settings.failureDomains?.tolerate ?? 0);
@@ -60,8 +61,8 @@
   stores: readonly NodeId[],
 ): NodeId | undefined => {
   const domains = domainsOf(state, set);
-  return stores.find((one) => {
-    const domain = domainOf(state, one);
+  return stores.find((node) => {
+    const domain = domainOf(state, node);
     return domain !== undefined && !domains.has(domain);
   });
 };
@@ -71,8 +72,8 @@
   set: readonly NodeId[],
   stores: readonly NodeId[],
 ): NodeId | undefined => {
-  const areas = new Set(set.map((one) => zoneOf(state, one)));
-  return stores.find((one) => !areas.has(zoneOf(state, one)));
+  const zones = new Set(set.map((node) => zoneOf(state, node)));
+  return stores.find((node) => !zones.has(zoneOf(state, node)));
 };
 
 /** Adds stores to a set until it has `copies` members and is sufficient, as far as they help. */
@@ -83,19 +84,23 @@
 ): readonly NodeId[] => {
   const wanted = Math.max(state.settings.copies, state.settings.tolerate + 1);
   const set = [...kept];
-  let left = stores.filter((one) => !set.includes(one));
+  let left = stores.filter((node) => !set.includes(node));
   while (set.length < wanted || !hasEnoughReplicas(state, set)) {
-    const spread = inNewDomain(state, set, left);
+    const inOtherDomain = inNewDomain(state, set, left);
     // Beyond the wanted number only a store in a new domain helps.
-    const next = set.length < wanted ? (spread ?? inNewZone(state, set, left) ?? left[0]) : spread;
+    const next =
+      set.length < wanted
+        ? (inOtherDomain ?? inNewZone(state, set, left) ?? left[0])
+        : inOtherDomain;
     if (next === undefined) break;
     set.push(next);
-    left = left.filter((one) => one !== next);
+    left = left.filter((node) => node !== next);
   }
   return set;
 };
 
-const sameFleet = (state: StoreState, peer: PeerStatus): boolean =>
+/** Whether a peer belongs to this fleet, or to none yet. */
+const mayJoin = (state: StoreState, peer: PeerStatus): boolean =>
   peer.metadata === undefined || peer.metadata.fleet === state.metadata?.fleet;
 
 /** The stores in reach, with working disks, that are no members of a set. */
@@ -105,15 +110,15 @@
   now: Timestamp,
 ): readonly PeerStatus[] =>
   [...state.peers.values()].filter(
-    (one) =>
-      !set.includes(one.node) &&
-      !one.isDiskFull &&
-      !one.isStopping &&
-      now - one.heardAt < peerTimeoutMs &&
-      sameFleet(state, one),
+    (peer) =>
+      !set.includes(peer.node) &&
+      !peer.isDiskFull &&
+      !peer.isStopping &&
+      now - peer.heardAt < peerTimeoutMs &&
+      mayJoin(state, peer),
   );
 
-/** The stores outside of a set that hold every confirmed write, by their own word. */
+/** The stores outside of a set that hold every committed write, by their own status. */
 export const caughtUpLearners = (
   state: StoreState,
   set: readonly NodeId[],
@@ -121,29 +126,29 @@
 ): readonly NodeId[] =>
   reachableLearners(state, set, now)
     .filter(
-      (one) =>
-        now - one.heardAt < backupTimeoutMs &&
-        one.metadata !== undefined &&
-        (isSameStamp(one.stamp, state.stamp) || holdsOpenWrite(state, one)),
+      (peer) =>
+        now - peer.heardAt < backupTimeoutMs &&
+        peer.metadata !== undefined &&
+        (isSameStamp(peer.stamp, state.stamp) || holdsOpenWrite(state, peer)),
     )
-    .map((one) => one.node)
+    .map((peer) => peer.node)
     .sort();
 
 const holdsOpenWrite = (state: StoreState, peer: PeerStatus): boolean =>
   state.primaryWrite !== undefined && isSameStamp(peer.stamp, state.primaryWrite.stamp);
 
-/** Whether a store that a new primary knows of has not been heard since it won. */
+/** Whether a store that a new primary knows of has not been heard lately: its status may still come. */
 const awaitsFirstStatus = (state: StoreState, set: readonly NodeId[], now: Timestamp): boolean => {
-  const holding = state.candidate.phase;
-  if (holding.phase !== 'holdingLease' || now - holding.wonAt >= peerDiscoveryMs) return false;
+  const lease = state.candidate.phase;
+  if (lease.phase !== 'holdingLease' || now - lease.wonAt >= peerDiscoveryMs) return false;
   const known = [
-    ...(state.metadata?.stores.map((one) => one.node) ?? []),
-    ...state.session.members.filter((one) => one.role === 'store').map((one) => one.node),
+    ...(state.metadata?.stores.map((store) => store.node) ?? []),
+    ...state.session.members.filter(({ role }) => role === 'store').map((member) => member.node),
   ];
   return known.some(
-    (one) =>
-      !set.includes(one) &&
-      (state.peers.get(one)?.heardAt ?? -Infinity) < Math.max(0, holding.wonAt - recentlyHeardMs),
+    (node) =>
+      !set.includes(node) &&
+      (state.peers.get(node)?.heardAt ?? -Infinity) < Math.max(0, lease.wonAt - recentlyHeardMs),
   );
 };
 
@@ -151,5 +156,6 @@
 export const awaitsLearner = (state: StoreState, set: readonly NodeId[], now: Timestamp): boolean =>
   awaitsFirstStatus(state, set, now) ||
   reachableLearners(state, set, now).some(
-    (one) => now - Math.max(one.progressAt, state.shortageSince ?? now) < learnerStallTimeoutMs,
+    (learner) =>
+      now - Math.max(learner.progressAt, state.shortageSince ?? now) < learnerStallTimeoutMs,
   );
--- a/packages/replicated-store/src/log-write/replication.ts
+++ b/packages/replicated-store/src/log-write/replication.ts
@@ -9,7 +9,7 @@
 import type { PrimaryWrite } from '../state/open-writes.js';
 import { type StoreState, ownId } from '../state/state.js';
 
-/** Who gets each write: the stores of the metadata, and those in touch that are not in it yet. */
+/** Who gets each write: the stores that the metadata names, and those in touch that it doesn't name yet. */
 export const replicationTargets = (
   state: StoreState,
   metadata: ClusterMetadata,
@@ -25,7 +25,7 @@
   return [...named, ...others.map(({ node, address }) => ({ node, address }))];
 };
 
-/** The backups that must have a write and have not said so. */
+/** The backups in sync that have yet to acknowledge a write. */
 export const unacknowledgedBackups = (
   state: StoreState,
   primaryWrite: PrimaryWrite,
@@ -42,6 +42,7 @@
   puts: [...primaryWrite.puts],
 });
 
+/** Sends a write to some stores. */
 export const replicateTo = (
   primaryWrite: PrimaryWrite,
   to: readonly ClusterMetadata['stores'][number][],
@@ -50,6 +51,7 @@
   return to.map((one) => send(one.address, frame));
 };
 
+/** Sends a write to all stores that get each write. */
 export const replicateToAll = (
   state: StoreState,
   primaryWrite: PrimaryWrite,
--- a/packages/replicated-store/src/origins/origin-records.ts
+++ b/packages/replicated-store/src/origins/origin-records.ts
@@ -11,12 +11,13 @@
 import type { StoreState } from '../state/state.js';
 import type { StoreTransition } from '../state/transition.js';
 
+/** How often the record is compared with what origins announce. */
 const checkIntervalMs = 500;
 
-/** After how long a primary takes one that it has never heard of for gone. */
+/** How long after its election a primary takes a recorded origin that it has not heard for gone. */
 const absentAfterMs = 12_000;
 
-/** How long one that only a disk tells of may be used until it is heard itself. */
+/** How long an origin that is only known from a disk may be used until it is heard itself. */
 const provisionalMs = 2500;
 
 const originRecord = ({
@@ -44,7 +45,7 @@
   one.slots === two.slots &&
   one.area === two.area;
 
-/** What the record of origins lacks, and what is in it that should not be. */
+/** The changes that make the record equal the origins that are up. */
 export const originPuts = (
   recorded: ReadonlyMap<InstanceId, OriginInstance>,
   announced: StoreState['session']['origins'],
@@ -67,7 +68,7 @@
   return puts;
 };
 
-/** Keeps a record of the origins that stand, so that a fleet that lost all its processes need not wait until each speaks. */
+/** Queues a change of the record if it differs from the origins that are up. */
 export const tickOrigins = (state: StoreState, now: Timestamp): StoreTransition => {
   const own = state.candidate.phase;
   if (
@@ -89,7 +90,7 @@
   });
 };
 
-/** The recorded origins as they are told from a disk: for a short time only, as they may be gone. */
+/** The recorded origins as a hint bears them: for a short time only, as they may be gone. */
 export const storedOrigins = (state: StoreState): OriginInstance[] =>
   [...state.control.origins.values()].map((one) => ({
     ...one,
--- a/packages/replicated-store/src/registries/feed.ts
+++ b/packages/replicated-store/src/registries/feed.ts
@@ -12,6 +12,7 @@
 import type { Subscriber } from '../state/peers.js';
 import type { StoreState } from '../state/state.js';
 
+/** How long a registry may be silent and still gets the feed after a commit. */
 const subscriberTimeoutMs = 3000;
 
 const offersOf = (state: StoreState): readonly ConfigManifest[] => {
@@ -19,16 +20,16 @@
   return stored === undefined ? [] : [stored];
 };
 
-/** What a registry is told: all of the desired state if it lacks any, and the purges it lacks. */
+/** A feed for one registry: all of the desired state if it lacks any, and the purges that it lacks. */
 const feedFrame = (
   state: StoreState,
   subscriber: Subscriber,
   at: Timestamp,
   now: Timestamp,
 ): FrameOf<'feed'> | undefined => {
-  const metadata = state.metadata;
+  const { metadata } = state;
   if (metadata === undefined) return undefined;
-  const behind = subscriber.serial === noSeq || subscriber.serial < state.lastNodeChangeSeq;
+  const isBehind = subscriber.serial === noSeq || subscriber.serial < state.lastNodeChangeSeq;
   const rows = [...state.control.nodes].flatMap(([node, row]) => {
     if (row.desired === undefined) return [];
     return [{ node, ...row.desired, ...(row.failed === undefined ? {} : { failed: row.failed }) }];
@@ -41,9 +42,9 @@
     serial: state.stamp.seq,
     fleet: metadata.fleet,
     electorate: metadata.electorate,
-    ...(behind ? { desired: rows } : {}),
-    offers: behind ? [...offersOf(state)] : [],
-    ...(behind && current !== undefined ? { current } : {}),
+    ...(isBehind ? { desired: rows } : {}),
+    offers: isBehind ? [...offersOf(state)] : [],
+    ...(isBehind && current !== undefined ? { current } : {}),
     purges: state.control.purges.filter((one) => one.seq > subscriber.purged),
     floor: oldestKeptPurge(state.control),
     top: latestPurge(state.control),
@@ -54,18 +55,19 @@
   };
 };
 
+/** Sends the feed to one registry; `at` is the time by its clock at which it subscribed. */
 export const feedSubscriber = (
   state: StoreState,
   subscriber: Subscriber,
   at: Timestamp,
   now: Timestamp,
 ): readonly StoreEffect[] => {
-  const word = feedFrame(state, subscriber, at, now);
-  return word === undefined ? [] : [send(subscriber.address, word)];
+  const frame = feedFrame(state, subscriber, at, now);
+  return frame === undefined ? [] : [send(subscriber.address, frame)];
 };
 
-/** Pushes news to every registry that listens; the time it bears renews nothing. */
+/** Sends the feed to every registry that is in touch; the time that it bears renews nothing there. */
 export const feedSubscribers = (state: StoreState, now: Timestamp): readonly StoreEffect[] =>
   [...state.subscribers.values()]
-    .filter((one) => now - one.heardAt < subscriberTimeoutMs)
-    .flatMap((one) => feedSubscriber(state, one, clockOrigin, now));
+    .filter((subscriber) => now - subscriber.heardAt < subscriberTimeoutMs)
+    .flatMap((subscriber) => feedSubscriber(state, subscriber, clockOrigin, now));
--- a/packages/replicated-store/src/registries/heartbeat.ts
+++ b/packages/replicated-store/src/registries/heartbeat.ts
@@ -32,6 +32,7 @@
   },
 });
 
+/** The content of a heartbeat; the last one before the end says that the store leaves. */
 export const heartbeatContent = (
   state: StoreState,
   now: Timestamp,
--- a/packages/replicated-store/src/registries/hint.ts
+++ b/packages/replicated-store/src/registries/hint.ts
@@ -11,9 +11,8 @@
 import type { StoreState } from '../state/state.js';
 
 /**
- * While no primary is heard of, the registries are told what this disk holds: nodes that run
- * nothing need not wait for an election. Each registry is told, as each needs the word of every
- * store in sync; the store's own gets the origins too.
+ * While no primary is heard of, all registries get what this disk holds, so that nodes which run nothing
+ * need not wait for an election. Each needs it from every store in sync; the store's own gets the origins too.
  */
 export const sendHint = (state: StoreState, now: Timestamp): readonly StoreEffect[] => {
   const offer = state.control.configuration?.offer;
--- a/packages/replicated-store/src/state/events.ts
+++ b/packages/replicated-store/src/state/events.ts
@@ -23,6 +23,7 @@
       readonly entries: readonly KeyedEntry[];
     };
 
+/** What reaches a store; `now` is the time of its process's monotonic clock. */
 export type StoreEvent =
   | ProcessEvent
   | { readonly kind: 'diskRead'; readonly now: Timestamp; readonly contents: DiskContents }
@@ -40,23 +41,24 @@
       readonly hash: Hash;
       readonly faults: readonly ValidationIssue[];
     }
-  /** The process is asked to stop, within the grace if it is given. */
+  /** The process is asked to stop, within `graceMs` if it is given. */
   | { readonly kind: 'stopRequested'; readonly now: Timestamp; readonly graceMs?: number };
 
 /** The disk did not take a write. */
 export type WriteFailed = Extract<StoreEvent, { kind: 'writeFailed' }>;
 
-/** One write to the disk: all of it lasts, or none. */
+/** One write to the disk: all of it is durable, or none. */
 export interface DiskWrite {
   readonly id: number;
   readonly metadata: ClusterMetadata;
   readonly stamp: LogPosition;
   readonly entries: readonly KeyedEntry[];
   readonly deletedKeys: readonly string[];
-  /** Whether everything else on the disk goes first. */
+  /** Whether everything on the disk is deleted first. */
   readonly wipesFirst: boolean;
 }
 
+/** What a store asks of its process, in the order in which it is to be done. */
 export type StoreEffect =
   | ProcessEffect
   | { readonly kind: 'writeToDisk'; readonly write: DiskWrite }
--- a/packages/replicated-store/src/state/expiry.ts
+++ b/packages/replicated-store/src/state/expiry.ts
@@ -20,7 +20,7 @@
     state.nodeContacts,
     (one, node) => isRecent(one) || state.control.nodes.has(node),
   );
-  // One that told of a later epoch still speaks against this store's candidacy.
+  // One that showed a later epoch is still evidence against this store's candidacy.
   const peers = filterEntries(
     state.peers,
     (one, node) => isRecent(one) || named.has(node) || (one.metadata?.epoch ?? 0) > epoch,
--- a/packages/replicated-store/src/state/invariants.ts
+++ b/packages/replicated-store/src/state/invariants.ts
@@ -7,7 +7,7 @@
 import type { StoreEffect } from './events.js';
 import type { StoreState } from './state.js';
 
-/** Counts violations and tells of them. */
+/** Counts violations and logs them. */
 export const noteViolations = (
   state: StoreState,
   violated: readonly Invariant[],
--- a/packages/replicated-store/src/state/open-writes.ts
+++ b/packages/replicated-store/src/state/open-writes.ts
@@ -7,12 +7,12 @@
 import type { ControlState } from '@switchwheel/configuration';
 import type { CanaryReport, CommandReply } from '../commands/command.js';
 
-/** A write under way: first on this disk, then on those of the backups in sync. */
+/** A write of the primary that is open: first it goes to its own disk, then to those of the backups in sync. */
 export interface PrimaryWrite {
   readonly id: number;
-  /** An orphan was given up while the disk still had it in hand: what lasts of it is known later. */
+  /** An orphan was given up while the disk was still at it: whether it is durable is known later. */
   readonly phase: 'disk' | 'copy' | 'orphan';
-  /** Whether this disk has it already, from before the in-sync set changed: then it is never told as refused. */
+  /** Whether this disk has it already, from before the in-sync set changed: then its callers never hear that it was rejected. */
   readonly isOnOwnDisk: boolean;
   readonly phaseStartedAt: Timestamp;
   readonly lastSentAt: Timestamp;
@@ -27,7 +27,7 @@
   readonly canaryReports: readonly { readonly to: Address; readonly report: CanaryReport }[];
 }
 
-/** A copy or a mend that this store is putting on its own disk for the primary. */
+/** A write from elsewhere that this store is putting on its own disk: replicated, part of a resync, or a bootstrap. */
 export interface BackupWrite {
   readonly id: number;
   readonly startedAt: Timestamp;
--- a/packages/replicated-store/src/state/state.ts
+++ b/packages/replicated-store/src/state/state.ts
@@ -40,25 +40,26 @@
   readonly session: NodeSession;
   readonly settings: ReplicationSettings;
   readonly phase: 'reading' | 'empty' | 'member' | 'stopping';
-  /** When this process had read its disk. */
+  /** When this process had read its disk, by its own clock as all times here. */
   readonly startedAt: Timestamp;
+  /** Why the disk could not be used; empty if it could. */
   readonly diskDamage: string;
-  /** Whether a fleet may be founded on this store: one that came back with an empty disk belongs to one already. */
+  /** Whether a fleet may be bootstrapped on this store: one that came back with an empty disk belongs to one already. */
   readonly mayBootstrap: boolean;
-  /** Whether the disk holds something that can't be trusted: the first write sweeps it away. */
+  /** Whether the disk holds something that can't be trusted: the first write clears it. */
   readonly mustWipe: boolean;
   readonly metadata: ClusterMetadata | undefined;
   readonly stamp: LogPosition;
   readonly table: Table;
   readonly control: ControlState;
   readonly candidate: Candidate;
-  /** Set once the metadata of this holding is on every disk it must be on. */
+  /** Whether this store holds or held the lease and the metadata of its epoch is on every disk it must be on. */
   readonly isServing: boolean;
-  /** Set while this holding could not be written down, as the disk is full: it reads and pushes, and writes nothing. */
+  /** Whether the metadata of this epoch could not be written, as the disk is full: it answers queries and feeds, and writes nothing. */
   readonly isReadOnly: boolean;
   readonly primaryWrite: PrimaryWrite | undefined;
   readonly backupWrite: BackupWrite | undefined;
-  /** Mends that came while one was being written. */
+  /** Entries of a resync that came while others were being written. */
   readonly resyncQueue: readonly {
     readonly from: Peer;
     readonly frame: FrameOf<'resync-entries'>;
@@ -69,16 +70,17 @@
     readonly frame: FrameOf<'replicate'>;
   }[];
   readonly commandQueue: readonly Command[];
-  /** Calls whose description is being compiled: several may bring the same one. */
+  /** Commands whose configuration is being compiled: several may bring the same one. */
   readonly compiling: ReadonlyMap<
     Hash,
     readonly Extract<Command, { kind: 'applyConfiguration' }>[]
   >;
   /**
-   * The text of each piece that an order under way relies on, whether it was received for it or stood in the table:
-   * another order's write may drop it from the table before this one is written.
+   * The text of each chunk that an upload under way relies on, whether it was received for it or is in the table:
+   * another one's write may delete it from the table before this one is written.
    */
   readonly heldChunks: ReadonlyMap<Hash, string>;
+  /** Uploads that wait for chunks. */
   readonly awaitingChunks: ReadonlyMap<
     CommandId,
     {
@@ -89,38 +91,38 @@
     }
   >;
   readonly peers: ReadonlyMap<NodeId, PeerStatus>;
-  /** The spare that is being mended, and since when it made no progress. */
+  /** The learner that is being resynced, and since when it made no progress. */
   readonly activeResync: { readonly node: NodeId; readonly since: Timestamp } | undefined;
-  /** Spares whose mending came to nothing: the others have their turn first. */
+  /** Learners that had their turn in vain: the others have theirs first. */
   readonly resyncAttempted: ReadonlySet<NodeId>;
   readonly subscribers: ReadonlyMap<NodeId, Subscriber>;
   readonly nodeContacts: ReadonlyMap<NodeId, NodeContact>;
-  /** Since when this primary has had fewer copies than losses to be tolerated ask for. */
+  /** Since when this primary has had fewer replicas than the losses to be tolerated ask for. */
   readonly shortageSince: Timestamp | undefined;
-  /** The highest epoch that is known to have left this store out. */
+  /** The highest epoch whose in-sync set is known to leave this store out. */
   readonly excludedAtEpoch: Epoch;
   /** When a primary was last heard. */
   readonly primaryHeardAt: Timestamp;
   readonly statusSentAt: Timestamp;
-  /** When the origins were last looked at. */
+  /** When the recorded origins were last compared with the announced ones. */
   readonly originsCheckedAt: Timestamp;
   readonly rolloutPlannedAt: Timestamp;
   readonly rolloutsAdvancedAt: Timestamp;
   /** The electorate that this store polls, and since when: votes asked for before count for an older one. */
   readonly polledElectorate: { readonly serial: Seq; readonly since: Timestamp };
-  /** Since when this store is leaving, and until when it may take. */
+  /** Since when this store is stopping, and until when it may take. */
   readonly stopping: { readonly since: Timestamp; readonly deadline: Timestamp } | undefined;
   readonly rolloutsDueAt: Timestamp | undefined;
-  /** The last write that changed what nodes are to run: registries that have it are not told of it again. */
+  /** The last write that changed what nodes are to run: registries that have it get no desired state again. */
   readonly lastNodeChangeSeq: Seq;
-  /** The orders of releases as this holding watches them. */
+  /** The rollouts of releases as this primary watches them. */
   readonly releaseWatches: ReadonlyMap<ServiceName, RolloutWatch>;
   readonly targetStatusSeen: StatusSince;
   readonly rolloutOpenedAt: Timestamp | undefined;
   readonly diskFullAt: Timestamp | undefined;
-  /** When registries were last asked for pieces that the description in force lacks. */
+  /** When registries were last asked for chunks that the configuration in force lacks. */
   readonly chunksRequestedAt: Timestamp;
-  /** How many pieces were asked for here that the table did not hold. */
+  /** How many chunks were requested here that the table did not hold. */
   readonly missedChunkRequests: number;
   /** How often each invariant was found broken here. */
   readonly violations: Violations;
@@ -129,8 +131,10 @@
   readonly randomState: RandomState;
 }
 
+/** The stamp of a store without a table: it has no write, and while a resync changes its table it has none either. */
 export const noStamp: LogPosition = { epoch: noEpoch, seq: noSeq };
 
+/** The state of a process that has not read its disk yet. */
 export const newStoreState = (
   member: Member,
   seeds: readonly Address[],
@@ -138,9 +142,9 @@
   settings = defaultReplicationSettings,
   mayBootstrap = true,
 ): StoreState => ({
-  mayBootstrap: mayBootstrap,
+  mayBootstrap,
   session: newNodeSession(member, seeds, { seed: randomState.seed ^ 0x5bd1e995 }),
-  settings: settings,
+  settings,
   phase: 'reading',
   startedAt: clockOrigin,
   diskDamage: '',
@@ -188,4 +192,5 @@
   randomState,
 });
 
+/** The id of this store. */
 export const ownId = (state: StoreState): NodeId => state.session.member.node;
--- a/packages/replicated-store/src/state/table.ts
+++ b/packages/replicated-store/src/state/table.ts
@@ -12,8 +12,10 @@
   readonly data: string;
 }
 
+/** The table by key; never changed in place. */
 export type Table = ReadonlyMap<string, Entry>;
 
+/** An entry with its key, as it is on a disk. */
 export interface KeyedEntry extends Entry {
   readonly key: string;
 }
@@ -21,9 +23,11 @@
 /** In how many ranges keys are compared. */
 export const rangeCount = 64;
 
+/** The range that a key belongs to, from 0. */
 export const rangeOf = (key: string): number =>
   createHash('sha1').update(key).digest().readUInt8(0) % rangeCount;
 
+/** Whether two stamps are those of one write. */
 export const isSameStamp = (one: LogPosition, two: LogPosition): boolean =>
   one.epoch === two.epoch && one.seq === two.seq;
 
@@ -48,7 +52,7 @@
 
 const digestCache = new WeakMap<Table, string[]>();
 
-/** A digest for each range, over keys and stamps; a table never changes, so each is reckoned once. */
+/** A digest for each range, over keys and stamps; a table never changes, so each is computed once. */
 export const rangeDigests = (table: Table): string[] => {
   const before = digestCache.get(table);
   if (before !== undefined) return before;
@@ -62,6 +66,7 @@
   return result;
 };
 
+/** The keys of a range with their stamps, in the order of the table. */
 export const keysInRange = (table: Table, range: number): { key: string; stamp: LogPosition }[] =>
   [...table]
     .filter(([key]) => rangeOf(key) === range)
