--- a/packages/replicated-store/src/commands/apply-configuration.ts
+++ b/packages/replicated-store/src/commands/apply-configuration.ts
@@ -121,10 +121,10 @@
     .map((one) => deleteRecord(controlKeys.rollout(one))),
 ];
 
-/** How long an operator waits before an order that lost its pieces is sent again. */
+/** What an operator waits before it sends a configuration again that lost chunks. */
 const lostChunksRetryMs = 200;
 
-/** A piece that the order was found to have is neither in the table nor held: the order is not put in force. */
+/** A chunk of the configuration is neither in the table nor held any more: it is not put in force. */
 const lostChunks = (command: ApplyCommand): Decision => ({
   ...noChange,
   immediateReplies: [
--- a/packages/replicated-store/src/commands/decide-rollout.ts
+++ b/packages/replicated-store/src/commands/decide-rollout.ts
@@ -13,8 +13,8 @@
   policy as policySchema,
   tickRollout,
 } from '@switchwheel/configuration';
-import type { StoreState } from '../state/state.js';
 import { type Decision, noChange } from './decision.js';
+import type { StoreState } from '../state/state.js';
 
 const revisioned = v.object({ rev: v.number() });
 
--- a/packages/replicated-store/src/commands/decision.ts
+++ b/packages/replicated-store/src/commands/decision.ts
@@ -11,8 +11,8 @@
   maxKeptOutcomes,
   putRecord,
 } from '@switchwheel/configuration';
-import type { StoreState } from '../state/state.js';
 import type { Command, CommandReply } from './command.js';
+import type { StoreState } from '../state/state.js';
 
 /** What a command comes to: changes of the table, and the replies that are sent once these are committed. */
 export interface Decision {
@@ -28,10 +28,10 @@
   readonly violations?: readonly Invariant[];
 }
 
-/** A command that changes nothing and answers nobody. */
+/** A command that changes nothing and needs no reply. */
 export const noChange: Decision = { puts: [], repliesAfterWrite: [], immediateReplies: [] };
 
-/** An answer to whoever sent the command, under the id of the call. */
+/** A reply to whoever sent the command, under the command's id. */
 export const commandReply = (
   command: Extract<Command, { caller: unknown }>,
   status: number,
@@ -42,25 +42,25 @@
   body: JSON.stringify({ ...body, id: command.caller.id }),
 });
 
-/** Keeps the answer with the write it belongs to, and lets the oldest go. */
+/** Keeps the reply with the write that it belongs to, and deletes the oldest beyond the bound. */
 export const rememberReply = (
   control: ControlState,
   reply: CommandReply,
   seq: Seq,
 ): readonly TableMutation[] => {
-  const old =
+  const oldest =
     control.commandOutcomes.size < maxKeptOutcomes
       ? []
       : [...control.commandOutcomes]
-          .sort(([, one], [, two]) => one.seq - two.seq)
+          .sort(([, first], [, second]) => first.seq - second.seq)
           .slice(0, control.commandOutcomes.size - maxKeptOutcomes + 1);
   return [
     putRecord(controlKeys.call(reply.id), { status: reply.status, body: reply.body, seq }),
-    ...old.map(([id]) => deleteRecord(controlKeys.call(id))),
+    ...oldest.map(([id]) => deleteRecord(controlKeys.call(id))),
   ];
 };
 
-/** The answer that a call with this id got before, if it is still kept; told once the write it belongs to lasts. */
+/** The reply that a command with this id got before, if it is still kept; sent once the write that it belongs to is committed. */
 export const earlierReply = (
   control: ControlState,
   command: Extract<Command, { caller: unknown }>,
@@ -68,9 +68,9 @@
 ): Decision | undefined => {
   const before = control.commandOutcomes.get(command.caller.id);
   if (before === undefined) return undefined;
-  const answer: CommandReply = { ...command.caller, status: before.status, body: before.body };
+  const reply: CommandReply = { ...command.caller, status: before.status, body: before.body };
   const isInThisWrite = before.seq === seq;
   return isInThisWrite
-    ? { ...noChange, repliesAfterWrite: [answer] }
-    : { ...noChange, immediateReplies: [answer] };
+    ? { ...noChange, repliesAfterWrite: [reply] }
+    : { ...noChange, immediateReplies: [reply] };
 };
--- a/packages/replicated-store/src/commands/electorate-command.ts
+++ b/packages/replicated-store/src/commands/electorate-command.ts
@@ -2,14 +2,14 @@
  * Operators' changes of the electorate, by one member at a time.
  */
 
-import type * as v from 'valibot';
+import * as v from 'valibot';
 import { type Seq, nextSeq } from '@switchwheel/types';
 import type { Electorate } from '@switchwheel/transport';
 import type { ControlState } from '@switchwheel/configuration';
-import type { StoreState } from '../state/state.js';
-import type { electorateBody } from './command-bodies.js';
+import { electorateBody } from './command-bodies.js';
 import type { Command } from './command.js';
 import { type Decision, commandReply, earlierReply, noChange, rememberReply } from './decision.js';
+import type { StoreState } from '../state/state.js';
 
 /** The electorate after an operator's change; undefined unless it changes by one member, or moves one. */
 export const changedElectorate = (
--- a/packages/replicated-store/src/commands/queue.ts
+++ b/packages/replicated-store/src/commands/queue.ts
@@ -3,10 +3,10 @@
  */
 
 import { transition } from '@switchwheel/types';
-import type { StoreState } from '../state/state.js';
-import type { StoreTransition } from '../state/transition.js';
 import type { Command } from './command.js';
 import { sendRejection } from './replies.js';
+import type { StoreState } from '../state/state.js';
+import type { StoreTransition } from '../state/transition.js';
 
 /** The most commands that wait for their write at once. */
 export const maxQueuedCommands = 1024;
--- a/packages/replicated-store/src/commands/replies.ts
+++ b/packages/replicated-store/src/commands/replies.ts
@@ -4,8 +4,8 @@
  */
 
 import { send } from '@switchwheel/transport';
-import type { StoreEffect } from '../state/events.js';
 import type { Caller, CommandReply } from './command.js';
+import type { StoreEffect } from '../state/events.js';
 
 /** The frame that answers an operator's command. */
 export const sendReply = (reply: CommandReply): StoreEffect =>
--- a/packages/replicated-store/src/commands/views.ts
+++ b/packages/replicated-store/src/commands/views.ts
@@ -7,6 +7,7 @@
 import { elapsedOf } from '../releases/release-progress.js';
 import { type StoreState, ownId } from '../state/state.js';
 
+/** What each view begins with. */
 const viewHeader = (state: StoreState): object => ({
   store: ownId(state),
   epoch: heldEpoch(state.candidate),
@@ -14,23 +15,25 @@
   generation: state.control.configuration?.offer.generation ?? noGeneration,
 });
 
-/** The last order of a service, or nothing if there was none. */
+/** The last release rollout of a service; undefined if there was none. */
 export const viewRelease = (
   state: StoreState,
   service: string,
   now: Timestamp,
 ): object | undefined => {
-  const found = [...state.control.releases.values()].find((one) => one.service === service);
-  if (found?.target === undefined) return undefined;
-  const { target, phase, settled, share, spanMs, text } = found;
+  const rollout = [...state.control.releases.values()].find(
+    (candidate) => candidate.service === service,
+  );
+  if (rollout?.target === undefined) return undefined;
+  const { target, phase, settled, share, spanMs, text } = rollout;
   return {
-    service: found.service,
+    service: rollout.service,
     target,
     phase,
     settled: settled ?? null,
     share,
     spanMs,
-    spentMs: Math.round(elapsedOf(state, found, now)),
+    spentMs: Math.round(elapsedOf(state, rollout, now)),
     text,
   };
 };
@@ -39,7 +42,7 @@
 export const viewState = (state: StoreState, subject: string, now: Timestamp): object => {
   const control = state.control;
   switch (subject) {
-    // The offer alone: the registry that asks collects its pieces, as they may not fit one frame.
+    // The offer alone: the registry collects the chunks, as they may not fit one frame.
     case 'description':
       return { ...viewHeader(state), offer: control.configuration?.offer ?? null };
     case 'rollouts':
--- a/packages/replicated-store/src/leadership/candidacy.ts
+++ b/packages/replicated-store/src/leadership/candidacy.ts
@@ -12,8 +12,8 @@
 } from '@switchwheel/types';
 import type { ClusterMetadata, LeaseHolder, ProcessEffect } from '@switchwheel/transport';
 import { type ElectionContext, holdsLease, stepDown } from '@switchwheel/election';
-import { backupTimeoutMs, chooseReplicas } from './replica-placement.js';
 import { newerElectorate } from './electorate.js';
+import { backupTimeoutMs, chooseReplicas } from './replica-placement.js';
 import type { PeerStatus } from '../state/peers.js';
 import { type StoreState, noStamp, ownId } from '../state/state.js';
 import { isNewerStamp, isSameStamp } from '../state/table.js';
--- a/packages/replicated-store/src/leadership/hand-over.ts
+++ b/packages/replicated-store/src/leadership/hand-over.ts
@@ -8,6 +8,9 @@
 import type { StoreState } from '../state/state.js';
 import type { StoreTransition } from '../state/transition.js';
 
+/** For how long a store doesn't ask for the lease again, by the reason for which it gave it up. */
+export const standDownMs = { abandonedWriteOnDisk: 500, stalledDisk: 5000, refusedWrite: 10_000 };
+
 /** Ends all that was under way under a lease. */
 export const endLeadership = (state: StoreState): StoreTransition =>
   abandon({
@@ -22,13 +25,13 @@
     shortageSince: undefined,
   });
 
-/** Gives the lease up, and with it all that was under way, and doesn't ask for it again for `standDownMs`. */
+/** Gives the lease up, and with it all that was under way, and doesn't ask for it again for `durationMs`. */
 export const handOverLeadership = (
   state: StoreState,
-  standDownMs: number,
+  durationMs: number,
   now: Timestamp,
 ): StoreTransition => {
-  const resigned = resignLease(state, standDownMs, now);
+  const resigned = resignLease(state, durationMs, now);
   // The peers hear of it at once: the next status is due now.
   return prependEffects(
     resigned.effects,
--- a/packages/replicated-store/src/leadership/lease.ts
+++ b/packages/replicated-store/src/leadership/lease.ts
@@ -9,7 +9,7 @@
 import { type NodeSession, highestEpoch } from '@switchwheel/membership';
 import { chooseBackups, electionContext, wantsElection } from './candidacy.js';
 import { endLeadership } from './hand-over.js';
-import { onElected } from '../log-write/primary-write.js';
+import { onElected } from '../log-write/epoch-metadata.js';
 import type { StoreState } from '../state/state.js';
 import type { StoreTransition } from '../state/transition.js';
 
--- a/packages/replicated-store/src/log-write/abandoned-write.ts
+++ b/packages/replicated-store/src/log-write/abandoned-write.ts
@@ -1,5 +1,5 @@
 /**
- * Writes that a primary can't finish: whether they take effect is not known, and their callers are told so.
+ * Writes that a primary can't finish: whether they take effect is not known, and the replies say so.
  */
 
 import { clockOrigin, transition } from '@switchwheel/types';
@@ -11,7 +11,7 @@
 import { withPuts } from '../state/table.js';
 import type { StoreTransition } from '../state/transition.js';
 
-/** Tells all callers of a write that its outcome is not known. */
+/** Replies to all callers of a write that its outcome is not known. */
 export const unknownOutcomeReplies = (replies: readonly CommandReply[]): readonly StoreEffect[] =>
   replies.map(sendUnknownOutcome);
 
@@ -27,7 +27,7 @@
   control: primaryWrite.controlAfter,
 });
 
-/** Gives up the write that is open: its callers are told that the outcome is not known. */
+/** Gives up the write that is open; the replies say that its outcome is not known. */
 export const abandon = (state: StoreState): StoreTransition => {
   const primaryWrite = state.primaryWrite;
   if (primaryWrite === undefined || primaryWrite.phase === 'orphan') return transition(state);
--- a/packages/replicated-store/src/log-write/backup-replacement.ts
+++ b/packages/replicated-store/src/log-write/backup-replacement.ts
@@ -4,7 +4,7 @@
  * A backup that is silent, refuses a write, or lost its disk is replaced by a learner within one
  * change of the epoch. Invariants:
  *
- * 1. A store is named in the set of an epoch only if it holds every confirmed write. Its stamp tells:
+ * 1. A store is named in the set of an epoch only if it holds every committed write. Its stamp shows it:
  *    a store has a stamp S only if its table is the state after the write S, since it took each write
  *    directly after the prior one, or compared its digests with those that the primary had at S.
  *    A resync that has begun takes the stamp away, in the same disk write.
@@ -24,7 +24,7 @@
  * - After that: the metadata of e+1 is on the disks of J, and the write that was open too.
  *
  * Two changes in a row are two such steps, as the second is asked for under the first. A write that
- * is on some disks under e keeps its stamp under e+1, and is confirmed once all of J told of it under
+ * is on some disks under e keeps its stamp under e+1, and is committed once all of J acknowledged it under
  * the metadata of e+1. A backup that returns with an empty disk says so and is replaced; one that
  * returns with the disk that it had before e+1 is refused by the voters, and resynced.
  */
--- a/packages/replicated-store/src/log-write/disk-writes.ts
+++ b/packages/replicated-store/src/log-write/disk-writes.ts
@@ -1,13 +1,34 @@
 /**
- * The effects that put a write on this store's own disk, as primary and as backup.
+ * Opening a write, as primary and as backup, and the effect that puts it on this store's own disk.
  */
 
-import { transition } from '@switchwheel/types';
+import { type Timestamp, transition } from '@switchwheel/types';
 import type { StoreEffect } from '../state/events.js';
 import type { BackupWrite, PrimaryWrite } from '../state/open-writes.js';
 import type { StoreState } from '../state/state.js';
 import type { StoreTransition } from '../state/transition.js';
 
+export const noAcknowledgements: PrimaryWrite['acknowledgedBy'] = new Set();
+
+/** A new write, about to go to the own disk. */
+export const newPrimaryWrite = (
+  state: StoreState,
+  content: Pick<
+    PrimaryWrite,
+    'metadata' | 'stamp' | 'puts' | 'controlAfter' | 'replies' | 'canaryReports'
+  >,
+  now: Timestamp,
+): PrimaryWrite => ({
+  ...content,
+  id: state.nextWriteId,
+  phase: 'disk',
+  isOnOwnDisk: false,
+  phaseStartedAt: now,
+  lastSentAt: now,
+  acknowledgedBy: noAcknowledgements,
+  previousStamp: state.stamp,
+});
+
 /** Puts a write of the primary on its own disk. */
 export const diskWrite = ({
   id,
--- a/packages/replicated-store/src/log-write/primary-write.ts
+++ b/packages/replicated-store/src/log-write/primary-write.ts
@@ -3,23 +3,18 @@
  * on those of all backups in sync, and only then it counts and is acknowledged (commit.ts). One write is open at a time.
  */
 
-import {
-  type Timestamp,
-  clockOrigin,
-  nextSeq,
-  prependEffects,
-  transition,
-} from '@switchwheel/types';
-import { type ClusterMetadata, type FrameOf, type LogPosition, log } from '@switchwheel/transport';
+import { type Timestamp, nextSeq, prependEffects, transition } from '@switchwheel/types';
+import { type FrameOf, type LogPosition, log } from '@switchwheel/transport';
 import { heldEpoch, holdsLease } from '@switchwheel/election';
 import { sendRejection, sendReply } from '../commands/replies.js';
 import { isPrimary } from '../leadership/candidacy.js';
-import { handOverLeadership } from '../leadership/hand-over.js';
+import { handOverLeadership, standDownMs } from '../leadership/hand-over.js';
 import { abandon, applyLocally, unknownOutcomeReplies } from './abandoned-write.js';
 import { noteAcknowledgement, noteRefusal } from './acknowledgements.js';
 import { noteShortage, replaceBackups } from './backup-replacement.js';
 import { canaryReplies, commitWrite } from './commit.js';
-import { diskWrite } from './disk-writes.js';
+import { diskWrite, newPrimaryWrite, noAcknowledgements } from './disk-writes.js';
+import { retryMetadata } from './epoch-metadata.js';
 import {
   replicateTo,
   replicateToAll,
@@ -42,57 +37,12 @@
 /** How long a backup may be silent before the write is sent to it again. */
 const resendIntervalMs = 150;
 
-/** How often a full disk is tried again for the metadata of an epoch. */
-const fullDiskRetryMs = 1000;
-
 /** What an operator waits before it sends a command again that the disk refused. */
 const diskRefusedRetryMs = 2000;
 
 /** How recently a backup must have been heard to take the lease over from a primary whose disk is full. */
 const successorHeardWithinMs = 1000;
 
-/** For how long a store doesn't ask for the lease again, by the reason for which it gave it up. */
-const standDownMs = { abandonedWriteOnDisk: 500, stalledDisk: 5000, refusedWrite: 10_000 };
-
-const noAcknowledgements: PrimaryWrite['acknowledgedBy'] = new Set();
-
-/** A new write, about to go to the own disk. */
-const newPrimaryWrite = (
-  state: StoreState,
-  content: Pick<
-    PrimaryWrite,
-    'metadata' | 'stamp' | 'puts' | 'controlAfter' | 'replies' | 'canaryReports'
-  >,
-  now: Timestamp,
-): PrimaryWrite => ({
-  ...content,
-  id: state.nextWriteId,
-  phase: 'disk',
-  isOnOwnDisk: false,
-  phaseStartedAt: now,
-  lastSentAt: now,
-  acknowledgedBy: noAcknowledgements,
-  previousStamp: state.stamp,
-});
-
-/** Opens a write that changes nothing but the cluster metadata. */
-export const writeMetadata = (
-  state: StoreState,
-  metadata: ClusterMetadata,
-  now: Timestamp,
-): StoreTransition => {
-  const stamp: LogPosition = { epoch: metadata.epoch, seq: nextSeq(state.stamp.seq) };
-  const primaryWrite = newPrimaryWrite(
-    state,
-    { metadata, stamp, puts: [], controlAfter: state.control, replies: [], canaryReports: [] },
-    now,
-  );
-  return transition(
-    { ...state, primaryWrite, nextWriteId: state.nextWriteId + 1 },
-    diskWrite(primaryWrite),
-  );
-};
-
 /** Makes one write of the commands that wait, in their order, unless one is open. */
 export const startWrite = (state: StoreState, now: Timestamp): StoreTransition => {
   const { metadata } = state;
@@ -247,25 +197,6 @@
   return isComplete ? commitWrite(state, next, now) : transition({ ...state, primaryWrite: next });
 };
 
-/** The metadata of the epoch that this store was granted. */
-const metadataOfLease = (state: StoreState, metadata: ClusterMetadata): ClusterMetadata => ({
-  ...metadata,
-  epoch: heldEpoch(state.candidate),
-  inSyncSet: [...state.candidate.inSyncSet],
-});
-
-/** A primary whose full disk didn't take the metadata of its epoch tries it again now and then. */
-const retryMetadata = (state: StoreState, now: Timestamp): StoreTransition => {
-  if (
-    !state.isReadOnly ||
-    state.metadata === undefined ||
-    state.candidate.phase.phase !== 'holdingLease' ||
-    now - (state.diskFullAt ?? clockOrigin) < fullDiskRetryMs
-  )
-    return transition(state);
-  return writeMetadata({ ...state, diskFullAt: now }, metadataOfLease(state, state.metadata), now);
-};
-
 /** Replaces backups that are late, and sends the write again to those that have yet to acknowledge it. */
 const tickReplication = (
   state: StoreState,
@@ -304,26 +235,3 @@
     handOverLeadership(state, standDownMs.stalledDisk, now),
   );
 };
-
-/** This store won the lease: the metadata of its epoch is written before anything else. */
-export const onElected = (state: StoreState, now: Timestamp): StoreTransition => {
-  const { metadata, primaryWrite } = state;
-  if (metadata === undefined) return transition(state);
-  if (primaryWrite?.phase === 'orphan')
-    return handOverLeadership(state, standDownMs.abandonedWriteOnDisk, now);
-  const metadataOfEpoch = metadataOfLease(state, metadata);
-  if (primaryWrite === undefined || !state.isServing)
-    return writeMetadata({ ...state, primaryWrite: undefined }, metadataOfEpoch, now);
-  // A write was open when the in-sync set changed: it goes on under the new metadata.
-  const next: PrimaryWrite = {
-    ...primaryWrite,
-    id: state.nextWriteId,
-    metadata: { ...metadataOfEpoch, electorate: primaryWrite.metadata.electorate },
-    phase: 'disk',
-    phaseStartedAt: now,
-  };
-  return transition(
-    { ...state, primaryWrite: next, nextWriteId: state.nextWriteId + 1 },
-    diskWrite(next),
-  );
-};
--- a/packages/replicated-store/src/registries/subscriptions.ts
+++ b/packages/replicated-store/src/registries/subscriptions.ts
@@ -20,6 +20,7 @@
 import type { StoreTransition } from '../state/transition.js';
 
 type Subscription = FrameOf<'subscribe'>;
+
 type NodeReport = Subscription['reports'][number];
 
 const subscriberOf = (
--- a/packages/replicated-store/src/state/events.ts
+++ b/packages/replicated-store/src/state/events.ts
@@ -1,5 +1,5 @@
 /**
- * What a store is told (events) and what it asks of its process (effects), the disk included.
+ * Events that reach a store, and effects that it asks of its process, the disk included.
  */
 
 import type { Hash, Timestamp } from '@switchwheel/types';
--- a/packages/replicated-store/src/tick.ts
+++ b/packages/replicated-store/src/tick.ts
@@ -73,7 +73,7 @@
   tickStop,
 ];
 
-/** What the primary does beside, in this order. */
+/** What the primary does besides, in this order. */
 const primaryTicks: readonly TickHandler[] = [
   followRegistries,
   markSilentNodesOffline,
--- a/packages/simulator/src/guard/list.ts
+++ b/packages/simulator/src/guard/list.ts
@@ -207,8 +207,8 @@
     name: 'a call is answered once',
     rule: 'whole',
     file: decision,
-    from: 'if (before === undefined) return undefined; const answer',
-    to: 'if (before !== undefined || before === undefined) return undefined; const answer',
+    from: 'if (before === undefined) return undefined; const reply',
+    to: 'if (before !== undefined || before === undefined) return undefined; const reply',
   },
   {
     name: 'a bad verdict stays',
