--- a/packages/replicated-store/src/commands/apply-configuration.test.ts
+++ b/packages/replicated-store/src/commands/apply-configuration.test.ts
@@ -42,8 +42,8 @@
   faults: [],
 });
 
-/** Orders of configurations, one after another, each under its own call id. */
-class Orders {
+/** Configurations that operators upload one after another, each under its own command id. */
+class Uploads {
   control: ControlState = emptyControlState;
   #seq = noSeq;
   #id = 0;
@@ -54,61 +54,65 @@
     const asked = number === undefined ? undefined : toGeneration(number);
     const decision = decideApply(state, this.control, commandOf(this.#id, asked, hash), this.#seq);
     this.control = applyPuts(this.control, decision.puts);
-    assert.equal(decision.immediateReplies.length, 0, 'answered once what it rests on lasts');
+    assert.equal(
+      decision.immediateReplies.length,
+      0,
+      'the reply waits for the write that it rests on',
+    );
     return decision.repliesAfterWrite[0]?.status ?? 0;
   }
 }
 
-void test('the contents of the newest numbers are kept, and no more', () => {
-  const orders = new Orders();
+void test('keeps the contents of the newest numbers and no more', () => {
+  const uploads = new Uploads();
   const many = maxKeptGenerations + 200;
   for (let number = 1; number <= many; number += 1)
-    assert.equal(orders.send(number, contentAt(number)), 200);
-  assert.equal(orders.control.hashByGeneration.size, maxKeptGenerations);
-  assert.ok(orders.control.commandOutcomes.size <= maxKeptOutcomes);
+    assert.equal(uploads.send(number, contentAt(number)), 200);
+  assert.equal(uploads.control.hashByGeneration.size, maxKeptGenerations);
+  assert.ok(uploads.control.commandOutcomes.size <= maxKeptOutcomes);
   const least = many - maxKeptGenerations + 1;
-  assert.equal(Math.min(...orders.control.hashByGeneration.keys()), least);
-  assert.equal(orders.send(least, contentAt(least + 1)), 409);
-  assert.equal(orders.send(least, contentAt(least)), 200);
+  assert.equal(Math.min(...uploads.control.hashByGeneration.keys()), least);
+  assert.equal(uploads.send(least, contentAt(least + 1)), 409);
+  assert.equal(uploads.send(least, contentAt(least)), 200);
   // Below all that is kept the content is not known: acknowledged, and nothing is kept of it.
-  assert.equal(orders.send(least - 1, contentAt(least)), 200);
-  assert.equal(orders.control.hashByGeneration.has(toGeneration(least - 1)), false);
-  assert.equal(orders.control.hashByGeneration.size, maxKeptGenerations);
-  assert.equal(orders.control.configuration?.offer.generation, many);
+  assert.equal(uploads.send(least - 1, contentAt(least)), 200);
+  assert.equal(uploads.control.hashByGeneration.has(toGeneration(least - 1)), false);
+  assert.equal(uploads.control.hashByGeneration.size, maxKeptGenerations);
+  assert.equal(uploads.control.configuration?.offer.generation, many);
 });
 
-void test('numbers that the store gives itself have one content too', () => {
-  const orders = new Orders();
-  assert.equal(orders.send(undefined, contentAt(0)), 200);
-  assert.equal(orders.send(undefined, contentAt(1)), 200);
-  assert.equal(orders.send(1, contentAt(1)), 409);
-  assert.equal(orders.send(2, contentAt(0)), 409);
-  assert.equal(orders.send(1, contentAt(0)), 200);
+void test('binds numbers that the store gives itself to one content too', () => {
+  const uploads = new Uploads();
+  assert.equal(uploads.send(undefined, contentAt(0)), 200);
+  assert.equal(uploads.send(undefined, contentAt(1)), 200);
+  assert.equal(uploads.send(1, contentAt(1)), 409);
+  assert.equal(uploads.send(2, contentAt(0)), 409);
+  assert.equal(uploads.send(1, contentAt(0)), 200);
 });
 
-void test('the content in force counts although no record of its number was kept', () => {
-  const orders = new Orders();
-  orders.send(5, contentAt(0));
-  orders.control = { ...orders.control, hashByGeneration: new Map() };
-  assert.equal(orders.send(5, contentAt(1)), 409);
-  assert.equal(orders.send(5, contentAt(0)), 200);
+void test('takes the content in force for that of its number when no record of the number was kept', () => {
+  const uploads = new Uploads();
+  uploads.send(5, contentAt(0));
+  uploads.control = { ...uploads.control, hashByGeneration: new Map() };
+  assert.equal(uploads.send(5, contentAt(1)), 409);
+  assert.equal(uploads.send(5, contentAt(0)), 200);
 });
 
-void test('whatever order numbers come in, each has one content and the highest is in force', () => {
+void test('binds each number to one content and puts the highest in force, in whatever order they come', () => {
   for (let seed = 1; seed <= 50; seed += 1) {
-    const orders = new Orders();
+    const uploads = new Uploads();
     const confirmed = new Map<number, Hash>();
-    let dice = seed;
+    let random = seed;
     for (let turn = 0; turn < 200; turn += 1) {
-      dice = (dice * 48_271) % 2_147_483_647;
-      const number = 1 + (dice % 40);
-      const hash = contentAt(Math.floor(dice / 64));
+      random = (random * 48_271) % 2_147_483_647;
+      const number = 1 + (random % 40);
+      const hash = contentAt(Math.floor(random / 64));
       const known = confirmed.get(number);
-      const status = orders.send(number, hash);
+      const status = uploads.send(number, hash);
       assert.equal(status, known === undefined || known === hash ? 200 : 409);
       if (status === 200) confirmed.set(number, hash);
       const top = Math.max(...confirmed.keys());
-      const offer = orders.control.configuration?.offer;
+      const offer = uploads.control.configuration?.offer;
       assert.deepEqual([offer?.generation, offer?.hash], [top, confirmed.get(top)]);
     }
   }
--- a/packages/replicated-store/src/commands/apply-configuration.ts
+++ b/packages/replicated-store/src/commands/apply-configuration.ts
@@ -47,14 +47,14 @@
   const surplus = control.hashByGeneration.size + 1 - maxKeptGenerations;
   if (surplus <= 0) return [putRecord(controlKeys.number(number), { hash })];
   const oldest = [...control.hashByGeneration.keys()]
-    .sort((one, two) => one - two)
+    .sort((first, second) => first - second)
     .slice(0, surplus);
   const newestDropped = oldest.at(-1) ?? noGeneration;
   // A number below all that are kept would be let go at once.
   if (number < newestDropped) return [];
   return [
     putRecord(controlKeys.number(number), { hash }),
-    ...oldest.map((one) => deleteRecord(controlKeys.number(one))),
+    ...oldest.map((dropped) => deleteRecord(controlKeys.number(dropped))),
   ];
 };
 
@@ -117,8 +117,8 @@
     .filter(([, target]) => target.generation + keptRollouts < generation)
     .map(([key]) => deleteRecord(key)),
   ...[...control.rollouts.keys()]
-    .filter((one) => one + keptRollouts < generation)
-    .map((one) => deleteRecord(controlKeys.rollout(one))),
+    .filter((known) => known + keptRollouts < generation)
+    .map((known) => deleteRecord(controlKeys.rollout(known))),
 ];
 
 /** What an operator waits before it sends a configuration again that lost chunks. */
@@ -144,15 +144,15 @@
   generation: Generation,
   seq: Seq,
 ): Decision => {
-  const { hash, chunkHashes: order } = command;
-  if (missingChunks(state, order).some((one) => !control.chunks.has(one)))
+  const { hash, chunkHashes } = command;
+  if (missingChunks(state, chunkHashes).some((chunkHash) => !control.chunks.has(chunkHash)))
     return lostChunks(command);
   const result = commandReply(command, 200, { kind: 'accepted', generation, hash });
-  const offer = { generation, hash, pieces: [...order] };
+  const offer = { generation, hash, pieces: [...chunkHashes] };
   return {
     ...noChange,
     puts: [
-      ...chunkPuts(state, control, order),
+      ...chunkPuts(state, control, chunkHashes),
       ...unusedChunks(state, control, command),
       ...rolloutPuts(control, generation),
       putRecord(controlKeys.stored, { offer, call: command.caller.id }),
--- a/packages/replicated-store/src/commands/decide-purge.ts
+++ b/packages/replicated-store/src/commands/decide-purge.ts
@@ -30,13 +30,13 @@
     purge: number,
     aims: command.targets.length,
   });
-  const old = purgesToDrop(control.purges, batch);
+  const dropped = purgesToDrop(control.purges, batch);
   return {
     ...noChange,
     repliesAfterWrite: [reply],
     puts: [
       putRecord(controlKeys.purge(number), batch),
-      ...old.map((one) => deleteRecord(controlKeys.purge(one.seq))),
+      ...dropped.map((purge) => deleteRecord(controlKeys.purge(purge.seq))),
       ...rememberReply(control, reply, seq),
     ],
   };
--- a/packages/replicated-store/src/commands/views.ts
+++ b/packages/replicated-store/src/commands/views.ts
@@ -49,11 +49,11 @@
       return {
         ...viewHeader(state),
         rollouts: [...control.rollouts.values()]
-          .sort((one, two) => two.generation - one.generation)
-          .map((one) => ({
-            ...one,
+          .sort((first, second) => second.generation - first.generation)
+          .map((rollout) => ({
+            ...rollout,
             targets: [...control.targets.values()].filter(
-              (row) => row.generation === one.generation,
+              (target) => target.generation === rollout.generation,
             ),
           })),
       };
@@ -75,11 +75,11 @@
         entries: state.table.size,
         waitlist: state.commandQueue.length,
         diskFullMs: state.diskFullAt === undefined ? null : Math.round(now - state.diskFullAt),
-        peers: [...state.peers.values()].map((one) => ({
-          node: one.node,
-          stamp: one.stamp,
-          epoch: one.metadata?.epoch ?? null,
-          ageMs: Math.round(now - one.heardAt),
+        peers: [...state.peers.values()].map((peer) => ({
+          node: peer.node,
+          stamp: peer.stamp,
+          epoch: peer.metadata?.epoch ?? null,
+          ageMs: Math.round(now - peer.heardAt),
         })),
       };
   }
--- a/packages/replicated-store/src/leadership/electorate.ts
+++ b/packages/replicated-store/src/leadership/electorate.ts
@@ -120,14 +120,14 @@
     const domain = registries.domainOf(node);
     sizes.set(domain, (sizes.get(domain) ?? 0) + 1);
   }
-  const largest = [...sizes.values()].sort((one, two) => two - one);
+  const largest = [...sizes.values()].sort((first, second) => second - first);
   const lost = largest.slice(0, registries.toleratedDomains);
   return lost.reduce((left, size) => left - size, live.length);
 };
 
 const resilienceOf = (members: readonly Member[], registries: Registries): Resilience => {
-  const live = members.filter((one) => registries.isLive(one.node));
-  const dead = members.filter((one) => registries.isDead(one.node));
+  const live = members.filter(({ node }) => registries.isLive(node));
+  const dead = members.filter(({ node }) => registries.isDead(node));
   const needed = quorumSize(members.length);
   return {
     shortOnDomainLoss: Math.min(0, votersAfterDomainLoss(live, registries) - needed),
@@ -138,11 +138,11 @@
 };
 
 /** Above zero if the first bears more than the second. */
-const compareResilience = (one: Resilience, two: Resilience): number =>
-  one.shortOnDomainLoss - two.shortOnDomainLoss ||
-  one.machines - two.machines ||
-  one.live - two.live ||
-  two.surplusDead - one.surplusDead;
+const compareResilience = (first: Resilience, second: Resilience): number =>
+  first.shortOnDomainLoss - second.shortOnDomainLoss ||
+  first.machines - second.machines ||
+  first.live - second.live ||
+  second.surplusDead - first.surplusDead;
 
 /** All electorates that differ from this one by a single member. */
 const neighbours = (
@@ -150,14 +150,14 @@
   joinable: readonly Member[],
   registries: Registries,
 ): readonly (readonly Member[])[] => {
-  const mayRemove = (one: Member): boolean =>
-    registries.isDead(one.node) || registries.toleratedDomains > 0;
+  const mayRemove = ({ node }: Member): boolean =>
+    registries.isDead(node) || registries.toleratedDomains > 0;
   const removals =
     members.length > minElectorate
-      ? members.filter(mayRemove).map((gone) => members.filter((one) => one !== gone))
+      ? members.filter(mayRemove).map((gone) => members.filter((member) => member !== gone))
       : [];
   const additions = joinable
-    .filter((fresh) => !members.some((one) => one.node === fresh.node))
+    .filter((fresh) => !members.some(({ node }) => node === fresh.node))
     .map((fresh) => [...members, fresh]);
   return [...removals, ...additions];
 };
--- a/packages/replicated-store/src/leadership/graceful-stop.ts
+++ b/packages/replicated-store/src/leadership/graceful-stop.ts
@@ -35,7 +35,7 @@
 /** The stores that hold every committed write, are in touch, take writes and are not stopping. */
 export const successors = (state: StoreState, now: Timestamp): readonly NodeId[] =>
   reachableInSync(state, now).filter(
-    (one) => one !== ownId(state) && state.peers.get(one)?.isStopping !== true,
+    (node) => node !== ownId(state) && state.peers.get(node)?.isStopping !== true,
   );
 
 /** Whether a primary that stops may hand over: there is a successor, and nothing is under way. */
--- a/packages/replicated-store/src/log-write/replication.ts
+++ b/packages/replicated-store/src/log-write/replication.ts
@@ -15,12 +15,12 @@
   metadata: ClusterMetadata,
   now: Timestamp,
 ): readonly ClusterMetadata['stores'][number][] => {
-  const named = metadata.stores.filter((one) => one.node !== ownId(state));
+  const named = metadata.stores.filter((store) => store.node !== ownId(state));
   const others = [...state.peers.values()].filter(
-    (one) =>
-      now - one.heardAt < peerTimeoutMs &&
-      one.metadata?.fleet === metadata.fleet &&
-      !named.some((row) => row.node === one.node),
+    (peer) =>
+      now - peer.heardAt < peerTimeoutMs &&
+      peer.metadata?.fleet === metadata.fleet &&
+      !named.some((store) => store.node === peer.node),
   );
   return [...named, ...others.map(({ node, address }) => ({ node, address }))];
 };
@@ -31,7 +31,7 @@
   primaryWrite: PrimaryWrite,
 ): readonly NodeId[] =>
   primaryWrite.metadata.inSyncSet.filter(
-    (one) => one !== ownId(state) && !primaryWrite.acknowledgedBy.has(one),
+    (node) => node !== ownId(state) && !primaryWrite.acknowledgedBy.has(node),
   );
 
 const replicateFrame = (primaryWrite: PrimaryWrite): FrameOf<'replicate'> => ({
@@ -48,7 +48,7 @@
   to: readonly ClusterMetadata['stores'][number][],
 ): readonly StoreEffect[] => {
   const frame = replicateFrame(primaryWrite);
-  return to.map((one) => send(one.address, frame));
+  return to.map((store) => send(store.address, frame));
 };
 
 /** Sends a write to all stores that get each write. */
--- a/packages/replicated-store/src/origins/origin-records.test.ts
+++ b/packages/replicated-store/src/origins/origin-records.test.ts
@@ -49,7 +49,7 @@
     originPuts(new Map(), new Map(rows.map((one) => [one.instance, one])), false, now),
   ).origins;
 
-void test('the record holds just the origins that stand; one that was never heard of stays until that is sure', () => {
+void test('the record holds just the origins that are up; one that was never heard stays until that is sure', () => {
   fc.assert(
     fc.property(list, list, fc.boolean(), (before, after, sure) => {
       const known = record([...mapOf(before).values()]);
--- a/packages/replicated-store/src/origins/origin-records.ts
+++ b/packages/replicated-store/src/origins/origin-records.ts
@@ -38,12 +38,12 @@
   ...(area === undefined ? {} : { area }),
 });
 
-const isSameOrigin = (one: OriginInstance, two: OriginInstance): boolean =>
-  one.service === two.service &&
-  one.address === two.address &&
-  one.release === two.release &&
-  one.slots === two.slots &&
-  one.area === two.area;
+const isSameOrigin = (first: OriginInstance, second: OriginInstance): boolean =>
+  first.service === second.service &&
+  first.address === second.address &&
+  first.release === second.release &&
+  first.slots === second.slots &&
+  first.area === second.area;
 
 /** The changes that make the record equal the origins that are up. */
 export const originPuts = (
@@ -53,13 +53,13 @@
   now: Timestamp,
 ): readonly TableMutation[] => {
   const puts: TableMutation[] = [];
-  for (const one of announced.values()) {
-    const before = recorded.get(one.instance);
-    if (isLiveOrigin(one, now)) {
-      const after = originRecord(one);
+  for (const origin of announced.values()) {
+    const before = recorded.get(origin.instance);
+    if (isLiveOrigin(origin, now)) {
+      const after = originRecord(origin);
       if (before === undefined || !isSameOrigin(before, after))
-        puts.push(putRecord(controlKeys.origin(one.instance), after));
-    } else if (before !== undefined) puts.push(deleteRecord(controlKeys.origin(one.instance)));
+        puts.push(putRecord(controlKeys.origin(origin.instance), after));
+    } else if (before !== undefined) puts.push(deleteRecord(controlKeys.origin(origin.instance)));
   }
   // A primary that has just begun may not have heard of all of them yet.
   if (isAnnouncementComplete)
@@ -78,7 +78,7 @@
   )
     return transition(state);
   const next: StoreState = { ...state, originsCheckedAt: now };
-  if (state.commandQueue.some((one) => one.kind === 'recordOrigins')) return transition(next);
+  if (state.commandQueue.some(({ kind }) => kind === 'recordOrigins')) return transition(next);
   if (
     originPuts(state.control.origins, state.session.origins, now - own.wonAt > absentAfterMs, now)
       .length === 0
@@ -92,7 +92,7 @@
 
 /** The recorded origins as a hint bears them: for a short time only, as they may be gone. */
 export const storedOrigins = (state: StoreState): OriginInstance[] =>
-  [...state.control.origins.values()].map((one) => ({
-    ...one,
+  [...state.control.origins.values()].map((origin) => ({
+    ...origin,
     age: toDurationMs(originTimeoutMs - provisionalMs),
   }));
--- a/packages/replicated-store/src/registries/feed.ts
+++ b/packages/replicated-store/src/registries/feed.ts
@@ -45,12 +45,12 @@
     ...(isBehind ? { desired: rows } : {}),
     offers: isBehind ? [...offersOf(state)] : [],
     ...(isBehind && current !== undefined ? { current } : {}),
-    purges: state.control.purges.filter((one) => one.seq > subscriber.purged),
+    purges: state.control.purges.filter((purge) => purge.seq > subscriber.purged),
     floor: oldestKeptPurge(state.control),
     top: latestPurge(state.control),
     verdicts: [...state.control.canaryResults.values()],
-    releases: [...state.control.releases.values()].map((one) =>
-      releaseStateOf(one, elapsedOf(state, one, now)),
+    releases: [...state.control.releases.values()].map((rollout) =>
+      releaseStateOf(rollout, elapsedOf(state, rollout, now)),
     ),
   };
 };
--- a/packages/replicated-store/src/registries/hint.ts
+++ b/packages/replicated-store/src/registries/hint.ts
@@ -25,7 +25,7 @@
   )
     return [];
   const { node, address, incarnation } = session.member;
-  const own = session.registryLink.address;
+  const ownRegistry = session.registryLink.address;
   const hint: FrameOf<'hint'> = {
     kind: 'hint',
     node,
@@ -37,9 +37,9 @@
     origins: [],
   };
   return [
-    send(own, { ...hint, origins: storedOrigins(state) }),
+    send(ownRegistry, { ...hint, origins: storedOrigins(state) }),
     ...knownRegistries(session)
-      .filter((one) => one !== own)
-      .map((one) => send(one, hint)),
+      .filter((registry) => registry !== ownRegistry)
+      .map((registry) => send(registry, hint)),
   ];
 };
--- a/packages/replicated-store/src/releases/release-progress.ts
+++ b/packages/replicated-store/src/releases/release-progress.ts
@@ -33,9 +33,9 @@
   service: ServiceName,
 ): ReadonlyMap<Release, number> => {
   const counts = new Map<Release, number>();
-  for (const one of state.session.origins.values()) {
-    if (one.service === service && one.state === 'up')
-      counts.set(one.release, (counts.get(one.release) ?? 0) + 1);
+  for (const origin of state.session.origins.values()) {
+    if (origin.service === service && origin.state === 'up')
+      counts.set(origin.release, (counts.get(origin.release) ?? 0) + 1);
   }
   return counts;
 };
@@ -47,20 +47,25 @@
 ): Release | undefined =>
   [...liveOrigins]
     .filter(([release]) => release !== except)
-    .sort(([one, many], [two, more]) => more - many || (one < two ? -1 : 1))[0]?.[0];
+    .sort(
+      ([release, count], [otherRelease, otherCount]) =>
+        otherCount - count || (release < otherRelease ? -1 : 1),
+    )[0]?.[0];
 
 /** How much of a rollout's time span is over, in milliseconds, as far as this store knows. */
-export const elapsedOf = (state: StoreState, order: ReleaseRollout, now: Timestamp): number => {
-  const own = state.releaseWatches.get(order.service);
-  return own?.order === order.order ? Math.max(order.spentMs, elapsedAt(own, now)) : order.spentMs;
+export const elapsedOf = (state: StoreState, rollout: ReleaseRollout, now: Timestamp): number => {
+  const watch = state.releaseWatches.get(rollout.service);
+  return watch?.order === rollout.order
+    ? Math.max(rollout.spentMs, elapsedAt(watch, now))
+    : rollout.spentMs;
 };
 
 /** Watches the rollouts that need it, from where their records say they are. */
 const withReleaseWatches = (state: StoreState, now: Timestamp): StoreState => {
   let watches = state.releaseWatches;
-  for (const [service, one] of state.control.releases) {
-    if (one.target === undefined || watches.get(service)?.order === one.order) continue;
-    watches = withEntry(watches, service, newRolloutWatch(one.order, one.spentMs, now));
+  for (const [service, rollout] of state.control.releases) {
+    if (rollout.target === undefined || watches.get(service)?.order === rollout.order) continue;
+    watches = withEntry(watches, service, newRolloutWatch(rollout.order, rollout.spentMs, now));
   }
   const kept = filterEntries(watches, (_, service) => state.control.releases.has(service));
   return kept === state.releaseWatches ? state : { ...state, releaseWatches: kept };
@@ -69,11 +74,11 @@
 /** Whether a change of a service's record is queued or being written already. */
 const hasPendingChange = (state: StoreState, service: ServiceName): boolean =>
   state.commandQueue.some(
-    (one) =>
-      (one.kind === 'recordRelease' && one.record.service === service) ||
-      (one.kind === 'requestRollout' && one.service === service),
+    (command) =>
+      (command.kind === 'recordRelease' && command.record.service === service) ||
+      (command.kind === 'requestRollout' && command.service === service),
   ) ||
-  (state.primaryWrite?.puts.some((one) => one.key === `release/${service}`) ?? false);
+  (state.primaryWrite?.puts.some(({ key }) => key === `release/${service}`) ?? false);
 
 const advanceRelease = (
   state: StoreState,
@@ -117,8 +122,8 @@
   let next: StoreTransition = transition(state);
   const services = new Set(
     [...state.session.origins.values()]
-      .filter((one) => one.state === 'up')
-      .map((one) => one.service),
+      .filter((origin) => origin.state === 'up')
+      .map((origin) => origin.service),
   );
   for (const service of services) {
     if (state.control.releases.has(service) || hasPendingChange(next.state, service)) continue;
--- a/packages/replicated-store/src/resync/bootstrap.test.ts
+++ b/packages/replicated-store/src/resync/bootstrap.test.ts
@@ -45,8 +45,8 @@
   electorate,
 });
 
-/** A store whose disk takes each write at once, or not at all until it is let. */
-class Bench {
+/** A store whose disk completes writes only when the test says so. */
+class StoreHarness {
   state: StoreState;
   now: Timestamp = toTimestamp(1000);
   readonly effects: StoreEffect[] = [];
@@ -64,16 +64,16 @@
     this.state = read.state;
   }
 
-  hear(from: Peer, frame: FrameOf<'bootstrap'>): void {
+  receive(from: Peer, frame: FrameOf<'bootstrap'>): void {
     this.#take(storeTransition(this.state, { kind: 'frameReceived', now: this.now, from, frame }));
   }
 
-  sync(): void {
+  completeWrites(): void {
     for (const id of this.#pending.splice(0))
       this.#take(storeTransition(this.state, { kind: 'writeSynced', now: this.now, writeId: id }));
   }
 
-  answers(): readonly boolean[] {
+  replies(): readonly boolean[] {
     return this.effects.flatMap((one) =>
       one.kind === 'send' && one.frame.kind === 'bootstrapped' ? [one.frame.ok] : [],
     );
@@ -87,7 +87,7 @@
   }
 }
 
-void test('whoever proposes the fleet, however often and in whatever order, a store comes to one metadata', () => {
+void test('a store comes to one metadata, whichever registries propose the fleet, however often and in whatever order', () => {
   fc.assert(
     fc.property(
       fc.array(fc.oneof(fc.integer({ min: 1, max: 3 }), fc.constant('sync' as const)), {
@@ -95,23 +95,23 @@
         maxLength: 20,
       }),
       (moves) => {
-        const bench = new Bench();
+        const store = new StoreHarness();
         for (const move of moves) {
-          if (move === 'sync') bench.sync();
-          else bench.hear(registry(move), proposal(move));
+          if (move === 'sync') store.completeWrites();
+          else store.receive(registry(move), proposal(move));
         }
-        bench.hear(registry(1), proposal(1));
-        bench.sync();
-        const { metadata: metadata } = bench.state;
+        store.receive(registry(1), proposal(1));
+        store.completeWrites();
+        const { metadata } = store.state;
         assert.ok(metadata !== undefined);
         assert.deepEqual(
-          [metadata.fleet, metadata.epoch, metadata.inSyncSet, bench.state.phase],
+          [metadata.fleet, metadata.epoch, metadata.inSyncSet, store.state.phase],
           [fleet, toEpoch(0), stores.map((one) => one.node), 'member'],
         );
-        bench.hear(registry(2), proposal(2));
-        assert.equal(bench.answers().at(-1), true, 'asked again it agrees again');
-        bench.hear(registry(3), proposal(3, toFleetId('f2')));
-        const after = bench.state.metadata;
+        store.receive(registry(2), proposal(2));
+        assert.equal(store.replies().at(-1), true, 'asked again it agrees again');
+        store.receive(registry(3), proposal(3, toFleetId('f2')));
+        const after = store.state.metadata;
         assert.equal(
           after?.fleet,
           fleet,
@@ -123,17 +123,17 @@
   );
 });
 
-void test('a store that came back with an empty disk is not founded anew', () => {
-  const bench = new Bench(false);
-  bench.hear(registry(1), proposal(1));
-  bench.sync();
+void test('a store that came back with an empty disk refuses a bootstrap', () => {
+  const store = new StoreHarness(false);
+  store.receive(registry(1), proposal(1));
+  store.completeWrites();
   assert.deepEqual(
-    [bench.answers(), bench.state.metadata, bench.state.phase],
+    [store.replies(), store.state.metadata, store.state.phase],
     [[false], undefined, 'empty'],
   );
 });
 
-void test('a store of a fleet that has begun its work keeps its metadata', () => {
+void test('a store of a fleet that has had a primary keeps its metadata', () => {
   const metadata: ClusterMetadata = {
     fleet,
     epoch: toEpoch(4),
@@ -141,13 +141,13 @@
     stores: proposal(1).stores,
     electorate,
   };
-  const bench = new Bench(true, {
+  const store = new StoreHarness(true, {
     status: 'complete',
     metadata,
     stamp: { epoch: toEpoch(4), seq: noSeq },
     entries: [],
   });
-  bench.hear(registry(1), proposal(1, toFleetId('f2')));
-  bench.hear(registry(1), proposal(1));
-  assert.deepEqual([bench.answers(), bench.state.metadata], [[false, true], metadata]);
+  store.receive(registry(1), proposal(1, toFleetId('f2')));
+  store.receive(registry(1), proposal(1));
+  assert.deepEqual([store.replies(), store.state.metadata], [[false, true], metadata]);
 });
--- a/packages/replicated-store/src/resync/learner-choice.ts
+++ b/packages/replicated-store/src/resync/learner-choice.ts
@@ -23,7 +23,7 @@
     (zones.has(zoneOf(state, node)) ? 2 : 0) +
     (metadata.stores.some((store) => store.node === node) ? 0 : 1);
   return [...learners].sort(
-    (one, two) => cost(one) - cost(two) || (one.node < two.node ? -1 : 1),
+    (first, second) => cost(first) - cost(second) || (first.node < second.node ? -1 : 1),
   )[0]?.node;
 };
 
--- a/packages/replicated-store/src/resync/status.ts
+++ b/packages/replicated-store/src/resync/status.ts
@@ -29,19 +29,20 @@
   if (primary !== undefined) {
     const peers =
       state.metadata?.stores.filter(
-        (one) =>
-          one.node !== ownId(state) &&
+        (store) =>
+          store.node !== ownId(state) &&
           inSync(state) &&
-          state.metadata?.inSyncSet.includes(one.node),
+          state.metadata?.inSyncSet.includes(store.node),
       ) ?? [];
-    return [...new Set([primary.address, ...peers.map((one) => one.address)])];
+    return [...new Set([primary.address, ...peers.map((store) => store.address)])];
   }
   const known =
-    state.metadata?.stores.filter((one) => one.node !== ownId(state)).map((one) => one.address) ??
-    [];
+    state.metadata?.stores
+      .filter((store) => store.node !== ownId(state))
+      .map((store) => store.address) ?? [];
   const near = state.session.members
-    .filter((one) => one.role === 'store' && one.node !== ownId(state))
-    .map((one) => one.address);
+    .filter((member) => member.role === 'store' && member.node !== ownId(state))
+    .map((member) => member.address);
   return [...new Set([...known, ...near])];
 };
 
--- a/packages/replicated-store/src/state/expiry.ts
+++ b/packages/replicated-store/src/state/expiry.ts
@@ -11,19 +11,19 @@
 
 /** Forgets silent registries, nodes without a record, and stores that the metadata does not name. */
 export const expireSilentMembers = (state: StoreState, now: Timestamp): StoreState => {
-  const isRecent = (one: { readonly heardAt: Timestamp }): boolean =>
-    now - one.heardAt < silentMemberExpiryMs;
+  const isRecent = (member: { readonly heardAt: Timestamp }): boolean =>
+    now - member.heardAt < silentMemberExpiryMs;
   const epoch = state.metadata?.epoch ?? 0;
-  const named = new Set(state.metadata?.stores.map((one) => one.node));
+  const named = new Set(state.metadata?.stores.map((store) => store.node));
   const subscribers = filterEntries(state.subscribers, isRecent);
   const contacts = filterEntries(
     state.nodeContacts,
-    (one, node) => isRecent(one) || state.control.nodes.has(node),
+    (contact, node) => isRecent(contact) || state.control.nodes.has(node),
   );
   // One that showed a later epoch is still evidence against this store's candidacy.
   const peers = filterEntries(
     state.peers,
-    (one, node) => isRecent(one) || named.has(node) || (one.metadata?.epoch ?? 0) > epoch,
+    (peer, node) => isRecent(peer) || named.has(node) || (peer.metadata?.epoch ?? 0) > epoch,
   );
   const unchanged =
     subscribers === state.subscribers && contacts === state.nodeContacts && peers === state.peers;
--- a/packages/replicated-store/src/state/invariants.ts
+++ b/packages/replicated-store/src/state/invariants.ts
@@ -16,7 +16,9 @@
     ? transition(state)
     : transition(
         { ...state, violations: countViolations(state.violations, violated) },
-        ...violated.map((one) => log('error', 'an invariant is broken', ['invariant', one])),
+        ...violated.map((invariant) =>
+          log('error', 'an invariant is broken', ['invariant', invariant]),
+        ),
       );
 
 /** Whether what the invariants speak of is another than before. */
--- a/packages/replicated-store/src/state/table.ts
+++ b/packages/replicated-store/src/state/table.ts
@@ -28,12 +28,12 @@
   createHash('sha1').update(key).digest().readUInt8(0) % rangeCount;
 
 /** Whether two stamps are those of one write. */
-export const isSameStamp = (one: LogPosition, two: LogPosition): boolean =>
-  one.epoch === two.epoch && one.seq === two.seq;
+export const isSameStamp = (first: LogPosition, second: LogPosition): boolean =>
+  first.epoch === second.epoch && first.seq === second.seq;
 
-/** Which of two stamps is the newer: by epoch, then by number. */
-export const isNewerStamp = (one: LogPosition, two: LogPosition): boolean =>
-  one.epoch > two.epoch || (one.epoch === two.epoch && one.seq > two.seq);
+/** Whether the first stamp is the newer one: by epoch, then by number. */
+export const isNewerStamp = (first: LogPosition, second: LogPosition): boolean =>
+  first.epoch > second.epoch || (first.epoch === second.epoch && first.seq > second.seq);
 
 /** A copy of the table with a write in it. */
 export const withPuts = (
--- a/packages/store/src/testing/stored-fixture.ts
+++ b/packages/store/src/testing/stored-fixture.ts
@@ -15,6 +15,7 @@
 
 /** The stores of the fixture by what they were when they last wrote. */
 export const fixtureStores = ['primary', 'backup'] as const;
+/** One of the stores of the fixture. */
 export type FixtureStore = (typeof fixtureStores)[number];
 
 const readJson = (name: string): unknown => JSON.parse(readFileSync(join(fixtures, name), 'utf8'));
