--- a/packages/replicated-store/src/commands/views.ts
+++ b/packages/replicated-store/src/commands/views.ts
@@ -7,6 +7,7 @@
 import { elapsedOf } from '../releases/release-progress.js';
 import { type StoreState, ownId } from '../state/state.js';
 
+/** What each view begins with. */
 const viewHeader = (state: StoreState): object => ({
   store: ownId(state),
   epoch: heldEpoch(state.candidate),
@@ -14,23 +15,25 @@
   generation: state.control.configuration?.offer.generation ?? noGeneration,
 });
 
-/** The last order of a service, or nothing if there was none. */
+/** The last release rollout of a service; undefined if there was none. */
 export const viewRelease = (
   state: StoreState,
   service: string,
   now: Timestamp,
 ): object | undefined => {
-  const found = [...state.control.releases.values()].find((one) => one.service === service);
-  if (found?.target === undefined) return undefined;
-  const { target, phase, settled, share, spanMs, text } = found;
+  const rollout = [...state.control.releases.values()].find(
+    (candidate) => candidate.service === service,
+  );
+  if (rollout?.target === undefined) return undefined;
+  const { target, phase, settled, share, spanMs, text } = rollout;
   return {
-    service: found.service,
+    service: rollout.service,
     target,
     phase,
     settled: settled ?? null,
     share,
     spanMs,
-    spentMs: Math.round(elapsedOf(state, found, now)),
+    spentMs: Math.round(elapsedOf(state, rollout, now)),
     text,
   };
 };
@@ -39,18 +42,18 @@
 export const viewState = (state: StoreState, subject: string, now: Timestamp): object => {
   const control = state.control;
   switch (subject) {
-    // The offer alone: the registry that asks collects its pieces, as they may not fit one frame.
+    // The offer alone: the registry collects the chunks, as they may not fit one frame.
     case 'description':
       return { ...viewHeader(state), offer: control.configuration?.offer ?? null };
     case 'rollouts':
       return {
         ...viewHeader(state),
         rollouts: [...control.rollouts.values()]
-          .sort((one, two) => two.generation - one.generation)
-          .map((one) => ({
-            ...one,
+          .sort((first, second) => second.generation - first.generation)
+          .map((rollout) => ({
+            ...rollout,
             targets: [...control.targets.values()].filter(
-              (row) => row.generation === one.generation,
+              (target) => target.generation === rollout.generation,
             ),
           })),
       };
@@ -72,11 +75,11 @@
         entries: state.table.size,
         waitlist: state.commandQueue.length,
         diskFullMs: state.diskFullAt === undefined ? null : Math.round(now - state.diskFullAt),
-        peers: [...state.peers.values()].map((one) => ({
-          node: one.node,
-          stamp: one.stamp,
-          epoch: one.metadata?.epoch ?? null,
-          ageMs: Math.round(now - one.heardAt),
+        peers: [...state.peers.values()].map((peer) => ({
+          node: peer.node,
+          stamp: peer.stamp,
+          epoch: peer.metadata?.epoch ?? null,
+          ageMs: Math.round(now - peer.heardAt),
         })),
       };
   }
--- a/packages/replicated-store/src/leadership/electorate.ts
+++ b/packages/replicated-store/src/leadership/electorate.ts
@@ -29,7 +29,7 @@
 
 const defaultRecoveryWindowMs = 4000;
 
-/** The part of `syncMs` for which a voter is silent before its seat may go. */
+/** The part of `recoveryWindowMs` for which a voter is silent before its seat may go. */
 const silentVoterShare = 0.4;
 
 const minElectorate = 3;
@@ -60,13 +60,14 @@
 const nextSerial = (serial: Seq, epoch: Epoch): Seq =>
   toSeq(Math.max(serial + 1, epoch * serialsPerEpoch));
 
-/** The newest electorate this store knows: the one that it polls as a candidate and as the holder. */
+/** Of the stored electorate and the one that voters made known, the one with the higher serial. */
+export const newerElectorate = (stored: Electorate, heard: Electorate | undefined): Electorate =>
+  heard !== undefined && heard.serial > stored.serial ? heard : stored;
+
+/** The newest electorate that this store knows: the one that it polls as a candidate and as primary. */
 export const polledElectorate = (state: StoreState): Electorate | undefined => {
   const stored = state.metadata?.electorate;
-  const heard = state.session.electorate;
-  return stored !== undefined && heard !== undefined && heard.serial > stored.serial
-    ? heard
-    : stored;
+  return stored === undefined ? undefined : newerElectorate(stored, state.session.electorate);
 };
 
 /** Notes since when the electorate that this store polls has been the one that it polls. */
@@ -81,7 +82,7 @@
   const holding = state.candidate.phase;
   const { serial, since } = state.polledElectorate;
   if (holding.phase !== 'holdingLease' || serial !== set.serial) return false;
-  const renewed = set.members.filter((one) => (holding.votes.get(one.node)?.at ?? -1) > since);
+  const renewed = set.members.filter(({ node }) => (holding.votes.get(node)?.at ?? -1) > since);
   return renewed.length >= quorumSize(set.members.length);
 };
 
@@ -91,7 +92,7 @@
   now: Timestamp,
 ): Registries => {
   const { failureDomains, recoveryWindowMs = defaultRecoveryWindowMs } = state.settings;
-  const silenceLimit = recoveryWindowMs * silentVoterShare;
+  const silenceLimitMs = recoveryWindowMs * silentVoterShare;
   return {
     isLive: (node) => {
       const known = state.subscribers.get(node);
@@ -101,12 +102,12 @@
       const known = state.subscribers.get(node);
       return (
         known?.voter === 'leaving' ||
-        now - Math.max(known?.heardAt ?? leaseWonAt, leaseWonAt) >= silenceLimit
+        now - Math.max(known?.heardAt ?? leaseWonAt, leaseWonAt) >= silenceLimitMs
       );
     },
     domainOf: (node) => {
-      const area = state.subscribers.get(node)?.zone;
-      return area === undefined ? node : (failureDomains?.domainOfZone.get(area) ?? area);
+      const zone = state.subscribers.get(node)?.zone;
+      return zone === undefined ? node : (failureDomains?.domainOfZone.get(zone) ?? zone);
     },
     toleratedDomains: failureDomains?.tolerate ?? 0,
   };
@@ -119,14 +120,14 @@
     const domain = registries.domainOf(node);
     sizes.set(domain, (sizes.get(domain) ?? 0) + 1);
   }
-  const largest = [...sizes.values()].sort((one, two) => two - one);
+  const largest = [...sizes.values()].sort((first, second) => second - first);
   const lost = largest.slice(0, registries.toleratedDomains);
   return lost.reduce((left, size) => left - size, live.length);
 };
 
 const resilienceOf = (members: readonly Member[], registries: Registries): Resilience => {
-  const live = members.filter((one) => registries.isLive(one.node));
-  const dead = members.filter((one) => registries.isDead(one.node));
+  const live = members.filter(({ node }) => registries.isLive(node));
+  const dead = members.filter(({ node }) => registries.isDead(node));
   const needed = quorumSize(members.length);
   return {
     shortOnDomainLoss: Math.min(0, votersAfterDomainLoss(live, registries) - needed),
@@ -137,11 +138,11 @@
 };
 
 /** Above zero if the first bears more than the second. */
-const compareResilience = (one: Resilience, two: Resilience): number =>
-  one.shortOnDomainLoss - two.shortOnDomainLoss ||
-  one.machines - two.machines ||
-  one.live - two.live ||
-  two.surplusDead - one.surplusDead;
+const compareResilience = (first: Resilience, second: Resilience): number =>
+  first.shortOnDomainLoss - second.shortOnDomainLoss ||
+  first.machines - second.machines ||
+  first.live - second.live ||
+  second.surplusDead - first.surplusDead;
 
 /** All electorates that differ from this one by a single member. */
 const neighbours = (
@@ -149,14 +150,14 @@
   joinable: readonly Member[],
   registries: Registries,
 ): readonly (readonly Member[])[] => {
-  const mayRemove = (one: Member): boolean =>
-    registries.isDead(one.node) || registries.toleratedDomains > 0;
+  const mayRemove = ({ node }: Member): boolean =>
+    registries.isDead(node) || registries.toleratedDomains > 0;
   const removals =
     members.length > minElectorate
-      ? members.filter(mayRemove).map((gone) => members.filter((one) => one !== gone))
+      ? members.filter(mayRemove).map((gone) => members.filter((member) => member !== gone))
       : [];
   const additions = joinable
-    .filter((fresh) => !members.some((one) => one.node === fresh.node))
+    .filter((fresh) => !members.some(({ node }) => node === fresh.node))
     .map((fresh) => [...members, fresh]);
   return [...removals, ...additions];
 };
--- a/packages/replicated-store/src/log-write/disk-writes.ts
+++ b/packages/replicated-store/src/log-write/disk-writes.ts
@@ -1,20 +1,41 @@
 /**
- * The effects that put a write on this store's own disk, as primary and as backup.
+ * Opening a write, as primary and as backup, and the effect that puts it on this store's own disk.
  */
 
-import { transition } from '@switchwheel/types';
-import type { ClusterMetadata, LogPosition, TableMutation } from '@switchwheel/transport';
+import { type Timestamp, transition } from '@switchwheel/types';
 import type { StoreEffect } from '../state/events.js';
-import type { BackupWrite } from '../state/open-writes.js';
+import type { BackupWrite, PrimaryWrite } from '../state/open-writes.js';
 import type { StoreState } from '../state/state.js';
 import type { StoreTransition } from '../state/transition.js';
 
-export const diskWrite = (
-  id: number,
-  metadata: ClusterMetadata,
-  stamp: LogPosition,
-  puts: readonly TableMutation[],
-): StoreEffect => ({
+export const noAcknowledgements: PrimaryWrite['acknowledgedBy'] = new Set();
+
+/** A new write, about to go to the own disk. */
+export const newPrimaryWrite = (
+  state: StoreState,
+  content: Pick<
+    PrimaryWrite,
+    'metadata' | 'stamp' | 'puts' | 'controlAfter' | 'replies' | 'canaryReports'
+  >,
+  now: Timestamp,
+): PrimaryWrite => ({
+  ...content,
+  id: state.nextWriteId,
+  phase: 'disk',
+  isOnOwnDisk: false,
+  phaseStartedAt: now,
+  lastSentAt: now,
+  acknowledgedBy: noAcknowledgements,
+  previousStamp: state.stamp,
+});
+
+/** Puts a write of the primary on its own disk. */
+export const diskWrite = ({
+  id,
+  metadata,
+  stamp,
+  puts,
+}: Pick<PrimaryWrite, 'id' | 'metadata' | 'stamp' | 'puts'>): StoreEffect => ({
   kind: 'writeToDisk',
   write: {
     id,
@@ -26,27 +47,29 @@
   },
 });
 
+/**
+ * Opens a write that this store takes from elsewhere and puts it on the disk. A bootstrap, and the first write to a
+ * damaged disk, clear the disk first.
+ */
 export const startBackupWrite = (
   state: StoreState,
-  backupWrite: Omit<BackupWrite, 'id'>,
-  wipe: boolean,
+  content: Omit<BackupWrite, 'id'>,
 ): StoreTransition => {
-  const own: BackupWrite = { ...backupWrite, id: state.nextWriteId };
-  const sets = own.puts.flatMap(({ key, data }) =>
-    data === null ? [] : [{ key, data, stamp: own.stamps.get(key) ?? own.stamp }],
-  );
-  const drops = own.puts.flatMap(({ key, data }) => (data === null ? [key] : []));
+  const backupWrite: BackupWrite = { ...content, id: state.nextWriteId };
+  const { id, metadata, stamp, puts, stamps } = backupWrite;
   return transition(
-    { ...state, backupWrite: own, nextWriteId: state.nextWriteId + 1 },
+    { ...state, backupWrite, nextWriteId: state.nextWriteId + 1 },
     {
       kind: 'writeToDisk',
       write: {
-        id: own.id,
-        metadata: own.metadata,
-        stamp: own.stamp,
-        entries: sets,
-        deletedKeys: drops,
-        wipesFirst: wipe || state.mustWipe,
+        id,
+        metadata,
+        stamp,
+        entries: puts.flatMap(({ key, data }) =>
+          data === null ? [] : [{ key, data, stamp: stamps.get(key) ?? stamp }],
+        ),
+        deletedKeys: puts.flatMap(({ key, data }) => (data === null ? [key] : [])),
+        wipesFirst: backupWrite.purpose === 'bootstrap' || state.mustWipe,
       },
     },
   );
--- a/packages/replicated-store/src/log-write/replication.ts
+++ b/packages/replicated-store/src/log-write/replication.ts
@@ -9,29 +9,29 @@
 import type { PrimaryWrite } from '../state/open-writes.js';
 import { type StoreState, ownId } from '../state/state.js';
 
-/** Who gets each write: the stores of the metadata, and those in touch that are not in it yet. */
+/** Who gets each write: the stores that the metadata names, and those in touch that it doesn't name yet. */
 export const replicationTargets = (
   state: StoreState,
   metadata: ClusterMetadata,
   now: Timestamp,
 ): readonly ClusterMetadata['stores'][number][] => {
-  const named = metadata.stores.filter((one) => one.node !== ownId(state));
+  const named = metadata.stores.filter((store) => store.node !== ownId(state));
   const others = [...state.peers.values()].filter(
-    (one) =>
-      now - one.heardAt < peerTimeoutMs &&
-      one.metadata?.fleet === metadata.fleet &&
-      !named.some((row) => row.node === one.node),
+    (peer) =>
+      now - peer.heardAt < peerTimeoutMs &&
+      peer.metadata?.fleet === metadata.fleet &&
+      !named.some((store) => store.node === peer.node),
   );
   return [...named, ...others.map(({ node, address }) => ({ node, address }))];
 };
 
-/** The backups that must have a write and have not said so. */
+/** The backups in sync that have yet to acknowledge a write. */
 export const unacknowledgedBackups = (
   state: StoreState,
   primaryWrite: PrimaryWrite,
 ): readonly NodeId[] =>
   primaryWrite.metadata.inSyncSet.filter(
-    (one) => one !== ownId(state) && !primaryWrite.acknowledgedBy.has(one),
+    (node) => node !== ownId(state) && !primaryWrite.acknowledgedBy.has(node),
   );
 
 const replicateFrame = (primaryWrite: PrimaryWrite): FrameOf<'replicate'> => ({
@@ -42,14 +42,16 @@
   puts: [...primaryWrite.puts],
 });
 
+/** Sends a write to some stores. */
 export const replicateTo = (
   primaryWrite: PrimaryWrite,
   to: readonly ClusterMetadata['stores'][number][],
 ): readonly StoreEffect[] => {
   const frame = replicateFrame(primaryWrite);
-  return to.map((one) => send(one.address, frame));
+  return to.map((store) => send(store.address, frame));
 };
 
+/** Sends a write to all stores that get each write. */
 export const replicateToAll = (
   state: StoreState,
   primaryWrite: PrimaryWrite,
--- a/packages/replicated-store/src/machine.ts
+++ b/packages/replicated-store/src/machine.ts
@@ -74,12 +74,7 @@
     default:
       return transition(
         state,
-        log(
-          'warn',
-          'a frame this program does not take',
-          ['frame', frame.kind],
-          ['from', from.node],
-        ),
+        log('warn', 'unexpected frame', ['frame', frame.kind], ['from', from.node]),
       );
   }
 };
@@ -106,8 +101,8 @@
         : onPrimaryWriteSynced(state, event.writeId, event.now);
     case 'writeFailed':
       return state.backupWrite?.id === event.writeId
-        ? onBackupWriteFailed(state, event.writeId, event.reason, event.isDiskFull, event.now)
-        : onPrimaryWriteFailed(state, event.writeId, event.reason, event.isDiskFull, event.now);
+        ? onBackupWriteFailed(state, event)
+        : onPrimaryWriteFailed(state, event);
     case 'configurationCompiled':
       return onCompiled(state, event.hash, event.faults);
     case 'stopRequested':
--- a/packages/replicated-store/src/origins/origin-records.ts
+++ b/packages/replicated-store/src/origins/origin-records.ts
@@ -11,12 +11,13 @@
 import type { StoreState } from '../state/state.js';
 import type { StoreTransition } from '../state/transition.js';
 
+/** How often the record is compared with what origins announce. */
 const checkIntervalMs = 500;
 
-/** After how long a primary takes one that it has never heard of for gone. */
+/** How long after its election a primary takes a recorded origin that it has not heard for gone. */
 const absentAfterMs = 12_000;
 
-/** How long one that only a disk tells of may be used until it is heard itself. */
+/** How long an origin that is only known from a disk may be used until it is heard itself. */
 const provisionalMs = 2500;
 
 const originRecord = ({
@@ -37,14 +38,14 @@
   ...(area === undefined ? {} : { area }),
 });
 
-const isSameOrigin = (one: OriginInstance, two: OriginInstance): boolean =>
-  one.service === two.service &&
-  one.address === two.address &&
-  one.release === two.release &&
-  one.slots === two.slots &&
-  one.area === two.area;
+const isSameOrigin = (first: OriginInstance, second: OriginInstance): boolean =>
+  first.service === second.service &&
+  first.address === second.address &&
+  first.release === second.release &&
+  first.slots === second.slots &&
+  first.area === second.area;
 
-/** What the record of origins lacks, and what is in it that should not be. */
+/** The changes that make the record equal the origins that are up. */
 export const originPuts = (
   recorded: ReadonlyMap<InstanceId, OriginInstance>,
   announced: StoreState['session']['origins'],
@@ -52,13 +53,13 @@
   now: Timestamp,
 ): readonly TableMutation[] => {
   const puts: TableMutation[] = [];
-  for (const one of announced.values()) {
-    const before = recorded.get(one.instance);
-    if (isLiveOrigin(one, now)) {
-      const after = originRecord(one);
+  for (const origin of announced.values()) {
+    const before = recorded.get(origin.instance);
+    if (isLiveOrigin(origin, now)) {
+      const after = originRecord(origin);
       if (before === undefined || !isSameOrigin(before, after))
-        puts.push(putRecord(controlKeys.origin(one.instance), after));
-    } else if (before !== undefined) puts.push(deleteRecord(controlKeys.origin(one.instance)));
+        puts.push(putRecord(controlKeys.origin(origin.instance), after));
+    } else if (before !== undefined) puts.push(deleteRecord(controlKeys.origin(origin.instance)));
   }
   // A primary that has just begun may not have heard of all of them yet.
   if (isAnnouncementComplete)
@@ -67,7 +68,7 @@
   return puts;
 };
 
-/** Keeps a record of the origins that stand, so that a fleet that lost all its processes need not wait until each speaks. */
+/** Queues a change of the record if it differs from the origins that are up. */
 export const tickOrigins = (state: StoreState, now: Timestamp): StoreTransition => {
   const own = state.candidate.phase;
   if (
@@ -77,7 +78,7 @@
   )
     return transition(state);
   const next: StoreState = { ...state, originsCheckedAt: now };
-  if (state.commandQueue.some((one) => one.kind === 'recordOrigins')) return transition(next);
+  if (state.commandQueue.some(({ kind }) => kind === 'recordOrigins')) return transition(next);
   if (
     originPuts(state.control.origins, state.session.origins, now - own.wonAt > absentAfterMs, now)
       .length === 0
@@ -89,9 +90,9 @@
   });
 };
 
-/** The recorded origins as they are told from a disk: for a short time only, as they may be gone. */
+/** The recorded origins as a hint bears them: for a short time only, as they may be gone. */
 export const storedOrigins = (state: StoreState): OriginInstance[] =>
-  [...state.control.origins.values()].map((one) => ({
-    ...one,
+  [...state.control.origins.values()].map((origin) => ({
+    ...origin,
     age: toDurationMs(originTimeoutMs - provisionalMs),
   }));
--- a/packages/replicated-store/src/registries/hint.ts
+++ b/packages/replicated-store/src/registries/hint.ts
@@ -11,9 +11,8 @@
 import type { StoreState } from '../state/state.js';
 
 /**
- * While no primary is heard of, the registries are told what this disk holds: nodes that run
- * nothing need not wait for an election. Each registry is told, as each needs the word of every
- * store in sync; the store's own gets the origins too.
+ * While no primary is heard of, all registries get what this disk holds, so that nodes which run nothing
+ * need not wait for an election. Each needs it from every store in sync; the store's own gets the origins too.
  */
 export const sendHint = (state: StoreState, now: Timestamp): readonly StoreEffect[] => {
   const offer = state.control.configuration?.offer;
@@ -26,7 +25,7 @@
   )
     return [];
   const { node, address, incarnation } = session.member;
-  const own = session.registryLink.address;
+  const ownRegistry = session.registryLink.address;
   const hint: FrameOf<'hint'> = {
     kind: 'hint',
     node,
@@ -38,9 +37,9 @@
     origins: [],
   };
   return [
-    send(own, { ...hint, origins: storedOrigins(state) }),
+    send(ownRegistry, { ...hint, origins: storedOrigins(state) }),
     ...knownRegistries(session)
-      .filter((one) => one !== own)
-      .map((one) => send(one, hint)),
+      .filter((registry) => registry !== ownRegistry)
+      .map((registry) => send(registry, hint)),
   ];
 };
--- a/packages/replicated-store/src/releases/release-progress.ts
+++ b/packages/replicated-store/src/releases/release-progress.ts
@@ -27,53 +27,58 @@
 import type { StoreState } from '../state/state.js';
 import type { StoreTransition } from '../state/transition.js';
 
-/** How many origins of each release of a service stand. */
+/** How many origins of each release of a service are up. */
 export const liveOriginsByRelease = (
   state: StoreState,
   service: ServiceName,
 ): ReadonlyMap<Release, number> => {
-  const standing = new Map<Release, number>();
-  for (const one of state.session.origins.values()) {
-    if (one.service === service && one.state === 'up')
-      standing.set(one.release, (standing.get(one.release) ?? 0) + 1);
+  const counts = new Map<Release, number>();
+  for (const origin of state.session.origins.values()) {
+    if (origin.service === service && origin.state === 'up')
+      counts.set(origin.release, (counts.get(origin.release) ?? 0) + 1);
   }
-  return standing;
+  return counts;
 };
 
-/** The release that most origins bear, other than one. */
+/** The release that most origins run, other than `except`; the lesser name if several have as many. */
 export const mostCommonRelease = (
   liveOrigins: ReadonlyMap<Release, number>,
   except?: Release,
 ): Release | undefined =>
   [...liveOrigins]
     .filter(([release]) => release !== except)
-    .sort(([one, many], [two, more]) => more - many || (one < two ? -1 : 1))[0]?.[0];
+    .sort(
+      ([release, count], [otherRelease, otherCount]) =>
+        otherCount - count || (release < otherRelease ? -1 : 1),
+    )[0]?.[0];
 
-/** How much of an order's span is over, as far as this store knows. */
-export const elapsedOf = (state: StoreState, order: ReleaseRollout, now: Timestamp): number => {
-  const own = state.releaseWatches.get(order.service);
-  return own?.order === order.order ? Math.max(order.spentMs, elapsedAt(own, now)) : order.spentMs;
+/** How much of a rollout's time span is over, in milliseconds, as far as this store knows. */
+export const elapsedOf = (state: StoreState, rollout: ReleaseRollout, now: Timestamp): number => {
+  const watch = state.releaseWatches.get(rollout.service);
+  return watch?.order === rollout.order
+    ? Math.max(rollout.spentMs, elapsedAt(watch, now))
+    : rollout.spentMs;
 };
 
-/** Watches the orders that need it, from where the record says they are. */
+/** Watches the rollouts that need it, from where their records say they are. */
 const withReleaseWatches = (state: StoreState, now: Timestamp): StoreState => {
   let watches = state.releaseWatches;
-  for (const [service, one] of state.control.releases) {
-    if (one.target === undefined || watches.get(service)?.order === one.order) continue;
-    watches = withEntry(watches, service, newRolloutWatch(one.order, one.spentMs, now));
+  for (const [service, rollout] of state.control.releases) {
+    if (rollout.target === undefined || watches.get(service)?.order === rollout.order) continue;
+    watches = withEntry(watches, service, newRolloutWatch(rollout.order, rollout.spentMs, now));
   }
   const kept = filterEntries(watches, (_, service) => state.control.releases.has(service));
   return kept === state.releaseWatches ? state : { ...state, releaseWatches: kept };
 };
 
-/** Whether a change of a service's record is in its turn or being written already. */
+/** Whether a change of a service's record is queued or being written already. */
 const hasPendingChange = (state: StoreState, service: ServiceName): boolean =>
   state.commandQueue.some(
-    (one) =>
-      (one.kind === 'recordRelease' && one.record.service === service) ||
-      (one.kind === 'requestRollout' && one.service === service),
+    (command) =>
+      (command.kind === 'recordRelease' && command.record.service === service) ||
+      (command.kind === 'requestRollout' && command.service === service),
   ) ||
-  (state.primaryWrite?.puts.some((one) => one.key === `release/${service}`) ?? false);
+  (state.primaryWrite?.puts.some(({ key }) => key === `release/${service}`) ?? false);
 
 const advanceRelease = (
   state: StoreState,
@@ -95,13 +100,13 @@
     state.settings.releases ?? releaseSettings,
   );
   if (next === order) return transition(state);
-  const told =
+  const logLines =
     next.phase === order.phase
       ? []
       : [
           log(
             'info',
-            'an order of a release goes on',
+            'release rollout advanced',
             ['service', order.service],
             ['target', next.target ?? ''],
             ['phase', next.phase],
@@ -109,16 +114,16 @@
             ['why', next.text],
           ),
         ];
-  return prependEffects(told, enqueue(state, { kind: 'recordRelease', record: next }));
+  return prependEffects(logLines, enqueue(state, { kind: 'recordRelease', record: next }));
 };
 
-/** Notes on which release each service stands that has no record yet. */
+/** Records the release that each service runs of which there is no record yet. */
 const recordSettledReleases = (state: StoreState): StoreTransition => {
   let next: StoreTransition = transition(state);
   const services = new Set(
     [...state.session.origins.values()]
-      .filter((one) => one.state === 'up')
-      .map((one) => one.service),
+      .filter((origin) => origin.state === 'up')
+      .map((origin) => origin.service),
   );
   for (const service of services) {
     if (state.control.releases.has(service) || hasPendingChange(next.state, service)) continue;
@@ -132,7 +137,7 @@
   return next;
 };
 
-/** Lets time pass over the orders of releases. */
+/** Advances the rollouts of releases, and records the releases of services that have no record yet. */
 export const tickReleases = (state: StoreState, now: Timestamp): StoreTransition => {
   let next = recordSettledReleases(withReleaseWatches(state, now));
   for (const order of state.control.releases.values())
@@ -140,7 +145,7 @@
   return next;
 };
 
-/** An edge tells what it counts; a release that it shows to be bad is judged at once. */
+/** An edge reports its counts; a release that they show to be bad is judged at once. */
 export const onTally = (
   before: StoreState,
   tally: FrameOf<'tally'>,
--- a/packages/replicated-store/src/state/invariants.ts
+++ b/packages/replicated-store/src/state/invariants.ts
@@ -7,7 +7,7 @@
 import type { StoreEffect } from './events.js';
 import type { StoreState } from './state.js';
 
-/** Counts violations and tells of them. */
+/** Counts violations and logs them. */
 export const noteViolations = (
   state: StoreState,
   violated: readonly Invariant[],
@@ -16,7 +16,9 @@
     ? transition(state)
     : transition(
         { ...state, violations: countViolations(state.violations, violated) },
-        ...violated.map((one) => log('error', 'an invariant is broken', ['invariant', one])),
+        ...violated.map((invariant) =>
+          log('error', 'an invariant is broken', ['invariant', invariant]),
+        ),
       );
 
 /** Whether what the invariants speak of is another than before. */
