--- a/packages/configuration/src/compiled/patch.test.ts
+++ b/packages/configuration/src/compiled/patch.test.ts
@@ -2,8 +2,8 @@
 import { test } from 'node:test';
 import * as fc from 'fast-check';
 import { noGeneration } from '@switchwheel/types';
-import { buildConfiguration, splitIntoChunks } from '../document/chunks.js';
-import { runToCompletion } from './compile.js';
+import { splitIntoChunks } from '../document/chunks.js';
+import { buildConfiguration, runToCompletion } from './compile.js';
 import type { CompiledConfiguration } from './compiled-configuration.js';
 
 interface Row {
--- a/packages/configuration/src/index.ts
+++ b/packages/configuration/src/index.ts
@@ -1,8 +1,15 @@
+/**
+ * Configurations: the operators' document, its checks and chunks, its compiled form, the control
+ * state in which it is stored, and the rules by which generations and releases are rolled out.
+ * Everything here is pure; storing, sending and applying are other packages' work.
+ */
+
 export * from './document/schema.js';
 export * from './document/validation-issue.js';
+export * from './document/chunks.js';
 export * from './compiled/compiled-configuration.js';
+export * from './compiled/match-route.js';
 export * from './compiled/compile.js';
-export * from './document/chunks.js';
 export * from './release/settings.js';
 export * from './release/release-rollout.js';
 export * from './release/canary-counts.js';
--- a/packages/configuration/src/release/release-rollout.test.ts
+++ b/packages/configuration/src/release/release-rollout.test.ts
@@ -424,12 +424,12 @@
   const first = openedOrder(
     requestReleaseRollout(settledRollout(service, old), old, fresh, 16_000, 0),
   );
-  assert.equal(requestReleaseRollout(first, old, fresh, 9000, 500).kind, 'stands');
-  assert.equal(requestReleaseRollout(first, old, toRelease('r3'), 9000, 500).kind, 'busy');
+  assert.equal(requestReleaseRollout(first, old, fresh, 9000, 500).kind, 'alreadyAccepted');
+  assert.equal(requestReleaseRollout(first, old, toRelease('r3'), 9000, 500).kind, 'conflict');
   const bad: ReleaseRollout = { ...first, phase: 'bad', spentMs: 4000 };
-  assert.equal(requestReleaseRollout(bad, old, fresh, 16_000, 4000).kind, 'stands');
+  assert.equal(requestReleaseRollout(bad, old, fresh, 16_000, 4000).kind, 'alreadyAccepted');
   // Its term is over, but who did not hear the answer may still send it again.
-  assert.equal(requestReleaseRollout(bad, old, fresh, 16_000, 17_000).kind, 'stands');
+  assert.equal(requestReleaseRollout(bad, old, fresh, 16_000, 17_000).kind, 'alreadyAccepted');
   assert.equal(
     requestReleaseRollout(bad, old, fresh, 16_000, releaseSettings.duplicateWindowMs + 1).kind,
     'opened',
@@ -448,17 +448,17 @@
   const good: ReleaseRollout = { ...first, phase: 'good', settled: fresh, spentMs: 16_000 };
   const second = openedOrder(requestReleaseRollout(good, fresh, r3, 16_000, 20_000));
   assert.deepEqual(requestReleaseRollout(second, fresh, fresh, 16_000, 1000), {
-    kind: 'stands',
+    kind: 'alreadyAccepted',
     order: first.order,
   });
   assert.equal(
     requestReleaseRollout(second, fresh, fresh, 12_000, 1000).kind,
-    'busy',
+    'conflict',
     'another span is another order',
   );
   const moved: ReleaseRollout = { ...second, phase: 'good', settled: r3, spentMs: 16_000 };
   assert.deepEqual(requestReleaseRollout(moved, r3, fresh, 16_000, 30_000), {
-    kind: 'stands',
+    kind: 'alreadyAccepted',
     order: first.order,
   });
   assert.equal(requestReleaseRollout(moved, r3, fresh, 12_000, 30_000).kind, 'opened');
@@ -475,5 +475,5 @@
     known = { ...next, phase: 'good' };
   }
   assert.equal(known.earlier.length, 16);
-  assert.equal(requestReleaseRollout(known, old, toRelease('v90'), 1000, 1).kind, 'stands');
+  assert.equal(requestReleaseRollout(known, old, toRelease('v90'), 1000, 1).kind, 'alreadyAccepted');
 });
--- a/packages/configuration/src/rollout/progress.ts
+++ b/packages/configuration/src/rollout/progress.ts
@@ -1,3 +1,8 @@
+/**
+ * The progress of a rollout: targets move by what their nodes report and by time, waves follow each
+ * other, and all that changes is written. Starting a rollout is `planner.ts`'s part.
+ */
+
 import { type Timestamp, nextSeq } from '@switchwheel/types';
 import type { TableMutation } from '@switchwheel/transport';
 import {
@@ -13,39 +18,43 @@
 
 /** How long a started target may take before it counts as failed. */
 export const applyTimeoutMs = 5000;
-/** How long a pending target that is not in touch is waited for before it is skipped. */
+/** How long a pending target whose node is offline is waited for before it is skipped. */
 export const offlineGraceMs = 10_000;
 
-/** When a target was first seen in its status: only a cache, made anew by a new primary. */
-export type StatusSince = ReadonlyMap<
-  string,
-  { readonly status: RolloutTarget['status']; readonly at: Timestamp }
->;
+interface StatusAt {
+  readonly status: RolloutTarget['status'];
+  readonly at: Timestamp;
+}
+
+/** When each target was first seen in its status, by its key: only a cache. */
+export type StatusSince = ReadonlyMap<string, StatusAt>;
 
-const isFinished = (one: RolloutTarget): boolean =>
-  one.status === 'succeeded' || one.status === 'failed' || one.status === 'skipped';
-const isSettled = (one: RolloutTarget): boolean => isFinished(one) || one.status === 'verifying';
+const isFinished = ({ status }: RolloutTarget): boolean =>
+  status === 'succeeded' || status === 'failed' || status === 'skipped';
+const isSettled = (target: RolloutTarget): boolean =>
+  isFinished(target) || target.status === 'verifying';
 
+/** A target's next status and its text, by its node's report and how long it has had its status. */
 const nextTargetStatus = (
   target: RolloutTarget,
-  row: NodeRecord | undefined,
+  record: NodeRecord | undefined,
   rollout: Rollout,
-  age: number,
+  ageMs: number,
 ): readonly [RolloutTarget['status'], string] => {
   const goal = { generation: rollout.generation, hash: rollout.hash };
-  if (row === undefined)
-    return target.status === 'pending' && age > offlineGraceMs
+  if (record === undefined)
+    return target.status === 'pending' && ageMs > offlineGraceMs
       ? ['skipped', 'not known any more']
       : [target.status, target.text];
-  const reported = row.reported;
+  const reported = record.reported;
   const runs =
     reported.phase === 'applied' &&
     reported.generation === goal.generation &&
     reported.hash === goal.hash;
   switch (target.status) {
     case 'pending':
-      if (!row.online)
-        return age > offlineGraceMs ? ['skipped', 'not in touch'] : ['pending', 'not in touch'];
+      if (!record.online)
+        return ageMs > offlineGraceMs ? ['skipped', 'not in touch'] : ['pending', 'not in touch'];
       return target.wave <= rollout.wave
         ? ['in_progress', 'offered']
         : ['pending', 'waits for its wave'];
@@ -53,86 +62,128 @@
       if (runs) return ['verifying', 'health wait'];
       if (reported.failed?.hash === goal.hash && reported.failed.generation === goal.generation)
         return ['failed', reported.failed.text];
-      return age > applyTimeoutMs
+      return ageMs > applyTimeoutMs
         ? ['failed', 'no report in time']
         : ['in_progress', reported.phase === 'applying' ? 'applying' : 'offered'];
     case 'verifying':
       if (!runs) return ['failed', 'no longer reports this generation'];
       if (!reported.health.healthy) return ['failed', `unfit: ${reported.health.text}`];
-      return age >= rollout.policy.verifyMs ? ['succeeded', ''] : ['verifying', 'health wait'];
+      return ageMs >= rollout.policy.verifyMs ? ['succeeded', ''] : ['verifying', 'health wait'];
     case 'failed':
-      // The mark stays shown, but a node that came round in the end is told as such.
+      // A failure stays, but a node that only reported too late is verified after all.
       return runs && reported.health.healthy && target.text === 'no report in time'
         ? ['verifying', 'applied late']
         : ['failed', target.text];
     case 'skipped':
-      return row.online ? ['in_progress', 'back in touch'] : ['skipped', target.text];
+      return record.online ? ['in_progress', 'back in touch'] : ['skipped', target.text];
     case 'succeeded':
       return ['succeeded', ''];
   }
 };
 
-/** One tick of the engine: what it would write. Nothing is kept between ticks but the cache of first sights. */
+/** What a tick writes, and what the next tick needs. */
+export interface RolloutProgress {
+  readonly puts: readonly TableMutation[];
+  readonly seen: StatusSince;
+  /** When the active rollout was first seen; undefined without one. */
+  readonly opened: Timestamp | undefined;
+}
+
+interface TargetProgress {
+  readonly target: RolloutTarget;
+  readonly since: Timestamp;
+  readonly puts: readonly TableMutation[];
+}
+
+/** What a node's record becomes when its target starts or fails. */
+const nodePuts = (
+  record: NodeRecord | undefined,
+  target: RolloutTarget,
+  { generation, hash }: Rollout,
+): readonly TableMutation[] => {
+  if (record === undefined) return [];
+  const key = controlKeys.node(target.node);
+  const goal = { generation, hash };
+  if (target.status === 'in_progress' && !isSameVersion(record.desired, goal))
+    return [putRecord(key, { ...record, desired: goal })];
+  if (target.status === 'failed' && record.failed !== hash)
+    return [putRecord(key, { ...record, failed: hash })];
+  return [];
+};
+
+const progressTarget = (
+  control: ControlState,
+  rollout: Rollout,
+  [key, target]: readonly [string, RolloutTarget],
+  seen: StatusSince,
+  now: Timestamp,
+): TargetProgress => {
+  const mark = seen.get(key);
+  const since = mark?.status === target.status ? mark.at : now;
+  const record = control.nodes.get(target.node);
+  const [status, text] = nextTargetStatus(target, record, rollout, now - since);
+  if (status === target.status) return { target, since, puts: [] };
+  const next: RolloutTarget = { ...target, status, text, rev: nextSeq(target.rev) };
+  const puts = [putRecord(key, next), ...nodePuts(record, next, rollout)];
+  return { target: next, since: now, puts };
+};
+
+/**
+ * The rollout after its targets have moved. The failure threshold only marks it and never holds it
+ * back; a gate opens when its time is over, whatever its wave reports.
+ */
+const progressRollout = (
+  rollout: Rollout,
+  targets: readonly RolloutTarget[],
+  ageMs: number,
+): Rollout => {
+  const startedTargets = targets.filter((target) => target.wave <= rollout.wave);
+  const isGateOver = ageMs >= (rollout.wave + 1) * rollout.policy.gateMs;
+  const isLastWave = rollout.wave >= rollout.waves - 1;
+  const failed = targets.filter((target) => target.status === 'failed').length;
+  const troubled = targets.length > 0 && failed / targets.length > rollout.policy.threshold;
+  const startsWave = !isLastWave && (startedTargets.every(isSettled) || isGateOver);
+  const wave = startsWave ? rollout.wave + 1 : rollout.wave;
+  const isEnded = isLastWave && targets.every(isFinished);
+  const endStatus = troubled ? 'failed' : 'completed';
+  return { ...rollout, wave, status: isEnded ? endStatus : rollout.status, troubled };
+};
+
+/**
+ * Moves the active rollout on. Nothing is kept between ticks but the times since when targets have
+ * their statuses: a new primary begins them anew.
+ */
 export const tickRollout = (
   control: ControlState,
   seen: StatusSince,
   opened: Timestamp | undefined,
   now: Timestamp,
-): {
-  readonly puts: readonly TableMutation[];
-  readonly seen: StatusSince;
-  readonly opened: Timestamp | undefined;
-} => {
+): RolloutProgress => {
   const rollout = activeRollout(control);
   if (rollout === undefined) return { puts: [], seen: new Map(), opened: undefined };
   const since = opened ?? now;
   const puts: TableMutation[] = [];
-  const kept = new Map<
-    string,
-    { readonly status: RolloutTarget['status']; readonly at: Timestamp }
-  >();
-  const after: RolloutTarget[] = [];
-  for (const [key, target] of control.targets) {
-    if (target.generation !== rollout.generation) continue;
-    const mark = seen.get(key);
-    const at = mark?.status === target.status ? mark.at : now;
-    const row = control.nodes.get(target.node);
-    const [status, text] = nextTargetStatus(target, row, rollout, now - at);
-    const moved = status !== target.status;
-    kept.set(key, { status, at: moved ? now : at });
-    const next: RolloutTarget = moved
-      ? { ...target, status, text, rev: nextSeq(target.rev) }
-      : target;
-    after.push(next);
-    if (moved) puts.push(putRecord(key, next));
-    if (row !== undefined && status === 'in_progress' && moved) {
-      const goal = { generation: rollout.generation, hash: rollout.hash };
-      if (!isSameVersion(row.desired, goal))
-        puts.push(putRecord(controlKeys.node(target.node), { ...row, desired: goal }));
-    }
-    if (row !== undefined && status === 'failed' && moved && row.failed !== rollout.hash) {
-      puts.push(putRecord(controlKeys.node(target.node), { ...row, failed: rollout.hash }));
-    }
+  const nextSeen = new Map<string, StatusAt>();
+  const targets: RolloutTarget[] = [];
+  for (const entry of control.targets) {
+    const [key, { generation }] = entry;
+    if (generation !== rollout.generation) continue;
+    const progress = progressTarget(control, rollout, entry, seen, now);
+    nextSeen.set(key, { status: progress.target.status, at: progress.since });
+    targets.push(progress.target);
+    puts.push(...progress.puts);
   }
-  const here = after.filter((one) => one.wave <= rollout.wave);
-  const gate = now - since >= (rollout.wave + 1) * rollout.policy.gateMs;
-  const last = rollout.wave >= rollout.waves - 1;
-  const bad = after.filter((one) => one.status === 'failed').length;
-  const troubled = after.length > 0 && bad / after.length > rollout.policy.threshold;
-  // The threshold marks and never holds back; a gate opens when its time is over, whatever its wave reports.
-  const wave = !last && (here.every(isSettled) || gate) ? rollout.wave + 1 : rollout.wave;
-  const status =
-    last && after.every(isFinished) ? (troubled ? 'failed' : 'completed') : rollout.status;
-  if (wave !== rollout.wave || status !== rollout.status || troubled !== rollout.troubled) {
+  const next = progressRollout(rollout, targets, now - since);
+  const hasChanged =
+    next.wave !== rollout.wave ||
+    next.status !== rollout.status ||
+    next.troubled !== rollout.troubled;
+  if (hasChanged)
     puts.push(
       putRecord(controlKeys.rollout(rollout.generation), {
-        ...rollout,
-        wave,
-        status,
-        troubled,
+        ...next,
         rev: nextSeq(rollout.rev),
       }),
     );
-  }
-  return { puts, seen: kept, opened: since };
+  return { puts, seen: nextSeen, opened: since };
 };
