--- a/packages/configuration/src/release/canary-counts.ts
+++ b/packages/configuration/src/release/canary-counts.ts
@@ -1,3 +1,8 @@
+/**
+ * What edges count for a release rollout, as one primary has it: cumulative counts by release and
+ * class, from which those of any recent span are found. Judging them is not done here.
+ */
+
 import {
   type Incarnation,
   type Timestamp,
@@ -10,7 +15,7 @@
 } from '@switchwheel/types';
 import type { FrameOf, ReleaseCountsRow } from '@switchwheel/transport';
 
-/** Counts of one release and class, over edges. */
+/** Counts of one release and class, over edges: requests sent, and responses by their outcome. */
 export interface ReleaseCounts {
   readonly sent: number;
   readonly good: number;
@@ -18,12 +23,14 @@
   readonly slow: number;
   readonly sumMs: number;
 }
+/** No counts. */
 export const zeroCounts: ReleaseCounts = { sent: 0, good: 0, bad: 0, slow: 0, sumMs: 0 };
 
-/** What one life of an edge told, with what it told before, the oldest first. */
+/** The reports of one incarnation of an edge, the oldest first. */
 interface EdgeReports {
   readonly receivedAt: Timestamp;
   readonly serial: Seq;
+  /** Requests in flight at origins of other releases than the target. */
   readonly inFlightOld: number;
   readonly firstReport: CountReport;
   readonly recentReports: readonly CountReport[];
@@ -33,8 +40,9 @@
   readonly rows: readonly ReleaseCountsRow[];
 }
 
-/** A primary's own view of one order: when it began by the primary's clock, and what edges count. */
+/** One rollout as this primary sees it: when it began, by its own clock, and what edges report. */
 export interface RolloutWatch {
+  /** The number of the rollout. */
   readonly order: Seq;
   readonly startedAt: Timestamp;
   /** When this primary began to watch. */
@@ -42,10 +50,11 @@
   readonly edges: ReadonlyMap<string, EdgeReports>;
 }
 
-/** How long an edge counts as in touch after its last tally. */
+/** How long an edge counts as live after its last report. */
 const edgeTimeoutMs = 1000;
 const reportRetentionMs = 9000;
 
+/** Begins to watch a rollout that began so long ago. */
 export const newRolloutWatch = (order: Seq, spentMs: number, now: Timestamp): RolloutWatch => ({
   order,
   startedAt: toTimestamp(now - spentMs),
@@ -53,51 +62,49 @@
   edges: new Map(),
 });
 
-export const elapsedAt = (one: RolloutWatch, now: Timestamp): number => now - one.startedAt;
+/** How long a rollout has lasted, in milliseconds. */
+export const elapsedAt = (watch: RolloutWatch, now: Timestamp): number => now - watch.startedAt;
 
 const edgeKey = (node: NodeId, incarnation: Incarnation): string => `${node} ${incarnation}`;
 const totalSentOf = (rows: readonly ReleaseCountsRow[]): number =>
-  rows.reduce((sum, one) => sum + one.sent, 0);
+  rows.reduce((sum, row) => sum + row.sent, 0);
 
-/** Takes an edge's counts in. They are of its whole life, so a lost one is made good by the next. */
+/** Takes an edge's report in. Its counts are cumulative, so a lost report is made up for by the next. */
 export const recordCounts = (
-  one: RolloutWatch,
-  word: FrameOf<'tally'>,
+  watch: RolloutWatch,
+  frame: FrameOf<'tally'>,
   now: Timestamp,
 ): RolloutWatch => {
-  if (word.order !== one.order) return one;
-  const key = edgeKey(word.node, word.incarnation);
-  const known = one.edges.get(key);
-  const told: CountReport = { receivedAt: now, rows: word.rows };
+  if (frame.order !== watch.order) return watch;
+  const key = edgeKey(frame.node, frame.incarnation);
+  const known = watch.edges.get(key);
+  const earlier = known?.recentReports ?? [];
   // Frames of one edge may overtake each other.
-  if (
-    known !== undefined &&
-    totalSentOf(word.rows) < totalSentOf(known.recentReports.at(-1)?.rows ?? [])
-  )
-    return one;
-  const old = known?.recentReports ?? [];
-  const cut = old.findLastIndex((row) => now - row.receivedAt >= reportRetentionMs);
-  const recent = [...(cut > 0 ? old.slice(cut) : old), told];
+  if (totalSentOf(frame.rows) < totalSentOf(earlier.at(-1)?.rows ?? [])) return watch;
+  const report: CountReport = { receivedAt: now, rows: frame.rows };
+  const firstKept = earlier.findLastIndex(
+    ({ receivedAt }) => now - receivedAt >= reportRetentionMs,
+  );
   const edge: EdgeReports = {
     receivedAt: now,
-    serial: word.serial,
-    inFlightOld: word.inFlightOld,
-    firstReport: known?.firstReport ?? told,
-    recentReports: recent,
+    serial: frame.serial,
+    inFlightOld: frame.inFlightOld,
+    firstReport: known?.firstReport ?? report,
+    recentReports: [...earlier.slice(Math.max(0, firstKept)), report],
   };
   return {
-    ...one,
-    startedAt: toTimestamp(Math.min(one.startedAt, now - word.spentMs)),
-    edges: withEntry(one.edges, key, edge),
+    ...watch,
+    startedAt: toTimestamp(Math.min(watch.startedAt, now - frame.spentMs)),
+    edges: withEntry(watch.edges, key, edge),
   };
 };
 
-/** Whether all edges in touch act on a state and have nothing under way at old origins. */
-export const isDrained = (one: RolloutWatch, serial: Seq, now: Timestamp): boolean => {
-  const near = filterEntries(one.edges, (edge) => now - edge.receivedAt < edgeTimeoutMs);
+/** Whether all live edges act on a state, at least, and have no requests in flight at old origins. */
+export const isDrained = (watch: RolloutWatch, serial: Seq, now: Timestamp): boolean => {
+  const live = filterEntries(watch.edges, (edge) => now - edge.receivedAt < edgeTimeoutMs);
   return (
-    near.size > 0 &&
-    [...near.values()].every((edge) => edge.serial >= serial && edge.inFlightOld === 0)
+    live.size > 0 &&
+    [...live.values()].every((edge) => edge.serial >= serial && edge.inFlightOld === 0)
   );
 };
 
@@ -124,17 +131,17 @@
   }
 };
 
-/** All that was counted since the order, as far as it was told to this primary. */
-export const allCounts = (one: RolloutWatch): CountsByRelease => {
+/** All that was counted since the rollout began, as far as this primary knows. */
+export const allCounts = (watch: RolloutWatch): CountsByRelease => {
   const sums = new Map<Release, Map<string, ReleaseCounts>>();
-  for (const edge of one.edges.values()) addRows(sums, edge.recentReports.at(-1)?.rows ?? [], 1);
+  for (const edge of watch.edges.values()) addRows(sums, edge.recentReports.at(-1)?.rows ?? [], 1);
   return sums;
 };
 
-/** What was counted within the last span; an edge new to this primary counts from its first word. */
-export const countsSince = (one: RolloutWatch, from: Timestamp): CountsByRelease => {
+/** What was counted since a time; an edge that is new to this primary counts from its first report. */
+export const countsSince = (watch: RolloutWatch, from: Timestamp): CountsByRelease => {
   const sums = new Map<Release, Map<string, ReleaseCounts>>();
-  for (const edge of one.edges.values()) {
+  for (const edge of watch.edges.values()) {
     addRows(sums, edge.recentReports.at(-1)?.rows ?? [], 1);
     addRows(
       sums,
@@ -145,10 +152,12 @@
   return sums;
 };
 
+/** The counts of all classes together. */
 export const sumOfClasses = (
   groups: ReadonlyMap<string, ReleaseCounts> | undefined,
 ): ReleaseCounts =>
-  [...(groups?.values() ?? [])].reduce((sum, one) => addCounts(sum, one, 1), zeroCounts);
+  [...(groups?.values() ?? [])].reduce((sum, counts) => addCounts(sum, counts, 1), zeroCounts);
 
+/** The requests of all releases and classes together. */
 export const totalSentIn = (sums: CountsByRelease): number =>
   [...sums.values()].reduce((sum, groups) => sum + sumOfClasses(groups).sent, 0);
--- a/packages/configuration/src/release/release-rollout.test.ts
+++ b/packages/configuration/src/release/release-rollout.test.ts
@@ -475,5 +475,8 @@
     known = { ...next, phase: 'good' };
   }
   assert.equal(known.earlier.length, 16);
-  assert.equal(requestReleaseRollout(known, old, toRelease('v90'), 1000, 1).kind, 'alreadyAccepted');
+  assert.equal(
+    requestReleaseRollout(known, old, toRelease('v90'), 1000, 1).kind,
+    'alreadyAccepted',
+  );
 });
