--- a/packages/configuration/src/document/checks.ts
+++ b/packages/configuration/src/document/checks.ts
@@ -1,108 +1,119 @@
+/** Checks of a document beyond its schema: names, lending between classes, shares and the rollout policy. */
+
 import type { ClassName, ServiceName } from '@switchwheel/types';
+import type { ConfigurationHeader, RolloutPolicy, ServiceClass } from './schema.js';
 import { type ValidationIssue, validationIssue } from './validation-issue.js';
-import type { ServiceClass, ConfigurationHeader } from './schema.js';
+
+type ClassTable = ReadonlyMap<ClassName, ServiceClass>;
+
+/** How long the gates of all waves may take together. */
+const maxGatesMs = 500;
+/** Sums of decimal shares may be over 1 by this much. */
+const shareTolerance = 1e-9;
 
 const checkUniqueNames = (
   list: readonly { readonly name: string }[],
   at: string,
-  faults: ValidationIssue[],
+  issues: ValidationIssue[],
 ): void => {
-  const seen = new Map<string, number>();
-  for (const [index, one] of list.entries()) {
-    const first = seen.get(one.name);
-    if (first === undefined) seen.set(one.name, index);
-    else
-      faults.push(
-        validationIssue(
-          `${at}.${index}.name`,
-          `the name ${one.name} is also that of ${at}.${first}`,
-        ),
-      );
+  const firstIndex = new Map<string, number>();
+  for (const [index, { name }] of list.entries()) {
+    const first = firstIndex.get(name);
+    if (first === undefined) {
+      firstIndex.set(name, index);
+      continue;
+    }
+    const text = `the name ${name} is also that of ${at}.${first}`;
+    issues.push(validationIssue(`${at}.${index}.name`, text));
   }
 };
 
-/** Rings of lending in which some lender would wait for answers longer than its promise. */
+/** A path of lending from one class to another; undefined if there is none. */
+const lendingPath = (
+  classes: ClassTable,
+  from: ClassName,
+  to: ClassName,
+  visited: Set<ClassName>,
+): readonly ClassName[] | undefined => {
+  for (const next of classes.get(from)?.lendsTo ?? []) {
+    if (next === to) return [from, next];
+    if (visited.has(next)) continue;
+    visited.add(next);
+    const rest = lendingPath(classes, next, to, visited);
+    if (rest !== undefined) return [from, ...rest];
+  }
+  return undefined;
+};
+
+/** In a cycle of lending, a class would wait for slower ones for longer than it promises. */
 const checkLendingCycles = (
-  groups: ReadonlyMap<ClassName, ServiceClass>,
+  classes: ClassTable,
   order: readonly ServiceClass[],
-  faults: ValidationIssue[],
+  issues: ValidationIssue[],
 ): void => {
-  const reach = (
-    from: ClassName,
-    goal: ClassName,
-    seen: Set<ClassName>,
-  ): readonly ClassName[] | undefined => {
-    for (const next of groups.get(from)?.lendsTo ?? []) {
-      if (next === goal) return [from, next];
-      if (seen.has(next)) continue;
-      seen.add(next);
-      const rest = reach(next, goal, seen);
-      if (rest !== undefined) return [from, ...rest];
-    }
-    return undefined;
-  };
-  for (const [index, one] of order.entries()) {
-    if (one.latencyMs === undefined) continue;
-    const ring = reach(one.name, one.name, new Set());
-    if (ring === undefined) continue;
-    const slow = ring.find(
-      (name) => (groups.get(name)?.latencyMs ?? Number.POSITIVE_INFINITY) > (one.latencyMs ?? 0),
+  for (const [index, { name, latencyMs }] of order.entries()) {
+    if (latencyMs === undefined) continue;
+    const cycle = lendingPath(classes, name, name, new Set());
+    const slower = cycle?.find(
+      (lender) => (classes.get(lender)?.latencyMs ?? Number.POSITIVE_INFINITY) > latencyMs,
+    );
+    if (cycle === undefined || slower === undefined) continue;
+    const slowerMs = classes.get(slower)?.latencyMs;
+    const reason = slowerMs === undefined ? 'promises nothing' : `takes up to ${slowerMs} ms`;
+    issues.push(
+      validationIssue(
+        `classes.${index}.lendsTo`,
+        `the ring ${cycle.join(' > ')} breaks the promise of ${latencyMs} ms: ${slower} ${reason}`,
+      ),
     );
-    if (slow !== undefined) {
-      const long = groups.get(slow)?.latencyMs;
-      faults.push(
-        validationIssue(
-          `classes.${index}.lendsTo`,
-          `the ring ${ring.join(' > ')} breaks the promise of ${one.latencyMs} ms: ${slow} ${long === undefined ? 'promises nothing' : `takes up to ${long} ms`}`,
-        ),
-      );
-    }
   }
 };
 
-/** Checks the head against itself. */
-export const checkHeader = (head: ConfigurationHeader, faults: ValidationIssue[]): void => {
-  checkUniqueNames(head.classes, 'classes', faults);
-  checkUniqueNames(head.services, 'services', faults);
-  const groups = new Map(head.classes.map((one) => [one.name, one]));
-  for (const [index, one] of head.classes.entries()) {
-    for (const [place, name] of one.lendsTo.entries()) {
-      if (!groups.has(name))
-        faults.push(
-          validationIssue(`classes.${index}.lendsTo.${place}`, `no class is named ${name}`),
-        );
-      else if (name === one.name)
-        faults.push(
-          validationIssue(`classes.${index}.lendsTo.${place}`, 'a class does not lend to itself'),
-        );
-    }
+const checkLenders = (
+  classes: ClassTable,
+  { name, lendsTo }: ServiceClass,
+  classIndex: number,
+  issues: ValidationIssue[],
+): void => {
+  for (const [index, borrower] of lendsTo.entries()) {
+    const at = `classes.${classIndex}.lendsTo.${index}`;
+    if (!classes.has(borrower)) issues.push(validationIssue(at, `no class is named ${borrower}`));
+    else if (borrower === name) issues.push(validationIssue(at, 'a class does not lend to itself'));
   }
-  checkLendingCycles(groups, head.classes, faults);
-  const policy = head.rollout;
-  if ((policy.waves.length - 1) * policy.gateMs > 500)
-    faults.push(
+};
+
+const checkRolloutPolicy = ({ waves, gateMs }: RolloutPolicy, issues: ValidationIssue[]): void => {
+  if ((waves.length - 1) * gateMs > maxGatesMs)
+    issues.push(
       validationIssue('rollout.gateMs', 'the gates of all waves may take 500 ms at most'),
     );
-  if (policy.waves.at(-1) !== 1)
-    faults.push(
+  if (waves.at(-1) !== 1)
+    issues.push(
       validationIssue('rollout.waves', 'the last wave reaches all nodes: its share is 1'),
     );
 };
 
-/** The shares of the classes that meet at one service may not be more than the whole. */
+/** Checks that the parts of a header fit together. */
+export const checkHeader = (header: ConfigurationHeader, issues: ValidationIssue[]): void => {
+  checkUniqueNames(header.classes, 'classes', issues);
+  checkUniqueNames(header.services, 'services', issues);
+  const classes = new Map(header.classes.map((declared) => [declared.name, declared]));
+  for (const [index, declared] of header.classes.entries())
+    checkLenders(classes, declared, index, issues);
+  checkLendingCycles(classes, header.classes, issues);
+  checkRolloutPolicy(header.rollout, issues);
+};
+
+/** Checks that the shares of the classes at each service are not more than the whole. */
 export const checkClassShares = (
-  used: ReadonlyMap<ServiceName, ReadonlySet<ClassName>>,
-  groups: ReadonlyMap<ClassName, ServiceClass>,
-  faults: ValidationIssue[],
+  classNamesByService: ReadonlyMap<ServiceName, ReadonlySet<ClassName>>,
+  classes: ClassTable,
+  issues: ValidationIssue[],
 ): void => {
-  for (const [service, names] of used) {
-    const sum = [...names].reduce((total, name) => total + (groups.get(name)?.share ?? 0), 0);
-    if (sum > 1 + 1e-9)
-      faults.push(
-        validationIssue(
-          'classes',
-          `at the service ${service} the shares of ${[...names].join(', ')} add up to ${sum.toFixed(3)}, over the whole`,
-        ),
-      );
+  for (const [service, names] of classNamesByService) {
+    const sum = [...names].reduce((total, name) => total + (classes.get(name)?.share ?? 0), 0);
+    if (sum <= 1 + shareTolerance) continue;
+    const text = `at the service ${service} the shares of ${[...names].join(', ')} add up to ${sum.toFixed(3)}, over the whole`;
+    issues.push(validationIssue('classes', text));
   }
 };
--- a/packages/configuration/src/document/schema.ts
+++ b/packages/configuration/src/document/schema.ts
@@ -1,3 +1,8 @@
+/**
+ * Schemas of the operators' document. Its members are named by the users' pages and keep their names;
+ * code that runs a configuration uses the compiled form.
+ */
+
 import * as v from 'valibot';
 import * as g from '@switchwheel/types';
 
@@ -22,7 +27,7 @@
   'a method',
 );
 
-/** What the operator's tools want kept with an item; the fleet does not read it. */
+/** Kept for the operators' tools; the fleet does not read it. */
 const note = v.optional(v.pipe(v.string(), v.maxLength(65_536, 'at most 65536 signs')));
 
 /** A class of service: what it promises, its share, and who may borrow from it. */
@@ -32,6 +37,7 @@
   share: v.pipe(v.number('a number'), v.minValue(0, 'at least 0'), v.maxValue(1, 'at most 1')),
   lendsTo: v.optional(v.array(g.className), []),
 });
+/** A class of service. */
 export type ServiceClass = v.InferOutput<typeof serviceClass>;
 
 /** A service: what stands behind routes. */
@@ -57,9 +63,10 @@
   hedgeMs: v.optional(integerBetween(5, 60_000)),
   note,
 });
+/** A service. */
 export type Service = v.InferOutput<typeof service>;
 
-/** How results of a route may be kept. */
+/** How responses of a route may be cached. */
 export const cachePolicy = v.strictObject({
   lifetimeMs: v.optional(integerBetween(0, 31_536_000_000)),
   vary: v.optional(v.array(headerName), []),
@@ -104,7 +111,7 @@
   class: g.className,
   repeatable: v.optional(v.boolean()),
   timeoutMs: v.optional(integerBetween(10, 600_000), 10_000),
-  /** Within which time an answer is worth most. */
+  /** Within which time a response is worth most. */
   goalMs: v.optional(integerBetween(1, 600_000)),
   /** The largest number of origins that one request may be sent to. */
   origins: v.optional(integerBetween(1, 16)),
@@ -113,9 +120,10 @@
   cache: v.optional(cachePolicy),
   note,
 });
+/** A route of the document. */
 export type Route = v.InferOutput<typeof route>;
 
-/** How a generation is rolled out: shares of nodes a wave, and the gate between waves. */
+/** How a generation is rolled out: the share of nodes that each wave reaches, and the gate between waves. */
 export const policy = v.strictObject({
   waves: v.optional(
     v.pipe(
@@ -129,18 +137,20 @@
   threshold: v.optional(v.pipe(v.number(), v.minValue(0), v.maxValue(1)), 0.2),
   verifyMs: v.optional(integerBetween(0, 600_000), 10_000),
 });
+/** How a generation is rolled out. */
 export type RolloutPolicy = v.InferOutput<typeof policy>;
 
-/** What callers may send, and how long they may take. */
+/** What clients may send, and how long they may take. */
 export const clientLimits = v.strictObject({
   headerBytes: v.optional(integerBetween(512, 1_048_576), 16_384),
   bodyBytes: v.optional(integerBetween(0, 1_073_741_824), 1_048_576),
   headerMs: v.optional(integerBetween(100, 600_000), 5000),
   idleMs: v.optional(integerBetween(100, 3_600_000), 10_000),
 });
+/** Limits of clients' requests. */
 export type ClientLimits = v.InferOutput<typeof clientLimits>;
 
-/** All of a description but its routes. */
+/** All of a document but its routes. */
 export const configurationHeader = v.strictObject({
   format: v.literal(1, 'the format is 1'),
   classes: v.array(serviceClass),
@@ -149,4 +159,5 @@
   limits: v.optional(clientLimits, {}),
   note,
 });
+/** All of a document but its routes. */
 export type ConfigurationHeader = v.InferOutput<typeof configurationHeader>;
--- a/packages/configuration/src/document/validation-issue.ts
+++ b/packages/configuration/src/document/validation-issue.ts
@@ -1,29 +1,28 @@
+/** Issues of a document: what is wrong, and where. Their members are part of the HTTP answers. */
+
 import * as v from 'valibot';
 
-/** One thing wrong in a description, with its place. */
+/** One thing wrong in a document. */
 export interface ValidationIssue {
+  /** The place, as a path with dots; `(whole)` for the document itself. */
   readonly path: string;
   readonly text: string;
 }
+/** Makes an issue. */
 export const validationIssue = (path: string, text: string): ValidationIssue => ({ path, text });
 
-/** Reads a value by a schema; all that is wrong with it goes to the list. */
+/** Parses a value; all issues go to the list, with places below `at`, and the result is then undefined. */
 export const parseCollecting = <T>(
   schema: v.GenericSchema<unknown, T>,
   raw: unknown,
   at: string,
-  faults: ValidationIssue[],
+  issues: ValidationIssue[],
 ): T | undefined => {
-  const read = v.safeParse(schema, raw);
-  if (read.success) return read.output;
-  for (const issue of read.issues) {
-    const dot = v.getDotPath(issue);
-    faults.push(
-      validationIssue(
-        [at, dot].filter((part) => part !== null && part !== '').join('.') || '(whole)',
-        issue.message,
-      ),
-    );
+  const result = v.safeParse(schema, raw);
+  if (result.success) return result.output;
+  for (const issue of result.issues) {
+    const parts = [at, v.getDotPath(issue)].filter((part) => part !== null && part !== '');
+    issues.push(validationIssue(parts.join('.') || '(whole)', issue.message));
   }
   return undefined;
 };
--- a/packages/configuration/src/release/release-rollout.ts
+++ b/packages/configuration/src/release/release-rollout.ts
@@ -1,3 +1,9 @@
+/**
+ * The stored record of a service's release rollout, and how a request for one is answered. The schema
+ * is the stored form: a new version must read what an older one wrote, so members keep their names.
+ * How a rollout goes on is `rollout-controller.ts`'s part.
+ */
+
 import * as v from 'valibot';
 import * as g from '@switchwheel/types';
 import { type RolloutState, rolloutPhase } from '@switchwheel/transport';
@@ -5,23 +11,23 @@
 
 const count = v.pipe(v.number(), v.integer(), v.minValue(0));
 
-/** An order that was accepted before the one that stands. */
+/** A rollout that was accepted before the current one. */
 const earlierRollout = v.object({
   target: g.release,
   spanMs: v.number(),
   order: g.seq,
-  /** How long ago it was accepted when the order that stands was opened. */
+  /** How long ago it was accepted when the current one was opened. */
   ageMs: v.number(),
 });
 type EarlierRollout = v.InferOutput<typeof earlierRollout>;
-/** How many earlier orders are kept of a service. */
+/** How many earlier rollouts are kept of a service. */
 const maxKeptEarlier = 16;
 
-/** What is stored of a service's releases: the settled one, and the last order to move to another. */
+/** What is stored of a service's releases: the settled one, and the last rollout of another. */
 export const releaseRollout = v.object({
   service: g.serviceName,
   settled: v.optional(g.release),
-  /** The settled release as it was when the order came. */
+  /** The settled release when the rollout began: a failed one goes back to it. */
   prior: v.optional(g.release),
   target: v.optional(g.release),
   phase: rolloutPhase,
@@ -29,23 +35,24 @@
   share: v.number(),
   shares: v.array(v.object({ group: v.string(), share: v.number() })),
   spanMs: v.number(),
-  /** How much of the span was over when this was written, and when the phase and the probe began in it. */
+  /** How much of the span was over when this was written, and when the shift and the load probe began in it. */
   spentMs: v.number(),
   movedMs: v.number(),
   probedMs: v.number(),
   order: g.seq,
   serial: g.seq,
-  /** Requests of the service since the order, and those that the target got of them, as last written. */
+  /** Requests of the service since the rollout began, and those of them that the target got, as last written. */
   total: count,
   spent: count,
   /** Why it was judged as it was. */
   text: v.string(),
-  /** Orders before this one that may be sent again by callers that did not hear the answer. */
+  /** Rollouts before this one whose requests may be sent again by callers that did not get the answer. */
   earlier: v.optional(v.array(earlierRollout), []),
 });
+/** A service's release rollout as it is stored; times are in milliseconds of its span. */
 export type ReleaseRollout = v.InferOutput<typeof releaseRollout>;
 
-/** A service on its settled release, with no order. */
+/** A service on its settled release, without a rollout. */
 export const settledRollout = (
   service: g.ServiceName,
   settled: g.Release | undefined,
@@ -70,28 +77,30 @@
   earlier: [],
 });
 
-/** Whether an order is neither judged good nor bad yet. */
-export const isInProgress = (one: ReleaseRollout): boolean =>
-  one.phase === 'trial' || one.phase === 'moving';
+/** Whether a rollout is not judged yet. */
+export const isInProgress = ({ phase }: ReleaseRollout): boolean =>
+  phase === 'trial' || phase === 'moving';
 
-/** Whether an order still needs counts: until its term, whatever it was judged. */
-export const needsCounts = (one: ReleaseRollout, spentMs: number): boolean =>
-  isInProgress(one) || ((one.phase === 'good' || one.phase === 'bad') && spentMs < one.spanMs);
+/** Whether edges still have to count for a rollout: until its deadline, even if it is judged. */
+export const needsCounts = (rollout: ReleaseRollout, spentMs: number): boolean => {
+  const isJudged = rollout.phase === 'good' || rollout.phase === 'bad';
+  return isInProgress(rollout) || (isJudged && spentMs < rollout.spanMs);
+};
 
-/** What edges are told of a service's releases. */
-export const releaseStateOf = (one: ReleaseRollout, spentMs: number): RolloutState => ({
-  service: one.service,
-  ...(one.settled === undefined ? {} : { settled: one.settled }),
-  ...(one.target === undefined ? {} : { target: one.target }),
-  phase: one.phase,
-  share: one.share,
-  shares: one.shares,
-  leftMs: g.toDurationMs(Math.max(0, one.spanMs - spentMs)),
-  order: one.order,
-  serial: one.serial,
+/** What edges get of a service's rollout. */
+export const releaseStateOf = (rollout: ReleaseRollout, spentMs: number): RolloutState => ({
+  service: rollout.service,
+  ...(rollout.settled === undefined ? {} : { settled: rollout.settled }),
+  ...(rollout.target === undefined ? {} : { target: rollout.target }),
+  phase: rollout.phase,
+  share: rollout.share,
+  shares: rollout.shares,
+  leftMs: g.toDurationMs(Math.max(0, rollout.spanMs - spentMs)),
+  order: rollout.order,
+  serial: rollout.serial,
 });
 
-/** What an order to move comes to. */
+/** The answer to a request for a rollout. */
 export type RolloutRequestResult =
   | { readonly kind: 'opened'; readonly order: ReleaseRollout }
   | { readonly kind: 'alreadyAccepted'; readonly order: g.Seq }
@@ -99,7 +108,7 @@
 
 const initialCanaryShare = 0.02;
 
-/** Whether the order that stands is the one that is asked for, and is not asked for anew. */
+/** Whether a request is that of the current rollout, sent again. */
 const isSameRequest = (
   known: ReleaseRollout,
   target: g.Release,
@@ -109,23 +118,23 @@
   known.target === target &&
   (isInProgress(known) || known.phase === 'good' || spentMs < Math.max(known.spanMs, repeatMs));
 
-/** The earlier orders that may still be sent again, this one among them, as another one is opened. */
+/** The rollouts whose requests may still be sent again, the current one among them, as another is opened. */
 const earlierRolloutsOf = (
   known: ReleaseRollout,
   spentMs: number,
   repeatMs: number,
 ): readonly EarlierRollout[] => {
-  const { target, spanMs, order: number } = known;
-  const last = target === undefined ? [] : [{ target, spanMs, order: number, ageMs: 0 }];
-  return [...known.earlier, ...last]
-    .map((one) => ({ ...one, ageMs: one.ageMs + spentMs }))
-    .filter((one) => one.ageMs < repeatMs)
+  const { target, spanMs, order } = known;
+  const current = target === undefined ? [] : [{ target, spanMs, order, ageMs: 0 }];
+  return [...known.earlier, ...current]
+    .map((earlier) => ({ ...earlier, ageMs: earlier.ageMs + spentMs }))
+    .filter(({ ageMs }) => ageMs < repeatMs)
     .slice(-maxKeptEarlier);
 };
 
 /**
- * Opens an order. One that was accepted before is acknowledged and not begun again, also when
- * another one was accepted since; a new one waits while one is under way.
+ * Answers a request for a rollout. One that was accepted before is acknowledged and not begun again,
+ * also when another was accepted since; a new one conflicts with one in progress.
  */
 export const requestReleaseRollout = (
   known: ReleaseRollout,
@@ -138,7 +147,8 @@
   if (isSameRequest(known, target, spentMs, repeatMs))
     return { kind: 'alreadyAccepted', order: known.order };
   const repeated = known.earlier.find(
-    (one) => one.target === target && one.spanMs === spanMs && one.ageMs + spentMs < repeatMs,
+    (earlier) =>
+      earlier.target === target && earlier.spanMs === spanMs && earlier.ageMs + spentMs < repeatMs,
   );
   if (repeated !== undefined) return { kind: 'alreadyAccepted', order: repeated.order };
   if (isInProgress(known)) return { kind: 'conflict', target: known.target };
