--- a/packages/config-import/src/nginx/convert.ts
+++ b/packages/config-import/src/nginx/convert.ts
@@ -1,6 +1,11 @@
+/**
+ * Converting nginx directives into a document: upstreams become services, locations become routes, and
+ * settings hold for all that stands within their block.
+ */
+
 import type { Directive } from './parse.js';
 
-/** A directive that was not carried over, and why. */
+/** A directive that was not converted, and why. */
 export interface SkippedDirective {
   readonly file: string;
   readonly line: number;
@@ -8,13 +13,14 @@
   readonly reason: string;
 }
 
-/** What an import came to. */
+/** The document that directives make, and what it leaves out. */
 export interface ConversionResult {
   readonly description: object;
   readonly skipped: readonly SkippedDirective[];
 }
 
-const units: ReadonlyMap<string, number> = new Map([
+/** nginx's units of time in milliseconds; a bare number is in seconds. */
+const unitsMs: ReadonlyMap<string, number> = new Map([
   ['', 1000],
   ['ms', 1],
   ['s', 1000],
@@ -24,7 +30,7 @@
 ]);
 const durationMsOf = (raw: string | undefined): number | undefined => {
   const found = /^(\d+)(ms|s|m|h|d)?$/.exec(raw ?? '');
-  return found === null ? undefined : Number(found[1]) * (units.get(found[2] ?? '') ?? 1000);
+  return found === null ? undefined : Number(found[1]) * (unitsMs.get(found[2] ?? '') ?? 1000);
 };
 const identifierOf = (raw: string): string =>
   raw
@@ -54,6 +60,19 @@
   readonly query: boolean;
 }
 
+/** The methods that a location takes; GET allows HEAD too. */
+const methodsOf = (list: readonly Directive[]): readonly string[] => {
+  const limit = list.find((directive) => directive.name === 'limit_except');
+  if (limit === undefined) return [...readMethods, ...writeMethods];
+  return [...new Set(limit.args.flatMap((name) => (name === 'GET' ? [...readMethods] : [name])))];
+};
+
+/** What a location matches: a path, a prefix, or both where it has no closing slash. */
+const matchersOf = (modifier: string | undefined, path: string): readonly object[] => {
+  if (modifier === '=') return [{ path }];
+  return path.endsWith('/') ? [{ prefix: path }] : [{ path }, { prefix: `${path}/` }];
+};
+
 class NginxConverter {
   readonly skipped: SkippedDirective[] = [];
   readonly services = new Set<string>();
@@ -127,10 +146,10 @@
 
   #upstream(one: Directive): void {
     this.services.add(identifierOf(one.args[0] ?? ''));
-    for (const row of one.block ?? [])
+    for (const directive of one.block ?? [])
       this.skip(
-        row,
-        row.name === 'server'
+        directive,
+        directive.name === 'server'
           ? 'origins announce themselves; start them with their own announcements'
           : 'origins are elected by health and free slots',
       );
@@ -139,19 +158,21 @@
   #server(one: Directive, outer: InheritedSettings): void {
     const list = one.block ?? [];
     const scope = this.#scope(outer, list);
-    const names = list.filter((row) => row.name === 'server_name').flatMap((row) => row.args);
+    const names = list
+      .filter((directive) => directive.name === 'server_name')
+      .flatMap((directive) => directive.args);
     const hosts = names.filter((name) => /^[a-z0-9.-]+$/.test(name));
-    for (const row of list) {
-      if (row.name === 'server_name') {
-        for (const name of row.args)
+    for (const directive of list) {
+      if (directive.name === 'server_name') {
+        for (const name of directive.args)
           if (name !== '_' && !/^[a-z0-9.-]+$/.test(name))
-            this.skip(row, `the host ${name} is a pattern; name the hosts`);
-      } else if (row.name === 'listen') {
-        if (row.args.includes('ssl'))
-          this.skip(row, 'callers are spoken to over HTTP/1.1 without TLS');
-      } else if (row.name === 'location')
-        this.#location(row, scope, hosts.length === 0 ? [undefined] : hosts);
-      else this.#other(row);
+            this.skip(directive, `the host ${name} is a pattern; name the hosts`);
+      } else if (directive.name === 'listen') {
+        if (directive.args.includes('ssl'))
+          this.skip(directive, 'callers are spoken to over HTTP/1.1 without TLS');
+      } else if (directive.name === 'location')
+        this.#location(directive, scope, hosts.length === 0 ? [undefined] : hosts);
+      else this.#other(directive);
     }
   }
 
@@ -161,9 +182,9 @@
     hosts: readonly (string | undefined)[],
   ): void {
     const list = one.block ?? [];
-    const [sign, given] = one.args.length > 1 ? [one.args[0], one.args[1]] : ['', one.args[0]];
-    const place = given ?? '';
-    if (sign === '~' || sign === '~*' || place.startsWith('@') || !place.startsWith('/')) {
+    const [modifier, given] = one.args.length > 1 ? [one.args[0], one.args[1]] : ['', one.args[0]];
+    const path = given ?? '';
+    if (modifier === '~' || modifier === '~*' || path.startsWith('@') || !path.startsWith('/')) {
       this.skip(
         one,
         'patterns and named locations have no counterpart; routes go by path or prefix',
@@ -171,13 +192,14 @@
       return;
     }
     const scope = this.#scope(outer, list);
-    const pass = list.find((row) => row.name === 'proxy_pass');
-    for (const row of list) {
-      if (row.name === 'location') this.#location(row, scope, hosts);
-      else this.#other(row);
+    const pass = list.find((directive) => directive.name === 'proxy_pass');
+    for (const directive of list) {
+      if (directive.name === 'location') this.#location(directive, scope, hosts);
+      else this.#other(directive);
     }
     if (pass === undefined) {
-      if (!list.some((row) => row.name === 'location')) this.skip(one, 'no proxy_pass in it');
+      if (!list.some((directive) => directive.name === 'location'))
+        this.skip(one, 'no proxy_pass in it');
       return;
     }
     const target = /^https?:\/\/([^/]+)(\/.*)?$/.exec(pass.args[0] ?? '');
@@ -185,35 +207,26 @@
       this.skip(pass, 'the target is not a fixed one');
       return;
     }
-    if (target[2] !== undefined && target[2] !== place)
+    if (target[2] !== undefined && target[2] !== path)
       this.skip(pass, 'paths are handed on as they are; the change of path is left out');
     const service = identifierOf(target[1] ?? '');
     this.services.add(service);
-    const only = list.find((row) => row.name === 'limit_except');
-    const methods =
-      only === undefined
-        ? [...readMethods, ...writeMethods]
-        : [...new Set(only.args.flatMap((name) => (name === 'GET' ? [...readMethods] : [name])))];
-    const places =
-      sign === '='
-        ? [{ path: place }]
-        : place.endsWith('/')
-          ? [{ prefix: place }]
-          : [{ path: place }, { prefix: `${place}/` }];
+    const methods = methodsOf(list);
     for (const host of hosts)
-      for (const spot of places) this.#route(spot, host, service, methods, scope, place);
+      for (const matcher of matchersOf(modifier, path))
+        this.#route(matcher, host, service, methods, scope, path);
   }
 
   #route(
-    spot: object,
+    matcher: object,
     host: string | undefined,
     service: string,
     methods: readonly string[],
     scope: InheritedSettings,
-    place: string,
+    path: string,
   ): void {
     const base = {
-      ...spot,
+      ...matcher,
       ...(host === undefined ? {} : { host }),
       service,
       class: 'imported',
@@ -221,7 +234,7 @@
         ? {}
         : { timeoutMs: Math.max(10, Math.min(600_000, scope.timeoutMs)) }),
     };
-    const name = (): string => this.#unique(identifierOf(`${host ?? 'any'}${place}`));
+    const name = (): string => this.#unique(identifierOf(`${host ?? 'any'}${path}`));
     const keeps = scope.cache && methods.some((one) => one === 'GET' || one === 'HEAD');
     if (!keeps) {
       this.routes.push({ name: name(), ...base, methods });
@@ -241,7 +254,7 @@
   }
 }
 
-/** Turns directives into a description; what has no counterpart is listed. */
+/** Converts directives into a document; what has no counterpart is listed by file and line. */
 export const convertNginx = (list: readonly Directive[]): ConversionResult => {
   const carrier = new NginxConverter();
   for (const one of list) {
--- a/packages/config-import/src/nginx/parse.ts
+++ b/packages/config-import/src/nginx/parse.ts
@@ -1,9 +1,14 @@
+/**
+ * Reading nginx files: directives with their file and line, includes in their place. What directives
+ * mean is `convert.ts`'s part.
+ */
+
 import { readFileSync, readdirSync } from 'node:fs';
 import { dirname, isAbsolute, join } from 'node:path';
 import { NginxParser } from 'nginx-conf';
 import { type Result, err, ok } from 'true-myth/result';
 
-/** One directive with its place. */
+/** A directive with its place; `block` is undefined for one that ends with a semicolon. */
 export interface Directive {
   readonly name: string;
   readonly args: readonly string[];
@@ -12,7 +17,7 @@
   readonly block: readonly Directive[] | undefined;
 }
 
-/** What made a file unreadable, and where. */
+/** Why a file can't be read, and where. */
 export interface NginxReadError {
   readonly file: string;
   readonly line: number;
@@ -21,9 +26,10 @@
 
 type Tree = NonNullable<Parameters<NonNullable<Parameters<NginxParser['parse']>[1]>>[1]>;
 
+/** How deep includes may be nested. */
 const maxDepth = 16;
 
-/** The library's parser with the place of each word noted, as its tree bears none. */
+/** The library's parser with the line of each word noted, as its tree has none. */
 class PlacedParser extends NginxParser {
   readonly words: { readonly text: string; readonly line: number }[] = [];
   readonly #text: string;
@@ -99,7 +105,7 @@
     text: 'nothing in it',
   });
   try {
-    // The library does not mind a block that is left open: where all are closed, one more closing brace is one too many.
+    // The library accepts a block that is left open: if all are closed, one more closing brace is an error.
     if (!blocksAreClosed(text)) return fail(text.split('\n').length, 'a block is not closed');
     parser.parse(text, (fault, tree) => {
       if (fault !== null || tree === undefined) {
@@ -150,7 +156,7 @@
   }
 };
 
-/** Reads a file with all that it includes. */
+/** Reads a file with all that it includes; `from` is the directive that includes it. */
 export const readNginx = (
   file: string,
   from: Pick<Directive, 'file' | 'line'> = { file, line: 1 },
