--- a/packages/membership/src/registry/disk-hints.test.ts
+++ b/packages/membership/src/registry/disk-hints.test.ts
@@ -1,36 +1,32 @@
+/** When a registry offers nodes that run nothing what disks hold, before there is a primary. */
+
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
   type Timestamp,
-  toAddress,
-  toZoneName,
+  noSeq,
   toEpoch,
-  toFleetId,
   toGeneration,
   toHash,
-  toIncarnation,
   toTimestamp,
-  toNodeId,
-  noSeq,
 } from '@switchwheel/types';
-import type { Frame, FrameOf, Member, Peer } from '@switchwheel/transport';
+import type { Frame, FrameOf, Member } from '@switchwheel/transport';
+import {
+  edge,
+  fleet,
+  heartbeatOf,
+  memberAt,
+  peerOf,
+  registry,
+  repliesToEdge,
+  statusOf,
+  store,
+} from '../testing/registry-fixtures.js';
 import { type RegistryState, newRegistryState } from './state.js';
 import { registryTransition } from './transition.js';
 
-const member = (role: Member['role'], node: string, port: number): Member => ({
-  node: toNodeId(node),
-  role,
-  area: toZoneName('a'),
-  address: toAddress(`10.0.0.1:${port}`),
-  incarnation: toIncarnation(1),
-});
-const edge = member('edge', 'e1', 7001);
-const store = member('store', 's1', 7002);
-const fleet = toFleetId('f1');
-
-const registry = member('registry', 'r1', 7000);
-const peers = [member('registry', 'r2', 7003), member('registry', 'r3', 7004)];
-const stores = [store, member('store', 's2', 7005), member('store', 's3', 7006)];
+const peers = [memberAt('registry', 'r2', 7003), memberAt('registry', 'r3', 7004)];
+const stores = [store, memberAt('store', 's2', 7005), memberAt('store', 's3', 7006)];
 const inSyncSet = stores.slice(0, 2).map((one) => one.node);
 const born = toTimestamp(1000);
 
@@ -68,11 +64,6 @@
   origins: [],
 });
 
-const peerOf = (one: Member): Peer => ({
-  node: one.node,
-  address: one.address,
-  incarnation: one.incarnation,
-});
 const hear = (state: RegistryState, from: Member, frame: Frame, now: Timestamp): RegistryState =>
   registryTransition(state, { kind: 'frameReceived', now, from: peerOf(from), frame }).state;
 
@@ -101,35 +92,27 @@
   words.reduce((next, word) => hear(next, store, word, born), state);
 
 const offered = (state: RegistryState, generation: number, now: Timestamp): number | undefined => {
-  const frame: FrameOf<'heartbeat'> = {
-    kind: 'heartbeat',
-    member: edge,
-    seq: noSeq,
-    at: toTimestamp(1),
-    bye: false,
-    held: [],
-    purged: noSeq,
-    report: {
-      generation: toGeneration(generation),
-      phase: generation === 0 ? 'none' : 'applied',
-      ready: generation > 0,
-      health: { name: 'proxy', healthy: true, text: '', parts: [] },
-    },
-  };
-  const done = registryTransition(state, { kind: 'frameReceived', now, from: peerOf(edge), frame });
-  const heard = done.effects.map((one) =>
-    one.kind === 'send' && one.frame.kind === 'heartbeat-reply'
-      ? one.frame.offer?.generation
-      : undefined,
-  );
-  return heard.find((one) => one !== undefined);
+  const report = statusOf({
+    generation: toGeneration(generation),
+    phase: generation === 0 ? 'none' : 'applied',
+    ready: generation > 0,
+  });
+  const frame = heartbeatOf(0, { report });
+  const done = registryTransition(state, {
+    kind: 'frameReceived',
+    now,
+    from: peerOf(edge),
+    frame,
+  });
+  const generations = repliesToEdge(done).map((reply) => reply.offer?.generation);
+  return generations.find((one) => one !== undefined);
 };
 
 const [first, second, spare] = stores;
 assert.ok(first !== undefined && second !== undefined && spare !== undefined);
 const soon = toTimestamp(1400);
 
-void test('after a full loss a node that runs nothing gets the newest confirmed, before there is a primary', () => {
+void test('after a full loss a node that runs nothing is offered the newest confirmed configuration before there is a primary', () => {
   const told = withHints(inTouchWith(1), hint(first, 3, 8), hint(second, 3, 7), hint(spare, 2, 9));
   assert.equal(offered(told, 0, toTimestamp(1100)), undefined, 'it listens first');
   assert.equal(offered(told, 0, soon), 7, 'what each store in sync holds; not what one alone does');
@@ -143,7 +126,7 @@
   assert.equal(offered(plain, 0, soon), undefined, 'only where the setting says so');
 });
 
-void test('nothing is told on the word of disks while a newer description may have been confirmed', () => {
+void test('no disk hint is offered while a newer configuration may have been confirmed', () => {
   const whole = [hint(first, 3, 8), hint(second, 3, 7)];
   assert.equal(offered(withHints(inTouchWith(0), ...whole), 0, soon), undefined, 'no majority');
   const one = withHints(inTouchWith(2), hint(first, 3, 8), hint(spare, 2, 9));
--- a/packages/membership/src/registry/releases.test.ts
+++ b/packages/membership/src/registry/releases.test.ts
@@ -1,40 +1,28 @@
+/** Which release records a registry sends to a node: only those that the node does not know. */
+
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
-  type Timestamp,
   noSeq,
-  toAddress,
-  toZoneName,
-  toEpoch,
-  toFleetId,
-  toGeneration,
-  toIncarnation,
-  toTimestamp,
-  toNodeId,
+  toDurationMs,
   toRelease,
   toSeq,
   toServiceName,
-  toDurationMs,
+  toTimestamp,
 } from '@switchwheel/types';
 import type { FrameOf, Member, RolloutState } from '@switchwheel/transport';
 import { releasesDigest } from '../releases/releases-digest.js';
-import { registryTransition } from './transition.js';
+import {
+  edge,
+  feedOf,
+  heartbeatOf,
+  peerOf,
+  registry,
+  repliesToEdge,
+  store,
+} from '../testing/registry-fixtures.js';
 import { type RegistryState, newRegistryState } from './state.js';
-
-const member = (role: Member['role'], node: string, port: number): Member => ({
-  node: toNodeId(node),
-  role,
-  area: toZoneName('a'),
-  address: toAddress(`10.0.0.1:${port}`),
-  incarnation: toIncarnation(1),
-});
-const edge = member('edge', 'e1', 7001);
-const store = member('store', 's1', 7002);
-const from = ({
-  node,
-  address,
-  incarnation,
-}: Member): Pick<Member, 'node' | 'address' | 'incarnation'> => ({ node, address, incarnation });
+import { registryTransition } from './transition.js';
 
 const record = (service: string, change: Partial<RolloutState> = {}): RolloutState => ({
   service: toServiceName(service),
@@ -57,45 +45,19 @@
 });
 const good: RolloutState = { ...moving, phase: 'good', serial: toSeq(3) };
 
-const feed = (releases: RolloutState[], serial = 1, top = 0): FrameOf<'feed'> => ({
-  kind: 'feed',
-  at: toTimestamp(1),
-  epoch: toEpoch(1),
-  serial: toSeq(serial),
-  fleet: toFleetId('f1'),
-  offers: [],
-  desired: [],
-  purges: [],
-  floor: toSeq(0),
-  top: toSeq(top),
-  verdicts: [],
-  releases,
-});
+const feed = (releases: RolloutState[], serial = 1, top = 0): FrameOf<'feed'> =>
+  feedOf(serial, { releases, top: toSeq(top) });
 /** A feed of a write that does not touch what nodes are to run. */
-const lean = (releases: RolloutState[], serial: number, top = 0): FrameOf<'feed'> => {
-  const { desired, ...rest } = feed(releases, serial, top);
-  return desired === undefined ? feed(releases, serial, top) : rest;
+const feedWithoutDesired = (releases: RolloutState[], serial: number): FrameOf<'feed'> => {
+  const { desired, ...rest } = feed(releases, serial);
+  return desired === undefined ? feed(releases, serial) : rest;
 };
-const heartbeat = (seq: number, releases?: string): FrameOf<'heartbeat'> => ({
-  kind: 'heartbeat',
-  member: edge,
-  seq: toSeq(seq),
-  at: toTimestamp(1),
-  bye: false,
-  held: [],
-  purged: noSeq,
-  report: {
-    generation: toGeneration(1),
-    phase: 'applied',
-    ready: true,
-    health: { name: 'proxy', healthy: true, text: '', parts: [] },
-  },
-  ...(releases === undefined ? {} : { releases }),
-});
+const heartbeat = (seq: number, releases?: string): FrameOf<'heartbeat'> =>
+  heartbeatOf(seq, releases === undefined ? {} : { releases });
 
-interface Told {
+interface Received {
   readonly state: RegistryState;
-  /** The services whose records the edge was told, or undefined if it was told nothing. */
+  /** The services whose records the edge was sent, or undefined if nothing was sent to it. */
   readonly services: readonly string[] | undefined;
 }
 const act = (
@@ -103,25 +65,23 @@
   by: Member,
   frame: FrameOf<'heartbeat'> | FrameOf<'feed'>,
   now: number,
-): Told => {
-  const at: Timestamp = toTimestamp(now);
-  const done = registryTransition(state, { kind: 'frameReceived', now: at, from: from(by), frame });
-  const heard = done.effects.flatMap((one) =>
-    one.kind === 'send' && one.to === edge.address && one.frame.kind === 'heartbeat-reply'
-      ? [one.frame]
-      : [],
-  );
-  return { state: done.state, services: heard.at(-1)?.releases.map((one) => one.service) };
+): Received => {
+  const done = registryTransition(state, {
+    kind: 'frameReceived',
+    now: toTimestamp(now),
+    from: peerOf(by),
+    frame,
+  });
+  const services = repliesToEdge(done)
+    .at(-1)
+    ?.releases.map((one) => one.service);
+  return { state: done.state, services };
 };
 const fresh = (releases: RolloutState[]): RegistryState =>
-  act(
-    newRegistryState(member('registry', 'r1', 7000), [], toTimestamp(900), { seed: 1 }),
-    store,
-    feed(releases),
-    1000,
-  ).state;
+  act(newRegistryState(registry, [], toTimestamp(900), { seed: 1 }), store, feed(releases), 1000)
+    .state;
 
-void test('a node that knows the settled records is not told them again; one that does not is told all', () => {
+void test('a node that knows the settled records is not sent them again; one that does not is sent all', () => {
   const all = [record('clips'), record('acts')];
   const state = fresh(all);
   assert.deepEqual(
@@ -141,7 +101,7 @@
   );
 });
 
-void test('what moves is told each time, and once more when its span is over', () => {
+void test('an unsettled record is sent each time, and once more when its time is over', () => {
   const state = fresh([moving, record('acts')]);
   const known = releasesDigest([moving, record('acts')]);
   assert.deepEqual(act(state, edge, heartbeat(1, known), 1010).services, ['clips'], 'a trial');
@@ -165,7 +125,7 @@
   );
 });
 
-void test('a push bears no records that the node knows, and all once one changed', () => {
+void test('a push has no records that the node knows, and all once one has changed', () => {
   const known = releasesDigest([record('clips'), record('acts')]);
   const state = act(
     fresh([record('clips'), record('acts')]),
@@ -184,14 +144,14 @@
   assert.deepEqual(changed.services, ['clips', 'acts'], 'a record that changed');
 });
 
-void test('a write that leaves the desired state alone is pushed all the same, and one that comes late is not taken', () => {
+void test('a write that leaves the desired state alone is pushed too, and an overtaken one is ignored', () => {
   const known = releasesDigest([record('clips')]);
   const state = act(fresh([record('clips')]), edge, heartbeat(1, known), 1010).state;
   const next = record('clips', { settled: toRelease('r2'), serial: toSeq(2) });
-  const changed = act(state, store, lean([next], 5), 1020);
+  const changed = act(state, store, feedWithoutDesired([next], 5), 1020);
   assert.deepEqual(changed.services, ['clips']);
   assert.equal(changed.state.feed.desiredSerial, 1, 'the desired state is as of the first write');
-  const late = act(changed.state, store, lean([record('clips')], 4), 1030);
+  const late = act(changed.state, store, feedWithoutDesired([record('clips')], 4), 1030);
   assert.equal(late.services, undefined);
   assert.equal(late.state.feed.releases[0]?.settled, 'r2');
 });
