--- a/packages/config-import/src/nginx/convert.test.ts
+++ b/packages/config-import/src/nginx/convert.test.ts
@@ -41,7 +41,7 @@
 }
 `;
 
-void test('upstreams, servers, locations and cache settings become a description that passes the check; the rest is listed with lines', () => {
+void test('upstreams, servers, locations and cache settings become a valid document; the rest is listed with lines', () => {
   inFolder(
     new Map([
       ['nginx.conf', main],
@@ -81,7 +81,7 @@
   );
 });
 
-void test('broken input and missing includes are told with file, line and reason', () => {
+void test('broken input and missing includes are reported with file, line and reason', () => {
   inFolder(new Map([['nginx.conf', 'http {\n  server {\n    listen 80;\n']]), (file) => {
     const read = readNginx(file);
     assert.ok(read.isErr);
--- a/packages/configuration/src/compiled/patch.test.ts
+++ b/packages/configuration/src/compiled/patch.test.ts
@@ -90,7 +90,7 @@
     }
   }, rows);
 
-void test('a table made out of the one before is the table that the description makes alone, and has the very faults', () => {
+void test('a configuration compiled on top of another equals the one compiled anew, and has the same issues', () => {
   const first = made(base);
   assert.ok(first.isOk);
   let patched = 0;
@@ -126,11 +126,11 @@
             assert.deepEqual(onTop.value[part], alone.value[part], part);
           before = onTop.value;
         }
-        // What was taken over is as it was.
+        // The configuration that was built upon is unchanged.
         assert.deepEqual(first.value.routesByName.size, base.length);
       },
     ),
     { seed: 11, numRuns: 30 },
   );
-  assert.ok(patched > 10, `${patched} tables were made out of others`);
+  assert.ok(patched > 10, `${patched} configurations were compiled on top of others`);
 });
