--- a/packages/proxy-core/src/cache/cache-lookup.ts
+++ b/packages/proxy-core/src/cache/cache-lookup.ts
@@ -1,21 +1,26 @@
-import type { Timestamp, Seq } from '@switchwheel/types';
-import { toTimestamp } from '@switchwheel/types';
+/**
+ * Which responses a request may get from the cache, and which are stored: the same rules at edges
+ * and shields. The cache itself is in `cache`.
+ */
+
+import { type Timestamp, type Seq, toTimestamp } from '@switchwheel/types';
 import type { ForwardedRequest, HeaderFields } from '@switchwheel/transport';
 import type { CompiledConfiguration, CompiledRoute } from '@switchwheel/configuration';
 import { mayServeFromCache } from '../node-agent/readiness.js';
 import type { NodeAgent } from '../node-agent/state.js';
 import { type Cache, type CacheKey, type CacheEntry, bodyDigest } from './cache.js';
-import { cacheControl, fieldValue, freshnessLifetimeMs, cacheTags } from './header-fields.js';
+import { cacheControl, cacheTags, freshnessLifetimeMs } from './cache-control.js';
+import { fieldValue } from './header-fields.js';
 
-/** Cuts a request target into path and query. */
+/** Splits a request target into path and query. */
 export const splitTarget = (target: string): { readonly path: string; readonly query: string } => {
-  const at = target.indexOf('?');
-  return at < 0
+  const separator = target.indexOf('?');
+  return separator < 0
     ? { path: target, query: '' }
-    : { path: target.slice(0, at), query: target.slice(at + 1) };
+    : { path: target.slice(0, separator), query: target.slice(separator + 1) };
 };
 
-/** Fields that a keepable request must not pass on: the cache needs the whole result. */
+/** Fields that a cacheable request does not pass on: the cache needs the complete response. */
 export const conditionalFields: readonly string[] = [
   'if-none-match',
   'if-modified-since',
@@ -25,33 +30,36 @@
   'range',
 ];
 
-/** Requests whose results are never shared. */
+/** Request fields in which those who wait for one fetch agree, beside those of the route. */
+const negotiationFields = ['accept', 'accept-encoding', 'accept-language'];
+
+/** Whether a request is one whose responses are never shared. */
 const isPrivateRequest = (fields: HeaderFields): boolean =>
   fieldValue(fields, 'authorization') !== undefined ||
   fieldValue(fields, 'cookie') !== undefined ||
   cacheControl(fields).has('no-store');
 
-/** What a request is known by at a cache. */
+/** A request whose response may be cached. */
 export interface CacheableRequest {
   readonly key: CacheKey;
   readonly fields: HeaderFields;
   readonly route: CompiledRoute;
-  /** Those who wait for one fetch agree in all of this. */
+  /** Requests with the same one may wait for one fetch. */
   readonly coalescingKey: string;
 }
 
-/** A result as it came, with what decides how long it may be kept. */
+/** A complete response as it was fetched. */
 export interface FetchedResponse {
   readonly status: number;
   readonly fields: HeaderFields;
   readonly body: Buffer;
   readonly digest: string;
   readonly createdAt: Timestamp;
-  /** The last purge that was acted on when its fetch began. */
+  /** The last purge that was applied when its fetch began. */
   readonly purgeSeqAtFetch: Seq;
 }
 
-/** Which results a request may be told from a cache, and which are kept: the same rules at both tiers. */
+/** Reads and writes a cache by the rules for requests and responses. */
 export class CacheLookup {
   readonly cache: Cache;
 
@@ -59,91 +67,84 @@
     this.cache = cache;
   }
 
-  /** The slip of a request whose result may be kept or told from the cache, if it is one. */
+  /** A request as the cache sees it; undefined if its response may not be cached. */
   cacheableRequest(
-    track: CompiledRoute,
+    route: CompiledRoute,
     method: string,
     host: string,
     target: string,
     fields: HeaderFields,
   ): CacheableRequest | undefined {
-    const keep = track.cache;
-    if (keep === undefined || (method !== 'GET' && method !== 'HEAD') || isPrivateRequest(fields))
+    const rules = route.cache;
+    if (rules === undefined || (method !== 'GET' && method !== 'HEAD') || isPrivateRequest(fields))
       return undefined;
     const { path, query } = splitTarget(target);
-    const key = { route: track.name, host, path, query: keep.query ? query : '' };
-    const flight = JSON.stringify([
+    const key = { route: route.name, host, path, query: rules.query ? query : '' };
+    const coalescingKey = JSON.stringify([
       key.route,
       key.host,
       key.path,
       key.query,
-      ...['accept', 'accept-encoding', 'accept-language', ...keep.vary].map(
-        (name) => fieldValue(fields, name) ?? '',
-      ),
+      ...[...negotiationFields, ...rules.vary].map((name) => fieldValue(fields, name) ?? ''),
     ]);
-    return { key, fields, route: track, coalescingKey: flight };
+    return { key, fields, route, coalescingKey };
   }
 
-  /** The slip of an ask that came to a keeper. */
+  /** The same for a request that an edge forwarded to this shield. */
   cacheableForwardedRequest(
-    table: CompiledConfiguration | undefined,
-    ask: Omit<ForwardedRequest, 'body'>,
+    configuration: CompiledConfiguration | undefined,
+    request: Omit<ForwardedRequest, 'body'>,
   ): CacheableRequest | undefined {
-    const track =
-      ask.storable && ask.method === 'GET' ? table?.routesByName.get(ask.route) : undefined;
-    return track === undefined
+    if (!request.storable || request.method !== 'GET') return undefined;
+    const route = configuration?.routesByName.get(request.route);
+    const { method, host, path, fields } = request;
+    return route === undefined
       ? undefined
-      : this.cacheableRequest(track, ask.method, ask.host, ask.path, ask.fields);
+      : this.cacheableRequest(route, method, host, path, fields);
   }
 
-  /** Whether this cache may speak now, to one that has heard the purges up to `purged`. */
-  isCurrent(cabin: NodeAgent, purged: Seq, now: Timestamp): boolean {
-    return mayServeFromCache(cabin, now) && this.cache.lastPurgeSeq >= purged;
+  /** Whether this cache may respond now to a node that knows of the purges up to `requiredPurgeSeq`. */
+  isCurrent(nodeAgent: NodeAgent, requiredPurgeSeq: Seq, now: Timestamp): boolean {
+    return mayServeFromCache(nodeAgent, now) && this.cache.lastPurgeSeq >= requiredPurgeSeq;
   }
 
-  /** A kept result that may be told now; one that no longer fits its digest is nobody's and goes. */
+  /** A stored response that may be used now; one that does not match its digest is removed. */
   find(
-    slip: CacheableRequest,
-    cabin: NodeAgent,
-    purged: Seq,
+    cacheable: CacheableRequest,
+    nodeAgent: NodeAgent,
+    requiredPurgeSeq: Seq,
     now: Timestamp,
   ): CacheEntry | undefined {
-    const entry = this.isCurrent(cabin, purged, now)
-      ? this.cache.find(slip.key, slip.fields, now)
+    const entry = this.isCurrent(nodeAgent, requiredPurgeSeq, now)
+      ? this.cache.find(cacheable.key, cacheable.fields, now)
       : undefined;
     if (entry === undefined || bodyDigest(entry.body) === entry.digest) return entry;
     this.cache.remove(entry);
     return undefined;
   }
 
-  store(slip: CacheableRequest, result: FetchedResponse, now: Timestamp): CacheEntry | undefined {
-    const lifetime = freshnessLifetimeMs(
-      result.status,
-      result.fields,
-      false,
-      slip.route.cache?.lifetimeMs,
-    );
-    if (lifetime === undefined || lifetime <= 0) return undefined;
-    const { status, fields, body, digest, createdAt } = result;
+  /** Stores a response, if it may be; gives what was stored. */
+  store(
+    { key, fields: requestFields, route }: CacheableRequest,
+    response: FetchedResponse,
+    now: Timestamp,
+  ): CacheEntry | undefined {
+    const { status, fields, body, digest, createdAt, purgeSeqAtFetch } = response;
+    const lifetimeMs = freshnessLifetimeMs(status, fields, false, route.cache?.lifetimeMs);
+    if (lifetimeMs === undefined || lifetimeMs <= 0) return undefined;
     return this.cache.store(
-      {
-        key: slip.key,
-        status,
-        fields,
-        body,
-        digest,
-        createdAt,
-        lifetimeMs: lifetime,
-        tags: cacheTags(fields),
-      },
-      slip.fields,
-      slip.route.cache?.vary ?? [],
-      result.purgeSeqAtFetch,
+      { key, status, fields, body, digest, createdAt, lifetimeMs, tags: cacheTags(fields) },
+      requestFields,
+      route.cache?.vary ?? [],
+      purgeSeqAtFetch,
       now,
     );
   }
 }
 
-/** When a result was made, by the clock of who asked for it: never later than it was. */
-export const creationTime = (askedAt: Timestamp, age: number): Timestamp =>
-  toTimestamp(askedAt - age);
+/**
+ * When a response was made, by the clock of the node that requested it: not later than it really
+ * was, as its age is counted from when it was requested.
+ */
+export const creationTime = (requestedAt: Timestamp, ageMs: number): Timestamp =>
+  toTimestamp(requestedAt - ageMs);
--- a/packages/proxy-core/src/cache/cache.test.ts
+++ b/packages/proxy-core/src/cache/cache.test.ts
@@ -3,7 +3,7 @@
 import { type Timestamp, addMs, toTimestamp, toSeq } from '@switchwheel/types';
 import type { HeaderFields } from '@switchwheel/transport';
 import { Cache, type CacheKey, bodyDigest } from './cache.js';
-import { freshnessLifetimeMs } from './header-fields.js';
+import { freshnessLifetimeMs } from './cache-control.js';
 
 const now = toTimestamp(1000);
 const key: CacheKey = { route: 'r', host: 'h', path: '/p', query: '' };
--- a/packages/proxy-core/src/cache/cache.ts
+++ b/packages/proxy-core/src/cache/cache.ts
@@ -1,9 +1,15 @@
+/**
+ * A cache of complete responses in memory, with purges. It knows keys, variants, lifetimes and tags;
+ * whether it may be asked at all, and what is stored, is decided in `cache-lookup`.
+ */
+
 import { createHash } from 'node:crypto';
 import { type Timestamp, type Seq, noSeq } from '@switchwheel/types';
 import type { PurgeTarget, HeaderFields, Purge } from '@switchwheel/transport';
-import { fieldValue, varyNames } from './header-fields.js';
+import { varyNames } from './cache-control.js';
+import { fieldValue } from './header-fields.js';
 
-/** What a stored result is known by. */
+/** What a stored response is found by, before its variants. */
 export interface CacheKey {
   readonly route: string;
   readonly host: string;
@@ -11,43 +17,63 @@
   readonly query: string;
 }
 
-/** A stored result: whole, with its digest. */
+/** A stored response. */
 export interface CacheEntry {
   readonly key: CacheKey;
+  /** The values that the request fields of its variant have, by their names. */
   readonly vary: ReadonlyMap<string, string>;
   readonly status: number;
   readonly fields: HeaderFields;
   readonly body: Buffer;
+  /** Of the body: SHA-256 in Base64. */
   readonly digest: string;
-  /** When the origin made it, at the latest guess that is safe. */
+  /** When the origin made it, at the earliest. */
   readonly createdAt: Timestamp;
   readonly lifetimeMs: number;
   readonly tags: readonly string[];
 }
 
+/** The largest part of the cache that one response may take. */
+const maxEntryFraction = 1 / 8;
+/** The most variants of one key. */
+const maxVariants = 32;
+/** What an entry takes beside its body. */
+const entryOverheadBytes = 512;
+/** How many purges are remembered; what was fetched before all of them is not stored. */
+const maxRecentPurges = 256;
+
 const cacheKeyString = (key: CacheKey): string =>
   `${key.route}\n${key.host}\n${key.path}\n${key.query}`;
+
+/** The SHA-256 of a body in Base64. */
 export const bodyDigest = (body: Uint8Array): string =>
   createHash('sha256').update(body).digest('base64');
 
-const matches = (key: CacheKey, tags: readonly string[], aim: PurgeTarget): boolean => {
-  switch (aim.by) {
+const matches = (key: CacheKey, tags: readonly string[], target: PurgeTarget): boolean => {
+  switch (target.by) {
     case 'all':
       return true;
     case 'tag':
-      return tags.includes(aim.tag);
+      return tags.includes(target.tag);
     case 'object':
-      return aim.path === key.path && (aim.host === undefined || aim.host === key.host);
+      return target.path === key.path && (target.host === undefined || target.host === key.host);
   }
 };
 
-/** The values of the request that a result depends on. */
+/** The values of the request fields that a response varies by. */
 const varyValues = (names: readonly string[], request: HeaderFields): ReadonlyMap<string, string> =>
   new Map(names.map((name) => [name, fieldValue(request, name) ?? '']));
 
+const isVariantFor = (entry: CacheEntry, request: HeaderFields): boolean =>
+  [...entry.vary].every(([name, value]) => (fieldValue(request, name) ?? '') === value);
+
+const isSameVariant = (one: CacheEntry, two: CacheEntry): boolean =>
+  one.vary.size === two.vary.size &&
+  [...one.vary].every(([name, value]) => two.vary.get(name) === value);
+
 /**
- * A cache of whole results, in the order of their last use. It is a class with tables that change in place:
- * copying thousands of entries for each request would cost more than the request.
+ * A cache of complete responses in the order of their last use. Its tables change in place: to copy
+ * thousands of entries for each request would cost more than the request.
  */
 export class Cache {
   readonly #entriesByKey = new Map<string, CacheEntry[]>();
@@ -59,124 +85,127 @@
   #flushedUpTo: Seq = noSeq;
   #lastPurgeSeq: Seq = noSeq;
 
-  constructor(most: number) {
-    this.#maxBytes = most;
+  constructor(maxBytes: number) {
+    this.#maxBytes = maxBytes;
   }
 
+  /** How many bytes the entries take. */
   get bytes(): number {
     return this.#bytes;
   }
 
+  /** How many keys have entries. */
   get size(): number {
     return this.#entriesByKey.size;
   }
 
-  /** The last purge acted on. */
+  /** The last purge that was applied. */
   get lastPurgeSeq(): Seq {
     return this.#lastPurgeSeq;
   }
 
-  /** Finds a result that is still good for this request. */
+  /** Finds a fresh response for a request. */
   find(key: CacheKey, request: HeaderFields, now: Timestamp): CacheEntry | undefined {
     const id = cacheKeyString(key);
-    const row = this.#entriesByKey.get(id);
-    if (row === undefined) return undefined;
-    const found = row.find((one) =>
-      [...one.vary].every(([name, value]) => (fieldValue(request, name) ?? '') === value),
-    );
-    if (found === undefined) return undefined;
-    if (now - found.createdAt >= found.lifetimeMs) {
-      this.#remove(id, found);
+    const variants = this.#entriesByKey.get(id);
+    if (variants === undefined) return undefined;
+    const entry = variants.find((variant) => isVariantFor(variant, request));
+    if (entry === undefined) return undefined;
+    if (now - entry.createdAt >= entry.lifetimeMs) {
+      this.#remove(id, entry);
       return undefined;
     }
+    // The most recently used come last.
     this.#entriesByKey.delete(id);
-    this.#entriesByKey.set(id, row);
-    return found;
+    this.#entriesByKey.set(id, variants);
+    return entry;
   }
 
-  /** Stores a result, unless a purge that came since it was fetched is meant for it. */
+  /**
+   * Stores a response, unless it is too large, no longer fresh, or meant by a purge that came after
+   * `purgeSeqAtFetch`. It varies by its own Vary field and by the names in `routeVary`.
+   */
   store(
     entry: Omit<CacheEntry, 'vary'>,
     request: HeaderFields,
-    extraVary: readonly string[],
-    fetchedAt: Seq,
+    routeVary: readonly string[],
+    purgeSeqAtFetch: Seq,
     now: Timestamp,
   ): CacheEntry | undefined {
     const { key, tags } = entry;
     if (
-      entry.body.length > this.#maxBytes / 8 ||
+      entry.body.length > this.#maxBytes * maxEntryFraction ||
       now - entry.createdAt >= entry.lifetimeMs ||
-      this.isPurgedSince(key, tags, fetchedAt)
+      this.isPurgedSince(key, tags, purgeSeqAtFetch)
     )
       return undefined;
-    const whole: CacheEntry = {
+    const stored: CacheEntry = {
       ...entry,
-      vary: varyValues([...new Set([...varyNames(entry.fields), ...extraVary])], request),
+      vary: varyValues([...new Set([...varyNames(entry.fields), ...routeVary])], request),
     };
     const id = cacheKeyString(key);
-    const row = this.#entriesByKey.get(id) ?? [];
-    const same = row.find(
-      (one) =>
-        one.vary.size === whole.vary.size &&
-        [...one.vary].every(([name, value]) => whole.vary.get(name) === value),
-    );
-    if (same !== undefined) this.#remove(id, same);
-    const rest = this.#entriesByKey.get(id) ?? [];
+    const replaced = this.#entriesByKey.get(id)?.find((variant) => isSameVariant(variant, stored));
+    if (replaced !== undefined) this.#remove(id, replaced);
+    const others = this.#entriesByKey.get(id) ?? [];
     this.#entriesByKey.delete(id);
-    this.#entriesByKey.set(id, [...rest, whole].slice(-32));
+    this.#entriesByKey.set(id, [...others, stored].slice(-maxVariants));
     this.#index(this.#keysByPath, key.path, id);
     for (const tag of tags) this.#index(this.#keysByTag, tag, id);
-    this.#bytes += whole.body.length + 512;
+    this.#bytes += stored.body.length + entryOverheadBytes;
     this.#evict();
-    return whole;
+    return stored;
   }
 
-  /** Whether a purge after the one named is meant for an object. */
+  /** Whether a purge that came after `since` means an object. */
   isPurgedSince(key: CacheKey, tags: readonly string[], since: Seq): boolean {
     if (since < this.#flushedUpTo) return true;
     return this.#recentPurges.some(
-      (purge) => purge.seq > since && purge.aims.some((aim) => matches(key, tags, aim)),
+      (purge) => purge.seq > since && purge.aims.some((target) => matches(key, tags, target)),
     );
   }
 
-  /** Acts on purges; `flush` empties the cache, as some were missed. */
-  purge(purges: readonly Purge[], flush: boolean, top: Seq): void {
+  /** Applies purges up to `lastPurgeSeq`; `flush` empties the cache, as some were missed. */
+  purge(purges: readonly Purge[], flush: boolean, lastPurgeSeq: Seq): void {
     if (flush) {
       this.#entriesByKey.clear();
       this.#keysByPath.clear();
       this.#keysByTag.clear();
       this.#bytes = 0;
       this.#recentPurges.splice(0);
-      this.#flushedUpTo = top;
+      this.#flushedUpTo = lastPurgeSeq;
     }
     for (const purge of purges) {
-      for (const aim of purge.aims) this.#purgeMatching(aim);
+      for (const target of purge.aims) this.#purgeMatching(target);
       this.#recentPurges.push(purge);
     }
-    while (this.#recentPurges.length > 256) {
-      const old = this.#recentPurges.shift();
-      if (old !== undefined) this.#flushedUpTo = old.seq;
+    while (this.#recentPurges.length > maxRecentPurges) {
+      const oldest = this.#recentPurges.shift();
+      if (oldest !== undefined) this.#flushedUpTo = oldest.seq;
     }
-    this.#lastPurgeSeq = top;
+    this.#lastPurgeSeq = lastPurgeSeq;
   }
 
-  /** Drops one result. */
+  /** Removes one response. */
   remove(entry: CacheEntry): void {
     this.#remove(cacheKeyString(entry.key), entry);
   }
 
-  #purgeMatching(aim: PurgeTarget): void {
-    const ids =
-      aim.by === 'all'
-        ? [...this.#entriesByKey.keys()]
-        : [
-            ...((aim.by === 'tag'
-              ? this.#keysByTag.get(aim.tag)
-              : this.#keysByPath.get(aim.path)) ?? []),
-          ];
-    for (const id of ids) {
-      for (const one of [...(this.#entriesByKey.get(id) ?? [])])
-        if (matches(one.key, one.tags, aim)) this.#remove(id, one);
+  #purgeMatching(target: PurgeTarget): void {
+    for (const id of this.#keysOf(target)) {
+      for (const entry of [...(this.#entriesByKey.get(id) ?? [])])
+        if (matches(entry.key, entry.tags, target)) this.#remove(id, entry);
+    }
+  }
+
+  /** The keys that may have entries which a purge means. */
+  #keysOf(target: PurgeTarget): readonly string[] {
+    switch (target.by) {
+      case 'all':
+        return [...this.#entriesByKey.keys()];
+      case 'tag':
+        return [...(this.#keysByTag.get(target.tag) ?? [])];
+      case 'object':
+        return [...(this.#keysByPath.get(target.path) ?? [])];
     }
   }
 
@@ -193,23 +222,24 @@
   }
 
   #remove(id: string, entry: CacheEntry): void {
-    const row = this.#entriesByKey.get(id) ?? [];
-    const rest = row.filter((one) => one !== entry);
-    if (rest.length === row.length) return;
-    this.#bytes -= entry.body.length + 512;
+    const variants = this.#entriesByKey.get(id) ?? [];
+    const rest = variants.filter((variant) => variant !== entry);
+    if (rest.length === variants.length) return;
+    this.#bytes -= entry.body.length + entryOverheadBytes;
     if (rest.length > 0) this.#entriesByKey.set(id, rest);
     else {
       this.#entriesByKey.delete(id);
       this.#unindex(this.#keysByPath, entry.key.path, id);
     }
     for (const tag of entry.tags)
-      if (!rest.some((one) => one.tags.includes(tag))) this.#unindex(this.#keysByTag, tag, id);
+      if (!rest.some((variant) => variant.tags.includes(tag)))
+        this.#unindex(this.#keysByTag, tag, id);
   }
 
   #evict(): void {
-    for (const [id, row] of this.#entriesByKey) {
+    for (const [id, variants] of this.#entriesByKey) {
       if (this.#bytes <= this.#maxBytes) return;
-      for (const one of [...row]) this.#remove(id, one);
+      for (const entry of [...variants]) this.#remove(id, entry);
     }
   }
 }
--- a/packages/proxy-core/src/cache/request-coalescing.ts
+++ b/packages/proxy-core/src/cache/request-coalescing.ts
@@ -1,40 +1,44 @@
-/** Whether a request found a fetch to wait for. */
+/**
+ * Request coalescing: requests for the same response wait for one fetch instead of starting one each.
+ */
+
+/** Whether a request waits for a fetch: there may be none, or too many wait already. */
 export type JoinResult = 'joined' | 'none' | 'full';
 
-/** Fetches under way that others with the very same key may wait for. */
+/** The fetches under way, by a key that equal requests share. */
 export class RequestCoalescing<T> {
   readonly #inFlight = new Map<string, ((result: T) => void)[]>();
   readonly #maxWaiting: number;
   #waiting = 0;
 
-  /** At most so many wait in all. */
-  constructor(most: number) {
-    this.#maxWaiting = most;
+  /** At most `maxWaiting` requests wait for all fetches together. */
+  constructor(maxWaiting: number) {
+    this.#maxWaiting = maxWaiting;
   }
 
-  /** Joins a fetch under way, if there is one with room. */
-  join(key: string, then: (result: T) => void): JoinResult {
+  /** Waits for a fetch under way; `onResult` is called with its result. */
+  join(key: string, onResult: (result: T) => void): JoinResult {
     const waiting = this.#inFlight.get(key);
     if (waiting === undefined) return 'none';
     if (this.#waiting >= this.#maxWaiting) return 'full';
     this.#waiting += 1;
-    waiting.push(then);
+    waiting.push(onResult);
     return 'joined';
   }
 
-  /** Leads a fetch that others may join until the given function is called with its result. */
+  /** Leads a fetch, which others may join until the function that this returns gets its result. */
   lead(key: string): (result: T) => void {
     const waiting: ((result: T) => void)[] = [];
     this.#inFlight.set(key, waiting);
     return (result) => {
       if (this.#inFlight.get(key) === waiting) this.#inFlight.delete(key);
-      const told = waiting.splice(0);
-      this.#waiting -= told.length;
-      for (const then of told) then(result);
+      const notified = waiting.splice(0);
+      this.#waiting -= notified.length;
+      for (const onResult of notified) onResult(result);
     };
   }
 
-  /** After a purge nobody joins what began before it. */
+  /** Lets nobody join the fetches under way any more: a purge may mean what they bring. */
   detachAll(): void {
     this.#inFlight.clear();
   }
--- a/packages/proxy-core/src/index.ts
+++ b/packages/proxy-core/src/index.ts
@@ -15,6 +15,7 @@
 export { hasExtraAttemptBudget } from './service-leader/extra-attempt-budget.js';
 export * from './service-leader/sliding-window.js';
 export * from './cache/header-fields.js';
+export * from './cache/cache-control.js';
 export * from './cache/cache.js';
 export * from './cache/cache-lookup.js';
 export * from './cache/request-coalescing.js';
--- a/packages/proxy-core/src/request-handler/digest-verifier.ts
+++ b/packages/proxy-core/src/request-handler/digest-verifier.ts
@@ -1,8 +1,14 @@
+/**
+ * The digests that an origin sends with a response (RFC 9530, Content-Digest and Repr-Digest), checked
+ * while its bytes come in.
+ */
+
 import { createHash, timingSafeEqual, type Hash } from 'node:crypto';
 import { parseDictionary } from 'structured-headers';
 import type { HeaderFields } from '@switchwheel/transport';
 import { fieldValue } from '../cache/header-fields.js';
 
+/** The algorithms that are checked, by their names in the fields and in Node.js. */
 const digestAlgorithms = new Map([
   ['sha-256', 'sha256'],
   ['sha-512', 'sha512'],
@@ -13,45 +19,51 @@
   readonly expected: Buffer;
 }
 
-/** The digests that an origin sent with a result, checked while its bytes go by. */
+/** Whether a digest field is one of the bytes that come in. */
+const isOfContent = (name: string, fields: HeaderFields): boolean =>
+  // The digest of the representation is not that of a coded or partial body.
+  name === 'content-digest' ||
+  (fieldValue(fields, 'content-encoding') === undefined &&
+    fieldValue(fields, 'content-range') === undefined);
+
+/** Checks the bytes of one response against the digests in its head. */
 export class DigestVerifier {
   readonly #expectedDigests: ExpectedDigest[] = [];
   #isParsable = true;
 
   constructor(fields: HeaderFields) {
     for (const name of ['content-digest', 'repr-digest']) {
-      const raw = fieldValue(fields, name);
-      // The representation's digest is not that of a coded or partial body.
-      if (
-        raw === undefined ||
-        (name === 'repr-digest' &&
-          (fieldValue(fields, 'content-encoding') !== undefined ||
-            fieldValue(fields, 'content-range') !== undefined))
-      )
-        continue;
+      const value = fieldValue(fields, name);
+      if (value === undefined || !isOfContent(name, fields)) continue;
       try {
-        for (const [key, [value]] of parseDictionary(raw)) {
-          const kind = digestAlgorithms.get(key);
-          if (kind !== undefined && value instanceof ArrayBuffer)
-            this.#expectedDigests.push({ hash: createHash(kind), expected: Buffer.from(value) });
-        }
+        this.#expect(value);
       } catch {
         this.#isParsable = false;
       }
     }
   }
 
+  /** Takes bytes of the body in. */
   update(bytes: Uint8Array): void {
-    for (const one of this.#expectedDigests) one.hash.update(bytes);
+    for (const { hash } of this.#expectedDigests) hash.update(bytes);
   }
 
-  /** Whether all that went by fits; `none` if no digest was sent that is known here. */
-  verify(): 'fits' | 'unlike' | 'none' {
-    if (!this.#isParsable) return 'unlike';
-    const fits = this.#expectedDigests.map((one) => {
-      const own = one.hash.digest();
-      return own.length === one.expected.length && timingSafeEqual(own, one.expected);
+  /** Whether all that came in matches; `absent` if no digest was sent that is known here. */
+  verify(): 'match' | 'mismatch' | 'absent' {
+    if (!this.#isParsable) return 'mismatch';
+    const matches = this.#expectedDigests.map(({ hash, expected }) => {
+      const digest = hash.digest();
+      return digest.length === expected.length && timingSafeEqual(digest, expected);
     });
-    return fits.includes(false) ? 'unlike' : fits.length > 0 ? 'fits' : 'none';
+    if (matches.includes(false)) return 'mismatch';
+    return matches.length > 0 ? 'match' : 'absent';
+  }
+
+  #expect(field: string): void {
+    for (const [name, [value]] of parseDictionary(field)) {
+      const algorithm = digestAlgorithms.get(name);
+      if (algorithm !== undefined && value instanceof ArrayBuffer)
+        this.#expectedDigests.push({ hash: createHash(algorithm), expected: Buffer.from(value) });
+    }
   }
 }
--- a/packages/proxy-core/src/request-handler/edge-request-handler.ts
+++ b/packages/proxy-core/src/request-handler/edge-request-handler.ts
@@ -1,7 +1,11 @@
+/**
+ * The way of a client's request at an edge: its route is found, then it passes a chain of filters:
+ * the cache, the coalescing of equal requests, and the forwarding to the leader of its service.
+ * HTTP itself is the program's.
+ */
+
 import {
-  type Address,
   type RequestId,
-  type ErrorKind,
   type Timestamp,
   type Seq,
   noGeneration,
@@ -11,21 +15,21 @@
   toRequestId,
   toTimestamp,
 } from '@switchwheel/types';
-import type { ForwardedRequest, HeaderFields, Frame, FrameOf } from '@switchwheel/transport';
-import { type CompiledRoute, matchRoute, pickService } from '@switchwheel/configuration';
+import type { HeaderFields } from '@switchwheel/transport';
+import { type CompiledRoute, pickService } from '@switchwheel/configuration';
+import { cacheTags } from '../cache/cache-control.js';
 import {
   type CacheLookup,
   type CacheableRequest,
   creationTime,
   conditionalFields,
-  splitTarget,
 } from '../cache/cache-lookup.js';
-import { forwardableFields, rewrittenFields, cacheTags } from '../cache/header-fields.js';
+import { forwardableFields, rewrittenFields } from '../cache/header-fields.js';
 import { RequestCoalescing } from '../cache/request-coalescing.js';
-import { mayServeFromCache, acceptsRequests } from '../node-agent/readiness.js';
-import { isConfigurationOverdue, knowsAllRoutes } from '../node-agent/configuration-staleness.js';
-import type { ProxyEffect } from '../proxy/state.js';
-import { LeaderChannels } from './leader-channels.js';
+import type { ForwardingEffect, NewForward } from '../forwarding/state.js';
+import { mayServeFromCache } from '../node-agent/readiness.js';
+import { failure } from './failure.js';
+import { ForwardedRequests } from './forwarded-requests.js';
 import {
   type HandlerContext,
   type ClientRequest,
@@ -36,416 +40,280 @@
   defaultTransferLimits,
 } from './ports.js';
 import { type RequestOutcome, RequestState } from './request-state.js';
+import { type RouteLookup, lookUpRoute } from './route-lookup.js';
 
-/** Within which span after its confirmation a description has to be in force on every node in touch. */
-const configurationApplyMs = 2000;
-/** When a caller is told to come back by an edge whose description is replaced. */
-const overdueRetryMs = 200;
+/**
+ * A response that came back sooner than this is younger than any purge that must have been applied
+ * by now.
+ */
+const certainlyFreshMs = 1800;
+/** When a client may come back for whose request there was no room or no time. */
+const retryMs = 1000;
 
-/** A request on its way through the filters of an edge. */
+/** A request on its way through the filters. */
 interface FilterContext {
   readonly request: ClientRequest;
   readonly route: CompiledRoute;
   readonly client: ClientConnection;
   readonly deadline: Timestamp;
   readonly cacheable: CacheableRequest | undefined;
-  /** Tells those who wait for this very fetch; nothing if it can't be shared. */
+  /** Hands the outcome to those who wait for this fetch; undefined if nobody can. */
   readonly finishFetch: ((outcome: RequestOutcome) => void) | undefined;
-  /** Its trip, once it has one. */
+  /** The id of the forwarded request, once there is one. */
   readonly forwarded: { id: RequestId | undefined };
 }
-type Filter = (pass: FilterContext, next: (pass: FilterContext) => void) => void;
+type Filter = (context: FilterContext, next: (context: FilterContext) => void) => void;
 
-/** Runs a request through filters in their order; each answers it or passes it on. */
-const runFilters = (filters: readonly Filter[], pass: FilterContext): void => {
+/** Runs a request through filters in their order; each replies to it or passes it on. */
+const runFilters = (filters: readonly Filter[], context: FilterContext): void => {
   const [first, ...rest] = filters;
-  first?.(pass, (on) => runFilters(rest, on));
+  first?.(context, (next) => runFilters(rest, next));
 };
 
-const failure = (
-  kind: ErrorKind,
-  text: string,
-  retryMs: number,
-): Extract<Reply, { kind: 'failure' }> => ({
-  kind: 'failure',
-  errorKind: kind,
-  text,
-  retryMs,
-});
-
-/** Adds whom the request came from to what earlier proxies said. */
-const withForwardedFor = (call: ClientRequest, fields: HeaderFields): HeaderFields => {
+/** Adds the client's address to those that earlier proxies noted. */
+const withForwardedFor = (request: ClientRequest, fields: HeaderFields): HeaderFields => {
   const before = fields.filter(([name]) => name === 'x-forwarded-for').map(([, value]) => value);
   return [
     ...fields.filter(([name]) => name !== 'x-forwarded-for'),
-    ['x-forwarded-for', [...before, call.remoteAddress].join(', ')],
+    ['x-forwarded-for', [...before, request.remoteAddress].join(', ')],
   ];
 };
 
-/** What came back sooner than this is younger than any purge that must have been acted on by now. */
-const certainFreshMs = 1800;
-const staleResponseText =
-  'it was under way for so long that it may be purged or past its lifetime by now';
+/** The fields of a request that go on; for a cacheable one the complete response is fetched. */
+const fieldsToForward = (request: ClientRequest, isCacheable: boolean): HeaderFields => {
+  const omitted = isCacheable ? [...conditionalFields, ...rewrittenFields] : rewrittenFields;
+  return withForwardedFor(request, forwardableFields(request.fields, omitted));
+};
 
-/** The life of callers' requests at an edge: filters first, then a trip to the keeper and back. */
+/** Handles clients' requests at an edge. */
 export class EdgeRequestHandler {
-  readonly #requests = new Map<RequestId, RequestState>();
+  readonly #forwarded: ForwardedRequests;
   readonly #coalescing: RequestCoalescing<RequestOutcome>;
   readonly #cacheLookup: CacheLookup;
   readonly #context: HandlerContext;
-  readonly #leaderChannels: LeaderChannels;
   readonly #idPrefix: string;
   readonly #limits: TransferLimits;
   readonly #filters: readonly Filter[];
   #forwardedCount = 0;
+  /** What happened here by name, for the metrics. */
   readonly counts = new Map<string, number>();
 
+  /** `idPrefix` is of this process alone: the ids of requests begin with it. */
   constructor(
-    name: string,
-    desk: CacheLookup,
-    dial: OpenDataChannel,
-    cab: HandlerContext,
-    sizes: TransferLimits = defaultTransferLimits,
+    idPrefix: string,
+    cacheLookup: CacheLookup,
+    openChannel: OpenDataChannel,
+    context: HandlerContext,
+    limits: TransferLimits = defaultTransferLimits,
   ) {
-    this.#idPrefix = name;
-    this.#cacheLookup = desk;
-    this.#context = cab;
-    this.#limits = sizes;
-    this.#coalescing = new RequestCoalescing(sizes.maxCoalescedWaiters);
-    this.#leaderChannels = new LeaderChannels(dial, {
-      frame: (from, frame) => this.#onFrame(from, frame),
-      lost: (keeper, unsent) => {
-        for (const trip of [...this.#requests.values()])
-          if (trip.leader === keeper && trip.hasResponse)
-            this.#abort(trip, 'the channel to the keeper ended');
-        cab.dispatch((at) => ({ kind: 'channelLost', now: at, leader: keeper, unsentIds: unsent }));
-      },
+    this.#idPrefix = idPrefix;
+    this.#cacheLookup = cacheLookup;
+    this.#context = context;
+    this.#limits = limits;
+    this.#coalescing = new RequestCoalescing(limits.maxCoalescedWaiters);
+    this.#forwarded = new ForwardedRequests({
+      context,
+      openChannel,
+      onIncomplete: () => this.count('broke_off'),
     });
     this.#filters = [
-      (pass, next) => this.#cacheFilter(pass, next),
-      (pass, next) => this.#coalescingFilter(pass, next),
-      (pass) => this.#forwardingFilter(pass),
+      (request, next) => this.#cacheFilter(request, next),
+      (request, next) => this.#coalescingFilter(request, next),
+      (request) => this.#forwardingFilter(request),
     ];
   }
 
+  /** How many forwarded requests are under way. */
   get openRequests(): number {
-    return this.#requests.size;
+    return this.#forwarded.size;
   }
 
+  /** Purges were applied: nobody joins a fetch that began before them. */
   onPurged(): void {
     this.#coalescing.detachAll();
   }
 
-  /** Finds the track of a request before its body is read, or says why there is none. */
-  findRoute(
-    method: string,
-    host: string,
-    target: string,
-  ): { readonly track: CompiledRoute } | { readonly told: Extract<Reply, { kind: 'failure' }> } {
+  /** Finds the route of a request before its body is read, or the reply that says why there is none. */
+  findRoute(method: string, host: string, target: string): RouteLookup {
     const { nodeAgent } = this.#context.state();
-    const refuse = (
-      told: Extract<Reply, { kind: 'failure' }>,
-    ): { readonly told: Extract<Reply, { kind: 'failure' }> } => {
-      this.count(`fault_${told.errorKind}`);
-      return { told };
-    };
-    if (
-      nodeAgent.compiledConfiguration === undefined ||
-      !acceptsRequests(nodeAgent, this.#context.now())
-    )
-      return refuse(failure('unready', 'this node is not ready', 1000));
-    if (isConfigurationOverdue(nodeAgent, this.#context.now(), configurationApplyMs))
-      return refuse(failure('unready', 'a newer description is on its way here', overdueRetryMs));
-    const { path } = splitTarget(target);
-    if (!path.startsWith('/')) return refuse(failure('malformed', 'a path starts with /', 0));
-    const found = matchRoute(nodeAgent.compiledConfiguration, method, host, path);
-    if (found.outcome === 'notFound')
-      return refuse(
-        knowsAllRoutes(nodeAgent, this.#context.now())
-          ? failure('absent', 'no route', 0)
-          : failure('unready', 'no route is known here yet', 300),
-      );
-    if (found.outcome === 'methodNotAllowed')
-      return refuse({
-        ...failure('absent', 'no route for this method', 0),
-        allowedMethods: found.methods,
-      });
-    return { track: found.route };
+    const lookup = lookUpRoute(nodeAgent, { method, host, target }, this.#context.now());
+    if ('told' in lookup) this.count(`fault_${lookup.told.errorKind}`);
+    return lookup;
   }
 
-  /** Takes a whole request on and tells its caller what it comes to; gives what to call when the caller leaves. */
-  serve(track: CompiledRoute, call: ClientRequest, caller: ClientConnection): () => void {
-    const seat: FilterContext['forwarded'] = { id: undefined };
-    const slip = this.#cacheLookup.cacheableRequest(
-      track,
-      call.method,
-      call.host,
-      call.target,
-      call.fields,
-    );
+  /** Takes a request with its body on; gives what to call when the client disconnects. */
+  serve(route: CompiledRoute, request: ClientRequest, client: ClientConnection): () => void {
+    const forwarded: FilterContext['forwarded'] = { id: undefined };
+    const { method, host, target, fields } = request;
+    const cacheable = this.#cacheLookup.cacheableRequest(route, method, host, target, fields);
     runFilters(this.#filters, {
-      request: call,
-      route: track,
-      client: caller,
-      cacheable: slip,
-      forwarded: seat,
+      request,
+      route,
+      client,
+      cacheable,
+      forwarded,
       finishFetch: undefined,
-      deadline: toTimestamp(this.#context.now() + track.timeoutMs),
+      deadline: toTimestamp(this.#context.now() + route.timeoutMs),
     });
-    // Others may wait for what can be kept: it goes on without its caller.
+    // Others may wait for a cacheable response: its fetch goes on without the client.
     return () => {
-      if (slip === undefined && seat.id !== undefined) this.#cancel(seat.id, 'the caller left');
+      if (cacheable === undefined && forwarded.id !== undefined)
+        this.#cancel(forwarded.id, 'the caller left');
     };
   }
 
-  /** Breaks off all that is still under way, so that every caller sees or hears of it. */
+  /** Aborts all requests that are under way, visibly to their clients; gives their number. */
   abortAll(text: string): number {
-    const many = this.#requests.size;
-    for (const id of [...this.#requests.keys()]) this.#cancel(id, text);
-    return many;
+    const { ids } = this.#forwarded;
+    for (const id of ids) this.#cancel(id, text);
+    return ids.length;
   }
 
+  /** Adds one to a counter of the metrics. */
   count(name: string): void {
     increment(this.counts, name);
   }
 
-  #reply(pass: FilterContext, told: Reply): void {
-    this.count(told.kind === 'failure' ? `fault_${told.errorKind}` : `from_${told.source}`);
-    pass.client.reply(told);
+  /** Does what the forwarding decided. */
+  run(effect: ForwardingEffect): void {
+    this.#forwarded.run(effect);
   }
 
-  #replyFromCache(pass: FilterContext, slip: CacheableRequest, from: string): boolean {
-    const at = this.#context.now();
-    const entry = this.#cacheLookup.find(slip, this.#context.state().nodeAgent, noSeq, at);
-    if (entry !== undefined)
-      this.#reply(pass, { kind: 'cached', entry, servedAt: at, source: from });
+  #reply({ client }: FilterContext, reply: Reply): void {
+    this.count(reply.kind === 'failure' ? `fault_${reply.errorKind}` : `from_${reply.source}`);
+    client.reply(reply);
+  }
+
+  #replyFromCache(context: FilterContext, cacheable: CacheableRequest, source: string): boolean {
+    const now = this.#context.now();
+    const { nodeAgent } = this.#context.state();
+    const entry = this.#cacheLookup.find(cacheable, nodeAgent, noSeq, now);
+    if (entry !== undefined) this.#reply(context, { kind: 'cached', entry, servedAt: now, source });
     return entry !== undefined;
   }
 
-  #cacheFilter(pass: FilterContext, next: (pass: FilterContext) => void): void {
-    if (pass.cacheable === undefined || !this.#replyFromCache(pass, pass.cacheable, 'edge'))
-      next(pass);
+  #cacheFilter(context: FilterContext, next: (context: FilterContext) => void): void {
+    const { cacheable } = context;
+    if (cacheable === undefined || !this.#replyFromCache(context, cacheable, 'edge')) next(context);
   }
 
-  #coalescingFilter(pass: FilterContext, next: (pass: FilterContext) => void): void {
-    const { cacheable } = pass;
+  #coalescingFilter(context: FilterContext, next: (context: FilterContext) => void): void {
+    const { cacheable } = context;
     if (cacheable === undefined) {
-      next(pass);
+      next(context);
       return;
     }
-    const seat = this.#coalescing.join(cacheable.coalescingKey, (outcome) => {
-      if (this.#replyFromCache(pass, cacheable, 'edge')) return;
-      if (outcome.kind === 'failure') this.#reply(pass, outcome);
-      else if (this.#context.now() >= pass.deadline)
-        this.#reply(pass, failure('rejected', 'what it waited for came too late', 1000));
-      else next(pass);
+    const joined = this.#coalescing.join(cacheable.coalescingKey, (outcome) => {
+      if (this.#replyFromCache(context, cacheable, 'edge')) return;
+      if (outcome.kind === 'failure') this.#reply(context, outcome);
+      else if (this.#context.now() >= context.deadline)
+        this.#reply(context, failure('rejected', 'what it waited for came too late', retryMs));
+      else next(context);
     });
-    if (seat === 'joined') this.count('joined');
-    else if (seat === 'full')
-      this.#reply(pass, failure('rejected', 'too many wait for results under way', 1000));
-    else next({ ...pass, finishFetch: this.#coalescing.lead(cacheable.coalescingKey) });
+    if (joined === 'joined') this.count('joined');
+    else if (joined === 'full')
+      this.#reply(context, failure('rejected', 'too many wait for results under way', retryMs));
+    else next({ ...context, finishFetch: this.#coalescing.lead(cacheable.coalescingKey) });
   }
 
-  #forwardingFilter(pass: FilterContext): void {
-    const { request, route, cacheable, finishFetch } = pass;
-    const storable = cacheable !== undefined;
-    const { compiledConfiguration } = this.#context.state().nodeAgent;
+  #forwardingFilter(context: FilterContext): void {
+    const { request, client, cacheable, finishFetch } = context;
     this.#forwardedCount += 1;
     const id = toRequestId(`${this.#idPrefix}.${this.#forwardedCount}`);
     const sentAt = this.#context.now();
-    const purged = this.#cacheLookup.cache.lastPurgeSeq;
-    pass.forwarded.id = id;
-    const late = (arrived: HeaderFields): boolean =>
-      cacheable !== undefined && this.#isStale(cacheable, arrived, sentAt, purged);
-    this.#requests.set(
-      id,
-      new RequestState(
+    const purgeSeq = this.#cacheLookup.cache.lastPurgeSeq;
+    context.forwarded.id = id;
+    this.#forwarded.add(
+      new RequestState({
         id,
-        request.body,
-        pass.client,
-        this.#limits.maxBufferedBytes + this.#limits.chunkBytes,
-        late,
-        (outcome) => {
-          this.#onOutcome(pass, sentAt, outcome);
+        body: request.body,
+        client,
+        maxBufferedBytes: this.#limits.maxBufferedBytes + this.#limits.chunkBytes,
+        isStale: (fields) =>
+          cacheable !== undefined && this.#isStale(cacheable, fields, sentAt, purgeSeq),
+        onOutcome: (outcome) => {
+          this.#onOutcome(context, sentAt, outcome);
           finishFetch?.(outcome);
         },
-      ),
+      }),
     );
-    this.#context.dispatch((at) => ({
-      kind: 'requestAccepted',
-      now: at,
-      request: {
-        id,
-        service: pickService(route, hashToFraction(id)),
-        generation: compiledConfiguration?.generation ?? noGeneration,
-        route: route.name,
-        className: route.className,
-        method: request.method === 'HEAD' && storable ? 'GET' : request.method,
-        host: request.host,
-        path: request.target,
-        fields: withForwardedFor(
-          request,
-          forwardableFields(
-            request.fields,
-            storable ? [...conditionalFields, ...rewrittenFields] : rewrittenFields,
-          ),
-        ),
-        isIdempotent: route.isIdempotent,
-        isCacheable: storable,
-        deadline: pass.deadline,
-        requiredPurgeSeq: purged,
-      },
-    }));
+    const newForward = this.#newForward(context, id, purgeSeq);
+    this.#context.dispatch((now) => ({ kind: 'requestAccepted', now, request: newForward }));
   }
 
-  #onOutcome(pass: FilterContext, sentAt: Timestamp, outcome: RequestOutcome): void {
+  #newForward(context: FilterContext, id: RequestId, requiredPurgeSeq: Seq): NewForward {
+    const { request, route, deadline } = context;
+    const isCacheable = context.cacheable !== undefined;
+    const { compiledConfiguration } = this.#context.state().nodeAgent;
+    return {
+      id,
+      service: pickService(route, hashToFraction(id)),
+      generation: compiledConfiguration?.generation ?? noGeneration,
+      route: route.name,
+      className: route.className,
+      method: request.method === 'HEAD' && isCacheable ? 'GET' : request.method,
+      host: request.host,
+      path: request.target,
+      fields: fieldsToForward(request, isCacheable),
+      isIdempotent: route.isIdempotent,
+      isCacheable,
+      deadline,
+      requiredPurgeSeq,
+    };
+  }
+
+  #onOutcome(context: FilterContext, sentAt: Timestamp, outcome: RequestOutcome): void {
     switch (outcome.kind) {
       case 'failure':
-        this.#reply(pass, outcome);
+        this.#reply(context, outcome);
         break;
       case 'streamed':
         this.count('from_stream');
         break;
-      case 'complete': {
-        const { status, fields, body, digest, ageMs, purgeSeqAtFetch, source } = outcome;
-        if (pass.cacheable !== undefined) {
-          this.#cacheLookup.store(
-            pass.cacheable,
-            {
-              status,
-              fields,
-              body,
-              digest,
-              createdAt: creationTime(sentAt, ageMs),
-              purgeSeqAtFetch,
-            },
-            this.#context.now(),
-          );
-          if (this.#replyFromCache(pass, pass.cacheable, source)) return;
-        }
-        this.#reply(pass, { kind: 'complete', status, fields, body, source });
+      case 'complete':
+        this.#onComplete(context, sentAt, outcome);
         break;
-      }
     }
   }
 
-  /** Whether a result that may be kept is no longer sure to be good: a sleep, or a purge while it was long under way. */
-  #isStale(slip: CacheableRequest, fields: HeaderFields, sentAt: Timestamp, purged: Seq): boolean {
-    const { nodeAgent, lastWokeAt } = this.#context.state();
-    const at = this.#context.now();
-    if (lastWokeAt > sentAt) return true;
-    return (
-      at - sentAt > certainFreshMs &&
-      (!mayServeFromCache(nodeAgent, at) ||
-        this.#cacheLookup.cache.isPurgedSince(slip.key, cacheTags(fields), purged))
-    );
-  }
-
-  #cancel(id: RequestId, text: string): void {
-    this.#context.dispatch((at) => ({ kind: 'requestCancelled', now: at, id, text }));
-  }
-
-  /** What the forwarding side decided. */
-  run(
-    effect: Extract<
-      ProxyEffect,
-      { kind: 'sendRequest' | 'cancelRequest' | 'startResponse' | 'failRequest' }
-    >,
+  /** Caches a response, if it may be, and replies with it. */
+  #onComplete(
+    context: FilterContext,
+    sentAt: Timestamp,
+    response: Extract<RequestOutcome, { kind: 'complete' }>,
   ): void {
-    switch (effect.kind) {
-      case 'sendRequest': {
-        const trip = this.#requests.get(effect.request.id);
-        if (trip === undefined) return;
-        trip.leader = effect.to;
-        const ask: ForwardedRequest = { ...effect.request, body: trip.body };
-        this.#leaderChannels.sendRequest(effect.to, ask);
-        break;
-      }
-      case 'cancelRequest':
-        this.#leaderChannels.sendControl(effect.to, { kind: 'quit', id: effect.id });
-        break;
-      case 'startResponse': {
-        const trip = this.#requests.get(effect.id);
-        if (trip?.startResponse(effect.frame) !== 'late') break;
-        this.#leaderChannels.sendControl(effect.to, { kind: 'quit', id: effect.id });
-        this.#abort(trip, staleResponseText);
-        break;
-      }
-      case 'failRequest': {
-        const trip = this.#requests.get(effect.id);
-        this.#requests.delete(effect.id);
-        trip?.fail(effect.errorKind, effect.text, effect.retryMs);
-        break;
-      }
+    const { cacheable } = context;
+    const { status, fields, body, digest, ageMs, purgeSeqAtFetch, source } = response;
+    if (cacheable !== undefined) {
+      const createdAt = creationTime(sentAt, ageMs);
+      const fetched = { status, fields, body, digest, createdAt, purgeSeqAtFetch };
+      this.#cacheLookup.store(cacheable, fetched, this.#context.now());
+      if (this.#replyFromCache(context, cacheable, source)) return;
     }
+    this.#reply(context, { kind: 'complete', status, fields, body, source });
   }
 
-  /** Hears a keeper; false for what no keeper says. */
-  #onFrame(from: Address, frame: Frame): boolean {
-    switch (frame.kind) {
-      case 'result':
-        this.#context.dispatch((at) => ({ kind: 'responseStarted', now: at, from, frame }));
-        return true;
-      case 'begun':
-        this.#context.dispatch((at) => ({ kind: 'attemptStarted', now: at, from, id: frame.id }));
-        return true;
-      case 'reject': {
-        // A result that had begun broke off: it is never ended as if it were whole.
-        const trip = this.#receiving(from, frame.id);
-        if (trip !== undefined) this.#abort(trip, frame.text);
-        this.#context.dispatch((at) => ({ kind: 'requestRejected', now: at, from, frame }));
-        return true;
-      }
-      case 'chunk':
-        this.#onChunk(from, frame);
-        return true;
-      case 'done':
-        this.#onDone(from, frame);
-        return true;
-      default:
-        return false;
-    }
-  }
-
-  /** The trip whose result a keeper sends, if that is the keeper that was asked. */
-  #receiving(from: Address, id: RequestId): RequestState | undefined {
-    const trip = this.#requests.get(id);
-    return trip?.hasResponse === true && trip.leader === from ? trip : undefined;
-  }
-
-  #onChunk(from: Address, frame: FrameOf<'chunk'>): void {
-    const trip = this.#receiving(from, frame.id);
-    if (trip === undefined) return;
-    const bytes = Buffer.from(frame.bytes);
-    const turn = trip.addChunk(bytes, () =>
-      this.#leaderChannels.sendControl(from, { kind: 'credit', id: frame.id, bytes: bytes.length }),
+  /**
+   * Whether a cacheable response may have been purged or expired on its way: this process was
+   * suspended meanwhile, or it took long and a purge may have come in.
+   */
+  #isStale(
+    cacheable: CacheableRequest,
+    fields: HeaderFields,
+    sentAt: Timestamp,
+    purgeSeq: Seq,
+  ): boolean {
+    const { nodeAgent, lastWokeAt } = this.#context.state();
+    const now = this.#context.now();
+    if (lastWokeAt > sentAt) return true;
+    return (
+      now - sentAt > certainlyFreshMs &&
+      (!mayServeFromCache(nodeAgent, now) ||
+        this.#cacheLookup.cache.isPurgedSince(cacheable.key, cacheTags(fields), purgeSeq))
     );
-    if (turn === 'broken') this.#abort(trip, 'more bytes than told');
-  }
-
-  #onDone(from: Address, frame: FrameOf<'done'>): void {
-    const trip = this.#receiving(from, frame.id);
-    if (trip === undefined) return;
-    this.#finish(trip);
-    const turn = trip.finish(frame);
-    if (turn === 'broken')
-      this.#failIncomplete(trip, 'the digest between edge and keeper does not fit');
-    else if (turn === 'late') trip.fail('lost', staleResponseText, 250);
   }
 
-  /** Nothing more comes for a trip. */
-  #finish(trip: RequestState): void {
-    this.#requests.delete(trip.id);
-    this.#context.dispatch((at) => ({ kind: 'responseCompleted', now: at, id: trip.id }));
-  }
-
-  #failIncomplete(trip: RequestState, text: string): void {
-    this.count('broke_off');
-    trip.fail('lost', text, 0);
-  }
-
-  #abort(trip: RequestState, text: string): void {
-    this.#finish(trip);
-    this.#failIncomplete(trip, text);
+  #cancel(id: RequestId, text: string): void {
+    this.#context.dispatch((now) => ({ kind: 'requestCancelled', now, id, text }));
   }
 }
--- /dev/null
+++ b/packages/proxy-core/src/request-handler/failure.ts
@@ -0,0 +1,17 @@
+/**
+ * The reply that tells a client of an error.
+ */
+
+import type { ErrorKind } from '@switchwheel/types';
+import type { Reply } from './ports.js';
+
+/** A reply that tells of an error. */
+export type FailureReply = Extract<Reply, { kind: 'failure' }>;
+
+/** Builds the reply of an error; `retryMs` is 0 for no advice on when to come back. */
+export const failure = (errorKind: ErrorKind, text: string, retryMs: number): FailureReply => ({
+  kind: 'failure',
+  errorKind,
+  text,
+  retryMs,
+});
--- a/packages/proxy-core/src/request-handler/inbound-requests.ts
+++ b/packages/proxy-core/src/request-handler/inbound-requests.ts
@@ -1,116 +1,135 @@
-import { createHash } from 'node:crypto';
-import type { RequestId, Timestamp, Seq } from '@switchwheel/types';
-import { toDurationMs } from '@switchwheel/types';
+/**
+ * A shield's side of the data channels: forwarded requests come in, responses go back, streamed ones
+ * no faster than their flow-control window allows.
+ */
+
+import { createHash, type Hash } from 'node:crypto';
+import { type RequestId, type Timestamp, type Seq, toDurationMs } from '@switchwheel/types';
 import type { ForwardedRequest, HeaderFields, Frame, FrameOf } from '@switchwheel/transport';
 import type { DataChannel, DataChannelHandlers, TransferLimits } from './ports.js';
 
-/** An ask that came in, with the channel its result goes back on. */
+/** A request that came in, with the channel that its response goes back on. */
 export interface InboundRequest {
   readonly request: ForwardedRequest;
   readonly channel: DataChannel;
   readonly arrivedAt: Timestamp;
+  /** How many more bytes of a streamed response the edge takes now; below 0 after a large chunk. */
   windowBytes: number;
-  /** Waits for room. */
+  /** Goes on with a streamed response that waits for its window. */
   resume: (() => void) | undefined;
   attemptStarted: boolean;
-  /** Whether a leg's result is going out in parts: no other's may. */
+  /** Whether an attempt's response is going back in parts: no other's may. */
   isStreaming: boolean;
 }
 
+/** A complete response, from an origin or from the cache. */
 export interface UpstreamResponse {
   readonly status: number;
   readonly fields: HeaderFields;
   readonly body: Buffer;
   readonly digest: string;
-  /** How old it was when the ask came in. */
+  /** How old it was when the request came in. */
   readonly ageMs: number;
   readonly source: 'origin' | 'cache';
+  /** The last purge that was applied when its fetch began. */
   readonly purgeSeqAtFetch: Seq;
 }
 
-/** A result that goes back in parts. */
+/** The head of a response that goes back in parts. */
+export interface StreamHead {
+  readonly status: number;
+  readonly fields: HeaderFields;
+  /** The length of the body, if the origin gave it. */
+  readonly length: number | undefined;
+  readonly purgeSeqAtFetch: Seq;
+}
+
+/** Writes a response that goes back in parts. */
 export interface ResponseWriter {
+  /** Sends bytes; calls back when there is room for more; false if nobody takes them any longer. */
   readonly write: (bytes: Buffer, more: () => void) => boolean;
-  readonly end: (whole: boolean) => void;
+  /** Ends the response; one that is not complete breaks off visibly. */
+  readonly end: (isComplete: boolean) => void;
+}
+
+/** What becomes of the requests that come in. */
+export interface InboundHandlers {
+  readonly onRequest: (inbound: InboundRequest) => void;
+  readonly onCancelled: (id: RequestId) => void;
 }
 
-/** A shield's side of the data channels: asks come in, results go back. */
+/** The requests of edges that this shield has not responded to. */
 export class InboundRequests {
   readonly #requests = new Map<RequestId, InboundRequest>();
   readonly #limits: TransferLimits;
-  readonly #onRequest: (one: InboundRequest) => void;
-  readonly #onCancelled: (id: RequestId) => void;
-
-  constructor(
-    sizes: TransferLimits,
-    asked: (one: InboundRequest) => void,
-    quit: (id: RequestId) => void,
-  ) {
-    this.#limits = sizes;
-    this.#onRequest = asked;
-    this.#onCancelled = quit;
+  readonly #handlers: InboundHandlers;
+
+  constructor(limits: TransferLimits, handlers: InboundHandlers) {
+    this.#limits = limits;
+    this.#handlers = handlers;
   }
 
+  /** How many requests are under way. */
   get size(): number {
     return this.#requests.size;
   }
 
+  /** The request with an id, if it is under way. */
   find(id: RequestId): InboundRequest | undefined {
     return this.#requests.get(id);
   }
 
-  /** Takes a channel that an edge opened. */
+  /** Takes a channel that an edge opened; when it closes, its requests are cancelled. */
   accept(channel: DataChannel, clock: () => Timestamp): Omit<DataChannelHandlers, 'up'> {
-    const mine = new Set<RequestId>();
-    const frame = (word: Frame): void => {
-      if (word.kind === 'ask') {
-        if (this.#requests.has(word.id)) return;
-        const one: InboundRequest = {
-          request: word,
-          channel,
-          arrivedAt: clock(),
-          windowBytes: this.#limits.windowBytes,
-          resume: undefined,
-          attemptStarted: false,
-          isStreaming: false,
-        };
-        this.#requests.set(word.id, one);
-        mine.add(word.id);
-        this.#onRequest(one);
-      } else if (word.kind === 'quit') {
-        mine.delete(word.id);
-        this.#cancel(word.id);
-      } else if (word.kind === 'credit') this.#extendWindow(word.id, word.bytes);
-      else channel.terminate(`foreign: ${word.kind} on a data channel`);
+    const ids = new Set<RequestId>();
+    const frame = (received: Frame): void => {
+      switch (received.kind) {
+        case 'ask':
+          if (this.#requests.has(received.id)) return;
+          ids.add(received.id);
+          this.#open(received, channel, clock());
+          break;
+        case 'quit':
+          ids.delete(received.id);
+          this.#cancel(received.id);
+          break;
+        case 'credit':
+          this.#extendWindow(received.id, received.bytes);
+          break;
+        default:
+          channel.terminate(`foreign: ${received.kind} on a data channel`);
+      }
     };
     const closed = (): void => {
-      for (const id of mine) this.#cancel(id);
+      for (const id of ids) this.#cancel(id);
     };
     return { frame, closed };
   }
 
+  /** Turns a request away. */
   reject(id: RequestId, frame: Omit<FrameOf<'reject'>, 'kind' | 'id'>): void {
-    const one = this.#requests.get(id);
+    const inbound = this.#requests.get(id);
     this.#requests.delete(id);
-    one?.channel.send({ kind: 'reject', id, ...frame });
+    inbound?.channel.send({ kind: 'reject', id, ...frame });
   }
 
-  /** Says that the first leg of an ask goes out. */
+  /** Tells the edge that the first attempt of a request starts. */
   notifyAttemptStarted(id: RequestId): void {
-    const one = this.#requests.get(id);
-    if (one === undefined || one.attemptStarted) return;
-    one.attemptStarted = true;
-    one.channel.send({ kind: 'begun', id });
+    const inbound = this.#requests.get(id);
+    if (inbound === undefined || inbound.attemptStarted) return;
+    inbound.attemptStarted = true;
+    inbound.channel.send({ kind: 'begun', id });
   }
 
-  /** Sends a whole result back. */
-  respond(id: RequestId, told: UpstreamResponse): void {
-    const one = this.#requests.get(id);
-    if (one === undefined || one.isStreaming) return;
+  /** Sends a complete response back. */
+  respond(id: RequestId, response: UpstreamResponse): void {
+    const inbound = this.#requests.get(id);
+    if (inbound === undefined || inbound.isStreaming) return;
     this.#requests.delete(id);
-    const { status, fields, body, digest, ageMs, source, purgeSeqAtFetch } = told;
+    const { channel } = inbound;
+    const { status, fields, body, digest, ageMs, source, purgeSeqAtFetch } = response;
     const { chunkBytes } = this.#limits;
-    one.channel.send({
+    channel.send({
       kind: 'result',
       id,
       status,
@@ -121,55 +140,49 @@
       purged: purgeSeqAtFetch,
       streamed: false,
     });
-    for (let at = 0; at < body.length; at += chunkBytes)
-      one.channel.send({ kind: 'chunk', id, bytes: body.subarray(at, at + chunkBytes) });
-    one.channel.send({ kind: 'done', id, digest, length: body.length });
+    for (let offset = 0; offset < body.length; offset += chunkBytes)
+      channel.send({ kind: 'chunk', id, bytes: body.subarray(offset, offset + chunkBytes) });
+    channel.send({ kind: 'done', id, digest, length: body.length });
   }
 
-  /** Opens a result that goes back in parts, no faster than the caller takes it. */
-  startStream(
-    id: RequestId,
-    status: number,
-    fields: HeaderFields,
-    length: number | undefined,
-    purged: Seq,
-  ): ResponseWriter | undefined {
-    const one = this.#requests.get(id);
-    if (one === undefined || one.isStreaming) return undefined;
-    one.isStreaming = true;
-    const sum = createHash('sha256');
-    let size = 0;
-    one.channel.send({
+  /** Opens a response that goes back in parts; undefined if nobody waits for it. */
+  startStream(id: RequestId, head: StreamHead): ResponseWriter | undefined {
+    const inbound = this.#requests.get(id);
+    if (inbound === undefined || inbound.isStreaming) return undefined;
+    inbound.isStreaming = true;
+    inbound.channel.send({
       kind: 'result',
       id,
-      status,
-      fields,
-      ...(length === undefined ? {} : { length }),
+      status: head.status,
+      fields: head.fields,
+      ...(head.length === undefined ? {} : { length: head.length }),
       age: toDurationMs(0),
       from: 'origin',
-      purged,
+      purged: head.purgeSeqAtFetch,
       streamed: true,
     });
+    return this.#streamWriter(id, inbound);
+  }
+
+  #streamWriter(id: RequestId, inbound: InboundRequest): ResponseWriter {
+    const hash = createHash('sha256');
+    let length = 0;
     return {
       write: (bytes, more) => {
-        if (this.#requests.get(id) !== one) return false;
-        one.windowBytes -= bytes.length;
-        size += bytes.length;
-        sum.update(bytes);
-        one.channel.send({ kind: 'chunk', id, bytes });
-        if (one.windowBytes > 0) more();
-        else one.resume = more;
+        if (this.#requests.get(id) !== inbound) return false;
+        inbound.windowBytes -= bytes.length;
+        length += bytes.length;
+        hash.update(bytes);
+        inbound.channel.send({ kind: 'chunk', id, bytes });
+        if (inbound.windowBytes > 0) more();
+        else inbound.resume = more;
         return true;
       },
-      end: (whole) => {
-        if (this.#requests.get(id) !== one) return;
-        this.#requests.delete(id);
-        if (whole)
-          one.channel.send({ kind: 'done', id, digest: sum.digest('base64'), length: size });
+      end: (isComplete) => {
+        if (this.#requests.get(id) !== inbound) return;
+        if (isComplete) this.#endStream(inbound, hash, length);
         else
-          one.channel.send({
-            kind: 'reject',
-            id,
+          this.reject(id, {
             errorKind: 'lost',
             text: 'the result broke off',
             retryAfter: 0,
@@ -179,17 +192,36 @@
     };
   }
 
+  #endStream({ request, channel }: InboundRequest, hash: Hash, length: number): void {
+    this.#requests.delete(request.id);
+    channel.send({ kind: 'done', id: request.id, digest: hash.digest('base64'), length });
+  }
+
+  #open(request: ForwardedRequest, channel: DataChannel, arrivedAt: Timestamp): void {
+    const inbound: InboundRequest = {
+      request,
+      channel,
+      arrivedAt,
+      windowBytes: this.#limits.windowBytes,
+      resume: undefined,
+      attemptStarted: false,
+      isStreaming: false,
+    };
+    this.#requests.set(request.id, inbound);
+    this.#handlers.onRequest(inbound);
+  }
+
   #extendWindow(id: RequestId, bytes: number): void {
-    const one = this.#requests.get(id);
-    if (one === undefined) return;
-    one.windowBytes += bytes;
-    const { resume } = one;
-    if (one.windowBytes <= 0 || resume === undefined) return;
-    one.resume = undefined;
+    const inbound = this.#requests.get(id);
+    if (inbound === undefined) return;
+    inbound.windowBytes += bytes;
+    const { resume } = inbound;
+    if (inbound.windowBytes <= 0 || resume === undefined) return;
+    inbound.resume = undefined;
     resume();
   }
 
   #cancel(id: RequestId): void {
-    if (this.#requests.delete(id)) this.#onCancelled(id);
+    if (this.#requests.delete(id)) this.#handlers.onCancelled(id);
   }
 }
--- a/packages/proxy-core/src/request-handler/leader-channels.ts
+++ b/packages/proxy-core/src/request-handler/leader-channels.ts
@@ -1,3 +1,8 @@
+/**
+ * An edge's data channels to service leaders: opened on the first request, closed by the other end
+ * or by a failure. Requests wait until their channel is open.
+ */
+
 import type { Address, RequestId } from '@switchwheel/types';
 import type { ForwardedRequest, Frame, FrameOf } from '@switchwheel/transport';
 import type { DataChannel, OpenDataChannel } from './ports.js';
@@ -8,55 +13,58 @@
   readonly unsent: ForwardedRequest[];
 }
 
-/** What an edge hears on its data channels. */
+/** What an edge does about what comes in on its data channels. */
 export interface LeaderChannelHandlers {
-  /** Says whether it is a frame that belongs there. */
+  /** Says whether the frame is one that belongs there. */
   readonly frame: (from: Address, frame: Frame) => boolean;
-  readonly lost: (keeper: Address, unsent: ReadonlySet<RequestId>) => void;
+  /** A channel closed; of the requests in `unsentIds` no byte was sent. */
+  readonly lost: (leader: Address, unsentIds: ReadonlySet<RequestId>) => void;
 }
 
-/** An edge's data channels to keepers. */
+/** The data channels of an edge, by the address of the leader. */
 export class LeaderChannels {
   readonly #openChannel: OpenDataChannel;
   readonly #handlers: LeaderChannelHandlers;
   readonly #channels = new Map<Address, LeaderChannel>();
 
-  constructor(dial: OpenDataChannel, ears: LeaderChannelHandlers) {
-    this.#openChannel = dial;
-    this.#handlers = ears;
+  constructor(openChannel: OpenDataChannel, handlers: LeaderChannelHandlers) {
+    this.#openChannel = openChannel;
+    this.#handlers = handlers;
   }
 
-  sendRequest(to: Address, ask: ForwardedRequest): void {
-    const link = this.#channels.get(to) ?? this.#open(to);
-    if (link.isOpen) link.channel?.send(ask);
-    else link.unsent.push(ask);
+  /** Sends a request, as soon as the channel to the leader is open. */
+  sendRequest(to: Address, request: ForwardedRequest): void {
+    const entry = this.#channels.get(to) ?? this.#open(to);
+    if (entry.isOpen) entry.channel?.send(request);
+    else entry.unsent.push(request);
   }
 
+  /** Cancels a request or grants it more window; one that was not sent yet is only forgotten. */
   sendControl(to: Address, frame: FrameOf<'quit'> | FrameOf<'credit'>): void {
-    const link = this.#channels.get(to);
-    if (link === undefined) return;
-    const at = link.unsent.findIndex((one) => one.id === frame.id);
-    if (at >= 0) link.unsent.splice(at, 1);
-    else if (link.isOpen) link.channel?.send(frame);
+    const entry = this.#channels.get(to);
+    if (entry === undefined) return;
+    const index = entry.unsent.findIndex((request) => request.id === frame.id);
+    if (index >= 0) entry.unsent.splice(index, 1);
+    else if (entry.isOpen) entry.channel?.send(frame);
   }
 
   #open(to: Address): LeaderChannel {
-    const link: LeaderChannel = { channel: undefined, isOpen: false, unsent: [] };
-    this.#channels.set(to, link);
-    link.channel = this.#openChannel(to, {
+    const entry: LeaderChannel = { channel: undefined, isOpen: false, unsent: [] };
+    this.#channels.set(to, entry);
+    entry.channel = this.#openChannel(to, {
       up: () => {
-        link.isOpen = true;
-        for (const ask of link.unsent.splice(0)) link.channel?.send(ask);
+        entry.isOpen = true;
+        for (const request of entry.unsent.splice(0)) entry.channel?.send(request);
       },
       frame: (frame) => {
         if (!this.#handlers.frame(to, frame))
-          link.channel?.terminate(`foreign: ${frame.kind} on a data channel`);
+          entry.channel?.terminate(`foreign: ${frame.kind} on a data channel`);
       },
       closed: () => {
-        if (this.#channels.get(to) === link) this.#channels.delete(to);
-        this.#handlers.lost(to, new Set(link.unsent.map((one) => one.id)));
+        if (this.#channels.get(to) === entry) this.#channels.delete(to);
+        this.#handlers.lost(to, new Set(entry.unsent.map((request) => request.id)));
       },
     });
-    return link;
+    return entry;
   }
 }
--- a/packages/proxy-core/src/request-handler/ports.ts
+++ b/packages/proxy-core/src/request-handler/ports.ts
@@ -1,44 +1,51 @@
+/**
+ * What the request handlers need of the program around them: data channels between edges and
+ * shields, connections of clients, attempts at origins. The simulator has its own of each.
+ */
+
 import type { Address, InstanceId, ErrorKind, Timestamp } from '@switchwheel/types';
 import type { HeaderFields, Frame } from '@switchwheel/transport';
 import type { CacheEntry } from '../cache/cache.js';
 import type { ProxyState, ProxyEvent } from '../proxy/state.js';
 
-/** What the life of a request stands on: the machine, and the time. */
+/** The proxy that a request handler belongs to: its clock, its state, and its reducer. */
 export interface HandlerContext {
   readonly now: () => Timestamp;
   readonly state: () => ProxyState;
   readonly dispatch: (make: (now: Timestamp) => ProxyEvent) => void;
 }
 
-/** A channel on which requests and results go. */
+/** A channel between an edge and a shield. */
 export interface DataChannel {
   readonly send: (frame: Frame) => void;
-  readonly terminate: (why: string) => void;
+  readonly terminate: (reason: string) => void;
 }
 
-/** What is heard on such a channel. */
+/** What comes in on such a channel. */
 export interface DataChannelHandlers {
   readonly up: () => void;
   readonly frame: (frame: Frame) => void;
   readonly closed: () => void;
 }
 
-/** How long a channel to a keeper may take to come up. */
+/** How long a channel to a service leader may take to open. */
 export const connectTimeoutMs = 500;
 
-/** Opens channels to keepers; one that does not come up soon is closed. */
-export type OpenDataChannel = (to: Address, ears: DataChannelHandlers) => DataChannel;
+/** Opens a channel to a service leader; one that does not open within the time-out is closed. */
+export type OpenDataChannel = (to: Address, handlers: DataChannelHandlers) => DataChannel;
 
-/** How results are cut up on their way. */
+/** How responses are buffered and cut up on their way. */
 export interface TransferLimits {
-  /** Up to this many bytes a result is held until it is whole and checked. */
+  /** Up to this many bytes a response is buffered until it is complete and verified. */
   readonly maxBufferedBytes: number;
   readonly chunkBytes: number;
-  /** How far a streamed result may run ahead of its caller. */
+  /** How many bytes of a streamed response may be under way to its client (flow control). */
   readonly windowBytes: number;
-  /** How many requests may wait for fetches of others. */
+  /** How many requests may wait for the fetches of others. */
   readonly maxCoalescedWaiters: number;
 }
+
+/** The limits of a proxy outside tests. */
 export const defaultTransferLimits: TransferLimits = {
   maxBufferedBytes: 4 * 1024 * 1024,
   chunkBytes: 64 * 1024,
@@ -46,18 +53,18 @@
   maxCoalescedWaiters: 2048,
 };
 
-/** A request as it came from a caller, with its whole body. */
+/** A request as it came from a client, with its whole body. */
 export interface ClientRequest {
   readonly method: string;
   readonly host: string;
   readonly target: string;
   readonly fields: HeaderFields;
   readonly body: Uint8Array;
-  /** Where the caller's channel comes from. */
+  /** The client's address. */
   readonly remoteAddress: string;
 }
 
-/** What a caller is told at once. */
+/** What a client gets at once, as opposed to a response in parts. */
 export type Reply =
   | {
       readonly kind: 'failure';
@@ -80,17 +87,18 @@
       readonly source: string;
     };
 
-/** Where a result goes that is told in parts. */
+/** A response that goes to a client in parts. */
 export interface ClientStream {
   /** Calls back when there is room for more. */
   readonly write: (bytes: Buffer, more: () => void) => void;
   readonly end: () => void;
-  /** Breaks it off so that the caller sees it. */
-  readonly abort: (why: string) => void;
+  /** Breaks it off so that the client sees that it is not complete. */
+  readonly abort: (reason: string) => void;
 }
 
+/** The client of one request: it gets a reply, or a response in parts. */
 export interface ClientConnection {
-  readonly reply: (told: Reply) => void;
+  readonly reply: (reply: Reply) => void;
   readonly startStream: (
     status: number,
     fields: HeaderFields,
@@ -98,7 +106,7 @@
   ) => ClientStream;
 }
 
-/** One request to one origin. */
+/** One attempt of a request at one origin. */
 export interface AttemptRequest {
   readonly address: Address;
   readonly instance: InstanceId;
@@ -108,13 +116,13 @@
   readonly fields: HeaderFields;
   readonly body: Uint8Array;
   readonly timeoutMs: number;
-  /** Whether a kept-open channel may be used: only where running twice does no harm. */
+  /** Whether a kept-alive connection may be used: only where running twice does no harm. */
   readonly isIdempotent: boolean;
 }
 
-/** How a leg broke off, as its channel saw it. */
+/** How an attempt failed, as its connection saw it. */
 export interface AttemptFailure {
-  /** Whether a byte of the request may have been handed over. */
+  /** Whether a byte of the request may have been sent. */
   readonly mayHaveBeenSent: boolean;
   readonly isTimeout: boolean;
   readonly text: string;
@@ -125,12 +133,12 @@
   readonly head: (status: number, fields: HeaderFields) => void;
   readonly chunk: (bytes: Buffer, more: () => void) => void;
   readonly ended: () => void;
-  readonly failed: (how: AttemptFailure) => void;
+  readonly failed: (failure: AttemptFailure) => void;
 }
 
-/** Channels to origins. */
+/** Connections to origins. */
 export interface AttemptPort {
-  readonly send: (name: string, request: AttemptRequest, ears: AttemptHandlers) => void;
-  /** Gives a leg up: nothing more is heard of it. */
+  readonly send: (name: string, request: AttemptRequest, handlers: AttemptHandlers) => void;
+  /** Gives an attempt up: none of its handlers is called any more. */
   readonly cancel: (name: string) => void;
 }
--- a/packages/proxy-core/src/request-handler/request-state.ts
+++ b/packages/proxy-core/src/request-handler/request-state.ts
@@ -1,9 +1,14 @@
+/**
+ * One forwarded request at its edge: its body, and its response as it comes in. A response counts
+ * only if its length and digest are those that the leader reports at its end.
+ */
+
 import { createHash, type Hash } from 'node:crypto';
 import type { Address, RequestId, Seq } from '@switchwheel/types';
 import type { HeaderFields, FrameOf } from '@switchwheel/transport';
 import type { ClientConnection, ClientStream } from './ports.js';
 
-/** What a forwarded request came to; a result in parts went to its caller as it came. */
+/** What a forwarded request came to. */
 export type RequestOutcome =
   | {
       readonly kind: 'complete';
@@ -12,6 +17,7 @@
       readonly body: Buffer;
       readonly digest: string;
       readonly ageMs: number;
+      /** The last purge that was applied where the response was fetched, when its fetch began. */
       readonly purgeSeqAtFetch: Seq;
       readonly source: string;
     }
@@ -21,121 +27,127 @@
       readonly text: string;
       readonly retryMs: number;
     }
+  /** The response goes to the client as it comes in. */
   | { readonly kind: 'streamed' };
 
-/** What became of what came in for a trip; a late result is right, but not sure to be good any more. */
-export type ReceiveResult = 'on' | 'over' | 'broken' | 'late';
+/** What follows from what came in; a stale response is right, but not sure to be still valid. */
+export type ReceiveResult = 'continue' | 'complete' | 'corrupt' | 'stale';
 
 type ResponsePhase =
-  | { readonly phase: 'asked' }
-  | { readonly phase: 'holding'; readonly head: FrameOf<'result'>; readonly chunks: Buffer[] }
+  | { readonly phase: 'awaitingHead' }
+  | { readonly phase: 'buffering'; readonly head: FrameOf<'result'>; readonly chunks: Buffer[] }
   | {
       readonly phase: 'streaming';
       readonly head: FrameOf<'result'>;
       readonly stream: ClientStream;
     };
 
-/** One forwarded request at its edge: its body, and its result as it comes in. */
-export class RequestState {
+/** What a forwarded request stands on. */
+export interface RequestStateOptions {
   readonly id: RequestId;
   readonly body: Uint8Array;
-  /** Whether a result with these fields comes too late to be told. */
-  readonly #isStale: (fields: HeaderFields) => boolean;
+  readonly client: ClientConnection;
+  /** A response that is not streamed may not be larger. */
+  readonly maxBufferedBytes: number;
+  /** Whether a response with these fields comes too late to be used. */
+  readonly isStale: (fields: HeaderFields) => boolean;
   readonly onOutcome: (outcome: RequestOutcome) => void;
-  readonly #client: ClientConnection;
-  readonly #maxBufferedBytes: number;
+}
+
+/** The state of one forwarded request. */
+export class RequestState {
+  readonly id: RequestId;
+  readonly body: Uint8Array;
+  /** The address of the leader that it was last sent to. */
+  leader: Address | undefined;
+  readonly #options: RequestStateOptions;
   readonly #hash: Hash = createHash('sha256');
-  #phase: ResponsePhase = { phase: 'asked' };
+  #phase: ResponsePhase = { phase: 'awaitingHead' };
   #receivedBytes = 0;
-  /** The newest part of a stream stays here until what follows it, or the end, is known to be right. */
+  /** The newest chunk of a stream waits until what follows it, or the end, is known to be right. */
   #heldChunk: { readonly bytes: Buffer; readonly more: () => void } | undefined;
-  leader: Address | undefined;
 
-  constructor(
-    id: RequestId,
-    body: Uint8Array,
-    caller: ClientConnection,
-    most: number,
-    late: (fields: HeaderFields) => boolean,
-    end: (outcome: RequestOutcome) => void,
-  ) {
-    this.id = id;
-    this.body = body;
-    this.#client = caller;
-    this.#maxBufferedBytes = most;
-    this.#isStale = late;
-    this.onOutcome = end;
+  constructor(options: RequestStateOptions) {
+    this.id = options.id;
+    this.body = options.body;
+    this.#options = options;
   }
 
+  /** Whether the head of a response has come in. */
   get hasResponse(): boolean {
-    return this.#phase.phase !== 'asked';
+    return this.#phase.phase !== 'awaitingHead';
   }
 
-  startResponse(frame: FrameOf<'result'>): ReceiveResult {
-    this.#phase = { phase: 'holding', head: frame, chunks: [] };
-    if (!frame.streamed) return 'on';
-    if (this.#isStale(frame.fields)) return 'late';
-    this.#phase = {
-      phase: 'streaming',
-      head: frame,
-      stream: this.#client.startStream(frame.status, frame.fields, frame.length),
-    };
-    this.onOutcome({ kind: 'streamed' });
-    return 'on';
+  /** Takes the head of a response in; a streamed one goes on to the client at once. */
+  startResponse(head: FrameOf<'result'>): ReceiveResult {
+    this.#phase = { phase: 'buffering', head, chunks: [] };
+    if (!head.streamed) return 'continue';
+    if (this.#options.isStale(head.fields)) return 'stale';
+    const stream = this.#options.client.startStream(head.status, head.fields, head.length);
+    this.#phase = { phase: 'streaming', head, stream };
+    this.#options.onOutcome({ kind: 'streamed' });
+    return 'continue';
   }
 
-  /** Takes bytes in; calls back when there is room for as many more. */
+  /** Takes bytes of the body in; calls back when there is room for as many more. */
   addChunk(bytes: Buffer, more: () => void): ReceiveResult {
-    const stage = this.#phase;
-    if (stage.phase === 'asked') return 'on';
+    const phase = this.#phase;
+    if (phase.phase === 'awaitingHead') return 'continue';
     this.#receivedBytes += bytes.length;
     this.#hash.update(bytes);
-    if (stage.phase === 'holding') {
-      stage.chunks.push(bytes);
-      return this.#receivedBytes > this.#maxBufferedBytes ? 'broken' : 'on';
+    if (phase.phase === 'buffering') {
+      phase.chunks.push(bytes);
+      return this.#receivedBytes > this.#options.maxBufferedBytes ? 'corrupt' : 'continue';
     }
-    const told = stage.head.length;
-    if (told !== undefined && this.#receivedBytes > told) return 'broken';
+    const { length } = phase.head;
+    if (length !== undefined && this.#receivedBytes > length) return 'corrupt';
     const before = this.#heldChunk;
     this.#heldChunk = { bytes, more };
-    if (before !== undefined) stage.stream.write(before.bytes, before.more);
-    return 'on';
+    if (before !== undefined) phase.stream.write(before.bytes, before.more);
+    return 'continue';
   }
 
-  /** The keeper says that all of it went out: it counts only if it is what came in. */
-  finish(frame: FrameOf<'done'>): ReceiveResult {
-    const stage = this.#phase;
-    if (stage.phase === 'asked') return 'on';
-    const { head } = stage;
+  /** Takes the end of a response in: it counts only if it is what the leader says that it sent. */
+  finish(end: FrameOf<'done'>): ReceiveResult {
+    const phase = this.#phase;
+    if (phase.phase === 'awaitingHead') return 'continue';
     const digest = this.#hash.digest('base64');
-    const fits =
-      digest === frame.digest &&
-      this.#receivedBytes === frame.length &&
-      (head.length === undefined || head.length === this.#receivedBytes);
-    if (!fits) return 'broken';
-    if (stage.phase === 'holding') {
-      const { status, fields, age, purged } = head;
-      if (this.#isStale(fields)) return 'late';
-      this.onOutcome({
-        kind: 'complete',
-        status,
-        fields,
-        body: Buffer.concat(stage.chunks),
-        digest,
-        ageMs: age,
-        purgeSeqAtFetch: purged,
-        source: head.from === 'cache' ? 'shield' : 'origin',
-      });
-      return 'over';
+    if (!this.#isAllReceived(phase.head, end, digest)) return 'corrupt';
+    if (phase.phase === 'streaming') {
+      this.#endStream(phase.stream);
+      return 'complete';
     }
-    if (this.#heldChunk !== undefined) stage.stream.write(this.#heldChunk.bytes, () => undefined);
-    stage.stream.end();
-    return 'over';
+    const { status, fields, age, purged, from } = phase.head;
+    if (this.#options.isStale(fields)) return 'stale';
+    this.#options.onOutcome({
+      kind: 'complete',
+      status,
+      fields,
+      body: Buffer.concat(phase.chunks),
+      digest,
+      ageMs: age,
+      purgeSeqAtFetch: purged,
+      source: from === 'cache' ? 'shield' : 'origin',
+    });
+    return 'complete';
   }
 
-  /** Ends it without a whole result: one that is already being told breaks off so that the caller sees it. */
-  fail(fault: FrameOf<'reject'>['errorKind'], text: string, retryMs: number): void {
+  /** Ends it without a complete response: a stream is aborted, so that the client sees it. */
+  fail(errorKind: FrameOf<'reject'>['errorKind'], text: string, retryMs: number): void {
     if (this.#phase.phase === 'streaming') this.#phase.stream.abort(text);
-    else this.onOutcome({ kind: 'failure', errorKind: fault, text, retryMs });
+    else this.#options.onOutcome({ kind: 'failure', errorKind, text, retryMs });
+  }
+
+  #isAllReceived(head: FrameOf<'result'>, end: FrameOf<'done'>, digest: string): boolean {
+    return (
+      digest === end.digest &&
+      this.#receivedBytes === end.length &&
+      (head.length === undefined || head.length === this.#receivedBytes)
+    );
+  }
+
+  #endStream(stream: ClientStream): void {
+    if (this.#heldChunk !== undefined) stream.write(this.#heldChunk.bytes, () => undefined);
+    stream.end();
   }
 }
--- a/packages/proxy-core/src/request-handler/response-verifier.ts
+++ b/packages/proxy-core/src/request-handler/response-verifier.ts
@@ -1,29 +1,35 @@
+/**
+ * Takes the response of one attempt in and trusts it only if it is complete and names the instance
+ * that was asked. A large one is passed on as it comes; its end tells whether it was complete.
+ */
+
 import type { HeaderFields } from '@switchwheel/transport';
 import { fieldValue } from '../cache/header-fields.js';
 import type { AttemptOutcome } from '../service-leader/state.js';
 import { DigestVerifier } from './digest-verifier.js';
 import type { AttemptFailure, AttemptHandlers, AttemptRequest } from './ports.js';
 
+/** A response with its whole body. */
 export interface CompleteResponse {
   readonly status: number;
   readonly fields: HeaderFields;
   readonly body: Buffer;
 }
 
-/** What a leg came to: how it ended, and the whole result if there is one to tell. */
+/** How an attempt ended, with the response, if there is a complete one that was not passed on. */
 export interface AttemptResult {
   readonly outcome: AttemptOutcome;
   readonly response: CompleteResponse | undefined;
 }
 
-/** Takes a result too large to hold: its head, then its parts as they come. */
+/** Takes a response that is too large to buffer: its head, then its body as it comes. */
 export interface ResponseSink {
   readonly start: (status: number, fields: HeaderFields, length: number | undefined) => void;
   /** Calls back when there is room for more; false if nobody takes it any longer. */
   readonly write: (bytes: Buffer, more: () => void) => boolean;
 }
 
-/** Whether the origin says plainly that it did not run the request. */
+/** Whether the origin declares that it did not run the request. */
 const isDeclaredNotRun = (status: number, fields: HeaderFields): boolean =>
   status >= 400 && (fieldValue(fields, 'switchwheel-unrun') ?? '').toLowerCase() === 'true';
 
@@ -38,7 +44,17 @@
   readonly digests: DigestVerifier;
 }
 
-/** Takes one leg's result in, and trusts it only if it is the whole one of the instance that was asked. */
+/** What a verifier stands on. */
+export interface ResponseVerifierOptions {
+  readonly request: AttemptRequest;
+  /** A larger response is passed on as it comes. */
+  readonly maxBufferedBytes: number;
+  readonly sink: ResponseSink;
+  /** Called once. */
+  readonly onEnd: (result: AttemptResult) => void;
+}
+
+/** Verifies the response of one attempt. */
 export class ResponseVerifier implements AttemptHandlers {
   readonly #request: AttemptRequest;
   readonly #maxBufferedBytes: number;
@@ -50,22 +66,14 @@
   #isStreaming = false;
   #isEnded = false;
 
-  constructor(
-    request: AttemptRequest,
-    most: number,
-    sink: ResponseSink,
-    end: (result: AttemptResult) => void,
-  ) {
+  constructor({ request, maxBufferedBytes, sink, onEnd }: ResponseVerifierOptions) {
     this.#request = request;
-    this.#maxBufferedBytes = most;
+    this.#maxBufferedBytes = maxBufferedBytes;
     this.#sink = sink;
-    this.#onEnd = end;
-  }
-
-  get isEnded(): boolean {
-    return this.#isEnded;
+    this.#onEnd = onEnd;
   }
 
+  /** Takes the head of the response in. */
   head = (status: number, fields: HeaderFields): void => {
     if (this.#isEnded) return;
     const named = fieldValue(fields, 'switchwheel-instance');
@@ -77,12 +85,12 @@
       this.#finish({ outcome: { kind: 'notRun' }, response: undefined });
       return;
     }
-    const told = fieldValue(fields, 'content-length');
+    const length = fieldValue(fields, 'content-length');
     this.#head = {
       status,
       fields,
       digests: new DigestVerifier(fields),
-      contentLength: told === undefined ? undefined : Number(told),
+      contentLength: length === undefined ? undefined : Number(length),
       isChunked: (fieldValue(fields, 'transfer-encoding') ?? '').toLowerCase().includes('chunked'),
     };
     if (hasNoBody(this.#request.method, status))
@@ -92,6 +100,7 @@
       });
   };
 
+  /** Takes bytes of the body in; calls back when there is room for more. */
   chunk = (bytes: Buffer, more: () => void): void => {
     const head = this.#head;
     if (this.#isEnded || head === undefined) return;
@@ -115,6 +124,7 @@
     this.#writeToSink(this.#buffered.splice(0), more);
   };
 
+  /** The response has ended. */
   ended = (): void => {
     const head = this.#head;
     if (this.#isEnded) return;
@@ -126,8 +136,8 @@
     const digest = digests.verify();
     if (contentLength !== undefined && this.#receivedBytes !== contentLength)
       this.#distrust(`${this.#receivedBytes} bytes of ${contentLength}`);
-    else if (digest === 'unlike') this.#distrust('the digest does not fit');
-    else if (contentLength === undefined && !isChunked && digest === 'none')
+    else if (digest === 'mismatch') this.#distrust('the digest does not fit');
+    else if (contentLength === undefined && !isChunked && digest === 'absent')
       this.#distrust('neither a length nor an end is told');
     else
       this.#finish({
@@ -138,14 +148,16 @@
       });
   };
 
-  failed = (how: AttemptFailure): void => {
-    if (!how.mayHaveBeenSent)
-      this.#finish({ outcome: { kind: 'notSent', text: how.text }, response: undefined });
-    else if (how.isTimeout) this.#finish({ outcome: { kind: 'timedOut' }, response: undefined });
-    else this.#distrust(how.text);
+  /** The attempt has failed before the end of a response. */
+  failed = (failure: AttemptFailure): void => {
+    if (!failure.mayHaveBeenSent)
+      this.#finish({ outcome: { kind: 'notSent', text: failure.text }, response: undefined });
+    else if (failure.isTimeout)
+      this.#finish({ outcome: { kind: 'timedOut' }, response: undefined });
+    else this.#distrust(failure.text);
   };
 
-  /** The keeper wants no more of it. */
+  /** The leader wants no more of it. */
   cancel(): void {
     this.#finish({ outcome: { kind: 'cancelled' }, response: undefined });
   }
@@ -164,10 +176,10 @@
     this.#onEnd(result);
   }
 
-  /** Hands parts on one after the other, each when there is room. */
-  #writeToSink(parts: Buffer[], more: () => void): void {
+  /** Passes chunks on one after the other, each when there is room. */
+  #writeToSink(chunks: Buffer[], more: () => void): void {
     const next = (): void => {
-      const first = parts.shift();
+      const first = chunks.shift();
       if (first === undefined) more();
       else if (!this.#isEnded && !this.#sink.write(first, next))
         this.#distrust('the caller is gone');
--- /dev/null
+++ b/packages/proxy-core/src/request-handler/route-lookup.ts
@@ -0,0 +1,58 @@
+/**
+ * Finds the route of a request by the configuration that the node runs, as far as that one may
+ * still be answered by.
+ */
+
+import type { Timestamp } from '@switchwheel/types';
+import { type CompiledRoute, matchRoute } from '@switchwheel/configuration';
+import { splitTarget } from '../cache/cache-lookup.js';
+import { isConfigurationOverdue, knowsAllRoutes } from '../node-agent/configuration-staleness.js';
+import { acceptsRequests } from '../node-agent/readiness.js';
+import type { NodeAgent } from '../node-agent/state.js';
+import { type FailureReply, failure } from './failure.js';
+
+/** Within how long after its confirmation a configuration is applied on every node (rule R4). */
+const configurationApplyMs = 2000;
+/** When a client may come back, by why it was not served. */
+const notReadyRetryMs = 1000;
+const overdueRetryMs = 200;
+const unknownRouteRetryMs = 300;
+
+/** What names the route of a request. */
+export interface RouteQuery {
+  readonly method: string;
+  readonly host: string;
+  /** Path and query as the client sent them. */
+  readonly target: string;
+}
+
+/** The route of a request, or the reply that says why there is none. */
+export type RouteLookup = { readonly track: CompiledRoute } | { readonly told: FailureReply };
+
+/** Finds the route of a request. */
+export const lookUpRoute = (
+  nodeAgent: NodeAgent,
+  { method, host, target }: RouteQuery,
+  now: Timestamp,
+): RouteLookup => {
+  const { compiledConfiguration } = nodeAgent;
+  if (compiledConfiguration === undefined || !acceptsRequests(nodeAgent, now))
+    return { told: failure('unready', 'this node is not ready', notReadyRetryMs) };
+  if (isConfigurationOverdue(nodeAgent, now, configurationApplyMs))
+    return { told: failure('unready', 'a newer description is on its way here', overdueRetryMs) };
+  const { path } = splitTarget(target);
+  if (!path.startsWith('/')) return { told: failure('malformed', 'a path starts with /', 0) };
+  const match = matchRoute(compiledConfiguration, method, host, path);
+  switch (match.outcome) {
+    case 'notFound':
+      return knowsAllRoutes(nodeAgent, now)
+        ? { told: failure('absent', 'no route', 0) }
+        : { told: failure('unready', 'no route is known here yet', unknownRouteRetryMs) };
+    case 'methodNotAllowed': {
+      const reply = failure('absent', 'no route for this method', 0);
+      return { told: { ...reply, allowedMethods: match.methods } };
+    }
+    default:
+      return { track: match.route };
+  }
+};
--- a/packages/proxy-core/src/request-handler/shield-request-handler.ts
+++ b/packages/proxy-core/src/request-handler/shield-request-handler.ts
@@ -1,3 +1,9 @@
+/**
+ * The way of a forwarded request at a shield: the cache and the coalescing of equal requests first,
+ * then the service leader, which decides about attempts. This module sends the attempts and keeps
+ * their responses until the leader has chosen one.
+ */
+
 import {
   type RequestId,
   type Timestamp,
@@ -6,14 +12,20 @@
   toTimestamp,
   toDurationMs,
 } from '@switchwheel/types';
-import type { HeaderFields } from '@switchwheel/transport';
+import type { ForwardedRequest, HeaderFields } from '@switchwheel/transport';
 import { type CacheEntry, bodyDigest } from '../cache/cache.js';
 import type { CacheLookup, CacheableRequest } from '../cache/cache-lookup.js';
-import { responseAgeMs, forwardableFields, rewrittenFields } from '../cache/header-fields.js';
+import { responseAgeMs } from '../cache/cache-control.js';
+import { forwardableFields, rewrittenFields } from '../cache/header-fields.js';
 import { RequestCoalescing } from '../cache/request-coalescing.js';
 import type { ProxyEffect } from '../proxy/state.js';
 import type { AttemptOutcome } from '../service-leader/state.js';
-import { InboundRequests, type InboundRequest, type ResponseWriter } from './inbound-requests.js';
+import {
+  InboundRequests,
+  type InboundRequest,
+  type ResponseWriter,
+  type StreamHead,
+} from './inbound-requests.js';
 import {
   type HandlerContext,
   type AttemptPort,
@@ -21,24 +33,52 @@
   type TransferLimits,
   defaultTransferLimits,
 } from './ports.js';
-import { type AttemptResult, ResponseVerifier } from './response-verifier.js';
+import { type AttemptResult, type ResponseSink, ResponseVerifier } from './response-verifier.js';
 
 type LeaderEffect = Extract<ProxyEffect, { leader: string }>;
 type StartAttemptEffect = Extract<LeaderEffect, { kind: 'startAttempt' }>;
 
-/** A request that a keeper has in hand. */
+/** When the client of a request may come back for which there was no room. */
+const retryMs = 1000;
+
+/** A request that the service leader decides about. */
 interface AdmittedRequest {
   readonly inbound: InboundRequest;
   readonly cacheable: CacheableRequest | undefined;
   readonly purgeSeqAtFetch: Seq;
+  /** Hands the cached response, if there is one, to those who wait for this fetch. */
   readonly finishFetch: (entry: CacheEntry | undefined) => void;
 }
 
+/** A complete response that waits for the leader's decision. */
+interface CompletedAttempt {
+  readonly result: AttemptResult;
+  readonly startedAt: Timestamp;
+}
+
+/** The fields of an origin's response that go on. */
 const responseFields = (fields: HeaderFields): HeaderFields =>
   forwardableFields(fields, ['content-length', 'switchwheel-instance', 'switchwheel-unrun']);
+
 const attemptKey = (effect: { readonly leader: string; readonly attemptId: number }): string =>
   `${effect.leader}/${effect.attemptId}`;
 
+/** The request that goes to the origin. */
+const attemptRequest = (
+  effect: StartAttemptEffect,
+  forwarded: ForwardedRequest,
+): AttemptRequest => ({
+  address: effect.address,
+  instance: effect.instance,
+  service: forwarded.service,
+  method: forwarded.method,
+  target: forwarded.path,
+  body: forwarded.body,
+  fields: forwardableFields(forwarded.fields, rewrittenFields).concat([['host', forwarded.host]]),
+  timeoutMs: Math.ceil(effect.timeoutMs),
+  isIdempotent: forwarded.repeatable,
+});
+
 /** The names under which outcomes of attempts are counted in the metrics. */
 const attemptCounters: Readonly<Record<AttemptOutcome['kind'], string>> = {
   succeeded: 'leg_good',
@@ -50,44 +90,42 @@
   cancelled: 'leg_dropped',
 };
 
-/** The life of requests at a shield: what it keeps of them while its keepers decide about them. */
+/** Handles forwarded requests at a shield. */
 export class ShieldRequestHandler {
+  /** The requests of edges that are under way here. */
   readonly inbound: InboundRequests;
   readonly #admitted = new Map<RequestId, AdmittedRequest>();
   readonly #verifiers = new Map<string, ResponseVerifier>();
-  readonly #completed = new Map<
-    string,
-    { readonly result: AttemptResult; readonly since: Timestamp }
-  >();
+  readonly #completed = new Map<string, CompletedAttempt>();
   readonly #coalescing: RequestCoalescing<CacheEntry | undefined>;
   readonly #attempts: AttemptPort;
   readonly #cacheLookup: CacheLookup;
   readonly #context: HandlerContext;
   readonly #limits: TransferLimits;
-  readonly #onUntrusted: (instance: string, why: string) => void;
+  readonly #onUntrusted: (instance: string, reason: string) => void;
+  /** What happened here by name, for the metrics. */
   readonly counts = new Map<string, number>();
 
   constructor(
-    legs: AttemptPort,
-    desk: CacheLookup,
-    cab: HandlerContext,
-    doubt: (instance: string, why: string) => void,
-    sizes: TransferLimits = defaultTransferLimits,
+    attempts: AttemptPort,
+    cacheLookup: CacheLookup,
+    context: HandlerContext,
+    onUntrusted: (instance: string, reason: string) => void,
+    limits: TransferLimits = defaultTransferLimits,
   ) {
-    this.#attempts = legs;
-    this.#cacheLookup = desk;
-    this.#context = cab;
-    this.#onUntrusted = doubt;
-    this.#limits = sizes;
-    this.#coalescing = new RequestCoalescing(sizes.maxCoalescedWaiters);
-    this.inbound = new InboundRequests(
-      sizes,
-      (one) => this.#onRequest(one),
-      (id) => this.#onCancelled(id),
-    );
+    this.#attempts = attempts;
+    this.#cacheLookup = cacheLookup;
+    this.#context = context;
+    this.#onUntrusted = onUntrusted;
+    this.#limits = limits;
+    this.#coalescing = new RequestCoalescing(limits.maxCoalescedWaiters);
+    this.inbound = new InboundRequests(limits, {
+      onRequest: (inbound) => this.#onRequest(inbound),
+      onCancelled: (id) => this.#onCancelled(id),
+    });
   }
 
-  /** What a keeper decided. */
+  /** Does what a service leader decided. */
   run(effect: LeaderEffect): void {
     switch (effect.kind) {
       case 'startAttempt':
@@ -112,7 +150,7 @@
     }
   }
 
-  /** After purges nobody joins what began before them. */
+  /** Purges were applied: nobody joins a fetch that began before them. */
   onPurged(): void {
     this.#coalescing.detachAll();
   }
@@ -122,214 +160,213 @@
   }
 
   #discard(id: RequestId): void {
-    const hand = this.#admitted.get(id);
+    const admitted = this.#admitted.get(id);
     this.#admitted.delete(id);
-    hand?.finishFetch(undefined);
+    admitted?.finishFetch(undefined);
   }
 
-  #onRequest(one: InboundRequest): void {
+  #onRequest(inbound: InboundRequest): void {
     this.#count('asked');
-    const { request } = one;
+    const { request } = inbound;
     const { nodeAgent } = this.#context.state();
-    const slip = this.#cacheLookup.cacheableForwardedRequest(
+    const cacheable = this.#cacheLookup.cacheableForwardedRequest(
       nodeAgent.compiledConfiguration,
       request,
     );
     if (
-      slip === undefined ||
+      cacheable === undefined ||
       !this.#cacheLookup.isCurrent(nodeAgent, request.purged, this.#context.now())
-    ) {
-      this.#admit(one, slip, () => undefined);
-      return;
-    }
-    if (this.#respondFromCache(one, slip)) return;
-    const seat = this.#coalescing.join(slip.coalescingKey, (found) => {
-      if (this.inbound.find(request.id) !== one) return;
-      if (found === undefined || !this.#respondFromCache(one, slip))
-        this.#admit(one, slip, () => undefined);
+    )
+      this.#admit(inbound, cacheable, () => undefined);
+    else if (!this.#respondFromCache(inbound, cacheable)) this.#coalesce(inbound, cacheable);
+  }
+
+  /** Waits for a fetch that is under way, or leads one that others may wait for. */
+  #coalesce(inbound: InboundRequest, cacheable: CacheableRequest): void {
+    const { id } = inbound.request;
+    const joined = this.#coalescing.join(cacheable.coalescingKey, (entry) => {
+      if (this.inbound.find(id) !== inbound) return;
+      if (entry === undefined || !this.#respondFromCache(inbound, cacheable))
+        this.#admit(inbound, cacheable, () => undefined);
     });
-    if (seat === 'joined') this.#count('joined');
-    else if (seat === 'full')
-      this.inbound.reject(request.id, {
+    if (joined === 'joined') this.#count('joined');
+    else if (joined === 'full')
+      this.inbound.reject(id, {
         errorKind: 'rejected',
         text: 'too many wait for results under way',
-        retryAfter: 1000,
+        retryAfter: retryMs,
         moved: false,
       });
-    else this.#admit(one, slip, this.#coalescing.lead(slip.coalescingKey));
+    else this.#admit(inbound, cacheable, this.#coalescing.lead(cacheable.coalescingKey));
   }
 
-  #respondFromCache(one: InboundRequest, slip: CacheableRequest): boolean {
+  #respondFromCache(inbound: InboundRequest, cacheable: CacheableRequest): boolean {
+    const { request, arrivedAt } = inbound;
     const entry = this.#cacheLookup.find(
-      slip,
+      cacheable,
       this.#context.state().nodeAgent,
-      one.request.purged,
+      request.purged,
       this.#context.now(),
     );
     if (entry === undefined) return false;
     this.#count('from_cache');
-    const { status, fields, body, digest } = entry;
-    this.inbound.respond(one.request.id, {
+    const { status, fields, body, digest, createdAt } = entry;
+    this.inbound.respond(request.id, {
       status,
       fields,
       body,
       digest,
-      ageMs: Math.max(0, one.arrivedAt - entry.createdAt),
+      ageMs: Math.max(0, arrivedAt - createdAt),
       source: 'cache',
       purgeSeqAtFetch: this.#cacheLookup.cache.lastPurgeSeq,
     });
     return true;
   }
 
+  /** Hands a request to the service leader, with the time that is left of it by now. */
   #admit(
-    one: InboundRequest,
-    slip: CacheableRequest | undefined,
-    finish: (entry: CacheEntry | undefined) => void,
+    inbound: InboundRequest,
+    cacheable: CacheableRequest | undefined,
+    finishFetch: AdmittedRequest['finishFetch'],
   ): void {
-    this.#admitted.set(one.request.id, {
-      inbound: one,
-      cacheable: slip,
-      purgeSeqAtFetch: this.#cacheLookup.cache.lastPurgeSeq,
-      finishFetch: finish,
-    });
-    // What it waited for another's fetch is gone from its time.
-    this.#context.dispatch((at) => ({
+    const { request, arrivedAt } = inbound;
+    const purgeSeqAtFetch = this.#cacheLookup.cache.lastPurgeSeq;
+    this.#admitted.set(request.id, { inbound, cacheable, purgeSeqAtFetch, finishFetch });
+    this.#context.dispatch((now) => ({
       kind: 'inboundRequestArrived',
-      now: at,
-      request: {
-        ...one.request,
-        left: toDurationMs(Math.max(0, one.request.left - (at - one.arrivedAt))),
-      },
+      now,
+      request: { ...request, left: toDurationMs(Math.max(0, request.left - (now - arrivedAt))) },
     }));
   }
 
   #onCancelled(id: RequestId): void {
     this.#discard(id);
-    this.#context.dispatch((at) => ({ kind: 'inboundRequestCancelled', now: at, id }));
+    this.#context.dispatch((now) => ({ kind: 'inboundRequestCancelled', now, id }));
   }
 
-  #onAttemptEnded(effect: StartAttemptEffect, since: Timestamp, came: AttemptResult): void {
-    const name = attemptKey(effect);
-    const result: AttemptResult =
-      came.response !== undefined && this.#isStale(effect.requestId, since)
-        ? { outcome: { kind: 'cancelled' }, response: undefined }
-        : came;
-    this.#count(attemptCounters[result.outcome.kind]);
-    if (result.outcome.kind === 'lost') this.#onUntrusted(effect.instance, result.outcome.text);
-    this.#verifiers.delete(name);
-    this.#attempts.cancel(name);
-    // A result in parts has gone out by then; one that is whole waits for the keeper's word.
-    if (result.response !== undefined) this.#completed.set(name, { result, since });
-    this.#context.dispatch((at) => ({
+  #onAttemptEnded(effect: StartAttemptEffect, startedAt: Timestamp, ended: AttemptResult): void {
+    const key = attemptKey(effect);
+    const { leader, attemptId } = effect;
+    const isStale = ended.response !== undefined && this.#isStale(effect.requestId, startedAt);
+    const result: AttemptResult = isStale
+      ? { outcome: { kind: 'cancelled' }, response: undefined }
+      : ended;
+    const { outcome, response } = result;
+    this.#count(attemptCounters[outcome.kind]);
+    if (outcome.kind === 'lost') this.#onUntrusted(effect.instance, outcome.text);
+    this.#verifiers.delete(key);
+    this.#attempts.cancel(key);
+    // The leader decides while the event is dispatched; after that the response is of no use.
+    if (response !== undefined) this.#completed.set(key, { result, startedAt });
+    this.#context.dispatch((now) => ({
       kind: 'attemptEnded',
-      now: at,
-      leader: effect.leader,
-      attemptId: effect.attemptId,
-      outcome: result.outcome,
-      durationMs: at - since,
+      now,
+      leader,
+      attemptId,
+      outcome,
+      durationMs: now - startedAt,
     }));
-    this.#completed.delete(name);
+    this.#completed.delete(key);
   }
 
-  /** Nobody knows how long a result waited here while this process slept: what may be kept is not told any more. */
-  #isStale(ask: RequestId, since: Timestamp): boolean {
+  /**
+   * Whether a cacheable response may have been purged or expired here: this process was suspended
+   * since its attempt began, and nobody knows for how long the response waited.
+   */
+  #isStale(id: RequestId, startedAt: Timestamp): boolean {
     return (
-      this.#context.state().lastWokeAt > since && this.#admitted.get(ask)?.cacheable !== undefined
+      this.#context.state().lastWokeAt > startedAt &&
+      this.#admitted.get(id)?.cacheable !== undefined
     );
   }
 
   #startAttempt(effect: StartAttemptEffect): void {
-    const hand = this.#admitted.get(effect.requestId);
-    const since = this.#context.now();
-    if (hand === undefined) {
-      this.#onAttemptEnded(effect, since, {
+    const admitted = this.#admitted.get(effect.requestId);
+    const startedAt = this.#context.now();
+    if (admitted === undefined) {
+      this.#onAttemptEnded(effect, startedAt, {
         outcome: { kind: 'notSent', text: 'nobody waits for it' },
         response: undefined,
       });
       return;
     }
-    const { request: ask } = hand.inbound;
-    const request: AttemptRequest = {
-      address: effect.address,
-      instance: effect.instance,
-      service: ask.service,
-      method: ask.method,
-      target: ask.path,
-      body: ask.body,
-      fields: forwardableFields(ask.fields, rewrittenFields).concat([['host', ask.host]]),
-      timeoutMs: Math.ceil(effect.timeoutMs),
-      isIdempotent: ask.repeatable,
-    };
-    this.inbound.notifyAttemptStarted(ask.id);
-    let flow: ResponseWriter | undefined;
-    const sink = {
-      start: (status: number, fields: HeaderFields, length: number | undefined): void => {
-        if (this.#isStale(ask.id, since)) {
-          taking.cancel();
-          return;
-        }
-        this.#context.dispatch((at) => ({
-          kind: 'streamingStarted',
-          now: at,
-          leader: effect.leader,
-          attemptId: effect.attemptId,
-        }));
-        flow = this.inbound.startStream(
-          ask.id,
-          status,
-          responseFields(fields),
-          length,
-          hand.purgeSeqAtFetch,
-        );
-        hand.finishFetch(undefined);
+    const key = attemptKey(effect);
+    const request = attemptRequest(effect, admitted.inbound.request);
+    this.inbound.notifyAttemptStarted(effect.requestId);
+    const verifier = this.#responseVerifier(effect, admitted, request, startedAt);
+    this.#verifiers.set(key, verifier);
+    this.#attempts.send(key, request, verifier);
+  }
+
+  /** Verifies the response of an attempt; a large one goes to the edge while it comes in. */
+  #responseVerifier(
+    effect: StartAttemptEffect,
+    admitted: AdmittedRequest,
+    request: AttemptRequest,
+    startedAt: Timestamp,
+  ): ResponseVerifier {
+    let writer: ResponseWriter | undefined;
+    const sink: ResponseSink = {
+      start: (status, fields, length) => {
+        if (this.#isStale(effect.requestId, startedAt)) verifier.cancel();
+        else writer = this.#startStream(effect, admitted, { status, fields, length });
       },
-      write: (bytes: Buffer, more: () => void): boolean => flow?.write(bytes, more) ?? false,
+      write: (bytes, more) => writer?.write(bytes, more) ?? false,
     };
-    const taking = new ResponseVerifier(request, this.#limits.maxBufferedBytes, sink, (result) => {
-      flow?.end(result.outcome.kind === 'succeeded' || result.outcome.kind === 'originError');
-      this.#onAttemptEnded(effect, since, result);
+    const verifier = new ResponseVerifier({
+      request,
+      maxBufferedBytes: this.#limits.maxBufferedBytes,
+      sink,
+      onEnd: (result) => {
+        const { kind } = result.outcome;
+        writer?.end(kind === 'succeeded' || kind === 'originError');
+        this.#onAttemptEnded(effect, startedAt, result);
+      },
     });
-    this.#verifiers.set(attemptKey(effect), taking);
-    this.#attempts.send(attemptKey(effect), request, taking);
+    return verifier;
+  }
+
+  #startStream(
+    { requestId, leader, attemptId }: StartAttemptEffect,
+    { purgeSeqAtFetch, finishFetch }: AdmittedRequest,
+    { status, fields, length }: Omit<StreamHead, 'purgeSeqAtFetch'>,
+  ): ResponseWriter | undefined {
+    this.#context.dispatch((now) => ({ kind: 'streamingStarted', now, leader, attemptId }));
+    const head = { status, fields: responseFields(fields), length, purgeSeqAtFetch };
+    const writer = this.inbound.startStream(requestId, head);
+    finishFetch(undefined);
+    return writer;
   }
 
-  #useResponse(name: string, id: RequestId): void {
-    const hand = this.#admitted.get(id);
+  /** Sends the response that the leader chose to the edge, and caches it if it may be. */
+  #useResponse(key: string, id: RequestId): void {
+    const admitted = this.#admitted.get(id);
     this.#admitted.delete(id);
-    const held = this.#completed.get(name);
-    const whole = held?.result.response;
-    if (hand === undefined || held === undefined || whole === undefined) {
-      hand?.finishFetch(undefined);
+    const completed = this.#completed.get(key);
+    const response = completed?.result.response;
+    if (admitted === undefined || completed === undefined || response === undefined) {
+      admitted?.finishFetch(undefined);
       return;
     }
-    const { status, body } = whole;
-    const fields = responseFields(whole.fields);
+    const { status, body } = response;
+    const { inbound, cacheable, purgeSeqAtFetch } = admitted;
+    const fields = responseFields(response.fields);
     const digest = bodyDigest(body);
-    const born = toTimestamp(held.since - responseAgeMs(whole.fields));
+    const createdAt = toTimestamp(completed.startedAt - responseAgeMs(response.fields));
+    const fetched = { status, fields, body, digest, createdAt, purgeSeqAtFetch };
     const entry =
-      hand.cacheable === undefined
+      cacheable === undefined
         ? undefined
-        : this.#cacheLookup.store(
-            hand.cacheable,
-            {
-              status,
-              fields,
-              body,
-              digest,
-              createdAt: born,
-              purgeSeqAtFetch: hand.purgeSeqAtFetch,
-            },
-            this.#context.now(),
-          );
+        : this.#cacheLookup.store(cacheable, fetched, this.#context.now());
     this.inbound.respond(id, {
       status,
       fields,
       body,
       digest,
-      ageMs: Math.max(0, hand.inbound.arrivedAt - born),
+      ageMs: Math.max(0, inbound.arrivedAt - createdAt),
       source: 'origin',
-      purgeSeqAtFetch: hand.purgeSeqAtFetch,
+      purgeSeqAtFetch,
     });
-    hand.finishFetch(entry);
+    admitted.finishFetch(entry);
   }
 }
