--- a/packages/proxy-core/src/cache/cache.test.ts
+++ b/packages/proxy-core/src/cache/cache.test.ts
@@ -1,3 +1,7 @@
+/**
+ * The cache: variants, lifetimes, purges, eviction, and which responses may be cached.
+ */
+
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { type Timestamp, addMs, toTimestamp, toSeq } from '@switchwheel/types';
@@ -7,44 +11,44 @@
 
 const now = toTimestamp(1000);
 const key: CacheKey = { route: 'r', host: 'h', path: '/p', query: '' };
-const put = (
+const store = (
   cache: Cache,
   text: string,
-  change: {
+  options: {
     readonly fields?: HeaderFields;
     readonly request?: HeaderFields;
     readonly key?: CacheKey;
     readonly tags?: readonly string[];
-    readonly since?: number;
-    readonly born?: Timestamp;
+    readonly purgeSeqAtFetch?: number;
+    readonly createdAt?: Timestamp;
   } = {},
 ): boolean =>
   cache.store(
     {
-      key: change.key ?? key,
+      key: options.key ?? key,
       status: 200,
-      fields: change.fields ?? [],
+      fields: options.fields ?? [],
       body: Buffer.from(text),
       digest: bodyDigest(Buffer.from(text)),
-      createdAt: change.born ?? now,
+      createdAt: options.createdAt ?? now,
       lifetimeMs: 1000,
-      tags: change.tags ?? [],
+      tags: options.tags ?? [],
     },
-    change.request ?? [],
+    options.request ?? [],
     [],
-    toSeq(change.since ?? 0),
+    toSeq(options.purgeSeqAtFetch ?? 0),
     now,
   ) !== undefined;
 const find = (cache: Cache, request: HeaderFields = [], at = now): string | undefined =>
   cache.find(key, request, at)?.body.toString();
 
-void test('results that vary are told only to requests with the same values; lifetimes count from when they were made', () => {
+void test('a response that varies is found only by requests with the same values; its lifetime counts from its creation', () => {
   const cache = new Cache(1_000_000);
-  put(cache, 'german', {
+  store(cache, 'german', {
     fields: [['vary', 'Accept-Language']],
     request: [['accept-language', 'de']],
   });
-  put(cache, 'english', {
+  store(cache, 'english', {
     fields: [['vary', 'Accept-Language']],
     request: [['accept-language', 'en']],
   });
@@ -57,36 +61,39 @@
     ['german', 'english', undefined],
   );
   const old = new Cache(1_000_000);
-  put(old, 'x', { born: toTimestamp(500) });
+  store(old, 'x', { createdAt: toTimestamp(500) });
   assert.deepEqual(
     [find(old, [], addMs(now, 499)), find(old, [], addMs(now, 500))],
     ['x', undefined],
   );
 });
 
-void test('purges by object, by tag and of all; what was fetched before a purge is not kept after it', () => {
+void test('purges go by object, by tag or to all; a response that was fetched before a purge is not stored after it', () => {
   const cache = new Cache(1_000_000);
   const other = { ...key, path: '/q' };
-  put(cache, 'a', { tags: ['one'] });
-  put(cache, 'b', { key: other, tags: ['two'] });
+  store(cache, 'a', { tags: ['one'] });
+  store(cache, 'b', { key: other, tags: ['two'] });
   cache.purge([{ seq: toSeq(1), aims: [{ by: 'tag', tag: 'one' }] }], false, toSeq(1));
   assert.deepEqual([find(cache), cache.size], [undefined, 1]);
-  assert.equal(put(cache, 'late', { tags: ['one'], since: 0 }), false);
-  assert.equal(put(cache, 'fresh', { tags: ['one'], since: 1 }), true);
+  assert.equal(store(cache, 'late', { tags: ['one'], purgeSeqAtFetch: 0 }), false);
+  assert.equal(store(cache, 'fresh', { tags: ['one'], purgeSeqAtFetch: 1 }), true);
   cache.purge([{ seq: toSeq(2), aims: [{ by: 'object', path: '/p' }] }], false, toSeq(2));
   assert.deepEqual([find(cache), cache.size], [undefined, 1]);
   cache.purge([{ seq: toSeq(3), aims: [{ by: 'all' }] }], false, toSeq(3));
   assert.deepEqual([cache.size, cache.bytes], [0, 0]);
   cache.purge([], true, toSeq(9));
-  assert.equal(put(cache, 'before the flush', { since: 8 }), false);
+  assert.equal(store(cache, 'before the flush', { purgeSeqAtFetch: 8 }), false);
 });
 
-void test('what may be kept: never private, authorised or set-cookie results, the shorter of two lifetimes', () => {
-  const kept = (fields: HeaderFields, authorised = false, own?: number): number | undefined =>
-    freshnessLifetimeMs(200, fields, authorised, own);
-  assert.equal(kept([['cache-control', 'max-age=5']]), 5000);
-  assert.equal(kept([['cache-control', 'max-age=60, s-maxage=9']], false, 4000), 4000);
-  assert.equal(kept([], false, 700), 700);
+void test('private, authorized and set-cookie responses are not cached; of two lifetimes the shorter one holds', () => {
+  const lifetime = (
+    fields: HeaderFields,
+    isAuthorized = false,
+    routeLifetimeMs?: number,
+  ): number | undefined => freshnessLifetimeMs(200, fields, isAuthorized, routeLifetimeMs);
+  assert.equal(lifetime([['cache-control', 'max-age=5']]), 5000);
+  assert.equal(lifetime([['cache-control', 'max-age=60, s-maxage=9']], false, 4000), 4000);
+  assert.equal(lifetime([], false, 700), 700);
   for (const fields of [
     [['cache-control', 'private, max-age=5']],
     [['cache-control', 'no-store']],
@@ -94,19 +101,19 @@
     [['vary', '*']],
     [],
   ] satisfies HeaderFields[])
-    assert.equal(kept(fields, false, fields.length === 0 ? undefined : 500), undefined);
-  assert.equal(kept([['cache-control', 'max-age=5']], true), undefined);
-  assert.equal(kept([['cache-control', 'public, max-age=5']], true), 5000);
+    assert.equal(lifetime(fields, false, fields.length === 0 ? undefined : 500), undefined);
+  assert.equal(lifetime([['cache-control', 'max-age=5']], true), undefined);
+  assert.equal(lifetime([['cache-control', 'public, max-age=5']], true), 5000);
   assert.equal(
     freshnessLifetimeMs(500, [['cache-control', 'max-age=5']], false, undefined),
     undefined,
   );
 });
 
-void test('the least recently used go first when room runs out', () => {
+void test('the least recently used entries are evicted first', () => {
   const cache = new Cache(80_000);
-  for (let at = 0; at < 12; at += 1)
-    put(cache, 'x'.repeat(9000), { key: { ...key, path: `/${at}` } });
+  for (let index = 0; index < 12; index += 1)
+    store(cache, 'x'.repeat(9000), { key: { ...key, path: `/${index}` } });
   assert.ok(cache.bytes <= 80_000 && cache.size < 12);
   assert.equal(cache.find({ ...key, path: '/0' }, [], now), undefined);
   assert.ok(cache.find({ ...key, path: '/11' }, [], now) !== undefined);
--- a/packages/proxy-core/src/forwarding/forwarding.test.ts
+++ b/packages/proxy-core/src/forwarding/forwarding.test.ts
@@ -1,3 +1,7 @@
+/**
+ * An edge's forwarding: which requests move to a new leader, and what their clients learn.
+ */
+
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
@@ -27,21 +31,22 @@
 const service = toServiceName('shop');
 const start = toTimestamp(10_000);
 
-class Bench {
+/** The reducer with its state and all effects so far. */
+class Fixture {
   state: Forwarding = initialForwarding;
   effects: readonly ForwardingEffect[] = [];
 
-  tell(event: ForwardingEvent): readonly ForwardingEffect[] {
-    const done = forwardingTransition(this.state, event);
-    this.state = done.state;
-    this.effects = [...this.effects, ...done.effects];
-    return done.effects;
+  dispatch(event: ForwardingEvent): readonly ForwardingEffect[] {
+    const result = forwardingTransition(this.state, event);
+    this.state = result.state;
+    this.effects = [...this.effects, ...result.effects];
+    return result.effects;
   }
 
-  take(name: string, repeatable: boolean): void {
+  accept(name: string, isIdempotent: boolean): void {
     const route = 'route';
     assert.ok(isRouteName(route));
-    this.tell({
+    this.dispatch({
       kind: 'requestAccepted',
       now: start,
       request: {
@@ -54,7 +59,7 @@
         host: 'h',
         path: '/',
         fields: [],
-        isIdempotent: repeatable,
+        isIdempotent,
         isCacheable: false,
         deadline: addMs(start, 5000),
         requiredPurgeSeq: noSeq,
@@ -62,72 +67,78 @@
     });
   }
 
-  keeper(epoch: number, spot: string, at = start): readonly ForwardingEffect[] {
-    const duty = serviceLeaseOf(service);
+  changeLeader(epoch: number, address: string): readonly ForwardingEffect[] {
+    const lease = serviceLeaseOf(service);
     const holder: LeaseHolder = {
-      duty,
+      duty: lease,
       epoch: toEpoch(epoch),
-      node: toNodeId(`k${epoch}`),
-      address: toAddress(spot),
+      node: toNodeId(`leader-${epoch}`),
+      address: toAddress(address),
     };
-    return this.tell({
+    return this.dispatch({
       kind: 'leaseHoldersChanged',
-      now: at,
-      leaseHolders: new Map<LeaseName, LeaseHolder>([[duty, holder]]),
+      now: start,
+      leaseHolders: new Map<LeaseName, LeaseHolder>([[lease, holder]]),
     });
   }
 }
 
-const kinds = (list: readonly ForwardingEffect[]): readonly string[] =>
-  list.map((one) =>
-    one.kind === 'failRequest'
-      ? `${one.id} ${one.errorKind}`
-      : one.kind === 'sendRequest'
-        ? `${one.request.id} to ${one.to}`
-        : `${one.id} ${one.kind}`,
-  );
+const summarize = (effect: ForwardingEffect): string => {
+  switch (effect.kind) {
+    case 'failRequest':
+      return `${effect.id} ${effect.errorKind}`;
+    case 'sendRequest':
+      return `${effect.request.id} to ${effect.to}`;
+    default:
+      return `${effect.id} ${effect.kind}`;
+  }
+};
+const summaries = (effects: readonly ForwardingEffect[]): readonly string[] =>
+  effects.map(summarize);
 
-void test('a new keeper: what may run twice moves there, what may not stays and is never asked again', () => {
-  const bench = new Bench();
-  bench.keeper(1, '10.0.0.1:1');
-  bench.take('read', true);
-  bench.take('act', false);
-  assert.deepEqual(kinds(bench.keeper(2, '10.0.0.2:1')), [
+void test('on a change of the leader idempotent requests move to the new one, others stay and are never retried', () => {
+  const fixture = new Fixture();
+  fixture.changeLeader(1, '10.0.0.1:1');
+  fixture.accept('read', true);
+  fixture.accept('act', false);
+  assert.deepEqual(summaries(fixture.changeLeader(2, '10.0.0.2:1')), [
     'read cancelRequest',
     'read to 10.0.0.2:1',
   ]);
-  const lost = bench.tell({
+  const lost = fixture.dispatch({
     kind: 'channelLost',
     now: start,
     leader: toAddress('10.0.0.1:1'),
     unsentIds: new Set(),
   });
-  assert.deepEqual(kinds(lost), ['act unknown']);
+  assert.deepEqual(summaries(lost), ['act unknown']);
 });
 
-void test('what was not sent goes to the next keeper, writes too; what an earlier keeper may have begun is never told as refused', () => {
-  const bench = new Bench();
-  bench.keeper(1, '10.0.0.1:1');
-  bench.take('act', false);
-  bench.take('read', true);
-  bench.tell({
+void test('an unsent request goes to the next leader even if it is not idempotent; one that may have run is never reported as rejected', () => {
+  const fixture = new Fixture();
+  fixture.changeLeader(1, '10.0.0.1:1');
+  fixture.accept('act', false);
+  fixture.accept('read', true);
+  fixture.dispatch({
     kind: 'attemptStarted',
     now: start,
     from: toAddress('10.0.0.1:1'),
     id: toRequestId('read'),
   });
-  bench.tell({
+  fixture.dispatch({
     kind: 'channelLost',
     now: start,
     leader: toAddress('10.0.0.1:1'),
     unsentIds: new Set([toRequestId('act')]),
   });
-  const moved = bench.keeper(2, '10.0.0.2:1');
-  assert.deepEqual(kinds(moved).toSorted(), ['act to 10.0.0.2:1', 'read to 10.0.0.2:1']);
+  const moved = fixture.changeLeader(2, '10.0.0.2:1');
+  assert.deepEqual(summaries(moved).toSorted(), ['act to 10.0.0.2:1', 'read to 10.0.0.2:1']);
   assert.deepEqual(
     moved
-      .flatMap((one) =>
-        one.kind === 'sendRequest' ? [[one.request.id, one.request.again, one.request.extra]] : [],
+      .flatMap((effect) =>
+        effect.kind === 'sendRequest'
+          ? [[effect.request.id, effect.request.again, effect.request.extra]]
+          : [],
       )
       .toSorted(),
     [
@@ -136,7 +147,7 @@
     ],
   );
   for (const id of ['act', 'read']) {
-    bench.tell({
+    fixture.dispatch({
       kind: 'requestRejected',
       now: start,
       from: toAddress('10.0.0.2:1'),
@@ -151,14 +162,16 @@
     });
   }
   assert.deepEqual(
-    kinds(bench.effects).filter((one) => !one.includes(' to ')),
+    summaries(fixture.effects).filter((summary) => !summary.includes(' to ')),
     ['act rejected', 'read lost'],
   );
 });
 
-void test('without a keeper a request waits for as long as a change takes, and is then told at once', () => {
-  const bench = new Bench();
-  bench.take('act', false);
-  assert.deepEqual(kinds(bench.tell({ kind: 'tick', now: addMs(start, 1900) })), []);
-  assert.deepEqual(kinds(bench.tell({ kind: 'tick', now: addMs(start, 2200) })), ['act rejected']);
+void test('without a leader a request waits for as long as a change of the leader takes, and is then rejected', () => {
+  const fixture = new Fixture();
+  fixture.accept('act', false);
+  assert.deepEqual(summaries(fixture.dispatch({ kind: 'tick', now: addMs(start, 1900) })), []);
+  assert.deepEqual(summaries(fixture.dispatch({ kind: 'tick', now: addMs(start, 2200) })), [
+    'act rejected',
+  ]);
 });
--- a/packages/proxy-core/src/service-leader/attempts.ts
+++ b/packages/proxy-core/src/service-leader/attempts.ts
@@ -44,24 +44,19 @@
     ? undefined
     : pickEndpoint(state, (endpoint) => mayReceiveTraffic(state, endpoint.release), now));
 
-/** Starts an attempt of a request at an endpoint, and counts it. */
-export const startAttempt = (
+/** Counts an attempt that starts: its slot, its token, its canary and the budget of extra attempts. */
+const withAttempt = (
   state: ServiceLeader,
   request: PendingRequest,
   endpoint: Endpoint,
-  now: Timestamp,
-): LeaderTransition => {
-  const attempt: Attempt = {
-    id: state.nextAttemptId,
-    requestId: request.id,
-    instance: endpoint.instance,
-    release: endpoint.release,
-    startedAt: now,
-  };
+  attempt: Attempt,
+): ServiceLeader => {
+  const { recentRequests, recentExtraAttempts } = state;
+  const { startedAt } = attempt;
   const isExtra = request.attemptCount > 0;
-  const next: ServiceLeader = {
+  return {
     ...countCanaryRequest(state, endpoint.release),
-    nextAttemptId: state.nextAttemptId + 1,
+    nextAttemptId: attempt.id + 1,
     attempts: withEntry(state.attempts, attempt.id, attempt),
     endpoints: withEntry(state.endpoints, endpoint.instance, {
       ...endpoint,
@@ -74,12 +69,28 @@
       triedInstances: new Set([...request.triedInstances, endpoint.instance]),
     }),
     tokens: tokensAfterSend(state),
-    recentRequests: isExtra ? state.recentRequests : addToWindow(state.recentRequests, now, 1),
+    recentRequests: isExtra ? recentRequests : addToWindow(recentRequests, startedAt, 1),
     recentExtraAttempts: isExtra
-      ? addToWindow(state.recentExtraAttempts, now, 1)
-      : state.recentExtraAttempts,
+      ? addToWindow(recentExtraAttempts, startedAt, 1)
+      : recentExtraAttempts,
+  };
+};
+
+/** Starts an attempt of a request at an endpoint. */
+export const startAttempt = (
+  state: ServiceLeader,
+  request: PendingRequest,
+  endpoint: Endpoint,
+  now: Timestamp,
+): LeaderTransition => {
+  const attempt: Attempt = {
+    id: state.nextAttemptId,
+    requestId: request.id,
+    instance: endpoint.instance,
+    release: endpoint.release,
+    startedAt: now,
   };
-  return transition(next, {
+  return transition(withAttempt(state, request, endpoint, attempt), {
     kind: 'startAttempt',
     attemptId: attempt.id,
     requestId: request.id,
--- a/packages/proxy-core/src/service-leader/service-leader.test.ts
+++ b/packages/proxy-core/src/service-leader/service-leader.test.ts
@@ -1,3 +1,7 @@
+/**
+ * A service leader: how classes share slots, and when requests are turned away.
+ */
+
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import * as fc from 'fast-check';
@@ -37,7 +41,8 @@
   { name: 'c', prefix: '/c/', service: 'other', class: 'elsewhere' },
 ];
 
-const meeting = (): ServiceLeader['classes'] => {
+/** The classes that share the service, as the compiled configuration has them. */
+const sharingClasses = (): ServiceLeader['classes'] => {
   const bundle = runToCompletion(
     splitIntoChunks({
       format: 1,
@@ -60,17 +65,18 @@
   return table.classesByService.get(service) ?? new Map();
 };
 
-class Bench {
+/** A leader of one service with one endpoint. */
+class Fixture {
   state: ServiceLeader;
   readonly effects: ServiceLeaderEffect[] = [];
   now = toTimestamp(10_000);
 
-  constructor(groups: ServiceLeader['classes'], slots: number) {
+  constructor(classesOfService: ServiceLeader['classes'], slots: number) {
     this.state = newServiceLeader(
       service,
       toEpoch(1),
       { name: service, waitlist: 500, probe: { path: '/health', everyMs: 500 } },
-      groups,
+      classesOfService,
       toTimestamp(0),
     );
     const origin = {
@@ -82,121 +88,125 @@
       state: 'up' as const,
       lastHeardAt: this.now,
     };
-    this.tell({
+    this.dispatch({
       kind: 'originsUpdated',
       now: this.now,
       origins: new Map([[origin.instance, origin]]),
     });
   }
 
-  tell(event: ServiceLeaderEvent): void {
-    const done = serviceLeaderTransition(this.state, event);
-    this.state = done.state;
-    this.effects.push(...done.effects);
+  dispatch(event: ServiceLeaderEvent): void {
+    const result = serviceLeaderTransition(this.state, event);
+    this.state = result.state;
+    this.effects.push(...result.effects);
   }
 
-  arrive(id: number, group: ClassName): void {
-    this.tell({
+  arrive(id: string, className: ClassName, remainingMs = 60_000): void {
+    this.dispatch({
       kind: 'requestArrived',
       now: this.now,
-      id: toRequestId(`a${id}`),
-      className: group,
+      id: toRequestId(id),
+      className,
       isIdempotent: true,
       mayHaveRun: false,
       hasEarlierAttempt: false,
-      remainingMs: 60_000,
+      remainingMs,
     });
   }
 
-  running(group: ClassName): number {
+  arriveMany(count: number, className: ClassName, first = 0): void {
+    for (let index = first; index < first + count; index += 1) this.arrive(`a${index}`, className);
+  }
+
+  tickAfter(ms: number): void {
+    this.now = addMs(this.now, ms);
+    this.dispatch({ kind: 'tick', now: this.now });
+  }
+
+  running(className: ClassName): number {
     return [...this.state.attempts.values()].filter(
-      (leg) => this.state.activeRequests.get(leg.requestId)?.className === group,
+      (attempt) => this.state.activeRequests.get(attempt.requestId)?.className === className,
     ).length;
   }
 
-  endOne(): void {
-    const leg = [...this.state.attempts.keys()][0];
+  endOldest(): void {
+    const attemptId = [...this.state.attempts.keys()][0];
     this.now = addMs(this.now, 20);
-    if (leg !== undefined)
-      this.tell({
+    if (attemptId !== undefined)
+      this.dispatch({
         kind: 'attemptEnded',
         now: this.now,
-        attemptId: leg,
+        attemptId,
         outcome: { kind: 'succeeded', status: 200 },
         durationMs: 20,
       });
   }
 }
 
-void test('shares of classes that never meet at a service hold nothing back there', () => {
-  const groups = meeting();
-  assert.deepEqual([...groups.keys()], ['quick', 'slow']);
-  const bench = new Bench(groups, 10);
-  for (let at = 0; at < 20; at += 1) bench.arrive(at, quick);
-  // All but what is owed to the other class that meets here.
-  assert.equal(bench.running(quick), 8);
+void test('classes of other services reserve no slots of this one', () => {
+  const shared = sharingClasses();
+  assert.deepEqual([...shared.keys()], ['quick', 'slow']);
+  const fixture = new Fixture(shared, 10);
+  fixture.arriveMany(20, quick);
+  // All but the share of the other class of this service.
+  assert.equal(fixture.running(quick), 8);
 });
 
-void test('what a class lends comes back with the next results, and its next request always finds a slot', () => {
-  const bench = new Bench(meeting(), 10);
-  for (let at = 0; at < 30; at += 1) bench.arrive(at, slow);
-  assert.equal(bench.running(slow), 9, 'all but the one slot that the lender keeps');
-  bench.arrive(100, quick);
-  assert.equal(bench.running(quick), 1, 'at once');
-  for (let at = 101; at < 110; at += 1) bench.arrive(at, quick);
-  for (let at = 0; at < 8; at += 1) bench.endOne();
+void test('a lent slot comes back with the next responses, and the lender always finds one for its next request', () => {
+  const fixture = new Fixture(sharingClasses(), 10);
+  fixture.arriveMany(30, slow);
+  assert.equal(fixture.running(slow), 9, 'all but the one slot that the lender keeps');
+  fixture.arrive('a100', quick);
+  assert.equal(fixture.running(quick), 1, 'at once');
+  fixture.arriveMany(9, quick, 101);
+  for (let ended = 0; ended < 8; ended += 1) fixture.endOldest();
   assert.ok(
-    bench.running(quick) >= 6,
-    `${bench.running(quick)} of the lender run after one round of results`,
+    fixture.running(quick) >= 6,
+    `${fixture.running(quick)} of the lender run after one round of responses`,
   );
 });
 
-void test('a request that can not be served in its time any more is told at once, with when to come back', () => {
-  const bench = new Bench(meeting(), 2);
-  for (let at = 0; at < 2; at += 1) bench.arrive(at, quick);
-  bench.tell({
-    kind: 'requestArrived',
-    now: bench.now,
-    id: toRequestId('late'),
-    className: quick,
-    isIdempotent: true,
-    mayHaveRun: false,
-    hasEarlierAttempt: false,
-    remainingMs: 5000,
-  });
-  // The only origin leaves: nothing will serve what waits.
-  bench.tell({ kind: 'originsUpdated', now: bench.now, origins: new Map() });
-  const told = (): ServiceLeaderEffect | undefined =>
-    bench.effects.find((one) => one.kind === 'rejectRequest' && one.requestId === 'late');
-  bench.now = addMs(bench.now, 900);
-  bench.tell({ kind: 'tick', now: bench.now });
-  assert.equal(told(), undefined, 'another one may come up');
-  bench.now = addMs(bench.now, 200);
-  bench.tell({ kind: 'tick', now: bench.now });
-  const away = told();
-  assert.ok(away?.kind === 'rejectRequest' && away.errorKind === 'rejected' && away.retryMs > 0);
+void test('a request that can no longer be served in its time is rejected before its deadline, with when to retry', () => {
+  const fixture = new Fixture(sharingClasses(), 2);
+  fixture.arriveMany(2, quick);
+  fixture.arrive('late', quick, 5000);
+  // The only endpoint leaves: nothing will serve what waits.
+  fixture.dispatch({ kind: 'originsUpdated', now: fixture.now, origins: new Map() });
+  const rejectionOfLate = (): ServiceLeaderEffect | undefined =>
+    fixture.effects.find(
+      (effect) => effect.kind === 'rejectRequest' && effect.requestId === 'late',
+    );
+  fixture.tickAfter(900);
+  assert.equal(rejectionOfLate(), undefined, 'another one may come up');
+  fixture.tickAfter(200);
+  const rejection = rejectionOfLate();
+  assert.ok(
+    rejection?.kind === 'rejectRequest' &&
+      rejection.errorKind === 'rejected' &&
+      rejection.retryMs > 0,
+  );
 });
 
-void test('never more legs than slots, never a class with work kept below its share while slots are free', () => {
+void test('there are never more attempts than slots, and no waiting class is below its share while slots are free', () => {
   fc.assert(
     fc.property(
       fc.array(fc.oneof(fc.constant('quick'), fc.constant('slow'), fc.constant('end')), {
         maxLength: 120,
       }),
       fc.integer({ min: 1, max: 12 }),
-      (acts, slots) => {
-        const bench = new Bench(meeting(), slots);
-        acts.forEach((act, at) => {
-          if (act === 'end') bench.endOne();
-          else bench.arrive(at, act === 'quick' ? quick : slow);
-          assert.ok(bench.state.attempts.size <= slots);
-          for (const [group, share] of [
+      (steps, slots) => {
+        const fixture = new Fixture(sharingClasses(), slots);
+        steps.forEach((step, index) => {
+          if (step === 'end') fixture.endOldest();
+          else fixture.arrive(`a${index}`, step === 'quick' ? quick : slow);
+          assert.ok(fixture.state.attempts.size <= slots);
+          for (const [className, share] of [
             [quick, 0.6],
             [slow, 0.2],
           ] as const) {
-            const waits = bench.state.queues.get(group)?.length ?? 0;
-            if (waits > 0 && bench.running(group) < Math.floor(share * slots))
-              assert.equal(bench.state.attempts.size, slots);
+            const waiting = fixture.state.queues.get(className)?.length ?? 0;
+            if (waiting > 0 && fixture.running(className) < Math.floor(share * slots))
+              assert.equal(fixture.state.attempts.size, slots);
           }
         });
       },
