--- a/packages/simulator/src/guard/list.ts
+++ b/packages/simulator/src/guard/list.ts
@@ -16,7 +16,6 @@
 const taking = 'proxy-core/dist/request-handler/response-verifier.js';
 const trip = 'proxy-core/dist/request-handler/request-state.js';
 const edge = 'proxy-core/dist/request-handler/edge-request-handler.js';
-const shield = 'proxy-core/dist/request-handler/shield-request-handler.js';
 const dock = 'proxy-core/dist/request-handler/inbound-requests.js';
 const desk = 'proxy-core/dist/cache/cache-lookup.js';
 const cache = 'proxy-core/dist/cache/cache.js';
@@ -344,7 +343,7 @@
   {
     name: 'a shield that slept does not tell what it had',
     rule: 'R7',
-    file: shield,
+    file: 'proxy-core/dist/request-handler/origin-attempts.js',
     from: 'return (this.#context.state().lastWokeAt > startedAt && ',
     to: 'return (false && ',
   },
