--- a/packages/simulator/src/guard/list.ts
+++ b/packages/simulator/src/guard/list.ts
@@ -16,7 +16,6 @@
 const taking = 'proxy-core/dist/request-handler/response-verifier.js';
 const trip = 'proxy-core/dist/request-handler/request-state.js';
 const edge = 'proxy-core/dist/request-handler/edge-request-handler.js';
-const shield = 'proxy-core/dist/request-handler/shield-request-handler.js';
 const dock = 'proxy-core/dist/request-handler/inbound-requests.js';
 const desk = 'proxy-core/dist/cache/cache-lookup.js';
 const cache = 'proxy-core/dist/cache/cache.js';
@@ -261,7 +260,7 @@
     name: 'a result fits its digest',
     rule: 'R3',
     file: taking,
-    from: "else if (digest === 'unlike')",
+    from: "else if (digest === 'mismatch')",
     to: 'else if (false)',
   },
   {
@@ -275,15 +274,15 @@
     name: 'the end of a stream is held back',
     rule: 'R3',
     file: trip,
-    from: 'this.#heldChunk = { bytes, more }; if (before !== undefined) stage.stream.write(before.bytes, before.more);',
-    to: 'stage.stream.write(bytes, more);',
+    from: 'this.#heldChunk = { bytes, more }; if (before !== undefined) phase.stream.write(before.bytes, before.more);',
+    to: 'phase.stream.write(bytes, more);',
   },
   {
     name: 'one stream for each ask',
     rule: 'R3',
     file: dock,
-    from: 'if (one === undefined || one.isStreaming)\n            return undefined;',
-    to: 'if (one === undefined)\n            return undefined;',
+    from: 'if (inbound === undefined || inbound.isStreaming) return undefined;',
+    to: 'if (inbound === undefined) return undefined;',
   },
   {
     name: 'the other legs of a stream are cut',
@@ -295,9 +294,9 @@
   {
     name: 'a result comes from the keeper that was asked',
     rule: 'R3',
-    file: edge,
-    from: 'return trip?.hasResponse === true && trip.leader === from ? trip : undefined;',
-    to: 'return trip?.hasResponse === true ? trip : undefined;',
+    file: 'proxy-core/dist/request-handler/forwarded-requests.js',
+    from: 'return request?.hasResponse === true && request.leader === from ? request : undefined;',
+    to: 'return request?.hasResponse === true ? request : undefined;',
   },
   {
     name: 'caches speak only as far as they know all purges',
@@ -310,28 +309,28 @@
     name: 'a shield that is behind does not answer from its cache',
     rule: 'R7',
     file: desk,
-    from: 'mayServeFromCache(cabin, now) && this.cache.lastPurgeSeq >= purged',
-    to: 'mayServeFromCache(cabin, now)',
+    from: 'mayServeFromCache(nodeAgent, now) && this.cache.lastPurgeSeq >= requiredPurgeSeq',
+    to: 'mayServeFromCache(nodeAgent, now)',
   },
   {
     name: 'what was fetched before a purge is not kept',
     rule: 'R7',
     file: cache,
-    from: ' || this.isPurgedSince(key, tags, fetchedAt)',
+    from: ' || this.isPurgedSince(key, tags, purgeSeqAtFetch)',
     to: '',
   },
   {
     name: 'a lifetime ends',
     rule: 'R7',
     file: cache,
-    from: 'if (now - found.createdAt >= found.lifetimeMs)',
-    to: 'if (false)',
+    from: 'if (now - entry.createdAt >= entry.lifetimeMs) {',
+    to: 'if (false) {',
   },
   {
     name: 'an edge does not tell what was long under way',
     rule: 'R7',
     file: edge,
-    from: 'return (at - sentAt > certainFreshMs &&',
+    from: 'return (now - sentAt > certainlyFreshMs &&',
     to: 'return (false &&',
   },
   {
@@ -344,8 +343,8 @@
   {
     name: 'a shield that slept does not tell what it had',
     rule: 'R7',
-    file: shield,
-    from: 'return (this.#context.state().lastWokeAt > since &&',
+    file: 'proxy-core/dist/request-handler/origin-attempts.js',
+    from: 'return (this.#context.state().lastWokeAt > startedAt && ',
     to: 'return (false && ',
   },
   {
