--- a/packages/proxy/src/admin/proxy-view.ts
+++ b/packages/proxy/src/admin/proxy-view.ts
@@ -1,62 +1,92 @@
-import { type ProxyState, isReady, mayServeFromCache, windowSum } from '@switchwheel/proxy-core';
+/**
+ * A proxy's state for its operators, as the admin server's `/state` shows it. The keys are part of the operators'
+ * interface and keep the words of the operators' pages; the code's own terms stand on the right.
+ */
+
+import {
+  type Endpoint,
+  type NodeAgent,
+  type ProxyState,
+  type ServiceLeader,
+  isReady,
+  mayServeFromCache,
+  windowSum,
+} from '@switchwheel/proxy-core';
+import type { Timestamp } from '@switchwheel/types';
 import { now } from '@switchwheel/runtime';
 
-/** The state of a proxy, as its operators may look at it. */
-export const proxyView = (proxy: ProxyState): object => {
+/** The state as an object for JSON. */
+export const proxyView = ({ nodeAgent, leaders, forwarding }: ProxyState): object => {
   const at = now();
-  const { nodeAgent } = proxy;
+  const { holders, members } = nodeAgent.nodeSession;
+  return {
+    ...nodeView(nodeAgent, at),
+    keepers: [...leaders.values()].map((leader) => leaderView(leader, at)),
+    forwarding: forwarding.requests.size,
+    holders: [...holders.values()],
+    members: members.length,
+  };
+};
+
+const nodeView = (nodeAgent: NodeAgent, at: Timestamp): object => {
+  const { compiledConfiguration, nodeSession } = nodeAgent;
+  const { node, role, area } = nodeSession.member;
   return {
-    node: nodeAgent.nodeSession.member.node,
-    role: nodeAgent.nodeSession.member.role,
-    area: nodeAgent.nodeSession.member.area,
+    node,
+    role,
+    area,
     ready: isReady(nodeAgent, at),
-    registry: nodeAgent.nodeSession.registryLink?.address ?? null,
-    generation: nodeAgent.compiledConfiguration?.generation ?? 0,
-    hash: nodeAgent.compiledConfiguration?.hash ?? null,
+    registry: nodeSession.registryLink?.address ?? null,
+    generation: compiledConfiguration?.generation ?? 0,
+    hash: compiledConfiguration?.hash ?? null,
     fitting: nodeAgent.configUpdate.phase,
     failed: nodeAgent.failedUpdate?.text ?? null,
     purged: nodeAgent.lastPurgeSeq,
     cacheLease: mayServeFromCache(nodeAgent, at),
-    keepers: [...proxy.leaders.values()].map((one) => ({
-      service: one.service,
-      epoch: one.epoch,
-      closing: one.isClosing,
-      legs: one.attempts.size,
-      typicalMs: Math.round(one.latencyEwmaMs),
-      waitlist: [...one.queues].map(([group, list]) => ({ class: group, waiting: list.length })),
-      running: [...one.classes.keys()].map((group) => ({
-        class: group,
-        running: [...one.activeRequests.values()].filter((load) => load.className === group).length,
-      })),
-      shares: [...one.classes.values()].map((group) => ({ class: group.name, share: group.share })),
-      budget: {
-        traffic10s: windowSum(one.recentRequests, at),
-        extra10s: windowSum(one.recentExtraAttempts, at),
-      },
-      ceilingTokens:
-        one.serviceConfiguration.perSecond === undefined ? null : Math.floor(one.tokens),
-      origins: [...one.endpoints.values()].map((bay) => ({
-        instance: bay.instance,
-        address: bay.address,
-        release: bay.release,
-        slots: bay.slots,
-        used: bay.activeAttempts,
-        up: bay.isLive,
-        probe: bay.health.healthCheck,
-        typicalMs: Math.round(bay.health.latencyEwmaMs),
-        passedOverMs: Math.max(0, Math.round(bay.health.ejectedUntil - at)),
-      })),
-      trials: [...one.canaries.values()].map((trial) => ({
-        release: trial.release,
-        state: trial.state,
-        used: trial.usedRequests,
-        granted: trial.reservedRequests,
-        good: trial.successes,
-        bad: trial.failures,
-      })),
+  };
+};
+
+const leaderView = (leader: ServiceLeader, at: Timestamp): object => {
+  const classes = [...leader.classes.values()];
+  const active = [...leader.activeRequests.values()];
+  return {
+    service: leader.service,
+    epoch: leader.epoch,
+    closing: leader.isClosing,
+    legs: leader.attempts.size,
+    typicalMs: Math.round(leader.latencyEwmaMs),
+    waitlist: [...leader.queues].map(([name, queue]) => ({ class: name, waiting: queue.length })),
+    running: [...leader.classes.keys()].map((name) => ({
+      class: name,
+      running: active.filter((request) => request.className === name).length,
+    })),
+    shares: classes.map(({ name, share }) => ({ class: name, share })),
+    budget: {
+      traffic10s: windowSum(leader.recentRequests, at),
+      extra10s: windowSum(leader.recentExtraAttempts, at),
+    },
+    ceilingTokens:
+      leader.serviceConfiguration.perSecond === undefined ? null : Math.floor(leader.tokens),
+    origins: [...leader.endpoints.values()].map((endpoint) => endpointView(endpoint, at)),
+    trials: [...leader.canaries.values()].map((canary) => ({
+      release: canary.release,
+      state: canary.state,
+      used: canary.usedRequests,
+      granted: canary.reservedRequests,
+      good: canary.successes,
+      bad: canary.failures,
     })),
-    forwarding: proxy.forwarding.requests.size,
-    holders: [...nodeAgent.nodeSession.holders.values()],
-    members: nodeAgent.nodeSession.members.length,
   };
 };
+
+const endpointView = (endpoint: Endpoint, at: Timestamp): object => ({
+  instance: endpoint.instance,
+  address: endpoint.address,
+  release: endpoint.release,
+  slots: endpoint.slots,
+  used: endpoint.activeAttempts,
+  up: endpoint.isLive,
+  probe: endpoint.health.healthCheck,
+  typicalMs: Math.round(endpoint.health.latencyEwmaMs),
+  passedOverMs: Math.max(0, Math.round(endpoint.health.ejectedUntil - at)),
+});
--- a/packages/proxy/src/direct-edge/client-connections.ts
+++ b/packages/proxy/src/direct-edge/client-connections.ts
@@ -1,40 +1,43 @@
+/**
+ * The clients' connections of an HTTP server: when each may be closed. A connection is never closed while a request that
+ * was read on it has no complete response, in whatever order pipelined requests get theirs.
+ */
+
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Duplex } from 'node:stream';
 import type { Socket } from 'node:net';
 
-/** How much longer than it was told a client's connection may rest: a request on its way still arrives. */
+/** How much longer than announced an idle connection is kept: a request that is on its way still arrives. */
 const keepAliveMarginMs = 1000;
 
-/** One request of a connection, from its head to when its answer is handed to the system. */
+/** One request of a connection, from its head to when its response is handed to the operating system. */
 interface Exchange {
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
-  /** How long the connection may rest after this answer, as its head tells. */
+  /** How long the connection may be idle after this response, as its head announces. */
   readonly keepAliveMs: number;
-  /** Called once: the answer is handed over, or the connection closed before. */
+  /** Called once: the response is handed over, or the connection closed before. */
   readonly onEnd: () => void;
 }
 
 interface Connection {
   readonly socket: Socket;
-  /** Requests that are not answered yet, in the order in which they came. */
+  /** Requests without a complete response, in the order in which they came. */
   readonly exchanges: Exchange[];
-  /** An answer was told that is the last one of this connection. */
+  /** A response was sent that is the last one of this connection. */
   isClosing: boolean;
-  /** What is written, and ends the connection, in the place of a message that could not be read. */
+  /** The response to a message that could not be read; it ends the connection. */
   errorResponse: string | undefined;
-  /** Bytes that had been read when the last request was answered. */
+  /** Bytes that had been read when the last response was handed over. */
   bytesReadWhenIdle: number;
 }
 
-/**
- * The clients' connections of a server. It decides when one may be closed: never while a request that was read has no
- * whole answer, in whatever order pipelined requests are answered.
- */
+/** Tracks the connections of one server. */
 export class ClientConnections {
   readonly #connections = new Map<Duplex, Connection>();
   #isClosing = false;
 
+  /** Tracks a new connection until it closes. */
   add(socket: Socket): void {
     const connection: Connection = {
       socket,
@@ -44,57 +47,52 @@
       bytesReadWhenIdle: 0,
     };
     this.#connections.set(socket, connection);
-    // A pipelined answer that still waits for its turn does not hear from the server that the connection closed.
+    // The server does not report the close to a pipelined response that still waits for its turn.
     socket.once('close', () => {
       this.#connections.delete(socket);
       for (const exchange of connection.exchanges.splice(0)) exchange.onEnd();
     });
   }
 
-  /** Notes that the head of a request came. Gives false if its connection has told its last answer already. */
+  /** Begins an exchange with the head of a request; false if the connection's last response was sent already. */
   begin(
-    asked: IncomingMessage,
-    answer: ServerResponse,
-    restMs: number,
-    ended: () => void,
+    request: IncomingMessage,
+    response: ServerResponse,
+    keepAliveMs: number,
+    onEnd: () => void,
   ): boolean {
-    const connection = this.#connections.get(asked.socket);
+    const connection = this.#connections.get(request.socket);
     if (connection === undefined || connection.isClosing) return false;
-    const exchange: Exchange = {
-      request: asked,
-      response: answer,
-      keepAliveMs: restMs,
-      onEnd: ended,
-    };
+    const exchange: Exchange = { request, response, keepAliveMs, onEnd };
     connection.exchanges.push(exchange);
-    answer.once('close', () => this.#onResponseClosed(connection, exchange));
+    response.once('close', () => this.#onResponseClosed(connection, exchange));
     return true;
   }
 
-  /** Whether an answer may say that it is its connection's last one: no request came behind it. */
-  mayBeLast(asked: IncomingMessage): boolean {
-    const connection = this.#connections.get(asked.socket);
-    return connection === undefined || connection.exchanges.at(-1)?.request === asked;
+  /** Whether the response to a request may announce that it is the last one: no request came behind it. */
+  mayBeLast(request: IncomingMessage): boolean {
+    const connection = this.#connections.get(request.socket);
+    return connection === undefined || connection.exchanges.at(-1)?.request === request;
   }
 
-  /** Notes that the answer to a request says that it is the last one. */
-  markLast(asked: IncomingMessage): void {
-    const connection = this.#connections.get(asked.socket);
+  /** The response to a request announces that it is the last one. */
+  markLast(request: IncomingMessage): void {
+    const connection = this.#connections.get(request.socket);
     if (connection !== undefined) connection.isClosing = true;
   }
 
-  /** Refuses a message that could not be read, after the answers to all requests before it. */
-  rejectMalformed(socket: Duplex, refusal: string): void {
+  /** Rejects a message that could not be read, after the responses to all requests before it. */
+  rejectMalformed(socket: Duplex, errorResponse: string): void {
     const connection = this.#connections.get(socket);
     if (connection === undefined) {
       socket.destroy();
       return;
     }
-    connection.errorResponse ??= refusal;
+    connection.errorResponse ??= errorResponse;
     this.#rejectInOrder(connection);
   }
 
-  /** Closes what rests, and each other connection once all its requests are answered. */
+  /** Closes idle connections at once, and the others when all their requests have responses. */
   close(): void {
     this.#isClosing = true;
     for (const connection of this.#connections.values())
@@ -103,9 +101,9 @@
 
   #onResponseClosed(connection: Connection, exchange: Exchange): void {
     const { exchanges, socket } = connection;
-    const at = exchanges.indexOf(exchange);
-    if (at < 0) return;
-    exchanges.splice(at, 1);
+    const index = exchanges.indexOf(exchange);
+    if (index < 0) return;
+    exchanges.splice(index, 1);
     exchange.onEnd();
     connection.bytesReadWhenIdle = socket.bytesRead;
     if (socket.destroyed) return;
@@ -120,14 +118,14 @@
 
   #rejectInOrder(connection: Connection): void {
     const { exchanges, errorResponse, socket } = connection;
-    // A request that was read in part is the one that is refused.
-    if (errorResponse === undefined || exchanges.some((one) => one.request.complete)) return;
+    // A request that was read in part is the one that is rejected.
+    if (errorResponse === undefined || exchanges.some(({ request }) => request.complete)) return;
     connection.isClosing = true;
     if (socket.writable) socket.end(errorResponse);
     else socket.destroy();
   }
 }
 
-/** Whether no request is under way, nor any part of one was read. */
+/** Whether no request is in progress, nor any part of one was read. */
 const isIdle = (connection: Connection): boolean =>
   connection.exchanges.length === 0 && connection.socket.bytesRead === connection.bytesReadWhenIdle;
--- a/packages/proxy/src/shield/origin-client.ts
+++ b/packages/proxy/src/shield/origin-client.ts
@@ -1,3 +1,8 @@
+/**
+ * Sends a shield's requests to origins and streams the responses chunk by chunk. Whether a response may be trusted is
+ * decided by proxy-core's response verifier; retries are the service leader's.
+ */
+
 import { Agent, type ClientRequest, type IncomingMessage } from 'node:http';
 import type { Socket } from 'node:net';
 import got, { type Request } from 'got';
@@ -9,90 +14,43 @@
   type AttemptRequest,
   fieldValue,
 } from '@switchwheel/proxy-core';
+import { headerFieldsOf } from '../http/header-fields.js';
 
 const connectTimeoutMs = 600;
-
-const toFields = (message: IncomingMessage): HeaderFields => {
-  const out: HeaderFields = [];
-  for (let at = 0; at + 1 < message.rawHeaders.length; at += 2)
-    out.push([(message.rawHeaders[at] ?? '').toLowerCase(), message.rawHeaders[at + 1] ?? '']);
-  return out;
+const healthCheckTimeoutMs = 1000;
+const keepAliveAgentOptions = {
+  keepAlive: true,
+  maxSockets: 256,
+  keepAliveMsecs: 1000,
+  timeout: 15_000,
 };
-
-const toHeaders = (fields: HeaderFields): Record<string, string | string[]> => {
-  const out = new Map<string, string[]>();
-  for (const [name, value] of fields) out.set(name, [...(out.get(name) ?? []), value]);
-  return Object.fromEntries(
-    [...out].map(([name, values]) => [name, values.length === 1 ? (values[0] ?? '') : values]),
-  );
-};
-
 const methods = ['GET', 'HEAD', 'POST', 'PUT', 'PATCH', 'DELETE', 'OPTIONS'] as const;
-const toMethod = (raw: string): (typeof methods)[number] =>
-  methods.find((one) => one === raw) ?? 'GET';
 
-/** Channels to origins: those kept open are closed when the instance is gone. */
+/** Keeps connections to origins open; those to an instance that is gone are closed. */
 export class StreamingOriginClient implements AttemptPort {
   readonly #agents = new Map<InstanceId, Agent>();
   readonly #cancelByName = new Map<string, () => void>();
 
-  #agentOf(instance: InstanceId): Agent {
-    const known = this.#agents.get(instance);
-    if (known !== undefined) return known;
-    const agent = new Agent({
-      keepAlive: true,
-      maxSockets: 256,
-      keepAliveMsecs: 1000,
-      timeout: 15_000,
-    });
-    this.#agents.set(instance, agent);
-    return agent;
-  }
-
-  /** Closes the channels to all instances but those that stand. */
-  retainInstances(standing: ReadonlySet<InstanceId>): void {
+  /** Closes the idle connections to all instances but the live ones; attempts in flight end by themselves. */
+  retainInstances(liveInstances: ReadonlySet<InstanceId>): void {
     for (const [instance, agent] of this.#agents) {
-      if (standing.has(instance)) continue;
-      // Legs under way end by themselves; nothing new goes out on these channels.
-      for (const list of Object.values(agent.freeSockets))
-        for (const socket of list ?? []) socket.destroy();
+      if (liveInstances.has(instance)) continue;
+      for (const sockets of Object.values(agent.freeSockets))
+        for (const socket of sockets ?? []) socket.destroy();
       this.#agents.delete(instance);
     }
   }
 
+  /** Cancels the attempt of a name, if it is in flight. */
   cancel(name: string): void {
     this.#cancelByName.get(name)?.();
   }
 
-  /** Sends a request to an origin once. */
-  send(name: string, one: AttemptRequest, ears: AttemptHandlers): void {
-    const seen = { opened: false };
-    const plain = one.method === 'GET' || one.method === 'HEAD';
+  /** Sends a request to an origin once, under a name by which it can be cancelled. */
+  send(name: string, attempt: AttemptRequest, handlers: AttemptHandlers): void {
+    const connection = { isOpen: false };
     const abort = new AbortController();
-    const stream: Request = got.stream(`http://${one.address}${one.target}`, {
-      method: toMethod(one.method),
-      retry: { limit: 0 },
-      throwHttpErrors: false,
-      decompress: false,
-      followRedirect: false,
-      timeout: { request: one.timeoutMs, connect: Math.min(connectTimeoutMs, one.timeoutMs) },
-      signal: abort.signal,
-      headers: {
-        ...toHeaders(one.fields),
-        'switchwheel-instance': one.instance,
-        'switchwheel-service': one.service,
-        'user-agent': fieldValue(one.fields, 'user-agent') ?? 'switchwheel',
-      },
-      ...(one.body.length > 0 && !plain ? { body: Buffer.from(one.body) } : {}),
-      ...(one.isIdempotent
-        ? { agent: { http: this.#agentOf(one.instance) } }
-        : { agent: { http: new Agent({ keepAlive: false }) } }),
-      cookieJar: undefined,
-      http2: false,
-      dnsCache: false,
-    });
-    // A stream for a method with a body waits for its end.
-    if (!plain && one.body.length === 0) stream.end();
+    const stream = this.#openStream(attempt, abort.signal);
     this.#cancelByName.set(name, () => {
       this.#cancelByName.delete(name);
       abort.abort();
@@ -100,56 +58,114 @@
     });
     stream.on('request', (request: ClientRequest) => {
       request.on('socket', (socket: Socket) => {
-        if (!socket.connecting) seen.opened = true;
+        if (!socket.connecting) connection.isOpen = true;
         else
           socket.once('connect', () => {
-            seen.opened = true;
+            connection.isOpen = true;
           });
       });
     });
-    void this.#readResponse(stream, ears)
-      .catch((problem: unknown) => {
-        const slow = problem instanceof Error && problem.name === 'TimeoutError';
-        ears.failed({
-          mayHaveBeenSent: seen.opened,
-          isTimeout: slow,
-          text: problem instanceof Error ? problem.message : 'broke off',
+    void readResponse(stream, handlers)
+      .catch((error: unknown) => {
+        handlers.failed({
+          mayHaveBeenSent: connection.isOpen,
+          isTimeout: error instanceof Error && error.name === 'TimeoutError',
+          text: error instanceof Error ? error.message : 'broke off',
         });
       })
       .finally(() => this.cancel(name));
   }
 
-  async #readResponse(stream: Request, ears: AttemptHandlers): Promise<void> {
-    const message = await new Promise<IncomingMessage>((done, fail) => {
-      stream.once('response', done);
-      stream.once('error', fail);
+  #openStream(attempt: AttemptRequest, signal: AbortSignal): Request {
+    const { address, target, timeoutMs, body } = attempt;
+    const usuallyHasNoBody = attempt.method === 'GET' || attempt.method === 'HEAD';
+    const stream = got.stream(`http://${address}${target}`, {
+      method: methodOf(attempt.method),
+      retry: { limit: 0 },
+      throwHttpErrors: false,
+      decompress: false,
+      followRedirect: false,
+      timeout: { request: timeoutMs, connect: Math.min(connectTimeoutMs, timeoutMs) },
+      signal,
+      headers: headersOf(attempt),
+      ...(body.length > 0 && !usuallyHasNoBody ? { body: Buffer.from(body) } : {}),
+      agent: { http: this.#agentFor(attempt) },
+      cookieJar: undefined,
+      http2: false,
+      dnsCache: false,
     });
-    ears.head(message.statusCode ?? 0, toFields(message));
-    for await (const part of stream) {
-      const bytes: Buffer = Buffer.isBuffer(part) ? part : Buffer.from(String(part));
-      await new Promise<void>((more) => {
-        ears.chunk(bytes, more);
-      });
-    }
-    ears.ended();
+    // A stream for a method with a body waits for its end.
+    if (!usuallyHasNoBody && body.length === 0) stream.end();
+    return stream;
+  }
+
+  /** A request that is not idempotent gets a connection of its own: a refusal to open it is then certain. */
+  #agentFor({ instance, isIdempotent }: AttemptRequest): Agent {
+    if (!isIdempotent) return new Agent({ keepAlive: false });
+    const known = this.#agents.get(instance);
+    if (known !== undefined) return known;
+    const agent = new Agent(keepAliveAgentOptions);
+    this.#agents.set(instance, agent);
+    return agent;
   }
 }
 
-/** Asks an origin whether it is well, and whether it is the one meant. */
+const methodOf = (name: string): (typeof methods)[number] =>
+  methods.find((method) => method === name) ?? 'GET';
+
+const headersOf = ({
+  fields,
+  instance,
+  service,
+}: AttemptRequest): Record<string, string | string[]> => ({
+  ...groupByName(fields),
+  'switchwheel-instance': instance,
+  'switchwheel-service': service,
+  'user-agent': fieldValue(fields, 'user-agent') ?? 'switchwheel',
+});
+
+const groupByName = (fields: HeaderFields): Record<string, string | string[]> => {
+  const valuesByName = new Map<string, string[]>();
+  for (const [name, value] of fields)
+    valuesByName.set(name, [...(valuesByName.get(name) ?? []), value]);
+  return Object.fromEntries(
+    [...valuesByName].map(([name, values]) => [
+      name,
+      values.length === 1 ? (values[0] ?? '') : values,
+    ]),
+  );
+};
+
+const readResponse = async (stream: Request, handlers: AttemptHandlers): Promise<void> => {
+  const message = await new Promise<IncomingMessage>((done, fail) => {
+    stream.once('response', done);
+    stream.once('error', fail);
+  });
+  handlers.head(message.statusCode ?? 0, headerFieldsOf(message));
+  for await (const part of stream) {
+    const chunk: Buffer = Buffer.isBuffer(part) ? part : Buffer.from(String(part));
+    await new Promise<void>((more) => {
+      handlers.chunk(chunk, more);
+    });
+  }
+  handlers.ended();
+};
+
+/** A health check: whether an origin says that it is healthy and that it is the instance that was meant. */
 export const probeOrigin = async (
   url: string,
   service: string,
   instance: string,
 ): Promise<boolean> => {
   try {
-    const result = await got(url, {
+    const response = await got(url, {
       retry: { limit: 0 },
       throwHttpErrors: false,
       followRedirect: false,
-      timeout: { request: 1000 },
+      timeout: { request: healthCheckTimeoutMs },
       headers: { 'switchwheel-instance': instance, 'switchwheel-service': service },
     });
-    return result.statusCode === 200 && result.headers['switchwheel-instance'] === instance;
+    return response.statusCode === 200 && response.headers['switchwheel-instance'] === instance;
   } catch {
     return false;
   }
--- a/packages/proxy/src/shielded-edge/client-handler.ts
+++ b/packages/proxy/src/shielded-edge/client-handler.ts
@@ -1,6 +1,14 @@
+/**
+ * Clients' requests at an edge that forwards to shields: reads them with their bodies, hands them to the request handler
+ * and writes its replies through Koa.
+ */
+
+import type { IncomingMessage } from 'node:http';
 import { PassThrough } from 'node:stream';
 import type Koa from 'koa';
+import type { Failure } from '@switchwheel/types';
 import type { HeaderFields } from '@switchwheel/transport';
+import type { CompiledRoute } from '@switchwheel/configuration';
 import {
   type ClientRequest,
   type ClientConnection,
@@ -9,44 +17,38 @@
   type Reply,
 } from '@switchwheel/proxy-core';
 import { readBody } from '@switchwheel/runtime';
+import { headerFieldsOf } from '../http/header-fields.js';
 import { sendCachedResponse, sendResponse } from './response.js';
 import { closeAfterResponse, sendErrorResponse } from './error-response.js';
 
 const maxBodyBytes = 1024 * 1024;
+const streamBufferBytes = 256 * 1024;
 
-const requestFields = (ctx: Koa.Context): HeaderFields => {
-  const raw = ctx.req.rawHeaders;
-  const out: HeaderFields = [];
-  for (let at = 0; at + 1 < raw.length; at += 2)
-    out.push([(raw[at] ?? '').toLowerCase(), raw[at + 1] ?? '']);
-  return out;
-};
-
-const sendReply = (ctx: Koa.Context, told: Reply): void => {
-  switch (told.kind) {
+const sendReply = (ctx: Koa.Context, reply: Reply): void => {
+  switch (reply.kind) {
     case 'failure':
-      sendErrorResponse(ctx, told.errorKind, told.text, told.retryMs);
-      if (told.allowedMethods === undefined) break;
-      ctx.set('allow', told.allowedMethods.join(', '));
+      sendErrorResponse(ctx, reply.errorKind, reply.text, reply.retryMs);
+      if (reply.allowedMethods === undefined) break;
+      ctx.set('allow', reply.allowedMethods.join(', '));
       ctx.status = 405;
       break;
     case 'cached':
-      sendCachedResponse(ctx, told.entry, told.servedAt, told.source);
+      sendCachedResponse(ctx, reply.entry, reply.servedAt, reply.source);
       break;
     case 'complete':
-      sendResponse(ctx, told.status, told.fields, told.body, told.source);
+      sendResponse(ctx, reply.status, reply.fields, reply.body, reply.source);
       break;
   }
 };
 
-/** Opens the result's channel to the caller for parts. */
+/** Begins a streamed response; `more` is called when the client can take the next chunk. */
 const openStream = (
   ctx: Koa.Context,
   status: number,
   fields: HeaderFields,
   length: number | undefined,
 ): ClientStream => {
-  const stream = new PassThrough({ highWaterMark: 256 * 1024 });
+  const stream = new PassThrough({ highWaterMark: streamBufferBytes });
   stream.on('error', () => undefined);
   ctx.status = status;
   for (const [name, value] of fields) ctx.append(name, value);
@@ -58,19 +60,51 @@
       else stream.once('drain', more);
     },
     end: () => stream.end(),
-    abort: (why) => stream.destroy(new Error(why)),
+    abort: (reason) => stream.destroy(new Error(reason)),
   };
 };
 
-/** Takes a caller's request at the door, with its body, and answers it. */
+/** A message with both a length and a transfer coding may be read in two ways (request smuggling, RFC 9112, 6.1). */
+const isAmbiguous = ({ headers }: IncomingMessage): boolean =>
+  headers['transfer-encoding'] !== undefined && headers['content-length'] !== undefined;
+
+const rejectBody = (edge: EdgeRequestHandler, ctx: Koa.Context, { kind, text }: Failure): void => {
+  closeAfterResponse(ctx);
+  edge.count(`fault_${kind}`);
+  sendErrorResponse(ctx, kind, text, 0);
+};
+
+/** Serves a request; the promise holds once its response has begun. */
+const serveRequest = (
+  edge: EdgeRequestHandler,
+  ctx: Koa.Context,
+  route: CompiledRoute,
+  request: ClientRequest,
+): Promise<void> =>
+  new Promise<void>((done) => {
+    const client: ClientConnection = {
+      reply: (reply) => {
+        sendReply(ctx, reply);
+        done();
+      },
+      startStream: (status, fields, length) => {
+        const stream = openStream(ctx, status, fields, length);
+        done();
+        return stream;
+      },
+    };
+    const cancel = edge.serve(route, request, client);
+    ctx.res.once('close', () => {
+      if (!ctx.res.writableFinished) cancel();
+    });
+  });
+
+/** Handles a client's request from its head to the beginning of its response. */
 export const handleClientRequest = async (
   edge: EdgeRequestHandler,
   ctx: Koa.Context,
 ): Promise<void> => {
-  if (
-    ctx.req.headers['transfer-encoding'] !== undefined &&
-    ctx.req.headers['content-length'] !== undefined
-  ) {
+  if (isAmbiguous(ctx.req)) {
     closeAfterResponse(ctx);
     edge.count('fault_malformed');
     sendErrorResponse(ctx, 'malformed', 'both a length and a transfer coding', 0);
@@ -78,42 +112,23 @@
   }
   const target = ctx.req.url ?? '/';
   const host = ctx.get('host').toLowerCase();
-  const found = edge.findRoute(ctx.method, host, target);
-  if ('told' in found) {
-    if (found.told.errorKind === 'malformed') closeAfterResponse(ctx);
-    sendReply(ctx, found.told);
+  const match = edge.findRoute(ctx.method, host, target);
+  if ('told' in match) {
+    if (match.told.errorKind === 'malformed') closeAfterResponse(ctx);
+    sendReply(ctx, match.told);
     return;
   }
   const body = await readBody(ctx.req, maxBodyBytes);
   if (body.isErr) {
-    closeAfterResponse(ctx);
-    edge.count(`fault_${body.error.kind}`);
-    sendErrorResponse(ctx, body.error.kind, body.error.text, 0);
+    rejectBody(edge, ctx, body.error);
     return;
   }
-  const call: ClientRequest = {
+  await serveRequest(edge, ctx, match.track, {
     method: ctx.method,
     host,
     target,
-    fields: requestFields(ctx),
+    fields: headerFieldsOf(ctx.req),
     body: body.value,
     remoteAddress: ctx.req.socket.remoteAddress ?? 'unknown',
-  };
-  await new Promise<void>((done) => {
-    const caller: ClientConnection = {
-      reply: (told) => {
-        sendReply(ctx, told);
-        done();
-      },
-      startStream: (status, fields, length) => {
-        const spout = openStream(ctx, status, fields, length);
-        done();
-        return spout;
-      },
-    };
-    const leave = edge.serve(found.track, call, caller);
-    ctx.res.once('close', () => {
-      if (!ctx.res.writableFinished) leave();
-    });
   });
 };
--- a/packages/proxy/src/shielded-edge/error-response.ts
+++ b/packages/proxy/src/shielded-edge/error-response.ts
@@ -1,29 +1,32 @@
+/** Error responses of an edge that forwards to shields: the kind of error, and whether the request ran. */
+
 import type Koa from 'koa';
 import { type ErrorKind, errorResponseFor } from '@switchwheel/types';
 
-/** Tells a caller what went wrong: the kind says whether the request ran. */
+/** Writes an error response; a `retryMs` of 0 leaves the time to come back to the kind of error. */
 export const sendErrorResponse = (
   ctx: Koa.Context,
   kind: ErrorKind,
   text: string,
   retryMs: number,
 ): void => {
-  const told = errorResponseFor(kind);
-  const shown = kind === 'slow' || kind === 'lost' ? 'unknown' : kind;
-  ctx.status = told.status;
+  const { status, retryAfter, didNotRun } = errorResponseFor(kind);
+  // To a client both mean that the outcome is not known.
+  const publicKind = kind === 'slow' || kind === 'lost' ? 'unknown' : kind;
+  ctx.status = status;
   ctx.set('cache-control', 'no-store');
-  ctx.set('switchwheel-kind', shown);
-  const wait = retryMs > 0 ? retryMs : (told.retryAfter ?? 0) * 1000;
-  if (wait > 0) ctx.set('retry-after', String(Math.max(1, Math.ceil(wait / 1000))));
+  ctx.set('switchwheel-kind', publicKind);
+  const waitMs = retryMs > 0 ? retryMs : (retryAfter ?? 0) * 1000;
+  if (waitMs > 0) ctx.set('retry-after', String(Math.max(1, Math.ceil(waitMs / 1000))));
   ctx.body = {
-    kind: shown,
+    kind: publicKind,
     text,
-    ran: told.didNotRun ? 'no' : 'unknown',
-    ...(wait > 0 ? { retryAfterMs: Math.ceil(wait) } : {}),
+    ran: didNotRun ? 'no' : 'unknown',
+    ...(waitMs > 0 ? { retryAfterMs: Math.ceil(waitMs) } : {}),
   };
 };
 
-/** Ends the caller's channel after the answer: its request can't be read any further. */
+/** Closes the client's connection behind the response: its request can't be read any further. */
 export const closeAfterResponse = (ctx: Koa.Context): void => {
   ctx.set('connection', 'close');
 };
--- a/packages/proxy/src/shielded-edge/response.ts
+++ b/packages/proxy/src/shielded-edge/response.ts
@@ -1,3 +1,5 @@
+/** Writes complete and cached responses through Koa, with the conditions and ranges of RFC 9110, sections 13 and 14. */
+
 import type Koa from 'koa';
 import rangeParser from 'range-parser';
 import type { Timestamp } from '@switchwheel/types';
@@ -13,17 +15,17 @@
   }
 };
 
-/** Tells a whole result. */
+/** Writes a complete response; `source` says where it came from, in the header `switchwheel-from`. */
 export const sendResponse = (
   ctx: Koa.Context,
   status: number,
   fields: HeaderFields,
   body: Buffer,
-  from: string,
+  source: string,
 ): void => {
   ctx.status = status;
   setFields(ctx, fields);
-  ctx.set('switchwheel-from', from);
+  ctx.set('switchwheel-from', source);
   if (status === 204 || status === 304) {
     ctx.body = null;
     ctx.status = status;
@@ -34,14 +36,14 @@
   if (!fields.some(([name]) => name === 'content-type')) ctx.remove('content-type');
 };
 
-/** Tells a kept result, as the caller's conditions ask for it. */
+/** Writes a cached response, whole, in part or as not modified, as the client's conditions ask for it. */
 export const sendCachedResponse = (
   ctx: Koa.Context,
   entry: CacheEntry,
   now: Timestamp,
-  from: string,
+  source: string,
 ): void => {
-  sendResponse(ctx, entry.status, entry.fields, entry.body, from);
+  sendResponse(ctx, entry.status, entry.fields, entry.body, source);
   ctx.set('age', String(Math.max(0, Math.floor((now - entry.createdAt) / 1000))));
   if (entry.status !== 200) return;
   if (ctx.fresh) {
@@ -50,29 +52,44 @@
     return;
   }
   ctx.set('accept-ranges', 'bytes');
+  const range = requestedRange(ctx, entry);
+  if (range === 'unsatisfiable') sendUnsatisfiable(ctx, entry);
+  else if (range !== undefined) sendRange(ctx, entry, range);
+};
+
+interface ByteRange {
+  readonly start: number;
+  readonly end: number;
+}
+
+/** The one byte range that a request asks for; undefined if the whole object is to be sent. */
+const requestedRange = (
+  ctx: Koa.Context,
+  entry: CacheEntry,
+): ByteRange | 'unsatisfiable' | undefined => {
   const range = ctx.get('range');
+  if (ctx.method !== 'GET' || range === '') return undefined;
   const condition = ctx.get('if-range');
-  if (
-    ctx.method !== 'GET' ||
-    range === '' ||
-    (condition !== '' &&
-      condition !== ctx.response.get('etag') &&
-      condition !== ctx.response.get('last-modified'))
-  )
-    return;
-  const read = rangeParser(entry.body.length, range, { combine: true });
-  if (read === -1) {
-    ctx.status = 416;
-    ctx.set('content-range', `bytes */${entry.body.length}`);
-    ctx.body = null;
-    ctx.status = 416;
-    return;
-  }
-  const one = read === -2 || read.type !== 'bytes' || read.length !== 1 ? undefined : read[0];
-  if (one === undefined) return;
+  const validators = [ctx.response.get('etag'), ctx.response.get('last-modified')];
+  if (condition !== '' && !validators.includes(condition)) return undefined;
+  const ranges = rangeParser(entry.body.length, range, { combine: true });
+  if (ranges === -1) return 'unsatisfiable';
+  return ranges === -2 || ranges.type !== 'bytes' || ranges.length !== 1 ? undefined : ranges[0];
+};
+
+const sendUnsatisfiable = (ctx: Koa.Context, entry: CacheEntry): void => {
+  ctx.status = 416;
+  ctx.set('content-range', `bytes */${entry.body.length}`);
+  ctx.body = null;
+  // An empty body sets 204.
+  ctx.status = 416;
+};
+
+const sendRange = (ctx: Koa.Context, entry: CacheEntry, { start, end }: ByteRange): void => {
   ctx.status = 206;
-  ctx.set('content-range', `bytes ${one.start}-${one.end}/${entry.body.length}`);
+  ctx.set('content-range', `bytes ${start}-${end}/${entry.body.length}`);
+  // The digest is of the whole object.
   ctx.remove('content-digest');
-  ctx.body = entry.body.subarray(one.start, one.end + 1);
-  ctx.length = one.end - one.start + 1;
+  ctx.body = entry.body.subarray(start, end + 1);
+  ctx.length = end - start + 1;
 };
