--- a/packages/routing/src/index.ts
+++ b/packages/routing/src/index.ts
@@ -1,3 +1,8 @@
+/**
+ * The routing of an edge that sends requests straight to origins: a request's state machine, endpoint balancing, quotas,
+ * coalescing, caching and object sharing. Sockets and HTTP are left to the proxy package.
+ */
+
 export * from './token-bucket/token-bucket.js';
 export * from './attempt-state/attempt-state.js';
 export * from './endpoint/endpoint-table.js';
--- a/packages/routing/src/quota/quota-share.ts
+++ b/packages/routing/src/quota/quota-share.ts
@@ -1,104 +1,109 @@
+/**
+ * An edge's share of what the whole fleet may send to a service. Edges do not coordinate: each takes an equal share, so
+ * that the sum keeps the limits whichever edge is partitioned, restarts or stalls.
+ */
+
 import {
-  type Timestamp,
   type ServiceName,
-  subtractMs,
+  type Timestamp,
   addMs,
   clockOrigin,
+  subtractMs,
 } from '@switchwheel/types';
 import type { Service } from '@switchwheel/configuration';
+import type { EdgeLimits } from '../router/ports.js';
 import {
-  type TokenBucket,
   type RefillRate,
+  type TokenBucket,
   addTokens,
-  refill,
   newTokenBucket,
+  refill,
   takeToken,
   waitForTokenMs,
 } from '../token-bucket/token-bucket.js';
-import type { EdgeLimits } from '../router/ports.js';
 
-/** How long an edge that is no longer seen still counts: its quota may be in use. */
+/** How long an edge that is no longer seen still counts: its share may be in use. */
 const edgeMemoryMs = 30_000;
-/** How long a service counts as scarce after this edge's part of its rate ran out. */
+/** How long a service counts as scarce after this edge's share of its rate ran out. */
 const scarcityMs = 5000;
 /** Fetches a second below which an edge can't fill a cache by itself. */
 const minCacheFillRate = 5;
 
-/** How many edges share what a service may be sent: the most seen of late. */
+/** What of the allowed extra attempts is used: by the ratio to requests, and by the slack. The rest is a margin. */
+const usedExtraAttemptRatio = 0.75;
+const usedExtraAttemptSlack = 0.4;
+/** What of a service's rate, of the allowed overage and of its connections is used. */
+const usedServiceRate = 0.97;
+const usedOverage = 0.8;
+const usedConnections = 0.9;
+
+/** How many edges share the limits: the most that were seen in a while. */
 export class EdgeCount {
-  #observations: readonly { readonly many: number; readonly at: Timestamp }[] = [];
-
-  record(many: number, now: Timestamp): void {
-    const last = this.#observations.at(-1);
-    if (last?.many === many)
-      this.#observations = [...this.#observations.slice(0, -1), { many, at: now }];
-    else
-      this.#observations = [
-        ...this.#observations.filter((one) => one.at > subtractMs(now, edgeMemoryMs)),
-        { many, at: now },
-      ];
+  #observations: readonly { readonly count: number; readonly at: Timestamp }[] = [];
+
+  /** Notes how many edges are seen now. */
+  record(count: number, now: Timestamp): void {
+    const latest = { count, at: now };
+    const previous = this.#observations.at(-1);
+    const earlier =
+      previous?.count === count
+        ? this.#observations.slice(0, -1)
+        : this.#observations.filter(({ at }) => at > subtractMs(now, edgeMemoryMs));
+    this.#observations = [...earlier, latest];
   }
 
+  /** The number of edges, 1 at least. */
   get count(): number {
-    return this.#observations.reduce((most, one) => Math.max(most, one.many), 1);
+    return this.#observations.reduce((highest, { count }) => Math.max(highest, count), 1);
   }
 }
 
-/**
- * This edge's part of what the whole fleet may send to a service: an equal part for each edge, so that the sum
- * keeps the rule whoever of them is cut off, restarts or sleeps. A new edge starts with nothing.
- */
+/** The token buckets of one edge. A new edge starts with nothing. */
 export class QuotaShare {
   readonly #limits: EdgeLimits;
   readonly #edgeCount: EdgeCount;
   readonly #extraAttemptBuckets = new Map<ServiceName, TokenBucket>();
   readonly #serviceBuckets = new Map<ServiceName, TokenBucket>();
-  /** Until when a service counts as one whose part ran out here. */
+  /** Until when a service counts as one whose share ran out here. */
   readonly #scarceUntil = new Map<ServiceName, Timestamp>();
 
-  constructor(bounds: EdgeLimits, edges: EdgeCount) {
-    this.#limits = bounds;
-    this.#edgeCount = edges;
+  constructor(limits: EdgeLimits, edgeCount: EdgeCount) {
+    this.#limits = limits;
+    this.#edgeCount = edgeCount;
   }
 
-  /** A caller's request came for a service: it earns a part of an extra leg. */
+  /** A client's request came for a service: it earns a part of an extra attempt (retry or hedge). */
   recordRequest(service: ServiceName, now: Timestamp): void {
     const rate = this.#extraAttemptRate();
-    this.#extraAttemptBuckets.set(
-      service,
-      addTokens(
-        refill(this.#extraAttemptBuckets.get(service) ?? newTokenBucket(now), rate, now),
-        rate,
-        0.75 * this.#limits.extraAttemptRatio,
-      ),
-    );
+    const bucket = refill(this.#extraAttemptBucket(service, now), rate, now);
+    const earned = usedExtraAttemptRatio * this.#limits.extraAttemptRatio;
+    this.#extraAttemptBuckets.set(service, addTokens(bucket, rate, earned));
   }
 
+  /** Takes an extra attempt (retry or hedge) from the budget; false if there is none. */
   takeExtraAttempt(service: ServiceName, now: Timestamp): boolean {
-    const next = takeToken(
-      this.#extraAttemptBuckets.get(service) ?? newTokenBucket(now),
-      this.#extraAttemptRate(),
-      now,
-    );
-    if (next === undefined) return false;
-    this.#extraAttemptBuckets.set(service, next);
+    const bucket = this.#extraAttemptBucket(service, now);
+    const remaining = takeToken(bucket, this.#extraAttemptRate(), now);
+    if (remaining === undefined) return false;
+    this.#extraAttemptBuckets.set(service, remaining);
     return true;
   }
 
-  /** Milliseconds until a request may go to the service; 0 takes one now. */
+  /** Takes a request from the service's rate limit and gives 0; or gives the milliseconds until there is one. */
   takeOrWaitMs(service: Service, now: Timestamp): number {
     if (service.perSecond === undefined) return 0;
     const rate = this.#serviceRate(service.perSecond);
     const bucket = this.#serviceBuckets.get(service.name) ?? newTokenBucket(now);
-    const next = takeToken(bucket, rate, now);
-    this.#serviceBuckets.set(service.name, next ?? refill(bucket, rate, now));
-    if (next === undefined) this.#scarceUntil.set(service.name, addMs(now, scarcityMs));
-    return next === undefined ? Math.max(1, waitForTokenMs(bucket, rate, now)) : 0;
+    const remaining = takeToken(bucket, rate, now);
+    this.#serviceBuckets.set(service.name, remaining ?? refill(bucket, rate, now));
+    if (remaining !== undefined) return 0;
+    this.#scarceUntil.set(service.name, addMs(now, scarcityMs));
+    return Math.max(1, waitForTokenMs(bucket, rate, now));
   }
 
   /**
-   * Whether this edge's part of a service's rate is too small to fetch what its callers ask for: it ran out
-   * of late, or would fill a cache too slowly.
+   * Whether this edge's share of a service's rate is too small to fetch what its clients ask for: it ran out recently,
+   * or would fill a cache too slowly.
    */
   isScarce(service: Service, now: Timestamp): boolean {
     if (service.perSecond === undefined) return false;
@@ -106,28 +111,33 @@
     return (this.#scarceUntil.get(service.name) ?? clockOrigin) > now;
   }
 
-  /** How many connections this edge may have to one origin. */
-  maxConnectionsPerEndpoint(service: Service): number {
-    return service.connections === undefined
-      ? Infinity
-      : Math.max(1, Math.floor((service.connections * 0.9) / this.#edgeCount.count));
+  /** How many connections this edge may have to one endpoint of a service. */
+  maxConnectionsPerEndpoint({ connections }: Service): number {
+    if (connections === undefined) return Infinity;
+    return Math.max(1, Math.floor((connections * usedConnections) / this.#edgeCount.count));
+  }
+
+  #extraAttemptBucket(service: ServiceName, now: Timestamp): TokenBucket {
+    return this.#extraAttemptBuckets.get(service) ?? newTokenBucket(now);
   }
 
   #extraAttemptRate(): RefillRate {
-    const part = (0.4 * this.#limits.extraAttemptSlack) / this.#edgeCount.count;
+    const { extraAttemptSlack, extraAttemptWindowMs } = this.#limits;
+    const share = (usedExtraAttemptSlack * extraAttemptSlack) / this.#edgeCount.count;
     return {
-      tokensPerSecond: (part * 1000) / this.#limits.extraAttemptWindowMs,
-      capacity: Math.max(1, part),
+      tokensPerSecond: (share * 1000) / extraAttemptWindowMs,
+      capacity: Math.max(1, share),
     };
   }
 
   #serviceRate(perSecond: number): RefillRate {
-    const many = this.#edgeCount.count;
-    const seconds = this.#limits.rateLimitWindowMs / 1000;
-    const over = (this.#limits.rateLimitOverageFactor - 0.97) * perSecond * seconds;
+    const { rateLimitWindowMs, rateLimitOverageFactor } = this.#limits;
+    const edgeCount = this.#edgeCount.count;
+    const windowSeconds = rateLimitWindowMs / 1000;
+    const overage = (rateLimitOverageFactor - usedServiceRate) * perSecond * windowSeconds;
     return {
-      tokensPerSecond: (0.97 * perSecond) / many,
-      capacity: Math.max(1, (0.8 * over) / many),
+      tokensPerSecond: (usedServiceRate * perSecond) / edgeCount,
+      capacity: Math.max(1, (usedOverage * overage) / edgeCount),
     };
   }
 }
--- a/packages/routing/src/rollout/rollout-counters.ts
+++ b/packages/routing/src/rollout/rollout-counters.ts
@@ -1,15 +1,27 @@
+/**
+ * What an edge counts of the releases that a rollout compares, for the store's primary, which decides on the canary. The
+ * counts of a rollout begin when this edge first hears of it.
+ */
+
 import {
-  type Timestamp,
   type Release,
   type ServiceName,
+  type Timestamp,
   elapsedMs,
   toDurationMs,
 } from '@switchwheel/types';
-import type { FrameOf, RolloutState, ReleaseCountsRow } from '@switchwheel/transport';
+import type { FrameOf, ReleaseCountsRow, RolloutState } from '@switchwheel/transport';
 
-/** What a leg that ended counts as. */
-export type AttemptOutcome = 'good' | 'bad' | 'cut';
+/** How an attempt ended, as far as its release is concerned. */
+export type AttemptOutcome = 'succeeded' | 'failed' | 'cancelled';
 
+/** A service's counts as they stand in the frame to the primary. */
+export type RolloutReport = Pick<
+  FrameOf<'tally'>,
+  'service' | 'order' | 'serial' | 'rows' | 'inFlightOld' | 'spentMs'
+>;
+
+/** The counts of one release and service class; the names are those of the frame's row. */
 interface OutcomeCounts {
   readonly release: Release;
   readonly group: string;
@@ -26,98 +38,96 @@
   readonly countsByRelease: Map<string, OutcomeCounts>;
 }
 
-/** An answer this many times the usual span is slow. */
+/** An attempt this many times as long as is typical is slow. */
 const slowFactor = 4;
 
-/** What this edge counts of a service's releases since it heard of an order. Each request changes it in place. */
+/** The counts of all rollouts. They change in place, as each request changes them. */
 export class RolloutCounters {
   readonly #rollouts = new Map<ServiceName, RolloutCounts>();
-  /** Legs under way, by service and release, whether an order stands or not. */
+  /** Attempts in flight by service and release, whether there is a rollout or not. */
   readonly #inFlight = new Map<string, number>();
 
-  /** Takes note of the orders that stand. */
-  noteRollouts(states: Iterable<RolloutState>, now: Timestamp): void {
-    for (const one of states) {
-      if (one.target === undefined || this.#rollouts.get(one.service)?.rolloutSeq === one.order)
-        continue;
-      this.#rollouts.set(one.service, {
-        rolloutSeq: one.order,
+  /** Begins to count for rollouts that are new. */
+  noteRollouts(rollouts: Iterable<RolloutState>, now: Timestamp): void {
+    for (const { service, target, order } of rollouts) {
+      if (target === undefined || this.#rollouts.get(service)?.rolloutSeq === order) continue;
+      this.#rollouts.set(service, {
+        rolloutSeq: order,
         startedAt: now,
         countsByRelease: new Map(),
       });
     }
   }
 
-  recordAttemptStart(service: ServiceName, release: Release, group: string): void {
-    const key = `${service} ${release}`;
+  /** An attempt was sent to a release. */
+  recordAttemptStart(service: ServiceName, release: Release, className: string): void {
+    const key = inFlightKey(service, release);
     this.#inFlight.set(key, (this.#inFlight.get(key) ?? 0) + 1);
-    const count = this.#countsOf(service, release, group);
-    if (count !== undefined) count.sent += 1;
+    const counts = this.#countsOf(service, release, className);
+    if (counts !== undefined) counts.sent += 1;
   }
 
+  /** An attempt ended after `durationMs`, where `typicalMs` is typical of the settled release. */
   recordAttemptEnd(
     service: ServiceName,
     release: Release,
-    group: string,
+    className: string,
     outcome: AttemptOutcome,
-    ms: number,
-    usualMs: number,
+    durationMs: number,
+    typicalMs: number,
   ): void {
-    const key = `${service} ${release}`;
+    const key = inFlightKey(service, release);
     this.#inFlight.set(key, Math.max(0, (this.#inFlight.get(key) ?? 0) - 1));
-    const count = this.#countsOf(service, release, group);
-    if (count === undefined) return;
-    const slow = ms > slowFactor * usualMs;
-    // One that was cut before it was slow tells nothing.
-    if (outcome === 'cut' && !slow) return;
-    if (outcome === 'bad') count.bad += 1;
-    else count.good += 1;
-    if (slow) count.slow += 1;
-    count.sumMs += ms;
+    const counts = this.#countsOf(service, release, className);
+    if (counts === undefined) return;
+    const isSlow = durationMs > slowFactor * typicalMs;
+    // One that was cancelled before it was slow says nothing of its release.
+    if (outcome === 'cancelled' && !isSlow) return;
+    if (outcome === 'failed') counts.bad += 1;
+    else counts.good += 1;
+    if (isSlow) counts.slow += 1;
+    counts.sumMs += durationMs;
   }
 
-  /** The word for the primary on one service. */
-  report(
-    state: RolloutState,
-    now: Timestamp,
-  ):
-    | Pick<FrameOf<'tally'>, 'service' | 'order' | 'serial' | 'rows' | 'inFlightOld' | 'spentMs'>
-    | undefined {
-    const own = this.#rollouts.get(state.service);
-    if (own === undefined || own.rolloutSeq !== state.order) return undefined;
-    const rows: ReleaseCountsRow[] = [...own.countsByRelease.values()].map(
-      ({ release, group, sent, good, bad, slow, sumMs }) => ({
-        release,
-        group,
-        sent,
-        good,
-        bad,
-        slow,
-        sumMs,
-      }),
-    );
-    let inFlightOld = 0;
-    for (const [key, many] of this.#inFlight)
-      if (key.startsWith(`${state.service} `) && key !== `${state.service} ${state.target ?? ''}`)
-        inFlightOld += many;
-    return {
-      service: state.service,
-      order: state.order,
-      serial: state.serial,
-      rows,
-      inFlightOld,
-      spentMs: toDurationMs(Math.max(0, elapsedMs(own.startedAt, now))),
-    };
+  /** The counts of a rollout; undefined if this edge counts for another one of the service. */
+  report(rollout: RolloutState, now: Timestamp): RolloutReport | undefined {
+    const { service, order, serial } = rollout;
+    const counts = this.#rollouts.get(service);
+    if (counts === undefined || counts.rolloutSeq !== order) return undefined;
+    const rows: ReleaseCountsRow[] = [...counts.countsByRelease.values()].map((row) => ({
+      ...row,
+    }));
+    const spentMs = toDurationMs(Math.max(0, elapsedMs(counts.startedAt, now)));
+    return { service, order, serial, rows, inFlightOld: this.#inFlightOld(rollout), spentMs };
   }
 
-  #countsOf(service: ServiceName, release: Release, group: string): OutcomeCounts | undefined {
-    const own = this.#rollouts.get(service);
-    if (own === undefined) return undefined;
-    const key = `${release} ${group}`;
-    const known = own.countsByRelease.get(key);
+  /** Attempts in flight to other releases than the rollout's target. */
+  #inFlightOld({ service, target }: RolloutState): number {
+    const targetKey = `${service} ${target ?? ''}`;
+    let total = 0;
+    for (const [key, count] of this.#inFlight)
+      if (key.startsWith(`${service} `) && key !== targetKey) total += count;
+    return total;
+  }
+
+  #countsOf(service: ServiceName, release: Release, className: string): OutcomeCounts | undefined {
+    const rollout = this.#rollouts.get(service);
+    if (rollout === undefined) return undefined;
+    const key = `${release} ${className}`;
+    const known = rollout.countsByRelease.get(key);
     if (known !== undefined) return known;
-    const fresh: OutcomeCounts = { release, group, sent: 0, good: 0, bad: 0, slow: 0, sumMs: 0 };
-    own.countsByRelease.set(key, fresh);
-    return fresh;
+    const counts: OutcomeCounts = {
+      release,
+      group: className,
+      sent: 0,
+      good: 0,
+      bad: 0,
+      slow: 0,
+      sumMs: 0,
+    };
+    rollout.countsByRelease.set(key, counts);
+    return counts;
   }
 }
+
+const inFlightKey = (service: ServiceName, release: Release): string => `${service} ${release}`;
--- a/packages/routing/src/router/attempt-sender.ts
+++ b/packages/routing/src/router/attempt-sender.ts
@@ -80,7 +80,7 @@
     const durationMs = elapsedMs(inFlight.startedAt, now);
     // The instance may have left, and another endpoint may bear its name.
     const endpoint = endpoints.get(inFlight.endpoint.instance);
-    this.#countOutcome(active, inFlight.release, 'cut', durationMs);
+    this.#countOutcome(active, inFlight.release, 'cancelled', durationMs);
     // A cancelled attempt took at least this long: a slow origin is known by it.
     if (endpoint !== undefined)
       endpoints.recordAttemptEnd(endpoint, Math.max(endpoint.latencyEwmaMs, durationMs), true, now);
@@ -132,10 +132,10 @@
     const durationMs = elapsedMs(startedAt, now);
     const isSuccess = response.status < 500;
     if (response.isUnprocessed) {
-      this.#countOutcome(active, release, 'cut', 0);
+      this.#countOutcome(active, release, 'cancelled', 0);
       endpoints.recordRejection(endpoint, now);
     } else {
-      this.#countOutcome(active, release, isSuccess ? 'good' : 'bad', durationMs);
+      this.#countOutcome(active, release, isSuccess ? 'succeeded' : 'failed', durationMs);
       endpoints.recordAttemptEnd(endpoint, durationMs, isSuccess, now);
     }
     onEvent(active, { kind: 'responseReceived', now, attempt, response });
@@ -149,8 +149,9 @@
     const { context, counts, endpoints } = this.#options;
     const now = context.now();
     increment(counts, mayHaveReachedOrigin ? 'broke' : 'unopened');
-    if (mayHaveReachedOrigin) this.#countOutcome(active, release, 'bad', elapsedMs(startedAt, now));
-    else this.#countOutcome(active, release, 'cut', 0);
+    if (mayHaveReachedOrigin)
+      this.#countOutcome(active, release, 'failed', elapsedMs(startedAt, now));
+    else this.#countOutcome(active, release, 'cancelled', 0);
     endpoints.recordAttemptEnd(endpoint, undefined, false, now);
     return now;
   }
--- a/packages/routing/src/token-bucket/token-bucket.ts
+++ b/packages/routing/src/token-bucket/token-bucket.ts
@@ -1,53 +1,56 @@
-import { type Timestamp, elapsedMs, clockOrigin } from '@switchwheel/types';
+/** Token buckets as values: tokens come in with time, or are earned, up to a capacity; what is sent takes them. */
 
-/** Tokens that time and requests fill up to a depth, and that what is sent takes. */
+import { type Timestamp, clockOrigin, elapsedMs } from '@switchwheel/types';
+
+/** How many tokens there were, and when. */
 export interface TokenBucket {
   readonly tokens: number;
   readonly refilledAt: Timestamp;
 }
 
-/** How a bucket fills: tokens a second, and the most it holds. */
+/** How a bucket refills, and how many tokens it holds at most. */
 export interface RefillRate {
   readonly tokensPerSecond: number;
   readonly capacity: number;
 }
 
-/** A new bucket is empty: whoever restarts has no claim from before. */
+/** How long to wait for a token of a bucket that never refills. */
+const noRefillWaitMs = 1000;
+
+/** A new bucket is empty: a process that restarts has no claim from before. */
 export const newTokenBucket = (now: Timestamp = clockOrigin): TokenBucket => ({
   tokens: 0,
   refilledAt: now,
 });
 
-export const refill = (bucket: TokenBucket, rate: RefillRate, now: Timestamp): TokenBucket => ({
-  tokens: Math.min(
-    rate.capacity,
-    bucket.tokens + (Math.max(0, elapsedMs(bucket.refilledAt, now)) / 1000) * rate.tokensPerSecond,
-  ),
-  refilledAt: now,
-});
+/** The bucket with the tokens that have come in until now. */
+export const refill = (bucket: TokenBucket, rate: RefillRate, now: Timestamp): TokenBucket => {
+  const seconds = Math.max(0, elapsedMs(bucket.refilledAt, now)) / 1000;
+  return {
+    tokens: Math.min(rate.capacity, bucket.tokens + seconds * rate.tokensPerSecond),
+    refilledAt: now,
+  };
+};
 
-/** Tokens that are earned by something else than time. */
-export const addTokens = (bucket: TokenBucket, rate: RefillRate, many: number): TokenBucket => ({
+/** Adds tokens that were earned by something else than time. */
+export const addTokens = (bucket: TokenBucket, rate: RefillRate, count: number): TokenBucket => ({
   ...bucket,
-  tokens: Math.min(rate.capacity, bucket.tokens + many),
+  tokens: Math.min(rate.capacity, bucket.tokens + count),
 });
 
-/** Takes one token; nothing if there is none. */
+/** Takes one token; undefined if there is none. */
 export const takeToken = (
   bucket: TokenBucket,
   rate: RefillRate,
   now: Timestamp,
 ): TokenBucket | undefined => {
-  const full = refill(bucket, rate, now);
-  return full.tokens < 1 ? undefined : { ...full, tokens: full.tokens - 1 };
+  const refilled = refill(bucket, rate, now);
+  return refilled.tokens < 1 ? undefined : { ...refilled, tokens: refilled.tokens - 1 };
 };
 
 /** In how many milliseconds there will be a token. */
 export const waitForTokenMs = (bucket: TokenBucket, rate: RefillRate, now: Timestamp): number => {
   const { tokens } = refill(bucket, rate, now);
-  return tokens >= 1
-    ? 0
-    : rate.tokensPerSecond <= 0
-      ? 1000
-      : ((1 - tokens) / rate.tokensPerSecond) * 1000;
+  if (tokens >= 1) return 0;
+  return rate.tokensPerSecond <= 0 ? noRefillWaitMs : ((1 - tokens) / rate.tokensPerSecond) * 1000;
 };
