--- a/packages/routing/src/object-sharing/object-sharing.test.ts
+++ b/packages/routing/src/object-sharing/object-sharing.test.ts
@@ -7,23 +7,15 @@
   type Seq,
   toAddress,
   toZoneName,
-  toGeneration,
   toIncarnation,
-  toInstanceId,
   toTimestamp,
   toNodeId,
-  toRelease,
   toSeq,
   toServiceName,
 } from '@switchwheel/types';
 import type { Member, ObjectFrame } from '@switchwheel/transport';
-import {
-  type CompiledConfiguration,
-  buildConfiguration,
-  splitIntoChunks,
-  runToCompletion,
-} from '@switchwheel/configuration';
-import { type NodeAgent, Cache, newNodeAgent } from '@switchwheel/proxy-core';
+import type { CompiledConfiguration } from '@switchwheel/configuration';
+import { type NodeAgent, Cache } from '@switchwheel/proxy-core';
 import { EdgeRouter } from '../router/edge-router.js';
 import {
   type AttemptHandlers,
@@ -32,20 +24,21 @@
   defaultEdgeLimits,
   defaultHeaderNames,
 } from '../router/ports.js';
+import { compileDocument, newConfirmedEdgeAgent } from '../testing/edge-fixture.js';
 import { ObjectOwners } from './object-owners.js';
 import { maxSharedBytes } from './object-sharing.js';
 
 const service = toServiceName('clips');
 const host = 'one.example';
-const area = toZoneName('a');
+const zoneName = toZoneName('a');
 const lifetimeMs = 5000;
 const edgeCount = 6;
-/** So few that each edge's part is one fetch in two seconds. */
+/** So low that each edge's quota share is one fetch in two seconds. */
 const perSecond = 3;
 
-const tableOf = (generation: number): CompiledConfiguration => {
-  const bundle = runToCompletion(
-    splitIntoChunks({
+const configurationOf = (generation: number): CompiledConfiguration =>
+  compileDocument(
+    {
       format: 1,
       classes: [{ name: 'play', share: 1 }],
       services: [{ name: service, perSecond }],
@@ -60,21 +53,15 @@
         },
         { name: 'edit', host, prefix: '/edit/', methods: ['POST'], service, class: 'play' },
       ],
-    }),
+    },
+    generation,
   );
-  assert.ok(bundle.isOk);
-  const { hash, chunkHashes, chunks } = bundle.value;
-  const texts = chunkHashes.map((one) => chunks.get(one) ?? '');
-  const built = runToCompletion(buildConfiguration(texts, toGeneration(generation), hash));
-  assert.ok(built.isOk);
-  return built.value;
-};
-const table = tableOf(1);
+const configuration = configurationOf(1);
 
 const memberAt = (at: number): Member => ({
   node: toNodeId(`e${at}`),
   role: 'edge',
-  area,
+  area: zoneName,
   address: toAddress(`10.0.0.${at + 1}:1`),
   incarnation: toIncarnation(1),
 });
@@ -82,38 +69,38 @@
 
 interface Fetch {
   readonly edge: Edge;
-  readonly order: AttemptRequest;
-  readonly ears: AttemptHandlers;
+  readonly request: AttemptRequest;
+  readonly handlers: AttemptHandlers;
 }
 
-/** Edges of one area, each with a clock of its own, whose frames and fetches the test lets through. */
-class Area {
+/** The edges of one zone, each with its own clock; the test delivers their frames and responds to their fetches. */
+class ZoneFixture {
   now = 0;
   readonly edges: readonly Edge[];
   readonly fetches: Fetch[] = [];
-  /** Edges that hear nothing and say nothing. */
+  /** Edges whose frames are lost in both directions. */
   readonly dead = new Set<Address>();
   readonly #wire: { readonly from: Edge; readonly to: Address; readonly frame: ObjectFrame }[] = [];
 
   constructor() {
     this.edges = members.map((member, at) => new Edge(this, member, 10_000 * (at + 1)));
-    // An edge's part of the rate is empty when it is first used, and fills from then on.
+    // A quota share is empty when it is first used, and refills from then on.
     for (const edge of this.edges) edge.ask('/edit/0', 'POST');
     this.pass(3000);
-    for (const edge of this.edges) edge.told.splice(0);
+    for (const edge of this.edges) edge.replies.splice(0);
   }
 
   send(from: Edge, to: Address, frame: ObjectFrame): void {
     this.#wire.push({ from, to, frame });
   }
 
-  /** Lets every frame arrive. */
+  /** Delivers all frames, also those that are sent meanwhile. */
   deliver(): void {
     for (let one = this.#wire.shift(); one !== undefined; one = this.#wire.shift()) {
       const { from, to, frame } = one;
       const target = this.edges.find((edge) => edge.member.address === to);
       if (target === undefined || this.dead.has(to) || this.dead.has(from.member.address)) continue;
-      target.line.handlePeerFrame(from.member.address, frame);
+      target.router.handlePeerFrame(from.member.address, frame);
     }
   }
 
@@ -128,7 +115,7 @@
 
   answer(at: number, body = 'body', status = 200): void {
     const fields: AttemptRequest['fields'] = [['cache-tag', 't1']];
-    this.fetches[at]?.ears.onResponse({
+    this.fetches[at]?.handlers.onResponse({
       status,
       fields,
       body: Buffer.from(body),
@@ -139,7 +126,7 @@
 
   /** The edge that owns an object, and the others. */
   split(target: string): { readonly owner: Edge; readonly others: readonly Edge[] } {
-    const probe = new Area();
+    const probe = new ZoneFixture();
     const [first] = probe.edges;
     first?.ask(target);
     probe.deliver();
@@ -154,48 +141,31 @@
 };
 
 class Edge {
-  readonly told: ClientReply[] = [];
+  readonly replies: ClientReply[] = [];
   readonly cache = new Cache(1_000_000);
-  readonly line: EdgeRouter;
-  cabin: NodeAgent;
+  readonly router: EdgeRouter;
+  nodeAgent: NodeAgent;
 
   constructor(
-    readonly area: Area,
+    readonly zone: ZoneFixture,
     readonly member: Member,
     readonly clockStart: number,
   ) {
-    const fresh = newNodeAgent(member, [], { seed: 3 });
-    const origin = {
+    this.nodeAgent = newConfirmedEdgeAgent({
+      configuration,
       service,
-      instance: toInstanceId('o1'),
-      address: toAddress('10.0.1.1:80'),
-      release: toRelease('r1'),
+      origins: [{ instance: 'o1', address: '10.0.1.1:80' }],
       slots: 64,
-      state: 'up' as const,
-      lastHeardAt: this.now,
-    };
-    this.cabin = {
-      ...fresh,
-      compiledConfiguration: table,
-      purgesCurrentAsOf: this.now,
-      configFreshness: {
-        newestGeneration: table.generation,
-        confirmedAsOf: this.now,
-        pendingGenerations: [],
-      },
-      nodeSession: {
-        ...fresh.nodeSession,
-        registryHeardAt: this.now,
-        origins: new Map([[origin.instance, origin]]),
-        members,
-      },
-    };
-    this.line = new EdgeRouter(
-      { now: () => this.now, nodeAgent: () => this.cabin },
+      now: this.now,
+      member,
+      members,
+    });
+    this.router = new EdgeRouter(
+      { now: () => this.now, nodeAgent: () => this.nodeAgent },
       this.cache,
       {
-        send: (order, ears) => {
-          area.fetches.push({ edge: this, order, ears });
+        send: (request, handlers) => {
+          zone.fetches.push({ edge: this, request, handlers });
           return () => undefined;
         },
         forget: () => undefined,
@@ -205,31 +175,31 @@
         headerNames: defaultHeaderNames,
         limits: defaultEdgeLimits,
         maxActiveRequests: 100,
-        peers: { send: (to, frame) => area.send(this, to, frame) },
+        peers: { send: (to, frame) => zone.send(this, to, frame) },
       },
       { seed: clockStart },
     );
-    this.line.updateFleet(this.cabin);
+    this.router.updateFleet(this.nodeAgent);
   }
 
   get now(): Timestamp {
-    return toTimestamp(this.clockStart + this.area.now);
+    return toTimestamp(this.clockStart + this.zone.now);
   }
 
   tick(): void {
-    const { nodeSession } = this.cabin;
+    const { nodeSession } = this.nodeAgent;
     const at = this.now;
-    this.cabin = {
-      ...this.cabin,
+    this.nodeAgent = {
+      ...this.nodeAgent,
       purgesCurrentAsOf: at,
       nodeSession: { ...nodeSession, registryHeardAt: at },
     };
-    this.line.tick(at);
+    this.router.tick(at);
   }
 
   ask(target: string, method = 'GET', fields: AttemptRequest['fields'] = []): void {
-    const call = {
-      id: `${this.member.node}-${this.told.length}`,
+    const request = {
+      id: `${this.member.node}-${this.replies.length}`,
       method,
       host,
       target,
@@ -237,156 +207,158 @@
       body: Buffer.alloc(0),
       timeoutMs: 2000,
     };
-    this.line.serve(call, (word) => this.told.push(word));
+    this.router.serve(request, (reply) => this.replies.push(reply));
   }
 
   purge(seq: number, path: string): void {
     const top: Seq = toSeq(seq);
     this.cache.purge([{ seq: top, aims: [{ by: 'object', host, path }] }], false, top);
-    this.line.onPurged();
-    this.cabin = { ...this.cabin, lastPurgeSeq: top };
+    this.router.onPurged();
+    this.nodeAgent = { ...this.nodeAgent, lastPurgeSeq: top };
   }
 
   kinds(): readonly string[] {
-    return this.told.map((one) => (one.kind === 'failure' ? one.errorKind : one.kind));
+    return this.replies.map((reply) => (reply.kind === 'failure' ? reply.errorKind : reply.kind));
   }
 
   bodies(): readonly string[] {
-    return this.told.map((one) => (one.kind === 'cached' ? one.entry.body.toString() : one.kind));
+    return this.replies.map((reply) =>
+      reply.kind === 'cached' ? reply.entry.body.toString() : reply.kind,
+    );
   }
 }
 
-void test('all edges of an area that ask for an object get it by one fetch of its owner', () => {
-  const run = new Area();
-  for (const edge of run.edges) edge.ask('/clips/1');
-  run.deliver();
-  assert.equal(run.fetches.length, 1);
-  run.answer(0, 'first');
-  for (const edge of run.edges) assert.deepEqual(edge.bodies(), ['first']);
-  for (const edge of run.edges) edge.ask('/clips/1');
-  assert.equal(run.fetches.length, 1, 'each of them keeps it');
-  for (const edge of run.edges) assert.deepEqual(edge.bodies(), ['first', 'first']);
+void test('all edges of a zone that request an object get it by one fetch of its owner', () => {
+  const zone = new ZoneFixture();
+  for (const edge of zone.edges) edge.ask('/clips/1');
+  zone.deliver();
+  assert.equal(zone.fetches.length, 1);
+  zone.answer(0, 'first');
+  for (const edge of zone.edges) assert.deepEqual(edge.bodies(), ['first']);
+  for (const edge of zone.edges) edge.ask('/clips/1');
+  assert.equal(zone.fetches.length, 1, 'each of them keeps it');
+  for (const edge of zone.edges) assert.deepEqual(edge.bodies(), ['first', 'first']);
 });
 
-void test('an owner fetches by the id of the request that asked first, which the origin echoes', () => {
-  const run = new Area();
-  const { others } = run.split('/clips/1');
+void test('an owner fetches by the id of the first request, which the origin echoes', () => {
+  const zone = new ZoneFixture();
+  const { others } = zone.split('/clips/1');
   others[0]?.ask('/clips/1', 'GET', [
     ['accept', 'audio/*'],
     ['x-private', 'of the caller'],
   ]);
-  run.deliver();
-  const [fetch] = run.fetches;
-  const id = fetch?.order.id;
+  zone.deliver();
+  const [fetch] = zone.fetches;
+  const id = fetch?.request.id;
   assert.match(id ?? '', new RegExp(`^${others[0]?.member.node}-`));
-  const names = new Map(fetch?.order.fields);
+  const names = new Map(fetch?.request.fields);
   assert.equal(names.get(defaultHeaderNames.requestId), id);
   assert.equal(names.get('accept'), 'audio/*');
   assert.equal(names.has('x-private'), false);
 });
 
-void test('objects are owned by all edges in turn, and each is fetched once', () => {
-  const run = new Area();
+void test('objects are owned by all edges, and each is fetched once', () => {
+  const zone = new ZoneFixture();
   const owners = new Set<Edge>();
   for (let object = 0; object < 30; object += 1) {
-    for (const edge of run.edges) edge.ask(`/clips/${object}`);
-    run.deliver();
-    assert.equal(run.fetches.length, object + 1);
-    const edge = run.fetches.at(-1)?.edge;
+    for (const edge of zone.edges) edge.ask(`/clips/${object}`);
+    zone.deliver();
+    assert.equal(zone.fetches.length, object + 1);
+    const edge = zone.fetches.at(-1)?.edge;
     if (edge !== undefined) owners.add(edge);
-    run.answer(object);
-    run.pass(2100);
+    zone.answer(object);
+    zone.pass(2100);
   }
   assert.equal(owners.size, edgeCount);
 });
 
 void test('a shared object is as old at every edge as it is at its owner', () => {
-  const run = new Area();
-  const { owner, others } = run.split('/clips/1');
+  const zone = new ZoneFixture();
+  const { owner, others } = zone.split('/clips/1');
   owner.ask('/clips/1');
-  run.answer(0, 'old');
-  run.pass(lifetimeMs - 100);
+  zone.answer(0, 'old');
+  zone.pass(lifetimeMs - 100);
   const [first] = others;
   first?.ask('/clips/1');
-  run.deliver();
+  zone.deliver();
   assert.deepEqual(first?.bodies(), ['old'], 'told while it is good');
-  run.pass(100);
+  zone.pass(100);
   first.ask('/clips/1');
-  run.deliver();
-  assert.equal(run.fetches.length, 2, 'not told past its lifetime');
+  zone.deliver();
+  assert.equal(zone.fetches.length, 2, 'not told past its lifetime');
 });
 
-void test('an object that was purged after its owner fetched it is not taken by an edge that knows', () => {
-  const run = new Area();
-  const { owner, others } = run.split('/clips/1');
+void test('an object that was purged after its owner fetched it is rejected by an edge that knows', () => {
+  const zone = new ZoneFixture();
+  const { owner, others } = zone.split('/clips/1');
   owner.ask('/clips/1');
-  run.answer(0, 'old');
+  zone.answer(0, 'old');
   const [first, second] = others;
   first?.purge(1, '/clips/1');
   first?.ask('/clips/1');
-  run.deliver();
-  assert.equal(run.fetches.length, 2, 'it asks an origin itself');
-  run.answer(1, 'new');
+  zone.deliver();
+  assert.equal(zone.fetches.length, 2, 'it asks an origin itself');
+  zone.answer(1, 'new');
   assert.deepEqual(first?.bodies(), ['new']);
   // One that does not know yet may tell it, and drops it with the purge.
   second?.ask('/clips/1');
-  run.deliver();
+  zone.deliver();
   second?.purge(1, '/clips/1');
   owner.purge(1, '/clips/1');
   second?.ask('/clips/1');
-  run.deliver();
-  assert.equal(run.fetches.length, 3);
-  run.answer(2, 'new');
+  zone.deliver();
+  assert.equal(zone.fetches.length, 3);
+  zone.answer(2, 'new');
   assert.deepEqual(second?.bodies(), ['old', 'new']);
 });
 
-void test('an owner that may lack purges tells nothing that it keeps', () => {
-  const run = new Area();
-  const { owner, others } = run.split('/clips/1');
+void test('an owner that may lack purges shares nothing from its cache', () => {
+  const zone = new ZoneFixture();
+  const { owner, others } = zone.split('/clips/1');
   owner.ask('/clips/1');
-  run.answer(0, 'old');
-  owner.cabin = {
-    ...owner.cabin,
+  zone.answer(0, 'old');
+  owner.nodeAgent = {
+    ...owner.nodeAgent,
     purgesCurrentAsOf: toTimestamp(owner.now - 2 * defaultEdgeLimits.maxPurgeLagMs),
   };
   others[0]?.ask('/clips/1');
-  run.deliver();
+  zone.deliver();
   assert.deepEqual(others[0]?.kinds(), [], 'nothing is told from what it keeps');
 });
 
-void test('a dead owner costs its askers a moment once; then the next one in line is asked', () => {
-  const run = new Area();
-  const { owner, others } = run.split('/clips/1');
-  run.dead.add(owner.member.address);
+void test('a dead owner delays one request; after that the next owner is asked', () => {
+  const zone = new ZoneFixture();
+  const { owner, others } = zone.split('/clips/1');
+  zone.dead.add(owner.member.address);
   const [first] = others;
   first?.ask('/clips/1');
-  run.deliver();
-  assert.equal(run.fetches.length, 0);
-  run.pass(430);
-  assert.equal(run.fetches.length, 1, 'it goes on by itself');
-  run.answer(0);
+  zone.deliver();
+  assert.equal(zone.fetches.length, 0);
+  zone.pass(430);
+  assert.equal(zone.fetches.length, 1, 'it goes on by itself');
+  zone.answer(0);
   assert.deepEqual(first?.kinds(), ['cached']);
   first.ask('/clips/2');
   first.ask('/clips/3');
-  run.pass(60);
-  assert.ok(run.fetches.length >= 2);
+  zone.pass(60);
+  assert.ok(zone.fetches.length >= 2);
 });
 
-void test('an owner whose part is used up refuses at once, and the asker uses its own part', () => {
-  const run = new Area();
-  const { owner, others } = run.split('/clips/1');
+void test('an owner whose quota share is used up refuses at once, and the asking edge uses its own', () => {
+  const zone = new ZoneFixture();
+  const { owner, others } = zone.split('/clips/1');
   // What the owner may send is spent on requests that cannot be kept.
   owner.ask('/edit/1', 'POST');
   owner.ask('/edit/2', 'POST');
-  const spent = run.fetches.length;
+  const spent = zone.fetches.length;
   const [first, second] = others;
   first?.ask('/clips/1');
-  run.deliver();
-  assert.equal(run.fetches.length, spent + 1);
-  assert.equal(run.fetches.at(-1)?.edge, first);
+  zone.deliver();
+  assert.equal(zone.fetches.length, spent + 1);
+  assert.equal(zone.fetches.at(-1)?.edge, first);
   second?.ask('/edit/3', 'POST');
   second?.ask('/clips/1');
-  run.deliver();
+  zone.deliver();
   assert.equal(
     second?.kinds().at(-1),
     'rejected',
@@ -394,74 +366,74 @@
   );
 });
 
-void test('an edge that runs another description is refused', () => {
-  const run = new Area();
-  const { owner, others } = run.split('/clips/1');
+void test('an edge that runs another configuration is refused', () => {
+  const zone = new ZoneFixture();
+  const { owner, others } = zone.split('/clips/1');
   owner.ask('/clips/1');
-  run.answer(0, 'by the old one');
+  zone.answer(0, 'by the old one');
   const [first] = others;
   assert.ok(first !== undefined);
-  first.cabin = { ...first.cabin, compiledConfiguration: tableOf(2) };
+  first.nodeAgent = { ...first.nodeAgent, compiledConfiguration: configurationOf(2) };
   first.ask('/clips/1');
-  run.deliver();
-  assert.equal(run.fetches.at(-1)?.edge, first);
+  zone.deliver();
+  assert.equal(zone.fetches.at(-1)?.edge, first);
 });
 
-void test('what is not an object of a kept route is never asked of another edge', () => {
-  const run = new Area();
-  const [first] = run.edges;
+void test('what is not an object of a cached route is never requested from another edge', () => {
+  const zone = new ZoneFixture();
+  const [first] = zone.edges;
   first?.ask('/edit/1', 'POST');
-  assert.equal(run.fetches.length, 1);
-  run.pass(2100);
+  assert.equal(zone.fetches.length, 1);
+  zone.pass(2100);
   first?.ask('/clips/1', 'GET', [['authorization', 'x']]);
-  assert.equal(run.fetches.length, 2);
+  assert.equal(zone.fetches.length, 2);
 });
 
-void test('an asked edge asks nobody else, whatever members it sees', () => {
-  const run = new Area();
-  const { owner, others } = run.split('/clips/1');
+void test('an edge that is asked asks no other edge, whatever members it sees', () => {
+  const zone = new ZoneFixture();
+  const { owner, others } = zone.split('/clips/1');
   const [first] = others;
-  const { nodeSession } = owner.cabin;
+  const { nodeSession } = owner.nodeAgent;
   const seen = members.filter((one) => one !== owner.member);
-  owner.cabin = { ...owner.cabin, nodeSession: { ...nodeSession, members: seen } };
-  owner.line.updateFleet(owner.cabin);
+  owner.nodeAgent = { ...owner.nodeAgent, nodeSession: { ...nodeSession, members: seen } };
+  owner.router.updateFleet(owner.nodeAgent);
   first?.ask('/clips/1');
-  run.deliver();
-  assert.equal(run.fetches.length, 1);
-  assert.equal(run.fetches[0]?.edge, owner);
+  zone.deliver();
+  assert.equal(zone.fetches.length, 1);
+  assert.equal(zone.fetches[0]?.edge, owner);
 });
 
-void test('a failure of the origin is not shared: the asker has its own answer', () => {
-  const run = new Area();
-  const { others } = run.split('/clips/1');
+void test('a failure of the origin is not shared: the asking edge fetches its own response', () => {
+  const zone = new ZoneFixture();
+  const { others } = zone.split('/clips/1');
   others[0]?.ask('/clips/1');
-  run.deliver();
-  run.answer(0, 'no', 404);
-  assert.equal(run.fetches.length, 2);
-  run.answer(1, 'no', 404);
+  zone.deliver();
+  zone.answer(0, 'no', 404);
+  assert.equal(zone.fetches.length, 2);
+  zone.answer(1, 'no', 404);
   assert.deepEqual(others[0]?.kinds(), ['response']);
 });
 
 void test('an object that does not fit a frame is not shared', () => {
-  const run = new Area();
-  const { others } = run.split('/clips/1');
+  const zone = new ZoneFixture();
+  const { others } = zone.split('/clips/1');
   others[0]?.ask('/clips/1');
-  run.deliver();
-  run.answer(0, 'x'.repeat(maxSharedBytes + 1));
-  assert.equal(run.fetches.length, 2);
-  assert.equal(run.fetches[1]?.edge, others[0]);
+  zone.deliver();
+  zone.answer(0, 'x'.repeat(maxSharedBytes + 1));
+  assert.equal(zone.fetches.length, 2);
+  assert.equal(zone.fetches[1]?.edge, others[0]);
 });
 
-void test('a stop tells those who wait for an owner', () => {
-  const run = new Area();
-  const { owner, others } = run.split('/clips/1');
-  run.dead.add(owner.member.address);
+void test('an abort replies to those who wait for an owner', () => {
+  const zone = new ZoneFixture();
+  const { owner, others } = zone.split('/clips/1');
+  zone.dead.add(owner.member.address);
   others[0]?.ask('/clips/1');
-  run.deliver();
-  assert.equal(others[0]?.line.abortAll(), 1);
-  assert.equal(others[0].told.length, 1);
-  run.pass(300);
-  assert.equal(run.fetches.length, 0, 'and nothing begins later');
+  zone.deliver();
+  assert.equal(others[0]?.router.abortAll(), 1);
+  assert.equal(others[0].replies.length, 1);
+  zone.pass(300);
+  assert.equal(zone.fetches.length, 0, 'and nothing begins later');
 });
 
 const addresses = fc.uniqueArray(fc.integer({ min: 1, max: 200 }), { minLength: 2, maxLength: 40 });
@@ -490,7 +462,7 @@
   );
 });
 
-void test('objects are spread evenly: no edge of twenty owns over twice its part', () => {
+void test('objects are spread evenly: no edge of twenty owns over twice its share', () => {
   const all = Array.from({ length: 20 }, (_, at) => toAddress(`10.1.0.${at + 1}:7340`));
   const owners = new ObjectOwners(all);
   const owned = new Map<Address, number>();
--- a/packages/routing/src/router/edge-router.test.ts
+++ b/packages/routing/src/router/edge-router.test.ts
@@ -10,7 +10,6 @@
   toFleetId,
   toGeneration,
   toIncarnation,
-  toInstanceId,
   toTimestamp,
   toNodeId,
   toRelease,
@@ -19,9 +18,9 @@
   toDurationMs,
 } from '@switchwheel/types';
 import type { HeaderFields, FrameOf, RolloutState } from '@switchwheel/transport';
-import { buildConfiguration, splitIntoChunks, runToCompletion } from '@switchwheel/configuration';
-import { type NodeAgent, Cache, nodeAgentTransition, newNodeAgent } from '@switchwheel/proxy-core';
+import { type NodeAgent, Cache, nodeAgentTransition } from '@switchwheel/proxy-core';
 import type { OriginResponse } from '../attempt-state/attempt-state.js';
+import { compileDocument, newConfirmedEdgeAgent } from '../testing/edge-fixture.js';
 import { EdgeRouter } from './edge-router.js';
 import {
   type IncomingRequest,
@@ -34,7 +33,7 @@
 
 const service = toServiceName('clips');
 const host = 'one.example';
-const description = {
+const document = {
   format: 1,
   classes: [
     { name: 'play', share: 0.5 },
@@ -64,86 +63,48 @@
   ],
 };
 
-interface Sent {
-  readonly order: AttemptRequest;
-  readonly ears: AttemptHandlers;
-  cut: boolean;
+interface SentAttempt {
+  readonly request: AttemptRequest;
+  readonly handlers: AttemptHandlers;
+  isCancelled: boolean;
 }
 
-/** A line with origins whose answers the test gives. */
-class Bench {
+/** A router with origins whose responses the test gives. */
+class RouterFixture {
   now: Timestamp = toTimestamp(100_000);
-  readonly sent: Sent[] = [];
-  readonly told: ClientReply[] = [];
+  readonly sent: SentAttempt[] = [];
+  readonly replies: ClientReply[] = [];
   readonly cache = new Cache(1_000_000);
-  cabin: NodeAgent;
-  readonly line: EdgeRouter;
+  nodeAgent: NodeAgent;
+  readonly router: EdgeRouter;
   readonly #confirmed = new Map<number, Timestamp>();
 
   constructor(origins: readonly (readonly [string, string])[]) {
-    const bundle = runToCompletion(splitIntoChunks(description));
-    assert.ok(bundle.isOk);
-    const { hash, chunkHashes, chunks } = bundle.value;
-    const built = runToCompletion(
-      buildConfiguration(
-        chunkHashes.map((one) => chunks.get(one) ?? ''),
-        toGeneration(1),
-        hash,
-      ),
-    );
-    assert.ok(built.isOk && noGeneration === 0);
-    const member = {
-      node: toNodeId('e1'),
-      role: 'edge' as const,
-      area: toZoneName('a'),
-      address: toAddress('10.0.0.1:1'),
-      incarnation: toIncarnation(1),
-    };
-    const fresh = newNodeAgent(member, [], { seed: 3 });
-    const known = new Map(
-      origins.map(([instance, release], at) => [
-        toInstanceId(instance),
-        {
-          service,
-          instance: toInstanceId(instance),
-          address: toAddress(`10.0.1.${at + 1}:80`),
-          release: toRelease(release),
-          slots: 4,
-          state: 'up' as const,
-          lastHeardAt: this.now,
-        },
-      ]),
-    );
-    this.cabin = {
-      ...fresh,
-      compiledConfiguration: built.value,
-      purgesCurrentAsOf: this.now,
-      configFreshness: {
-        newestGeneration: built.value.generation,
-        confirmedAsOf: this.now,
-        pendingGenerations: [],
-      },
-      nodeSession: {
-        ...fresh.nodeSession,
-        registryHeardAt: this.now,
-        origins: known,
-        members: [member],
-      },
-    };
-    const legs = {
-      send: (order: AttemptRequest, ears: AttemptHandlers) => {
-        const one: Sent = { order, ears, cut: false };
-        this.sent.push(one);
+    this.nodeAgent = newConfirmedEdgeAgent({
+      configuration: compileDocument(document),
+      service,
+      origins: origins.map(([instance, release], index) => ({
+        instance,
+        address: `10.0.1.${index + 1}:80`,
+        release,
+      })),
+      slots: 4,
+      now: this.now,
+    });
+    const originClient = {
+      send: (request: AttemptRequest, handlers: AttemptHandlers) => {
+        const attempt: SentAttempt = { request, handlers, isCancelled: false };
+        this.sent.push(attempt);
         return () => {
-          one.cut = true;
+          attempt.isCancelled = true;
         };
       },
       forget: () => undefined,
     };
-    this.line = new EdgeRouter(
-      { now: () => this.now, nodeAgent: () => this.cabin },
+    this.router = new EdgeRouter(
+      { now: () => this.now, nodeAgent: () => this.nodeAgent },
       this.cache,
-      legs,
+      originClient,
       {
         zone: toZoneName('a'),
         headerNames: defaultHeaderNames,
@@ -152,12 +113,12 @@
       },
       { seed: 7 },
     );
-    this.line.updateFleet(this.cabin);
+    this.router.updateFleet(this.nodeAgent);
   }
 
   ask(target: string, method = 'GET', fields: HeaderFields = []): () => void {
-    const call: IncomingRequest = {
-      id: `t${this.told.length}`,
+    const request: IncomingRequest = {
+      id: `t${this.replies.length}`,
       method,
       host,
       target,
@@ -165,17 +126,17 @@
       body: Buffer.alloc(0),
       timeoutMs: 2000,
     };
-    return this.line.serve(call, (word) => this.told.push(word));
+    return this.router.serve(request, (reply) => this.replies.push(reply));
   }
 
   pass(ms: number): void {
     this.now = toTimestamp(this.now + ms);
-    this.cabin = {
-      ...this.cabin,
+    this.nodeAgent = {
+      ...this.nodeAgent,
       purgesCurrentAsOf: this.now,
-      nodeSession: { ...this.cabin.nodeSession, registryHeardAt: this.now },
+      nodeSession: { ...this.nodeAgent.nodeSession, registryHeardAt: this.now },
     };
-    this.line.tick(this.now);
+    this.router.tick(this.now);
   }
 
   /** When the core confirmed a generation. */
@@ -209,7 +170,7 @@
       address: toAddress('10.0.0.2:1'),
       incarnation: toIncarnation(1),
     };
-    this.cabin = nodeAgentTransition(this.cabin, {
+    this.nodeAgent = nodeAgentTransition(this.nodeAgent, {
       kind: 'frameReceived',
       now: this.now,
       from,
@@ -227,120 +188,120 @@
       body: Buffer.from(body),
       isUnprocessed: unrun,
     };
-    this.sent[at]?.ears.onResponse(answer);
+    this.sent[at]?.handlers.onResponse(answer);
   }
 
   kinds(): readonly string[] {
-    return this.told.map((one) => (one.kind === 'failure' ? one.errorKind : one.kind));
+    return this.replies.map((reply) => (reply.kind === 'failure' ? reply.errorKind : reply.kind));
   }
 }
 
-/** How long a confirmed description may take to be in force, by the bounds of these tests. */
-const applySpan = defaultEdgeLimits.maxApplyMs;
+/** How long a confirmed configuration may take to be in force, by the limits of these tests. */
+const maxApplyMs = defaultEdgeLimits.maxApplyMs;
 
-const two = [
+const twoOrigins = [
   ['o1', 'r1'],
   ['o2', 'r1'],
 ] as const;
 
-void test('what was fetched is kept for its lifetime, and ends with a purge of its path or tag', () => {
-  const bench = new Bench(two);
-  bench.ask('/clips/1');
-  bench.answer(0);
-  bench.ask('/clips/1');
-  assert.deepEqual([bench.kinds(), bench.sent.length], [['cached', 'cached'], 1]);
-  bench.cache.purge([{ seq: toSeq(1), aims: [{ by: 'tag', tag: 't1' }] }], false, toSeq(1));
-  bench.line.onPurged();
-  bench.cabin = { ...bench.cabin, lastPurgeSeq: toSeq(1) };
-  bench.ask('/clips/1');
-  assert.equal(bench.sent.length, 2);
-  bench.answer(1);
-  bench.pass(5001);
-  bench.ask('/clips/1');
-  assert.equal(bench.sent.length, 3);
+void test('a fetched object is served from the cache for its lifetime, or until a purge of its path or tag', () => {
+  const fixture = new RouterFixture(twoOrigins);
+  fixture.ask('/clips/1');
+  fixture.answer(0);
+  fixture.ask('/clips/1');
+  assert.deepEqual([fixture.kinds(), fixture.sent.length], [['cached', 'cached'], 1]);
+  fixture.cache.purge([{ seq: toSeq(1), aims: [{ by: 'tag', tag: 't1' }] }], false, toSeq(1));
+  fixture.router.onPurged();
+  fixture.nodeAgent = { ...fixture.nodeAgent, lastPurgeSeq: toSeq(1) };
+  fixture.ask('/clips/1');
+  assert.equal(fixture.sent.length, 2);
+  fixture.answer(1);
+  fixture.pass(5001);
+  fixture.ask('/clips/1');
+  assert.equal(fixture.sent.length, 3);
 });
 
-void test('a fetch that began before a purge is not kept, and nobody who comes later waits for it', () => {
-  const bench = new Bench(two);
-  bench.ask('/clips/1');
-  bench.ask('/clips/1');
-  assert.equal(bench.sent.length, 1, 'the second waits for the first');
-  bench.cache.purge(
+void test('a fetch that began before a purge is not cached, and later requests do not join it', () => {
+  const fixture = new RouterFixture(twoOrigins);
+  fixture.ask('/clips/1');
+  fixture.ask('/clips/1');
+  assert.equal(fixture.sent.length, 1, 'the second waits for the first');
+  fixture.cache.purge(
     [{ seq: toSeq(1), aims: [{ by: 'object', host, path: '/clips/1' }] }],
     false,
     toSeq(1),
   );
-  bench.line.onPurged();
-  bench.cabin = { ...bench.cabin, lastPurgeSeq: toSeq(1) };
-  bench.ask('/clips/1');
-  assert.equal(bench.sent.length, 2);
-  bench.answer(0, 'old');
-  bench.answer(1, 'new');
-  bench.ask('/clips/1');
-  assert.equal(bench.sent.length, 2);
-  const last = bench.told.at(-1);
+  fixture.router.onPurged();
+  fixture.nodeAgent = { ...fixture.nodeAgent, lastPurgeSeq: toSeq(1) };
+  fixture.ask('/clips/1');
+  assert.equal(fixture.sent.length, 2);
+  fixture.answer(0, 'old');
+  fixture.answer(1, 'new');
+  fixture.ask('/clips/1');
+  assert.equal(fixture.sent.length, 2);
+  const last = fixture.replies.at(-1);
   assert.ok(last?.kind === 'cached' && last.entry.body.toString() === 'new');
 });
 
-void test('a cache is silent while this edge may lack purges, and speaks when it is cut off from everyone', () => {
-  const bench = new Bench(two);
-  bench.ask('/clips/1');
-  bench.answer(0);
-  bench.now = toTimestamp(bench.now + 1600);
-  bench.cabin = {
-    ...bench.cabin,
-    nodeSession: { ...bench.cabin.nodeSession, registryHeardAt: bench.now },
+void test('nothing is served from the cache while purges may be missing, and all is when no registry is reachable', () => {
+  const fixture = new RouterFixture(twoOrigins);
+  fixture.ask('/clips/1');
+  fixture.answer(0);
+  fixture.now = toTimestamp(fixture.now + 1600);
+  fixture.nodeAgent = {
+    ...fixture.nodeAgent,
+    nodeSession: { ...fixture.nodeAgent.nodeSession, registryHeardAt: fixture.now },
   };
-  bench.ask('/clips/1');
-  assert.equal(bench.sent.length, 2, 'its registry has no fresh word');
-  bench.answer(1);
-  bench.now = toTimestamp(bench.now + 2000);
-  bench.ask('/clips/1');
-  assert.equal(bench.sent.length, 2, 'no registry is heard at all');
+  fixture.ask('/clips/1');
+  assert.equal(fixture.sent.length, 2, 'its registry has no fresh word');
+  fixture.answer(1);
+  fixture.now = toTimestamp(fixture.now + 2000);
+  fixture.ask('/clips/1');
+  assert.equal(fixture.sent.length, 2, 'no registry is heard at all');
 });
 
-void test('a request that may not be repeated is not sent again when its connection breaks, and is when it never opened', () => {
-  const bench = new Bench(two);
-  bench.ask('/edit/1', 'POST');
-  bench.sent[0]?.ears.onFailure(false, 'refused');
-  assert.equal(bench.sent.length, 2);
-  bench.sent[1]?.ears.onFailure(true, 'reset');
-  assert.equal(bench.sent.length, 2);
-  assert.deepEqual(bench.kinds(), ['lost']);
+void test('a non-idempotent request is retried if its connection never opened, and not if it broke', () => {
+  const fixture = new RouterFixture(twoOrigins);
+  fixture.ask('/edit/1', 'POST');
+  fixture.sent[0]?.handlers.onFailure(false, 'refused');
+  assert.equal(fixture.sent.length, 2);
+  fixture.sent[1]?.handlers.onFailure(true, 'reset');
+  assert.equal(fixture.sent.length, 2);
+  assert.deepEqual(fixture.kinds(), ['lost']);
 });
 
-void test('a late answer of what may be repeated is overtaken by another origin, and the loser is cut', () => {
-  const bench = new Bench(two);
-  // Requests earn further tries; a new edge has none.
+void test('a late idempotent request is hedged at another origin, and the loser is cancelled', () => {
+  const fixture = new RouterFixture(twoOrigins);
+  // Requests earn extra attempts; a new edge has none.
   for (let at = 0; at < 40; at += 1) {
-    bench.ask(`/clips/a${at}`);
-    bench.answer(at);
+    fixture.ask(`/clips/a${at}`);
+    fixture.answer(at);
   }
-  bench.ask('/clips/slow');
-  bench.pass(450);
-  assert.equal(bench.sent.length, 42);
-  assert.notEqual(bench.sent[41]?.order.instance, bench.sent[40]?.order.instance);
-  bench.answer(41);
-  assert.ok(bench.sent[40]?.cut);
-  assert.equal(bench.kinds().at(-1), 'cached');
+  fixture.ask('/clips/slow');
+  fixture.pass(450);
+  assert.equal(fixture.sent.length, 42);
+  assert.notEqual(fixture.sent[41]?.request.instance, fixture.sent[40]?.request.instance);
+  fixture.answer(41);
+  assert.ok(fixture.sent[40]?.isCancelled);
+  assert.equal(fixture.kinds().at(-1), 'cached');
 });
 
-void test('nobody is held to the deadline of a silent origin: the last moment is told as not known', () => {
-  const bench = new Bench([['o1', 'r1']]);
-  bench.ask('/edit/1', 'POST');
-  bench.pass(1990);
-  assert.deepEqual(bench.kinds(), ['slow']);
-  assert.ok(bench.sent[0]?.cut);
+void test('a silent origin ends in a time-out reply shortly before the deadline of its client', () => {
+  const fixture = new RouterFixture([['o1', 'r1']]);
+  fixture.ask('/edit/1', 'POST');
+  fixture.pass(1990);
+  assert.deepEqual(fixture.kinds(), ['slow']);
+  assert.ok(fixture.sent[0]?.isCancelled);
 });
 
-void test('without an origin the answer comes at once, with when to come back', () => {
-  const bench = new Bench([]);
-  bench.ask('/edit/1', 'POST');
-  const told = bench.told[0];
+void test('without an origin the reply comes at once, with a time to retry', () => {
+  const fixture = new RouterFixture([]);
+  fixture.ask('/edit/1', 'POST');
+  const told = fixture.replies[0];
   assert.ok(told?.kind === 'failure' && told.errorKind === 'rejected' && told.retryAfterMs > 0);
 });
 
-const onTrial = (phase: RolloutState['phase'], share: number): RolloutState => ({
+const rolloutIn = (phase: RolloutState['phase'], share: number): RolloutState => ({
   service,
   settled: toRelease('r1'),
   target: toRelease('r2'),
@@ -352,8 +313,8 @@
   serial: toSeq(2),
 });
 
-void test('a release on trial gets its share, one judged bad nothing, a good one all; the counts are told', () => {
-  const bench = new Bench([
+void test('a canary gets its share, a failed release nothing, a good one all; the counts are reported', () => {
+  const fixture = new RouterFixture([
     ['o1', 'r1'],
     ['o2', 'r2'],
   ]);
@@ -363,19 +324,19 @@
     ['bad', 0],
     ['good', 0],
   ] as const) {
-    bench.cabin = {
-      ...bench.cabin,
-      releaseStates: new Map([[service, onTrial(phase, share)]]),
-      releaseStatesAt: bench.now,
+    fixture.nodeAgent = {
+      ...fixture.nodeAgent,
+      releaseStates: new Map([[service, rolloutIn(phase, share)]]),
+      releaseStatesAt: fixture.now,
     };
-    bench.line.updateFleet(bench.cabin);
-    const from = bench.sent.length;
+    fixture.router.updateFleet(fixture.nodeAgent);
+    const from = fixture.sent.length;
     for (let at = 0; at < 300; at += 1) {
-      bench.ask('/edit/1', 'POST');
-      bench.answer(bench.sent.length - 1);
+      fixture.ask('/edit/1', 'POST');
+      fixture.answer(fixture.sent.length - 1);
     }
-    const fresh = bench.sent.slice(from);
-    shares.set(phase, fresh.filter((one) => one.order.instance === 'o2').length / fresh.length);
+    const fresh = fixture.sent.slice(from);
+    shares.set(phase, fresh.filter((one) => one.request.instance === 'o2').length / fresh.length);
   }
   assert.ok(
     (shares.get('trial') ?? 0) > 0.04 && (shares.get('trial') ?? 0) < 0.17,
@@ -383,127 +344,141 @@
   );
   assert.equal(shares.get('bad'), 0);
   assert.equal(shares.get('good'), 1);
-  const [word] = bench.line.rolloutReports(bench.cabin);
-  assert.ok(word !== undefined);
+  const [report] = fixture.router.rolloutReports(fixture.nodeAgent);
+  assert.ok(report !== undefined);
   assert.equal(
-    word.rows.reduce((sum, row) => sum + row.sent, 0),
+    report.rows.reduce((sum, row) => sum + row.sent, 0),
     900,
   );
-  assert.equal(word.inFlightOld, 0);
+  assert.equal(report.inFlightOld, 0);
 });
 
-void test('a route that is not known is denied only while the description is known to be the newest', () => {
-  const bench = new Bench([['o1', 'r1']]);
-  const told = (newest: Omit<NodeAgent['configFreshness'], 'pendingGenerations'>): string => {
-    bench.cabin = { ...bench.cabin, configFreshness: { ...newest, pendingGenerations: [] } };
-    bench.ask('/nowhere/');
-    const word = bench.told.at(-1);
-    return word?.kind === 'failure' ? word.errorKind : 'none';
+void test('an unknown route is denied only while the configuration is known to be the newest', () => {
+  const fixture = new RouterFixture([['o1', 'r1']]);
+  assert.equal(noGeneration, 0);
+  const errorKindWith = (
+    newest: Omit<NodeAgent['configFreshness'], 'pendingGenerations'>,
+  ): string => {
+    fixture.nodeAgent = {
+      ...fixture.nodeAgent,
+      configFreshness: { ...newest, pendingGenerations: [] },
+    };
+    fixture.ask('/nowhere/');
+    const reply = fixture.replies.at(-1);
+    return reply?.kind === 'failure' ? reply.errorKind : 'none';
   };
-  const generation = bench.cabin.compiledConfiguration?.generation ?? noGeneration;
+  const generation = fixture.nodeAgent.compiledConfiguration?.generation ?? noGeneration;
   const next = toGeneration(generation + 1);
-  assert.equal(told({ newestGeneration: generation, confirmedAsOf: bench.now }), 'absent');
   assert.equal(
-    told({ newestGeneration: noGeneration, confirmedAsOf: undefined }),
+    errorKindWith({ newestGeneration: generation, confirmedAsOf: fixture.now }),
+    'absent',
+  );
+  assert.equal(
+    errorKindWith({ newestGeneration: noGeneration, confirmedAsOf: undefined }),
     'unready',
     'provisional',
   );
   assert.equal(
-    told({ newestGeneration: next, confirmedAsOf: bench.now }),
+    errorKindWith({ newestGeneration: next, confirmedAsOf: fixture.now }),
     'unready',
     'a newer one is known',
   );
   assert.equal(
-    told({ newestGeneration: generation, confirmedAsOf: toTimestamp(bench.now - 2000) }),
+    errorKindWith({ newestGeneration: generation, confirmedAsOf: toTimestamp(fixture.now - 2000) }),
     'unready',
     'out of touch',
   );
-  bench.ask('/edit/1', 'POST');
-  assert.equal(bench.sent.length, 1, 'known routes are served all the same');
+  fixture.ask('/edit/1', 'POST');
+  assert.equal(fixture.sent.length, 1, 'known routes are served all the same');
 });
 
-/** Opens a fetch, lets a second request join it, and makes a third one start a fetch of its own. */
-const withTwoFetches = (bench: Bench): void => {
-  bench.ask('/clips/1');
-  bench.ask('/clips/1');
-  bench.line.onPurged();
-  bench.ask('/clips/1');
-  bench.ask('/clips/1');
-  assert.equal(bench.sent.length, 2);
+/** Begins a fetch that a second request joins, and after a purge another one that a fourth request joins. */
+const withTwoFetches = (fixture: RouterFixture): void => {
+  fixture.ask('/clips/1');
+  fixture.ask('/clips/1');
+  fixture.router.onPurged();
+  fixture.ask('/clips/1');
+  fixture.ask('/clips/1');
+  assert.equal(fixture.sent.length, 2);
 };
 
-void test('a request that joined a fetch is answered by that fetch after a newer one of the same object has begun', () => {
-  const bench = new Bench(two);
-  withTwoFetches(bench);
-  bench.answer(1, 'newer');
-  assert.equal(bench.told.length, 2, 'the newer fetch answers those who wait for it');
-  bench.answer(0, 'older');
-  assert.equal(bench.told.length, 4, 'nobody is left without an answer');
+void test('a request that joined a fetch gets its reply from that fetch after a newer one of the same object has begun', () => {
+  const fixture = new RouterFixture(twoOrigins);
+  withTwoFetches(fixture);
+  fixture.answer(1, 'newer');
+  assert.equal(fixture.replies.length, 2, 'the newer fetch answers those who wait for it');
+  fixture.answer(0, 'older');
+  assert.equal(fixture.replies.length, 4, 'nobody is left without an answer');
 });
 
-void test('a fetch that began before a purge answers nobody who came after it', () => {
-  const bench = new Bench(two);
-  withTwoFetches(bench);
-  bench.answer(0, 'older');
-  assert.equal(bench.told.length, 2, 'those who came after the purge still wait');
-  bench.answer(1, 'newer');
-  const bodies = bench.told.map((one) => (one.kind === 'cached' ? one.entry.body.toString() : ''));
+void test('a fetch that began before a purge serves no request that came after it', () => {
+  const fixture = new RouterFixture(twoOrigins);
+  withTwoFetches(fixture);
+  fixture.answer(0, 'older');
+  assert.equal(fixture.replies.length, 2, 'those who came after the purge still wait');
+  fixture.answer(1, 'newer');
+  const bodies = fixture.replies.map((one) =>
+    one.kind === 'cached' ? one.entry.body.toString() : '',
+  );
   assert.deepEqual(bodies, ['older', 'older', 'newer', 'newer']);
 });
 
-void test('a request that joined a fetch is told at its own deadline, also when a newer fetch has begun', () => {
-  const bench = new Bench(two);
-  withTwoFetches(bench);
-  bench.pass(2000);
-  assert.equal(bench.told.length, 4);
+void test('a request that joined a fetch gets its reply at its own deadline, also when a newer fetch has begun', () => {
+  const fixture = new RouterFixture(twoOrigins);
+  withTwoFetches(fixture);
+  fixture.pass(2000);
+  assert.equal(fixture.replies.length, 4);
 });
 
-void test('a request whose fetch failed is sent on with what is left of its own time', () => {
-  const bench = new Bench(two);
-  bench.ask('/clips/1');
-  bench.ask('/clips/1');
-  bench.pass(700);
-  const many = bench.sent.length;
-  for (let at = 0; at < many; at += 1) bench.answer(at, 'gone', 404);
-  const resent = bench.sent.at(-1);
-  assert.ok(resent !== undefined && bench.sent.length > many);
-  assert.ok(resent.order.timeoutMs <= 1300, `${resent.order.timeoutMs} ms are told to the origin`);
-  bench.pass(1300);
-  assert.equal(bench.told.length, 2, 'it is told at the deadline that it came with');
+void test('a request whose fetch failed is forwarded with what is left of its own time', () => {
+  const fixture = new RouterFixture(twoOrigins);
+  fixture.ask('/clips/1');
+  fixture.ask('/clips/1');
+  fixture.pass(700);
+  const many = fixture.sent.length;
+  for (let at = 0; at < many; at += 1) fixture.answer(at, 'gone', 404);
+  const resent = fixture.sent.at(-1);
+  assert.ok(resent !== undefined && fixture.sent.length > many);
+  assert.ok(
+    resent.request.timeoutMs <= 1300,
+    `${resent.request.timeoutMs} ms are told to the origin`,
+  );
+  fixture.pass(1300);
+  assert.equal(fixture.replies.length, 2, 'it is told at the deadline that it came with');
 });
 
-void test('a caller that leaves is noticed after its request was sent on for a fetch that failed', () => {
-  const bench = new Bench(two);
-  bench.ask('/clips/1');
-  const leave = bench.ask('/clips/1');
-  bench.answer(0, 'gone', 404);
+void test('a client that leaves is noticed after its request was forwarded for a fetch that failed', () => {
+  const fixture = new RouterFixture(twoOrigins);
+  fixture.ask('/clips/1');
+  const leave = fixture.ask('/clips/1');
+  fixture.answer(0, 'gone', 404);
   leave();
-  bench.answer(1, 'late');
-  assert.equal(bench.told.length, 1, 'nobody is told who has left');
+  fixture.answer(1, 'late');
+  assert.equal(fixture.replies.length, 1, 'nobody is told who has left');
 });
 
-void test('a stop that breaks off what is under way tells each caller and begins nothing new', () => {
-  const bench = new Bench(two);
-  bench.ask('/clips/1');
-  bench.ask('/clips/1');
-  bench.ask('/edit/1', 'POST');
-  const many = bench.sent.length;
-  bench.line.abortAll();
-  assert.equal(bench.told.length, 3);
-  assert.equal(bench.sent.length, many);
-  assert.ok(bench.sent.every((one) => one.cut));
-  assert.equal(bench.line.openRequests, 0);
+void test('an abort replies to each client and begins nothing new', () => {
+  const fixture = new RouterFixture(twoOrigins);
+  fixture.ask('/clips/1');
+  fixture.ask('/clips/1');
+  fixture.ask('/edit/1', 'POST');
+  const many = fixture.sent.length;
+  fixture.router.abortAll();
+  assert.equal(fixture.replies.length, 3);
+  assert.equal(fixture.sent.length, many);
+  assert.ok(fixture.sent.every((one) => one.isCancelled));
+  assert.equal(fixture.router.openRequests, 0);
 });
 
-void test('a question for the head of an object is neither kept as the object nor joined by those who ask for it', () => {
-  const bench = new Bench(two);
-  bench.ask('/clips/1', 'HEAD');
-  bench.ask('/clips/1');
-  assert.equal(bench.sent.length, 2, 'the object is fetched by itself');
-  bench.answer(0, '');
-  bench.answer(1, 'body');
-  bench.ask('/clips/1');
-  const bodies = bench.told.map((one) =>
+void test('a HEAD request is neither cached as the object nor joined by requests for it', () => {
+  const fixture = new RouterFixture(twoOrigins);
+  fixture.ask('/clips/1', 'HEAD');
+  fixture.ask('/clips/1');
+  assert.equal(fixture.sent.length, 2, 'the object is fetched by itself');
+  fixture.answer(0, '');
+  fixture.answer(1, 'body');
+  fixture.ask('/clips/1');
+  const bodies = fixture.replies.map((one) =>
     one.kind === 'cached'
       ? one.entry.body.toString()
       : one.kind === 'response'
@@ -511,45 +486,45 @@
         : one.errorKind,
   );
   assert.deepEqual(bodies, ['', 'body', 'body']);
-  bench.ask('/clips/1', 'HEAD');
-  assert.equal(bench.sent.length, 2, 'a kept object answers for its head');
+  fixture.ask('/clips/1', 'HEAD');
+  assert.equal(fixture.sent.length, 2, 'a kept object answers for its head');
 });
 
-void test('a route of a description that is known to be replaced is served for a while only, then refused with a time to come back', () => {
-  const bench = new Bench(two);
-  bench.hearNewest(2);
-  bench.ask('/edit/1', 'POST');
-  assert.equal(bench.sent.length, 1, 'the new description has its time to come');
-  bench.answer(0);
-  for (let waited = 0; waited < applySpan; waited += 100) {
-    bench.pass(100);
-    bench.hearNewest(2);
+void test('a route of a replaced configuration is served for a while only, then refused with a time to retry', () => {
+  const fixture = new RouterFixture(twoOrigins);
+  fixture.hearNewest(2);
+  fixture.ask('/edit/1', 'POST');
+  assert.equal(fixture.sent.length, 1, 'the new description has its time to come');
+  fixture.answer(0);
+  for (let waited = 0; waited < maxApplyMs; waited += 100) {
+    fixture.pass(100);
+    fixture.hearNewest(2);
   }
-  bench.ask('/edit/2', 'POST');
-  bench.ask('/clips/2');
-  assert.equal(bench.sent.length, 1, 'nothing more is sent by the old description');
-  assert.deepEqual(bench.kinds(), ['response', 'unready', 'unready']);
-  const refusal = bench.told.at(-1);
+  fixture.ask('/edit/2', 'POST');
+  fixture.ask('/clips/2');
+  assert.equal(fixture.sent.length, 1, 'nothing more is sent by the old description');
+  assert.deepEqual(fixture.kinds(), ['response', 'unready', 'unready']);
+  const refusal = fixture.replies.at(-1);
   assert.ok(refusal?.kind === 'failure' && refusal.retryAfterMs > 0);
 });
 
-void test('an edge that no longer hears a registry serves on by the description it has', () => {
-  const bench = new Bench(two);
-  bench.hearNewest(2);
-  bench.pass(3 * applySpan);
-  bench.ask('/edit/1', 'POST');
-  assert.equal(bench.sent.length, 1);
+void test('an edge without a registry serves on by the configuration it has', () => {
+  const fixture = new RouterFixture(twoOrigins);
+  fixture.hearNewest(2);
+  fixture.pass(3 * maxApplyMs);
+  fixture.ask('/edit/1', 'POST');
+  assert.equal(fixture.sent.length, 1);
 });
 
-void test('what was kept by a replaced description is not told after its time either', () => {
-  const bench = new Bench(two);
-  bench.ask('/clips/1');
-  bench.answer(0);
-  bench.hearNewest(2);
-  for (let waited = 0; waited < applySpan; waited += 100) {
-    bench.pass(100);
-    bench.hearNewest(2);
+void test('nothing is served from the cache of a replaced configuration after that time either', () => {
+  const fixture = new RouterFixture(twoOrigins);
+  fixture.ask('/clips/1');
+  fixture.answer(0);
+  fixture.hearNewest(2);
+  for (let waited = 0; waited < maxApplyMs; waited += 100) {
+    fixture.pass(100);
+    fixture.hearNewest(2);
   }
-  bench.ask('/clips/1');
-  assert.deepEqual(bench.kinds(), ['cached', 'unready']);
+  fixture.ask('/clips/1');
+  assert.deepEqual(fixture.kinds(), ['cached', 'unready']);
 });
