--- a/packages/proxy/src/direct-edge/end-to-end.test.ts
+++ b/packages/proxy/src/direct-edge/end-to-end.test.ts
@@ -6,17 +6,12 @@
   nextRandom,
   toAddress,
   toZoneName,
-  toGeneration,
-  toIncarnation,
-  toInstanceId,
   toTimestamp,
-  toNodeId,
-  toRelease,
   toServiceName,
 } from '@switchwheel/types';
-import { buildConfiguration, splitIntoChunks, runToCompletion } from '@switchwheel/configuration';
-import { type NodeAgent, Cache, newNodeAgent } from '@switchwheel/proxy-core';
+import { type NodeAgent, Cache } from '@switchwheel/proxy-core';
 import { EdgeRouter, defaultEdgeLimits, defaultHeaderNames } from '@switchwheel/routing';
+import { compileDocument, newEdgeAgent } from '@switchwheel/routing/testing';
 import { ClientListener } from './client-listener.js';
 import { HttpOriginClient } from './origin-client.js';
 import { MisbehavingOrigin, originBehaviors } from './testing/misbehaving-origin.js';
@@ -29,9 +24,9 @@
     setTimeout(done, ms);
   });
 
-const cabinOf = (addresses: readonly string[]): NodeAgent => {
-  const bundle = runToCompletion(
-    splitIntoChunks({
+const nodeAgentWith = (addresses: readonly string[]): NodeAgent =>
+  newEdgeAgent({
+    configuration: compileDocument({
       format: 1,
       classes: [{ name: 'all', share: 1 }],
       services: [{ name: 'clips' }],
@@ -40,42 +35,11 @@
         { name: 'edit', prefix: '/edit/', methods: ['POST'], service: 'clips', class: 'all' },
       ],
     }),
-  );
-  assert.ok(bundle.isOk);
-  const { hash, chunkHashes, chunks } = bundle.value;
-  const texts = chunkHashes.map((one) => chunks.get(one) ?? '');
-  const built = runToCompletion(buildConfiguration(texts, toGeneration(1), hash));
-  assert.ok(built.isOk);
-  const member = {
-    node: toNodeId('e1'),
-    role: 'edge' as const,
-    area: toZoneName('a'),
-    address: toAddress('10.0.0.1:1'),
-    incarnation: toIncarnation(1),
-  };
-  const origins = new Map(
-    addresses.map((address, at) => {
-      const instance = toInstanceId(`o${at}`);
-      const release = toRelease('r1');
-      const state = 'up' as const;
-      return [
-        instance,
-        {
-          service,
-          instance,
-          address: toAddress(address),
-          release,
-          slots: 50,
-          state,
-          lastHeardAt: now(),
-        },
-      ];
-    }),
-  );
-  const fresh = newNodeAgent(member, [], { seed: 3 });
-  const nodeSession = { ...fresh.nodeSession, registryHeardAt: now(), origins, members: [member] };
-  return { ...fresh, compiledConfiguration: built.value, purgesCurrentAsOf: now(), nodeSession };
-};
+    service,
+    origins: addresses.map((address, index) => ({ instance: `o${index}`, address })),
+    slots: 50,
+    now: now(),
+  });
 
 /** A client that pipelines requests on one connection; it may leave before their answers. */
 const pipeline = (
@@ -110,7 +74,7 @@
     ),
   ].map((found) => found.slice(1));
 
-void test('over real sockets, rough origins and pipelining callers: each answer is its own, nothing runs twice, and a stop loses none', async () => {
+void test('over real sockets, with misbehaving origins and pipelining clients, each response is its own, nothing runs twice, and a stop loses none', async () => {
   let dice: RandomState = { seed: 11 };
   const chance = (): number => {
     const [value, next] = nextRandom(dice);
@@ -123,9 +87,9 @@
         () => originBehaviors[Math.floor(chance() * originBehaviors.length)] ?? 'whole',
       ),
   );
-  const cabin = cabinOf(await Promise.all(origins.map((one) => one.listen())));
-  const line = new EdgeRouter(
-    { now, nodeAgent: () => cabin },
+  const nodeAgent = nodeAgentWith(await Promise.all(origins.map((one) => one.listen())));
+  const router = new EdgeRouter(
+    { now, nodeAgent: () => nodeAgent },
     new Cache(1_000_000),
     new HttpOriginClient(defaultHeaderNames),
     {
@@ -136,16 +100,16 @@
     },
     { seed: 7 },
   );
-  line.updateFleet(cabin);
-  const ticking = setInterval(() => line.tick(now()), 30);
+  router.updateFleet(nodeAgent);
+  const ticking = setInterval(() => router.tick(now()), 30);
   let closing = false;
-  const door = new ClientListener(line, defaultHeaderNames, { isClosing: () => closing });
+  const listener = new ClientListener(router, defaultHeaderNames, { isClosing: () => closing });
   // An address that was free a moment ago.
   const spare = new MisbehavingOrigin(() => 'whole');
   const address = toAddress(await spare.listen());
   spare.close();
   const port = Number(address.split(':')[1]);
-  await door.listen(address);
+  await listener.listen(address);
 
   const told = new Map<string, string>();
   let whole = 0;
@@ -172,9 +136,9 @@
   // A stop: what was read is answered, and no connection stays open.
   closing = true;
   await pause(50);
-  door.stopAccepting();
+  listener.stopAccepting();
   await Promise.all(talks);
-  assert.equal(door.openRequests, 0);
+  assert.equal(listener.openRequests, 0);
 
   const counts = new Map<string, number>();
   for (const run of origins.flatMap((one) => one.handledRequests)) {
@@ -189,6 +153,6 @@
   }
   assert.ok(whole > 200, `${whole} whole answers`);
   clearInterval(ticking);
-  door.closeAllConnections();
+  listener.closeAllConnections();
   for (const origin of origins) origin.close();
 });
--- a/packages/proxy/src/direct-edge/response-forms.test.ts
+++ b/packages/proxy/src/direct-edge/response-forms.test.ts
@@ -1,16 +1,6 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import {
-  toAddress,
-  toZoneName,
-  toGeneration,
-  toIncarnation,
-  toInstanceId,
-  toTimestamp,
-  toNodeId,
-  toRelease,
-  toServiceName,
-} from '@switchwheel/types';
+import { toZoneName, toTimestamp, toServiceName } from '@switchwheel/types';
 import {
   type HttpRequest,
   freeAddress,
@@ -19,9 +9,9 @@
   responseText,
   snapshotsFor,
 } from '@switchwheel/types/testing';
-import { buildConfiguration, splitIntoChunks, runToCompletion } from '@switchwheel/configuration';
-import { type NodeAgent, Cache, newNodeAgent } from '@switchwheel/proxy-core';
+import { type NodeAgent, Cache } from '@switchwheel/proxy-core';
 import { EdgeRouter, defaultEdgeLimits, defaultHeaderNames } from '@switchwheel/routing';
+import { compileDocument, newEdgeAgent } from '@switchwheel/routing/testing';
 import { startRecordingOrigin } from '../shield/recording-origin.test-support.js';
 import { ClientListener } from './client-listener.js';
 import { HttpOriginClient } from './origin-client.js';
@@ -29,7 +19,7 @@
 const matchSnapshot = snapshotsFor(import.meta.dirname);
 const service = toServiceName('clips');
 const now = toTimestamp(50_000);
-const description = {
+const document = {
   format: 1,
   classes: [{ name: 'play', share: 1 }],
   services: [{ name: 'clips' }, { name: 'empty' }],
@@ -47,40 +37,15 @@
   ],
 };
 
-/** The state of an edge that runs the description, with one origin. */
-const edgeState = (origin: string): NodeAgent => {
-  const bundle = runToCompletion(splitIntoChunks(description));
-  assert.ok(bundle.isOk);
-  const { hash, chunkHashes, chunks } = bundle.value;
-  const texts = chunkHashes.map((one) => chunks.get(one) ?? '');
-  const built = runToCompletion(buildConfiguration(texts, toGeneration(1), hash));
-  assert.ok(built.isOk);
-  const member = {
-    node: toNodeId('e1'),
-    role: 'edge' as const,
-    area: toZoneName('a'),
-    address: toAddress('10.0.0.1:1'),
-    incarnation: toIncarnation(1),
-  };
-  const instance = toInstanceId('i1');
-  const row = {
+/** The state of an edge that runs the configuration, with one origin. */
+const edgeState = (origin: string): NodeAgent =>
+  newEdgeAgent({
+    configuration: compileDocument(document),
     service,
-    instance,
-    address: toAddress(origin),
-    release: toRelease('r1'),
+    origins: [{ instance: 'i1', address: origin }],
     slots: 50,
-    state: 'up' as const,
-    lastHeardAt: now,
-  };
-  const fresh = newNodeAgent(member, [], { seed: 3 });
-  const nodeSession = {
-    ...fresh.nodeSession,
-    registryHeardAt: now,
-    origins: new Map([[instance, row]]),
-    members: [member],
-  };
-  return { ...fresh, compiledConfiguration: built.value, purgesCurrentAsOf: now, nodeSession };
-};
+    now,
+  });
 
 const id = { 'switchwheel-id': 'q1', 'switchwheel-deadline-ms': '700' };
 const requests: readonly HttpRequest[] = [
@@ -102,7 +67,7 @@
   const state = edgeState(origin.address);
   // Time stands still, so that how loaded the machine is changes nothing.
   const clock = (): typeof now => now;
-  const line = new EdgeRouter(
+  const router = new EdgeRouter(
     { now: clock, nodeAgent: () => state },
     new Cache(1_000_000),
     new HttpOriginClient(defaultHeaderNames),
@@ -114,8 +79,8 @@
     },
     { seed: 7 },
   );
-  line.updateFleet(state);
-  const listener = new ClientListener(line, defaultHeaderNames, { isClosing: () => false });
+  router.updateFleet(state);
+  const listener = new ClientListener(router, defaultHeaderNames, { isClosing: () => false });
   const limits = state.compiledConfiguration?.header.limits;
   assert.ok(limits !== undefined);
   listener.applyLimits(limits);
@@ -132,7 +97,7 @@
     const retryAfter = /(retry-after: )[\d.]+/g;
     matchSnapshot('direct-responses', texts.join('\n').replace(retryAfter, '$1NUMBER'));
     matchSnapshot('direct-origin-requests', sent);
-    matchSnapshot('direct-counts', [...line.counts.keys()].toSorted().join('\n'));
+    matchSnapshot('direct-counts', [...router.counts.keys()].toSorted().join('\n'));
   } finally {
     listener.stopAccepting();
     listener.closeAllConnections();
