--- a/packages/proxy/src/direct-edge/end-to-end.test.ts
+++ b/packages/proxy/src/direct-edge/end-to-end.test.ts
@@ -17,7 +17,7 @@
 import { MisbehavingOrigin, originBehaviors } from './testing/misbehaving-origin.js';
 
 const service = toServiceName('clips');
-const promises = new Set(['408', '421', '429', '503']);
+const unprocessedStatuses = new Set(['408', '421', '429', '503']);
 const now = (): ReturnType<typeof toTimestamp> => toTimestamp(50_000 + performance.now());
 const pause = (ms: number): Promise<void> =>
   new Promise((done) => {
@@ -111,9 +111,9 @@
   const port = Number(address.split(':')[1]);
   await listener.listen(address);
 
-  const told = new Map<string, string>();
-  let whole = 0;
-  const talk = async (number: number): Promise<void> => {
+  const statuses = new Map<string, string>();
+  let completeCount = 0;
+  const exchange = async (number: number): Promise<void> => {
     const requests = ['a', 'b'].map((part) => ({
       id: `t${number}${part}`,
       method: chance() < 0.5 ? 'POST' : 'GET',
@@ -124,20 +124,20 @@
     for (const [at, [status = '', id = '', body = '']] of answers.entries()) {
       assert.equal(id, requests[at]?.id, 'MIXED: the answer to another request');
       if (status === '200') assert.ok(`body of ${id}`.startsWith(body), `MIXED: ${body}`);
-      if (status === '200' && body === `body of ${id}`) whole += 1;
-      told.set(id, status);
+      if (status === '200' && body === `body of ${id}`) completeCount += 1;
+      statuses.set(id, status);
     }
   };
-  const talks: Promise<void>[] = [];
+  const exchanges: Promise<void>[] = [];
   for (let number = 0; number < 300; number += 1) {
-    talks.push(talk(number));
+    exchanges.push(exchange(number));
     await pause(2);
   }
   // A stop: what was read is answered, and no connection stays open.
   closing = true;
   await pause(50);
   listener.stopAccepting();
-  await Promise.all(talks);
+  await Promise.all(exchanges);
   assert.equal(listener.openRequests, 0);
 
   const counts = new Map<string, number>();
@@ -147,11 +147,11 @@
     assert.equal(run.body, `asked ${run.id}`, 'UNASKED');
     assert.equal(counts.get(run.id), 1, `TWICE ${run.id}`);
     assert.ok(
-      !promises.has(told.get(run.id) ?? ''),
-      `REFUSED ${run.id}: ${told.get(run.id) ?? ''}`,
+      !unprocessedStatuses.has(statuses.get(run.id) ?? ''),
+      `REFUSED ${run.id}: ${statuses.get(run.id) ?? ''}`,
     );
   }
-  assert.ok(whole > 200, `${whole} whole answers`);
+  assert.ok(completeCount > 200, `${completeCount} complete responses`);
   clearInterval(ticking);
   listener.closeAllConnections();
   for (const origin of origins) origin.close();
--- a/packages/proxy/src/direct-edge/origin-client.test.ts
+++ b/packages/proxy/src/direct-edge/origin-client.test.ts
@@ -5,25 +5,26 @@
 import { type OriginResponse, type AttemptRequest, defaultHeaderNames } from '@switchwheel/routing';
 import { HttpOriginClient } from './origin-client.js';
 
-interface Stand {
+/** A server whose responses are raw bytes, and requests to it. */
+interface OriginFixture {
   readonly server: Server;
-  readonly order: (id: string, fresh?: boolean, method?: string) => AttemptRequest;
+  readonly attempt: (id: string, needsNewConnection?: boolean, method?: string) => AttemptRequest;
   readonly sockets: () => number;
 }
 
-/** An origin that answers each request with raw bytes. */
-const origin = async (
-  answer: (id: string, socket: Socket, number: number) => void,
-): Promise<Stand> => {
-  let many = 0;
-  let number = 0;
+/** Starts an origin that responds to each request with raw bytes. */
+const startOrigin = async (
+  respond: (id: string, socket: Socket, requestNumber: number) => void,
+): Promise<OriginFixture> => {
+  let socketCount = 0;
+  let requestCount = 0;
   const server = createServer((socket) => {
-    many += 1;
+    socketCount += 1;
     socket.on('error', () => undefined);
     socket.on('data', (bytes: Buffer) => {
-      for (const found of bytes.toString('latin1').matchAll(/switchwheel-id: (\S+)/g)) {
-        number += 1;
-        answer(found[1] ?? '', socket, number);
+      for (const match of bytes.toString('latin1').matchAll(/switchwheel-id: (\S+)/g)) {
+        requestCount += 1;
+        respond(match[1] ?? '', socket, requestCount);
       }
     });
   });
@@ -34,8 +35,8 @@
   const port = bound !== null && typeof bound === 'object' ? bound.port : 0;
   return {
     server,
-    sockets: () => many,
-    order: (id, fresh = false, method = 'GET') => ({
+    sockets: () => socketCount,
+    attempt: (id, needsNewConnection = false, method = 'GET') => ({
       service: toServiceName('clips'),
       address: toAddress(`127.0.0.1:${port}`),
       instance: toInstanceId('o1'),
@@ -43,7 +44,7 @@
       method,
       target: '/x',
       timeoutMs: 2000,
-      needsNewConnection: fresh,
+      needsNewConnection,
       fields: [
         ['host', 'x'],
         ['switchwheel-id', id],
@@ -54,167 +55,175 @@
 };
 
 type Outcome =
-  { readonly answer: OriginResponse } | { readonly broke: string; readonly sent: boolean };
-const ask = (legs: HttpOriginClient, order: AttemptRequest): Promise<Outcome> =>
+  | { readonly response: OriginResponse }
+  | { readonly failure: string; readonly mayHaveReachedOrigin: boolean };
+const exchange = (client: HttpOriginClient, attempt: AttemptRequest): Promise<Outcome> =>
   new Promise((done) => {
-    legs.send(order, {
-      onResponse: (answer) => done({ answer }),
-      onFailure: (sent, text) => done({ broke: text, sent }),
+    client.send(attempt, {
+      onResponse: (response) => done({ response }),
+      onFailure: (mayHaveReachedOrigin, failure) => done({ failure, mayHaveReachedOrigin }),
     });
   });
-const whole = (id: string, body: string, more = ''): string =>
+const responseText = (id: string, body: string, more = ''): string =>
   `HTTP/1.1 200 OK\r\nswitchwheel-id: ${id}\r\n${more}content-length: ${body.length}\r\n\r\n${body}`;
 const bodyOf = (outcome: Outcome): string =>
-  'answer' in outcome ? outcome.answer.body.toString() : `broke: ${outcome.broke}`;
+  'response' in outcome ? outcome.response.body.toString() : `failed: ${outcome.failure}`;
 
-void test('an answer is whole and of the right request, over kept connections', async () => {
-  const stand = await origin((id, socket) => socket.write(whole(id, `body of ${id}`)));
-  const legs = new HttpOriginClient(defaultHeaderNames);
+void test('a response is complete and of its request, over kept connections', async () => {
+  const fixture = await startOrigin((id, socket) =>
+    socket.write(responseText(id, `body of ${id}`)),
+  );
+  const client = new HttpOriginClient(defaultHeaderNames);
   for (const id of ['a', 'b', 'c'])
-    assert.equal(bodyOf(await ask(legs, stand.order(id))), `body of ${id}`);
-  assert.equal(stand.sockets(), 1);
-  assert.equal(bodyOf(await ask(legs, stand.order('d', true, 'POST'))), 'body of d');
-  assert.equal(stand.sockets(), 2, 'one that may not be repeated has a connection of its own');
-  legs.forget(toInstanceId('o1'));
-  stand.server.close();
+    assert.equal(bodyOf(await exchange(client, fixture.attempt(id))), `body of ${id}`);
+  assert.equal(fixture.sockets(), 1);
+  assert.equal(bodyOf(await exchange(client, fixture.attempt('d', true, 'POST'))), 'body of d');
+  assert.equal(fixture.sockets(), 2, 'one that may not be repeated has a connection of its own');
+  client.forget(toInstanceId('o1'));
+  fixture.server.close();
 });
 
-void test('a surplus answer, at once or in the place of the next one, is never told', async () => {
-  const stand = await origin((id, socket, number) => {
-    if (number === 1) socket.write(whole(id, 'one') + whole(id, 'surplus'));
-    else if (number === 2) socket.write(whole('zz', "another one's"));
-    else socket.write(whole(id, `body of ${id}`));
+void test('a surplus response, at once or in the place of the next one, is never passed on', async () => {
+  const fixture = await startOrigin((id, socket, number) => {
+    if (number === 1) socket.write(responseText(id, 'one') + responseText(id, 'surplus'));
+    else if (number === 2) socket.write(responseText('zz', "another one's"));
+    else socket.write(responseText(id, `body of ${id}`));
   });
-  const legs = new HttpOriginClient(defaultHeaderNames);
-  const first = await ask(legs, stand.order('a'));
-  assert.ok(bodyOf(first) === 'one' || 'broke' in first);
-  const second = await ask(legs, stand.order('b'));
-  assert.ok('broke' in second && second.sent, 'it may have run');
-  assert.equal(bodyOf(await ask(legs, stand.order('c'))), 'body of c');
-  legs.forget(toInstanceId('o1'));
-  stand.server.close();
+  const client = new HttpOriginClient(defaultHeaderNames);
+  const first = await exchange(client, fixture.attempt('a'));
+  assert.ok(bodyOf(first) === 'one' || 'failure' in first);
+  const second = await exchange(client, fixture.attempt('b'));
+  assert.ok('failure' in second && second.mayHaveReachedOrigin, 'it may have run');
+  assert.equal(bodyOf(await exchange(client, fixture.attempt('c'))), 'body of c');
+  client.forget(toInstanceId('o1'));
+  fixture.server.close();
 });
 
-void test('a surplus answer that comes while nothing is asked ends the connection', async () => {
+void test('a surplus response while no request is in flight ends the connection', async () => {
   let late: Socket | undefined;
-  const stand = await origin((id, socket) => {
+  const fixture = await startOrigin((id, socket) => {
     late = socket;
-    socket.write(whole(id, `body of ${id}`));
+    socket.write(responseText(id, `body of ${id}`));
   });
-  const legs = new HttpOriginClient(defaultHeaderNames);
-  await ask(legs, stand.order('a'));
+  const client = new HttpOriginClient(defaultHeaderNames);
+  await exchange(client, fixture.attempt('a'));
   const ended = new Promise<void>((done) => {
     late?.once('close', () => {
       done();
     });
   });
-  late?.write(whole('a', 'late surplus'));
+  late?.write(responseText('a', 'late surplus'));
   await ended;
-  assert.equal(bodyOf(await ask(legs, stand.order('b'))), 'body of b');
-  assert.equal(stand.sockets(), 2);
-  legs.forget(toInstanceId('o1'));
-  stand.server.close();
+  assert.equal(bodyOf(await exchange(client, fixture.attempt('b'))), 'body of b');
+  assert.equal(fixture.sockets(), 2);
+  client.forget(toInstanceId('o1'));
+  fixture.server.close();
 });
 
-void test('what breaks off, is cut short, is no answer or lacks its proof is no answer; whether it was sent is told', async () => {
-  const stand = await origin((id, socket, number) => {
+void test('a broken, short or invalid response, or one without proof, is a failure that says whether the request may have been sent', async () => {
+  const fixture = await startOrigin((id, socket, number) => {
     if (number === 1)
       socket.end(`HTTP/1.1 200 OK\r\nswitchwheel-id: ${id}\r\ncontent-length: 10\r\n\r\nhalf`);
     else if (number === 2) socket.end('this is not HTTP at all\r\n\r\n');
     else if (number === 3) socket.resetAndDestroy();
-    else socket.write(whole(id, 'no proof'));
+    else socket.write(responseText(id, 'no proof'));
   });
-  const legs = new HttpOriginClient({ ...defaultHeaderNames, originProof: 'proof' });
+  const client = new HttpOriginClient({ ...defaultHeaderNames, originProof: 'proof' });
   for (const id of ['a', 'b', 'c', 'd']) {
-    const outcome = await ask(legs, stand.order(id, id < 'c'));
-    assert.ok('broke' in outcome && outcome.sent, id);
+    const outcome = await exchange(client, fixture.attempt(id, id < 'c'));
+    assert.ok('failure' in outcome && outcome.mayHaveReachedOrigin, id);
   }
-  legs.forget(toInstanceId('o1'));
-  stand.server.close();
-  const nobody = await ask(legs, { ...stand.order('e'), address: toAddress('127.0.0.1:1') });
-  assert.ok('broke' in nobody && !nobody.sent, 'a refused connection is certain');
+  client.forget(toInstanceId('o1'));
+  fixture.server.close();
+  const nobody = await exchange(client, {
+    ...fixture.attempt('e'),
+    address: toAddress('127.0.0.1:1'),
+  });
+  assert.ok('failure' in nobody && !nobody.mayHaveReachedOrigin, 'a refused connection is certain');
 });
 
-void test('an origin that says so did not run the request', async () => {
-  const stand = await origin((id, socket, number) =>
+void test('a response may say that the origin did not run the request', async () => {
+  const fixture = await startOrigin((id, socket, number) =>
     socket.write(
       number === 1
         ? `HTTP/1.1 503 Full\r\nswitchwheel-id: ${id}\r\nswitchwheel-unrun: 1\r\ncontent-length: 0\r\n\r\n`
         : `HTTP/1.1 421 Not me\r\nswitchwheel-id: ${id}\r\ncontent-length: 0\r\n\r\n`,
     ),
   );
-  const legs = new HttpOriginClient(defaultHeaderNames);
+  const client = new HttpOriginClient(defaultHeaderNames);
   for (const id of ['a', 'b']) {
-    const outcome = await ask(legs, stand.order(id));
-    assert.ok('answer' in outcome && outcome.answer.isUnprocessed);
+    const outcome = await exchange(client, fixture.attempt(id));
+    assert.ok('response' in outcome && outcome.response.isUnprocessed);
   }
-  legs.forget(toInstanceId('o1'));
-  stand.server.close();
+  client.forget(toInstanceId('o1'));
+  fixture.server.close();
 });
 
-void test('bytes behind a whole answer do not spoil it, and their connection is not used again', async () => {
-  const junk = ['this is no answer\r\n\r\n', whole('zz', 'surplus')];
-  const stand = await origin((id, socket, number) =>
-    socket.write(whole(id, `body of ${id}`) + (junk[number - 1] ?? '')),
+void test('bytes behind a complete response do not spoil it, and their connection is not used again', async () => {
+  const junk = ['this is no answer\r\n\r\n', responseText('zz', 'surplus')];
+  const fixture = await startOrigin((id, socket, number) =>
+    socket.write(responseText(id, `body of ${id}`) + (junk[number - 1] ?? '')),
   );
-  const legs = new HttpOriginClient(defaultHeaderNames);
+  const client = new HttpOriginClient(defaultHeaderNames);
   for (const id of ['a', 'b', 'c', 'd'])
-    assert.equal(bodyOf(await ask(legs, stand.order(id))), `body of ${id}`);
-  assert.equal(stand.sockets(), 3);
-  legs.forget(toInstanceId('o1'));
-  stand.server.close();
+    assert.equal(bodyOf(await exchange(client, fixture.attempt(id))), `body of ${id}`);
+  assert.equal(fixture.sockets(), 3);
+  client.forget(toInstanceId('o1'));
+  fixture.server.close();
 });
 
-void test('a status that no answer may bear is a broken answer', async () => {
-  const stand = await origin((id, socket, number) =>
+void test('a status that no final response may have is a failure', async () => {
+  const fixture = await startOrigin((id, socket, number) =>
     socket.write(
       `HTTP/1.1 ${['099', '000', '101'][number - 1] ?? '200'} X\r\nswitchwheel-id: ${id}\r\ncontent-length: 0\r\n\r\n`,
     ),
   );
-  const legs = new HttpOriginClient(defaultHeaderNames);
+  const client = new HttpOriginClient(defaultHeaderNames);
   for (const id of ['a', 'b', 'c']) {
-    const outcome = await ask(legs, stand.order(id));
-    assert.ok('broke' in outcome && outcome.sent, id);
+    const outcome = await exchange(client, fixture.attempt(id));
+    assert.ok('failure' in outcome && outcome.mayHaveReachedOrigin, id);
   }
-  legs.forget(toInstanceId('o1'));
-  stand.server.close();
+  client.forget(toInstanceId('o1'));
+  fixture.server.close();
 });
 
 void test('a connection that its origin will close within a second is not used again', async () => {
-  const stand = await origin((id, socket, number) =>
-    socket.write(whole(id, `body of ${id}`, `keep-alive: timeout=${number === 1 ? 1 : 2}\r\n`)),
+  const fixture = await startOrigin((id, socket, number) =>
+    socket.write(
+      responseText(id, `body of ${id}`, `keep-alive: timeout=${number === 1 ? 1 : 2}\r\n`),
+    ),
   );
-  const legs = new HttpOriginClient(defaultHeaderNames);
-  await ask(legs, stand.order('a'));
-  await ask(legs, stand.order('b'));
-  assert.equal(stand.sockets(), 2);
-  await ask(legs, stand.order('c'));
-  assert.equal(stand.sockets(), 2, 'it is used while it surely stands');
+  const client = new HttpOriginClient(defaultHeaderNames);
+  await exchange(client, fixture.attempt('a'));
+  await exchange(client, fixture.attempt('b'));
+  assert.equal(fixture.sockets(), 2);
+  await exchange(client, fixture.attempt('c'));
+  assert.equal(fixture.sockets(), 2, 'it is used while it surely stands');
   await new Promise<void>((done) => {
     setTimeout(done, 1300);
   });
-  assert.equal(bodyOf(await ask(legs, stand.order('d'))), 'body of d');
-  assert.equal(stand.sockets(), 3);
-  legs.forget(toInstanceId('o1'));
-  stand.server.close();
+  assert.equal(bodyOf(await exchange(client, fixture.attempt('d'))), 'body of d');
+  assert.equal(fixture.sockets(), 3);
+  client.forget(toInstanceId('o1'));
+  fixture.server.close();
 });
 
-void test('what an answer left behind on a connection is never told to the next request', async () => {
-  const stand = await origin((id, socket, number) => {
-    socket.write(whole(id, `body of ${id}`));
+void test('what a response left behind on a connection never reaches the next request', async () => {
+  const fixture = await startOrigin((id, socket, number) => {
+    socket.write(responseText(id, `body of ${id}`));
     // A surplus answer under the id of the request before, some moments later.
-    if (number % 2 === 1) setTimeout(() => socket.write(whole(id, 'surplus')), number);
+    if (number % 2 === 1) setTimeout(() => socket.write(responseText(id, 'surplus')), number);
   });
-  const legs = new HttpOriginClient(defaultHeaderNames);
+  const client = new HttpOriginClient(defaultHeaderNames);
   for (let number = 0; number < 40; number += 1) {
     const id = `r${number}`;
-    const outcome = await ask(legs, stand.order(id, number % 3 === 0));
-    if ('answer' in outcome) assert.equal(bodyOf(outcome), `body of ${id}`);
-    else assert.ok(outcome.sent);
+    const outcome = await exchange(client, fixture.attempt(id, number % 3 === 0));
+    if ('response' in outcome) assert.equal(bodyOf(outcome), `body of ${id}`);
+    else assert.ok(outcome.mayHaveReachedOrigin);
     await new Promise<void>((done) => {
       setTimeout(done, number % 4);
     });
   }
-  legs.forget(toInstanceId('o1'));
-  stand.server.close();
+  client.forget(toInstanceId('o1'));
+  fixture.server.close();
 });
--- a/packages/proxy/src/direct-edge/reset-at-end.test.ts
+++ b/packages/proxy/src/direct-edge/reset-at-end.test.ts
@@ -1,6 +1,6 @@
 /**
- * An answer without a length ends with its connection. One whose connection is reset right behind its last bytes is not
- * whole: the runtime's event loop tells such a reset as an orderly end, so the end alone does not show it.
+ * A response without a length ends with its connection. One whose connection is reset right behind its last bytes is not
+ * complete: the runtime's event loop reports such a reset as an orderly end, so the end alone does not show it.
  */
 import assert from 'node:assert/strict';
 import { type Socket, createServer } from 'node:net';
@@ -12,8 +12,11 @@
 const id = 't1';
 const head = `HTTP/1.1 200 OK\r\n${defaultHeaderNames.requestId}: ${id}\r\n\r\n`;
 
-/** What becomes of a request whose origin ends the connection behind its first bytes. */
-const ask = async (fresh: boolean, finish: (socket: Socket) => void): Promise<string> => {
+/** The outcome of a request whose origin ends the connection behind its first bytes. */
+const outcomeOf = async (
+  needsNewConnection: boolean,
+  finish: (socket: Socket) => void,
+): Promise<string> => {
   const server = createServer((socket) => {
     socket.on('error', () => undefined);
     socket.once('data', () => socket.write(`${head}a part`, () => finish(socket)));
@@ -21,13 +24,13 @@
   await new Promise<void>((done) => {
     server.listen(0, '127.0.0.1', done);
   });
-  const spot = server.address();
-  assert.ok(spot !== null && typeof spot === 'object');
+  const bound = server.address();
+  assert.ok(bound !== null && typeof bound === 'object');
   const outcome = await new Promise<string>((done) => {
     new HttpOriginClient(defaultHeaderNames).send(
       {
         service: toServiceName('acts'),
-        address: toAddress(`127.0.0.1:${spot.port}`),
+        address: toAddress(`127.0.0.1:${bound.port}`),
         instance: toInstanceId('o1'),
         id,
         method: 'GET',
@@ -35,11 +38,11 @@
         fields: [[defaultHeaderNames.requestId, id]],
         body: Buffer.alloc(0),
         timeoutMs: 1000,
-        needsNewConnection: fresh,
+        needsNewConnection,
       },
       {
-        onResponse: () => done('told as whole'),
-        onFailure: () => done('broke'),
+        onResponse: () => done('complete'),
+        onFailure: () => done('failed'),
       },
     );
   });
@@ -47,12 +50,15 @@
   return outcome;
 };
 
-for (const fresh of [true, false]) {
-  void test(`an answer without a length whose connection is reset is not told as whole, on a ${fresh ? 'new' : 'kept'} connection`, async () => {
-    assert.equal(await ask(fresh, (socket) => socket.resetAndDestroy()), 'broke');
+for (const needsNewConnection of [true, false]) {
+  void test(`a response without a length whose connection is reset is not complete, on a ${needsNewConnection ? 'new' : 'kept'} connection`, async () => {
+    assert.equal(
+      await outcomeOf(needsNewConnection, (socket) => socket.resetAndDestroy()),
+      'failed',
+    );
   });
 
-  void test(`an answer without a length whose connection ends in order is whole, on a ${fresh ? 'new' : 'kept'} connection`, async () => {
-    assert.equal(await ask(fresh, (socket) => socket.end()), 'told as whole');
+  void test(`a response without a length whose connection ends in order is complete, on a ${needsNewConnection ? 'new' : 'kept'} connection`, async () => {
+    assert.equal(await outcomeOf(needsNewConnection, (socket) => socket.end()), 'complete');
   });
 }
--- a/packages/proxy/src/direct-edge/testing/misbehaving-origin.ts
+++ b/packages/proxy/src/direct-edge/testing/misbehaving-origin.ts
@@ -1,6 +1,8 @@
+/** An origin for tests that misbehaves at the level of bytes. */
+
 import { type Server, type Socket, createServer } from 'node:net';
 
-/** What an origin does with one request, at the level of bytes. */
+/** What an origin does with one request; each is drawn as often as it stands here. */
 export const originBehaviors = [
   'whole',
   'whole',
@@ -19,6 +21,7 @@
   'reset amid',
   'reset after',
 ] as const;
+/** One of the behaviors. */
 export type OriginBehavior = (typeof originBehaviors)[number];
 
 /** A request that an origin ran. */
@@ -33,7 +36,7 @@
 const responseText = (id: string, body: string, status = '200 OK', more = ''): string =>
   `HTTP/1.1 ${status}\r\nswitchwheel-id: ${id}\r\n${more}content-length: ${body.length}${headEnd}${body}`;
 
-/** An origin for tests that misbehaves byte by byte, and writes down what it ran. */
+/** Misbehaves as it is told, and records the requests that it ran. */
 export class MisbehavingOrigin {
   readonly handledRequests: HandledRequest[] = [];
   readonly #server: Server;
@@ -45,6 +48,7 @@
     this.#server = createServer((socket) => this.#accept(socket));
   }
 
+  /** Listens on a free port; gives the address. */
   listen(): Promise<string> {
     return new Promise((done) => {
       this.#server.listen(0, '127.0.0.1', () => {
@@ -54,6 +58,7 @@
     });
   }
 
+  /** Stops listening and cuts all connections. */
   close(): void {
     this.#server.close();
     for (const socket of this.#sockets) socket.destroy();
