--- a/packages/proxy/src/admin/view-forms.test.ts
+++ b/packages/proxy/src/admin/view-forms.test.ts
@@ -1,3 +1,5 @@
+/** The admin view keeps the keys and forms that operators know. */
+
 import { test } from 'node:test';
 import {
   toAddress,
--- a/packages/proxy/src/direct-edge/client-listener.test.ts
+++ b/packages/proxy/src/direct-edge/client-listener.test.ts
@@ -1,3 +1,5 @@
+/** The listener over real sockets, with origins that the test stands in for. */
+
 import assert from 'node:assert/strict';
 import { Agent, type IncomingHttpHeaders, request } from 'node:http';
 import { type Socket, connect, createServer } from 'node:net';
--- a/packages/proxy/src/direct-edge/end-to-end.test.ts
+++ b/packages/proxy/src/direct-edge/end-to-end.test.ts
@@ -1,3 +1,5 @@
+/** The rules of requests over real sockets at both ends: nothing is lost, mixed up, run twice or falsely rejected. */
+
 import assert from 'node:assert/strict';
 import { connect } from 'node:net';
 import { test } from 'node:test';
@@ -84,7 +86,7 @@
   const origins = [1, 2, 3, 4].map(
     () =>
       new MisbehavingOrigin(
-        () => originBehaviors[Math.floor(chance() * originBehaviors.length)] ?? 'whole',
+        () => originBehaviors[Math.floor(chance() * originBehaviors.length)] ?? 'complete',
       ),
   );
   const nodeAgent = nodeAgentWith(await Promise.all(origins.map((one) => one.listen())));
@@ -105,7 +107,7 @@
   let closing = false;
   const listener = new ClientListener(router, defaultHeaderNames, { isClosing: () => closing });
   // An address that was free a moment ago.
-  const spare = new MisbehavingOrigin(() => 'whole');
+  const spare = new MisbehavingOrigin(() => 'complete');
   const address = toAddress(await spare.listen());
   spare.close();
   const port = Number(address.split(':')[1]);
--- a/packages/proxy/src/direct-edge/origin-client.test.ts
+++ b/packages/proxy/src/direct-edge/origin-client.test.ts
@@ -1,3 +1,5 @@
+/** The origin client against servers that respond with raw bytes, right ones and wrong ones. */
+
 import assert from 'node:assert/strict';
 import { type Server, type Socket, createServer } from 'node:net';
 import { test } from 'node:test';
--- a/packages/proxy/src/direct-edge/reset-at-end.test.ts
+++ b/packages/proxy/src/direct-edge/reset-at-end.test.ts
@@ -2,6 +2,7 @@
  * A response without a length ends with its connection. One whose connection is reset right behind its last bytes is not
  * complete: the runtime's event loop reports such a reset as an orderly end, so the end alone does not show it.
  */
+
 import assert from 'node:assert/strict';
 import { type Socket, createServer } from 'node:net';
 import { test } from 'node:test';
--- a/packages/proxy/src/direct-edge/response-forms.test.ts
+++ b/packages/proxy/src/direct-edge/response-forms.test.ts
@@ -1,3 +1,5 @@
+/** The requests that a direct edge sends and its responses keep their forms. */
+
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { toZoneName, toTimestamp, toServiceName } from '@switchwheel/types';
--- a/packages/proxy/src/direct-edge/testing/misbehaving-origin.ts
+++ b/packages/proxy/src/direct-edge/testing/misbehaving-origin.ts
@@ -4,19 +4,19 @@
 
 /** What an origin does with one request; each is drawn as often as it stands here. */
 export const originBehaviors = [
-  'whole',
-  'whole',
-  'whole',
-  'whole',
+  'complete',
+  'complete',
+  'complete',
+  'complete',
   'late',
   'surplus',
   'surplus later',
   'junk behind',
   'short',
   'other id',
-  'not run',
-  'false promise',
-  'no answer at all',
+  'unprocessed',
+  'misleading status',
+  'no response',
   'reset before',
   'reset amid',
   'reset after',
@@ -85,51 +85,63 @@
   #serve(socket: Socket, head: string, body: string): void {
     const id = /switchwheel-id: (\S+)/i.exec(head)?.[1] ?? '';
     const method = head.slice(0, head.indexOf(' '));
-    const conduct = this.#nextBehavior();
-    if (conduct === 'reset before') {
+    const behavior = this.#nextBehavior();
+    if (behavior === 'reset before') {
       socket.resetAndDestroy();
       return;
     }
-    if (conduct === 'not run') {
+    if (behavior === 'unprocessed') {
       socket.write(responseText(id, '', '503 Full', 'switchwheel-unrun: 1\r\n'));
       return;
     }
     this.handledRequests.push({ id, method, body });
-    const whole = responseText(id, `body of ${id}`);
-    switch (conduct) {
-      case 'late':
-        setTimeout(() => socket.write(whole), 150);
-        break;
-      case 'surplus':
-        socket.write(whole + responseText(id, 'surplus'));
-        break;
-      case 'surplus later':
-        socket.write(whole);
-        setTimeout(() => socket.write(responseText(id, 'surplus')), 5);
-        break;
-      case 'junk behind':
-        socket.write(`${whole}this is no answer${headEnd}`);
-        break;
-      case 'short':
-        socket.end(whole.slice(0, -3));
-        break;
-      case 'other id':
-        socket.write(responseText('somebody', `body of ${id}`));
-        break;
-      case 'false promise':
-        socket.write(responseText(id, '', '429 Later'));
-        break;
-      case 'no answer at all':
-        socket.write(`this is no answer${headEnd}`);
-        break;
-      case 'reset amid':
-        socket.write(whole.slice(0, -3), () => socket.resetAndDestroy());
-        break;
-      case 'reset after':
-        setTimeout(() => socket.resetAndDestroy(), 5);
-        break;
-      default:
-        socket.write(whole);
-    }
+    respond(socket, id, behavior);
   }
 }
+
+const noResponse = `this is no answer${headEnd}`;
+
+/** Responds to a request that was run. */
+const respond = (
+  socket: Socket,
+  id: string,
+  behavior: Exclude<OriginBehavior, 'reset before' | 'unprocessed'>,
+): void => {
+  const complete = responseText(id, `body of ${id}`);
+  switch (behavior) {
+    case 'complete':
+      socket.write(complete);
+      break;
+    case 'late':
+      setTimeout(() => socket.write(complete), 150);
+      break;
+    case 'surplus':
+      socket.write(complete + responseText(id, 'surplus'));
+      break;
+    case 'surplus later':
+      socket.write(complete);
+      setTimeout(() => socket.write(responseText(id, 'surplus')), 5);
+      break;
+    case 'junk behind':
+      socket.write(`${complete}${noResponse}`);
+      break;
+    case 'short':
+      socket.end(complete.slice(0, -3));
+      break;
+    case 'other id':
+      socket.write(responseText('somebody', `body of ${id}`));
+      break;
+    case 'misleading status':
+      socket.write(responseText(id, '', '429 Later'));
+      break;
+    case 'no response':
+      socket.write(noResponse);
+      break;
+    case 'reset amid':
+      socket.write(complete.slice(0, -3), () => socket.resetAndDestroy());
+      break;
+    case 'reset after':
+      setTimeout(() => socket.resetAndDestroy(), 5);
+      break;
+  }
+};
--- a/packages/proxy/src/program-forms.test.ts
+++ b/packages/proxy/src/program-forms.test.ts
@@ -1,3 +1,5 @@
+/** The proxy as a process keeps its responses, metrics and state. */
+
 import { join } from 'node:path';
 import { test } from 'node:test';
 import {
--- a/packages/proxy/src/settings/settings-forms.test.ts
+++ b/packages/proxy/src/settings/settings-forms.test.ts
@@ -1,3 +1,5 @@
+/** The settings of the proxy keep their names and forms. */
+
 import { join } from 'node:path';
 import { test } from 'node:test';
 import { runCommands, schemaLines, snapshotsFor } from '@switchwheel/types/testing';
--- a/packages/proxy/src/shield/header-forms.test.ts
+++ b/packages/proxy/src/shield/header-forms.test.ts
@@ -1,3 +1,5 @@
+/** The headers that a shield sends to origins keep their forms. */
+
 import { test } from 'node:test';
 import { toAddress, toInstanceId, toServiceName } from '@switchwheel/types';
 import { snapshotsFor } from '@switchwheel/types/testing';
--- a/packages/proxy/src/shield/recording-origin.test-support.ts
+++ b/packages/proxy/src/shield/recording-origin.test-support.ts
@@ -1,3 +1,5 @@
+/** An origin for tests that records what it receives. */
+
 import { createServer } from 'node:http';
 
 /** An origin for tests that writes down each request with its headers, and answers with a body. */
--- a/packages/proxy/src/shielded-edge/error-forms.test.ts
+++ b/packages/proxy/src/shielded-edge/error-forms.test.ts
@@ -1,3 +1,5 @@
+/** The error responses of an edge that forwards to shields keep their forms. */
+
 import { test } from 'node:test';
 import Koa from 'koa';
 import { errorKinds, toAddress } from '@switchwheel/types';
--- a/packages/routing/src/attempt-state/attempt-state.test.ts
+++ b/packages/routing/src/attempt-state/attempt-state.test.ts
@@ -1,3 +1,5 @@
+/** The state machine of a request, by random sequences of events. */
+
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
--- a/packages/routing/src/object-sharing/object-sharing.test.ts
+++ b/packages/routing/src/object-sharing/object-sharing.test.ts
@@ -1,3 +1,5 @@
+/** Object sharing among the routers of one zone. */
+
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
--- a/packages/routing/src/object-sharing/peer-bandwidth.test.ts
+++ b/packages/routing/src/object-sharing/peer-bandwidth.test.ts
@@ -1,3 +1,5 @@
+/** The limit of what other edges are sent. */
+
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
--- a/packages/routing/src/quota/quota-share.test.ts
+++ b/packages/routing/src/quota/quota-share.test.ts
@@ -1,3 +1,5 @@
+/** The shares of all edges together keep the limits. */
+
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
--- a/packages/routing/src/router/edge-router.test.ts
+++ b/packages/routing/src/router/edge-router.test.ts
@@ -1,3 +1,5 @@
+/** The router with a clock and origins that the test controls. */
+
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
