--- a/packages/proxy/src/direct-edge/end-to-end.test.ts
+++ b/packages/proxy/src/direct-edge/end-to-end.test.ts
@@ -1,3 +1,5 @@
+/** The rules of requests over real sockets at both ends: nothing is lost, mixed up, run twice or falsely rejected. */
+
 import assert from 'node:assert/strict';
 import { connect } from 'node:net';
 import { test } from 'node:test';
@@ -6,32 +8,27 @@
   nextRandom,
   toAddress,
   toZoneName,
-  toGeneration,
-  toIncarnation,
-  toInstanceId,
   toTimestamp,
-  toNodeId,
-  toRelease,
   toServiceName,
 } from '@switchwheel/types';
-import { buildConfiguration, splitIntoChunks, runToCompletion } from '@switchwheel/configuration';
-import { type NodeAgent, Cache, newNodeAgent } from '@switchwheel/proxy-core';
+import { type NodeAgent, Cache } from '@switchwheel/proxy-core';
 import { EdgeRouter, defaultEdgeLimits, defaultHeaderNames } from '@switchwheel/routing';
+import { compileDocument, newEdgeAgent } from '@switchwheel/routing/testing';
 import { ClientListener } from './client-listener.js';
 import { HttpOriginClient } from './origin-client.js';
 import { MisbehavingOrigin, originBehaviors } from './testing/misbehaving-origin.js';
 
 const service = toServiceName('clips');
-const promises = new Set(['408', '421', '429', '503']);
+const unprocessedStatuses = new Set(['408', '421', '429', '503']);
 const now = (): ReturnType<typeof toTimestamp> => toTimestamp(50_000 + performance.now());
 const pause = (ms: number): Promise<void> =>
   new Promise((done) => {
     setTimeout(done, ms);
   });
 
-const cabinOf = (addresses: readonly string[]): NodeAgent => {
-  const bundle = runToCompletion(
-    splitIntoChunks({
+const nodeAgentWith = (addresses: readonly string[]): NodeAgent =>
+  newEdgeAgent({
+    configuration: compileDocument({
       format: 1,
       classes: [{ name: 'all', share: 1 }],
       services: [{ name: 'clips' }],
@@ -40,42 +37,11 @@
         { name: 'edit', prefix: '/edit/', methods: ['POST'], service: 'clips', class: 'all' },
       ],
     }),
-  );
-  assert.ok(bundle.isOk);
-  const { hash, chunkHashes, chunks } = bundle.value;
-  const texts = chunkHashes.map((one) => chunks.get(one) ?? '');
-  const built = runToCompletion(buildConfiguration(texts, toGeneration(1), hash));
-  assert.ok(built.isOk);
-  const member = {
-    node: toNodeId('e1'),
-    role: 'edge' as const,
-    area: toZoneName('a'),
-    address: toAddress('10.0.0.1:1'),
-    incarnation: toIncarnation(1),
-  };
-  const origins = new Map(
-    addresses.map((address, at) => {
-      const instance = toInstanceId(`o${at}`);
-      const release = toRelease('r1');
-      const state = 'up' as const;
-      return [
-        instance,
-        {
-          service,
-          instance,
-          address: toAddress(address),
-          release,
-          slots: 50,
-          state,
-          lastHeardAt: now(),
-        },
-      ];
-    }),
-  );
-  const fresh = newNodeAgent(member, [], { seed: 3 });
-  const nodeSession = { ...fresh.nodeSession, registryHeardAt: now(), origins, members: [member] };
-  return { ...fresh, compiledConfiguration: built.value, purgesCurrentAsOf: now(), nodeSession };
-};
+    service,
+    origins: addresses.map((address, index) => ({ instance: `o${index}`, address })),
+    slots: 50,
+    now: now(),
+  });
 
 /** A client that pipelines requests on one connection; it may leave before their answers. */
 const pipeline = (
@@ -110,7 +76,7 @@
     ),
   ].map((found) => found.slice(1));
 
-void test('over real sockets, rough origins and pipelining callers: each answer is its own, nothing runs twice, and a stop loses none', async () => {
+void test('over real sockets, with misbehaving origins and pipelining clients, each response is its own, nothing runs twice, and a stop loses none', async () => {
   let dice: RandomState = { seed: 11 };
   const chance = (): number => {
     const [value, next] = nextRandom(dice);
@@ -120,12 +86,12 @@
   const origins = [1, 2, 3, 4].map(
     () =>
       new MisbehavingOrigin(
-        () => originBehaviors[Math.floor(chance() * originBehaviors.length)] ?? 'whole',
+        () => originBehaviors[Math.floor(chance() * originBehaviors.length)] ?? 'complete',
       ),
   );
-  const cabin = cabinOf(await Promise.all(origins.map((one) => one.listen())));
-  const line = new EdgeRouter(
-    { now, nodeAgent: () => cabin },
+  const nodeAgent = nodeAgentWith(await Promise.all(origins.map((one) => one.listen())));
+  const router = new EdgeRouter(
+    { now, nodeAgent: () => nodeAgent },
     new Cache(1_000_000),
     new HttpOriginClient(defaultHeaderNames),
     {
@@ -136,20 +102,20 @@
     },
     { seed: 7 },
   );
-  line.updateFleet(cabin);
-  const ticking = setInterval(() => line.tick(now()), 30);
+  router.updateFleet(nodeAgent);
+  const ticking = setInterval(() => router.tick(now()), 30);
   let closing = false;
-  const door = new ClientListener(line, defaultHeaderNames, { isClosing: () => closing });
+  const listener = new ClientListener(router, defaultHeaderNames, { isClosing: () => closing });
   // An address that was free a moment ago.
-  const spare = new MisbehavingOrigin(() => 'whole');
+  const spare = new MisbehavingOrigin(() => 'complete');
   const address = toAddress(await spare.listen());
   spare.close();
   const port = Number(address.split(':')[1]);
-  await door.listen(address);
+  await listener.listen(address);
 
-  const told = new Map<string, string>();
-  let whole = 0;
-  const talk = async (number: number): Promise<void> => {
+  const statuses = new Map<string, string>();
+  let completeCount = 0;
+  const exchange = async (number: number): Promise<void> => {
     const requests = ['a', 'b'].map((part) => ({
       id: `t${number}${part}`,
       method: chance() < 0.5 ? 'POST' : 'GET',
@@ -160,21 +126,21 @@
     for (const [at, [status = '', id = '', body = '']] of answers.entries()) {
       assert.equal(id, requests[at]?.id, 'MIXED: the answer to another request');
       if (status === '200') assert.ok(`body of ${id}`.startsWith(body), `MIXED: ${body}`);
-      if (status === '200' && body === `body of ${id}`) whole += 1;
-      told.set(id, status);
+      if (status === '200' && body === `body of ${id}`) completeCount += 1;
+      statuses.set(id, status);
     }
   };
-  const talks: Promise<void>[] = [];
+  const exchanges: Promise<void>[] = [];
   for (let number = 0; number < 300; number += 1) {
-    talks.push(talk(number));
+    exchanges.push(exchange(number));
     await pause(2);
   }
   // A stop: what was read is answered, and no connection stays open.
   closing = true;
   await pause(50);
-  door.stopAccepting();
-  await Promise.all(talks);
-  assert.equal(door.openRequests, 0);
+  listener.stopAccepting();
+  await Promise.all(exchanges);
+  assert.equal(listener.openRequests, 0);
 
   const counts = new Map<string, number>();
   for (const run of origins.flatMap((one) => one.handledRequests)) {
@@ -183,12 +149,12 @@
     assert.equal(run.body, `asked ${run.id}`, 'UNASKED');
     assert.equal(counts.get(run.id), 1, `TWICE ${run.id}`);
     assert.ok(
-      !promises.has(told.get(run.id) ?? ''),
-      `REFUSED ${run.id}: ${told.get(run.id) ?? ''}`,
+      !unprocessedStatuses.has(statuses.get(run.id) ?? ''),
+      `REFUSED ${run.id}: ${statuses.get(run.id) ?? ''}`,
     );
   }
-  assert.ok(whole > 200, `${whole} whole answers`);
+  assert.ok(completeCount > 200, `${completeCount} complete responses`);
   clearInterval(ticking);
-  door.closeAllConnections();
+  listener.closeAllConnections();
   for (const origin of origins) origin.close();
 });
