--- a/packages/simulator/src/fault/all-faults.ts
+++ b/packages/simulator/src/fault/all-faults.ts
@@ -9,6 +9,7 @@
 import { storeFaults } from './store-faults.js';
 import { zoneFaults } from './zone-faults.js';
 
+/** All faults but the numbered commands, in the order in which they are picked from. */
 export const allFaults: readonly Fault[] = [
   ...storeFaults,
   ...processFaults,
--- a/packages/simulator/src/fault/caller-faults.ts
+++ b/packages/simulator/src/fault/caller-faults.ts
@@ -2,6 +2,7 @@
 
 import type { Fault } from './fault.js';
 
+/** Floods and impatient callers. */
 export const callerFaults: readonly Fault[] = [
   {
     name: 'impatient callers',
--- a/packages/simulator/src/fault/fault-context.ts
+++ b/packages/simulator/src/fault/fault-context.ts
@@ -7,14 +7,14 @@
 import type { World } from '../world/world.js';
 import type { RuleChecker } from '../rules/rule-checker.js';
 
-/** How long after trouble with the core the next one may come. */
+/** How long after a fault of the core the next one may come. */
 const coreRecoveryMs = 3000;
 
 /** The context on which faults are caused: what they share and must not do at once. */
 export class FaultContext {
   readonly world: World;
   readonly ruleChecker: RuleChecker;
-  /** When the last trouble with a machine that has a disk ends. */
+  /** When the last fault of a machine with a disk is over, and of the whole core. */
   #diskFreeAt = 0;
   #coreFreeAt = 0;
   #lastRelease = 1;
@@ -44,7 +44,7 @@
     return this.world.random.uniform(low, high);
   }
 
-  /** One machine with a disk has trouble at a time, and the next only once the pair is whole again. */
+  /** Reserves a fault of one machine with a disk: one at a time, and the next only once both stores are in sync again. */
   reserveDiskFault(durationMs: number): SimulatedStore | undefined {
     const { world } = this;
     if (world.eventQueue.now < this.#diskFreeAt || world.eventQueue.now < this.#coreFreeAt)
@@ -59,7 +59,7 @@
     return world.random.pick(world.stores);
   }
 
-  /** One trouble with the whole core at a time. */
+  /** Reserves a fault of the whole core: one at a time. */
   reserveCoreFault(durationMs: number): boolean {
     if (
       this.world.eventQueue.now < this.#coreFreeAt ||
@@ -70,7 +70,7 @@
     return true;
   }
 
-  /** Trouble with a whole place: with a disk and with the core at once. */
+  /** Reserves a fault of a whole zone, which befalls a disk and the core at once. */
   reserveZoneFault(durationMs: number): SimulatedStore | undefined {
     const store = this.reserveDiskFault(durationMs);
     if (store !== undefined)
--- a/packages/simulator/src/fault/network-faults.ts
+++ b/packages/simulator/src/fault/network-faults.ts
@@ -1,55 +1,78 @@
 /** Faults of the network between processes: partitions, slow links and lossy links. */
 
 import { SimulatedProxy } from '../processes/proxy.js';
-import { goodConditions, lossyConditions, slowConditions } from '../world/network.js';
+import {
+  type LinkConditions,
+  goodConditions,
+  lossyConditions,
+  slowConditions,
+} from '../world/network.js';
 import type { FaultContext } from './fault-context.js';
 import type { Fault } from './fault.js';
 
-const healLater = (context: FaultContext, span: number): void =>
-  context.world.eventQueue.schedule(span, () => {
+const healLater = (context: FaultContext, durationMs: number): void =>
+  context.world.eventQueue.schedule(durationMs, () => {
     context.log('heal');
     context.world.network.heal();
   });
 
+/** Gives all links other conditions for a while. */
+const changeConditions = (
+  context: FaultContext,
+  text: string,
+  conditions: LinkConditions,
+): void => {
+  const { network, eventQueue } = context.world;
+  const durationMs = context.randomMs(1000, 6000);
+  context.log(`${text} for ${Math.round(durationMs)}`);
+  network.conditions = conditions;
+  eventQueue.schedule(durationMs, () => {
+    network.conditions = goodConditions;
+  });
+};
+
+/** Partitions and bad links. */
 export const networkFaults: readonly Fault[] = [
   {
     name: 'isolate machine',
     weight: 3,
     cause: (context) => {
-      const span = context.randomMs(300, 5000);
-      if (!context.reserveCoreFault(span)) return;
-      const one = context.world.random.pick(context.world.allProcesses);
-      if (one === undefined) return;
-      const actors = context.processesOnMachineOf(one);
+      const durationMs = context.randomMs(300, 5000);
+      if (!context.reserveCoreFault(durationMs)) return;
+      const process = context.world.random.pick(context.world.allProcesses);
+      if (process === undefined) return;
+      const machine = context.processesOnMachineOf(process);
       const way = context.world.random.pick(['both', 'both', 'out', 'in'] as const) ?? 'both';
       context.log(
-        `isolate ${actors.map((each) => each.node).join(' ')} ${way} for ${Math.round(span)}`,
+        `isolate ${machine.map((process) => process.node).join(' ')} ${way} for ${Math.round(durationMs)}`,
       );
-      context.isolate(actors, way);
-      healLater(context, span);
+      context.isolate(machine, way);
+      healLater(context, durationMs);
     },
   },
   {
     name: 'split core',
     weight: 2,
     cause: (context) => {
-      const span = context.randomMs(500, 5000);
-      if (!context.reserveCoreFault(span)) return;
+      const durationMs = context.randomMs(500, 5000);
+      if (!context.reserveCoreFault(durationMs)) return;
       const side = context.world.registries
         .filter(() => context.world.random.happens(0.5))
-        .flatMap((one) => context.processesOnMachineOf(one));
-      context.log(`split ${side.map((one) => one.node).join(' ')} for ${Math.round(span)}`);
+        .flatMap((registry) => context.processesOnMachineOf(registry));
+      context.log(
+        `split ${side.map((process) => process.node).join(' ')} for ${Math.round(durationMs)}`,
+      );
       context.isolate(side, 'both');
-      healLater(context, span);
+      healLater(context, durationMs);
     },
   },
   {
     name: 'cut core off from edges',
     weight: 1,
     cause: (context) => {
-      const span = context.randomMs(500, 4000);
-      if (!context.reserveCoreFault(span)) return;
-      context.log(`cut edges off for ${Math.round(span)}`);
+      const durationMs = context.randomMs(500, 4000);
+      if (!context.reserveCoreFault(durationMs)) return;
+      context.log(`cut edges off for ${Math.round(durationMs)}`);
       for (const edge of context.world.edges) {
         for (const other of context.world.allProcesses) {
           if (other instanceof SimulatedProxy && other.role === 'edge') continue;
@@ -57,7 +80,7 @@
           context.world.network.cut(other.node, edge.node);
         }
       }
-      healLater(context, span);
+      healLater(context, durationMs);
     },
   },
   {
@@ -65,12 +88,12 @@
     weight: 2,
     cause: (context) => {
       if (!context.reserveCoreFault(6000)) return;
-      const one = context.world.random.pick(context.world.allProcesses);
-      if (one === undefined) return;
-      const actors = context.processesOnMachineOf(one);
-      context.log(`flap ${actors.map((each) => each.node).join(' ')}`);
+      const process = context.world.random.pick(context.world.allProcesses);
+      if (process === undefined) return;
+      const machine = context.processesOnMachineOf(process);
+      context.log(`flap ${machine.map((process) => process.node).join(' ')}`);
       for (let turn = 0; turn < 8; turn += 1) {
-        context.world.eventQueue.schedule(turn * 700, () => context.isolate(actors, 'both'));
+        context.world.eventQueue.schedule(turn * 700, () => context.isolate(machine, 'both'));
         context.world.eventQueue.schedule(turn * 700 + context.randomMs(50, 600), () =>
           context.world.network.heal(),
         );
@@ -81,25 +104,11 @@
   {
     name: 'slow links',
     weight: 1,
-    cause: (context) => {
-      const span = context.randomMs(1000, 6000);
-      context.log(`slow links for ${Math.round(span)}`);
-      context.world.network.conditions = slowConditions;
-      context.world.eventQueue.schedule(span, () => {
-        context.world.network.conditions = goodConditions;
-      });
-    },
+    cause: (context) => changeConditions(context, 'slow links', slowConditions),
   },
   {
     name: 'rough weather',
     weight: 2,
-    cause: (context) => {
-      const span = context.randomMs(1000, 6000);
-      context.log(`rough weather for ${Math.round(span)}`);
-      context.world.network.conditions = lossyConditions;
-      context.world.eventQueue.schedule(span, () => {
-        context.world.network.conditions = goodConditions;
-      });
-    },
+    cause: (context) => changeConditions(context, 'lossy links', lossyConditions),
   },
 ];
--- a/packages/simulator/src/fault/operator-commands.ts
+++ b/packages/simulator/src/fault/operator-commands.ts
@@ -2,6 +2,7 @@
 
 import type { Fault } from './fault.js';
 
+/** Configurations and purges, valid and not, alone and many at once. */
 export const operatorFaults: readonly Fault[] = [
   {
     name: 'apply',
@@ -67,7 +68,7 @@
   },
 ];
 
-/** Orders of operators that number their configurations: the storms that ask for them by name get them. */
+/** Commands of operators that number their configurations; caused only where a run asks for them by name. */
 export const numberedCommandFaults: readonly Fault[] = [
   {
     name: 'numbered race',
--- a/packages/simulator/src/fault/origin-faults.ts
+++ b/packages/simulator/src/fault/origin-faults.ts
@@ -5,30 +5,31 @@
 import type { World } from '../world/world.js';
 import type { Fault } from './fault.js';
 
-/** Another run of the very release, with its faults. */
+/** Starts another instance of the same release, with the same faults. */
 const addReplacementOrigin = (
   world: World,
-  one: SimulatedOrigin,
+  origin: SimulatedOrigin,
   address: Address | undefined,
 ): void => {
-  world.addOrigin(one.service, one.slots, one.release, address).failureProbability =
-    one.failureProbability;
+  world.addOrigin(origin.service, origin.slots, origin.release, address).failureProbability =
+    origin.failureProbability;
 };
 
+/** Crashes, replacements, bad answers and bad releases of origins. */
 export const originFaults: readonly Fault[] = [
   {
     name: 'crash origin',
     weight: 2,
     cause: (context) => {
       const { world } = context;
-      const up = world.origins.filter((one) => one.isAlive && one.state === 'up');
-      const one = world.random.pick(up);
-      if (one === undefined || up.filter((other) => other.service === one.service).length < 2)
+      const up = world.origins.filter((origin) => origin.isAlive && origin.state === 'up');
+      const origin = world.random.pick(up);
+      if (origin === undefined || up.filter((other) => other.service === origin.service).length < 2)
         return;
-      context.log(`crash ${one.instance}`);
-      one.crash();
+      context.log(`crash ${origin.instance}`);
+      origin.crash();
       world.eventQueue.schedule(context.randomMs(500, 4000), () =>
-        addReplacementOrigin(world, one, world.random.happens(0.5) ? one.address : undefined),
+        addReplacementOrigin(world, origin, world.random.happens(0.5) ? origin.address : undefined),
       );
     },
   },
@@ -37,16 +38,16 @@
     weight: 3,
     cause: (context) => {
       const { world } = context;
-      const one = world.random.pick(
+      const origin = world.random.pick(
         world.origins.filter((other) => other.isAlive && other.state === 'up'),
       );
-      if (one === undefined) return;
-      context.log(`replace ${one.instance}`);
-      addReplacementOrigin(world, one, undefined);
+      if (origin === undefined) return;
+      context.log(`replace ${origin.instance}`);
+      addReplacementOrigin(world, origin, undefined);
       world.eventQueue.schedule(1000, () =>
-        one.leave(world.random.happens(0.5) ? 'leaving' : 'gone'),
+        origin.leave(world.random.happens(0.5) ? 'leaving' : 'gone'),
       );
-      world.eventQueue.schedule(9000, () => one.crash());
+      world.eventQueue.schedule(9000, () => origin.crash());
     },
   },
   {
@@ -54,19 +55,19 @@
     weight: 1,
     cause: (context) => {
       const { world } = context;
-      const one = world.random.pick(
+      const origin = world.random.pick(
         world.origins.filter((other) => other.isAlive && other.state === 'up'),
       );
       const other = world.random.pick(
-        world.layout.services.filter((row) => row.name !== one?.service),
+        world.layout.services.filter((row) => row.name !== origin?.service),
       );
-      if (one === undefined || other === undefined) return;
+      if (origin === undefined || other === undefined) return;
       world.coverage.record('R6: an address was taken by another service');
-      context.log(`reuse ${one.address} of ${one.instance} for ${other.name}`);
-      addReplacementOrigin(world, one, undefined);
-      one.crash();
+      context.log(`reuse ${origin.address} of ${origin.instance} for ${other.name}`);
+      addReplacementOrigin(world, origin, undefined);
+      origin.crash();
       world.eventQueue.schedule(context.randomMs(10, 500), () =>
-        world.addOrigin(other.name, other.slots, 'r1', one.address),
+        world.addOrigin(other.name, other.slots, 'r1', origin.address),
       );
     },
   },
@@ -74,12 +75,14 @@
     name: 'slow origin',
     weight: 2,
     cause: (context) => {
-      const one = context.world.random.pick(context.world.origins.filter((other) => other.isAlive));
-      if (one === undefined) return;
-      one.extraLatencyMs = context.randomMs(50, 1500);
-      context.log(`slow ${one.instance} by ${Math.round(one.extraLatencyMs)}`);
+      const origin = context.world.random.pick(
+        context.world.origins.filter((other) => other.isAlive),
+      );
+      if (origin === undefined) return;
+      origin.extraLatencyMs = context.randomMs(50, 1500);
+      context.log(`slow ${origin.instance} by ${Math.round(origin.extraLatencyMs)}`);
       context.world.eventQueue.schedule(context.randomMs(1000, 6000), () => {
-        one.extraLatencyMs = 0;
+        origin.extraLatencyMs = 0;
       });
     },
   },
@@ -87,15 +90,17 @@
     name: 'losing origin',
     weight: 2,
     cause: (context) => {
-      const one = context.world.random.pick(context.world.origins.filter((other) => other.isAlive));
-      if (one === undefined) return;
-      context.log(`lossy ${one.instance}`);
-      one.lossProbability = context.randomMs(0.05, 0.6);
-      one.corruptionProbability = context.randomMs(0, 0.3);
-      one.truncationProbability = context.randomMs(0, 0.2);
-      one.wrongInstanceProbability = context.randomMs(0, 0.1);
+      const origin = context.world.random.pick(
+        context.world.origins.filter((other) => other.isAlive),
+      );
+      if (origin === undefined) return;
+      context.log(`lossy ${origin.instance}`);
+      origin.lossProbability = context.randomMs(0.05, 0.6);
+      origin.corruptionProbability = context.randomMs(0, 0.3);
+      origin.truncationProbability = context.randomMs(0, 0.2);
+      origin.wrongInstanceProbability = context.randomMs(0, 0.1);
       context.world.eventQueue.schedule(context.randomMs(1000, 6000), () => {
-        one.repair();
+        origin.repair();
       });
     },
   },
--- a/packages/simulator/src/fault/process-actions.ts
+++ b/packages/simulator/src/fault/process-actions.ts
@@ -6,14 +6,18 @@
 import type { SimulatedProcess } from '../world/process.js';
 import type { FaultContext } from './fault-context.js';
 
-export const restartAfter = (context: FaultContext, target: SimulatedProcess, span: number): void =>
-  context.world.eventQueue.schedule(span, () => target.start());
+/** Starts a process again after a while. */
+export const restartAfter = (
+  context: FaultContext,
+  target: SimulatedProcess,
+  durationMs: number,
+): void => context.world.eventQueue.schedule(durationMs, () => target.start());
 
-/** Whether a store has written what its operator was not told yet. */
+/** Whether a store holds a write whose operator has no reply yet. */
 export const hasUnansweredWrite = ({ world }: FaultContext, store: SimulatedStore): boolean =>
   world.writes.some((one) => one.reply === undefined && store.hasResultOf(one.id));
 
-/** Notes what losing a process just now puts to the test. */
+/** Records which coverage goals losing a process just now reaches. */
 const recordLossCoverage = (context: FaultContext, target: SimulatedProcess): void => {
   const { world } = context;
   if (target instanceof SimulatedStore) {
@@ -39,18 +43,28 @@
   }
 };
 
-export const killFor = (context: FaultContext, target: SimulatedProcess, span: number): void => {
+/** Kills a process and starts it again after a while. */
+export const killFor = (
+  context: FaultContext,
+  target: SimulatedProcess,
+  durationMs: number,
+): void => {
   recordLossCoverage(context, target);
-  context.log(`kill ${target.node} for ${Math.round(span)}`);
+  context.log(`kill ${target.node} for ${Math.round(durationMs)}`);
   target.kill();
-  restartAfter(context, target, span);
+  restartAfter(context, target, durationMs);
 };
 
-export const freezeFor = (context: FaultContext, target: SimulatedProcess, span: number): void => {
+/** Freezes a process for a while; its clock goes on. */
+export const freezeFor = (
+  context: FaultContext,
+  target: SimulatedProcess,
+  durationMs: number,
+): void => {
   recordLossCoverage(context, target);
-  context.log(`freeze ${target.node} for ${Math.round(span)}`);
+  context.log(`freeze ${target.node} for ${Math.round(durationMs)}`);
   target.freeze();
-  context.world.eventQueue.schedule(span, () => target.wake());
+  context.world.eventQueue.schedule(durationMs, () => target.wake());
 };
 
 /** A planned stop: a warning, then the platform's hard stop six seconds later. */
--- a/packages/simulator/src/fault/process-faults.ts
+++ b/packages/simulator/src/fault/process-faults.ts
@@ -1,63 +1,63 @@
 /** Faults of proxies and registries, one at a time, many at once or all. */
 
 import { SimulatedStore } from '../processes/store.js';
+import type { SimulatedProcess } from '../world/process.js';
+import type { FaultContext } from './fault-context.js';
 import { freezeFor, killFor, restartAfter, stopProxy } from './process-actions.js';
 import type { Fault } from './fault.js';
 
+const killOneOf = (context: FaultContext, candidates: readonly SimulatedProcess[]): void => {
+  const target = context.world.random.pick(candidates);
+  if (target?.isAlive === true) killFor(context, target, context.randomMs(100, 3000));
+};
+
+const freezeOneOf = (context: FaultContext, candidates: readonly SimulatedProcess[]): void => {
+  const target = context.world.random.pick(candidates);
+  if (target?.isAlive === true && !target.isFrozen)
+    freezeFor(context, target, context.randomMs(200, 5000));
+};
+
+/** Faults of single processes and of many at once. */
 export const processFaults: readonly Fault[] = [
   {
     name: 'kill proxy',
     weight: 6,
-    cause: (context) => {
-      const one = context.world.random.pick(context.world.proxies);
-      if (one?.isAlive === true) killFor(context, one, context.randomMs(100, 3000));
-    },
+    cause: (context) => killOneOf(context, context.world.proxies),
   },
   {
     name: 'stop proxy',
     weight: 4,
     cause: (context) => {
-      const one = context.world.random.pick(context.world.proxies);
-      if (one !== undefined) stopProxy(context, one);
+      const proxy = context.world.random.pick(context.world.proxies);
+      if (proxy !== undefined) stopProxy(context, proxy);
     },
   },
   {
     name: 'freeze proxy',
     weight: 5,
-    cause: (context) => {
-      const one = context.world.random.pick(context.world.proxies);
-      if (one?.isAlive === true && !one.isFrozen)
-        freezeFor(context, one, context.randomMs(200, 5000));
-    },
+    cause: (context) => freezeOneOf(context, context.world.proxies),
   },
   {
     name: 'kill registry',
     weight: 4,
-    cause: (context) => {
-      const one = context.world.random.pick(context.world.registries);
-      if (one?.isAlive === true) killFor(context, one, context.randomMs(100, 3000));
-    },
+    cause: (context) => killOneOf(context, context.world.registries),
   },
   {
     name: 'freeze registry',
     weight: 4,
-    cause: (context) => {
-      const one = context.world.random.pick(context.world.registries);
-      if (one?.isAlive === true && !one.isFrozen)
-        freezeFor(context, one, context.randomMs(200, 5000));
-    },
+    cause: (context) => freezeOneOf(context, context.world.registries),
   },
   {
     name: 'lame node',
     weight: 1,
     cause: (context) => {
-      const one = context.world.random.pick(context.world.proxies);
-      if (one === undefined || one.failsToCompile) return;
-      context.log(`lame ${one.node}`);
-      one.failsToCompile = true;
-      const span = context.randomMs(1000, 5000);
-      context.world.eventQueue.schedule(span, () => {
-        one.failsToCompile = false;
+      const proxy = context.world.random.pick(context.world.proxies);
+      if (proxy === undefined || proxy.failsToCompile) return;
+      context.log(`lame ${proxy.node}`);
+      proxy.failsToCompile = true;
+      const durationMs = context.randomMs(1000, 5000);
+      context.world.eventQueue.schedule(durationMs, () => {
+        proxy.failsToCompile = false;
       });
     },
   },
@@ -80,9 +80,9 @@
     cause: (context) => {
       if (!context.reserveCoreFault(6000)) return;
       const doomed = context.world.allProcesses.filter(
-        (one) => !(one instanceof SimulatedStore) && context.world.random.happens(0.5),
+        (target) => !(target instanceof SimulatedStore) && context.world.random.happens(0.5),
       );
-      context.log(`kill ${doomed.map((one) => one.node).join(' ')}`);
+      context.log(`kill ${doomed.map((target) => target.node).join(' ')}`);
       for (const target of doomed)
         if (target.isAlive) killFor(context, target, context.randomMs(50, 1500));
     },
--- a/packages/simulator/src/fault/store-faults.ts
+++ b/packages/simulator/src/fault/store-faults.ts
@@ -1,11 +1,12 @@
 /** Faults of stores and their disks. */
 
 import type { SimulatedStore } from '../processes/store.js';
+import type { DiskCondition } from '../world/virtual-disk.js';
 import type { FaultContext } from './fault-context.js';
 import { freezeFor, hasUnansweredWrite, killFor, restartAfter } from './process-actions.js';
 import type { Fault } from './fault.js';
 
-/** Waits, step by step, for a moment in the life of a store, and then takes its power. */
+/** Applies a configuration, waits until its write has come so far at some store, and cuts the power there. */
 const losePowerDuringWrite = (
   context: FaultContext,
   isDue: (store: SimulatedStore) => boolean,
@@ -32,6 +33,36 @@
   check();
 };
 
+/** Ends a store, damages its disk, and starts the store again after a while. */
+const damageDisk = (
+  context: FaultContext,
+  verb: string,
+  damage: (store: SimulatedStore) => void,
+): void => {
+  const store = context.reserveDiskFault(4000);
+  if (store === undefined) return;
+  context.log(`${verb} ${store.node}`);
+  store.kill();
+  damage(store);
+  restartAfter(context, store, context.randomMs(200, 2000));
+};
+
+/** Lets a disk take nothing for a while; says whether there was one whose turn it is. */
+const blockDisk = (
+  context: FaultContext,
+  condition: Exclude<DiskCondition, 'well'>,
+  minDurationMs: number,
+): boolean => {
+  const durationMs = context.randomMs(minDurationMs, 6000);
+  const store = context.reserveDiskFault(durationMs);
+  if (store === undefined) return false;
+  context.log(`${condition} disk of ${store.node} for ${Math.round(durationMs)}`);
+  store.disk.condition = condition;
+  context.world.eventQueue.schedule(durationMs, () => store.disk.recover());
+  return true;
+};
+
+/** Faults of stores; at most one machine with a disk is in trouble at a time. */
 export const storeFaults: readonly Fault[] = [
   {
     name: 'kill store',
@@ -102,51 +133,28 @@
   {
     name: 'wipe store',
     weight: 2,
-    cause: (context) => {
-      const store = context.reserveDiskFault(4000);
-      if (store === undefined) return;
-      context.log(`wipe ${store.node}`);
-      store.kill();
-      store.disk.wipe();
-      restartAfter(context, store, context.randomMs(200, 2000));
-    },
+    cause: (context) => damageDisk(context, 'wipe', (store) => store.disk.wipe()),
   },
   {
     name: 'tear store',
     weight: 1,
-    cause: (context) => {
-      const store = context.reserveDiskFault(4000);
-      if (store === undefined) return;
-      context.log(`tear ${store.node}`);
-      store.kill();
-      store.disk.isTorn = true;
-      restartAfter(context, store, context.randomMs(200, 2000));
-    },
+    cause: (context) =>
+      damageDisk(context, 'tear', (store) => {
+        store.disk.isTorn = true;
+      }),
   },
   {
     name: 'fill disk',
     weight: 2,
     cause: (context) => {
-      const span = context.randomMs(1000, 6000);
-      const store = context.reserveDiskFault(span);
-      if (store === undefined) return;
-      context.log(`fill ${store.node} for ${Math.round(span)}`);
-      context.world.coverage.record('a disk was full');
-      store.disk.condition = 'full';
-      context.world.eventQueue.schedule(span, () => store.disk.recover());
+      if (blockDisk(context, 'full', 1000)) context.world.coverage.record('a disk was full');
     },
   },
   {
     name: 'stall disk',
     weight: 2,
     cause: (context) => {
-      const span = context.randomMs(500, 6000);
-      const store = context.reserveDiskFault(span);
-      if (store === undefined) return;
-      context.log(`stall ${store.node} for ${Math.round(span)}`);
-      context.world.coverage.record('a disk was stalled');
-      store.disk.condition = 'stalled';
-      context.world.eventQueue.schedule(span, () => store.disk.recover());
+      if (blockDisk(context, 'stalled', 500)) context.world.coverage.record('a disk was stalled');
     },
   },
 ];
--- a/packages/simulator/src/fault/zone-faults.ts
+++ b/packages/simulator/src/fault/zone-faults.ts
@@ -4,18 +4,19 @@
 import type { Fault } from './fault.js';
 import { replaceRegistry } from './registry-replacement.js';
 
+/** Faults of many machines at once, and planned changes of machines. */
 export const zoneFaults: readonly Fault[] = [
   {
     name: 'lose an area',
     weight: 1,
     cause: (context) => {
-      const span = context.randomMs(1000, 6000);
-      const store = context.reserveZoneFault(span);
+      const durationMs = context.randomMs(1000, 6000);
+      const store = context.reserveZoneFault(durationMs);
       if (store === undefined) return;
       const lost = context.world.allProcesses.filter((one) => one.zone === store.zone);
-      context.log(`lose area ${store.zone} for ${Math.round(span)}`);
+      context.log(`lose area ${store.zone} for ${Math.round(durationMs)}`);
       context.world.coverage.record('an area was lost');
-      for (const one of lost) killFor(context, one, span + context.randomMs(0, 500));
+      for (const one of lost) killFor(context, one, durationMs + context.randomMs(0, 500));
     },
   },
   {
