--- a/packages/model-checker/src/explore/candidates.ts
+++ b/packages/model-checker/src/explore/candidates.ts
@@ -1,6 +1,7 @@
 import { holdsLease } from '@switchwheel/election';
 import { clockOf } from '../cluster/machine.js';
-import type { Occurrence, Simulation } from '../cluster/simulation.js';
+import type { Occurrence } from '../cluster/occurrence.js';
+import type { Simulation } from '../cluster/simulation.js';
 import type { Deviation } from '../schedule/deviation.js';
 
 /** Messages that the protocols of election, replication and membership rest on. */
--- a/packages/model-checker/src/explore/random-walk.ts
+++ b/packages/model-checker/src/explore/random-walk.ts
@@ -1,7 +1,8 @@
 import { holdsLease } from '@switchwheel/election';
 import type { Invariant } from '../cluster/invariants.js';
 import { clockOf } from '../cluster/machine.js';
-import type { Occurrence, Simulation } from '../cluster/simulation.js';
+import type { Occurrence } from '../cluster/occurrence.js';
+import type { Simulation } from '../cluster/simulation.js';
 import { type Deviation, type MessageFault, deviationEnd } from '../schedule/deviation.js';
 import { corpus } from '../schedule/corpus.js';
 import { type ClusterLayout, type Scenario, platformLayout } from '../schedule/scenario.js';
--- a/packages/model-checker/src/explore/run.ts
+++ b/packages/model-checker/src/explore/run.ts
@@ -1,5 +1,6 @@
 import type { Invariant, Violation } from '../cluster/invariants.js';
-import { type Occurrence, Simulation } from '../cluster/simulation.js';
+import type { Occurrence } from '../cluster/occurrence.js';
+import { Simulation } from '../cluster/simulation.js';
 import { type Deviation, deviationEnd } from '../schedule/deviation.js';
 import type { ClusterLayout, Scenario } from '../schedule/scenario.js';
 
--- a/packages/model-checker/src/index.ts
+++ b/packages/model-checker/src/index.ts
@@ -1,4 +1,5 @@
 export * from './schedule/deviation.js';
 export * from './schedule/scenario.js';
 export * from './cluster/invariants.js';
+export * from './cluster/occurrence.js';
 export * from './cluster/simulation.js';
