--- a/packages/model-checker/src/cluster/disk.ts
+++ b/packages/model-checker/src/cluster/disk.ts
@@ -1,3 +1,5 @@
+/** What the machines' virtual disks hold, and how a store reads it back. */
+
 import type { ClusterMetadata, LogPosition } from '@switchwheel/transport';
 import { controlKeys } from '@switchwheel/configuration';
 import type { DiskWrite, DiskContents, KeyedEntry } from '@switchwheel/replicated-store';
--- a/packages/model-checker/src/cluster/endpoints.ts
+++ b/packages/model-checker/src/cluster/endpoints.ts
@@ -1,3 +1,5 @@
+/** Names and addresses of the processes, from the number of their machine. */
+
 import { type Address, type NodeId, toAddress, toNodeId } from '@switchwheel/types';
 import type { Endpoint, Role } from '../schedule/deviation.js';
 
--- a/packages/model-checker/src/cluster/event-queue.ts
+++ b/packages/model-checker/src/cluster/event-queue.ts
@@ -1,3 +1,5 @@
+/** A queue of events by time that can be cloned; the simulator's own can not, and is a heap. */
+
 /** A queue of what happens when; entries of one time keep the order in which they were added. */
 export class EventQueue<T> {
   #entries: { readonly at: number; readonly order: number; readonly item: T }[] = [];
--- a/packages/model-checker/src/cluster/invariants.test.ts
+++ b/packages/model-checker/src/cluster/invariants.test.ts
@@ -1,3 +1,5 @@
+/** The monitor of invariants on histories made by hand. */
+
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { noSeq, toNodeId, toSeq } from '@switchwheel/types';
--- a/packages/model-checker/src/cluster/invariants.ts
+++ b/packages/model-checker/src/cluster/invariants.ts
@@ -1,3 +1,8 @@
+/**
+ * The invariants of the control side, judged as a run goes on. What puts them to the test is not
+ * decided here.
+ */
+
 import { type Timestamp, type NodeId, noGeneration } from '@switchwheel/types';
 import type { Electorate } from '@switchwheel/transport';
 import { heldEpoch, holdsLease } from '@switchwheel/election';
@@ -17,6 +22,7 @@
   'majorities of neighbouring electorates intersect',
   'an electorate changes only when the one before is active',
 ] as const;
+/** The name of an invariant. */
 export type Invariant = (typeof invariants)[number];
 
 /** An invariant that does not hold, and why. */
--- a/packages/model-checker/src/cluster/machine.ts
+++ b/packages/model-checker/src/cluster/machine.ts
@@ -1,3 +1,8 @@
+/**
+ * One machine with a registry, a store and a disk: how its processes start and stop, and its own
+ * clock.
+ */
+
 import {
   type Address,
   type Timestamp,
@@ -41,6 +46,7 @@
 const firstClockReading = 5000;
 const clockReadingStep = 1117;
 
+/** A machine that was never started, with a blank disk. */
 export const newMachine = (layout: ClusterLayout, index: number): Machine => ({
   index,
   isRunning: false,
@@ -68,6 +74,7 @@
   incarnation: toIncarnation(machine.incarnation),
 });
 
+/** A process of a machine as its peers know it. */
 export const peerOf = (machine: Machine, role: Role): Peer => {
   const { node, address, incarnation } = memberOf(machine, role);
   return { node, address, incarnation };
--- a/packages/model-checker/src/cluster/operator.ts
+++ b/packages/model-checker/src/cluster/operator.ts
@@ -1,3 +1,8 @@
+/**
+ * The operator of a run: which writes and reads it requests when. It draws nothing; replies are
+ * judged by operator-session.
+ */
+
 import { type CommandId, type Hash, toCommandId, toGeneration } from '@switchwheel/types';
 import type { ExternalRequest } from '@switchwheel/membership';
 import { configurationHash, contentHash } from '@switchwheel/configuration';
@@ -54,6 +59,7 @@
   readonly nextNumber: number;
   readonly open: readonly OpenWrite[];
 }
+/** An operator that has requested nothing yet. */
 export const newOperator: Operator = { turn: 0, nextNumber: 1, open: [] };
 
 const writeRequest = (
--- a/packages/model-checker/src/digest/digest.test.ts
+++ b/packages/model-checker/src/digest/digest.test.ts
@@ -1,4 +1,5 @@
 /** A few of the recorded searches; all of them are compared by `npm run digests`. */
+
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { readReference, replayInTests } from '@switchwheel/simulator/digest';
--- a/packages/model-checker/src/digest/main.ts
+++ b/packages/model-checker/src/digest/main.ts
@@ -1,4 +1,5 @@
 /** Replays all recorded runs in a few processes, and compares or records their digests. */
+
 import { spawn } from 'node:child_process';
 import { fileURLToPath } from 'node:url';
 import meow from 'meow';
--- a/packages/model-checker/src/digest/searches.ts
+++ b/packages/model-checker/src/digest/searches.ts
@@ -1,4 +1,5 @@
 /** Digests of the model checker's searches: how many states each went through, and which events. */
+
 import { type DigestSuite, RunDigest, seedRange } from '@switchwheel/simulator/digest';
 import { exploreExhaustively } from '../explore/exhaustive.js';
 import { type RunResult, formedCluster, runEnd, runScenario } from '../explore/run.js';
--- a/packages/model-checker/src/digest/suites.ts
+++ b/packages/model-checker/src/digest/suites.ts
@@ -1,4 +1,5 @@
 /** Every recorded suite, in the order of the data file. */
+
 import {
   type DigestSuite,
   directEdgeSuite,
@@ -24,6 +25,7 @@
   readonly digest: () => string;
 }
 
+/** Every run of every suite. */
 export const digestRuns: readonly DigestRun[] = suites.flatMap((suite) =>
   suite.seeds.map((seed) => ({ name: runName(suite, seed), digest: () => suite.digest(seed) })),
 );
--- a/packages/model-checker/src/digest/worker.ts
+++ b/packages/model-checker/src/digest/worker.ts
@@ -1,4 +1,5 @@
 /** Plays every so-many-th run and prints its digest: `worker.js FIRST STRIDE`. */
+
 import { formatDigests } from '@switchwheel/simulator/digest';
 import { digestRuns } from './suites.js';
 
--- a/packages/model-checker/src/explore/bounded.test.ts
+++ b/packages/model-checker/src/explore/bounded.test.ts
@@ -1,3 +1,5 @@
+/** A search within bounds that fit into CI. */
+
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { knownViolations } from '../known-violations.js';
--- a/packages/model-checker/src/explore/candidates.ts
+++ b/packages/model-checker/src/explore/candidates.ts
@@ -1,3 +1,8 @@
+/**
+ * Which deviations are worth placing beside what happened in a run, so that alike schedules are
+ * tried once.
+ */
+
 import { holdsLease } from '@switchwheel/election';
 import { clockOf } from '../cluster/machine.js';
 import type { Occurrence } from '../cluster/occurrence.js';
--- a/packages/model-checker/src/explore/exhaustive.ts
+++ b/packages/model-checker/src/explore/exhaustive.ts
@@ -1,3 +1,5 @@
+/** Depth-first search over all placements of a few deviations, on clones of a formed cluster. */
+
 import type { Invariant, Violation } from '../cluster/invariants.js';
 import type { Simulation } from '../cluster/simulation.js';
 import type { Deviation } from '../schedule/deviation.js';
--- a/packages/model-checker/src/explore/random-choices.ts
+++ b/packages/model-checker/src/explore/random-choices.ts
@@ -1,3 +1,5 @@
+/** Random choices of a walk, all from one seed. */
+
 import { type RandomState, nextRandom } from '@switchwheel/types';
 
 /** Random choices from one seed. */
--- a/packages/model-checker/src/explore/random-walk.ts
+++ b/packages/model-checker/src/explore/random-walk.ts
@@ -1,3 +1,7 @@
+/**
+ * Random walks: schedules of several deviations that are set beside messages while a run goes on.
+ */
+
 import { holdsLease } from '@switchwheel/election';
 import type { Invariant } from '../cluster/invariants.js';
 import { clockOf } from '../cluster/machine.js';
--- a/packages/model-checker/src/explore/run.ts
+++ b/packages/model-checker/src/explore/run.ts
@@ -1,3 +1,7 @@
+/**
+ * Runs one schedule from a formed cluster to its end, with checkpoints for those that branch off.
+ */
+
 import type { Invariant, Violation } from '../cluster/invariants.js';
 import type { Occurrence } from '../cluster/occurrence.js';
 import { Simulation } from '../cluster/simulation.js';
--- a/packages/model-checker/src/explore/schedules.test.ts
+++ b/packages/model-checker/src/explore/schedules.test.ts
@@ -1,4 +1,5 @@
 /** Schedules that once broke an invariant, as the checker printed them, shrunk. */
+
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { knownViolations } from '../known-violations.js';
--- a/packages/model-checker/src/explore/search.ts
+++ b/packages/model-checker/src/explore/search.ts
@@ -1,3 +1,5 @@
+/** A whole search: the corpus, then all placements of one deviation, then random walks. */
+
 import type { Invariant } from '../cluster/invariants.js';
 import { type Scenario, platformLayout } from '../schedule/scenario.js';
 import { exploreExhaustively, type FoundViolation } from './exhaustive.js';
--- a/packages/model-checker/src/explore/shrink.ts
+++ b/packages/model-checker/src/explore/shrink.ts
@@ -1,3 +1,7 @@
+/**
+ * Shrinks a schedule that breaks an invariant to a small one that still does (delta debugging).
+ */
+
 import type { Deviation } from '../schedule/deviation.js';
 import type { Scenario } from '../schedule/scenario.js';
 import { type Invariant, invariants } from '../cluster/invariants.js';
--- a/packages/model-checker/src/known-violations.ts
+++ b/packages/model-checker/src/known-violations.ts
@@ -1,3 +1,5 @@
+/** What is known to be broken, so that searches find what is not. */
+
 import type { Invariant } from './cluster/invariants.js';
 
 /**
--- a/packages/model-checker/src/main.ts
+++ b/packages/model-checker/src/main.ts
@@ -1,3 +1,5 @@
+/** The command line of the model checker. */
+
 import meow from 'meow';
 import { type Invariant, invariants } from './cluster/invariants.js';
 import { runScenario } from './explore/run.js';
--- a/packages/model-checker/src/schedule/corpus.ts
+++ b/packages/model-checker/src/schedule/corpus.ts
@@ -1,3 +1,5 @@
+/** Schedules that every search begins with. */
+
 import { type ClusterLayout, type Scenario, platformLayout } from './scenario.js';
 import type { Crash, Cut, Deviation, Endpoint, MessageFault } from './deviation.js';
 
@@ -65,6 +67,7 @@
   readonly scenario: Scenario;
 }
 
+/** The schedules, each with the property that it once broke. */
 export const corpus: readonly NamedScenario[] = [
   {
     name: 'two late renewals of a former holder do not make a restarted voter sure of its epoch',
--- a/packages/model-checker/src/schedule/deviation.ts
+++ b/packages/model-checker/src/schedule/deviation.ts
@@ -71,6 +71,7 @@
     | { readonly action: 'repeat'; readonly afterMs: number };
 }
 
+/** Any deviation from the default schedule. */
 export type Deviation = Crash | Pause | Cut | DiskFault | Join | MessageFault;
 
 /** When the last consequence that a schedule itself brings about is over. */
--- a/packages/model-checker/src/schedule/scenario.ts
+++ b/packages/model-checker/src/schedule/scenario.ts
@@ -1,3 +1,5 @@
+/** What a run is made of: a cluster's layout and the deviations from the default schedule. */
+
 import type { Deviation } from './deviation.js';
 
 /** The cluster that a run begins with. */
--- a/packages/model-checker/src/seeded-bugs/hunt.ts
+++ b/packages/model-checker/src/seeded-bugs/hunt.ts
@@ -1,3 +1,7 @@
+/**
+ * Takes guards out of a built copy one by one, and lets the model checker look for what breaks.
+ */
+
 import { spawn } from 'node:child_process';
 import { join } from 'node:path';
 import { fileURLToPath } from 'node:url';
--- a/packages/model-checker/src/seeded-bugs/list.test.ts
+++ b/packages/model-checker/src/seeded-bugs/list.test.ts
@@ -1,3 +1,5 @@
+/** The list of seeded bugs fits the built files, and one of them is found. */
+
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { fileURLToPath } from 'node:url';
--- a/packages/model-checker/src/seeded-bugs/list.ts
+++ b/packages/model-checker/src/seeded-bugs/list.ts
@@ -1,3 +1,8 @@
+/**
+ * Seeded bugs: guards of the control side that the model checker must miss when they are taken
+ * out.
+ */
+
 import type { Guard } from '@switchwheel/simulator/guard';
 
 const candidate = 'election/dist/candidate/candidate.js';
--- a/packages/simulator/src/digest/digest.test.ts
+++ b/packages/simulator/src/digest/digest.test.ts
@@ -1,4 +1,5 @@
 /** A few of the recorded runs; all of them are compared by `npm run digests`. */
+
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { directEdgeSuite } from './direct-edge.js';
--- a/packages/simulator/src/digest/direct-edge.ts
+++ b/packages/simulator/src/digest/direct-edge.ts
@@ -1,4 +1,5 @@
 /** Digests of an edge that sends straight to origins. */
+
 import { type CallerRecord, bodyOf, statusOf } from '../direct/request-rules.js';
 import { runDirectEdge } from '../direct/run.js';
 import { RunDigest } from './run-digest.js';
@@ -21,6 +22,7 @@
   return digest.finish();
 };
 
+/** Runs of a direct edge under random faults. */
 export const directEdgeSuite: DigestSuite = {
   name: 'direct edge',
   seeds: seedRange(3001, 60),
--- a/packages/simulator/src/digest/fleet.ts
+++ b/packages/simulator/src/digest/fleet.ts
@@ -1,4 +1,5 @@
 /** Digests of whole simulated fleets under random faults. */
+
 import { errorKinds } from '@switchwheel/types';
 import type { CallerRequest, SimulatedCallers } from '../processes/callers.js';
 import type { SimulatedOrigin } from '../processes/origin.js';
--- a/packages/simulator/src/digest/reference.ts
+++ b/packages/simulator/src/digest/reference.ts
@@ -1,4 +1,5 @@
 /** The digests that runs are compared with, as they were recorded. */
+
 import { readFileSync, writeFileSync } from 'node:fs';
 import type { DigestSuite } from './suite.js';
 
@@ -25,9 +26,11 @@
   return [line.slice(0, end), line.slice(end + 2)];
 };
 
+/** Digests as lines of the data file. */
 export const formatDigests = (digests: Digests): string =>
   [...digests].map(([name, digest]) => `${name}: ${digest}\n`).join('');
 
+/** The recorded digests. */
 export const readReference = (): Digests => parseDigests(readFileSync(referenceFile, 'utf8'));
 
 /** Records digests; the header says which sources they belong to. */
--- a/packages/simulator/src/digest/run-digest.ts
+++ b/packages/simulator/src/digest/run-digest.ts
@@ -1,4 +1,5 @@
 /** A digest of one run: numbers and identifiers of its data, and no name that the code gives to anything. */
+
 import { createHash } from 'node:crypto';
 
 /** What a digest is made of; something absent has its place too. */
--- a/packages/simulator/src/digest/suite.ts
+++ b/packages/simulator/src/digest/suite.ts
@@ -1,3 +1,5 @@
+/** Families of recorded runs. */
+
 /** A family of runs, each made from one seed alone. */
 export interface DigestSuite {
   readonly name: string;
--- a/packages/simulator/src/direct/attempt-port.ts
+++ b/packages/simulator/src/direct/attempt-port.ts
@@ -1,3 +1,8 @@
+/**
+ * The upstream port of a simulated direct edge: carries attempts to simulated origins with all
+ * their faults.
+ */
+
 import type { Address } from '@switchwheel/types';
 import {
   type OriginResponse,
--- a/packages/simulator/src/direct/direct.test.ts
+++ b/packages/simulator/src/direct/direct.test.ts
@@ -1,3 +1,5 @@
+/** The direct edge under random faults of its origins and callers. */
+
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { runDirectEdge } from './run.js';
--- a/packages/simulator/src/direct/origin.ts
+++ b/packages/simulator/src/direct/origin.ts
@@ -1,3 +1,5 @@
+/** Origins that a direct edge sends to: how each behaves to a request, and what it ran. */
+
 import type { Address, InstanceId, ServiceName } from '@switchwheel/types';
 import type { AttemptRequest } from '@switchwheel/routing';
 import type { SeededRandom } from '../world/seeded-random.js';
--- a/packages/simulator/src/direct/request-rules.ts
+++ b/packages/simulator/src/direct/request-rules.ts
@@ -1,3 +1,5 @@
+/** Rules of requests through a direct edge, judged from the records of origins and callers. */
+
 import { errorResponseFor } from '@switchwheel/types';
 import type { ClientReply } from '@switchwheel/routing';
 import type { ExecutionRecord } from './origin.js';
@@ -21,6 +23,7 @@
   readonly replies: { readonly at: number; readonly reply: ClientReply }[];
 }
 
+/** A rule that a request broke. */
 export interface Violation {
   readonly rule: RequestRule;
   readonly id: string;
--- a/packages/simulator/src/direct/run.ts
+++ b/packages/simulator/src/direct/run.ts
@@ -1,3 +1,8 @@
+/**
+ * One direct edge with callers and origins, run from a seed. What is judged stands in
+ * request-rules.
+ */
+
 import {
   type InstanceId,
   type ServiceName,
--- a/packages/simulator/src/guard/built-copy.ts
+++ b/packages/simulator/src/guard/built-copy.ts
@@ -1,3 +1,5 @@
+/** Copies of the built workspace, in which the text of one guard is replaced. */
+
 import {
   cpSync,
   existsSync,
@@ -19,6 +21,7 @@
   readonly remove: () => void;
 }
 
+/** Copies the built files of all packages to a temporary folder; whoever copies removes it. */
 export const copyBuilt = (root: string): BuiltCopy => {
   const place = mkdtempSync(join(tmpdir(), 'guards-'));
   const drop = (): void => rmSync(place, { recursive: true, force: true });
--- a/packages/simulator/src/guard/list.test.ts
+++ b/packages/simulator/src/guard/list.test.ts
@@ -1,3 +1,5 @@
+/** The list of guards fits the built files. */
+
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { fileURLToPath } from 'node:url';
--- a/packages/simulator/src/guard/list.ts
+++ b/packages/simulator/src/guard/list.ts
@@ -1,3 +1,5 @@
+/** The guards whose absence some test must notice (mutation testing by hand-picked mutations). */
+
 /**
  * One thing that keeps a rule, and how to take it out of built code: the text that stands once in
  * the file (white space doesn't count), and what stands there without it.
@@ -34,6 +36,7 @@
 const origins = 'membership/dist/origins/origins.js';
 const departures = 'membership/dist/registry/departures.js';
 
+/** All guards that `npm run guards` takes out. */
 export const guards: readonly Guard[] = [
   {
     name: 'one leg for unsafe',
--- a/packages/simulator/src/guard/main.ts
+++ b/packages/simulator/src/guard/main.ts
@@ -1,3 +1,5 @@
+/** The command line that takes guards out one by one and names the test that goes red. */
+
 import { spawn } from 'node:child_process';
 import { join } from 'node:path';
 import { fileURLToPath } from 'node:url';
--- a/packages/simulator/src/history/checker.test.ts
+++ b/packages/simulator/src/history/checker.test.ts
@@ -1,3 +1,5 @@
+/** The checker on histories made by hand, right and wrong ones. */
+
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { checkHistory } from './checker.js';
--- a/packages/simulator/src/history/checker.ts
+++ b/packages/simulator/src/history/checker.ts
@@ -5,6 +5,7 @@
  * those of linearizability: every operation can be placed at one moment between its start and its
  * end so that each read returns the highest number written before it.
  */
+
 import { increment } from '@switchwheel/types';
 import type {
   ConfigurationRead,
@@ -31,6 +32,7 @@
   'a release order was sent again after another one',
   'a purge was acknowledged after another one',
 ] as const;
+/** The name of one goal. */
 export type HistoryCoverageGoal = (typeof historyCoverageGoals)[number];
 
 /** What a checker found in a history, and how often each point was put to the test. */
--- a/packages/simulator/src/history/history.ts
+++ b/packages/simulator/src/history/history.ts
@@ -54,6 +54,7 @@
   readonly number: number | undefined;
 }
 
+/** Any operation of an operator. */
 export type Operation = ConfigurationWrite | ConfigurationRead | RolloutRequest | PurgeWrite;
 
 /** An operation that has no answer yet: ended by exactly one call of `end`. */
--- a/packages/simulator/src/history/operators.ts
+++ b/packages/simulator/src/history/operators.ts
@@ -1,4 +1,5 @@
 /** Operators in the simulation that number their configurations, send orders again, and record what they were told. */
+
 import { type ServiceName, toCommandId, toGeneration, toRelease } from '@switchwheel/types';
 import { splitIntoChunks, runToCompletion } from '@switchwheel/configuration';
 import type { SimulatedRegistry, RegistryReply } from '../processes/registry.js';
@@ -21,6 +22,7 @@
   readonly marker: number;
 }
 
+/** Operators of one fleet; each command goes to any registry that runs. */
 export class SimulatedOperators {
   readonly #world: World;
   readonly #history: History;
--- a/packages/simulator/src/processes/callers.ts
+++ b/packages/simulator/src/processes/callers.ts
@@ -1,3 +1,5 @@
+/** Callers of a fleet: which requests they send, and the record of what they got. */
+
 import type { World } from '../world/world.js';
 import type { CallerResult, SimulatedProxy } from './proxy.js';
 
@@ -23,6 +25,7 @@
   hasLeft: boolean;
 }
 
+/** What a request is to be; whatever is left out is drawn. */
 export interface RequestOptions {
   readonly edge?: SimulatedProxy | undefined;
   readonly kind?: 'read' | 'plain' | 'act' | 'long';
--- a/packages/simulator/src/processes/channel.ts
+++ b/packages/simulator/src/processes/channel.ts
@@ -1,3 +1,5 @@
+/** The data channel between an edge and a shield; the simulated form of a socket. */
+
 import {
   type Frame,
   keepaliveIntervalMs,
--- a/packages/simulator/src/processes/object-content.ts
+++ b/packages/simulator/src/processes/object-content.ts
@@ -1,3 +1,8 @@
+/**
+ * The bytes of objects: they say which object, revision and request they are, so that results can
+ * be judged.
+ */
+
 /** What an object's bytes are, as its origin makes them: the larger ones do not fit where whole results are held. */
 export const objectContent = (
   path: string,
@@ -11,6 +16,7 @@
   return Buffer.from(head.padEnd(size, `${path}.${revision}.`));
 };
 
+/** Whether an object is streamed rather than held whole. */
 export const isLargeObject = (path: string): boolean => objectContent(path, 0, '', 0).length > 4000;
 
 /** What an origin's bytes say that they are. */
--- a/packages/simulator/src/processes/origin.ts
+++ b/packages/simulator/src/processes/origin.ts
@@ -1,3 +1,5 @@
+/** An origin with its faults, and its own record of what it ran. */
+
 import { createHash } from 'node:crypto';
 import {
   type Address,
--- a/packages/simulator/src/processes/proxy.ts
+++ b/packages/simulator/src/processes/proxy.ts
@@ -1,3 +1,5 @@
+/** An edge or a shield: the shipped state machine and request handlers on virtual channels. */
+
 import {
   type Address,
   type ErrorKind,
--- a/packages/simulator/src/processes/registry.ts
+++ b/packages/simulator/src/processes/registry.ts
@@ -1,3 +1,5 @@
+/** A registry: the shipped state machine, and the requests of operators and origins to it. */
+
 import {
   type Address,
   type Timestamp,
@@ -16,6 +18,7 @@
 } from '@switchwheel/membership';
 import { SimulatedProcess, type SimulationContext } from '../world/process.js';
 
+/** A registry's reply to a request: an HTTP status and a body. */
 export interface RegistryReply {
   readonly status: number;
   readonly body: string;
--- a/packages/simulator/src/processes/store.ts
+++ b/packages/simulator/src/processes/store.ts
@@ -1,3 +1,5 @@
+/** A store: the shipped state machine on a virtual disk that outlives the process. */
+
 import {
   type Address,
   type CommandId,
--- a/packages/simulator/src/rules/coverage.ts
+++ b/packages/simulator/src/rules/coverage.ts
@@ -1,3 +1,7 @@
+/**
+ * Counts what a run brought about, so that rules that hold are known to have been put to the test.
+ */
+
 import { increment } from '@switchwheel/types';
 
 /** What a run must have done for its verdict on each rule to mean anything. */
@@ -45,6 +49,7 @@
   'an area was lost',
   'callers asked again at once',
 ] as const;
+/** The name of one goal. */
 export type CoverageGoal = (typeof coverageGoals)[number];
 
 /** Counts how often each rule was truly put to the test. */
@@ -56,6 +61,7 @@
   }
 }
 
+/** Adds the counts of one run to those of several. */
 export const addCounts = (
   sum: Map<CoverageGoal, number>,
   counts: ReadonlyMap<CoverageGoal, number>,
--- a/packages/simulator/src/rules/reachability.ts
+++ b/packages/simulator/src/rules/reachability.ts
@@ -1,3 +1,8 @@
+/**
+ * Which nodes can reach a part of the fleet that takes writes, and since when: only they can be
+ * held to most rules.
+ */
+
 import type { SimulatedProxy } from '../processes/proxy.js';
 import type { SimulatedRegistry } from '../processes/registry.js';
 import type { SimulatedProcess } from '../world/process.js';
--- a/packages/simulator/src/rules/rule-checker.test.ts
+++ b/packages/simulator/src/rules/rule-checker.test.ts
@@ -1,3 +1,5 @@
+/** Each checker of a rule finds what breaks it. */
+
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { toGeneration, toTimestamp, toRelease } from '@switchwheel/types';
--- a/packages/simulator/src/rules/service-obligations.ts
+++ b/packages/simulator/src/rules/service-obligations.ts
@@ -1,3 +1,5 @@
+/** Since when each edge can serve each service, as far as the fleet's state tells. */
+
 import type { ServiceName } from '@switchwheel/types';
 import type { SimulatedProxy } from '../processes/proxy.js';
 import type { World } from '../world/world.js';
--- a/packages/simulator/src/run/bounded-state.test.ts
+++ b/packages/simulator/src/run/bounded-state.test.ts
@@ -2,6 +2,7 @@
  * What stores and registries keep depends on the fleet as it is, not on how much was ordered: after
  * a first part that fills the bounded records, 400 descriptions and 2,000 purges leave a flat line.
  */
+
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { toServiceName } from '@switchwheel/types';
--- a/packages/simulator/src/run/calm.test.ts
+++ b/packages/simulator/src/run/calm.test.ts
@@ -1,3 +1,5 @@
+/** A fleet without faults. */
+
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { toServiceName } from '@switchwheel/types';
--- a/packages/simulator/src/run/concurrent-rollouts.test.ts
+++ b/packages/simulator/src/run/concurrent-rollouts.test.ts
@@ -2,6 +2,7 @@
  * Orders that race, and a later one that returns to a content from before: whatever an order was found to have when it
  * came in, it still has when it is put in force. Otherwise the description in force lacks a piece, and no node can run it.
  */
+
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { type Generation, toCommandId, toGeneration } from '@switchwheel/types';
--- a/packages/simulator/src/run/configuration-repair.test.ts
+++ b/packages/simulator/src/run/configuration-repair.test.ts
@@ -2,6 +2,7 @@
  * A fleet whose disks hold a description in force without one of its pieces, as an earlier version could leave them: the
  * invariant finds it, registries give the piece back, and a node that starts with nothing runs the description.
  */
+
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Hash } from '@switchwheel/types';
--- a/packages/simulator/src/run/failures.test.ts
+++ b/packages/simulator/src/run/failures.test.ts
@@ -1,3 +1,5 @@
+/** One failure of each kind, and what callers and operators see of it. */
+
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { toCommandId, toRelease } from '@switchwheel/types';
--- a/packages/simulator/src/run/fixture.ts
+++ b/packages/simulator/src/run/fixture.ts
@@ -1,10 +1,14 @@
+/** A formed fleet with callers and rules: the common set-up of the tests of this folder. */
+
 import { increment as add, toServiceName } from '@switchwheel/types';
 import { SimulatedCallers } from '../processes/callers.js';
 import { FaultContext } from '../fault/fault-context.js';
 import { RuleChecker } from '../rules/rule-checker.js';
 import { type FleetLayout, World } from '../world/world.js';
 
+/** A service without a rate limit. */
 export const clips = toServiceName('clips');
+/** A service with a rate limit. */
 export const acts = toServiceName('acts');
 
 /** A formed fleet with callers and rules, for runs that cause one failure. */
@@ -15,6 +19,7 @@
   readonly faults: FaultContext;
 }
 
+/** Forms a fleet; callers do not send until they are started. */
 export const createFixture = (
   seed: number,
   perSecond: number,
@@ -57,5 +62,6 @@
   return count;
 };
 
+/** So many seeds, one after the other. */
 export const seedRange = (many: number): readonly number[] =>
   Array.from({ length: many }, (_, at) => 100 + at);
--- a/packages/simulator/src/run/large-configuration.test.ts
+++ b/packages/simulator/src/run/large-configuration.test.ts
@@ -2,6 +2,7 @@
  * Whatever description can be applied can be read back whole, and no frame on the way is larger
  * than a frame may be.
  */
+
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { noGeneration, toCommandId, toServiceName } from '@switchwheel/types';
--- a/packages/simulator/src/run/many-changes.test.ts
+++ b/packages/simulator/src/run/many-changes.test.ts
@@ -2,6 +2,7 @@
  * Point 4 of the control side's review: changes that never stop, and members that restart amid them.
  * What a restarted store must do to be in sync again may depend on the size of the state only.
  */
+
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { SimulatedStore } from '../processes/store.js';
--- a/packages/simulator/src/run/network-partition.test.ts
+++ b/packages/simulator/src/run/network-partition.test.ts
@@ -1,4 +1,5 @@
 /** One core machine is cut off from the others for twenty seconds, in each way that it can be. */
+
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { maxLeaseMs } from '@switchwheel/election';
--- a/packages/simulator/src/run/operators.test.ts
+++ b/packages/simulator/src/run/operators.test.ts
@@ -1,3 +1,5 @@
+/** Operators that number their configurations, repeat their commands and race. */
+
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { type Release, toCommandId, toGeneration, toRelease } from '@switchwheel/types';
--- a/packages/simulator/src/run/origin-departure.test.ts
+++ b/packages/simulator/src/run/origin-departure.test.ts
@@ -1,3 +1,5 @@
+/** Origins that leave. */
+
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { SimulatedOrigin } from '../processes/origin.js';
--- a/packages/simulator/src/run/random-faults.test.ts
+++ b/packages/simulator/src/run/random-faults.test.ts
@@ -1,3 +1,5 @@
+/** Random faults of all kinds, from fixed seeds. */
+
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { increment } from '@switchwheel/types';
--- a/packages/simulator/src/run/random-faults.ts
+++ b/packages/simulator/src/run/random-faults.ts
@@ -1,3 +1,5 @@
+/** A whole fleet under random faults, from one seed; the same options give the same run. */
+
 import { increment, toServiceName } from '@switchwheel/types';
 import { SimulatedCallers } from '../processes/callers.js';
 import { allFaults } from '../fault/all-faults.js';
@@ -25,6 +27,7 @@
   readonly observe?: (world: World, callers: SimulatedCallers) => void;
 }
 
+/** What a run came to. */
 export interface RandomFaultReport {
   readonly violations: readonly string[];
   readonly faults: ReadonlyMap<string, number>;
--- a/packages/simulator/src/run/registry-link.test.ts
+++ b/packages/simulator/src/run/registry-link.test.ts
@@ -1,3 +1,5 @@
+/** A node's link to its registry. */
+
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { isConnected } from '@switchwheel/membership';
--- a/packages/simulator/src/run/releases.test.ts
+++ b/packages/simulator/src/run/releases.test.ts
@@ -1,3 +1,5 @@
+/** Releases of origins: canaries, and bad ones that are found. */
+
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
--- a/packages/simulator/src/run/replacement-replicas.test.ts
+++ b/packages/simulator/src/run/replacement-replicas.test.ts
@@ -1,3 +1,5 @@
+/** A new store takes the place of a lost one. */
+
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { type ZoneName, toZoneName } from '@switchwheel/types';
--- a/packages/simulator/src/run/replication.test.ts
+++ b/packages/simulator/src/run/replication.test.ts
@@ -1,3 +1,5 @@
+/** Replicas of a write: how many there are when it is acknowledged, and what losses they bear. */
+
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { SimulatedStore } from '../processes/store.js';
--- a/packages/simulator/src/run/request-deadlines.test.ts
+++ b/packages/simulator/src/run/request-deadlines.test.ts
@@ -1,3 +1,5 @@
+/** Requests that are given up: when callers are told, and that they may come back. */
+
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { CallerRequest } from '../processes/callers.js';
--- a/packages/simulator/src/run/second-loss.test.ts
+++ b/packages/simulator/src/run/second-loss.test.ts
@@ -1,3 +1,5 @@
+/** A second store is lost after the fleet has recovered from the first loss. */
+
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { type ZoneName, toZoneName } from '@switchwheel/types';
--- a/packages/simulator/src/run/soak.ts
+++ b/packages/simulator/src/run/soak.ts
@@ -1,3 +1,7 @@
+/**
+ * The command line of long random runs: rotates seeds, counts coverage, shrinks a run that fails.
+ */
+
 import meow from 'meow';
 import { increment } from '@switchwheel/types';
 import { type HistoryCoverageGoal, historyCoverageGoals } from '../history/checker.js';
--- a/packages/simulator/src/world/configuration.ts
+++ b/packages/simulator/src/world/configuration.ts
@@ -1,3 +1,5 @@
+/** Configurations of simulated fleets: valid, invalid and very large ones. */
+
 import type { ServiceName } from '@switchwheel/types';
 
 /** What a simulated operator hands over: a good description, one that may not be taken, or a very large one. */
--- a/packages/simulator/src/world/event-queue.ts
+++ b/packages/simulator/src/world/event-queue.ts
@@ -1,3 +1,8 @@
+/**
+ * Virtual time: a binary heap of events; those of one moment run in the order in which they were
+ * scheduled.
+ */
+
 interface ScheduledEvent {
   readonly at: number;
   readonly order: number;
--- a/packages/simulator/src/world/network.ts
+++ b/packages/simulator/src/world/network.ts
@@ -1,3 +1,7 @@
+/**
+ * The virtual network between processes: partitions, latency, loss, duplication and reordering.
+ */
+
 import type { EventQueue } from './event-queue.js';
 import type { SeededRandom } from './seeded-random.js';
 
@@ -9,6 +13,7 @@
   readonly duplicationProbability: number;
   readonly delayProbability: number;
 }
+/** Links without faults. */
 export const goodConditions: LinkConditions = {
   minLatencyMs: 0.2,
   maxLatencyMs: 2,
@@ -24,6 +29,7 @@
   duplicationProbability: 0,
   delayProbability: 0.03,
 };
+/** Links that lose, duplicate and delay. */
 export const lossyConditions: LinkConditions = {
   minLatencyMs: 0.2,
   maxLatencyMs: 8,
--- a/packages/simulator/src/world/process.ts
+++ b/packages/simulator/src/world/process.ts
@@ -1,3 +1,8 @@
+/**
+ * What every simulated process has in common: starts, ends, freezes, its own clock, ticks and
+ * frames.
+ */
+
 import {
   type Address,
   type Incarnation,
--- a/packages/simulator/src/world/seeded-random.ts
+++ b/packages/simulator/src/world/seeded-random.ts
@@ -1,3 +1,5 @@
+/** The only source of randomness in a run. */
+
 import { type RandomState, nextRandom } from '@switchwheel/types';
 
 /** The simulator's own chance: all of it from one seed. */
--- a/packages/simulator/src/world/virtual-disk.ts
+++ b/packages/simulator/src/world/virtual-disk.ts
@@ -1,3 +1,5 @@
+/** A virtual disk with its faults; what is written on it is its store's matter. */
+
 import type { EventQueue } from './event-queue.js';
 import type { SeededRandom } from './seeded-random.js';
 
--- a/packages/simulator/src/world/world.ts
+++ b/packages/simulator/src/world/world.ts
@@ -1,3 +1,5 @@
+/** A whole simulated fleet: its processes, origins and objects, and operators' commands to it. */
+
 import {
   type Address,
   type CommandId,
