--- a/packages/model-checker/src/seeded-bugs/list.ts
+++ b/packages/model-checker/src/seeded-bugs/list.ts
@@ -1,7 +1,4 @@
-/**
- * Seeded bugs: guards of the control side that the model checker must miss when they are taken
- * out.
- */
+/** Seeded bugs: guards of the control side whose removal the model checker must find. */
 
 import type { Guard } from '@switchwheel/simulator/guard';
 
--- a/packages/simulator/src/digest/fleet.ts
+++ b/packages/simulator/src/digest/fleet.ts
@@ -3,7 +3,7 @@
 import { errorKinds } from '@switchwheel/types';
 import type { CallerRequest, SimulatedCallers } from '../processes/callers.js';
 import type { SimulatedOrigin } from '../processes/origin.js';
-import type { CallerResult } from '../processes/proxy.js';
+import type { CallerResult } from '../processes/caller-result.js';
 import { allFaults } from '../fault/all-faults.js';
 import { numberedCommandFaults } from '../fault/operator-commands.js';
 import type { Outcome, Operation } from '../history/history.js';
--- a/packages/simulator/src/processes/callers.ts
+++ b/packages/simulator/src/processes/callers.ts
@@ -1,7 +1,8 @@
 /** Callers of a fleet: which requests they send, and the record of what they got. */
 
 import type { World } from '../world/world.js';
-import type { CallerResult, SimulatedProxy } from './proxy.js';
+import type { CallerResult } from './caller-result.js';
+import type { SimulatedProxy } from './proxy.js';
 
 /** One request of a caller and what it came to. */
 export interface CallerRequest {
--- a/packages/simulator/src/rules/request-rules.ts
+++ b/packages/simulator/src/rules/request-rules.ts
@@ -2,7 +2,7 @@
 
 import { increment } from '@switchwheel/types';
 import type { CallerRequest } from '../processes/callers.js';
-import type { CallerResult } from '../processes/proxy.js';
+import type { CallerResult } from '../processes/caller-result.js';
 import { cacheLifetimeOf } from '../world/configuration.js';
 import type { OperatorWrite } from '../world/world.js';
 import type { FinishedRun } from './finished-run.js';
