--- a/packages/simulator/src/processes/callers.ts
+++ b/packages/simulator/src/processes/callers.ts
@@ -47,8 +47,8 @@
   maxImmediateRetries = 0;
   /** Kinds of requests that come in floods, and until when: only their own class suffers from it. */
   readonly floodedUntil = new Map<string, number>();
-  onSent: (asked: CallerRequest) => void = () => undefined;
-  onReply: (asked: CallerRequest) => void = () => undefined;
+  onSent: (request: CallerRequest) => void = () => undefined;
+  onReply: (request: CallerRequest) => void = () => undefined;
 
   constructor(world: World, perSecond: number) {
     this.#world = world;
@@ -74,62 +74,68 @@
   send(options: RequestOptions = {}, retryCount = 0): CallerRequest | undefined {
     const world = this.#world;
     const ready = world.edges.filter((one) => one.isReady);
-    const to =
+    const edge =
       options.edge ??
       world.random.pick(ready) ??
       world.random.pick(world.edges.filter((one) => one.isAlive));
-    if (to === undefined) return undefined;
+    if (edge === undefined) return undefined;
     const service = options.service ?? world.random.pick(world.layout.services)?.name ?? '';
     const family =
       options.kind ?? world.random.pick(['read', 'read', 'plain', 'act'] as const) ?? 'read';
     this.#requestCount += 1;
     const id = `q${this.#requestCount}`;
     const path = `/${service}/${family}/${options.object ?? world.random.integer(0, 19)}`;
-    const asked: CallerRequest = {
+    const request: CallerRequest = {
       id,
       service,
       path,
       isUnsafe: family === 'act',
-      edge: to,
-      edgeIncarnation: to.incarnationNumber,
+      edge,
+      edgeIncarnation: edge.incarnationNumber,
       sentAt: world.eventQueue.now,
       isFlood:
         options.flood === true ||
         retryCount > 0 ||
         world.eventQueue.now < (this.floodedUntil.get(`/${service}/${family}/`) ?? 0),
-      wasEdgeUnreachable: world.isUnreachable(to),
+      wasEdgeUnreachable: world.isUnreachable(edge),
       owedForMs: 0,
       answeredAt: undefined,
       result: undefined,
       hasSecondReply: false,
       hasLeft: false,
     };
-    this.requests.push(asked);
-    this.onSent(asked);
-    const leave = to.serve(
-      { id, method: family === 'act' ? 'POST' : 'GET', path, fields: [['x-request-id', id]] },
+    this.requests.push(request);
+    this.onSent(request);
+    const retryOptions = { ...options, service, kind: family };
+    this.#serve(request, () => this.send(retryOptions, retryCount + 1), retryCount);
+    return request;
+  }
+
+  /** Sends a request to its edge; a refused caller may ask again at once, and some leave early. */
+  #serve(request: CallerRequest, retry: () => void, retryCount: number): void {
+    const world = this.#world;
+    const { id, path, edge } = request;
+    const leave = edge.serve(
+      { id, method: request.isUnsafe ? 'POST' : 'GET', path, fields: [['x-request-id', id]] },
       (result) => {
-        asked.hasSecondReply ||= asked.result !== undefined;
-        if (asked.result !== undefined) return;
-        asked.result = result;
-        asked.answeredAt = world.eventQueue.now;
-        this.onReply(asked);
-        if (result.kind !== 'result' && retryCount < this.maxImmediateRetries) {
-          world.coverage.record('callers asked again at once');
-          world.eventQueue.schedule(1, () => {
-            if (this.#isSending) this.send({ ...options, service, kind: family }, retryCount + 1);
-          });
-        }
+        request.hasSecondReply ||= request.result !== undefined;
+        if (request.result !== undefined) return;
+        request.result = result;
+        request.answeredAt = world.eventQueue.now;
+        this.onReply(request);
+        if (result.kind === 'result' || retryCount >= this.maxImmediateRetries) return;
+        world.coverage.record('callers asked again at once');
+        world.eventQueue.schedule(1, () => {
+          if (this.#isSending) retry();
+        });
       },
     );
-    if (world.random.happens(this.leaveProbability)) {
-      world.eventQueue.schedule(world.random.uniform(1, 200), () => {
-        if (asked.result !== undefined) return;
-        asked.hasLeft = true;
-        world.coverage.record('R2: a caller left before its result');
-        leave();
-      });
-    }
-    return asked;
+    if (!world.random.happens(this.leaveProbability)) return;
+    world.eventQueue.schedule(world.random.uniform(1, 200), () => {
+      if (request.result !== undefined) return;
+      request.hasLeft = true;
+      world.coverage.record('R2: a caller left before its result');
+      leave();
+    });
   }
 }
--- a/packages/simulator/src/run/random-faults.ts
+++ b/packages/simulator/src/run/random-faults.ts
@@ -13,7 +13,12 @@
 import { goodConditions } from '../world/network.js';
 import { World } from '../world/world.js';
 
-/** What one stormy run is made of: the same options give the same run. */
+const requestsPerSecond = 40;
+/** For how long faults that are under way go on before all are ended. */
+const faultsEndMs = 6500;
+const recoveryMs = 15_000;
+
+/** What one run is made of: the same options give the same run. */
 export interface RandomFaultOptions {
   readonly seed: number;
   /** How many faults are caused. */
@@ -44,9 +49,9 @@
   world.network.heal();
   world.network.conditions = goodConditions;
   for (const store of world.stores) store.disk.recover();
-  for (const actor of world.allProcesses) {
-    actor.wake();
-    actor.start();
+  for (const process of world.allProcesses) {
+    process.wake();
+    process.start();
   }
   for (const proxy of world.proxies) proxy.failsToCompile = false;
   for (const origin of world.origins) {
@@ -55,10 +60,8 @@
   }
 };
 
-/** A whole fleet in a storm of faults: every rule is checked, and in the end it has to serve again. */
-export const runRandomFaults = (options: RandomFaultOptions): RandomFaultReport => {
-  const { seed } = options;
-  const world = new World({
+const createWorld = (seed: number): World =>
+  new World({
     seed,
     edges: 2 + (seed % 3),
     shields: 3 + (seed % 3),
@@ -67,67 +70,104 @@
       { name: toServiceName('acts'), origins: 3, slots: 4, perSecond: 60 },
     ],
   });
-  const callers = new SimulatedCallers(world, 40);
-  const rules = new RuleChecker(world, callers);
-  const ground = new FaultContext(world, rules, callers);
-  ground.trace = options.trace;
-  options.observe?.(world, callers);
-  world.form();
-  callers.leaveProbability = 0.03;
-  callers.start();
-  const list: readonly Fault[] =
-    options.namePrefixes.length === 0
-      ? allFaults
-      : [...allFaults, ...numberedCommandFaults].filter((one) =>
-          options.namePrefixes.some((name) => one.name.startsWith(name)),
-        );
-  if (list.some((one) => numberedCommandFaults.includes(one))) {
-    ground.operators = new SimulatedOperators(world, world.history);
-    ground.operators.beginReading();
-  }
+
+/** The faults that a run may cause; the numbered commands only if they are named. */
+const candidatesOf = (namePrefixes: readonly string[]): readonly Fault[] =>
+  namePrefixes.length === 0
+    ? allFaults
+    : [...allFaults, ...numberedCommandFaults].filter((fault) =>
+        namePrefixes.some((prefix) => fault.name.startsWith(prefix)),
+      );
+
+interface CausedFaults {
+  readonly counts: ReadonlyMap<string, number>;
+  /** Their numbers in the run. */
+  readonly numbers: readonly number[];
+}
+
+/** Causes one fault after another, until there are enough or a rule is broken. */
+const causeFaults = (
+  context: FaultContext,
+  candidates: readonly Fault[],
+  { faultCount, skippedFaults }: RandomFaultOptions,
+): CausedFaults => {
+  const { world, ruleChecker } = context;
   const counts = new Map<string, number>();
-  const acted: number[] = [];
-  for (let step = 0; step < options.faultCount; step += 1) {
+  const numbers: number[] = [];
+  for (let number = 0; number < faultCount; number += 1) {
     world.runFor(world.random.uniform(100, 2500));
-    const fault = pickFault(ground, list);
-    if (fault === undefined || options.skippedFaults.has(step)) continue;
-    acted.push(step);
+    const fault = pickFault(context, candidates);
+    if (fault === undefined || skippedFaults.has(number)) continue;
+    numbers.push(number);
     increment(counts, fault.name);
-    fault.cause(ground);
-    if (rules.violations.length > 0) break;
+    fault.cause(context);
+    if (ruleChecker.violations.length > 0) break;
   }
-  world.runFor(6500);
+  return { counts, numbers };
+};
+
+/** R12: ends all faults; a while later each edge must be ready and serve whatever it is sent. */
+const checkRecovery = (context: FaultContext): readonly string[] => {
+  const { world, callers } = context;
+  world.runFor(faultsEndMs);
   endAllFaults(world);
-  ground.log('calm');
+  context.log('calm');
   callers.maxImmediateRetries = 0;
-  world.runFor(15_000);
-  const missing = world.edges.filter((one) => !one.isReady);
-  const last = world.edges.flatMap((edge) =>
+  world.runFor(recoveryMs);
+  const unready = world.edges.filter((edge) => !edge.isReady);
+  const requests = world.edges.flatMap((edge) =>
     Array.from({ length: 10 }, () => callers.send({ edge })),
   );
   world.runFor(3500);
   callers.stop();
   world.runFor(6000);
-  const failed = last.filter((one) => one?.hasLeft !== true && one?.result?.kind !== 'result');
-  ground.operators?.endReading();
-  const history = checkHistory(world.history.operations);
-  const broken = [...rules.finish(), ...history.violations.map((one) => `history: ${one}`)];
-  if (missing.length > 0)
-    broken.push(
-      `R12: 15 s after everything calmed down ${missing.map((one) => one.node).join(', ')} did not serve`,
+  const failed = requests.filter(
+    (request) => request?.hasLeft !== true && request?.result?.kind !== 'result',
+  );
+  const violations: string[] = [];
+  if (unready.length > 0)
+    violations.push(
+      `R12: 15 s after everything calmed down ${unready.map((edge) => edge.node).join(', ')} did not serve`,
     );
   if (failed.length > 0)
-    broken.push(
-      `R12: after the calm ${failed.length} of ${last.length} requests got no result: ${JSON.stringify(failed.slice(0, 3).map((one) => [one?.id, one?.path, one?.edge.node, one?.result]))}`,
+    violations.push(
+      `R12: after the calm ${failed.length} of ${requests.length} requests got no result: ${JSON.stringify(failed.slice(0, 3).map((request) => [request?.id, request?.path, request?.edge.node, request?.result]))}`,
     );
+  return violations;
+};
+
+/** Runs a whole fleet under random faults: every rule is checked, and in the end it has to serve again. */
+export const runRandomFaults = (options: RandomFaultOptions): RandomFaultReport => {
+  const world = createWorld(options.seed);
+  const callers = new SimulatedCallers(world, requestsPerSecond);
+  const ruleChecker = new RuleChecker(world, callers);
+  const context = new FaultContext(world, ruleChecker, callers);
+  context.trace = options.trace;
+  options.observe?.(world, callers);
+  world.form();
+  callers.leaveProbability = 0.03;
+  callers.start();
+  const candidates = candidatesOf(options.namePrefixes);
+  if (candidates.some((fault) => numberedCommandFaults.includes(fault))) {
+    context.operators = new SimulatedOperators(world, world.history);
+    context.operators.beginReading();
+  }
+  const caused = causeFaults(context, candidates, options);
+  const recoveryViolations = checkRecovery(context);
+  context.operators?.endReading();
+  const history = checkHistory(world.history.operations);
   return {
-    violations: broken,
-    faults: counts,
-    causedFaults: acted,
+    violations: [
+      ...ruleChecker.finish(),
+      ...history.violations.map((violation) => `history: ${violation}`),
+      ...recoveryViolations,
+    ],
+    faults: caused.counts,
+    causedFaults: caused.numbers,
     coverage: world.coverage.counts,
     historyCoverage: history.counts,
     events: world.network.sentCount,
     requests: callers.requests.length,
-    results: callers.requests.filter((one) => one.result?.kind === 'result').length,
+    results: callers.requests.filter((request) => request.result?.kind === 'result').length,
   };
 };
--- a/packages/simulator/src/world/configuration.ts
+++ b/packages/simulator/src/world/configuration.ts
@@ -18,7 +18,51 @@
 /** The second service's objects live shortly. */
 export const cacheLifetimeOf = (service: string): number => (service === 'acts' ? 1000 : 4000);
 
-/** A description for simulated fleets; `mark` only makes it unlike others. */
+/** The routes of one service; the marked one makes the configuration unlike others. */
+const routesOf = (
+  service: ServiceName,
+  marker: number,
+  variant: ConfigurationVariant,
+): readonly object[] => [
+  {
+    name: `${service}-read`,
+    prefix: `/${service}/read/`,
+    service,
+    class: 'read',
+    timeoutMs: 3000,
+    cache: { lifetimeMs: cacheLifetimeOf(service) },
+  },
+  {
+    name: `${service}-plain`,
+    prefix: `/${service}/plain/`,
+    service,
+    class: 'bulk',
+    timeoutMs: 3000,
+  },
+  {
+    name: `${service}-long`,
+    prefix: `/${service}/long/`,
+    service,
+    class: 'bulk',
+    timeoutMs: 20_000,
+  },
+  {
+    name: `${service}-act`,
+    prefix: `/${service}/act/`,
+    methods: ['POST'],
+    service,
+    class: 'act',
+    timeoutMs: 3000,
+  },
+  {
+    name: `mark-${marker}-${service}`,
+    path: `/${service}/mark/${marker}`,
+    service: variant === 'invalid' && marker % 2 === 1 ? 'nobody' : service,
+    class: 'bulk',
+  },
+];
+
+/** A configuration for simulated fleets; `marker` only makes it unlike others. */
 export const createConfiguration = (
   layout: ConfiguredFleet,
   marker: number,
@@ -37,44 +81,7 @@
     ...(one.hedgeMs === undefined ? {} : { hedgeMs: one.hedgeMs }),
   })),
   routes: [
-    ...layout.services.flatMap((one) => [
-      {
-        name: `${one.name}-read`,
-        prefix: `/${one.name}/read/`,
-        service: one.name,
-        class: 'read',
-        timeoutMs: 3000,
-        cache: { lifetimeMs: cacheLifetimeOf(one.name) },
-      },
-      {
-        name: `${one.name}-plain`,
-        prefix: `/${one.name}/plain/`,
-        service: one.name,
-        class: 'bulk',
-        timeoutMs: 3000,
-      },
-      {
-        name: `${one.name}-long`,
-        prefix: `/${one.name}/long/`,
-        service: one.name,
-        class: 'bulk',
-        timeoutMs: 20_000,
-      },
-      {
-        name: `${one.name}-act`,
-        prefix: `/${one.name}/act/`,
-        methods: ['POST'],
-        service: one.name,
-        class: 'act',
-        timeoutMs: 3000,
-      },
-      {
-        name: `mark-${marker}-${one.name}`,
-        path: `/${one.name}/mark/${marker}`,
-        service: variant === 'invalid' && marker % 2 === 1 ? 'nobody' : one.name,
-        class: 'bulk',
-      },
-    ]),
+    ...layout.services.flatMap((service) => routesOf(service.name, marker, variant)),
     ...Array.from({ length: variant === 'huge' ? hugeRouteCount : 0 }, (_, at) => ({
       name: `huge-${at}`,
       path: `/huge/${at}/${at % 7 === 0 ? marker : 0}`,
