--- a/packages/model-checker/src/explore/candidates.ts
+++ b/packages/model-checker/src/explore/candidates.ts
@@ -1,6 +1,12 @@
+/**
+ * Which deviations are worth placing beside what happened in a run, so that alike schedules are
+ * tried once.
+ */
+
 import { holdsLease } from '@switchwheel/election';
 import { clockOf } from '../cluster/machine.js';
-import type { Occurrence, Simulation } from '../cluster/simulation.js';
+import type { Occurrence } from '../cluster/occurrence.js';
+import type { Simulation } from '../cluster/simulation.js';
 import type { Deviation } from '../schedule/deviation.js';
 
 /** Messages that the protocols of election, replication and membership rest on. */
--- a/packages/model-checker/src/seeded-bugs/list.ts
+++ b/packages/model-checker/src/seeded-bugs/list.ts
@@ -1,3 +1,5 @@
+/** Seeded bugs: guards of the control side whose removal the model checker must find. */
+
 import type { Guard } from '@switchwheel/simulator/guard';
 
 const candidate = 'election/dist/candidate/vote-count.js';
