--- a/packages/devfleet/src/deployment/schema.ts
+++ b/packages/devfleet/src/deployment/schema.ts
@@ -1,3 +1,5 @@
+/** The deployment file of devfleet: how large a fleet is, which origins stand behind it, and the load it gets. */
+
 import { readFileSync } from 'node:fs';
 import { dirname, join } from 'node:path';
 import * as v from 'valibot';
@@ -7,7 +9,7 @@
 const countSchema = v.pipe(v.number(), v.integer(), v.minValue(0), v.maxValue(1000));
 const rangeSchema = v.tuple([v.number(), v.number()]);
 
-/** What origins stand behind a service, and how they behave. */
+/** The origins behind a service, and how they behave. */
 const originGroupSchema = v.strictObject({
   service: serviceName,
   count: countSchema,
@@ -16,9 +18,10 @@
   workMs: rangeSchema,
   release: v.optional(v.string(), 'r1'),
 });
+/** The origins of one service. */
 export type OriginGroup = v.InferOutput<typeof originGroupSchema>;
 
-/** One kind of request of the callers. */
+/** One kind of request of the clients. */
 const trafficSchema = v.strictObject({
   name: v.string(),
   class: v.string(),
@@ -31,8 +34,10 @@
   unsafe: v.optional(v.boolean(), false),
   tagged: v.optional(v.boolean(), false),
 });
+/** One kind of request that clients send. */
 export type Traffic = v.InferOutput<typeof trafficSchema>;
 
+/** The form of the deployment file. */
 export const deploymentSchema = v.strictObject({
   name: v.string(),
   description: v.string(),
@@ -44,16 +49,17 @@
   perSecond: v.number(),
   traffic: v.pipe(v.array(trafficSchema), v.minLength(1)),
 });
+/** A deployment file that was read. */
 export type Deployment = v.InferOutput<typeof deploymentSchema>;
 
-/** A deployment with the description that it starts with. */
+/** A deployment with the configuration that it starts with. */
 export interface DeploymentPlan {
   readonly deployment: Deployment;
   readonly configuration: unknown;
   readonly configurationFile: string;
 }
 
-/** Reads a deployment's file and the description it names. */
+/** Reads a deployment file and the configuration it names; the errors are one sentence for each fault. */
 export const readDeploymentPlan = (file: string): Result<DeploymentPlan, readonly string[]> => {
   try {
     const read = v.safeParse(deploymentSchema, JSON.parse(readFileSync(file, 'utf8')));
--- a/packages/devfleet/src/fault-injection/preload.ts
+++ b/packages/devfleet/src/fault-injection/preload.ts
@@ -1,41 +1,55 @@
+/**
+ * Loaded into the processes of a development fleet before their own program: patches their sockets and disk so that faults
+ * can be injected. The programs themselves know nothing of it and have no switch for it.
+ */
+
 import { Socket } from 'node:net';
 import { err } from 'true-myth/result';
 import * as v from 'valibot';
 import { Disk } from '@switchwheel/runtime';
-import { type ProcessFaults, noFaults, processFaultsSchema } from './process-faults.js';
+import {
+  type ProcessFaults,
+  faultHostVariable,
+  noFaults,
+  processFaultsSchema,
+} from './process-faults.js';
 
-// Loaded into the processes of a development fleet before their own program: it stands between them and their network and disk.
-// The programs know nothing of it, and have no switch for it.
-const ownHost = process.env['TRAINSET_HOST'] ?? '';
+const ownHost = process.env[faultHostVariable] ?? '';
 let currentFaults: ProcessFaults = noFaults;
 process.on('message', (raw) => {
   const read = v.safeParse(processFaultsSchema, raw);
   if (read.success) currentFaults = read.output;
 });
-// Listening to the development fleet keeps no process alive.
+// The IPC channel must not keep a process alive.
 process.channel?.unref();
 
 const pollIntervalMs = 20;
+/** Runs an action as soon as a condition holds; at once if it does already. */
 const runWhen = (condition: () => boolean, action: () => void): void => {
   if (condition()) action();
   else setTimeout(() => runWhen(condition, action), pollIntervalMs);
 };
 
+/** The first argument; Node.js passes the arguments of `connect` on as one list. */
 const firstArgument = (args: readonly unknown[]): unknown => {
-  const [head] = args;
-  return Array.isArray(head) ? head[0] : head;
+  const [first] = args;
+  return Array.isArray(first) ? first[0] : first;
 };
-const hostIn = (given: unknown): string =>
-  typeof given === 'object' && given !== null && 'host' in given && typeof given.host === 'string'
-    ? given.host
+/** The host that a socket's options name; empty for a path or a port alone. */
+const hostIn = (options: unknown): string =>
+  typeof options === 'object' &&
+  options !== null &&
+  'host' in options &&
+  typeof options.host === 'string'
+    ? options.host
     : '';
 
-type AnyFunction = (...list: unknown[]) => unknown;
+type AnyFunction = (...args: unknown[]) => unknown;
 const isFunction = (raw: unknown): raw is AnyFunction => typeof raw === 'function';
 const methodOf = (prototype: object, name: string): AnyFunction => {
-  const found: unknown = Reflect.get(prototype, name);
-  if (!isFunction(found)) throw new Error(`no ${name} to stand before`);
-  return found;
+  const method: unknown = Reflect.get(prototype, name);
+  if (!isFunction(method)) throw new Error(`no method ${name} to patch`);
+  return method;
 };
 const callOriginal = (original: AnyFunction, receiver: object, args: unknown[]): unknown =>
   Reflect.apply(original, receiver, args);
@@ -47,45 +61,51 @@
 Reflect.set(
   Socket.prototype,
   'connect',
-  function patched(this: Socket, ...list: unknown[]): unknown {
-    const given = firstArgument(list);
-    const host = hostIn(given);
-    if (host === '' || ownHost === '' || typeof given !== 'object' || given === null)
-      return callOriginal(originalConnect, this, list);
+  function patched(this: Socket, ...args: unknown[]): unknown {
+    const options = firstArgument(args);
+    const host = hostIn(options);
+    if (host === '' || ownHost === '' || typeof options !== 'object' || options === null)
+      return callOriginal(originalConnect, this, args);
     intendedHosts.set(this, host);
-    // Each machine calls from its own number, so that the others can tell who it is.
-    Reflect.set(given, 'localAddress', ownHost);
-    if (!currentFaults.bar.includes(host)) return callOriginal(originalConnect, this, list);
+    // Each machine connects from its own address, so that its peers know which machine it is.
+    Reflect.set(options, 'localAddress', ownHost);
+    if (!currentFaults.unreachablePeers.includes(host))
+      return callOriginal(originalConnect, this, args);
     Reflect.set(this, 'connecting', true);
     runWhen(
-      () => this.destroyed || !currentFaults.bar.includes(host),
+      () => this.destroyed || !currentFaults.unreachablePeers.includes(host),
       () => {
-        if (!this.destroyed) callOriginal(originalConnect, this, list);
+        if (!this.destroyed) callOriginal(originalConnect, this, args);
       },
     );
     return this;
   },
 );
 
+/** The machine at the other end of a socket. */
 const peerHost = (socket: Socket): string =>
   intendedHosts.get(socket) ?? socket.remoteAddress ?? '';
+/** When the next write of a socket may go out, so that delayed writes keep their order. */
 const earliestWrites = new WeakMap<object, number>();
 
 Reflect.set(
   Socket.prototype,
   '_write',
-  function patched(this: Socket, ...list: unknown[]): unknown {
+  function patched(this: Socket, ...args: unknown[]): unknown {
     const peer = peerHost(this);
-    const free = earliestWrites.get(this) ?? 0;
-    const at = performance.now();
-    const due = currentFaults.lagMs > 0 ? Math.max(at + currentFaults.lagMs, free) : free;
-    if (!currentFaults.hold.includes(peer) && due <= at)
-      return callOriginal(originalWrite, this, list);
-    earliestWrites.set(this, due);
+    const earliestAt = earliestWrites.get(this) ?? 0;
+    const now = performance.now();
+    const dueAt =
+      currentFaults.lagMs > 0 ? Math.max(now + currentFaults.lagMs, earliestAt) : earliestAt;
+    if (!currentFaults.stalledPeers.includes(peer) && dueAt <= now)
+      return callOriginal(originalWrite, this, args);
+    earliestWrites.set(this, dueAt);
     runWhen(
-      () => this.destroyed || (!currentFaults.hold.includes(peer) && performance.now() >= due),
+      () =>
+        this.destroyed ||
+        (!currentFaults.stalledPeers.includes(peer) && performance.now() >= dueAt),
       () => {
-        callOriginal(originalWrite, this, list);
+        callOriginal(originalWrite, this, args);
       },
     );
     return undefined;
--- a/packages/devfleet/src/fleet/fleet-process.ts
+++ b/packages/devfleet/src/fleet/fleet-process.ts
@@ -1,121 +1,146 @@
+/** Starts, signals and stops one process of a development fleet, and sends it the faults it should have. */
+
 import { type ChildProcess, spawn } from 'node:child_process';
 import { createWriteStream, mkdirSync, type WriteStream } from 'node:fs';
 import { fileURLToPath } from 'node:url';
 import { createServer } from 'node:net';
 import { join } from 'node:path';
-import { type ProcessFaults, noFaults } from '../fault-injection/process-faults.js';
+import {
+  type ProcessFaults,
+  faultHostVariable,
+  noFaults,
+} from '../fault-injection/process-faults.js';
 
 const preloadScript = fileURLToPath(new URL('../fault-injection/preload.js', import.meta.url));
 
-/** A port that is free now on one of this machine's own loopback numbers. */
+/** A port that is free now on a loopback address. */
 export const freePort = (host: string): Promise<number> =>
-  new Promise((done, fail) => {
+  new Promise((resolve, reject) => {
     const server = createServer();
-    server.once('error', fail);
+    server.once('error', reject);
     server.listen(0, host, () => {
-      const spot = server.address();
+      const address = server.address();
       server.close(() => {
-        if (spot !== null && typeof spot === 'object') done(spot.port);
-        else fail(new Error('no port'));
+        if (address !== null && typeof address === 'object') resolve(address.port);
+        else reject(new Error('no port'));
       });
     });
   });
 
-/** All processes that run now: none outlives whoever started them. */
+/** All processes that run now: they are killed when this process exits. */
 const runningProcesses = new Set<ChildProcess>();
 process.on('exit', () => {
   for (const child of runningProcesses) child.kill('SIGKILL');
 });
 
-/** One process of the fleet, started with the very arguments each time. */
+/** How a process is started; the same each time. */
+export interface FleetProcessOptions {
+  readonly name: string;
+  readonly script: string;
+  readonly args: readonly string[];
+  readonly logFolder: string;
+  /** The address of its machine, if its network and disk can be made to fail. */
+  readonly faultHost: string | undefined;
+}
+
+/** How much of a process's output is kept to explain a start that failed. */
+const maxStartOutput = 4000;
+/** The log line by which a process reports that it is up. */
+const startedMark = '"started"';
+
+/** One process of the fleet, which can be started again after it ended. */
 export class FleetProcess {
   readonly name: string;
   readonly #script: string;
   readonly #args: readonly string[];
   readonly #log: WriteStream;
-  /** The number of its machine, if its network and disk may be made to fail. */
-  readonly #host: string | undefined;
+  readonly #faultHost: string | undefined;
   #faults: ProcessFaults = noFaults;
   #process: ChildProcess | undefined;
-  #ended: Promise<number | null> = Promise.resolve(null);
-
-  constructor(
-    name: string,
-    script: string,
-    args: readonly string[],
-    folder: string,
-    host?: string,
-  ) {
+  #exitCode: Promise<number | null> = Promise.resolve(null);
+
+  constructor({ name, script, args, logFolder, faultHost }: FleetProcessOptions) {
     this.name = name;
     this.#script = script;
     this.#args = args;
-    this.#host = host;
-    mkdirSync(folder, { recursive: true });
-    this.#log = createWriteStream(join(folder, `${name}.log`), { flags: 'a' });
+    this.#faultHost = faultHost;
+    mkdirSync(logFolder, { recursive: true });
+    this.#log = createWriteStream(join(logFolder, `${name}.log`), { flags: 'a' });
   }
 
+  /** Whether it was started and has not exited. */
   get isRunning(): boolean {
     return this.#process !== undefined;
   }
 
-  /** Starts the process; settles once it says that it started. */
+  /** Starts the process; settles once it reports that it is up, and rejects if it exits before. */
   start(): Promise<void> {
-    const faulty = this.#host !== undefined;
-    const child = spawn(
-      process.execPath,
-      [...(faulty ? ['--import', preloadScript] : []), this.#script, ...this.#args],
-      {
-        stdio: faulty ? ['ignore', 'pipe', 'pipe', 'ipc'] : ['ignore', 'pipe', 'pipe'],
-        env: { ...process.env, TRAINSET_HOST: this.#host ?? '' },
-      },
-    );
+    const child = this.#spawn();
     this.#process = child;
     this.#sendFaults();
     runningProcesses.add(child);
-    this.#ended = new Promise((done) => {
+    this.#exitCode = new Promise((resolve) => {
       child.once('exit', (code) => {
         runningProcesses.delete(child);
         if (this.#process === child) this.#process = undefined;
-        done(code);
+        resolve(code);
       });
     });
-    const { stderr, stdout } = child;
-    return new Promise((done, fail) => {
-      let told = '';
-      const hear = (bytes: Buffer): void => {
+    return this.#waitUntilStarted(child);
+  }
+
+  #spawn(): ChildProcess {
+    const canFail = this.#faultHost !== undefined;
+    return spawn(
+      process.execPath,
+      [...(canFail ? ['--import', preloadScript] : []), this.#script, ...this.#args],
+      {
+        stdio: canFail ? ['ignore', 'pipe', 'pipe', 'ipc'] : ['ignore', 'pipe', 'pipe'],
+        env: { ...process.env, [faultHostVariable]: this.#faultHost ?? '' },
+      },
+    );
+  }
+
+  /** Copies the output of a process to its log, and waits for the line that says it started. */
+  #waitUntilStarted(child: ChildProcess): Promise<void> {
+    return new Promise((resolve, reject) => {
+      let hasStarted = false;
+      let output = '';
+      const onOutput = (bytes: Buffer): void => {
         this.#log.write(bytes);
-        if (told === 'started') return;
-        told = (told + bytes.toString()).slice(-4000);
-        if (!told.includes('"started"')) return;
-        told = 'started';
-        done();
+        if (hasStarted) return;
+        output = (output + bytes.toString()).slice(-maxStartOutput);
+        if (!output.includes(startedMark)) return;
+        hasStarted = true;
+        resolve();
       };
-      stderr?.on('data', hear);
-      stdout?.on('data', hear);
+      child.stderr?.on('data', onOutput);
+      child.stdout?.on('data', onOutput);
       child.once('exit', (code) =>
-        fail(new Error(`${this.name} ended with ${String(code)}: ${told}`)),
+        reject(new Error(`${this.name} ended with ${String(code)}: ${output}`)),
       );
     });
   }
 
+  /** Sends a signal, if it runs. */
   signal(signal: 'SIGTERM' | 'SIGKILL' | 'SIGSTOP' | 'SIGCONT'): void {
     this.#process?.kill(signal);
   }
 
-  /** Changes what is wrong with its network or its disk. */
+  /** Changes the faults of its network or disk; they last over a restart. */
   setFaults(change: Partial<ProcessFaults>): void {
     this.#faults = { ...this.#faults, ...change };
     this.#sendFaults();
   }
 
   #sendFaults(): void {
-    if (this.#host !== undefined && this.#process?.connected === true)
+    if (this.#faultHost !== undefined && this.#process?.connected === true)
       this.#process.send(this.#faults, () => undefined);
   }
 
-  /** Ends the process and waits until it is gone. */
+  /** Sends a signal that ends the process and waits for its exit code; null if a signal ended it. */
   async stop(signal: 'SIGTERM' | 'SIGKILL' = 'SIGKILL'): Promise<number | null> {
     this.signal(signal);
-    return this.#ended;
+    return this.#exitCode;
   }
 }
--- a/packages/devfleet/src/fleet/readiness-probe.ts
+++ b/packages/devfleet/src/fleet/readiness-probe.ts
@@ -1,9 +1,12 @@
-import type { Fleet, Machine } from './fleet.js';
+/** Stands in for the platform's load balancer: clients are sent only to edges that were ready when last probed. */
 
-/** How often the platform asks each edge whether it is ready. */
+import type { Fleet } from './fleet.js';
+import type { Machine } from './machine.js';
+
+/** How often each edge is asked whether it is ready. */
 const probeIntervalMs = 250;
 
-/** A stand-in for the platform: it sends callers only to edges that reported ready when last asked. */
+/** Probes the edges of a fleet for readiness. */
 export class ReadinessProbe {
   readonly #fleet: Fleet;
   readonly #readyNames = new Set<string>();
@@ -13,26 +16,30 @@
     this.#fleet = fleet;
   }
 
+  /** The edges that were ready at their last probe. */
   get readyEdges(): readonly Machine[] {
-    return this.#fleet.edges.filter((one) => this.#readyNames.has(one.name));
+    return this.#fleet.edges.filter((edge) => this.#readyNames.has(edge.name));
   }
 
+  /** Probes every edge once. */
   async probe(): Promise<void> {
     await Promise.all(
-      this.#fleet.edges.map(async (one) => {
-        const up = await this.#fleet.isReady(one).catch(() => false);
-        if (up) this.#readyNames.add(one.name);
-        else this.#readyNames.delete(one.name);
+      this.#fleet.edges.map(async (edge) => {
+        const isReady = await this.#fleet.isReady(edge).catch(() => false);
+        if (isReady) this.#readyNames.add(edge.name);
+        else this.#readyNames.delete(edge.name);
       }),
     );
   }
 
+  /** Probes again and again until stopped. */
   start(): void {
     this.#timer = setInterval(() => {
       void this.probe();
     }, probeIntervalMs);
   }
 
+  /** Ends the probing. */
   stop(): void {
     clearInterval(this.#timer);
   }
--- a/packages/devfleet/src/load/load-generator.ts
+++ b/packages/devfleet/src/load/load-generator.ts
@@ -1,29 +1,27 @@
-import { Agent, type IncomingMessage, request } from 'node:http';
+/**
+ * An open-loop load generator: each request is sent when it is due, whether or not earlier ones are answered.
+ * Judging what came back is left to the report.
+ */
+
+import { Agent } from 'node:http';
 import type { Deployment, Traffic } from '../deployment/schema.js';
-import { objectBytes, objectSize } from '../origin/content.js';
-import type { Machine } from '../fleet/fleet.js';
+import type { Machine } from '../fleet/machine.js';
+import { delay } from '../fleet/wait.js';
+import { planRequest } from './planned-request.js';
+import type { RequestRecord } from './request-record.js';
+import { sendRequest } from './send-request.js';
 
-/** What one request came to, as its caller saw it. */
-export interface RequestRecord {
-  readonly traffic: Traffic;
-  readonly id: string;
-  readonly path: string;
-  readonly sentAt: number;
-  readonly elapsedMs: number;
-  readonly status: number;
-  /** `result`, `rejected`, `unknown`, or what else the answer called itself; `broken` where the channel broke. */
-  readonly outcome: string;
-  readonly answeredBy: string;
-  readonly bodyMatches: 'yes' | 'no' | 'unread';
-  readonly revision: number | undefined;
-  readonly edge: string;
-  /** What a refusal or a fault gave as its reason. */
-  readonly reason: string;
-}
+const sendIntervalMs = 5;
+const drainTimeoutMs = 20_000;
+const drainPollMs = 20;
+const maxConnectionsPerEdge = 512;
 
-/** Callers: open loop, each request at its own time whether or not others are answered. */
+/** Sends the traffic of a deployment to the edges that are up. */
 export class LoadGenerator {
+  /** Every request that has ended, in the order of their ends. */
   readonly records: RequestRecord[] = [];
+  /** How often a client that got no result retries at once. */
+  maxImmediateRetries = 0;
   readonly #deployment: Deployment;
   readonly #agents = new Map<string, Agent>();
   readonly #edges: () => readonly Machine[];
@@ -31,67 +29,65 @@
   #sentCount = 0;
   #pendingCount = 0;
   #timer: NodeJS.Timeout | undefined;
-  #dueCount = 0;
-  /** How often a caller that got no result asks again at once. */
-  maxImmediateRetries = 0;
 
-  constructor(deployment: Deployment, rate: number, edges: () => readonly Machine[]) {
+  constructor(deployment: Deployment, requestsPerSecond: number, edges: () => readonly Machine[]) {
     this.#deployment = deployment;
-    this.#requestsPerSecond = rate;
+    this.#requestsPerSecond = requestsPerSecond;
     this.#edges = edges;
   }
 
+  /** Sends at the rate of the deployment until stopped. */
   start(): void {
-    const since = performance.now();
+    const startedAt = performance.now();
     let sent = 0;
     this.#timer = setInterval(() => {
-      this.#dueCount = ((performance.now() - since) / 1000) * this.#requestsPerSecond;
-      while (sent < this.#dueCount) {
+      const due = ((performance.now() - startedAt) / 1000) * this.#requestsPerSecond;
+      while (sent < due) {
         sent += 1;
         this.#send();
       }
-    }, 5);
+    }, sendIntervalMs);
   }
 
-  /** Sends no more, and waits for what is under way. */
+  /** Sends no more, and waits for the requests in flight. */
   async stop(): Promise<void> {
     clearInterval(this.#timer);
-    const end = performance.now() + 20_000;
-    while (this.#pendingCount > 0 && performance.now() < end)
-      await new Promise<void>((done) => {
-        setTimeout(done, 20);
-      });
+    const deadline = performance.now() + drainTimeoutMs;
+    while (this.#pendingCount > 0 && performance.now() < deadline) await delay(drainPollMs);
     for (const agent of this.#agents.values()) agent.destroy();
   }
 
+  /** Sends one kind of traffic at a rate of its own for a while, beside the usual load. */
+  async flood(trafficName: string, requestsPerSecond: number, durationMs: number): Promise<void> {
+    const traffic = this.#deployment.traffic.find(({ name }) => name === trafficName);
+    const startedAt = performance.now();
+    let sent = 0;
+    while (performance.now() - startedAt < durationMs) {
+      const due = ((performance.now() - startedAt) / 1000) * requestsPerSecond;
+      for (; sent < due; sent += 1) this.#send(traffic);
+      await delay(sendIntervalMs);
+    }
+  }
+
+  /** Draws a kind of traffic by weight. */
   #pickTraffic(): Traffic {
-    const list = this.#deployment.traffic;
-    let left = Math.random() * list.reduce((sum, one) => sum + one.weight, 0);
-    for (const one of list) {
-      left -= one.weight;
-      if (left <= 0) return one;
+    const { traffic } = this.#deployment;
+    let remaining = Math.random() * traffic.reduce((sum, { weight }) => sum + weight, 0);
+    for (const candidate of traffic) {
+      remaining -= candidate.weight;
+      if (remaining <= 0) return candidate;
     }
-    const [first] = list;
+    const [first] = traffic;
     if (first === undefined) throw new Error('no traffic');
     return first;
   }
 
-  /** Sends one kind of request far too often for a while. */
-  async flood(trafficName: string, requestsPerSecond: number, durationMs: number): Promise<void> {
-    const traffic = this.#deployment.traffic.find((one) => one.name === trafficName);
-    const since = performance.now();
-    let sent = 0;
-    while (performance.now() - since < durationMs) {
-      for (
-        const due = ((performance.now() - since) / 1000) * requestsPerSecond;
-        sent < due;
-        sent += 1
-      )
-        this.#send(traffic);
-      await new Promise<void>((done) => {
-        setTimeout(done, 5);
-      });
-    }
+  #agentFor(address: string): Agent {
+    const agent =
+      this.#agents.get(address) ??
+      new Agent({ keepAlive: true, maxSockets: maxConnectionsPerEdge });
+    this.#agents.set(address, agent);
+    return agent;
   }
 
   #send(chosen?: Traffic, retryCount = 0): void {
@@ -100,111 +96,16 @@
     if (edge === undefined) return;
     const traffic = chosen ?? this.#pickTraffic();
     this.#sentCount += 1;
-    const id = `q${process.pid}-${this.#sentCount}`;
-    const object = Math.floor(traffic.objects * Math.random() ** 3);
-    const path = `${traffic.prefix}${object}`;
-    const size = objectSize(path, traffic.bytes);
-    const query = traffic.unsafe
-      ? ''
-      : `?size=${size}${traffic.tagged ? `&tag=t${object % 20}` : ''}`;
-    const agent =
-      this.#agents.get(edge.httpAddress) ?? new Agent({ keepAlive: true, maxSockets: 512 });
-    this.#agents.set(edge.httpAddress, agent);
-    const body = traffic.unsafe
-      ? Buffer.from(JSON.stringify({ id, text: 'x'.repeat(size) }))
-      : undefined;
-    const at = performance.now();
+    const planned = planRequest(traffic, `q${process.pid}-${this.#sentCount}`);
+    const { id, path } = planned;
+    const sentAt = performance.now();
     this.#pendingCount += 1;
-    let over = false;
-    const end = (
-      status: number,
-      kind: string,
-      from: string,
-      whole: RequestRecord['bodyMatches'],
-      revision: number | undefined,
-      why = '',
-    ): void => {
-      if (over) return;
-      over = true;
+    sendRequest(edge.httpAddress, this.#agentFor(edge.httpAddress), planned, (outcome) => {
       this.#pendingCount -= 1;
-      this.records.push({
-        traffic,
-        id,
-        path,
-        sentAt: at,
-        elapsedMs: performance.now() - at,
-        status,
-        outcome: kind,
-        answeredBy: from,
-        bodyMatches: whole,
-        revision,
-        edge: edge.name,
-        reason: why,
-      });
-      if (kind !== 'result' && retryCount < this.maxImmediateRetries)
+      const elapsedMs = performance.now() - sentAt;
+      this.records.push({ traffic, id, path, sentAt, elapsedMs, edge: edge.name, ...outcome });
+      if (outcome.outcome !== 'result' && retryCount < this.maxImmediateRetries)
         this.#send(traffic, retryCount + 1);
-    };
-    const [host, port] = edge.httpAddress.split(':');
-    const out = request(
-      {
-        host,
-        port: Number(port),
-        path: `${path}${query}`,
-        method: traffic.method,
-        agent,
-        headers: {
-          host: 'callers.test',
-          'x-request-id': id,
-          ...(body === undefined
-            ? {}
-            : { 'content-type': 'application/json', 'content-length': body.length }),
-        },
-      },
-      (answer: IncomingMessage) => {
-        const parts: Buffer[] = [];
-        answer.on('data', (part: Buffer) => parts.push(part));
-        answer.on('aborted', () => end(answer.statusCode ?? 0, 'broken', '', 'no', undefined));
-        answer.on('error', () => end(answer.statusCode ?? 0, 'broken', '', 'no', undefined));
-        answer.on('end', () => {
-          const status = answer.statusCode ?? 0;
-          const told = answer.headers['switchwheel-kind'];
-          const from = String(answer.headers['switchwheel-from'] ?? '');
-          if (typeof told === 'string')
-            end(
-              status,
-              told,
-              from,
-              'unread',
-              undefined,
-              /"text":"([^"]*)"/.exec(Buffer.concat(parts).toString())?.[1] ?? '',
-            );
-          else if (traffic.unsafe)
-            end(
-              status,
-              status < 400 ? 'result' : `status${status}`,
-              from,
-              Buffer.concat(parts).toString().includes(id) || status >= 400 ? 'yes' : 'no',
-              undefined,
-            );
-          else {
-            const got = Buffer.concat(parts);
-            const revision = Number(/ r(\d+)\n/.exec(got.subarray(0, 200).toString())?.[1] ?? NaN);
-            const fits = status !== 200 || got.equals(objectBytes(path, revision, size));
-            end(
-              status,
-              status < 400 ? 'result' : `status${status}`,
-              from,
-              fits ? 'yes' : 'no',
-              Number.isNaN(revision) ? undefined : revision,
-            );
-          }
-        });
-      },
-    );
-    out.setTimeout(15_000, () => out.destroy());
-    out.on('error', (fault: Error & { code?: string }) =>
-      end(0, fault.code === 'ECONNREFUSED' ? 'closed' : 'broken', '', 'unread', undefined),
-    );
-    out.end(body);
+    });
   }
 }
--- a/packages/devfleet/src/main.ts
+++ b/packages/devfleet/src/main.ts
@@ -1,3 +1,5 @@
+/** The program `devfleet`: reads and checks the command line, and runs one command. */
+
 import { join, resolve } from 'node:path';
 import meow from 'meow';
 import { type DeploymentPlan, readDeploymentPlan } from './deployment/schema.js';
@@ -5,6 +7,7 @@
 import { startFleet } from './run/fleet-setup.js';
 import { runUnderLoad } from './run/load-run.js';
 import { runFaultScenario } from './run/fault-run.js';
+import type { RunReport } from './run/run-report.js';
 import { runSoak } from './soak/soak.js';
 import { summarizeSoak } from './soak/soak-report.js';
 
@@ -56,6 +59,7 @@
   process.stdout.write(`${text}\n`);
 };
 
+/** The deployment with as many edges and shields as the flags ask for. */
 const withSizeFlags = (plan: DeploymentPlan): DeploymentPlan => ({
   ...plan,
   deployment: {
@@ -65,7 +69,7 @@
   },
 });
 
-/** The part of a deployment's load that a soak sends. */
+/** The share of a deployment's load that a soak sends. */
 const soakLoadScale = 0.1;
 
 /** Plays seeds one after another; returns whether all of them are passed. */
@@ -91,55 +95,61 @@
   Number.isSafeInteger(raw) && raw >= min;
 
 const commands: ReadonlySet<string | undefined> = new Set(['run', 'up', 'fail', 'soak']);
+
+/** What is wrong with the flags; undefined if nothing is. */
+const flagFault = (): string | undefined => {
+  const { cause, seconds, seed, runs, scale } = cli.flags;
+  if (!faultScenarios.has(cause))
+    return `--cause ${cause}: one of ${[...faultScenarios.keys()].join(', ')}`;
+  if (!(seconds >= 1 && seconds <= 3600)) return '--seconds: from 1 to 3600';
+  if (!isWholeNumber(seed, 0)) return '--seed: a whole number';
+  if (!isWholeNumber(runs, 1)) return '--runs: a whole number from 1';
+  if (!(scale > 0 && scale <= 20)) return '--scale: over 0, at most 20';
+  return undefined;
+};
+
+const endSignals = ['SIGINT', 'SIGTERM'] as const;
+
+/** Starts a deployment and leaves it running until a signal ends it. */
+const runUntilInterrupted = async (plan: DeploymentPlan, folder: string): Promise<void> => {
+  const fleet = await startFleet(plan, folder, print);
+  for (const signal of endSignals)
+    process.removeAllListeners(signal).on(signal, () => process.exit(0));
+  print(`registries: ${fleet.registries.join(',')}`);
+  print(`edges: ${fleet.edges.map((edge) => edge.httpAddress).join(' ')}`);
+};
+
+/** Runs a command and exits with its code; returns only from `up`. */
+const runCommand = async (
+  name: string | undefined,
+  plan: DeploymentPlan,
+  folder: string,
+): Promise<void> => {
+  const { cause, seconds, scale } = cli.flags;
+  const options = { seconds, loadScale: scale, folder, print };
+  const exitWith = (areHeld: boolean): never => process.exit(areHeld ? 0 : 1);
+  const areAllHeld = ({ ruleResults }: RunReport): boolean =>
+    ruleResults.every(({ isHeld }) => isHeld);
+  const scenario = faultScenarios.get(cause);
+  if (name === 'soak') exitWith(await runSoaks(plan, folder));
+  if (name === 'fail' && scenario !== undefined)
+    exitWith(areAllHeld(await runFaultScenario(plan, cause, scenario, options)));
+  if (name === 'run') exitWith(areAllHeld(await runUnderLoad(plan, options)));
+  await runUntilInterrupted(plan, folder);
+};
+
 const [command, file] = cli.input;
-const scenario = faultScenarios.get(cli.flags.cause);
 if (!commands.has(command)) cli.showHelp(2);
 else if (file === undefined) exitWithWrongUse('which deployment file?');
-else if (scenario === undefined)
-  exitWithWrongUse(`--cause ${cli.flags.cause}: one of ${[...faultScenarios.keys()].join(', ')}`);
-else if (!(cli.flags.seconds >= 1 && cli.flags.seconds <= 3600))
-  exitWithWrongUse('--seconds: from 1 to 3600');
-else if (!isWholeNumber(cli.flags.seed, 0)) exitWithWrongUse('--seed: a whole number');
-else if (!isWholeNumber(cli.flags.runs, 1)) exitWithWrongUse('--runs: a whole number from 1');
-else if (!(cli.flags.scale > 0 && cli.flags.scale <= 20))
-  exitWithWrongUse('--scale: over 0, at most 20');
 else {
-  const read = readDeploymentPlan(file);
-  if (read.isErr) exitWithWrongUse(read.error.join('\n'));
+  const fault = flagFault();
+  if (fault !== undefined) exitWithWrongUse(fault);
+  const plan = readDeploymentPlan(file);
+  if (plan.isErr) exitWithWrongUse(plan.error.join('\n'));
   else {
-    const folder = resolve(cli.flags.folder);
-    for (const signal of ['SIGINT', 'SIGTERM'] as const) process.on(signal, () => process.exit(1));
+    for (const signal of endSignals) process.on(signal, () => process.exit(1));
     try {
-      if (command === 'soak')
-        process.exit((await runSoaks(withSizeFlags(read.value), folder)) ? 0 : 1);
-      if (command === 'fail') {
-        const report = await runFaultScenario(
-          withSizeFlags(read.value),
-          cli.flags.cause,
-          scenario,
-          {
-            seconds: cli.flags.seconds,
-            loadScale: cli.flags.scale,
-            folder,
-            print,
-          },
-        );
-        process.exit(report.ruleResults.every((one) => one.isHeld) ? 0 : 1);
-      }
-      if (command === 'run') {
-        const report = await runUnderLoad(withSizeFlags(read.value), {
-          seconds: cli.flags.seconds,
-          loadScale: cli.flags.scale,
-          folder,
-          print,
-        });
-        process.exit(report.ruleResults.every((one) => one.isHeld) ? 0 : 1);
-      }
-      const fleet = await startFleet(withSizeFlags(read.value), folder, print);
-      for (const signal of ['SIGINT', 'SIGTERM'] as const)
-        process.removeAllListeners(signal).on(signal, () => process.exit(0));
-      print(`registries: ${fleet.registries.join(',')}`);
-      print(`edges: ${fleet.edges.map((one) => one.httpAddress).join(' ')}`);
+      await runCommand(command, withSizeFlags(plan.value), resolve(cli.flags.folder));
     } catch (problem) {
       process.stderr.write(
         `devfleet: ${problem instanceof Error ? problem.message : 'broke down'}\n`,
--- a/packages/devfleet/src/origin/content.ts
+++ b/packages/devfleet/src/origin/content.ts
@@ -1,8 +1,12 @@
+/** The content of stub origins' objects: a pure function of path, revision and size. */
+
 import { createHash } from 'node:crypto';
 
+const uint32Range = 2 ** 32;
+
 const hashBlock = (seed: string): Buffer => createHash('sha512').update(seed).digest();
 
-/** The bytes of an object: any stand-in makes the same from path, revision and size. */
+/** The bytes of an object: every stub origin makes the same of path, revision and size. */
 export const objectBytes = (path: string, revision: number, size: number): Buffer => {
   const head = Buffer.from(`${path} r${revision}\n`);
   const fill = hashBlock(path);
@@ -13,4 +17,4 @@
 
 /** The size of an object between two bounds, always the same for a path. */
 export const objectSize = (path: string, [least, most]: readonly [number, number]): number =>
-  least + Math.floor((hashBlock(`size ${path}`).readUInt32BE(0) / 4294967296) * (most - least));
+  least + Math.floor((hashBlock(`size ${path}`).readUInt32BE(0) / uint32Range) * (most - least));
--- a/packages/devfleet/src/origin/stub-origin.ts
+++ b/packages/devfleet/src/origin/stub-origin.ts
@@ -1,10 +1,25 @@
+/**
+ * A stub origin: announces itself to the registries, answers health checks, keeps to its slots, works for a drawn time, and
+ * records what it ran. Its control address sets faults and returns the records.
+ */
+
 import { createHash } from 'node:crypto';
 import { type IncomingMessage, type ServerResponse, createServer } from 'node:http';
 import got from 'got';
 import meow from 'meow';
+import { increment } from '@switchwheel/types';
 import { objectBytes } from './content.js';
 
-// A stand-in for an origin: it announces itself, answers its health check, keeps to its slots, works, and writes down what it ran.
+const defaultObjectSize = 200;
+const etagLength = 16;
+const keepAliveTimeoutMs = 20_000;
+const announceIntervalMs = 2000;
+const announceTimeoutMs = 1000;
+/** How long it goes on serving after SIGTERM. */
+const drainMs = 3000;
+/** No request takes more than so many times the usual work. */
+const maxWorkFactor = 8;
+
 const cli = meow('', {
   importMeta: import.meta,
   flags: {
@@ -20,14 +35,18 @@
   },
 });
 const { service, instance, slots, least, usual, release } = cli.flags;
-const registries = cli.flags.registries.split(',').filter((one) => one !== '');
+const registries = cli.flags.registries.split(',').filter((address) => address !== '');
 
+/** How it misbehaves; the members are the JSON of `POST /mood`. */
 interface OriginBehaviour {
+  /** How much longer each request takes. */
   slowMs: number;
+  /** Shares of requests, from 0 to 1: answered with 500, dropped, answered with a damaged or a cut body. */
   badShare: number;
   loseShare: number;
   corruptShare: number;
   cutShare: number;
+  /** Whether it answers in the name of another instance. */
   wrongName: boolean;
   state: 'up' | 'leaving' | 'gone';
 }
@@ -48,10 +67,11 @@
 let rejectedCount = 0;
 let lastRunAt = 0;
 
+/** Draws the time of work: exponential above the least, and far longer only up to a limit. */
 const drawWorkMs = (): number => {
-  const chance = Math.random();
-  const usualPart = -Math.log(1 - chance) * (usual - least);
-  return least + Math.min(usualPart, usual * 8) + behaviour.slowMs;
+  const draw = Math.random();
+  const aboveLeast = -Math.log(1 - draw) * (usual - least);
+  return least + Math.min(aboveLeast, usual * maxWorkFactor) + behaviour.slowMs;
 };
 
 const readBody = async (request: IncomingMessage): Promise<Buffer> => {
@@ -60,67 +80,83 @@
   return Buffer.concat(parts);
 };
 
-const sendResult = (request: IncomingMessage, response: ServerResponse, body: Buffer): void => {
-  const url = new URL(request.url ?? '/', 'http://origin');
-  const unsafe = request.method !== 'GET' && request.method !== 'HEAD';
+const recordRun = (request: IncomingMessage, isUnsafe: boolean): void => {
   const id = request.headers['x-request-id'];
-  if (unsafe && typeof id === 'string') runsByRequestId.set(id, (runsByRequestId.get(id) ?? 0) + 1);
+  if (isUnsafe && typeof id === 'string') increment(runsByRequestId, id);
   servedCount += 1;
   lastRunAt = Date.now();
   runTimestamps.push(Date.now());
+};
+
+const setInstanceHeader = (response: ServerResponse): void => {
+  response.setHeader('switchwheel-instance', behaviour.wrongName ? 'somebody-else' : instance);
+};
+
+const setContentHeaders = (response: ServerResponse, content: Buffer, tag: string | null): void => {
+  const digest = createHash('sha256').update(content).digest('base64');
+  const etag = createHash('sha1').update(content).digest('hex').slice(0, etagLength);
+  response.setHeader('content-type', 'application/octet-stream');
+  response.setHeader('content-length', content.length);
+  response.setHeader('content-digest', `sha-256=:${digest}:`);
+  response.setHeader('etag', `"${etag}"`);
+  if (tag !== null) response.setHeader('cache-tag', tag);
+};
+
+const sendResult = (request: IncomingMessage, response: ServerResponse, body: Buffer): void => {
+  const url = new URL(request.url ?? '/', 'http://origin');
+  const isUnsafe = request.method !== 'GET' && request.method !== 'HEAD';
+  recordRun(request, isUnsafe);
   if (Math.random() < behaviour.loseShare) {
     request.socket.destroy();
     return;
   }
-  response.setHeader('switchwheel-instance', behaviour.wrongName ? 'somebody-else' : instance);
+  setInstanceHeader(response);
   if (Math.random() < behaviour.badShare) {
     response.statusCode = 500;
     response.end('{"fault":"stand-in"}');
     return;
   }
-  const size = Number(url.searchParams.get('size') ?? 200);
-  const whole = unsafe
-    ? Buffer.from(JSON.stringify({ done: id ?? null, bytes: body.length }))
-    : objectBytes(url.pathname, revisions.get(url.pathname) ?? revisions.get('*') ?? 0, size);
-  response.setHeader('content-type', 'application/octet-stream');
-  response.setHeader('content-length', whole.length);
-  response.setHeader(
-    'content-digest',
-    `sha-256=:${createHash('sha256').update(whole).digest('base64')}:`,
-  );
-  response.setHeader('etag', `"${createHash('sha1').update(whole).digest('hex').slice(0, 16)}"`);
-  const tag = url.searchParams.get('tag');
-  if (tag !== null) response.setHeader('cache-tag', tag);
-  if (Math.random() < behaviour.corruptShare)
-    whole[Math.floor(whole.length / 2)] = (whole[Math.floor(whole.length / 2)] ?? 0) ^ 0xff;
+  const { pathname, searchParams } = url;
+  const revision = revisions.get(pathname) ?? revisions.get('*') ?? 0;
+  const content = isUnsafe
+    ? Buffer.from(
+        JSON.stringify({ done: request.headers['x-request-id'] ?? null, bytes: body.length }),
+      )
+    : objectBytes(pathname, revision, Number(searchParams.get('size') ?? defaultObjectSize));
+  setContentHeaders(response, content, searchParams.get('tag'));
+  const middle = Math.floor(content.length / 2);
+  // The digest is of the undamaged content, so that the receiver can notice.
+  if (Math.random() < behaviour.corruptShare) content[middle] = (content[middle] ?? 0) ^ 0xff;
   if (Math.random() < behaviour.cutShare) {
-    response.write(whole.subarray(0, Math.floor(whole.length / 2)), () => request.socket.destroy());
+    response.write(content.subarray(0, middle), () => request.socket.destroy());
     return;
   }
-  response.end(whole);
+  response.end(content);
+};
+
+/** Rejects a request without running it. */
+const rejectUnrun = (request: IncomingMessage, response: ServerResponse, status: number): void => {
+  rejectedCount += 1;
+  response.statusCode = status;
+  response.setHeader('switchwheel-unrun', 'true');
+  request.resume();
+  response.end('{"unrun":true}');
 };
 
 const server = createServer((request, response) => {
-  response.setHeader('switchwheel-instance', behaviour.wrongName ? 'somebody-else' : instance);
+  setInstanceHeader(response);
   if (request.url === '/health') {
     response.statusCode = behaviour.state === 'up' ? 200 : 503;
     response.end(JSON.stringify({ service, instance, release, state: behaviour.state }));
     return;
   }
-  const meant = request.headers['switchwheel-instance'];
-  const unrun = (status: number): void => {
-    rejectedCount += 1;
-    response.statusCode = status;
-    response.setHeader('switchwheel-unrun', 'true');
-    request.resume();
-    response.end('{"unrun":true}');
-  };
-  if (meant !== undefined && meant !== instance) {
-    unrun(421);
+  const intendedInstance = request.headers['switchwheel-instance'];
+  if (intendedInstance !== undefined && intendedInstance !== instance) {
+    rejectUnrun(request, response, 421);
     return;
   }
   if (usedSlots >= slots) {
-    unrun(503);
+    rejectUnrun(request, response, 503);
     return;
   }
   usedSlots += 1;
@@ -135,67 +171,81 @@
       usedSlots -= 1;
     });
 });
-server.keepAliveTimeout = 20_000;
+server.keepAliveTimeout = keepAliveTimeoutMs;
 
 const sendJson = (response: ServerResponse, value: object): void => {
   response.setHeader('content-type', 'application/json');
   response.end(JSON.stringify(value));
 };
 
-const control = createServer((request, response) => {
-  void readBody(request).then(async (body) => {
-    const raw: unknown = body.length === 0 ? {} : JSON.parse(body.toString());
-    const given = new Map<string, unknown>(Object.entries(raw ?? {}));
-    switch (request.url) {
-      case '/mood':
-        for (const [name, value] of given) {
-          if (name === 'wrongName') behaviour.wrongName = value === true;
-          else if (name === 'state')
-            behaviour.state = value === 'leaving' ? 'leaving' : value === 'gone' ? 'gone' : 'up';
-          else if (
-            name === 'slowMs' ||
-            name === 'badShare' ||
-            name === 'loseShare' ||
-            name === 'corruptShare' ||
-            name === 'cutShare'
-          )
-            behaviour[name] = Number(value);
-        }
-        if (given.has('state')) await announce();
-        sendJson(response, behaviour);
+/** Sets the members of the behaviour that are given. */
+const changeBehaviour = (given: ReadonlyMap<string, unknown>): void => {
+  for (const [name, value] of given) {
+    switch (name) {
+      case 'wrongName':
+        behaviour.wrongName = value === true;
         break;
-      case '/revision': {
-        const path = given.get('path');
-        revisions.set(typeof path === 'string' ? path : '*', Number(given.get('revision') ?? 0));
-        sendJson(response, {});
+      case 'state':
+        behaviour.state = value === 'leaving' ? 'leaving' : value === 'gone' ? 'gone' : 'up';
         break;
-      }
-      case '/ran':
-        sendJson(response, {
-          ran: [...runsByRequestId],
-          served: servedCount,
-          rejected: rejectedCount,
-          lastRun: lastRunAt,
-          stamps: runTimestamps,
-        });
+      case 'slowMs':
+      case 'badShare':
+      case 'loseShare':
+      case 'corruptShare':
+      case 'cutShare':
+        behaviour[name] = Number(value);
         break;
-      default:
-        sendJson(response, {
-          service,
-          instance,
-          release,
-          used: usedSlots,
-          served: servedCount,
-          rejected: rejectedCount,
-        });
     }
+  }
+};
+
+const handleControl = async (
+  path: string | undefined,
+  given: ReadonlyMap<string, unknown>,
+): Promise<object> => {
+  switch (path) {
+    case '/mood':
+      changeBehaviour(given);
+      if (given.has('state')) await announce();
+      return behaviour;
+    case '/revision': {
+      const object = given.get('path');
+      revisions.set(typeof object === 'string' ? object : '*', Number(given.get('revision') ?? 0));
+      return {};
+    }
+    case '/ran':
+      return {
+        ran: [...runsByRequestId],
+        served: servedCount,
+        rejected: rejectedCount,
+        lastRun: lastRunAt,
+        stamps: runTimestamps,
+      };
+    default:
+      return {
+        service,
+        instance,
+        release,
+        used: usedSlots,
+        served: servedCount,
+        rejected: rejectedCount,
+      };
+  }
+};
+
+const control = createServer((request, response) => {
+  void readBody(request).then(async (body) => {
+    const raw: unknown = body.length === 0 ? {} : JSON.parse(body.toString());
+    const given = new Map<string, unknown>(Object.entries(raw ?? {}));
+    sendJson(response, await handleControl(request.url, given));
   });
 });
 
+/** Announces itself to the first registry that answers, beginning with a random one. */
 const announce = async (): Promise<void> => {
-  const start = Math.floor(Math.random() * registries.length);
-  for (let at = 0; at < registries.length; at += 1) {
-    const address = registries[(start + at) % registries.length] ?? '';
+  const first = Math.floor(Math.random() * registries.length);
+  for (let offset = 0; offset < registries.length; offset += 1) {
+    const address = registries[(first + offset) % registries.length] ?? '';
     const reply = await got
       .post(`http://${address}/v1/origins`, {
         json: {
@@ -208,7 +258,7 @@
         },
         retry: { limit: 0 },
         throwHttpErrors: false,
-        timeout: { request: 1000 },
+        timeout: { request: announceTimeoutMs },
       })
       .catch(() => undefined);
     if (reply?.statusCode === 200 || reply?.statusCode === 409) return;
@@ -216,8 +266,8 @@
 };
 
 const parseAddress = (address: string): { readonly host: string; readonly port: number } => {
-  const cut = address.lastIndexOf(':');
-  return { host: address.slice(0, cut), port: Number(address.slice(cut + 1)) };
+  const colon = address.lastIndexOf(':');
+  return { host: address.slice(0, colon), port: Number(address.slice(colon + 1)) };
 };
 server.listen({ ...parseAddress(cli.flags.listen), backlog: 512 }, () => {
   control.listen(parseAddress(cli.flags.control), () => {
@@ -225,10 +275,10 @@
     void announce();
     setInterval(() => {
       void announce();
-    }, 2000);
+    }, announceIntervalMs);
   });
 });
 process.on('SIGTERM', () => {
   behaviour.state = 'leaving';
-  void announce().then(() => setTimeout(() => process.exit(0), 3000));
+  void announce().then(() => setTimeout(() => process.exit(0), drainMs));
 });
--- a/packages/devfleet/src/run/fault-run.ts
+++ b/packages/devfleet/src/run/fault-run.ts
@@ -1,92 +1,101 @@
+/** `devfleet fail`: one fault scenario under load, and what clients saw before and during it. */
+
 import got from 'got';
 import type { DeploymentPlan } from '../deployment/schema.js';
+import type { Fleet } from '../fleet/fleet.js';
+import type { Machine } from '../fleet/machine.js';
 import { ReadinessProbe } from '../fleet/readiness-probe.js';
-import { type Fleet, delay } from '../fleet/fleet.js';
-import { LoadGenerator, type RequestRecord } from '../load/load-generator.js';
+import { delay } from '../fleet/wait.js';
+import { LoadGenerator } from '../load/load-generator.js';
+import type { RequestRecord } from '../load/request-record.js';
 import { latencyTable, reasonTable, ruleResultTable } from '../report/report.js';
-import { collectRuns, checkRuns } from '../report/rules.js';
-import type { FaultScenario } from './scenarios/scenario.js';
-import type { RunOptions, RunReport } from './load-run.js';
+import { checkRuns, collectRuns } from '../report/rules.js';
 import { startFleet } from './fleet-setup.js';
+import type { RunOptions, RunReport } from './run-report.js';
+import type { FaultScenario } from './scenarios/scenario.js';
 
-/** How long the calm before and after a failure is. */
+/** How long load is sent before and after the scenario. */
 const calmMs = 5000;
+const metricsTimeoutMs = 1000;
 
-/** The longest any process's loop was held up, as the processes tell it. */
+/** The admin addresses of the processes on a machine, by the names of the processes. */
+const metricsAddresses = ({
+  name,
+  kind,
+  adminAddress,
+  httpAddress,
+}: Machine): readonly (readonly [string, string])[] =>
+  kind === 'edge'
+    ? [[name, adminAddress]]
+    : [
+        [name, adminAddress],
+        [`${name}-registry`, httpAddress],
+      ];
+
+/** The longest that any process's event loop was blocked, from the processes' metrics. */
 const worstLoopLag = async (fleet: Fleet): Promise<string> => {
-  let worst = { name: 'none', ms: 0 };
-  for (const machine of fleet.machines) {
-    for (const address of new Set([
-      machine.kind === 'store' ? machine.adminAddress : machine.adminAddress,
-      machine.kind === 'edge' ? machine.adminAddress : machine.httpAddress,
-    ])) {
-      const reply = await got(`http://${address}/metrics`, {
-        retry: { limit: 0 },
-        throwHttpErrors: false,
-        timeout: { request: 1000 },
-      }).catch(() => undefined);
-      const ms = Number(/loop_lag_worst_ms ([\d.]+)/.exec(reply?.body ?? '')?.[1] ?? 0);
-      if (ms > worst.ms)
-        worst = {
-          name: `${machine.name}${address === machine.httpAddress && machine.kind !== 'edge' ? '-registry' : ''}`,
-          ms,
-        };
-    }
+  let worst = { name: 'none', lagMs: 0 };
+  for (const [name, address] of fleet.machines.flatMap(metricsAddresses)) {
+    const reply = await got(`http://${address}/metrics`, {
+      retry: { limit: 0 },
+      throwHttpErrors: false,
+      timeout: { request: metricsTimeoutMs },
+    }).catch(() => undefined);
+    const lagMs = Number(/loop_lag_worst_ms ([\d.]+)/.exec(reply?.body ?? '')?.[1] ?? 0);
+    if (lagMs > worst.lagMs) worst = { name, lagMs };
   }
-  return `${worst.ms.toFixed(0)} ms (${worst.name})`;
+  return `${worst.lagMs.toFixed(0)} ms (${worst.name})`;
 };
 
-/** Gaps: times in which no request that was sent got a result. */
-const longestGap = (records: readonly RequestRecord[]): number => {
-  const good = records
-    .filter((one) => one.outcome === 'result')
-    .map((one) => one.sentAt + one.elapsedMs)
+/** The longest time in which no request got a result. */
+const longestGapMs = (records: readonly RequestRecord[]): number => {
+  const resultTimes = records
+    .filter(({ outcome }) => outcome === 'result')
+    .map(({ sentAt, elapsedMs }) => sentAt + elapsedMs)
     .sort((one, two) => one - two);
-  let gap = 0;
-  for (let at = 1; at < good.length; at += 1)
-    gap = Math.max(gap, (good[at] ?? 0) - (good[at - 1] ?? 0));
-  return gap;
+  let longest = 0;
+  for (let index = 1; index < resultTimes.length; index += 1)
+    longest = Math.max(longest, (resultTimes[index] ?? 0) - (resultTimes[index - 1] ?? 0));
+  return longest;
 };
 
-/** Causes one failure under load on real processes and tells what callers saw before and during it. */
+/** Runs a fault scenario under load on real processes, and prints what clients saw before and during it. */
 export const runFaultScenario = async (
   plan: DeploymentPlan,
   name: string,
   scenario: FaultScenario,
   options: RunOptions,
 ): Promise<RunReport> => {
-  const { print } = options;
-  const fleet = await startFleet(plan, options.folder, () => undefined, true);
+  const { print, folder } = options;
+  const { deployment } = plan;
+  const fleet = await startFleet(plan, folder, () => undefined, true);
   try {
-    const platform = new ReadinessProbe(fleet);
-    const callers = new LoadGenerator(
-      plan.deployment,
-      plan.deployment.perSecond * options.loadScale,
-      () => platform.readyEdges,
-    );
-    await platform.probe();
-    platform.start();
-    callers.start();
+    const probe = new ReadinessProbe(fleet);
+    const requestsPerSecond = deployment.perSecond * options.loadScale;
+    const load = new LoadGenerator(deployment, requestsPerSecond, () => probe.readyEdges);
+    await probe.probe();
+    probe.start();
+    load.start();
     await delay(calmMs);
     const lagBefore = await worstLoopLag(fleet);
-    const from = performance.now();
-    const own = await scenario({ fleet, plan, folder: options.folder, print, load: callers });
+    const faultAt = performance.now();
+    const scenarioResults = await scenario({ fleet, plan, folder, print, load });
     await delay(calmMs);
-    await callers.stop();
-    platform.stop();
-    const before = callers.records.filter((one) => one.sentAt < from);
-    const during = callers.records.filter((one) => one.sentAt >= from);
-    print(`${name} at ${plan.deployment.name}, before:`);
-    print(latencyTable(plan.deployment, before));
+    await load.stop();
+    probe.stop();
+    const before = load.records.filter(({ sentAt }) => sentAt < faultAt);
+    const during = load.records.filter(({ sentAt }) => sentAt >= faultAt);
+    print(`${name} at ${deployment.name}, before:`);
+    print(latencyTable(deployment, before));
     print('from the failure on:');
-    print(latencyTable(plan.deployment, during));
+    print(latencyTable(deployment, during));
     print(reasonTable(during));
     print(
-      `longest time without any result ${Math.round(longestGap(during))} ms (before ${Math.round(longestGap(before))} ms); worst loop lag before ${lagBefore}, after ${await worstLoopLag(fleet)}`,
+      `longest time without any result ${Math.round(longestGapMs(during))} ms (before ${Math.round(longestGapMs(before))} ms); worst loop lag before ${lagBefore}, after ${await worstLoopLag(fleet)}`,
     );
-    const verdicts = [...own, ...checkRuns(callers.records, await collectRuns(fleet))];
-    print(ruleResultTable(verdicts));
-    return { records: callers.records, ruleResults: verdicts };
+    const ruleResults = [...scenarioResults, ...checkRuns(load.records, await collectRuns(fleet))];
+    print(ruleResultTable(ruleResults));
+    return { records: load.records, ruleResults };
   } finally {
     await fleet.stop();
   }
--- a/packages/devfleet/src/run/fault-scenarios.ts
+++ b/packages/devfleet/src/run/fault-scenarios.ts
@@ -1,5 +1,7 @@
+/** All fault scenarios by the names that `devfleet fail --cause` takes. */
+
 import type { RuleResult } from '../report/report.js';
-import { delay } from '../fleet/fleet.js';
+import { delay } from '../fleet/wait.js';
 import { floodingClass, impatientClients } from './scenarios/client.js';
 import {
   type FaultScenario,
@@ -41,7 +43,10 @@
   replaceRegistries,
 } from './scenarios/process.js';
 
-/** Failures by the name they are asked for by. */
+/** The pause between scenarios of one run. */
+const pauseBetweenMs = 2000;
+
+/** Scenarios that inject one fault each. */
 const scenarios: ReadonlyMap<string, FaultScenario> = new Map<string, FaultScenario>([
   ['none', withCommonRules(() => delay(5000))],
   ['kill-primary', withCommonRules(killAndRestart(primaryStore))],
@@ -86,19 +91,20 @@
   ['flood', floodingClass],
 ]);
 
-/** Causes one after the other, on one fleet. */
+/** Runs scenarios one after the other on one fleet; names that are not known are passed over. */
 export const inSequence =
   (names: readonly string[]): FaultScenario =>
-  async (stage) => {
-    const all: RuleResult[] = [];
+  async (context) => {
+    const results: RuleResult[] = [];
     for (const name of names) {
-      stage.print(`-- ${name}`);
-      all.push(...((await scenarios.get(name)?.(stage)) ?? []));
-      await delay(2000);
+      context.print(`-- ${name}`);
+      results.push(...((await scenarios.get(name)?.(context)) ?? []));
+      await delay(pauseBetweenMs);
     }
-    return all;
+    return results;
   };
 
+/** Every scenario, and `all` for a run of each. */
 export const faultScenarios: ReadonlyMap<string, FaultScenario> = new Map([
   ...scenarios,
   ['all', inSequence([...scenarios.keys()])],
--- /dev/null
+++ b/packages/devfleet/src/run/fleet-view.ts
@@ -0,0 +1,38 @@
+/** The state of a fleet as its registries report it, as far as devfleet reads it. */
+
+import * as v from 'valibot';
+import type { Fleet } from '../fleet/fleet.js';
+
+const fleetViewSchema = v.object({
+  generation: v.number(),
+  feedAgeMs: v.nullable(v.number()),
+  nodes: v.array(
+    v.object({
+      node: v.string(),
+      role: v.string(),
+      open: v.boolean(),
+      generation: v.optional(v.number(), 0),
+      registry: v.string(),
+    }),
+  ),
+  holders: v.array(v.object({ duty: v.string(), node: v.string(), epoch: v.number() })),
+  origins: v.array(v.object({ instance: v.string(), service: v.string(), state: v.string() })),
+  verdicts: v.array(v.object({ service: v.string(), release: v.string(), state: v.string() })),
+});
+
+/** `GET /v1/fleet` of a registry. */
+export type FleetView = v.InferOutput<typeof fleetViewSchema>;
+
+/** The view of the first registry that answers; undefined if none does. */
+export const readFleetView = async (fleet: Fleet): Promise<FleetView | undefined> => {
+  const read = v.safeParse(fleetViewSchema, await fleet.readView('/v1/fleet'));
+  return read.success ? read.output : undefined;
+};
+
+/** The generation in force; 0 if no registry answers. */
+export const generationInForce = async (fleet: Fleet): Promise<number> =>
+  (await readFleetView(fleet))?.generation ?? 0;
+
+/** The edges and shields that are connected. */
+export const connectedProxies = (view: FleetView): FleetView['nodes'] =>
+  view.nodes.filter(({ open, role }) => open && (role === 'edge' || role === 'shield'));
--- a/packages/devfleet/src/run/input.test.ts
+++ b/packages/devfleet/src/run/input.test.ts
@@ -1,3 +1,5 @@
+/** What operators, clients and peers may send to a real fleet, and what it makes of it. */
+
 import assert from 'node:assert/strict';
 import { execFile } from 'node:child_process';
 import { mkdtempSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
@@ -9,11 +11,14 @@
 import got, { type Response } from 'got';
 import * as v from 'valibot';
 import { type DeploymentPlan, readDeploymentPlan } from '../deployment/schema.js';
-import { type Fleet, type Machine, waitUntil } from '../fleet/fleet.js';
+import type { Fleet } from '../fleet/fleet.js';
+import type { Machine } from '../fleet/machine.js';
+import { waitUntil } from '../fleet/wait.js';
 import { objectBytes } from '../origin/content.js';
 import { collectRuns } from '../report/rules.js';
 import { runOperatorCommand } from './operator-command.js';
-import { readFleetView, startFleet } from './fleet-setup.js';
+import { startFleet } from './fleet-setup.js';
+import { readFleetView } from './fleet-view.js';
 
 const file = (path: string): string =>
   fileURLToPath(new URL(`../../../../${path}`, import.meta.url));
--- a/packages/devfleet/src/run/load-run.ts
+++ b/packages/devfleet/src/run/load-run.ts
@@ -1,137 +1,151 @@
+/** `devfleet run`: a whole deployment under its load, with a configuration change and a purge, every rule checked. */
+
 import got from 'got';
 import * as v from 'valibot';
 import { increment } from '@switchwheel/types';
 import type { DeploymentPlan } from '../deployment/schema.js';
-import { type Fleet, delay, waitUntil } from '../fleet/fleet.js';
-import { LoadGenerator, type RequestRecord } from '../load/load-generator.js';
-import { type RuleResult, latencyTable, reasonTable, ruleResultTable } from '../report/report.js';
-import { collectRuns, checkRuns } from '../report/rules.js';
-import { runOperatorCommand } from './operator-command.js';
+import type { Fleet } from '../fleet/fleet.js';
+import { delay, waitUntil } from '../fleet/wait.js';
+import { LoadGenerator } from '../load/load-generator.js';
+import type { RequestRecord } from '../load/request-record.js';
 import {
-  writeChangedConfiguration,
-  readFleetView,
-  stepTimeoutMs,
-  startFleet,
-} from './fleet-setup.js';
+  type RuleResult,
+  latencyTable,
+  reasonTable,
+  ruleResultTable,
+  untimedResult,
+} from '../report/report.js';
+import { checkRuns, collectRuns } from '../report/rules.js';
+import { writeChangedConfiguration } from './configuration-file.js';
+import { startFleet, stepTimeoutMs } from './fleet-setup.js';
+import { connectedProxies, readFleetView } from './fleet-view.js';
+import { runOperatorCommand } from './operator-command.js';
+import type { RunOptions, RunReport } from './run-report.js';
 
-export interface RunOptions {
-  readonly seconds: number;
-  readonly loadScale: number;
-  readonly folder: string;
-  readonly print: (text: string) => void;
-}
+/** How soon a configuration must be in force everywhere, and a purged object no longer served. */
+const maxPropagationMs = 2000;
+/** The configuration is changed and the objects are purged after these parts of the run. */
+const changeAtFraction = 0.3;
+const purgeAfterChangeFraction = 0.2;
+const changedQueueLimit = 300;
+/** Tagged objects bear one of so many tags. */
+const tagCount = 20;
 
 const acceptanceSchema = v.object({
   generation: v.optional(v.number()),
   purge: v.optional(v.number()),
 });
 
-/** Applies a generation and tells how long until every node in touch had it in force. */
+/** Applies a configuration and measures how long until every connected edge and shield has it in force. */
 const measureApply = async (
   fleet: Fleet,
   file: string,
   print: (text: string) => void,
 ): Promise<RuleResult> => {
-  const done = await runOperatorCommand(fleet.registries, ['apply', file, '--wait', '0', '--json']);
-  const at = performance.now();
-  if (done.exitCode !== 0)
-    return {
-      isTimed: false,
-      rule: 'R4 in force within 2 s',
-      isHeld: false,
-      text: `not accepted: ${done.stdout}${done.stderr}`,
-    };
-  const generation = v.parse(acceptanceSchema, JSON.parse(done.stdout)).generation ?? 0;
-  const spread = await waitUntil(stepTimeoutMs, async () => {
+  const rule = 'R4 in force within 2 s';
+  const reply = await runOperatorCommand(fleet.registries, [
+    'apply',
+    file,
+    '--wait',
+    '0',
+    '--json',
+  ]);
+  const acceptedAt = performance.now();
+  if (reply.exitCode !== 0)
+    return untimedResult(rule, false, `not accepted: ${reply.stdout}${reply.stderr}`);
+  const generation = v.parse(acceptanceSchema, JSON.parse(reply.stdout)).generation ?? 0;
+  const isInForce = await waitUntil(stepTimeoutMs, async () => {
     const view = await readFleetView(fleet);
-    const nodes =
-      view?.nodes.filter((one) => one.open && (one.role === 'edge' || one.role === 'shield')) ?? [];
-    return nodes.length > 0 && nodes.every((one) => one.generation >= generation);
+    const proxies = view === undefined ? [] : connectedProxies(view);
+    return proxies.length > 0 && proxies.every((proxy) => proxy.generation >= generation);
   });
-  const span = Math.round(performance.now() - at);
-  print(`generation ${generation} in force everywhere ${span} ms after it was accepted`);
+  const elapsedMs = Math.round(performance.now() - acceptedAt);
+  print(`generation ${generation} in force everywhere ${elapsedMs} ms after it was accepted`);
   return {
-    isTimed: spread,
-    rule: 'R4 in force within 2 s',
-    isHeld: spread && span <= 2000,
-    text: `generation ${generation}: ${span} ms after the answer`,
+    isTimed: isInForce,
+    rule,
+    isHeld: isInForce && elapsedMs <= maxPropagationMs,
+    text: `generation ${generation}: ${elapsedMs} ms after the answer`,
   };
 };
 
-/** Changes objects at the origins, purges them, and tells which rule to hold callers' reads to. */
-const purgeChangedObjects = async (
-  fleet: Fleet,
-  plan: DeploymentPlan,
-): Promise<{ readonly at: number; readonly prefix: string; readonly code: number }> => {
-  const traffic = plan.deployment.traffic.find((one) => one.tagged) ?? plan.deployment.traffic[0];
-  const prefix = traffic?.prefix ?? '/';
-  for (const origin of fleet.origins)
-    await got.post(`http://${origin.controlAddress}/revision`, {
+interface PurgeOutcome {
+  readonly purgedAt: number;
+  readonly prefix: string;
+  readonly isAccepted: boolean;
+}
+
+/** Changes all objects at the origins and purges the tagged ones. */
+const purgeChangedObjects = async (fleet: Fleet, plan: DeploymentPlan): Promise<PurgeOutcome> => {
+  const { traffic } = plan.deployment;
+  const prefix = (traffic.find(({ tagged }) => tagged) ?? traffic[0])?.prefix ?? '/';
+  for (const { controlAddress } of fleet.origins)
+    await got.post(`http://${controlAddress}/revision`, {
       json: { path: '*', revision: 1 },
       retry: { limit: 0 },
     });
-  const tags = Array.from({ length: 20 }, (_, at) => ['--tag', `t${at}`]).flat();
-  const done = await runOperatorCommand(fleet.registries, ['purge', ...tags]);
-  return { at: performance.now(), prefix, code: done.exitCode };
+  const tags = Array.from({ length: tagCount }, (_, tag) => ['--tag', `t${tag}`]).flat();
+  const { exitCode } = await runOperatorCommand(fleet.registries, ['purge', ...tags]);
+  return { purgedAt: performance.now(), prefix, isAccepted: exitCode === 0 };
 };
 
-/** What a run came to. */
-export interface RunReport {
-  readonly records: readonly RequestRecord[];
-  readonly ruleResults: readonly RuleResult[];
-}
+/** Checks that no old revision was served once the purge had its time. */
+const checkPurge = (records: readonly RequestRecord[], purge: PurgeOutcome): RuleResult => {
+  const later = records.filter(
+    ({ path, sentAt }) =>
+      path.startsWith(purge.prefix) && sentAt > purge.purgedAt + maxPropagationMs,
+  );
+  const stale = later.filter(({ revision }) => revision === 0);
+  return {
+    isTimed: purge.isAccepted,
+    rule: 'R7 purged is not served 2 s on',
+    isHeld: purge.isAccepted && stale.length === 0,
+    text: `${later.length} reads more than 2 s after the purge, ${stale.length} of the old revision`,
+  };
+};
 
-/** The main job: a whole deployment under its load, with a new generation and a purge meanwhile, every rule checked. */
+const sourceSummary = (records: readonly RequestRecord[]): string => {
+  const counts = new Map<string, number>();
+  for (const { answeredBy } of records) increment(counts, answeredBy === '' ? '-' : answeredBy);
+  const sources = [...counts].map(([source, count]) => `${source} ${count}`).join(', ');
+  return `${records.length} requests; told by ${sources}`;
+};
+
+/** Runs a deployment under its load, changes its configuration and purges meanwhile, and checks every rule. */
 export const runUnderLoad = async (
   plan: DeploymentPlan,
   options: RunOptions,
 ): Promise<RunReport> => {
-  const { print } = options;
+  const { print, folder } = options;
+  const { name, edges, shields, stores, perSecond } = plan.deployment;
+  const requestsPerSecond = perSecond * options.loadScale;
+  const totalMs = options.seconds * 1000;
   print(
-    `${plan.deployment.name}: ${plan.deployment.edges} edges, ${plan.deployment.shields} shields, ${plan.deployment.stores} stores; ${Math.round(plan.deployment.perSecond * options.loadScale)} requests a second for ${options.seconds} s`,
+    `${name}: ${edges} edges, ${shields} shields, ${stores} stores; ${Math.round(requestsPerSecond)} requests a second for ${options.seconds} s`,
   );
-  const fleet = await startFleet(plan, options.folder, print);
+  const fleet = await startFleet(plan, folder, print);
   try {
-    const callers = new LoadGenerator(
-      plan.deployment,
-      plan.deployment.perSecond * options.loadScale,
-      () => fleet.edges,
-    );
-    const begun = performance.now();
-    callers.start();
-    await delay(options.seconds * 300);
-    const verdicts: RuleResult[] = [
-      await measureApply(
-        fleet,
-        writeChangedConfiguration(plan, options.folder, 'second.json', 300),
-        print,
-      ),
-    ];
-    await delay(options.seconds * 200);
+    const load = new LoadGenerator(plan.deployment, requestsPerSecond, () => fleet.edges);
+    const startedAt = performance.now();
+    load.start();
+    await delay(totalMs * changeAtFraction);
+    const changed = writeChangedConfiguration(plan, folder, 'second.json', changedQueueLimit);
+    const applied = await measureApply(fleet, changed, print);
+    await delay(totalMs * purgeAfterChangeFraction);
     const purge = await purgeChangedObjects(fleet, plan);
-    await delay(Math.max(0, options.seconds * 1000 - (performance.now() - begun)));
-    await callers.stop();
-    const stale = callers.records.filter(
-      (one) =>
-        one.path.startsWith(purge.prefix) && one.sentAt > purge.at + 2000 && one.revision === 0,
-    );
-    verdicts.push({
-      isTimed: purge.code === 0,
-      rule: 'R7 purged is not served 2 s on',
-      isHeld: purge.code === 0 && stale.length === 0,
-      text: `${callers.records.filter((one) => one.path.startsWith(purge.prefix) && one.sentAt > purge.at + 2000).length} reads more than 2 s after the purge, ${stale.length} of the old revision`,
-    });
-    verdicts.push(...checkRuns(callers.records, await collectRuns(fleet)));
-    print(latencyTable(plan.deployment, callers.records));
-    const froms = new Map<string, number>();
-    for (const one of callers.records)
-      increment(froms, one.answeredBy === '' ? '-' : one.answeredBy);
-    print(
-      `${callers.records.length} requests; told by ${[...froms].map(([from, many]) => `${from} ${many}`).join(', ')}`,
-    );
-    print(reasonTable(callers.records));
-    print(ruleResultTable(verdicts));
-    return { records: callers.records, ruleResults: verdicts };
+    await delay(Math.max(0, totalMs - (performance.now() - startedAt)));
+    await load.stop();
+    const { records } = load;
+    const ruleResults = [
+      applied,
+      checkPurge(records, purge),
+      ...checkRuns(records, await collectRuns(fleet)),
+    ];
+    print(latencyTable(plan.deployment, records));
+    print(sourceSummary(records));
+    print(reasonTable(records));
+    print(ruleResultTable(ruleResults));
+    return { records, ruleResults };
   } finally {
     await fleet.stop();
   }
--- a/packages/devfleet/src/run/operator-command.ts
+++ b/packages/devfleet/src/run/operator-command.ts
@@ -1,29 +1,33 @@
+/** Runs the operators' command line as a process, as an operator would. */
+
 import { execFile } from 'node:child_process';
 import { fileURLToPath } from 'node:url';
 
+const maxOutputBytes = 64 * 1024 * 1024;
 const script = fileURLToPath(new URL('../../../switchwheel/bin/switchwheel.js', import.meta.url));
 
+/** What the program printed, and how it ended. */
 export interface CommandResult {
   readonly exitCode: number;
   readonly stdout: string;
   readonly stderr: string;
 }
 
-/** Runs the operators' command line as an operator would. */
+/** Runs one command against any of the registries; never rejects. */
 export const runOperatorCommand = (
   registries: readonly string[],
   args: readonly string[],
 ): Promise<CommandResult> =>
-  new Promise((done) => {
+  new Promise((resolve) => {
     execFile(
       process.execPath,
       [script, ...args, '--registry', registries.join(',')],
-      { maxBuffer: 64 * 1024 * 1024 },
-      (fault, out, text) => {
-        done({
-          exitCode: fault === null ? 0 : typeof fault.code === 'number' ? fault.code : 1,
-          stdout: out,
-          stderr: text,
+      { maxBuffer: maxOutputBytes },
+      (error, stdout, stderr) => {
+        resolve({
+          exitCode: error === null ? 0 : typeof error.code === 'number' ? error.code : 1,
+          stdout,
+          stderr,
         });
       },
     );
--- a/packages/devfleet/src/run/scenarios/client.ts
+++ b/packages/devfleet/src/run/scenarios/client.ts
@@ -1,6 +1,10 @@
-import { type FaultScenario, untimedResult } from './scenario.js';
+/** Scenarios of clients that misbehave. */
+
+import { untimedResult } from '../../report/report.js';
+import type { FaultScenario } from './scenario.js';
 import { originFault } from './origin.js';
 
+/** Clients retry at once while an origin is slow. */
 export const impatientClients: FaultScenario = async ({ load, fleet, plan, print }) => {
   load.maxImmediateRetries = 4;
   print('callers ask again at once, up to four times');
@@ -9,6 +13,7 @@
   return [];
 };
 
+/** One class of requests gets three times the whole load: the others must not suffer. */
 export const floodingClass: FaultScenario = async ({ load, plan, print }) => {
   const name = plan.deployment.traffic.at(-1)?.name ?? '';
   print(`three times the whole rate in ${name} alone for 5 s`);
--- a/packages/devfleet/src/run/scenarios/configuration-change.ts
+++ b/packages/devfleet/src/run/scenarios/configuration-change.ts
@@ -1,17 +1,19 @@
+/** Configuration changes that scenarios submit while a fault lasts. */
+
 import * as v from 'valibot';
-import type { Fleet } from '../../fleet/fleet.js';
 import { runOperatorCommand } from '../operator-command.js';
-import { writeChangedConfiguration, readFleetView } from '../fleet-setup.js';
+import { writeChangedConfiguration } from '../configuration-file.js';
 import type { ScenarioContext } from './scenario.js';
 
+/** Applies the configuration with another queue limit; does not wait for the rollout. */
 export const applyChange = async (
-  stage: ScenarioContext,
+  context: ScenarioContext,
   fileName: string,
   queueLimit: number,
 ): ReturnType<typeof runOperatorCommand> =>
-  runOperatorCommand(stage.fleet.registries, [
+  runOperatorCommand(context.fleet.registries, [
     'apply',
-    writeChangedConfiguration(stage.plan, stage.folder, fileName, queueLimit),
+    writeChangedConfiguration(context.plan, context.folder, fileName, queueLimit),
     '--timeout',
     '10000',
     '--wait',
@@ -20,9 +22,8 @@
   ]);
 
 const acceptanceSchema = v.object({ generation: v.number() });
+/** The generation that `apply --json` reports; 0 if it was not accepted. */
 export const generationIn = (text: string): number => {
   const read = v.safeParse(v.pipe(v.string(), v.parseJson(), acceptanceSchema), text);
   return read.success ? read.output.generation : 0;
 };
-export const generationInForce = async (fleet: Fleet): Promise<number> =>
-  (await readFleetView(fleet))?.generation ?? 0;
--- a/packages/devfleet/src/run/scenarios/disk.ts
+++ b/packages/devfleet/src/run/scenarios/disk.ts
@@ -1,75 +1,82 @@
+/** Scenarios of store disks that fill up, stall or are lost. */
+
 import { rmSync } from 'node:fs';
-import { delay, waitUntil } from '../../fleet/fleet.js';
+import { generationInForce } from '../fleet-view.js';
+import { delay, waitUntil } from '../../fleet/wait.js';
 import { stepTimeoutMs } from '../fleet-setup.js';
-import { type FaultScenario, primaryStore, untimedResult } from './scenario.js';
-import { applyChange, generationIn, generationInForce } from './configuration-change.js';
+import { untimedResult } from '../../report/report.js';
+import { type FaultScenario, primaryStore } from './scenario.js';
+import { applyChange, generationIn } from './configuration-change.js';
+
+/** How many changes are submitted while the disk fails. */
+const changeCount = 8;
 
-/** Writes go on while the primary's disk takes nothing, and nothing accepted is lost. */
+/** The primary's disk accepts no writes for a while: writes go on, and nothing accepted is lost. */
 export const failingDisk =
   (diskState: 'full' | 'stalled'): FaultScenario =>
-  async (stage) => {
-    const { fleet, print } = stage;
-    const name = await primaryStore(stage);
+  async (context) => {
+    const { fleet, print } = context;
+    const name = await primaryStore(context);
     fleet.process(name).setFaults({ disk: diskState });
     print(`the disk of ${name} is ${diskState}`);
-    let taken = 0;
-    let last = 0;
-    for (let turn = 0; turn < 8; turn += 1) {
-      const done = await applyChange(stage, 'ailing.json', 310 + turn);
-      if (done.exitCode === 0) {
-        taken += 1;
-        last = generationIn(done.stdout);
+    let acceptedCount = 0;
+    let lastGeneration = 0;
+    for (let turn = 0; turn < changeCount; turn += 1) {
+      const reply = await applyChange(context, 'ailing.json', 310 + turn);
+      if (reply.exitCode === 0) {
+        acceptedCount += 1;
+        lastGeneration = generationIn(reply.stdout);
       }
       await delay(500);
     }
-    fleet.process(name).setFaults({ disk: 'well' });
-    const kept = await waitUntil(
+    fleet.process(name).setFaults({ disk: 'healthy' });
+    const isKept = await waitUntil(
       stepTimeoutMs,
-      async () => (await generationInForce(fleet)) >= last,
+      async () => (await generationInForce(fleet)) >= lastGeneration,
     );
     return [
       untimedResult(
         `a ${diskState} disk`,
-        taken > 0 && kept,
-        `${taken} of 8 descriptions accepted meanwhile, the last as generation ${last}, in force after: ${String(kept)}`,
+        acceptedCount > 0 && isKept,
+        `${acceptedCount} of ${changeCount} descriptions accepted meanwhile, the last as generation ${lastGeneration}, in force after: ${String(isKept)}`,
       ),
     ];
   };
 
-/** Loses a store's machine right after a write was confirmed; with its disk, or with what was not yet synced. */
+/** The primary loses its disk, or what was not yet synced, right after a write was confirmed. */
 export const lossAfterConfirmation =
   (loss: 'disk' | 'power'): FaultScenario =>
-  async (stage) => {
-    const { fleet, print } = stage;
-    const name = await primaryStore(stage);
-    const done = await applyChange(stage, 'lost.json', 330);
-    const generation = generationIn(done.stdout);
-    const child = fleet.process(name);
+  async (context) => {
+    const { fleet, print } = context;
+    const name = await primaryStore(context);
+    const reply = await applyChange(context, 'lost.json', 330);
+    const generation = generationIn(reply.stdout);
+    const process = fleet.process(name);
     // What is written from now on has not been synced when the power goes.
     if (loss === 'power') {
-      child.setFaults({ disk: 'stalled' });
-      void applyChange(stage, 'unsynced.json', 331);
+      process.setFaults({ disk: 'stalled' });
+      void applyChange(context, 'unsynced.json', 331);
       await delay(100);
     }
-    await child.stop('SIGKILL');
+    await process.stop('SIGKILL');
     if (loss === 'disk') rmSync(fleet.dataFolder(name), { recursive: true, force: true });
-    child.setFaults({ disk: 'well' });
+    process.setFaults({ disk: 'healthy' });
     print(`${name} lost its ${loss} just after generation ${generation} was confirmed`);
     await delay(1500);
-    await child.start();
-    const kept = await waitUntil(
+    await process.start();
+    const isKept = await waitUntil(
       stepTimeoutMs,
       async () => (await generationInForce(fleet)) >= generation,
     );
-    const after = await waitUntil(
+    const isWritable = await waitUntil(
       stepTimeoutMs,
-      async () => (await applyChange(stage, 'after.json', 332)).exitCode === 0,
+      async () => (await applyChange(context, 'after.json', 332)).exitCode === 0,
     );
     return [
       untimedResult(
         `the ${loss} lost after confirming`,
-        done.exitCode === 0 && generation > 0 && kept && after,
-        `generation ${generation} kept: ${String(kept)}; written to again: ${String(after)}`,
+        reply.exitCode === 0 && generation > 0 && isKept && isWritable,
+        `generation ${generation} kept: ${String(isKept)}; written to again: ${String(isWritable)}`,
       ),
     ];
   };
--- a/packages/devfleet/src/run/scenarios/operator.ts
+++ b/packages/devfleet/src/run/scenarios/operator.ts
@@ -1,12 +1,16 @@
+/** Scenarios of operators: huge and invalid configurations, colliding commands, many purges. */
+
 import { statSync } from 'node:fs';
+import { generationInForce } from '../fleet-view.js';
 import got from 'got';
 import * as v from 'valibot';
-import { delay } from '../../fleet/fleet.js';
+import { delay } from '../../fleet/wait.js';
 import { runOperatorCommand } from '../operator-command.js';
-import { writeChangedConfiguration, writeConfiguration } from '../fleet-setup.js';
-import { type FaultScenario, type ScenarioContext, untimedResult } from './scenario.js';
-import { generationInForce } from './configuration-change.js';
+import { writeChangedConfiguration, writeConfiguration } from '../configuration-file.js';
+import { untimedResult } from '../../report/report.js';
+import type { FaultScenario, ScenarioContext } from './scenario.js';
 
+/** Applies a configuration with 50,000 more routes. */
 export const hugeConfiguration = async ({
   fleet,
   plan,
@@ -43,6 +47,7 @@
   );
 };
 
+/** Sends 2,000 single purges over 20 connections. */
 export const purgeFlood = async ({ fleet, plan, print }: ScenarioContext): Promise<void> => {
   const prefix = plan.deployment.traffic[0]?.prefix ?? '/';
   const since = performance.now();
@@ -65,12 +70,13 @@
   print(`${good} of 2000 single purges accepted in ${Math.round(performance.now() - since)} ms`);
 };
 
-export const collidingCommands: FaultScenario = async (stage) => {
-  const base = await generationInForce(stage.fleet);
-  const [one, two] = [stage.fleet.registries.slice(0, 1), stage.fleet.registries.slice(1, 2)];
+/** Two operators apply on one base: exactly one of them is accepted. */
+export const collidingCommands: FaultScenario = async (context) => {
+  const base = await generationInForce(context.fleet);
+  const [one, two] = [context.fleet.registries.slice(0, 1), context.fleet.registries.slice(1, 2)];
   const files = [
-    writeChangedConfiguration(stage.plan, stage.folder, 'one.json', 341),
-    writeChangedConfiguration(stage.plan, stage.folder, 'two.json', 342),
+    writeChangedConfiguration(context.plan, context.folder, 'one.json', 341),
+    writeChangedConfiguration(context.plan, context.folder, 'two.json', 342),
   ];
   const done = await Promise.all(
     [one, two].map((to, at) =>
@@ -97,12 +103,13 @@
   ];
 };
 
-export const invalidConfiguration: FaultScenario = async (stage) => {
-  const before = await generationInForce(stage.fleet);
-  const file = writeConfiguration(stage.plan, stage.folder, 'invalid.json', {
+/** Applies an invalid configuration: it is refused, and the one in force stays. */
+export const invalidConfiguration: FaultScenario = async (context) => {
+  const before = await generationInForce(context.fleet);
+  const file = writeConfiguration(context.plan, context.folder, 'invalid.json', {
     classes: [{ name: 'x', share: 3 }],
   });
-  const done = await runOperatorCommand(stage.fleet.registries, [
+  const done = await runOperatorCommand(context.fleet.registries, [
     'apply',
     file,
     '--timeout',
@@ -111,7 +118,7 @@
     '0',
   ]);
   await delay(2000);
-  const after = await generationInForce(stage.fleet);
+  const after = await generationInForce(context.fleet);
   return [
     untimedResult(
       'an invalid description is refused whole',
--- a/packages/devfleet/src/run/scenarios/origin.ts
+++ b/packages/devfleet/src/run/scenarios/origin.ts
@@ -1,13 +1,12 @@
+/** Scenarios of origins and their releases. */
+
 import got from 'got';
 import * as v from 'valibot';
-import { type StubOrigin, delay } from '../../fleet/fleet.js';
-import { readFleetView } from '../fleet-setup.js';
-import {
-  type FaultScenario,
-  type ScenarioContext,
-  firstService,
-  untimedResult,
-} from './scenario.js';
+import { delay } from '../../fleet/wait.js';
+import type { StubOrigin } from '../../fleet/machine.js';
+import { readFleetView } from '../fleet-view.js';
+import { untimedResult } from '../../report/report.js';
+import { type FaultScenario, type ScenarioContext, firstService } from './scenario.js';
 
 /** How many requests an origin says that it served. */
 const servedCount = async (origin: StubOrigin): Promise<number> =>
@@ -16,6 +15,7 @@
     JSON.parse((await got(`http://${origin.controlAddress}/`, { retry: { limit: 0 } })).body),
   ).served;
 
+/** Sets a fault at one origin of the first service for five seconds. */
 export const originFault =
   (faulty: object, repaired: object) =>
   async ({ fleet, plan, print }: ScenarioContext): Promise<void> => {
@@ -27,6 +27,7 @@
     await got.post(`http://${origin.controlAddress}/mood`, { json: repaired, retry: { limit: 0 } });
   };
 
+/** Kills one origin of the first service. */
 export const crashOrigin = async ({ fleet, plan, print }: ScenarioContext): Promise<void> => {
   const origin = fleet.origins.find((one) => one.group.service === firstService(plan));
   await origin?.process.stop('SIGKILL');
@@ -34,6 +35,7 @@
   await delay(3000);
 };
 
+/** A release that answers most requests with errors comes up. */
 export const badRelease = async ({ fleet, plan, print }: ScenarioContext): Promise<void> => {
   const group = plan.deployment.origins[0];
   if (group === undefined) return;
@@ -48,6 +50,7 @@
   print(`the bad release: ${reply.body}`);
 };
 
+/** Replaces the origins of the first service one by one. */
 export const replaceOrigins = async ({ fleet, plan, print }: ScenarioContext): Promise<void> => {
   const group = plan.deployment.origins[0];
   if (group === undefined) return;
@@ -59,6 +62,7 @@
   print(`the origins of ${group.service} were replaced one by one`);
 };
 
+/** The address of a crashed origin is taken over by an origin of another service. */
 export const reuseAddress: FaultScenario = async ({ fleet, plan, print }) => {
   const [one, other] = [plan.deployment.origins[0], plan.deployment.origins[1]];
   const old = fleet.origins.find((row) => row.group === one);
@@ -77,6 +81,7 @@
   ];
 };
 
+/** A healthy release comes up: its canary must succeed and it must get its share of requests. */
 export const goodRelease: FaultScenario = async ({ fleet, plan, print }) => {
   const group = plan.deployment.origins[0];
   if (group === undefined) return [];
--- a/packages/devfleet/src/run/scenarios/process.ts
+++ b/packages/devfleet/src/run/scenarios/process.ts
@@ -1,104 +1,116 @@
-import { delay, waitUntil } from '../../fleet/fleet.js';
+/** Scenarios of processes that are killed, paused, restarted and replaced. */
+
+import { delay, waitUntil } from '../../fleet/wait.js';
 import { runOperatorCommand } from '../operator-command.js';
 import { stepTimeoutMs } from '../fleet-setup.js';
+import { untimedResult } from '../../report/report.js';
 import {
   type FaultScenario,
   type ScenarioContext,
   coreMachines,
   primaryStore,
-  untimedResult,
 } from './scenario.js';
 import { applyChange } from './configuration-change.js';
 
+/** A machine that takes longer than this to stop is reported. */
+const maxStopMs = 6000;
+
+/** Kills a process and starts it again two seconds later. */
 export const killAndRestart =
-  (findProcess: (stage: ScenarioContext) => Promise<string>) =>
-  async (stage: ScenarioContext): Promise<void> => {
-    const name = await findProcess(stage);
-    const child = stage.fleet.process(name);
-    await child.stop('SIGKILL');
-    stage.print(`killed ${name}`);
+  (findProcess: (context: ScenarioContext) => Promise<string>) =>
+  async (context: ScenarioContext): Promise<void> => {
+    const name = await findProcess(context);
+    const process = context.fleet.process(name);
+    await process.stop('SIGKILL');
+    context.print(`killed ${name}`);
     await delay(2000);
-    await child.start();
+    await process.start();
   };
 
+/** Pauses a process for a while. */
 export const freeze =
-  (durationMs: number, findProcess: (stage: ScenarioContext) => Promise<string>) =>
-  async (stage: ScenarioContext): Promise<void> => {
-    const name = await findProcess(stage);
-    const child = stage.fleet.process(name);
-    child.signal('SIGSTOP');
-    stage.print(`froze ${name}`);
+  (durationMs: number, findProcess: (context: ScenarioContext) => Promise<string>) =>
+  async (context: ScenarioContext): Promise<void> => {
+    const name = await findProcess(context);
+    const process = context.fleet.process(name);
+    process.signal('SIGSTOP');
+    context.print(`froze ${name}`);
     await delay(durationMs);
-    child.signal('SIGCONT');
+    process.signal('SIGCONT');
   };
 
+/** Kills every process at once and starts all again. */
 export const killAllProcesses = async ({ fleet, print }: ScenarioContext): Promise<void> => {
   const all = fleet.machines.flatMap((one) => one.processes);
   await Promise.all(all.map((one) => one.stop('SIGKILL')));
   const since = performance.now();
   await Promise.all(all.map((one) => one.start()));
-  const up = await fleet.waitUntilEdgesReady(20_000);
+  const areReady = await fleet.waitUntilEdgesReady(20_000);
   print(
-    `every process killed; ${up ? 'all edges ready' : 'NOT all edges ready'} ${Math.round(performance.now() - since)} ms after the start began`,
+    `every process killed; ${areReady ? 'all edges ready' : 'NOT all edges ready'} ${Math.round(performance.now() - since)} ms after the start began`,
   );
 };
 
+/** Stops and starts one machine after the other. */
 export const restartInTurn = async ({ fleet, print }: ScenarioContext): Promise<void> => {
   for (const machine of fleet.machines) {
     const since = performance.now();
     const codes = await Promise.all(machine.processes.map((one) => one.stop('SIGTERM')));
-    const span = Math.round(performance.now() - since);
-    if (span > 6000 || codes.some((one) => one !== 0))
-      print(`${machine.name} took ${span} ms to stop, exit codes ${codes.join(' ')}`);
+    const elapsedMs = Math.round(performance.now() - since);
+    if (elapsedMs > maxStopMs || codes.some((one) => one !== 0))
+      print(`${machine.name} took ${elapsedMs} ms to stop, exit codes ${codes.join(' ')}`);
     await Promise.all(machine.processes.map((one) => one.start()));
     await delay(300);
   }
   print(`${fleet.machines.length} machines stopped and started in turn`);
 };
 
-export const loseZone = async (stage: ScenarioContext): Promise<void> => {
-  const name = await primaryStore(stage);
-  const { zone } = stage.fleet.machine(name);
-  const lost = stage.fleet.machines
+/** Kills every process in the primary's zone for a while. */
+export const loseZone = async (context: ScenarioContext): Promise<void> => {
+  const name = await primaryStore(context);
+  const { zone } = context.fleet.machine(name);
+  const lost = context.fleet.machines
     .filter((one) => one.zone === zone)
     .flatMap((one) => one.processes);
   await Promise.all(lost.map((one) => one.stop('SIGKILL')));
-  stage.print(`lost the area ${zone}: ${lost.map((one) => one.name).join(' ')}`);
+  context.print(`lost the area ${zone}: ${lost.map((one) => one.name).join(' ')}`);
   await delay(4000);
   await Promise.all(lost.map((one) => one.start()));
 };
 
-/** The control machines that are found first are replaced: each seed's registry is gone for a while, one after the other. */
-export const replaceRegistries: FaultScenario = async (stage) => {
-  const { print } = stage;
-  let taken = 0;
-  for (const machine of coreMachines(stage).slice(0, 3)) {
-    const child = machine.processes.find((one) => one.name.endsWith('-registry'));
-    if (child === undefined) continue;
-    const others = coreMachines(stage)
+const seedCount = 3;
+
+/** Removes each seed's registry from the voters, restarts it and adds it again, one after the other. */
+export const replaceRegistries: FaultScenario = async (context) => {
+  const { print } = context;
+  let replacedCount = 0;
+  for (const machine of coreMachines(context).slice(0, seedCount)) {
+    const process = machine.processes.find((one) => one.name.endsWith('-registry'));
+    if (process === undefined) continue;
+    const others = coreMachines(context)
       .filter((one) => one !== machine)
       .map((one) => one.httpAddress);
-    const out = await waitUntil(
+    const wasRemoved = await waitUntil(
       stepTimeoutMs,
       async () =>
-        (await runOperatorCommand(others, ['voter', 'remove', child.name])).exitCode === 0,
+        (await runOperatorCommand(others, ['voter', 'remove', process.name])).exitCode === 0,
     );
-    await child.stop('SIGKILL');
+    await process.stop('SIGKILL');
     await delay(1000);
-    await child.start();
-    const back = await waitUntil(
+    await process.start();
+    const wasAdded = await waitUntil(
       stepTimeoutMs,
-      async () => (await runOperatorCommand(others, ['voter', 'add', child.name])).exitCode === 0,
+      async () => (await runOperatorCommand(others, ['voter', 'add', process.name])).exitCode === 0,
     );
-    if (out && back) taken += 1;
-    print(`${child.name} was unseated, replaced and seated again`);
+    if (wasRemoved && wasAdded) replacedCount += 1;
+    print(`${process.name} was unseated, replaced and seated again`);
   }
-  const done = await applyChange(stage, 'swapped.json', 350);
+  const reply = await applyChange(context, 'swapped.json', 350);
   return [
     untimedResult(
       'first-found registries are swapped',
-      taken === 3 && done.exitCode === 0,
-      `${taken} of 3 swapped; a description after that: exit code ${done.exitCode}`,
+      replacedCount === seedCount && reply.exitCode === 0,
+      `${replacedCount} of ${seedCount} swapped; a description after that: exit code ${reply.exitCode}`,
     ),
   ];
 };
--- a/packages/devfleet/src/run/scenarios/scenario.ts
+++ b/packages/devfleet/src/run/scenarios/scenario.ts
@@ -1,10 +1,13 @@
+/** What every fault scenario is given, and how it finds the process that it acts on. */
+
 import type { DeploymentPlan } from '../../deployment/schema.js';
-import type { Fleet, Machine } from '../../fleet/fleet.js';
+import type { Fleet } from '../../fleet/fleet.js';
+import type { Machine } from '../../fleet/machine.js';
 import type { LoadGenerator } from '../../load/load-generator.js';
 import type { RuleResult } from '../../report/report.js';
-import { readFleetView } from '../fleet-setup.js';
+import { readFleetView } from '../fleet-view.js';
 
-/** What causes of failure work with. */
+/** What a scenario works with. */
 export interface ScenarioContext {
   readonly fleet: Fleet;
   readonly plan: DeploymentPlan;
@@ -13,41 +16,42 @@
   readonly load: LoadGenerator;
 }
 
-/** A failure of real processes, caused once; it settles when the failure itself is over, with what is to be held of it alone. */
-export type FaultScenario = (stage: ScenarioContext) => Promise<readonly RuleResult[]>;
-/** One that is judged by the rules that hold for all. */
+/** Injects one fault; settles when the fault is over, with the results of rules that only this scenario checks. */
+export type FaultScenario = (context: ScenarioContext) => Promise<readonly RuleResult[]>;
+
+/** A scenario that is judged by the rules of every run alone. */
 export const withCommonRules =
-  (injectFault: (stage: ScenarioContext) => Promise<unknown>): FaultScenario =>
-  async (stage) => {
-    await injectFault(stage);
+  (injectFault: (context: ScenarioContext) => Promise<unknown>): FaultScenario =>
+  async (context) => {
+    await injectFault(context);
     return [];
   };
 
+/** The node that holds a lease; throws if none does. */
 const leaseHolder = async (fleet: Fleet, lease: string): Promise<string> => {
   const view = await readFleetView(fleet);
-  const found = view?.holders.find((one) => one.duty === lease);
-  if (found === undefined) throw new Error(`nobody holds ${lease}`);
-  return found.node;
+  const holder = view?.holders.find((one) => one.duty === lease);
+  if (holder === undefined) throw new Error(`nobody holds ${lease}`);
+  return holder.node;
 };
 
+/** The name of the service whose origins scenarios act on. */
 export const firstService = (plan: DeploymentPlan): string =>
   plan.deployment.origins[0]?.service ?? '';
 
+/** The store that holds the primary's lease. */
 export const primaryStore = ({ fleet }: ScenarioContext): Promise<string> =>
   leaseHolder(fleet, 'primary');
+/** The shield that leads the first service. */
 export const serviceLeader = ({ fleet, plan }: ScenarioContext): Promise<string> =>
   leaseHolder(fleet, `keeper:${firstService(plan)}`);
+/** The first edge. */
 export const firstEdge = ({ fleet }: ScenarioContext): Promise<string> =>
   Promise.resolve(fleet.edges[0]?.name ?? '');
+/** The registry on the first machine. */
 export const firstRegistry = ({ fleet }: ScenarioContext): Promise<string> =>
   Promise.resolve(`${fleet.machines[0]?.name ?? ''}-registry`);
 
-export const untimedResult = (rule: string, held: boolean, text: string): RuleResult => ({
-  rule,
-  isHeld: held,
-  text,
-  isTimed: false,
-});
-
+/** All machines that run a registry. */
 export const coreMachines = ({ fleet }: ScenarioContext): readonly Machine[] =>
   fleet.machines.filter((one) => one.kind !== 'edge');
--- a/packages/devfleet/src/soak/racing-operators.ts
+++ b/packages/devfleet/src/soak/racing-operators.ts
@@ -1,23 +1,25 @@
 /**
- * Operators whose orders race: they hand in descriptions from a few contents, so that contents return, through any
- * registry, and lose some answers on purpose, after which the same order is sent again to another one.
+ * Operators whose commands race: they submit configurations from a few contents, so that contents recur, through any
+ * registry, and give up on some replies on purpose, after which they retry the same command at another registry.
  */
+
 import got from 'got';
 import * as v from 'valibot';
 import type { DeploymentPlan } from '../deployment/schema.js';
-import { delay } from '../fleet/fleet.js';
+import { delay } from '../fleet/wait.js';
 import type { SeededRandom } from './seeded-random.js';
 
-/** An order, and what its operator was told. */
+/** One configuration change with the replies to it. */
 export interface OperatorCommand {
   readonly id: string;
   readonly content: number;
+  /** The generation of the last confirmation. */
   generation: number | undefined;
-  /** How often it was told as taken. */
+  /** How many replies confirmed it. */
   confirmations: number;
 }
 
-/** Two answers to one order that do not agree. */
+/** Two replies to one command that name different generations. */
 export interface ConflictingReplies {
   readonly id: string;
   readonly firstGeneration: number;
@@ -27,15 +29,18 @@
 const contentCount = 4;
 const minQueueLimit = 300;
 const replyTimeoutMs = 9000;
-/** How soon an operator gives up on an answer that it is to lose. */
+/** How soon an operator gives up on a reply that it is to lose. */
 const lostReplyTimeoutRangeMs = [5, 60] as const;
 const lostReplyProbability = 0.25;
+/** How often two commands are submitted at once. */
+const pairProbability = 0.6;
 const maxAttempts = 4;
 const gapRangeMs = [40, 900] as const;
 
 const acceptanceSchema = v.object({ generation: v.number() });
 const configurationSchema = v.looseObject({ services: v.array(v.looseObject({})) });
 
+/** Submits racing configuration changes to the registries of a fleet. */
 export class RacingOperators {
   readonly commands: OperatorCommand[] = [];
   readonly conflicts: ConflictingReplies[] = [];
@@ -44,61 +49,62 @@
   readonly #random: SeededRandom;
   #isRunning = true;
 
-  constructor(plan: DeploymentPlan, registries: readonly string[], chance: SeededRandom) {
+  constructor(plan: DeploymentPlan, registries: readonly string[], random: SeededRandom) {
     this.#plan = plan;
     this.#registries = registries;
-    this.#random = chance;
+    this.#random = random;
   }
 
-  /** Hands in order after order until it is stopped. */
+  /** Submits commands, often two at once, until it is stopped. */
   async run(): Promise<void> {
     while (this.#isRunning) {
       await delay(this.#random.between(...gapRangeMs));
-      const pair = this.#random.happens(0.6)
+      const submissions = this.#random.happens(pairProbability)
         ? [this.#submitCommand(), this.#submitCommand()]
         : [this.#submitCommand()];
-      await Promise.all(pair);
+      await Promise.all(submissions);
     }
   }
 
+  /** Submits no more; a command that is being sent is still finished. */
   stop(): void {
     this.#isRunning = false;
   }
 
-  /** The description of one content. */
+  /** The configuration of one content. */
   configurationWith(content: number): object {
     const base = v.parse(configurationSchema, this.#plan.configuration);
     const waitlist = minQueueLimit + content;
-    return { ...base, services: base.services.map((one) => ({ ...one, waitlist })) };
+    return { ...base, services: base.services.map((service) => ({ ...service, waitlist })) };
   }
 
-  /** The highest generation that any operator was told. */
+  /** The command that was confirmed with the highest generation. */
   get newestConfirmed(): OperatorCommand | undefined {
     return this.commands.reduce<OperatorCommand | undefined>(
-      (best, one) => ((one.generation ?? 0) > (best?.generation ?? 0) ? one : best),
+      (best, command) => ((command.generation ?? 0) > (best?.generation ?? 0) ? command : best),
       undefined,
     );
   }
 
   async #submitCommand(): Promise<void> {
     const content = Math.floor(this.#random.next() * contentCount);
-    const order: OperatorCommand = {
+    const command: OperatorCommand = {
       id: `soak-${this.commands.length}`,
       content,
       generation: undefined,
       confirmations: 0,
     };
-    this.commands.push(order);
-    for (let turn = 0; turn < maxAttempts; turn += 1) {
-      const isLost = turn === 0 && this.#random.happens(lostReplyProbability);
-      const limit = isLost ? this.#random.between(...lostReplyTimeoutRangeMs) : replyTimeoutMs;
-      const done = await this.#send(order, limit);
-      if (done) return;
+    this.commands.push(command);
+    for (let attempt = 0; attempt < maxAttempts; attempt += 1) {
+      const isLost = attempt === 0 && this.#random.happens(lostReplyProbability);
+      const timeoutMs = isLost ? this.#random.between(...lostReplyTimeoutRangeMs) : replyTimeoutMs;
+      const isFinal = await this.#send(command, timeoutMs);
+      if (isFinal) return;
       await delay(this.#random.between(...gapRangeMs));
     }
   }
 
-  /** Sends an order once; says whether it has a clear answer. */
+  /** Sends a command once; true if the reply is final. */
   async #send(command: OperatorCommand, timeoutMs: number): Promise<boolean> {
     const registry = this.#random.pick(this.#registries);
     const reply = await got
--- a/packages/devfleet/src/soak/random-faults.ts
+++ b/packages/devfleet/src/soak/random-faults.ts
@@ -1,7 +1,12 @@
-/** Troubles of real processes that overlap in time: kills, pauses, cuts of either direction, slow links and disks. */
-import { type Fleet, type Machine, delay } from '../fleet/fleet.js';
+/** Random faults of real processes that overlap in time: kills, pauses, cuts of either direction, slow links and disks. */
+
+import type { ProcessFaults } from '../fault-injection/process-faults.js';
+import type { Fleet } from '../fleet/fleet.js';
+import type { Machine } from '../fleet/machine.js';
+import { delay } from '../fleet/wait.js';
 import type { SeededRandom } from './seeded-random.js';
 
+/** The kinds of faults, by the names that a soak prints. */
 export const faultKinds = [
   'kill',
   'pause',
@@ -11,9 +16,10 @@
   'slow links',
   'stalled disk',
 ] as const;
+/** One kind of fault. */
 export type FaultKind = (typeof faultKinds)[number];
 
-/** One trouble: when it begins, how long it lasts, and which machine has it. */
+/** One fault: when it begins after the start of the soak, how long it lasts, and which machine has it. */
 export interface ScheduledFault {
   readonly kind: FaultKind;
   readonly startMs: number;
@@ -24,14 +30,14 @@
 const minDurationMs = 400;
 const maxDurationMs = 3500;
 const slowLinkLagMs = 40;
-/** How many troubles may be under way at once. */
+/** How many faults may be active at once. */
 const maxConcurrentFaults = 3;
 const gapRangeMs = [150, 1500] as const;
 
 const isActive = (fault: ScheduledFault, atMs: number): boolean =>
   fault.startMs <= atMs && atMs < fault.startMs + fault.durationMs;
 
-/** Draws troubles for a span: up to three at once, on different machines, at least two of them often. */
+/** Draws the faults of a soak: up to three at once, each on another machine, often two or more. */
 export const drawFaults = (
   random: SeededRandom,
   machines: readonly Machine[],
@@ -39,28 +45,31 @@
 ): readonly ScheduledFault[] => {
   const drawn: ScheduledFault[] = [];
   for (let at = 0; at < totalMs; at += random.between(...gapRangeMs)) {
-    const open = drawn.filter((one) => isActive(one, at));
-    if (open.length >= maxConcurrentFaults) continue;
-    const free = machines.filter((one) => !open.some((trouble) => trouble.machine === one.name));
+    const active = drawn.filter((fault) => isActive(fault, at));
+    if (active.length >= maxConcurrentFaults) continue;
+    const free = machines.filter(
+      (candidate) => !active.some((fault) => fault.machine === candidate.name),
+    );
     const machine = random.pick(free);
     const kinds = faultKinds.filter((kind) => kind !== 'stalled disk' || machine.kind === 'store');
-    const forMs = Math.min(random.between(minDurationMs, maxDurationMs), totalMs - at);
-    drawn.push({ kind: random.pick(kinds), startMs: at, durationMs: forMs, machine: machine.name });
+    const durationMs = Math.min(random.between(minDurationMs, maxDurationMs), totalMs - at);
+    drawn.push({ kind: random.pick(kinds), startMs: at, durationMs, machine: machine.name });
   }
   return drawn;
 };
 
-/** How often two or more troubles were under way at the start of one. */
+/** How many faults began while another one was active. */
 export const countOverlaps = (faults: readonly ScheduledFault[]): number =>
-  faults.filter((one) => faults.some((other) => other !== one && isActive(other, one.startMs)))
-    .length;
+  faults.filter((fault) =>
+    faults.some((other) => other !== fault && isActive(other, fault.startMs)),
+  ).length;
 
 interface LinkCut {
   readonly from: readonly Machine[];
   readonly to: readonly Machine[];
 }
 
-/** Brings troubles about on a fleet, and takes each back when it is over. */
+/** Injects faults into a fleet, and repairs each when its time is over. */
 export class FaultInjector {
   readonly #fleet: Fleet;
   readonly #print: (text: string) => void;
@@ -68,19 +77,19 @@
   readonly #lastFaultByMachine = new Map<string, Promise<void>>();
   readonly #startedAt = performance.now();
 
-  constructor(fleet: Fleet, say: (text: string) => void) {
+  constructor(fleet: Fleet, print: (text: string) => void) {
     this.#fleet = fleet;
-    this.#print = say;
+    this.#print = print;
   }
 
-  /** Plays all troubles; settles when the last one is over. */
+  /** Injects all faults at their times; settles when the last one is repaired. */
   async run(faults: readonly ScheduledFault[]): Promise<void> {
-    await Promise.all(faults.map((one) => this.#schedule(one)));
+    await Promise.all(faults.map((fault) => this.#schedule(fault)));
   }
 
   async #schedule(fault: ScheduledFault): Promise<void> {
     await delay(fault.startMs);
-    // A machine whose processes are still starting again has its next trouble when they run.
+    // A machine whose processes are still starting again gets its next fault when they run.
     const before = this.#lastFaultByMachine.get(fault.machine) ?? Promise.resolve();
     const done = before.then(() => this.#inject(fault));
     this.#lastFaultByMachine.set(fault.machine, done);
@@ -110,20 +119,25 @@
           fault.durationMs,
         );
       case 'stalled disk':
-        return this.#setFaultsFor(machine, { disk: 'stalled' }, { disk: 'well' }, fault.durationMs);
+        return this.#setFaultsFor(
+          machine,
+          { disk: 'stalled' },
+          { disk: 'healthy' },
+          fault.durationMs,
+        );
     }
   }
 
   async #kill(machine: Machine, durationMs: number): Promise<void> {
-    await Promise.all(machine.processes.map((one) => one.stop('SIGKILL')));
+    await Promise.all(machine.processes.map((process) => process.stop('SIGKILL')));
     await delay(durationMs);
-    await Promise.all(machine.processes.map((one) => one.start()));
+    await Promise.all(machine.processes.map((process) => process.start()));
   }
 
   async #pause(machine: Machine, durationMs: number): Promise<void> {
-    for (const child of machine.processes) child.signal('SIGSTOP');
+    for (const process of machine.processes) process.signal('SIGSTOP');
     await delay(durationMs);
-    for (const child of machine.processes) child.signal('SIGCONT');
+    for (const process of machine.processes) process.signal('SIGCONT');
   }
 
   async #cut(
@@ -131,29 +145,29 @@
     direction: 'both' | 'in' | 'out',
     durationMs: number,
   ): Promise<void> {
-    const rest = this.#fleet.machines.filter((one) => one !== machine);
+    const rest = this.#fleet.machines.filter((other) => other !== machine);
     const cuts: LinkCut[] = [];
     if (direction !== 'in') cuts.push({ from: [machine], to: rest });
     if (direction !== 'out') cuts.push({ from: rest, to: [machine] });
     for (const cut of cuts) {
       this.#activeCuts.add(cut);
-      this.#fleet.cutLinks(cut.from, cut.to);
+      this.#fleet.links.cut(cut.from, cut.to);
     }
     await delay(durationMs);
     for (const cut of cuts) this.#activeCuts.delete(cut);
-    this.#fleet.healLinks();
-    // Cuts of other machines that are under way go on.
-    for (const cut of this.#activeCuts) this.#fleet.cutLinks(cut.from, cut.to);
+    this.#fleet.links.heal();
+    // Healing opened every link: cuts of other machines that are still active are made again.
+    for (const cut of this.#activeCuts) this.#fleet.links.cut(cut.from, cut.to);
   }
 
   async #setFaultsFor(
     machine: Machine,
-    faulty: Parameters<Machine['processes'][number]['setFaults']>[0],
-    repaired: Parameters<Machine['processes'][number]['setFaults']>[0],
+    faulty: Partial<ProcessFaults>,
+    repaired: Partial<ProcessFaults>,
     durationMs: number,
   ): Promise<void> {
-    for (const child of machine.processes) child.setFaults(faulty);
+    for (const process of machine.processes) process.setFaults(faulty);
     await delay(durationMs);
-    for (const child of machine.processes) child.setFaults(repaired);
+    for (const process of machine.processes) process.setFaults(repaired);
   }
 }
--- a/packages/devfleet/src/soak/soak.test.ts
+++ b/packages/devfleet/src/soak/soak.test.ts
@@ -1,4 +1,5 @@
-/** The short form of the soak: one seed, a few seconds of overlapping troubles on real processes. */
+/** The short form of the soak: one seed, a few seconds of overlapping faults on real processes. */
+
 import assert from 'node:assert/strict';
 import { mkdtempSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
--- a/packages/devfleet/src/soak/soak.ts
+++ b/packages/devfleet/src/soak/soak.ts
@@ -1,49 +1,49 @@
 /**
- * A soak of real processes: a whole fleet under load and racing orders, while troubles overlap; then calm, and what must
- * hold by then. The invariants that the programs check on themselves are read from their logs, which outlive kills.
+ * A soak of real processes: a whole fleet under load and racing configuration changes while faults overlap; then calm, and
+ * what must hold by then. The invariants that the programs check on themselves are read from their logs.
  */
+
 import { readFileSync, readdirSync } from 'node:fs';
 import { join } from 'node:path';
 import got from 'got';
 import * as v from 'valibot';
 import type { DeploymentPlan } from '../deployment/schema.js';
-import { type Fleet, delay, waitUntil } from '../fleet/fleet.js';
+import type { Fleet } from '../fleet/fleet.js';
 import { ReadinessProbe } from '../fleet/readiness-probe.js';
+import { delay, waitUntil } from '../fleet/wait.js';
 import { LoadGenerator } from '../load/load-generator.js';
-import { type RuleResult, ruleResultTable } from '../report/report.js';
+import { type RuleResult, ruleResultTable, untimedResult } from '../report/report.js';
 import { collectRuns, checkRuns } from '../report/rules.js';
-import { readFleetView, startFleet } from '../run/fleet-setup.js';
+import { startFleet } from '../run/fleet-setup.js';
+import { readFleetView } from '../run/fleet-view.js';
 import { SeededRandom } from './seeded-random.js';
 import { RacingOperators } from './racing-operators.js';
 import type { SoakReport } from './soak-report.js';
-import { FaultInjector, countOverlaps, drawFaults } from './random-faults.js';
+import { FaultInjector, type ScheduledFault, countOverlaps, drawFaults } from './random-faults.js';
 
+/** How one seed is run. */
 export interface SoakOptions {
   readonly seed: number;
-  /** How long troubles come, in milliseconds. */
+  /** How long faults are injected. */
   readonly faultsDurationMs: number;
-  /** Which part of the deployment's requests a second is sent. */
+  /** The factor by which the deployment's rate of requests is multiplied. */
   readonly loadScale: number;
   readonly folder: string;
   readonly print: (text: string) => void;
 }
 
-/** How long after the last trouble all must be in force again; no verdict hangs on a machine's speed within it. */
+/** How long after the last fault the newest configuration must be in force everywhere; generous for a slow machine. */
 const settleTimeoutMs = 30_000;
+/** How long processes are given to write their last log lines. */
+const logFlushMs = 500;
+/** The log message of the programs; a change there must be made here too. */
 const brokenInvariantMessage = 'an invariant is broken';
 const configurationReplySchema = v.looseObject({
   generation: v.number(),
   description: v.unknown(),
 });
 
-const verdict = (rule: string, held: boolean, text: string): RuleResult => ({
-  rule,
-  isHeld: held,
-  text,
-  isTimed: false,
-});
-
-/** Lines of all logs that tell of a broken invariant. */
+/** The lines of all logs that report a broken invariant. */
 const brokenInvariantLines = (folder: string): readonly string[] => {
   const logs = join(folder, 'log');
   return readdirSync(logs).flatMap((name) =>
@@ -58,12 +58,13 @@
 const isSettled = async (fleet: Fleet, confirmedGeneration: number): Promise<boolean> => {
   const view = await readFleetView(fleet);
   if (view === undefined || view.generation < confirmedGeneration) return false;
-  const runners = view.nodes.filter((one) => one.role === 'edge' || one.role === 'shield');
-  const isAll = runners.length === fleet.machines.filter((one) => one.kind !== 'store').length;
-  return isAll && runners.every((one) => one.open && one.generation === view.generation);
+  const proxies = view.nodes.filter((node) => node.role === 'edge' || node.role === 'shield');
+  const areAllKnown =
+    proxies.length === fleet.machines.filter((machine) => machine.kind !== 'store').length;
+  return areAllKnown && proxies.every((node) => node.open && node.generation === view.generation);
 };
 
-/** Reads the description back from each registry. */
+/** The configuration as each registry returns it; undefined where one does not. */
 const readConfigurations = (fleet: Fleet): Promise<readonly unknown[]> =>
   Promise.all(
     fleet.registries.map(async (registry) => {
@@ -78,6 +79,7 @@
     }),
   );
 
+/** Checks that each registry returns the newest confirmed configuration, or a later one. */
 const checkReadBack = (replies: readonly unknown[], operators: RacingOperators): RuleResult => {
   const newest = operators.newestConfirmed;
   const faults = replies.flatMap((raw) => {
@@ -86,19 +88,19 @@
     const { generation, description } = read.output;
     if (generation < (newest?.generation ?? 0)) return [`generation ${generation}`];
     const isNewest = newest !== undefined && generation === newest.generation;
-    const same =
+    const isSame =
       !isNewest ||
       canonicalJson(description) === canonicalJson(operators.configurationWith(newest.content));
-    return same ? [] : [`other content under ${generation}`];
+    return isSame ? [] : [`other content under ${generation}`];
   });
-  return verdict(
+  return untimedResult(
     'the newest confirmed description is read back',
     faults.length === 0,
     `${replies.length} registries asked for ${newest?.generation ?? 0}: ${faults.length === 0 ? 'all tell it' : faults.join('; ')}`,
   );
 };
 
-/** A text that is the same for equal values, whatever the order of members. */
+/** JSON text that is the same for equal values, whatever the order of members. */
 const canonicalJson = (raw: unknown): string =>
   JSON.stringify(raw, (_, value: unknown) =>
     typeof value === 'object' && value !== null && !Array.isArray(value)
@@ -106,53 +108,74 @@
       : value,
   );
 
-/** Plays one seed. */
+/** Sends load and injects faults until their time is over; returns what was injected and submitted. */
+const injectFaults = async (
+  fleet: Fleet,
+  plan: DeploymentPlan,
+  options: SoakOptions,
+): Promise<{
+  readonly faults: readonly ScheduledFault[];
+  readonly operators: RacingOperators;
+}> => {
+  const { seed, print } = options;
+  const faults = drawFaults(new SeededRandom(seed), fleet.machines, options.faultsDurationMs);
+  const operators = new RacingOperators(plan, fleet.registries, new SeededRandom(seed + 1));
+  const submissions = operators.run();
+  await new FaultInjector(fleet, print).run(faults);
+  operators.stop();
+  await submissions;
+  return { faults, operators };
+};
+
+/** Runs one seed. */
 export const runSoak = async (plan: DeploymentPlan, options: SoakOptions): Promise<SoakReport> => {
-  const { seed, faultsDurationMs, folder, print } = options;
-  const chance = new SeededRandom(seed);
+  const { folder, print } = options;
   const fleet = await startFleet(plan, folder, () => undefined, true);
   try {
-    const platform = new ReadinessProbe(fleet);
-    const rate = plan.deployment.perSecond * options.loadScale;
-    const callers = new LoadGenerator(plan.deployment, rate, () => platform.readyEdges);
-    const troubles = drawFaults(chance, fleet.machines, faultsDurationMs);
-    const operators = new RacingOperators(plan, fleet.registries, new SeededRandom(seed + 1));
-    await platform.probe();
-    platform.start();
-    callers.start();
-    const work = operators.run();
-    await new FaultInjector(fleet, print).run(troubles);
-    operators.stop();
-    await work;
+    const probe = new ReadinessProbe(fleet);
+    const requestsPerSecond = plan.deployment.perSecond * options.loadScale;
+    const load = new LoadGenerator(plan.deployment, requestsPerSecond, () => probe.readyEdges);
+    await probe.probe();
+    probe.start();
+    load.start();
+    const { faults, operators } = await injectFaults(fleet, plan, options);
+    const { commands, conflicts } = operators;
     const confirmed = operators.newestConfirmed?.generation ?? 0;
-    const since = performance.now();
-    const settled = await waitUntil(settleTimeoutMs, () => isSettled(fleet, confirmed));
-    print(
-      `settled ${settled ? '' : 'NOT '}after ${Math.round(performance.now() - since)} ms of calm`,
-    );
-    const reads = await readConfigurations(fleet);
-    await delay(500);
-    await callers.stop();
-    platform.stop();
+    const calmSince = performance.now();
+    const hasSettled = await waitUntil(settleTimeoutMs, () => isSettled(fleet, confirmed));
+    const calmMs = Math.round(performance.now() - calmSince);
+    print(`settled ${hasSettled ? '' : 'NOT '}after ${calmMs} ms of calm`);
+    const configurations = await readConfigurations(fleet);
+    await delay(logFlushMs);
+    await load.stop();
+    probe.stop();
     const broken = brokenInvariantLines(folder);
-    const verdicts = [
-      verdict('invariants', broken.length === 0, broken.join('\n') || 'none was found broken'),
-      verdict('in force everywhere', settled, `the newest confirmed generation is ${confirmed}`),
-      checkReadBack(reads, operators),
-      verdict(
+    const ruleResults = [
+      untimedResult(
+        'invariants',
+        broken.length === 0,
+        broken.join('\n') || 'none was found broken',
+      ),
+      untimedResult(
+        'in force everywhere',
+        hasSettled,
+        `the newest confirmed generation is ${confirmed}`,
+      ),
+      checkReadBack(configurations, operators),
+      untimedResult(
         'one answer to one order',
-        operators.conflicts.length === 0,
-        `${operators.commands.length} orders, ${operators.conflicts.length} with two answers`,
+        conflicts.length === 0,
+        `${commands.length} orders, ${conflicts.length} with two answers`,
       ),
-      ...checkRuns(callers.records, await collectRuns(fleet)),
+      ...checkRuns(load.records, await collectRuns(fleet)),
     ];
-    print(ruleResultTable(verdicts));
+    print(ruleResultTable(ruleResults));
     return {
-      ruleResults: verdicts,
-      faultCount: troubles.length,
-      overlapCount: countOverlaps(troubles),
-      commandCount: operators.commands.length,
-      confirmedCount: operators.commands.filter((one) => one.confirmations > 0).length,
+      ruleResults,
+      faultCount: faults.length,
+      overlapCount: countOverlaps(faults),
+      commandCount: commands.length,
+      confirmedCount: commands.filter(({ confirmations }) => confirmations > 0).length,
     };
   } finally {
     await fleet.stop();
