--- a/packages/config-import/src/nginx/convert.test.ts
+++ b/packages/config-import/src/nginx/convert.test.ts
@@ -1,3 +1,5 @@
+/** Reading and converting nginx configurations. */
+
 import assert from 'node:assert/strict';
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -41,7 +43,7 @@
 }
 `;
 
-void test('upstreams, servers, locations and cache settings become a description that passes the check; the rest is listed with lines', () => {
+void test('upstreams, servers, locations and cache settings become a valid configuration; the rest is listed with lines', () => {
   inFolder(
     new Map([
       ['nginx.conf', main],
@@ -66,7 +68,7 @@
       assert.equal(kept.length, 4, 'two hosts, path and prefix');
       assert.ok(kept.every((one) => one.cache?.lifetimeMs === 600_000 && !one.methods.has('POST')));
       assert.ok([...table.routesByName.values()].some((one) => one.timeoutMs === 3000));
-      const told = skipped.map(
+      const listed = skipped.map(
         (one) => `${one.file.slice(one.file.lastIndexOf('/') + 1)}:${one.line} ${one.name}`,
       );
       for (const line of [
@@ -75,13 +77,13 @@
         'nginx.conf:12 location ~ \\.php$',
         'parts.conf:5 add_header X-Cache hit',
       ]) {
-        assert.ok(told.includes(line), `${line} in ${told.join('; ')}`);
+        assert.ok(listed.includes(line), `${line} in ${listed.join('; ')}`);
       }
     },
   );
 });
 
-void test('broken input and missing includes are told with file, line and reason', () => {
+void test('broken input and missing includes are reported with file, line and reason', () => {
   inFolder(new Map([['nginx.conf', 'http {\n  server {\n    listen 80;\n']]), (file) => {
     const read = readNginx(file);
     assert.ok(read.isErr);
--- a/packages/config-import/src/nginx/convert.ts
+++ b/packages/config-import/src/nginx/convert.ts
@@ -1,3 +1,5 @@
+/** Converts nginx directives into a configuration; TLS, patterns and whatever else has no counterpart is listed as skipped. */
+
 import type { Directive } from './parse.js';
 
 /** A directive that was not carried over, and why. */
@@ -8,12 +10,15 @@
   readonly reason: string;
 }
 
-/** What an import came to. */
+/** The converted configuration, and what was left out of it. */
 export interface ConversionResult {
   readonly description: object;
   readonly skipped: readonly SkippedDirective[];
 }
 
+const noCounterpart = 'has no counterpart here';
+
+/** Milliseconds by nginx's unit; a number without one is in seconds. */
 const units: ReadonlyMap<string, number> = new Map([
   ['', 1000],
   ['ms', 1],
@@ -22,18 +27,31 @@
   ['h', 3_600_000],
   ['d', 86_400_000],
 ]);
+
 const durationMsOf = (raw: string | undefined): number | undefined => {
-  const found = /^(\d+)(ms|s|m|h|d)?$/.exec(raw ?? '');
-  return found === null ? undefined : Number(found[1]) * (units.get(found[2] ?? '') ?? 1000);
+  const match = /^(\d+)(ms|s|m|h|d)?$/.exec(raw ?? '');
+  return match === null ? undefined : Number(match[1]) * (units.get(match[2] ?? '') ?? 1000);
 };
+
+const maxIdentifierLength = 60;
 const identifierOf = (raw: string): string =>
   raw
     .replace(/[^A-Za-z0-9._-]+/g, '-')
     .replace(/^[^A-Za-z0-9]+/, '')
-    .slice(0, 60) || 'unnamed';
+    .slice(0, maxIdentifierLength) || 'unnamed';
 
 const readMethods = ['GET', 'HEAD'] as const;
 const writeMethods = ['POST', 'PUT', 'PATCH', 'DELETE', 'OPTIONS'] as const;
+const isReadMethod = (method: string): boolean => method === 'GET' || method === 'HEAD';
+
+/** Hosts are taken over by name; patterns are not. */
+const hostPattern = /^[a-z0-9.-]+$/;
+
+/** The bounds of a route's timeout. */
+const minTimeoutMs = 10;
+const maxTimeoutMs = 600_000;
+
+/** Directives that give the configuration its structure, or that have no meaning here and no loss when left out. */
 const structuralDirectives: ReadonlySet<string> = new Set([
   'events',
   'worker_processes',
@@ -47,6 +65,17 @@
   'upstream',
 ]);
 
+/** Directives that are read where they apply. */
+const settingDirectives: ReadonlySet<string> = new Set([
+  'proxy_cache',
+  'proxy_read_timeout',
+  'proxy_cache_valid',
+  'proxy_cache_key',
+  'proxy_pass',
+  'limit_except',
+]);
+
+/** Settings that a block passes on to the blocks within. */
 interface InheritedSettings {
   readonly cache: boolean;
   readonly lifetimeMs: number | undefined;
@@ -54,104 +83,128 @@
   readonly query: boolean;
 }
 
+/** How a location picks requests: by path or by prefix. */
+type RouteMatch = { readonly path: string } | { readonly prefix: string };
+
+/** A location that forwards to a service. */
+interface ForwardingLocation {
+  readonly path: string;
+  readonly service: string;
+  readonly methods: readonly string[];
+  readonly settings: InheritedSettings;
+}
+
+/** nginx takes a prefix by its characters; here a prefix is whole path segments, so the path itself is a match of its own. */
+const matchesOf = (modifier: string | undefined, path: string): readonly RouteMatch[] => {
+  if (modifier === '=') return [{ path }];
+  return path.endsWith('/') ? [{ prefix: path }] : [{ path }, { prefix: `${path}/` }];
+};
+
+/** The methods that `limit_except` leaves, or all. */
+const methodsOf = (block: readonly Directive[]): readonly string[] => {
+  const limit = block.find(({ name }) => name === 'limit_except');
+  if (limit === undefined) return [...readMethods, ...writeMethods];
+  return [...new Set(limit.args.flatMap((name) => (name === 'GET' ? [...readMethods] : [name])))];
+};
+
+/** Collects services and routes while it walks through the blocks. */
 class NginxConverter {
   readonly skipped: SkippedDirective[] = [];
   readonly services = new Set<string>();
   readonly routes: object[] = [];
   readonly #nameCounts = new Map<string, number>();
 
+  /** Notes a directive that is not carried over. */
   skip(directive: Directive, reason: string): void {
     this.skipped.push({
       file: directive.file,
       line: directive.line,
       name: [directive.name, ...directive.args].join(' '),
-      reason: reason,
+      reason,
     });
   }
 
+  /** Numbers the names of routes that would be the same. */
   #uniqueName(name: string): string {
-    const many = (this.#nameCounts.get(name) ?? 0) + 1;
-    this.#nameCounts.set(name, many);
-    return many === 1 ? name : `${name}-${many}`;
+    const count = (this.#nameCounts.get(name) ?? 0) + 1;
+    this.#nameCounts.set(name, count);
+    return count === 1 ? name : `${name}-${count}`;
   }
 
-  /** Settings that hold for what stands within. */
+  /** The settings of a block: those of the block around it, changed by its own directives. */
   #inheritedBy(outer: InheritedSettings, list: readonly Directive[]): InheritedSettings {
     let scope = outer;
-    for (const one of list) {
-      if (one.name === 'proxy_cache') scope = { ...scope, cache: one.args[0] !== 'off' };
-      else if (one.name === 'proxy_read_timeout')
-        scope = { ...scope, timeoutMs: durationMsOf(one.args[0]) ?? scope.timeoutMs };
-      else if (one.name === 'proxy_cache_valid') {
-        const good = one.args.length === 1 || one.args.includes('200') || one.args.includes('any');
-        if (good)
-          scope = { ...scope, lifetimeMs: durationMsOf(one.args.at(-1)) ?? scope.lifetimeMs };
-        else this.skip(one, 'one lifetime holds for all kept results');
-      } else if (one.name === 'proxy_cache_key') {
-        if (/\$(request_uri|args|is_args|query_string)/.test(one.args.join('')))
+    for (const directive of list) {
+      if (directive.name === 'proxy_cache')
+        scope = { ...scope, cache: directive.args[0] !== 'off' };
+      else if (directive.name === 'proxy_read_timeout')
+        scope = { ...scope, timeoutMs: durationMsOf(directive.args[0]) ?? scope.timeoutMs };
+      else if (directive.name === 'proxy_cache_valid') {
+        const holdsForOk =
+          directive.args.length === 1 ||
+          directive.args.includes('200') ||
+          directive.args.includes('any');
+        if (holdsForOk)
+          scope = { ...scope, lifetimeMs: durationMsOf(directive.args.at(-1)) ?? scope.lifetimeMs };
+        else this.skip(directive, 'one lifetime holds for all kept results');
+      } else if (directive.name === 'proxy_cache_key') {
+        if (/\$(request_uri|args|is_args|query_string)/.test(directive.args.join('')))
           scope = { ...scope, query: true };
-        else if (/\$uri/.test(one.args.join(''))) scope = { ...scope, query: false };
-        else this.skip(one, 'keys are made of route, host, path and query');
+        else if (/\$uri/.test(directive.args.join(''))) scope = { ...scope, query: false };
+        else this.skip(directive, 'keys are made of route, host, path and query');
       }
     }
     return scope;
   }
 
+  /** Converts the contents of the `http` block. */
   convertHttp(list: readonly Directive[]): void {
     const scope = this.#inheritedBy(
       { cache: false, lifetimeMs: undefined, timeoutMs: undefined, query: true },
       list,
     );
-    for (const one of list) {
-      if (one.name === 'upstream') this.#convertUpstream(one);
-      else if (one.name === 'server') this.#convertServer(one, scope);
-      else this.#skipUnknown(one);
+    for (const directive of list) {
+      if (directive.name === 'upstream') this.#convertUpstream(directive);
+      else if (directive.name === 'server') this.#convertServer(directive, scope);
+      else this.#skipUnknown(directive);
     }
   }
 
   #skipUnknown(directive: Directive): void {
-    if (
-      [
-        'proxy_cache',
-        'proxy_read_timeout',
-        'proxy_cache_valid',
-        'proxy_cache_key',
-        'proxy_pass',
-        'limit_except',
-      ].includes(directive.name)
-    )
-      return;
+    if (settingDirectives.has(directive.name)) return;
     if (structuralDirectives.has(directive.name) && directive.block === undefined) return;
-    this.skip(directive, 'has no counterpart here');
+    this.skip(directive, noCounterpart);
   }
 
   #convertUpstream(directive: Directive): void {
     this.services.add(identifierOf(directive.args[0] ?? ''));
-    for (const row of directive.block ?? [])
+    for (const inner of directive.block ?? [])
       this.skip(
-        row,
-        row.name === 'server'
+        inner,
+        inner.name === 'server'
           ? 'origins announce themselves; start them with their own announcements'
           : 'origins are elected by health and free slots',
       );
   }
 
   #convertServer(directive: Directive, outer: InheritedSettings): void {
-    const list = directive.block ?? [];
-    const scope = this.#inheritedBy(outer, list);
-    const names = list.filter((row) => row.name === 'server_name').flatMap((row) => row.args);
-    const hosts = names.filter((name) => /^[a-z0-9.-]+$/.test(name));
-    for (const row of list) {
-      if (row.name === 'server_name') {
-        for (const name of row.args)
-          if (name !== '_' && !/^[a-z0-9.-]+$/.test(name))
-            this.skip(row, `the host ${name} is a pattern; name the hosts`);
-      } else if (row.name === 'listen') {
-        if (row.args.includes('ssl'))
-          this.skip(row, 'callers are spoken to over HTTP/1.1 without TLS');
-      } else if (row.name === 'location')
-        this.#convertLocation(row, scope, hosts.length === 0 ? [undefined] : hosts);
-      else this.#skipUnknown(row);
+    const block = directive.block ?? [];
+    const scope = this.#inheritedBy(outer, block);
+    const names = block
+      .filter((inner) => inner.name === 'server_name')
+      .flatMap((inner) => inner.args);
+    const hosts = names.filter((name) => hostPattern.test(name));
+    for (const inner of block) {
+      if (inner.name === 'server_name') {
+        for (const name of inner.args)
+          if (name !== '_' && !hostPattern.test(name))
+            this.skip(inner, `the host ${name} is a pattern; name the hosts`);
+      } else if (inner.name === 'listen') {
+        if (inner.args.includes('ssl'))
+          this.skip(inner, 'callers are spoken to over HTTP/1.1 without TLS');
+      } else if (inner.name === 'location')
+        this.#convertLocation(inner, scope, hosts.length === 0 ? [undefined] : hosts);
+      else this.#skipUnknown(inner);
     }
   }
 
@@ -160,103 +213,96 @@
     outer: InheritedSettings,
     hosts: readonly (string | undefined)[],
   ): void {
-    const list = directive.block ?? [];
-    const [sign, given] =
-      directive.args.length > 1 ? [directive.args[0], directive.args[1]] : ['', directive.args[0]];
-    const place = given ?? '';
-    if (sign === '~' || sign === '~*' || place.startsWith('@') || !place.startsWith('/')) {
+    const block = directive.block ?? [];
+    const [modifier, path = ''] =
+      directive.args.length > 1 ? directive.args : ['', directive.args[0]];
+    if (modifier === '~' || modifier === '~*' || !path.startsWith('/')) {
       this.skip(
         directive,
         'patterns and named locations have no counterpart; routes go by path or prefix',
       );
       return;
     }
-    const scope = this.#inheritedBy(outer, list);
-    const pass = list.find((row) => row.name === 'proxy_pass');
-    for (const row of list) {
-      if (row.name === 'location') this.#convertLocation(row, scope, hosts);
-      else this.#skipUnknown(row);
+    const settings = this.#inheritedBy(outer, block);
+    for (const inner of block) {
+      if (inner.name === 'location') this.#convertLocation(inner, settings, hosts);
+      else this.#skipUnknown(inner);
     }
+    const service = this.#serviceOf(directive, path);
+    if (service === undefined) return;
+    const location = { path, service, methods: methodsOf(block), settings };
+    for (const host of hosts)
+      for (const match of matchesOf(modifier, path)) this.#addRoutes(match, host, location);
+  }
+
+  /** The service that a location passes requests to; undefined if it has none or no fixed one. */
+  #serviceOf(location: Directive, path: string): string | undefined {
+    const block = location.block ?? [];
+    const pass = block.find(({ name }) => name === 'proxy_pass');
     if (pass === undefined) {
-      if (!list.some((row) => row.name === 'location')) this.skip(directive, 'no proxy_pass in it');
-      return;
+      if (!block.some(({ name }) => name === 'location'))
+        this.skip(location, 'no proxy_pass in it');
+      return undefined;
     }
-    const target = /^https?:\/\/([^/]+)(\/.*)?$/.exec(pass.args[0] ?? '');
-    if (target === null || (pass.args[0] ?? '').includes('$')) {
+    const [url = ''] = pass.args;
+    const target = /^https?:\/\/([^/]+)(\/.*)?$/.exec(url);
+    if (target === null || url.includes('$')) {
       this.skip(pass, 'the target is not a fixed one');
-      return;
+      return undefined;
     }
-    if (target[2] !== undefined && target[2] !== place)
+    const [, upstream = '', newPath] = target;
+    if (newPath !== undefined && newPath !== path)
       this.skip(pass, 'paths are handed on as they are; the change of path is left out');
-    const service = identifierOf(target[1] ?? '');
+    const service = identifierOf(upstream);
     this.services.add(service);
-    const only = list.find((row) => row.name === 'limit_except');
-    const methods =
-      only === undefined
-        ? [...readMethods, ...writeMethods]
-        : [...new Set(only.args.flatMap((name) => (name === 'GET' ? [...readMethods] : [name])))];
-    const places =
-      sign === '='
-        ? [{ path: place }]
-        : place.endsWith('/')
-          ? [{ prefix: place }]
-          : [{ path: place }, { prefix: `${place}/` }];
-    for (const host of hosts)
-      for (const spot of places) this.#addRoutes(spot, host, service, methods, scope, place);
+    return service;
   }
 
-  #addRoutes(
-    match: object,
-    host: string | undefined,
-    service: string,
-    methods: readonly string[],
-    scope: InheritedSettings,
-    path: string,
-  ): void {
+  /** Adds a route, or two if results are cached: reads through the cache, other methods past it. */
+  #addRoutes(match: RouteMatch, host: string | undefined, location: ForwardingLocation): void {
+    const { path, service, methods, settings } = location;
+    const { timeoutMs, lifetimeMs, query } = settings;
     const base = {
       ...match,
       ...(host === undefined ? {} : { host }),
       service,
       class: 'imported',
-      ...(scope.timeoutMs === undefined
+      ...(timeoutMs === undefined
         ? {}
-        : { timeoutMs: Math.max(10, Math.min(600_000, scope.timeoutMs)) }),
+        : { timeoutMs: Math.max(minTimeoutMs, Math.min(maxTimeoutMs, timeoutMs)) }),
     };
     const name = (): string => this.#uniqueName(identifierOf(`${host ?? 'any'}${path}`));
-    const keeps = scope.cache && methods.some((one) => one === 'GET' || one === 'HEAD');
-    if (!keeps) {
+    const cachedMethods = settings.cache ? methods.filter(isReadMethod) : [];
+    if (cachedMethods.length === 0) {
       this.routes.push({ name: name(), ...base, methods });
       return;
     }
     this.routes.push({
       name: name(),
       ...base,
-      methods: methods.filter((one) => one === 'GET' || one === 'HEAD'),
-      cache: {
-        ...(scope.lifetimeMs === undefined ? {} : { lifetimeMs: scope.lifetimeMs }),
-        query: scope.query,
-      },
+      methods: cachedMethods,
+      cache: { ...(lifetimeMs === undefined ? {} : { lifetimeMs }), query },
     });
-    const rest = methods.filter((one) => one !== 'GET' && one !== 'HEAD');
-    if (rest.length > 0) this.routes.push({ name: name(), ...base, methods: rest });
+    const otherMethods = methods.filter((method) => !isReadMethod(method));
+    if (otherMethods.length > 0) this.routes.push({ name: name(), ...base, methods: otherMethods });
   }
 }
 
-/** Turns directives into a description; what has no counterpart is listed. */
+/** Converts the directives of an nginx configuration; skipped directives are sorted by file and line. */
 export const convertNginx = (directives: readonly Directive[]): ConversionResult => {
-  const carrier = new NginxConverter();
-  for (const one of directives) {
-    if (one.name === 'http') carrier.convertHttp(one.block ?? []);
-    else if (!structuralDirectives.has(one.name)) carrier.skip(one, 'has no counterpart here');
+  const converter = new NginxConverter();
+  for (const directive of directives) {
+    if (directive.name === 'http') converter.convertHttp(directive.block ?? []);
+    else if (!structuralDirectives.has(directive.name)) converter.skip(directive, noCounterpart);
   }
   return {
     description: {
       format: 1,
       classes: [{ name: 'imported', share: 1 }],
-      services: [...carrier.services].map((name) => ({ name })),
-      routes: carrier.routes,
+      services: [...converter.services].map((name) => ({ name })),
+      routes: converter.routes,
     },
-    skipped: [...carrier.skipped].sort((one, two) =>
+    skipped: [...converter.skipped].sort((one, two) =>
       one.file === two.file ? one.line - two.line : one.file < two.file ? -1 : 1,
     ),
   };
--- a/packages/config-import/src/nginx/parse.ts
+++ b/packages/config-import/src/nginx/parse.ts
@@ -1,9 +1,11 @@
+/** Reads an nginx configuration with its includes into directives that know their file and line. */
+
 import { readFileSync, readdirSync } from 'node:fs';
 import { dirname, isAbsolute, join } from 'node:path';
 import { NginxParser } from 'nginx-conf';
 import { type Result, err, ok } from 'true-myth/result';
 
-/** One directive with its place. */
+/** One directive with its place; `block` holds the directives between its braces. */
 export interface Directive {
   readonly name: string;
   readonly args: readonly string[];
@@ -12,7 +14,7 @@
   readonly block: readonly Directive[] | undefined;
 }
 
-/** What made a file unreadable, and where. */
+/** Why a configuration could not be read, and where. */
 export interface NginxReadError {
   readonly file: string;
   readonly line: number;
@@ -21,9 +23,10 @@
 
 type SyntaxTree = NonNullable<Parameters<NonNullable<Parameters<NginxParser['parse']>[1]>>[1]>;
 
+/** Includes that are nested deeper than this are taken for a loop. */
 const maxDepth = 16;
 
-/** The library's parser with the place of each word noted, as its tree bears none. */
+/** The library's parser, which also records the line of each token: its syntax tree has no lines. */
 class LineTrackingParser extends NginxParser {
   readonly tokens: { readonly text: string; readonly line: number }[] = [];
   readonly #text: string;
@@ -35,16 +38,17 @@
     this.#text = text;
   }
 
-  #advancePast(found: string): number {
-    const at = Math.max(this.#cursor, this.#text.indexOf(found, this.#cursor));
-    this.#line += (this.#text.slice(this.#cursor, at).match(/\n/g) ?? []).length;
+  /** Moves past the next occurrence of a text; returns the line that it begins on. */
+  #advancePast(token: string): number {
+    const start = Math.max(this.#cursor, this.#text.indexOf(token, this.#cursor));
+    this.#line += (this.#text.slice(this.#cursor, start).match(/\n/g) ?? []).length;
     const line = this.#line;
-    this.#line += (found.match(/\n/g) ?? []).length;
-    this.#cursor = at + found.length;
+    this.#line += (token.match(/\n/g) ?? []).length;
+    this.#cursor = start + token.length;
     return line;
   }
 
-  /** Where the parser stands. */
+  /** The line that the parser has reached. */
   get line(): number {
     return this.#line;
   }
@@ -99,7 +103,7 @@
     text: 'nothing in it',
   });
   try {
-    // The library does not mind a block that is left open: where all are closed, one more closing brace is one too many.
+    // The library accepts a block that is left open; whether all are closed shows in whether one more brace is too many.
     if (!blocksAreClosed(text)) return fail(text.split('\n').length, 'a block is not closed');
     parser.parse(text, (fault, tree) => {
       if (fault !== null || tree === undefined) {
@@ -150,7 +154,7 @@
   }
 };
 
-/** Reads a file with all that it includes. */
+/** Reads a file and all that it includes; `from` and `depth` say where an included file was named. */
 export const readNginx = (
   file: string,
   from: Pick<Directive, 'file' | 'line'> = { file, line: 1 },
--- a/packages/devfleet/src/deployment/schema-forms.test.ts
+++ b/packages/devfleet/src/deployment/schema-forms.test.ts
@@ -1,3 +1,5 @@
+/** The outer form of the deployment file. */
+
 import { test } from 'node:test';
 import { schemaLines, snapshotsFor } from '@switchwheel/types/testing';
 import { deploymentSchema } from './schema.js';
--- a/packages/devfleet/src/deployment/schema.ts
+++ b/packages/devfleet/src/deployment/schema.ts
@@ -64,7 +64,7 @@
   try {
     const read = v.safeParse(deploymentSchema, JSON.parse(readFileSync(file, 'utf8')));
     if (!read.success)
-      return err(read.issues.map((one) => `${v.getDotPath(one) ?? 'file'}: ${one.message}`));
+      return err(read.issues.map((issue) => `${v.getDotPath(issue) ?? 'file'}: ${issue.message}`));
     const path = join(dirname(file), read.output.description);
     const description: unknown = JSON.parse(readFileSync(path, 'utf8'));
     return ok({ deployment: read.output, configuration: description, configurationFile: path });
--- a/packages/devfleet/src/run/fault-scenarios.test.ts
+++ b/packages/devfleet/src/run/fault-scenarios.test.ts
@@ -1,3 +1,5 @@
+/** A sequence of fault scenarios on real processes. */
+
 import assert from 'node:assert/strict';
 import { mkdtempSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -11,7 +13,7 @@
 const folder = mkdtempSync(join(tmpdir(), 'causes-'));
 process.on('exit', () => rmSync(folder, { recursive: true, force: true }));
 
-void test("real processes through cuts, ailing and lost disks, swapped registries and quarrelling operators: the origins' notes agree with what callers were told", async () => {
+void test("through cuts, failing and lost disks, replaced registries and colliding operators, the origins' records agree with what clients saw", async () => {
   const read = readDeploymentPlan(
     fileURLToPath(new URL('../../../../examples/carpatic/devfleet.json', import.meta.url)),
   );
--- a/packages/devfleet/src/run/input.test.ts
+++ b/packages/devfleet/src/run/input.test.ts
@@ -93,7 +93,7 @@
   });
 const generation = async (): Promise<number> => (await readFleetView(fleet))?.generation ?? -1;
 
-void test('an invalid description is refused whole, with every fault and its path, and the one in force stays', async () => {
+void test('an invalid configuration is refused as a whole, with every fault and its path, and the one in force stays', async () => {
   const held = await generation();
   const reply = await put(
     change((copy) => {
@@ -145,7 +145,7 @@
   assert.equal(await generation(), held);
 });
 
-void test('a stale base is refused with the generation in force, and a call that is asked twice has one outcome', async () => {
+void test('a stale base is refused with the generation in force, and a command that is sent twice has one outcome', async () => {
   const held = await generation();
   const stale = await put(JSON.stringify(plan.configuration), `?base=${held + 7}`);
   assert.equal(stale.statusCode, 409);
@@ -168,7 +168,7 @@
   assert.equal(never.statusCode, 404);
 });
 
-void test('callers: unknown routes, wrong methods, oversized and ambiguous requests get their 4xx', async () => {
+void test('unknown routes, wrong methods, oversized and ambiguous requests are answered with their 4xx', async () => {
   assert.equal((await ask('/nowhere')).statusCode, 404);
   const method = await ask('/clips/1', { method: 'DELETE' });
   assert.deepEqual([method.statusCode, method.headers.allow], [405, 'GET, HEAD']);
@@ -197,7 +197,7 @@
   assert.match(await raw(edge.httpAddress, 'rubbish\r\n\r\n'), /^HTTP\/1\.1 400 /);
 });
 
-void test('callers that send their headers or their bodies too slowly are ended', async () => {
+void test('clients that send their headers or their bodies too slowly are answered with 408', async () => {
   const [headers, body] = await Promise.all([
     raw(edge.httpAddress, 'GET /clips/1 HTTP/1.1\r\nhost: x\r\n'),
     raw(edge.httpAddress, 'POST /consent/1 HTTP/1.1\r\nhost: x\r\ncontent-length: 10\r\n\r\nab'),
@@ -206,7 +206,7 @@
   assert.match(body, /^HTTP\/1\.1 408 /);
 });
 
-void test('ranges, conditions and results beyond what is held whole', async () => {
+void test('ranges, conditional requests and results too large for the cache are answered correctly', async () => {
   const path = '/clips/77';
   const whole = await ask(`${path}?size=50000`);
   assert.ok(whole.rawBody.equals(objectBytes(path, 0, 50_000)));
@@ -236,7 +236,7 @@
   assert.ok(long.rawBody.equals(objectBytes('/search/1', 0, size)));
 });
 
-void test('origins that corrupt, cut or answer for somebody else: the caller gets an unknown outcome, never their bytes', async () => {
+void test('a client gets an unknown outcome, never the bytes of an origin that corrupts, cuts or answers for another instance', async () => {
   const origins = fleet.origins.filter((one) => one.group.service === 'tags');
   const mood = (change: object): Promise<unknown> =>
     Promise.all(
@@ -253,7 +253,7 @@
   }
 });
 
-void test('foreign bytes and unknown protocols on a control address: the channel is dropped and counted', async () => {
+void test('a connection that sends foreign bytes to a control address is dropped and counted', async () => {
   const view = await got(`http://${registry()}/v1/fleet`, { retry: { limit: 0 } });
   const address =
     v
@@ -268,7 +268,7 @@
   assert.match(metrics.body, /switchwheel_foreign_channels_total [2-9]/);
 });
 
-void test('broken settings: one line for each fault and exit code 2', async () => {
+void test('broken settings end a program with exit code 2 and one line for each fault', async () => {
   const run = (
     name: string,
     args: readonly string[],
@@ -312,7 +312,7 @@
   assert.equal((await run('registry', ['--boot', join(folder, 'absent.json')])).code, 2);
 });
 
-void test('the command line: check, diff, show, status, rollouts, releases, purge; plain words and exit codes', async () => {
+void test('the commands of switchwheel print their results and end with their exit codes', async () => {
   const sw = (...args: readonly string[]): ReturnType<typeof runOperatorCommand> =>
     runOperatorCommand(fleet.registries, args);
   const odd = join(folder, 'odd.json');
@@ -352,7 +352,7 @@
   assert.equal((await runOperatorCommand(['127.0.0.1:1'], ['status'])).exitCode, 1);
 });
 
-void test('a damaged disk file: refused with a plain word, then mended from the peer', async () => {
+void test('a store refuses a damaged disk file and is resynchronised from its peer', async () => {
   const view = v.looseObject({
     store: v.string(),
     metadata: v.looseObject({ inSyncSet: v.array(v.string()) }),
@@ -388,7 +388,7 @@
         throwHttpErrors: false,
       })
     ).statusCode === 200;
-  assert.ok(await waitUntil(60_000, ready), 'in sync again by its own word');
+  assert.ok(await waitUntil(60_000, ready), 'ready again');
   assert.ok(
     await waitUntil(60_000, async () => (await stores())?.inSyncSet === 2),
     'in sync again',
@@ -404,7 +404,7 @@
   assert.equal(lines.length, 1, lines.join(' '));
 });
 
-void test('overload: refused at once with the kind rejected and when to come back, and nothing refused ran', async () => {
+void test('under overload requests are rejected with a time to retry, and nothing rejected ran', async () => {
   const answers = await Promise.all(
     Array.from({ length: 900 }, (_, at) =>
       ask(`/consent/${at}`, {
@@ -429,7 +429,7 @@
   assert.ok([...ran.values()].every((many) => many === 1));
 });
 
-void test('the query shell: answers by one argument, says who is silent and what is missing while the primary and half the core are gone', async () => {
+void test('the query shell answers one query, and says what did not answer and what is missing while half the core is gone', async () => {
   const box = (
     ...args: readonly string[]
   ): Promise<{ readonly code: number; readonly out: string; readonly fault: string }> =>
--- a/packages/devfleet/src/run/load-run.test.ts
+++ b/packages/devfleet/src/run/load-run.test.ts
@@ -1,3 +1,5 @@
+/** The example deployments, scaled down, on real processes. */
+
 import assert from 'node:assert/strict';
 import { mkdtempSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -11,7 +13,7 @@
   fileURLToPath(new URL(`../../../../examples/${name}/devfleet.json`, import.meta.url));
 
 for (const name of ['mallgyeol', 'carpatic']) {
-  void test(`${name}, scaled down: real processes from the command line through rollout to callers, the rules checked by the origins' notes`, async () => {
+  void test(`${name}, scaled down, keeps every rule under load, a rollout and a purge`, async () => {
     const read = readDeploymentPlan(example(name));
     assert.ok(read.isOk);
     const plan = { ...read.value, deployment: { ...read.value.deployment, edges: 2, shields: 3 } };
@@ -23,7 +25,7 @@
         folder,
         print: () => undefined,
       });
-      // What hangs on how fast a busy machine is has no say here; what must hold on any machine does.
+      // Results that depend on the speed of a busy machine are left out; what must hold on any machine is not.
       assert.deepEqual(
         report.ruleResults.filter((one) => !one.isTimed && !one.isHeld),
         [],
--- a/packages/devfleet/src/run/scenarios/client.ts
+++ b/packages/devfleet/src/run/scenarios/client.ts
@@ -19,9 +19,9 @@
   print(`three times the whole rate in ${name} alone for 5 s`);
   await load.flood(name, plan.deployment.perSecond * 3, 5000);
   const other = load.records.filter(
-    (one) => one.traffic.name !== name && one.sentAt > performance.now() - 5000,
+    (record) => record.traffic.name !== name && record.sentAt > performance.now() - 5000,
   );
-  const lost = other.filter((one) => one.outcome !== 'result');
+  const lost = other.filter((record) => record.outcome !== 'result');
   return [
     untimedResult(
       'a flooding class takes nothing of the others',
--- a/packages/devfleet/src/run/scenarios/operator.ts
+++ b/packages/devfleet/src/run/scenarios/operator.ts
@@ -34,7 +34,7 @@
   const file = writeConfiguration(plan, folder, 'huge.json', { routes: [...routes, ...more] });
   const size = statSync(file).size;
   const since = performance.now();
-  const done = await runOperatorCommand(fleet.registries, [
+  const reply = await runOperatorCommand(fleet.registries, [
     'apply',
     file,
     '--timeout',
@@ -43,7 +43,7 @@
     '15000',
   ]);
   print(
-    `${more.length} routes, ${(size / 1048576).toFixed(1)} MiB, ${Math.round(performance.now() - since)} ms in all: ${done.stdout.trim()}${done.stderr.trim()}`,
+    `${more.length} routes, ${(size / 1048576).toFixed(1)} MiB, ${Math.round(performance.now() - since)} ms in all: ${reply.stdout.trim()}${reply.stderr.trim()}`,
   );
 };
 
@@ -51,7 +51,7 @@
 export const purgeFlood = async ({ fleet, plan, print }: ScenarioContext): Promise<void> => {
   const prefix = plan.deployment.traffic[0]?.prefix ?? '/';
   const since = performance.now();
-  let good = 0;
+  let acceptedCount = 0;
   await Promise.all(
     Array.from({ length: 20 }, async (_, lane) => {
       for (let at = 0; at < 100; at += 1) {
@@ -63,26 +63,29 @@
             throwHttpErrors: false,
           },
         );
-        if (reply.statusCode === 200) good += 1;
+        if (reply.statusCode === 200) acceptedCount += 1;
       }
     }),
   );
-  print(`${good} of 2000 single purges accepted in ${Math.round(performance.now() - since)} ms`);
+  print(
+    `${acceptedCount} of 2000 single purges accepted in ${Math.round(performance.now() - since)} ms`,
+  );
 };
 
 /** Two operators apply on one base: exactly one of them is accepted. */
 export const collidingCommands: FaultScenario = async (context) => {
   const base = await generationInForce(context.fleet);
-  const [one, two] = [context.fleet.registries.slice(0, 1), context.fleet.registries.slice(1, 2)];
+  const { registries } = context.fleet;
+  const targets = [registries.slice(0, 1), registries.slice(1, 2)];
   const files = [
     writeChangedConfiguration(context.plan, context.folder, 'one.json', 341),
     writeChangedConfiguration(context.plan, context.folder, 'two.json', 342),
   ];
-  const done = await Promise.all(
-    [one, two].map((to, at) =>
-      runOperatorCommand(to, [
+  const replies = await Promise.all(
+    targets.map((target, index) =>
+      runOperatorCommand(target, [
         'apply',
-        files[at] ?? '',
+        files[index] ?? '',
         '--base',
         String(base),
         '--timeout',
@@ -93,12 +96,12 @@
       ]),
     ),
   );
-  const won = done.filter((row) => row.exitCode === 0);
+  const accepted = replies.filter((reply) => reply.exitCode === 0);
   return [
     untimedResult(
       'two operators on one base',
-      won.length === 1 && done.filter((row) => row.exitCode === 1).length === 1,
-      `exit codes ${done.map((row) => row.exitCode).join(' ')}`,
+      accepted.length === 1 && replies.filter((reply) => reply.exitCode === 1).length === 1,
+      `exit codes ${replies.map((reply) => reply.exitCode).join(' ')}`,
     ),
   ];
 };
@@ -109,7 +112,7 @@
   const file = writeConfiguration(context.plan, context.folder, 'invalid.json', {
     classes: [{ name: 'x', share: 3 }],
   });
-  const done = await runOperatorCommand(context.fleet.registries, [
+  const reply = await runOperatorCommand(context.fleet.registries, [
     'apply',
     file,
     '--timeout',
@@ -122,8 +125,8 @@
   return [
     untimedResult(
       'an invalid description is refused whole',
-      done.exitCode !== 0 && done.stderr.includes('classes') && after === before,
-      `exit code ${done.exitCode}, generation ${before} before and ${after} after`,
+      reply.exitCode !== 0 && reply.stderr.includes('classes') && after === before,
+      `exit code ${reply.exitCode}, generation ${before} before and ${after} after`,
     ),
   ];
 };
--- a/packages/devfleet/src/run/scenarios/origin.ts
+++ b/packages/devfleet/src/run/scenarios/origin.ts
@@ -19,7 +19,9 @@
 export const originFault =
   (faulty: object, repaired: object) =>
   async ({ fleet, plan, print }: ScenarioContext): Promise<void> => {
-    const origin = fleet.origins.find((one) => one.group.service === firstService(plan));
+    const origin = fleet.origins.find(
+      (candidate) => candidate.group.service === firstService(plan),
+    );
     if (origin === undefined) return;
     await got.post(`http://${origin.controlAddress}/mood`, { json: faulty, retry: { limit: 0 } });
     print(`${origin.name}: ${JSON.stringify(faulty)}`);
@@ -29,7 +31,7 @@
 
 /** Kills one origin of the first service. */
 export const crashOrigin = async ({ fleet, plan, print }: ScenarioContext): Promise<void> => {
-  const origin = fleet.origins.find((one) => one.group.service === firstService(plan));
+  const origin = fleet.origins.find((candidate) => candidate.group.service === firstService(plan));
   await origin?.process.stop('SIGKILL');
   print(`killed ${origin?.name ?? 'nothing'}`);
   await delay(3000);
@@ -54,7 +56,7 @@
 export const replaceOrigins = async ({ fleet, plan, print }: ScenarioContext): Promise<void> => {
   const group = plan.deployment.origins[0];
   if (group === undefined) return;
-  for (const old of fleet.origins.filter((one) => one.group === group)) {
+  for (const old of fleet.origins.filter((candidate) => candidate.group === group)) {
     await fleet.addOrigin(group, `${old.name}-next`, group.release);
     await delay(500);
     await old.process.stop('SIGTERM');
@@ -64,19 +66,19 @@
 
 /** The address of a crashed origin is taken over by an origin of another service. */
 export const reuseAddress: FaultScenario = async ({ fleet, plan, print }) => {
-  const [one, other] = [plan.deployment.origins[0], plan.deployment.origins[1]];
-  const old = fleet.origins.find((row) => row.group === one);
-  if (one === undefined || other === undefined || old === undefined) return [];
+  const [group, other] = plan.deployment.origins;
+  const old = fleet.origins.find((origin) => origin.group === group);
+  if (group === undefined || other === undefined || old === undefined) return [];
   await old.process.stop('SIGKILL');
   const next = await fleet.addOrigin(other, `${other.service}-taker`, other.release, old.address);
-  print(`${old.address} of ${one.service} is ${other.service} now`);
+  print(`${old.address} of ${group.service} is ${other.service} now`);
   await delay(5000);
   const served = await servedCount(next);
   return [
     untimedResult(
       'a reused address',
       served > 0,
-      `${served} requests served by ${other.service} at the address that was of ${one.service}`,
+      `${served} requests served by ${other.service} at the address that was of ${group.service}`,
     ),
   ];
 };
@@ -90,7 +92,7 @@
   await delay(12_000);
   const served = await servedCount(origin);
   const state = (await readFleetView(fleet))?.verdicts.find(
-    (one) => one.service === group.service && one.release === 'r3',
+    (result) => result.service === group.service && result.release === 'r3',
   )?.state;
   return [
     untimedResult(
--- a/packages/devfleet/src/run/scenarios/process.ts
+++ b/packages/devfleet/src/run/scenarios/process.ts
@@ -41,10 +41,10 @@
 
 /** Kills every process at once and starts all again. */
 export const killAllProcesses = async ({ fleet, print }: ScenarioContext): Promise<void> => {
-  const all = fleet.machines.flatMap((one) => one.processes);
-  await Promise.all(all.map((one) => one.stop('SIGKILL')));
+  const all = fleet.machines.flatMap((machine) => machine.processes);
+  await Promise.all(all.map((process) => process.stop('SIGKILL')));
   const since = performance.now();
-  await Promise.all(all.map((one) => one.start()));
+  await Promise.all(all.map((process) => process.start()));
   const areReady = await fleet.waitUntilEdgesReady(20_000);
   print(
     `every process killed; ${areReady ? 'all edges ready' : 'NOT all edges ready'} ${Math.round(performance.now() - since)} ms after the start began`,
@@ -55,11 +55,11 @@
 export const restartInTurn = async ({ fleet, print }: ScenarioContext): Promise<void> => {
   for (const machine of fleet.machines) {
     const since = performance.now();
-    const codes = await Promise.all(machine.processes.map((one) => one.stop('SIGTERM')));
+    const codes = await Promise.all(machine.processes.map((process) => process.stop('SIGTERM')));
     const elapsedMs = Math.round(performance.now() - since);
-    if (elapsedMs > maxStopMs || codes.some((one) => one !== 0))
+    if (elapsedMs > maxStopMs || codes.some((code) => code !== 0))
       print(`${machine.name} took ${elapsedMs} ms to stop, exit codes ${codes.join(' ')}`);
-    await Promise.all(machine.processes.map((one) => one.start()));
+    await Promise.all(machine.processes.map((process) => process.start()));
     await delay(300);
   }
   print(`${fleet.machines.length} machines stopped and started in turn`);
@@ -70,12 +70,12 @@
   const name = await primaryStore(context);
   const { zone } = context.fleet.machine(name);
   const lost = context.fleet.machines
-    .filter((one) => one.zone === zone)
-    .flatMap((one) => one.processes);
-  await Promise.all(lost.map((one) => one.stop('SIGKILL')));
-  context.print(`lost the area ${zone}: ${lost.map((one) => one.name).join(' ')}`);
+    .filter((machine) => machine.zone === zone)
+    .flatMap((machine) => machine.processes);
+  await Promise.all(lost.map((process) => process.stop('SIGKILL')));
+  context.print(`lost the area ${zone}: ${lost.map((process) => process.name).join(' ')}`);
   await delay(4000);
-  await Promise.all(lost.map((one) => one.start()));
+  await Promise.all(lost.map((process) => process.start()));
 };
 
 const seedCount = 3;
@@ -85,11 +85,11 @@
   const { print } = context;
   let replacedCount = 0;
   for (const machine of coreMachines(context).slice(0, seedCount)) {
-    const process = machine.processes.find((one) => one.name.endsWith('-registry'));
+    const process = machine.processes.find((candidate) => candidate.name.endsWith('-registry'));
     if (process === undefined) continue;
     const others = coreMachines(context)
-      .filter((one) => one !== machine)
-      .map((one) => one.httpAddress);
+      .filter((other) => other !== machine)
+      .map((other) => other.httpAddress);
     const wasRemoved = await waitUntil(
       stepTimeoutMs,
       async () =>
--- a/packages/devfleet/src/run/scenarios/scenario.ts
+++ b/packages/devfleet/src/run/scenarios/scenario.ts
@@ -30,7 +30,7 @@
 /** The node that holds a lease; throws if none does. */
 const leaseHolder = async (fleet: Fleet, lease: string): Promise<string> => {
   const view = await readFleetView(fleet);
-  const holder = view?.holders.find((one) => one.duty === lease);
+  const holder = view?.holders.find((candidate) => candidate.duty === lease);
   if (holder === undefined) throw new Error(`nobody holds ${lease}`);
   return holder.node;
 };
@@ -54,4 +54,4 @@
 
 /** All machines that run a registry. */
 export const coreMachines = ({ fleet }: ScenarioContext): readonly Machine[] =>
-  fleet.machines.filter((one) => one.kind !== 'edge');
+  fleet.machines.filter((machine) => machine.kind !== 'edge');
--- a/packages/devfleet/src/soak/soak.test.ts
+++ b/packages/devfleet/src/soak/soak.test.ts
@@ -12,7 +12,7 @@
 const folder = mkdtempSync(join(tmpdir(), 'soak-'));
 process.on('exit', () => rmSync(folder, { recursive: true, force: true }));
 
-void test('real processes under overlapping kills, pauses, cuts, lost answers and racing orders: invariants hold, and what was confirmed is in force after', async () => {
+void test('under overlapping faults, lost replies and racing commands invariants hold, and what was confirmed is in force after', async () => {
   const read = readDeploymentPlan(
     fileURLToPath(new URL('../../../../examples/carpatic/devfleet.json', import.meta.url)),
   );
--- a/packages/query-shell/src/command-line-forms.test.ts
+++ b/packages/query-shell/src/command-line-forms.test.ts
@@ -1,3 +1,5 @@
+/** The outer form of the command line of query-shell. */
+
 import { join } from 'node:path';
 import { test } from 'node:test';
 import { runCommands, snapshotsFor } from '@switchwheel/types/testing';
--- a/packages/query-shell/src/query/query.test.ts
+++ b/packages/query-shell/src/query/query.test.ts
@@ -1,3 +1,5 @@
+/** Parsing and running queries. */
+
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import type { Cell, Row } from '../table/table.js';
--- a/packages/query-shell/src/shell/output-forms.test.ts
+++ b/packages/query-shell/src/shell/output-forms.test.ts
@@ -1,3 +1,5 @@
+/** The outer form of the printed tables and of what is read for them. */
+
 import { createServer } from 'node:http';
 import { test } from 'node:test';
 import { toAddress } from '@switchwheel/types';
--- a/packages/switchwheel/src/command-line-forms.test.ts
+++ b/packages/switchwheel/src/command-line-forms.test.ts
@@ -1,3 +1,5 @@
+/** The outer form of the command line of switchwheel: flags, output, requests and exit codes. */
+
 import { join } from 'node:path';
 import { test } from 'node:test';
 import { toAddress } from '@switchwheel/types';
@@ -139,7 +141,7 @@
   }
 });
 
-void test('apply tells where the description is in force', async () => {
+void test('apply reports where the configuration is in force', async () => {
   const registry = await startStubRegistry();
   try {
     const output = await outputsOf([['apply', descriptionFile]], registry, { waitMs: 60_000 });
--- a/packages/switchwheel/src/stub-registry.test-support.ts
+++ b/packages/switchwheel/src/stub-registry.test-support.ts
@@ -1,3 +1,5 @@
+/** A stub registry for tests of the command line. */
+
 import { createServer } from 'node:http';
 
 /** A listener on the loopback interface that answers as a registry of a small fleet does. */
