--- a/packages/config-import/src/index.ts
+++ b/packages/config-import/src/index.ts
@@ -1,7 +1,4 @@
-/**
- * The import of other programs' configurations: nginx files are read with all that they include, and
- * converted into a document; what has no counterpart is listed with its place.
- */
+/** Imports nginx configurations: reading them, and converting them to a configuration of this system. */
 
 export * from './nginx/parse.js';
 export * from './nginx/convert.js';
--- a/packages/config-import/src/nginx/convert.test.ts
+++ b/packages/config-import/src/nginx/convert.test.ts
@@ -1,3 +1,5 @@
+/** Reading and converting nginx configurations. */
+
 import assert from 'node:assert/strict';
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -41,7 +43,7 @@
 }
 `;
 
-void test('upstreams, servers, locations and cache settings become a valid document; the rest is listed with lines', () => {
+void test('upstreams, servers, locations and cache settings become a valid configuration; the rest is listed with lines', () => {
   inFolder(
     new Map([
       ['nginx.conf', main],
@@ -66,7 +68,7 @@
       assert.equal(kept.length, 4, 'two hosts, path and prefix');
       assert.ok(kept.every((one) => one.cache?.lifetimeMs === 600_000 && !one.methods.has('POST')));
       assert.ok([...table.routesByName.values()].some((one) => one.timeoutMs === 3000));
-      const told = skipped.map(
+      const listed = skipped.map(
         (one) => `${one.file.slice(one.file.lastIndexOf('/') + 1)}:${one.line} ${one.name}`,
       );
       for (const line of [
@@ -75,7 +77,7 @@
         'nginx.conf:12 location ~ \\.php$',
         'parts.conf:5 add_header X-Cache hit',
       ]) {
-        assert.ok(told.includes(line), `${line} in ${told.join('; ')}`);
+        assert.ok(listed.includes(line), `${line} in ${listed.join('; ')}`);
       }
     },
   );
--- a/packages/configuration/src/compiled/match-route.ts
+++ b/packages/configuration/src/compiled/match-route.ts
@@ -9,26 +9,24 @@
   | { readonly outcome: 'methodNotAllowed'; readonly methods: readonly string[] }
   | { readonly outcome: 'notFound' };
 
-/** The prefixes of a path, each with its closing slash, the longest first. */
-function* prefixesOf(path: string): Generator<string> {
-  let cut = path.lastIndexOf('/');
-  while (cut >= 0) {
-    yield path.slice(0, cut + 1);
-    cut = cut === 0 ? -1 : path.lastIndexOf('/', cut - 1);
-  }
-}
-
-/** The routes of one host for a path, the most specific first. */
+/**
+ * The routes of one host for a path, the most specific first. The lists are those of the index, not copies: this runs
+ * for each request.
+ */
 const candidatesOf = (
   configuration: CompiledConfiguration,
   host: string,
   path: string,
-): readonly CompiledRoute[] => {
-  const exact = configuration.exactRoutes.get(host)?.get(path) ?? [];
+): readonly (readonly CompiledRoute[])[] => {
+  const candidates = [configuration.exactRoutes.get(host)?.get(path) ?? []];
   const prefixRoutes = configuration.prefixRoutes.get(host);
-  if (prefixRoutes === undefined) return exact;
-  const byPrefix = [...prefixesOf(path)].flatMap((prefix) => prefixRoutes.get(prefix) ?? []);
-  return [...exact, ...byPrefix];
+  if (prefixRoutes === undefined) return candidates;
+  let cut = path.lastIndexOf('/');
+  while (cut >= 0) {
+    candidates.push(prefixRoutes.get(path.slice(0, cut + 1)) ?? []);
+    cut = cut === 0 ? -1 : path.lastIndexOf('/', cut - 1);
+  }
+  return candidates;
 };
 
 /** Finds the route of a request: an exact path first, then the longest prefix; a named host before any. */
@@ -40,9 +38,11 @@
 ): RouteMatch => {
   const otherMethods = new Set<string>();
   for (const name of [host, '']) {
-    for (const route of candidatesOf(configuration, name, path)) {
-      if (route.methods.has(method)) return { outcome: 'matched', route };
-      for (const other of route.methods) otherMethods.add(other);
+    for (const routes of candidatesOf(configuration, name, path)) {
+      for (const route of routes) {
+        if (route.methods.has(method)) return { outcome: 'matched', route };
+        for (const other of route.methods) otherMethods.add(other);
+      }
     }
   }
   return otherMethods.size > 0
--- a/packages/devfleet/src/run/scenarios/client.ts
+++ b/packages/devfleet/src/run/scenarios/client.ts
@@ -1,6 +1,10 @@
-import { type FaultScenario, untimedResult } from './scenario.js';
+/** Scenarios of clients that misbehave. */
+
+import { untimedResult } from '../../report/report.js';
+import type { FaultScenario } from './scenario.js';
 import { originFault } from './origin.js';
 
+/** Clients retry at once while an origin is slow. */
 export const impatientClients: FaultScenario = async ({ load, fleet, plan, print }) => {
   load.maxImmediateRetries = 4;
   print('callers ask again at once, up to four times');
@@ -9,14 +13,15 @@
   return [];
 };
 
+/** One class of requests gets three times the whole load: the others must not suffer. */
 export const floodingClass: FaultScenario = async ({ load, plan, print }) => {
   const name = plan.deployment.traffic.at(-1)?.name ?? '';
   print(`three times the whole rate in ${name} alone for 5 s`);
   await load.flood(name, plan.deployment.perSecond * 3, 5000);
   const other = load.records.filter(
-    (one) => one.traffic.name !== name && one.sentAt > performance.now() - 5000,
+    (record) => record.traffic.name !== name && record.sentAt > performance.now() - 5000,
   );
-  const lost = other.filter((one) => one.outcome !== 'result');
+  const lost = other.filter((record) => record.outcome !== 'result');
   return [
     untimedResult(
       'a flooding class takes nothing of the others',
--- a/packages/devfleet/src/run/scenarios/origin.ts
+++ b/packages/devfleet/src/run/scenarios/origin.ts
@@ -1,13 +1,12 @@
+/** Scenarios of origins and their releases. */
+
 import got from 'got';
 import * as v from 'valibot';
-import { type StubOrigin, delay } from '../../fleet/fleet.js';
-import { readFleetView } from '../fleet-setup.js';
-import {
-  type FaultScenario,
-  type ScenarioContext,
-  firstService,
-  untimedResult,
-} from './scenario.js';
+import { delay } from '../../fleet/wait.js';
+import type { StubOrigin } from '../../fleet/machine.js';
+import { readFleetView } from '../fleet-view.js';
+import { untimedResult } from '../../report/report.js';
+import { type FaultScenario, type ScenarioContext, firstService } from './scenario.js';
 
 /** How many requests an origin says that it served. */
 const servedCount = async (origin: StubOrigin): Promise<number> =>
@@ -16,10 +15,13 @@
     JSON.parse((await got(`http://${origin.controlAddress}/`, { retry: { limit: 0 } })).body),
   ).served;
 
+/** Sets a fault at one origin of the first service for five seconds. */
 export const originFault =
   (faulty: object, repaired: object) =>
   async ({ fleet, plan, print }: ScenarioContext): Promise<void> => {
-    const origin = fleet.origins.find((one) => one.group.service === firstService(plan));
+    const origin = fleet.origins.find(
+      (candidate) => candidate.group.service === firstService(plan),
+    );
     if (origin === undefined) return;
     await got.post(`http://${origin.controlAddress}/mood`, { json: faulty, retry: { limit: 0 } });
     print(`${origin.name}: ${JSON.stringify(faulty)}`);
@@ -27,13 +29,15 @@
     await got.post(`http://${origin.controlAddress}/mood`, { json: repaired, retry: { limit: 0 } });
   };
 
+/** Kills one origin of the first service. */
 export const crashOrigin = async ({ fleet, plan, print }: ScenarioContext): Promise<void> => {
-  const origin = fleet.origins.find((one) => one.group.service === firstService(plan));
+  const origin = fleet.origins.find((candidate) => candidate.group.service === firstService(plan));
   await origin?.process.stop('SIGKILL');
   print(`killed ${origin?.name ?? 'nothing'}`);
   await delay(3000);
 };
 
+/** A release that answers most requests with errors comes up. */
 export const badRelease = async ({ fleet, plan, print }: ScenarioContext): Promise<void> => {
   const group = plan.deployment.origins[0];
   if (group === undefined) return;
@@ -48,10 +52,11 @@
   print(`the bad release: ${reply.body}`);
 };
 
+/** Replaces the origins of the first service one by one. */
 export const replaceOrigins = async ({ fleet, plan, print }: ScenarioContext): Promise<void> => {
   const group = plan.deployment.origins[0];
   if (group === undefined) return;
-  for (const old of fleet.origins.filter((one) => one.group === group)) {
+  for (const old of fleet.origins.filter((candidate) => candidate.group === group)) {
     await fleet.addOrigin(group, `${old.name}-next`, group.release);
     await delay(500);
     await old.process.stop('SIGTERM');
@@ -59,24 +64,26 @@
   print(`the origins of ${group.service} were replaced one by one`);
 };
 
+/** The address of a crashed origin is taken over by an origin of another service. */
 export const reuseAddress: FaultScenario = async ({ fleet, plan, print }) => {
-  const [one, other] = [plan.deployment.origins[0], plan.deployment.origins[1]];
-  const old = fleet.origins.find((row) => row.group === one);
-  if (one === undefined || other === undefined || old === undefined) return [];
+  const [group, other] = plan.deployment.origins;
+  const old = fleet.origins.find((origin) => origin.group === group);
+  if (group === undefined || other === undefined || old === undefined) return [];
   await old.process.stop('SIGKILL');
   const next = await fleet.addOrigin(other, `${other.service}-taker`, other.release, old.address);
-  print(`${old.address} of ${one.service} is ${other.service} now`);
+  print(`${old.address} of ${group.service} is ${other.service} now`);
   await delay(5000);
   const served = await servedCount(next);
   return [
     untimedResult(
       'a reused address',
       served > 0,
-      `${served} requests served by ${other.service} at the address that was of ${one.service}`,
+      `${served} requests served by ${other.service} at the address that was of ${group.service}`,
     ),
   ];
 };
 
+/** A healthy release comes up: its canary must succeed and it must get its share of requests. */
 export const goodRelease: FaultScenario = async ({ fleet, plan, print }) => {
   const group = plan.deployment.origins[0];
   if (group === undefined) return [];
@@ -85,7 +92,7 @@
   await delay(12_000);
   const served = await servedCount(origin);
   const state = (await readFleetView(fleet))?.verdicts.find(
-    (one) => one.service === group.service && one.release === 'r3',
+    (result) => result.service === group.service && result.release === 'r3',
   )?.state;
   return [
     untimedResult(
