--- a/packages/replicated-store/src/commands/apply-configuration.test.ts
+++ b/packages/replicated-store/src/commands/apply-configuration.test.ts
@@ -1,3 +1,5 @@
+/** Which configurations are taken, by their numbers and contents. */
+
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
--- a/packages/replicated-store/src/commands/view-forms.test.ts
+++ b/packages/replicated-store/src/commands/view-forms.test.ts
@@ -1,3 +1,5 @@
+/** Holds the JSON of the operators' views of the stored state. */
+
 import { test } from 'node:test';
 import { jsonShape, snapshotsFor } from '@switchwheel/types/testing';
 import {
--- a/packages/replicated-store/src/origins/origin-records.test.ts
+++ b/packages/replicated-store/src/origins/origin-records.test.ts
@@ -1,3 +1,5 @@
+/** The record of origins follows what origins announce. */
+
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
--- a/packages/replicated-store/src/resync/bootstrap.test.ts
+++ b/packages/replicated-store/src/resync/bootstrap.test.ts
@@ -1,3 +1,5 @@
+/** Bootstrap of a fleet on a store, by proposals that come in any order and more than once. */
+
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import fc from 'fast-check';
--- a/packages/store/src/head-row.test.ts
+++ b/packages/store/src/head-row.test.ts
@@ -1,4 +1,5 @@
 /** Holds the form of the head row, which says to which fleet and epoch the other rows of a disk belong. */
+
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { type Disk, type StoredRow } from '@switchwheel/runtime';
--- a/packages/store/src/run-forms.test.ts
+++ b/packages/store/src/run-forms.test.ts
@@ -1,3 +1,5 @@
+/** Holds the administration paths and the metrics of a running store. */
+
 import { mkdtempSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
--- a/packages/store/src/settings-forms.test.ts
+++ b/packages/store/src/settings-forms.test.ts
@@ -1,3 +1,5 @@
+/** Holds the store's settings, its help, and its exit codes for wrong use. */
+
 import { join } from 'node:path';
 import { test } from 'node:test';
 import { runCommands, schemaLines, snapshotsFor } from '@switchwheel/types/testing';
--- a/packages/store/src/stored-data.test.ts
+++ b/packages/store/src/stored-data.test.ts
@@ -1,4 +1,5 @@
 /** Data folders that the sources of 0ee98b4 wrote stay readable: by the disk, by the store's rows, and by its machine. */
+
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import {
--- a/packages/store/src/testing/loaded-state.ts
+++ b/packages/store/src/testing/loaded-state.ts
@@ -2,6 +2,7 @@
  * What a store has loaded from its disk, under names of its own: a fixture that was recorded with it stays valid
  * when a type or field of the code is renamed. For tests only.
  */
+
 import {
   type NodeRecord,
   type ReleaseRollout,
--- a/packages/store/src/testing/stored-fixture.ts
+++ b/packages/store/src/testing/stored-fixture.ts
@@ -1,4 +1,5 @@
 /** Access to the data folders in packages/store/fixtures, which earlier sources have written. For tests only. */
+
 import { mkdtempSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
