--- a/packages/config-import/src/nginx/convert.ts
+++ b/packages/config-import/src/nginx/convert.ts
@@ -1,6 +1,14 @@
 /** Converts nginx directives into a configuration; TLS, patterns and whatever else has no counterpart is listed as skipped. */
 
 import type { Directive } from './parse.js';
+import {
+  type RouteMatch,
+  durationMsOf,
+  identifierOf,
+  isReadMethod,
+  matchesOf,
+  methodsOf,
+} from './values.js';
 
 /** A directive that was not carried over, and why. */
 export interface SkippedDirective {
@@ -18,32 +26,6 @@
 
 const noCounterpart = 'has no counterpart here';
 
-/** Milliseconds by nginx's unit; a number without one is in seconds. */
-const units: ReadonlyMap<string, number> = new Map([
-  ['', 1000],
-  ['ms', 1],
-  ['s', 1000],
-  ['m', 60_000],
-  ['h', 3_600_000],
-  ['d', 86_400_000],
-]);
-
-const durationMsOf = (raw: string | undefined): number | undefined => {
-  const match = /^(\d+)(ms|s|m|h|d)?$/.exec(raw ?? '');
-  return match === null ? undefined : Number(match[1]) * (units.get(match[2] ?? '') ?? 1000);
-};
-
-const maxIdentifierLength = 60;
-const identifierOf = (raw: string): string =>
-  raw
-    .replace(/[^A-Za-z0-9._-]+/g, '-')
-    .replace(/^[^A-Za-z0-9]+/, '')
-    .slice(0, maxIdentifierLength) || 'unnamed';
-
-const readMethods = ['GET', 'HEAD'] as const;
-const writeMethods = ['POST', 'PUT', 'PATCH', 'DELETE', 'OPTIONS'] as const;
-const isReadMethod = (method: string): boolean => method === 'GET' || method === 'HEAD';
-
 /** Hosts are taken over by name; patterns are not. */
 const hostPattern = /^[a-z0-9.-]+$/;
 
@@ -83,9 +65,6 @@
   readonly query: boolean;
 }
 
-/** How a location picks requests: by path or by prefix. */
-type RouteMatch = { readonly path: string } | { readonly prefix: string };
-
 /** A location that forwards to a service. */
 interface ForwardingLocation {
   readonly path: string;
@@ -94,19 +73,6 @@
   readonly settings: InheritedSettings;
 }
 
-/** nginx takes a prefix by its characters; here a prefix is whole path segments, so the path itself is a match of its own. */
-const matchesOf = (modifier: string | undefined, path: string): readonly RouteMatch[] => {
-  if (modifier === '=') return [{ path }];
-  return path.endsWith('/') ? [{ prefix: path }] : [{ path }, { prefix: `${path}/` }];
-};
-
-/** The methods that `limit_except` leaves, or all. */
-const methodsOf = (block: readonly Directive[]): readonly string[] => {
-  const limit = block.find(({ name }) => name === 'limit_except');
-  if (limit === undefined) return [...readMethods, ...writeMethods];
-  return [...new Set(limit.args.flatMap((name) => (name === 'GET' ? [...readMethods] : [name])))];
-};
-
 /** Collects services and routes while it walks through the blocks. */
 class NginxConverter {
   readonly skipped: SkippedDirective[] = [];
--- a/packages/switchwheel/src/stub-registry.test-support.ts
+++ b/packages/switchwheel/src/stub-registry.test-support.ts
@@ -2,13 +2,15 @@
 
 import { createServer } from 'node:http';
 
-/** A listener on the loopback interface that answers as a registry of a small fleet does. */
+/** A stub on the loopback interface that responds as a registry of a small fleet does. */
 export interface StubRegistry {
   readonly address: string;
-  /** What it was asked: method, path and body, in order. */
+  /** The requests that it got, in order: method, path and body. */
   readonly requests: readonly string[];
   readonly stop: () => void;
 }
+
+/** One response of the stub. */
 export interface StubResponse {
   readonly status: number;
   readonly body: object;
@@ -121,9 +123,9 @@
       const sent = Buffer.concat(chunks).toString('utf8');
       requests.push(`${request.method ?? ''} ${path} ${sent}`.trim());
       const body = bodies.get(name);
-      const told = always ?? (body === undefined ? absent : { status: 200, body });
-      response.writeHead(told.status, { 'content-type': 'application/json' });
-      response.end(JSON.stringify(told.body));
+      const reply = always ?? (body === undefined ? absent : { status: 200, body });
+      response.writeHead(reply.status, { 'content-type': 'application/json' });
+      response.end(JSON.stringify(reply.body));
     });
   });
   await new Promise<void>((resolve) => {
