--- a/packages/replicated-store/src/registries/node-contacts.ts
+++ b/packages/replicated-store/src/registries/node-contacts.ts
@@ -42,10 +42,11 @@
           { kind: 'forgetNode', node },
         )
       : transition(state);
+  if (silentMs < nodeOfflineAfterMs) return transition(state);
   const isQueued = state.commandQueue.some(
     (command) => command.kind === 'recordNode' && command.node === node,
   );
-  if (silentMs < nodeOfflineAfterMs || isQueued) return transition(state);
+  if (isQueued) return transition(state);
   const { role, incarnation, reported } = record;
   return enqueue(state, {
     kind: 'recordNode',
