--- a/packages/config-import/src/nginx/convert.ts
+++ b/packages/config-import/src/nginx/convert.ts
@@ -1,11 +1,6 @@
-/**
- * Converting nginx directives into a document: upstreams become services, locations become routes, and
- * settings hold for all that stands within their block.
- */
-
 import type { Directive } from './parse.js';
 
-/** A directive that was not converted, and why. */
+/** A directive that was not carried over, and why. */
 export interface SkippedDirective {
   readonly file: string;
   readonly line: number;
@@ -13,14 +8,13 @@
   readonly reason: string;
 }
 
-/** The document that directives make, and what it leaves out. */
+/** What an import came to. */
 export interface ConversionResult {
   readonly description: object;
   readonly skipped: readonly SkippedDirective[];
 }
 
-/** nginx's units of time in milliseconds; a bare number is in seconds. */
-const unitsMs: ReadonlyMap<string, number> = new Map([
+const units: ReadonlyMap<string, number> = new Map([
   ['', 1000],
   ['ms', 1],
   ['s', 1000],
@@ -30,7 +24,7 @@
 ]);
 const durationMsOf = (raw: string | undefined): number | undefined => {
   const found = /^(\d+)(ms|s|m|h|d)?$/.exec(raw ?? '');
-  return found === null ? undefined : Number(found[1]) * (unitsMs.get(found[2] ?? '') ?? 1000);
+  return found === null ? undefined : Number(found[1]) * (units.get(found[2] ?? '') ?? 1000);
 };
 const identifierOf = (raw: string): string =>
   raw
@@ -60,42 +54,29 @@
   readonly query: boolean;
 }
 
-/** The methods that a location takes; GET allows HEAD too. */
-const methodsOf = (list: readonly Directive[]): readonly string[] => {
-  const limit = list.find((directive) => directive.name === 'limit_except');
-  if (limit === undefined) return [...readMethods, ...writeMethods];
-  return [...new Set(limit.args.flatMap((name) => (name === 'GET' ? [...readMethods] : [name])))];
-};
-
-/** What a location matches: a path, a prefix, or both where it has no closing slash. */
-const matchersOf = (modifier: string | undefined, path: string): readonly object[] => {
-  if (modifier === '=') return [{ path }];
-  return path.endsWith('/') ? [{ prefix: path }] : [{ path }, { prefix: `${path}/` }];
-};
-
 class NginxConverter {
   readonly skipped: SkippedDirective[] = [];
   readonly services = new Set<string>();
   readonly routes: object[] = [];
-  readonly #names = new Map<string, number>();
+  readonly #nameCounts = new Map<string, number>();
 
-  skip(one: Directive, why: string): void {
+  skip(directive: Directive, reason: string): void {
     this.skipped.push({
-      file: one.file,
-      line: one.line,
-      name: [one.name, ...one.args].join(' '),
-      reason: why,
+      file: directive.file,
+      line: directive.line,
+      name: [directive.name, ...directive.args].join(' '),
+      reason: reason,
     });
   }
 
-  #unique(name: string): string {
-    const many = (this.#names.get(name) ?? 0) + 1;
-    this.#names.set(name, many);
+  #uniqueName(name: string): string {
+    const many = (this.#nameCounts.get(name) ?? 0) + 1;
+    this.#nameCounts.set(name, many);
     return many === 1 ? name : `${name}-${many}`;
   }
 
   /** Settings that hold for what stands within. */
-  #scope(outer: InheritedSettings, list: readonly Directive[]): InheritedSettings {
+  #inheritedBy(outer: InheritedSettings, list: readonly Directive[]): InheritedSettings {
     let scope = outer;
     for (const one of list) {
       if (one.name === 'proxy_cache') scope = { ...scope, cache: one.args[0] !== 'off' };
@@ -116,19 +97,19 @@
     return scope;
   }
 
-  http(list: readonly Directive[]): void {
-    const scope = this.#scope(
+  convertHttp(list: readonly Directive[]): void {
+    const scope = this.#inheritedBy(
       { cache: false, lifetimeMs: undefined, timeoutMs: undefined, query: true },
       list,
     );
     for (const one of list) {
-      if (one.name === 'upstream') this.#upstream(one);
-      else if (one.name === 'server') this.#server(one, scope);
-      else this.#other(one);
+      if (one.name === 'upstream') this.#convertUpstream(one);
+      else if (one.name === 'server') this.#convertServer(one, scope);
+      else this.#skipUnknown(one);
     }
   }
 
-  #other(one: Directive): void {
+  #skipUnknown(directive: Directive): void {
     if (
       [
         'proxy_cache',
@@ -137,69 +118,67 @@
         'proxy_cache_key',
         'proxy_pass',
         'limit_except',
-      ].includes(one.name)
+      ].includes(directive.name)
     )
       return;
-    if (structuralDirectives.has(one.name) && one.block === undefined) return;
-    this.skip(one, 'has no counterpart here');
+    if (structuralDirectives.has(directive.name) && directive.block === undefined) return;
+    this.skip(directive, 'has no counterpart here');
   }
 
-  #upstream(one: Directive): void {
-    this.services.add(identifierOf(one.args[0] ?? ''));
-    for (const directive of one.block ?? [])
+  #convertUpstream(directive: Directive): void {
+    this.services.add(identifierOf(directive.args[0] ?? ''));
+    for (const row of directive.block ?? [])
       this.skip(
-        directive,
-        directive.name === 'server'
+        row,
+        row.name === 'server'
           ? 'origins announce themselves; start them with their own announcements'
           : 'origins are elected by health and free slots',
       );
   }
 
-  #server(one: Directive, outer: InheritedSettings): void {
-    const list = one.block ?? [];
-    const scope = this.#scope(outer, list);
-    const names = list
-      .filter((directive) => directive.name === 'server_name')
-      .flatMap((directive) => directive.args);
+  #convertServer(directive: Directive, outer: InheritedSettings): void {
+    const list = directive.block ?? [];
+    const scope = this.#inheritedBy(outer, list);
+    const names = list.filter((row) => row.name === 'server_name').flatMap((row) => row.args);
     const hosts = names.filter((name) => /^[a-z0-9.-]+$/.test(name));
-    for (const directive of list) {
-      if (directive.name === 'server_name') {
-        for (const name of directive.args)
+    for (const row of list) {
+      if (row.name === 'server_name') {
+        for (const name of row.args)
           if (name !== '_' && !/^[a-z0-9.-]+$/.test(name))
-            this.skip(directive, `the host ${name} is a pattern; name the hosts`);
-      } else if (directive.name === 'listen') {
-        if (directive.args.includes('ssl'))
-          this.skip(directive, 'callers are spoken to over HTTP/1.1 without TLS');
-      } else if (directive.name === 'location')
-        this.#location(directive, scope, hosts.length === 0 ? [undefined] : hosts);
-      else this.#other(directive);
+            this.skip(row, `the host ${name} is a pattern; name the hosts`);
+      } else if (row.name === 'listen') {
+        if (row.args.includes('ssl'))
+          this.skip(row, 'callers are spoken to over HTTP/1.1 without TLS');
+      } else if (row.name === 'location')
+        this.#convertLocation(row, scope, hosts.length === 0 ? [undefined] : hosts);
+      else this.#skipUnknown(row);
     }
   }
 
-  #location(
-    one: Directive,
+  #convertLocation(
+    directive: Directive,
     outer: InheritedSettings,
     hosts: readonly (string | undefined)[],
   ): void {
-    const list = one.block ?? [];
-    const [modifier, given] = one.args.length > 1 ? [one.args[0], one.args[1]] : ['', one.args[0]];
-    const path = given ?? '';
-    if (modifier === '~' || modifier === '~*' || path.startsWith('@') || !path.startsWith('/')) {
+    const list = directive.block ?? [];
+    const [sign, given] =
+      directive.args.length > 1 ? [directive.args[0], directive.args[1]] : ['', directive.args[0]];
+    const place = given ?? '';
+    if (sign === '~' || sign === '~*' || place.startsWith('@') || !place.startsWith('/')) {
       this.skip(
-        one,
+        directive,
         'patterns and named locations have no counterpart; routes go by path or prefix',
       );
       return;
     }
-    const scope = this.#scope(outer, list);
-    const pass = list.find((directive) => directive.name === 'proxy_pass');
-    for (const directive of list) {
-      if (directive.name === 'location') this.#location(directive, scope, hosts);
-      else this.#other(directive);
+    const scope = this.#inheritedBy(outer, list);
+    const pass = list.find((row) => row.name === 'proxy_pass');
+    for (const row of list) {
+      if (row.name === 'location') this.#convertLocation(row, scope, hosts);
+      else this.#skipUnknown(row);
     }
     if (pass === undefined) {
-      if (!list.some((directive) => directive.name === 'location'))
-        this.skip(one, 'no proxy_pass in it');
+      if (!list.some((row) => row.name === 'location')) this.skip(directive, 'no proxy_pass in it');
       return;
     }
     const target = /^https?:\/\/([^/]+)(\/.*)?$/.exec(pass.args[0] ?? '');
@@ -207,18 +186,27 @@
       this.skip(pass, 'the target is not a fixed one');
       return;
     }
-    if (target[2] !== undefined && target[2] !== path)
+    if (target[2] !== undefined && target[2] !== place)
       this.skip(pass, 'paths are handed on as they are; the change of path is left out');
     const service = identifierOf(target[1] ?? '');
     this.services.add(service);
-    const methods = methodsOf(list);
+    const only = list.find((row) => row.name === 'limit_except');
+    const methods =
+      only === undefined
+        ? [...readMethods, ...writeMethods]
+        : [...new Set(only.args.flatMap((name) => (name === 'GET' ? [...readMethods] : [name])))];
+    const places =
+      sign === '='
+        ? [{ path: place }]
+        : place.endsWith('/')
+          ? [{ prefix: place }]
+          : [{ path: place }, { prefix: `${place}/` }];
     for (const host of hosts)
-      for (const matcher of matchersOf(modifier, path))
-        this.#route(matcher, host, service, methods, scope, path);
+      for (const spot of places) this.#addRoutes(spot, host, service, methods, scope, place);
   }
 
-  #route(
-    matcher: object,
+  #addRoutes(
+    match: object,
     host: string | undefined,
     service: string,
     methods: readonly string[],
@@ -226,7 +214,7 @@
     path: string,
   ): void {
     const base = {
-      ...matcher,
+      ...match,
       ...(host === undefined ? {} : { host }),
       service,
       class: 'imported',
@@ -234,7 +222,7 @@
         ? {}
         : { timeoutMs: Math.max(10, Math.min(600_000, scope.timeoutMs)) }),
     };
-    const name = (): string => this.#unique(identifierOf(`${host ?? 'any'}${path}`));
+    const name = (): string => this.#uniqueName(identifierOf(`${host ?? 'any'}${path}`));
     const keeps = scope.cache && methods.some((one) => one === 'GET' || one === 'HEAD');
     if (!keeps) {
       this.routes.push({ name: name(), ...base, methods });
@@ -254,11 +242,11 @@
   }
 }
 
-/** Converts directives into a document; what has no counterpart is listed by file and line. */
-export const convertNginx = (list: readonly Directive[]): ConversionResult => {
+/** Turns directives into a description; what has no counterpart is listed. */
+export const convertNginx = (directives: readonly Directive[]): ConversionResult => {
   const carrier = new NginxConverter();
-  for (const one of list) {
-    if (one.name === 'http') carrier.http(one.block ?? []);
+  for (const one of directives) {
+    if (one.name === 'http') carrier.convertHttp(one.block ?? []);
     else if (!structuralDirectives.has(one.name)) carrier.skip(one, 'has no counterpart here');
   }
   return {
--- a/packages/config-import/src/nginx/parse.ts
+++ b/packages/config-import/src/nginx/parse.ts
@@ -1,14 +1,9 @@
-/**
- * Reading nginx files: directives with their file and line, includes in their place. What directives
- * mean is `convert.ts`'s part.
- */
-
 import { readFileSync, readdirSync } from 'node:fs';
 import { dirname, isAbsolute, join } from 'node:path';
 import { NginxParser } from 'nginx-conf';
 import { type Result, err, ok } from 'true-myth/result';
 
-/** A directive with its place; `block` is undefined for one that ends with a semicolon. */
+/** One directive with its place. */
 export interface Directive {
   readonly name: string;
   readonly args: readonly string[];
@@ -17,21 +12,20 @@
   readonly block: readonly Directive[] | undefined;
 }
 
-/** Why a file can't be read, and where. */
+/** What made a file unreadable, and where. */
 export interface NginxReadError {
   readonly file: string;
   readonly line: number;
   readonly text: string;
 }
 
-type Tree = NonNullable<Parameters<NonNullable<Parameters<NginxParser['parse']>[1]>>[1]>;
+type SyntaxTree = NonNullable<Parameters<NonNullable<Parameters<NginxParser['parse']>[1]>>[1]>;
 
-/** How deep includes may be nested. */
 const maxDepth = 16;
 
-/** The library's parser with the line of each word noted, as its tree has none. */
-class PlacedParser extends NginxParser {
-  readonly words: { readonly text: string; readonly line: number }[] = [];
+/** The library's parser with the place of each word noted, as its tree bears none. */
+class LineTrackingParser extends NginxParser {
+  readonly tokens: { readonly text: string; readonly line: number }[] = [];
   readonly #text: string;
   #cursor = 0;
   #line = 1;
@@ -41,7 +35,7 @@
     this.#text = text;
   }
 
-  #pass(found: string): number {
+  #advancePast(found: string): number {
     const at = Math.max(this.#cursor, this.#text.indexOf(found, this.#cursor));
     this.#line += (this.#text.slice(this.#cursor, at).match(/\n/g) ?? []).length;
     const line = this.#line;
@@ -55,32 +49,32 @@
     return this.#line;
   }
 
-  #note(word: string): void {
-    const line = this.#pass(word);
+  #recordToken(word: string): void {
+    const line = this.#advancePast(word);
     const text = word.trim();
-    if (text !== '') this.words.push({ text, line });
+    if (text !== '') this.tokens.push({ text, line });
   }
 
   override readWord(): string {
     const word = super.readWord();
-    this.#note(word);
+    this.#recordToken(word);
     return word;
   }
 
   override readString(): string {
     const word = super.readString();
-    this.#note(word);
+    this.#recordToken(word);
     return word;
   }
 
   override readComment(): string {
     const text = super.readComment();
-    this.#pass(text);
+    this.#advancePast(text);
     return text;
   }
 }
 
-const argsOf = (value: string): readonly string[] =>
+const splitArguments = (value: string): readonly string[] =>
   [...value.matchAll(/"([^"]*)"|'([^']*)'|\S+/g)].map((found) => found[1] ?? found[2] ?? found[0]);
 
 const blocksAreClosed = (text: string): boolean => {
@@ -96,7 +90,7 @@
   file: string,
   text: string,
 ): Result<readonly Directive[], NginxReadError> => {
-  const parser = new PlacedParser(text);
+  const parser = new LineTrackingParser(text);
   const fail = (line: number, why: string): Result<readonly Directive[], NginxReadError> =>
     err({ file, line, text: why });
   let result: Result<readonly Directive[], NginxReadError> = err({
@@ -105,7 +99,7 @@
     text: 'nothing in it',
   });
   try {
-    // The library accepts a block that is left open: if all are closed, one more closing brace is an error.
+    // The library does not mind a block that is left open: where all are closed, one more closing brace is one too many.
     if (!blocksAreClosed(text)) return fail(text.split('\n').length, 'a block is not closed');
     parser.parse(text, (fault, tree) => {
       if (fault !== null || tree === undefined) {
@@ -115,10 +109,10 @@
         return;
       }
       let at = 0;
-      const walk = (node: Tree): Directive => {
-        while (at < parser.words.length && parser.words[at]?.text !== node.name.trim()) at += 1;
-        const line = parser.words[at]?.line ?? 1;
-        const args = argsOf(node.value);
+      const walk = (node: SyntaxTree): Directive => {
+        while (at < parser.tokens.length && parser.tokens[at]?.text !== node.name.trim()) at += 1;
+        const line = parser.tokens[at]?.line ?? 1;
+        const args = splitArguments(node.value);
         at += 1 + args.length;
         return {
           name: node.name,
@@ -156,7 +150,7 @@
   }
 };
 
-/** Reads a file with all that it includes; `from` is the directive that includes it. */
+/** Reads a file with all that it includes. */
 export const readNginx = (
   file: string,
   from: Pick<Directive, 'file' | 'line'> = { file, line: 1 },
--- a/packages/query-shell/src/query/query.test.ts
+++ b/packages/query-shell/src/query/query.test.ts
@@ -1,7 +1,8 @@
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
-import { parse, run } from './query.js';
-import type { Cell, Row } from '../table/tables.js';
+import type { Cell, Row } from '../table/table.js';
+import { parseQuery } from './parse.js';
+import { runQuery } from './run.js';
 
 const row = (cells: Record<string, Cell>): Row => new Map(Object.entries(cells));
 const rows = [
@@ -11,12 +12,12 @@
   row({ node: 'store-1', role: 'store', area: 'two', ready: true, generation: null }),
 ];
 const ask = (text: string): readonly unknown[] =>
-  run(
-    parse(text).unwrapOrElse((slip) => assert.fail(slip.text)),
+  runQuery(
+    parseQuery(text).unwrapOrElse((error) => assert.fail(error.text)),
     rows,
   ).map((one) => [...one.values()]);
 
-void test('select, filter, order, count, limit', () => {
+void test('a query filters, selects, sorts, counts and limits the rows of its table', () => {
   assert.deepEqual(ask('nodes | where role = edge and ready = false | select node'), [['edge-2']]);
   assert.deepEqual(
     ask('nodes | where generation >= 4 | sort generation desc | select node generation'),
@@ -33,15 +34,15 @@
   assert.deepEqual(ask('nodes | count'), [[4]]);
   assert.deepEqual(ask('nodes | sort generation | limit 1 | select node'), [['edge-2']]);
   assert.equal(
-    parse('nodes | follow 500ms')
+    parseQuery('nodes | follow 500ms')
       .map((one) => one.followMs)
       .unwrapOr(undefined),
     500,
   );
 });
 
-void test('wrong queries get the place of the mistake and a suggestion', () => {
-  const slips = new Map([
+void test('a wrong query is refused with the offset of the mistake and a suggestion', () => {
+  const mistakes = new Map([
     ['', [0, 'which table?']],
     ['nods', [0, 'did you mean nodes?']],
     ['nodes | wher role = edge', [8, 'did you mean where?']],
@@ -54,10 +55,10 @@
     ['nodes |', [7, 'nothing behind it']],
     ['nodes where', [6, 'behind a bar']],
   ] as const);
-  for (const [text, [at, part]] of slips) {
-    const parsed = parse(text);
+  for (const [text, [at, part]] of mistakes) {
+    const parsed = parseQuery(text);
     assert.ok(parsed.isErr, text);
-    assert.equal(parsed.error.at, at, `${text}: ${parsed.error.text}`);
+    assert.equal(parsed.error.offset, at, `${text}: ${parsed.error.text}`);
     assert.ok(parsed.error.text.includes(part), `${text}: ${parsed.error.text}`);
   }
 });
--- a/packages/replicated-store/src/commands/chunks.ts
+++ b/packages/replicated-store/src/commands/chunks.ts
@@ -1,18 +1,20 @@
 /**
- * Pieces of descriptions on their way into the table. A write goes to each backup in one frame, so
- * the pieces of a large description are stored by writes of their own, of bounded size, before the
- * write that puts it in force.
+ * Chunks of configurations on their way into the table. A write goes to each backup in one frame, so the chunks
+ * of a large configuration are stored by writes of their own, of bounded size, before the write that puts it in force.
  */
+
 import { type Hash, filterEntries } from '@switchwheel/types';
 import type { TableMutation } from '@switchwheel/transport';
-import { type ControlState, deleteRecord, controlKeys } from '@switchwheel/configuration';
-import type { Command, StoreState } from '../state/state.js';
+import { type ControlState, controlKeys, deleteRecord } from '@switchwheel/configuration';
+import type { ApplyCommand, Command } from './command.js';
+import type { StoreState } from '../state/state.js';
 
 /** The most characters of pieces that one command adds to a write. */
 export const maxChunkCharactersPerWrite = 1024 * 1024;
 
-type ApplyCommand = Extract<Command, { kind: 'apply' }>;
-type StoreChunksCommand = Extract<Command, { kind: 'pieces' }>;
+export const maxChunksPerRequest = 64;
+
+type StoreChunksCommand = Extract<Command, { kind: 'storeChunks' }>;
 
 /** Keeps the pieces that an order needs and the table has: from here on its fate does not depend on the table. */
 export const holdChunks = (state: StoreState, order: readonly Hash[]): StoreState => {
@@ -49,7 +51,7 @@
 ): readonly StoreChunksCommand[] => {
   const batches: Hash[][] = [[]];
   let size = 0;
-  for (const { hash, data } of unstoredChunks(state, state.control, command.order)) {
+  for (const { hash, data } of unstoredChunks(state, state.control, command.chunkHashes)) {
     if (size > 0 && size + data.length > maxChunkCharactersPerWrite) {
       batches.push([]);
       size = 0;
@@ -57,7 +59,7 @@
     batches.at(-1)?.push(hash);
     size += data.length;
   }
-  return batches.length === 1 ? [] : batches.map((hashes) => ({ kind: 'pieces', hashes }));
+  return batches.length === 1 ? [] : batches.map((hashes) => ({ kind: 'storeChunks', hashes }));
 };
 
 /** The entries that store the pieces which came in. */
@@ -73,8 +75,8 @@
 
 /** The pieces that a command which waits for its write relies on. */
 const chunksOf = (command: Command): readonly Hash[] => {
-  if (command.kind === 'apply') return command.order;
-  return command.kind === 'pieces' ? command.hashes : [];
+  if (command.kind === 'applyConfiguration') return command.chunkHashes;
+  return command.kind === 'storeChunks' ? command.hashes : [];
 };
 
 /** Drops the pieces that neither this description, nor the one in force, nor a waiting one needs. */
@@ -85,7 +87,7 @@
 ): readonly TableMutation[] => {
   const waiting = state.commandQueue.flatMap(chunksOf);
   const kept = new Set([
-    ...command.order,
+    ...command.chunkHashes,
     ...(control.configuration?.offer.pieces ?? []),
     ...waiting,
   ]);
@@ -102,7 +104,7 @@
     ...[...state.compiling.values()].flat(),
   ];
   const needed = new Set([
-    ...ordersUnderWay.flatMap((one) => one.order),
+    ...ordersUnderWay.flatMap((one) => one.chunkHashes),
     ...state.commandQueue.flatMap(chunksOf),
   ]);
   const heldPieces = filterEntries(state.heldChunks, (_, hash) => needed.has(hash));
--- a/packages/replicated-store/src/commands/decision.ts
+++ b/packages/replicated-store/src/commands/decision.ts
@@ -1,14 +1,17 @@
-/** What deciding a command yields, and what all deciders share: answers and the answers kept by call id. */
+/**
+ * What deciding a command yields, and what all deciders share: replies, and the replies kept by command id.
+ */
+
 import type { Invariant, Seq } from '@switchwheel/types';
 import type { Electorate, TableMutation } from '@switchwheel/transport';
 import {
   type ControlState,
+  controlKeys,
   deleteRecord,
   maxKeptOutcomes,
-  controlKeys,
   putRecord,
 } from '@switchwheel/configuration';
-import type { CommandReply, Command } from '../state/state.js';
+import type { Command, CommandReply } from './command.js';
 
 /** What a command comes to: changes of the table, and what to tell whom once they last. */
 export interface Decision {
@@ -20,18 +23,19 @@
   /** Invariants that were found broken on the way. */
   readonly violations?: readonly Invariant[];
 }
+
 /** A command that changes nothing and answers nobody. */
 export const noChange: Decision = { puts: [], repliesAfterWrite: [], immediateReplies: [] };
 
 /** An answer to whoever sent the command, under the id of the call. */
 export const commandReply = (
-  command: Extract<Command, { asker: unknown }>,
+  command: Extract<Command, { caller: unknown }>,
   status: number,
   body: object,
 ): CommandReply => ({
-  ...command.asker,
+  ...command.caller,
   status,
-  body: JSON.stringify({ ...body, id: command.asker.id }),
+  body: JSON.stringify({ ...body, id: command.caller.id }),
 });
 
 /** Keeps the answer with the write it belongs to, and lets the oldest go. */
@@ -55,12 +59,12 @@
 /** The answer that a call with this id got before, if it is still kept; told once the write it belongs to lasts. */
 export const earlierReply = (
   control: ControlState,
-  command: Extract<Command, { asker: unknown }>,
+  command: Extract<Command, { caller: unknown }>,
   seq: Seq,
 ): Decision | undefined => {
-  const before = control.commandOutcomes.get(command.asker.id);
+  const before = control.commandOutcomes.get(command.caller.id);
   if (before === undefined) return undefined;
-  const answer: CommandReply = { ...command.asker, status: before.status, body: before.body };
+  const answer: CommandReply = { ...command.caller, status: before.status, body: before.body };
   const isInThisWrite = before.seq === seq;
   return isInThisWrite
     ? { ...noChange, repliesAfterWrite: [answer] }
--- a/packages/replicated-store/src/commands/queue.ts
+++ b/packages/replicated-store/src/commands/queue.ts
@@ -1,10 +1,16 @@
+/**
+ * The queue of commands that wait for their write, and the frame that answers an operator's command.
+ */
+
 import { type Transition, transition } from '@switchwheel/types';
 import { send } from '@switchwheel/transport';
+import type { Command, CommandReply } from './command.js';
 import type { StoreEffect } from '../state/events.js';
-import type { CommandReply, Command, StoreState } from '../state/state.js';
+import type { StoreState } from '../state/state.js';
 
 /** The most commands that wait for their write at once. */
 export const maxQueuedCommands = 1024;
+
 const fullQueueRetryMs = 1000;
 
 /** The frame that answers an operator's call. */
@@ -16,13 +22,13 @@
     body: reply.body,
   });
 
-const queueIsFull = (command: Extract<Command, { asker: unknown }>): StoreEffect =>
+const queueIsFull = (command: Extract<Command, { caller: unknown }>): StoreEffect =>
   sendReply({
-    ...command.asker,
+    ...command.caller,
     status: 503,
     body: JSON.stringify({
       kind: 'rejected',
-      id: command.asker.id,
+      id: command.caller.id,
       text: 'too many writes wait',
       retryAfterMs: fullQueueRetryMs,
     }),
@@ -35,5 +41,5 @@
 ): Transition<StoreState, StoreEffect> => {
   if (state.commandQueue.length < maxQueuedCommands)
     return transition({ ...state, commandQueue: [...state.commandQueue, command] });
-  return 'asker' in command ? transition(state, queueIsFull(command)) : transition(state);
+  return 'caller' in command ? transition(state, queueIsFull(command)) : transition(state);
 };
--- a/packages/replicated-store/src/leadership/candidacy.ts
+++ b/packages/replicated-store/src/leadership/candidacy.ts
@@ -1,9 +1,14 @@
+/**
+ * Candidacy: whether a store may and should ask for the primary's lease, with which in-sync set, and what it
+ * lets its voters know. Requesting and counting votes is the election package's business.
+ */
+
 import {
   type Timestamp,
   type Transition,
   noEpoch,
-  transition,
   toTimestamp,
+  transition,
 } from '@switchwheel/types';
 import type {
   ClusterMetadata,
@@ -12,20 +17,26 @@
   ProcessEffect,
 } from '@switchwheel/transport';
 import { type ElectionContext, holdsLease, stepDown } from '@switchwheel/election';
-import { type PeerStatus, type StoreState, noStamp, ownId } from '../state/state.js';
-import { isNewerStamp, isSameStamp } from '../state/table.js';
 import { backupTimeoutMs, chooseReplicas } from './replica-placement.js';
+import type { PeerStatus } from '../state/peers.js';
+import { type StoreState, noStamp, ownId } from '../state/state.js';
+import { isNewerStamp, isSameStamp } from '../state/table.js';
 
 /** How fresh a peer's consent must be. */
 const evidenceMaxAgeMs = 500;
+
 /** How long the primary must be silent before a backup stands. */
 export const primaryTimeoutMs = 700;
+
 /** How much longer each backup waits than the one before it, so that not all stand at once. */
 const candidacyDelayPerRankMs = 40;
+
 /** How much longer a learner waits than the backups before it asks whether it was promoted. */
 const learnerCandidacyDelayMs = 300;
+
 /** How long a store without voters that remember waits for those of its in-sync set that do not speak. */
 const silentPeerTimeoutMs = 1400;
+
 /** How long it waits for others to speak up when one of its in-sync set has lost its disk. */
 const lostDiskWaitMs = 1000;
 
@@ -45,13 +56,13 @@
 type PeerEvidence = 'same' | 'later' | 'empty' | 'silent';
 
 /** What a peer's record says of holdings after this store's own metadata. */
-const evidenceOf = (
+const peerEvidence = (
   state: StoreState,
   metadata: ClusterMetadata,
   peer: PeerStatus | undefined,
   now: Timestamp,
 ): PeerEvidence => {
-  if (peer === undefined || now - peer.at >= evidenceMaxAgeMs) return 'silent';
+  if (peer === undefined || now - peer.heardAt >= evidenceMaxAgeMs) return 'silent';
   if (peer.metadata === undefined) return 'empty';
   if (peer.metadata.fleet !== metadata.fleet) return 'silent';
   return peer.metadata.epoch > metadata.epoch || isNewerStamp(peer.stamp, state.stamp)
@@ -63,7 +74,7 @@
 const newerPrimaryHeard = (state: StoreState, metadata: ClusterMetadata, now: Timestamp): boolean =>
   [...state.peers.values()].some(
     (word) =>
-      now - word.at < silentPeerTimeoutMs &&
+      now - word.heardAt < silentPeerTimeoutMs &&
       word.metadata?.fleet === metadata.fleet &&
       word.metadata.epoch > metadata.epoch &&
       !word.metadata.inSyncSet.includes(ownId(state)),
@@ -80,8 +91,8 @@
     .map((one) => {
       const word = state.peers.get(one);
       return {
-        tells: evidenceOf(state, metadata, word, now),
-        heard: Math.max(word?.at ?? state.startedAt, state.startedAt),
+        tells: peerEvidence(state, metadata, word, now),
+        heard: Math.max(word?.heardAt ?? state.startedAt, state.startedAt),
       };
     });
   if (newerPrimaryHeard(state, metadata, now)) return false;
@@ -138,7 +149,7 @@
         word.metadata.fleet === state.metadata?.fleet &&
         !word.isDiskFull &&
         (includesStopping || !word.isStopping) &&
-        now - word.at < backupTimeoutMs)
+        now - word.heardAt < backupTimeoutMs)
     );
   });
 
--- a/packages/replicated-store/src/releases/release-progress.ts
+++ b/packages/replicated-store/src/releases/release-progress.ts
@@ -1,29 +1,31 @@
+/**
+ * Progress of requests to move a service to a release: edges' counts are collected, and the record is advanced
+ * by the rules of the configuration package.
+ */
+
 import {
-  type Timestamp,
   type Release,
   type ServiceName,
-  type Transition,
-  prependEffects,
-  withEntry,
+  type Timestamp,
   filterEntries,
+  prependEffects,
   transition,
+  withEntry,
 } from '@switchwheel/types';
 import { type FrameOf, log } from '@switchwheel/transport';
 import {
   type ReleaseRollout,
   advanceReleaseRollout,
+  elapsedAt,
   needsCounts,
+  newRolloutWatch,
+  recordCounts,
   releaseSettings,
   settledRollout,
-  elapsedAt,
-  recordCounts,
-  newRolloutWatch,
 } from '@switchwheel/configuration';
 import { enqueue } from '../commands/queue.js';
-import type { StoreEffect } from '../state/events.js';
 import type { StoreState } from '../state/state.js';
-
-type StoreTransition = Transition<StoreState, StoreEffect>;
+import type { StoreTransition } from '../state/transition.js';
 
 /** How many origins of each release of a service stand. */
 export const liveOriginsByRelease = (
@@ -68,8 +70,8 @@
 const hasPendingChange = (state: StoreState, service: ServiceName): boolean =>
   state.commandQueue.some(
     (one) =>
-      (one.kind === 'release' && one.next.service === service) ||
-      (one.kind === 'order' && one.service === service),
+      (one.kind === 'recordRelease' && one.record.service === service) ||
+      (one.kind === 'requestRollout' && one.service === service),
   ) ||
   (state.primaryWrite?.puts.some((one) => one.key === `release/${service}`) ?? false);
 
@@ -107,7 +109,7 @@
             ['why', next.text],
           ),
         ];
-  return prependEffects(told, enqueue(state, { kind: 'release', next }));
+  return prependEffects(told, enqueue(state, { kind: 'recordRelease', record: next }));
 };
 
 /** Notes on which release each service stands that has no record yet. */
@@ -124,7 +126,7 @@
     if (settled !== undefined)
       next = prependEffects(
         next.effects,
-        enqueue(next.state, { kind: 'release', next: settledRollout(service, settled) }),
+        enqueue(next.state, { kind: 'recordRelease', record: settledRollout(service, settled) }),
       );
   }
   return next;
--- a/packages/simulator/src/guard/list.ts
+++ b/packages/simulator/src/guard/list.ts
@@ -11,7 +11,6 @@
   readonly to: string;
 }
 
-const keeper = 'proxy-core/dist/service-leader/service-leader.js';
 const trial = 'proxy-core/dist/service-leader/canary.js';
 const forward = 'proxy-core/dist/forwarding/forwarding.js';
 const taking = 'proxy-core/dist/request-handler/response-verifier.js';
@@ -21,12 +20,11 @@
 const dock = 'proxy-core/dist/request-handler/inbound-requests.js';
 const desk = 'proxy-core/dist/cache/cache-lookup.js';
 const cache = 'proxy-core/dist/cache/cache.js';
-const cabin = 'proxy-core/dist/node-agent/node-agent.js';
 const proxy = 'proxy-core/dist/proxy/proxy.js';
-const candidate = 'election/dist/candidate/candidate.js';
+const candidate = 'election/dist/candidate/vote-count.js';
 const voter = 'election/dist/voter/voter.js';
 const primaryWrite = 'replicated-store/dist/log-write/primary-write.js';
-const decide = 'replicated-store/dist/commands/decide.js';
+const decideCanary = 'replicated-store/dist/commands/decide-canary.js';
 const decideApply = 'replicated-store/dist/commands/apply-configuration.js';
 const decision = 'replicated-store/dist/commands/decision.js';
 const releaseOrder = 'configuration/dist/release/release-rollout.js';
@@ -38,50 +36,50 @@
   {
     name: 'one leg for unsafe',
     rule: 'R1',
-    file: keeper,
-    from: "how.kind === 'unrun' || how.kind === 'unopened' || load.isIdempotent;",
+    file: 'proxy-core/dist/service-leader/attempt-result.js',
+    from: "outcome.kind === 'notRun' || outcome.kind === 'notSent' || request.isIdempotent;",
     to: 'true;',
   },
   {
     name: 'no hedge for unsafe',
     rule: 'R1',
-    file: keeper,
-    from: 'load === undefined || !load.isIdempotent || load.attemptCount >= 2',
-    to: 'load === undefined || load.attemptCount >= 2',
+    file: 'proxy-core/dist/service-leader/hedging.js',
+    from: 'request === undefined || !request.isIdempotent || request.attemptCount >= 2',
+    to: 'request === undefined || request.attemptCount >= 2',
   },
   {
     name: 'edges never re-ask an unsafe request',
     rule: 'R1',
-    file: forward,
-    from: 'const safe = unsent.has(wagon.id) || wagon.isIdempotent;',
-    to: 'const safe = true;',
+    file: 'proxy-core/dist/forwarding/leader-events.js',
+    from: 'const isSafeToRetry = isUnsent || request.isIdempotent;',
+    to: 'const isSafeToRetry = true;',
   },
   {
     name: 'unsafe requests stay with a keeper that may be frozen',
     rule: 'R1',
-    file: forward,
-    from: 'else if (wagon.isIdempotent && wagon.phase.epoch < keeper.epoch)',
-    to: 'else if (wagon.phase.epoch < keeper.epoch)',
+    file: 'proxy-core/dist/forwarding/leader-events.js',
+    from: 'if (!request.isIdempotent || phase.epoch >= leader.epoch)',
+    to: 'if (phase.epoch >= leader.epoch)',
   },
   {
     name: 'the fence of a keeper past its lease',
     rule: 'R1',
     file: proxy,
-    from: 'andThen(closeExpiredLeaders(noteActivity(state, event.now), event.now), (one) => handleEvent(one, event))',
+    from: 'andThen(closeExpiredLeaders(noteActivity(state, event.now), event.now), (current) => handleEvent(current, event))',
     to: 'handleEvent(noteActivity(state, event.now), event)',
   },
   {
     name: 'the margin of a lease',
     rule: 'one holder',
     file: candidate,
-    from: 'last + lease - leaseSafetyMarginMs',
-    to: 'last + lease + 50',
+    from: 'decisive + leaseMs - leaseSafetyMarginMs',
+    to: 'decisive + leaseMs + 50',
   },
   {
     name: 'a lease that ran out stays over',
     rule: 'one holder',
     file: candidate,
-    from: "if (own.phase === 'holdingLease' && now >= own.leaseEndsAt)",
+    from: "if (phase.phase === 'holdingLease' && now >= phase.leaseEndsAt)",
     to: 'if (false)',
   },
   {
@@ -95,21 +93,21 @@
     name: 'a lease that stands is respected',
     rule: 'one holder',
     file: voter,
-    from: 'if (mine.leaseHolder !== ballot.node && now < mine.leaseEndsAt)',
+    from: 'if (grant.leaseHolder !== request.node && now < grant.leaseEndsAt)',
     to: 'if (false)',
   },
   {
     name: 'recovering votes do not count',
     rule: 'lost write',
     file: candidate,
-    from: 'one !== undefined && (context.countsRecoveringVoters || !one.recovering)',
-    to: 'one !== undefined',
+    from: 'vote !== undefined && (context.countsRecoveringVoters || !vote.recovering)',
+    to: 'vote !== undefined',
   },
   {
     name: 'only stores in sync are elected',
     rule: 'lost write',
     file: voter,
-    from: 'if (ballot.duty === primaryLease && !mine.inSyncSet.includes(ballot.node))',
+    from: 'if (request.duty === primaryLease && !grant.inSyncSet.includes(request.node))',
     to: 'if (false)',
   },
   {
@@ -158,7 +156,7 @@
     name: 'a generation is made from its base',
     rule: 'generation',
     file: decideApply,
-    from: 'if (command.base !== undefined && command.base !== now)',
+    from: 'if (command.baseGeneration !== undefined && command.baseGeneration !== now)',
     to: 'if (false)',
   },
   {
@@ -213,44 +211,44 @@
   {
     name: 'a bad verdict stays',
     rule: 'R10',
-    file: decide,
+    file: decideCanary,
     from: "state: known?.state === 'bad' ? 'bad' : ",
     to: 'state: ',
   },
   {
     name: 'never a lower generation',
     rule: 'R5',
-    file: cabin,
+    file: 'proxy-core/dist/node-agent/config-update.js',
     from: 'if (state.compiledConfiguration !== undefined && offer.generation <= state.compiledConfiguration.generation)',
     to: 'if (false)',
   },
   {
     name: 'no refusal of what may have run, at a keeper',
     rule: 'R2',
-    file: keeper,
-    from: "effects.push(!begun ? rejectRequest(leg.requestId, 'rejected', text, 500) :",
-    to: "effects.push(load !== undefined ? rejectRequest(leg.requestId, 'rejected', text, 500) : ",
+    file: 'proxy-core/dist/service-leader/attempt-result.js',
+    from: 'if (!request.mayHaveRun) return rejectRequest(request.id,',
+    to: 'if (true) return rejectRequest(request.id,',
   },
   {
     name: 'no refusal of what may have run, in a waitlist',
     rule: 'R2',
-    file: keeper,
-    from: "one.mayHaveRun ? rejectRequest(one.id, 'lost', 'no further leg in time', 0) :",
+    file: 'proxy-core/dist/service-leader/queue-wait.js',
+    from: "request.mayHaveRun ? rejectRequest(request.id, { errorKind: 'lost', text: 'no further leg in time', retryMs: 0, }) : ",
     to: '',
   },
   {
     name: 'no refusal of what may have run, at an edge',
     rule: 'R2',
-    file: forward,
-    from: "errorKind: errorKind === 'rejected' && wagon.mayHaveRun ? 'lost' : errorKind",
+    file: 'proxy-core/dist/forwarding/forward-request.js',
+    from: "errorKind: errorKind === 'rejected' && request.mayHaveRun ? 'lost' : errorKind",
     to: 'errorKind',
   },
   {
     name: 'a caller that left is told that it may have run',
     rule: 'R2',
     file: forward,
-    from: "failRequest(wagon, wagon.phase.stage === 'waiting' ? 'rejected' : 'unknown', event.text",
-    to: "failRequest(wagon, 'rejected', event.text",
+    from: "errorKind: isWaiting ? 'rejected' : 'unknown'",
+    to: "errorKind: 'rejected'",
   },
   {
     name: 'a result has the told length',
@@ -290,8 +288,8 @@
   {
     name: 'the other legs of a stream are cut',
     rule: 'R3',
-    file: keeper,
-    from: ".filter((one) => one.id !== id) .map((one) => ({ kind: 'cancelAttempt', attemptId: one.id }))",
+    file: 'proxy-core/dist/service-leader/attempt-result.js',
+    from: '.filter((attempt) => attempt.id !== attemptId).map(cancelAttempt)',
     to: '.filter(() => false)',
   },
   {
@@ -304,7 +302,7 @@
   {
     name: 'caches speak only as far as they know all purges',
     rule: 'R7',
-    file: cabin,
+    file: 'proxy-core/dist/node-agent/readiness.js',
     from: 'state.purgesCurrentAsOf !== undefined && now - state.purgesCurrentAsOf < cacheLeaseMs',
     to: 'true',
   },
@@ -381,14 +379,14 @@
   {
     name: 'the budget of extra legs',
     rule: 'R8',
-    file: keeper,
+    file: 'proxy-core/dist/service-leader/extra-attempt-budget.js',
     from: 'return (windowSum(state.recentExtraAttempts, now) + 1 <= base + extraAttemptShare * windowSum(state.recentRequests, now));',
     to: 'return true;',
   },
   {
     name: 'a new keeper begins with a small budget',
     rule: 'R8',
-    file: keeper,
+    file: 'proxy-core/dist/service-leader/extra-attempt-budget.js',
     from: 'now - state.startedAt < extraAttemptWindowMs ? Math.floor(newLeaderExtraBase / 2 ** (state.recentLeaderCount - 1)) : extraAttemptBase',
     to: 'now - state.startedAt < extraAttemptWindowMs ? newLeaderExtraBase : extraAttemptBase',
   },
@@ -417,41 +415,41 @@
     name: 'the share of a trial',
     rule: 'R10',
     file: trial,
-    from: "trial.state === 'good' || trial.usedRequests < allowance(state, trial)",
+    from: "canary.state === 'good' || canary.usedRequests < allowance(state, canary)",
     to: 'true',
   },
   {
     name: 'a trial is reserved before it is used',
     rule: 'R10',
     file: trial,
-    from: 'Math.min(trial.reservedRequests, Math.floor(trafficBudget(state, trial)))',
-    to: 'Math.floor(trafficBudget(state, trial))',
+    from: 'Math.min(canary.reservedRequests, Math.floor(trafficBudget(state, canary)))',
+    to: 'Math.floor(trafficBudget(state, canary))',
   },
   {
     name: 'a bad release is judged',
     rule: 'R10',
     file: trial,
-    from: 'trial.failures >= maxCanaryFailures || (trial.failures >= 8 && trial.failures > 0.2 * (trial.successes + trial.failures))',
+    from: 'canary.failures >= maxCanaryFailures || (canary.failures >= minJudgedFailures && canary.failures > maxCanaryFailureShare * (canary.successes + canary.failures))',
     to: 'false',
   },
   {
     name: 'callers are taken for a while after a stop began',
     rule: 'R11',
     file: 'proxy-core/dist/proxy/shutdown-phase.js',
-    from: "role === 'edge' ? stopGraceMs : 100",
+    from: "role === 'edge' ? edgeGraceMs : shieldGraceMs",
     to: '0',
   },
   {
     name: 'a stop waits for what is open',
     rule: 'R11',
     file: 'proxy-core/dist/proxy/shutdown-phase.js',
-    from: 'if (open === 0)',
+    from: 'if (openCount === 0)',
     to: 'if (true)',
   },
   {
     name: 'a keeper hands over as it stops',
     rule: 'R11',
-    file: 'proxy-core/dist/node-agent/leader-candidacy.js',
+    file: 'proxy-core/dist/node-agent/lease-handover.js',
     from: 'if (!holdsLease(candidate, now)) continue; const heir',
     to: 'if (true)\n            continue;\n        const heir',
   },
