--- a/packages/model-checker/src/cluster/invariants.ts
+++ b/packages/model-checker/src/cluster/invariants.ts
@@ -164,7 +164,7 @@
       );
   }
 
-  /** An operator was told that its content stands under a number, in force or below one that is. */
+  /** An operator got the reply that its content stands under a number, in force or below one that is. */
   onAcknowledged(number: number, hash: string, accepted: boolean, at: number): void {
     const known = this.#contents.get(number);
     if (known !== undefined && known !== hash)
@@ -175,7 +175,7 @@
     this.exercise.confirmedWrites += 1;
   }
 
-  /** An operator was told what stands, having asked when `floor` had been confirmed. */
+  /** An operator read what is in force, having asked when `floor` had been confirmed. */
   onRead(generation: number, floor: number, at: number): void {
     this.exercise.reads += 1;
     if (generation < floor)
--- a/packages/model-checker/src/cluster/machine.ts
+++ b/packages/model-checker/src/cluster/machine.ts
@@ -37,7 +37,7 @@
   readonly store: StoreState | undefined;
   readonly disk: DiskImage | undefined;
   readonly diskFault: 'none' | 'stalled' | 'full';
-  /** When the last trouble that a fault caused here was over; -Infinity if there was none. */
+  /** When the last fault here was over; -Infinity if there was none. */
   readonly faultedUntil: number;
   /** When it last ran again after a crash. */
   readonly crashedUntil: number;
@@ -103,7 +103,7 @@
   },
 });
 
-/** Starts the processes of a machine; only a founder's first life may found the cluster. */
+/** Starts the processes of a machine; only a founder's first incarnation may found the cluster. */
 export const startMachine = (machine: Machine, layout: ClusterLayout, at: number): Machine => {
   const next: Machine = {
     ...machine,
--- a/packages/model-checker/src/cluster/simulation.ts
+++ b/packages/model-checker/src/cluster/simulation.ts
@@ -171,7 +171,7 @@
     }
   }
 
-  /** Whether losing this disk now is a single loss: no other machine down lately, at most one in trouble. */
+  /** Whether losing this disk now is a single loss: no other machine down lately, at most one unhealthy. */
   #isSingleLoss(index: number): boolean {
     const others = this.machines.filter((one) => one.index !== index && one.incarnation > 0);
     const down = others.some((one) => !one.isRunning || this.now - one.crashedUntil < recoveryMs);
--- a/packages/simulator/src/direct/origin.ts
+++ b/packages/simulator/src/direct/origin.ts
@@ -54,7 +54,7 @@
   readonly executions: ExecutionRecord[] = [];
   readonly #byAddress = new Map<Address, DirectOrigin>();
   readonly #random: SeededRandom;
-  /** The share of requests that meet a trouble. */
+  /** The share of requests that meet a fault. */
   faultProbability = 0.3;
 
   constructor(chance: SeededRandom) {
--- a/packages/simulator/src/direct/request-rules.ts
+++ b/packages/simulator/src/direct/request-rules.ts
@@ -32,7 +32,7 @@
 
 /** Statuses that promise that a request has not run and never will. */
 const notExecutedStatuses: ReadonlySet<number> = new Set([408, 421, 429, 503]);
-/** How far past its deadline a request may be told: one turn of the clock. */
+/** How far past its deadline a request may be replied to: one tick. */
 const replyMarginMs = 40;
 
 /** The status that a caller is answered with. */
@@ -83,7 +83,7 @@
   else if (revision < one.leastRevision) add('STALE', `${body}, purged at ${one.leastRevision}`);
 };
 
-/** Judges a run from what the origins wrote down and what the callers were told. */
+/** Judges a run from what the origins wrote down and what the callers got. */
 export const judge = (
   callers: ReadonlyMap<string, CallerRecord>,
   runs: readonly ExecutionRecord[],
--- a/packages/simulator/src/direct/run.ts
+++ b/packages/simulator/src/direct/run.ts
@@ -37,7 +37,7 @@
   readonly requests: number;
   readonly executions: number;
   readonly counts: ReadonlyMap<string, number>;
-  /** Every request, with all that its caller was told. */
+  /** Every request, with all replies that its caller got. */
   readonly callerRecords: readonly CallerRecord[];
   /** What the origins ran, in their order. */
   readonly executionRecords: readonly ExecutionRecord[];
--- a/packages/simulator/src/fault/fault-context.ts
+++ b/packages/simulator/src/fault/fault-context.ts
@@ -91,7 +91,7 @@
     );
   }
 
-  /** Cuts some actors off from all others, both ways or one. */
+  /** Cuts some processes off from all others, both ways or one. */
   isolate(actors: readonly SimulatedProcess[], way: 'both' | 'out' | 'in'): void {
     for (const one of actors) {
       for (const other of this.world.allProcesses) {
--- a/packages/simulator/src/fault/store-faults.ts
+++ b/packages/simulator/src/fault/store-faults.ts
@@ -62,7 +62,7 @@
   return true;
 };
 
-/** Faults of stores; at most one machine with a disk is in trouble at a time. */
+/** Faults of stores; at most one machine with a disk has a fault at a time. */
 export const storeFaults: readonly Fault[] = [
   {
     name: 'kill store',
--- a/packages/simulator/src/history/history.ts
+++ b/packages/simulator/src/history/history.ts
@@ -1,4 +1,4 @@
-/** What operators asked of the control side, when, and what they were told: the record that the checker judges. */
+/** What operators requested of the control side, when, and the replies they got: the record that the checker judges. */
 
 /** A configuration as its number and the hash of its content. */
 export interface Version {
--- a/packages/simulator/src/history/operators.ts
+++ b/packages/simulator/src/history/operators.ts
@@ -1,4 +1,4 @@
-/** Operators in the simulation that number their configurations, send orders again, and record what they were told. */
+/** Operators in the simulation that number their configurations, repeat their commands, and record the replies. */
 
 import { type ServiceName, toCommandId, toGeneration, toRelease } from '@switchwheel/types';
 import { splitIntoChunks, runToCompletion } from '@switchwheel/configuration';
@@ -107,9 +107,9 @@
       startedAt: this.#world.eventQueue.now,
       endedAt: undefined,
     });
-    registry.call({ verb: 'view', id: this.#nextRequestId(), what: 'description' }, (told) => {
-      if (told.status === 200)
-        open.end({ outcome: 'acknowledged', version: parseVersion(told.body) });
+    registry.call({ verb: 'view', id: this.#nextRequestId(), what: 'description' }, (reply) => {
+      if (reply.status === 200)
+        open.end({ outcome: 'acknowledged', version: parseVersion(reply.body) });
       else open.end({ outcome: 'unknown' });
     });
   }
@@ -130,10 +130,10 @@
   }
 
   /** Sends an order, and again while it has no clear answer: each time a call of its own, to any registry. */
-  #sendUntilAnswered(send: (done: (told: RegistryReply) => void) => void, tries: number): void {
+  #sendUntilAnswered(send: (done: (reply: RegistryReply) => void) => void, tries: number): void {
     let answered = false;
-    send((told) => {
-      answered ||= outcomeOfStatus(told.status) !== 'unknown';
+    send((reply) => {
+      answered ||= outcomeOfStatus(reply.status) !== 'unknown';
     });
     this.#world.eventQueue.schedule(answerTimeoutMs, () => {
       if (!answered && tries > 1) this.#sendUntilAnswered(send, tries - 1);
@@ -170,9 +170,9 @@
           chunkHashes,
           chunks,
         },
-        (told) => {
-          open.end({ outcome: outcomeOfStatus(told.status) });
-          done(told);
+        (reply) => {
+          open.end({ outcome: outcomeOfStatus(reply.status) });
+          done(reply);
         },
       );
     }, tries);
@@ -202,12 +202,12 @@
           target: toRelease(target),
           spanMs: rolloutDurationMs,
         },
-        (told) => {
+        (reply) => {
           open.end({
-            outcome: outcomeOfStatus(told.status),
-            order: numberField(told.body, 'order'),
+            outcome: outcomeOfStatus(reply.status),
+            order: numberField(reply.body, 'order'),
           });
-          done(told);
+          done(reply);
         },
       );
     }, tries);
--- a/packages/simulator/src/processes/callers.ts
+++ b/packages/simulator/src/processes/callers.ts
@@ -21,7 +21,7 @@
   owedForMs: number;
   answeredAt: number | undefined;
   result: CallerResult | undefined;
-  /** Whether it was told something after it had been told all. */
+  /** Whether another reply came after the first. */
   hasSecondReply: boolean;
   hasLeft: boolean;
 }
--- a/packages/simulator/src/processes/channel.ts
+++ b/packages/simulator/src/processes/channel.ts
@@ -40,18 +40,18 @@
   #isEstablished = false;
 
   constructor(
-    stage: SimulationContext,
+    context: SimulationContext,
     from: SimulatedProcess,
     to: SimulatedProcess | undefined,
     ears: DataChannelHandlers,
     accept: (channel: DataChannel) => Omit<DataChannelHandlers, 'up'>,
   ) {
-    this.#context = stage;
-    this.#localEnd = newChannelEnd(from, stage.eventQueue.now);
+    this.#context = context;
+    this.#localEnd = newChannelEnd(from, context.eventQueue.now);
     this.#localEnd.handlers = ears;
-    this.#remoteEnd = to === undefined ? undefined : newChannelEnd(to, stage.eventQueue.now);
+    this.#remoteEnd = to === undefined ? undefined : newChannelEnd(to, context.eventQueue.now);
     const far = this.#remoteEnd;
-    from.schedule(stage.random.uniform(1, 6), () => {
+    from.schedule(context.random.uniform(1, 6), () => {
       if (far === undefined || !this.#isProcessAlive(far)) {
         this.#close(this.#localEnd);
         return;
@@ -69,7 +69,7 @@
       this.#isEstablished = true;
       far.handlers = accept(this.channel(far));
       for (const end of [this.#localEnd, far]) {
-        end.lastHeardAt = stage.eventQueue.now;
+        end.lastHeardAt = context.eventQueue.now;
         this.#scheduleKeepalive(end);
       }
       ears.up();
--- a/packages/simulator/src/processes/origin-attempts.ts
+++ b/packages/simulator/src/processes/origin-attempts.ts
@@ -38,7 +38,7 @@
     this.#cancelled.add(name);
   }
 
-  /** Checks an origin's health, and gives the event that tells of it. */
+  /** Checks an origin's health, and gives the event that reports it. */
   checkHealth(
     { service, instance, address }: Extract<ProxyEffect, { kind: 'checkHealth' }>,
     onChecked: (event: (now: Timestamp) => ProxyEvent) => void,
--- a/packages/simulator/src/processes/origin.ts
+++ b/packages/simulator/src/processes/origin.ts
@@ -68,7 +68,7 @@
   readonly revisionOf: (path: string) => number;
 
   constructor(
-    stage: SimulationContext,
+    context: SimulationContext,
     service: ServiceName,
     instance: InstanceId,
     address: Address,
@@ -77,7 +77,7 @@
     registries: () => readonly SimulatedRegistry[],
     revisionOf: (path: string) => number,
   ) {
-    this.context = stage;
+    this.context = context;
     this.service = service;
     this.instance = instance;
     this.address = address;
--- a/packages/simulator/src/processes/proxy.ts
+++ b/packages/simulator/src/processes/proxy.ts
@@ -63,7 +63,7 @@
   #isClosedToCallers = false;
   /** Whether this machine can't apply descriptions: a fault of its own. */
   failsToCompile = false;
-  /** The generation that came into force, when, in which life. */
+  /** The generations that came into force, when, and in which incarnation. */
   readonly activations: {
     readonly generation: number;
     readonly at: number;
@@ -113,7 +113,7 @@
     super.wake();
   }
 
-  /** Counts of what happened in this life: those of the edge, then of the shield. */
+  /** Counts of what happened in this incarnation: those of the edge, then of the shield. */
   get counts(): ReadonlyMap<string, number> {
     return new Map([...(this.#edge?.counts ?? []), ...(this.#shield?.counts ?? [])]);
   }
--- a/packages/simulator/src/processes/registry.ts
+++ b/packages/simulator/src/processes/registry.ts
@@ -34,14 +34,14 @@
   readonly #pendingReplies = new Map<number, (told: RegistryReply) => void>();
 
   constructor(
-    stage: SimulationContext,
+    context: SimulationContext,
     node: NodeId,
     address: Address,
     area: string,
     seeds: () => readonly Address[],
     eager = false,
   ) {
-    super(stage, node, address, area);
+    super(context, node, address, area);
     this.#seeds = seeds;
     this.#startsFromDisks = eager;
   }
--- a/packages/simulator/src/processes/store.ts
+++ b/packages/simulator/src/processes/store.ts
@@ -34,17 +34,17 @@
   #store: StateMachine<StoreState, StoreEvent> | undefined;
 
   constructor(
-    stage: SimulationContext,
+    context: SimulationContext,
     node: NodeId,
     address: Address,
     area: string,
     seeds: () => readonly Address[],
     limits?: ReplicationSettings,
   ) {
-    super(stage, node, address, area);
+    super(context, node, address, area);
     this.#seeds = seeds;
     this.#replication = limits;
-    this.disk = new VirtualDisk(stage.eventQueue, stage.random.fork());
+    this.disk = new VirtualDisk(context.eventQueue, context.random.fork());
   }
 
   get state(): StoreState | undefined {
@@ -140,7 +140,7 @@
     switch (effect.kind) {
       case 'writeToDisk': {
         const { write } = effect;
-        const life = this.incarnationNumber;
+        const incarnationNumber = this.incarnationNumber;
         this.disk.write(write, (ok, full) => {
           if (ok && write.wipesFirst) this.disk.isTorn = false;
           this.execute(
@@ -156,7 +156,7 @@
                       isDiskFull: full,
                     },
               ),
-            life,
+            incarnationNumber,
           );
         });
         break;
--- a/packages/simulator/src/rules/request-rules.ts
+++ b/packages/simulator/src/rules/request-rules.ts
@@ -99,7 +99,7 @@
   }
 };
 
-/** R11: nobody waits for ever, but for those whose edge was killed or frozen. */
+/** R11: nobody waits forever, but for those whose edge was killed or frozen. */
 export const checkUnanswered = ({ world, callers, violations }: FinishedRun): void => {
   const { now } = world.eventQueue;
   for (const request of callers.requests) {
--- a/packages/simulator/src/rules/service-obligations.ts
+++ b/packages/simulator/src/rules/service-obligations.ts
@@ -7,7 +7,7 @@
 
 const keyOf = (edge: SimulatedProxy, service: ServiceName): string => `${edge.node} ${service}`;
 
-/** Since when each edge has owed each service a result: it is in reach and ready, has a way to one live keeper, and nothing ails the origins. */
+/** Since when each edge has owed each service a result: it is in reach and ready, has a way to one live service leader, and all its origins are healthy. */
 export class ServiceObligations {
   readonly #world: World;
   readonly #reachability: Reachability;
--- a/packages/simulator/src/run/bounded-state.test.ts
+++ b/packages/simulator/src/run/bounded-state.test.ts
@@ -12,9 +12,9 @@
 const clips = toServiceName('clips');
 const rounds = 4;
 const changesPerRound = 600;
-/** Every sixth change is a description, the others are purges. */
+/** Every sixth change is a configuration, the others are purges. */
 const descriptionEvery = 6;
-/** Every tenth description has 1,500 routes more. */
+/** Every tenth configuration has 1,500 routes more. */
 const largeEvery = 60;
 const changeInterval = 12;
 /** By how much a size may differ from one round to another: what just moves. */
@@ -103,7 +103,7 @@
     else world.purge([], [{ by: 'tag', tag: `tag-${at}` }]);
     world.runFor(changeInterval);
   }
-  // The round ends on a plain description, so that rounds are alike.
+  // The round ends on a plain configuration, so that rounds are alike.
   world.apply(900_000 + from);
   world.runFor(4000);
 };
--- a/packages/simulator/src/run/concurrent-rollouts.test.ts
+++ b/packages/simulator/src/run/concurrent-rollouts.test.ts
@@ -1,6 +1,6 @@
 /**
  * Orders that race, and a later one that returns to a content from before: whatever an order was found to have when it
- * came in, it still has when it is put in force. Otherwise the description in force lacks a piece, and no node can run it.
+ * came in, it still has when it is put in force. Otherwise the configuration in force lacks a chunk, and no node can run it.
  */
 
 import assert from 'node:assert/strict';
@@ -15,7 +15,7 @@
 import { createConfiguration } from '../world/configuration.js';
 import { type Fixture, finishRun, createFixture } from './fixture.js';
 
-/** How long a confirmed description may take to be in force on every node. */
+/** How long a confirmed configuration may take to be in force on every node. */
 const inForceLimit = 1500;
 /** Orders of a pair leave this far apart, in milliseconds: the second comes in at each stage of the first. */
 const offsets = [0, 1, 2, 3, 4, 6, 8, 10, 12, 15, 18, 22, 26, 30];
@@ -29,7 +29,7 @@
   return bundle.value;
 };
 
-/** An order on its way, and what it was told. */
+/** A rollout request under way, and its reply. */
 interface Order {
   readonly number: Generation;
   told: RegistryReply | undefined;
--- a/packages/simulator/src/run/configuration-repair.test.ts
+++ b/packages/simulator/src/run/configuration-repair.test.ts
@@ -1,6 +1,6 @@
 /**
- * A fleet whose disks hold a description in force without one of its pieces, as an earlier version could leave them: the
- * invariant finds it, registries give the piece back, and a node that starts with nothing runs the description.
+ * A fleet whose disks hold a configuration in force without one of its chunks, as an earlier version could leave them: the
+ * invariant finds it, registries give the chunk back, and a node that starts with nothing runs the configuration.
  */
 
 import assert from 'node:assert/strict';
@@ -20,7 +20,7 @@
   return offer;
 };
 
-/** Takes a piece off every disk, as if its write had never been told to keep it. */
+/** Takes a chunk off every disk, as if it had never been written. */
 const erasePiece = (run: Fixture, hash: Hash): void => {
   const key = controlKeys.piece(hash);
   for (const { disk } of run.world.stores) {
--- a/packages/simulator/src/run/failures.test.ts
+++ b/packages/simulator/src/run/failures.test.ts
@@ -159,7 +159,7 @@
           else store.disk.isTorn = true;
           run.world.eventQueue.schedule(800, () => store.start());
         } else store.disk.condition = trouble;
-        // Within a few seconds writes are taken again, with the trouble still on.
+        // Within a few seconds writes are taken again, while the fault goes on.
         let taken = false;
         for (let turn = 0; turn < 8 && !taken; turn += 1) {
           mark += 1;
@@ -222,7 +222,7 @@
       );
     }
     run.world.runFor(3000);
-    // A node that starts now still gets the description in force, from a primary that only reads.
+    // A node that starts now still gets the configuration in force, from a primary that only reads.
     const edge = run.world.edges[0];
     edge?.kill();
     edge?.start();
@@ -584,7 +584,7 @@
   });
   run.callers.start();
   run.world.runFor(3000);
-  // So slow that second legs go out while the first have not begun to answer, and often overtake them.
+  // So slow that second attempts go out while the first have not begun to answer, and often overtake them.
   for (const origin of run.world.origins) origin.workMs = 60;
   for (let at = 0; at < 300; at += 1)
     run.world.eventQueue.schedule(at * 20, () => {
--- a/packages/simulator/src/run/large-configuration.test.ts
+++ b/packages/simulator/src/run/large-configuration.test.ts
@@ -1,5 +1,5 @@
 /**
- * Whatever description can be applied can be read back whole, and no frame on the way is larger
+ * Whatever configuration can be applied can be read back whole, and no frame on the way is larger
  * than a frame may be.
  */
 
@@ -26,7 +26,7 @@
   services: [{ name: toServiceName('clips'), origins: 1, slots: 4, perSecond: undefined }],
 };
 
-/** Frames that bear pieces of a description, or all of it. */
+/** Frames that bear chunks of a configuration, or all of it. */
 const weighed: ReadonlySet<Frame['kind']> = new Set([
   'call',
   'called',
@@ -35,7 +35,7 @@
   'resync-entries',
 ]);
 
-/** A world that weighs the frames which bear pieces. */
+/** A world that weighs the frames which bear chunks. */
 class WeighingWorld extends World {
   largestFrame = 0;
   override readonly frameObserver: FrameObserver = {
@@ -46,7 +46,7 @@
   };
 }
 
-/** A description of many routes, each padded to a length. */
+/** A configuration of many routes, each padded to a length. */
 const descriptionOf = (routes: number, pathLength: number): object => ({
   ...createConfiguration(layout, 1),
   routes: Array.from({ length: routes }, (_, at) => ({
--- a/packages/simulator/src/run/many-changes.test.ts
+++ b/packages/simulator/src/run/many-changes.test.ts
@@ -35,7 +35,7 @@
   return run;
 };
 
-/** Operators who hand in a change every 50 ms until they are stopped: three purges to each description. */
+/** Operators who hand in a change every 50 ms until they are stopped: three purges to each configuration. */
 class Operators {
   readonly writes: OperatorWrite[] = [];
   readonly #run: Fixture;
--- a/packages/simulator/src/run/network-partition.test.ts
+++ b/packages/simulator/src/run/network-partition.test.ts
@@ -14,7 +14,7 @@
 /** How long a registry may take to know that it is cut off, and a call to be answered there. */
 const knownAfter = 1300;
 const answerLimit = 1000;
-/** How long after its acknowledgement a node may still start on the description before. */
+/** How long after its acknowledgement a node may still start on the configuration before. */
 const spreadLimit = 2000;
 
 /** The machine that is cut off: a store with its registry. */
@@ -124,7 +124,7 @@
   return asked;
 };
 
-/** Applies a description, with as many tries as it takes; gives its generation. */
+/** Applies a configuration, with as many tries as it takes; gives its generation. */
 const applied = (run: Fixture, mark: number): number => {
   for (let turn = 0; turn < 30; turn += 1) {
     const before = run.world.highestAcknowledgedGeneration();
@@ -136,7 +136,7 @@
   assert.fail('no description is taken');
 };
 
-/** What the cut-off registry said: no order confirmed, nothing told after the lease, each within a second. */
+/** What the cut-off registry said: no command confirmed, no reply after the lease, each within a second. */
 const judgeAnswers = (
   since: number,
   restartedAt: number,
@@ -157,7 +157,7 @@
   }
 };
 
-/** No node came to run a description that an acknowledged one had replaced. */
+/** No node came to run a configuration that an acknowledged one had replaced. */
 const judgeAdopted = (
   acks: readonly { readonly generation: number; readonly at: number }[],
   nodes: readonly SimulatedProxy[],
--- a/packages/simulator/src/run/random-faults.test.ts
+++ b/packages/simulator/src/run/random-faults.test.ts
@@ -63,7 +63,7 @@
   });
 }
 
-/** Storms in which operators race under one number, repeat orders and read back, beside one kind of trouble. */
+/** Runs in which operators race under one number, repeat commands and read back, beside one kind of fault. */
 const operatorTrouble: readonly (readonly [string, readonly string[]])[] = [
   [
     'stores that are lost',
--- a/packages/simulator/src/run/registry-link.test.ts
+++ b/packages/simulator/src/run/registry-link.test.ts
@@ -44,7 +44,7 @@
       run.world.network.cut(store.node, registry.node);
       run.world.network.cut(registry.node, store.node);
     }
-    // Its word of the primary counts for 1.2 s, half a second later nodes go.
+    // What it knows of the primary counts for 1.2 s, half a second later nodes go.
     watch(run, 2200);
     // An operator whose call gets no answer, as it came to the registry that is cut off, sends another to whichever comes.
     let write = run.world.apply(50);
--- a/packages/simulator/src/run/replacement-replicas.test.ts
+++ b/packages/simulator/src/run/replacement-replicas.test.ts
@@ -98,7 +98,7 @@
     run.world.eventQueue.schedule(wait, () => actor.start());
 };
 
-/** An order that was told as taken, in time. */
+/** A command that was acknowledged in time. */
 const acknowledged = (run: Fixture, mark: number, what: string): OperatorWrite => {
   const write = run.world.apply(mark);
   assert.ok(
--- a/packages/simulator/src/run/request-deadlines.test.ts
+++ b/packages/simulator/src/run/request-deadlines.test.ts
@@ -1,4 +1,4 @@
-/** Requests that are given up: when callers are told, and that they may come back. */
+/** Requests that are given up: when callers get a reply, and that it says when to come back. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -6,12 +6,12 @@
 import type { SimulatedProxy } from '../processes/proxy.js';
 import { clips, type Fixture, finishRun, createFixture } from './fixture.js';
 
-/** Routes give three seconds: what is told by half of it was not held back for its deadline. */
+/** Routes give three seconds: what is replied to by half of it was not held back for its deadline. */
 const half = 1500;
 
 const spent = (asked: CallerRequest): number => (asked.answeredAt ?? Infinity) - asked.sentAt;
 
-/** Sends requests for a while and gives those that got no result, once all are told. */
+/** Sends requests for a while and gives those that got no result, once all have a reply. */
 const refused = (run: Fixture, span: number, edge?: SimulatedProxy): readonly CallerRequest[] => {
   const list: CallerRequest[] = [];
   for (let at = 0; at < span; at += 10) {
--- a/packages/simulator/src/run/second-loss.test.ts
+++ b/packages/simulator/src/run/second-loss.test.ts
@@ -121,7 +121,7 @@
     return machine;
   }
 
-  /** A machine goes for good without a word. */
+  /** A machine is gone for good, without notice. */
   drop(machine: Machine): void {
     this.machines.splice(this.machines.indexOf(machine), 1);
     this.world.dropRegistry(machine.registry);
--- a/packages/simulator/src/world/configuration.ts
+++ b/packages/simulator/src/world/configuration.ts
@@ -2,7 +2,7 @@
 
 import type { ServiceName } from '@switchwheel/types';
 
-/** What a simulated operator hands over: a good description, one that may not be taken, or a very large one. */
+/** What a simulated operator applies: a valid configuration, one that must be rejected, or a very large one. */
 export type ConfigurationVariant = 'plain' | 'invalid' | 'huge';
 
 interface ConfiguredFleet {
--- a/packages/simulator/src/world/network.ts
+++ b/packages/simulator/src/world/network.ts
@@ -38,7 +38,7 @@
   delayProbability: 0.02,
 };
 
-/** Is told what is sent over the network and what arrives; it draws nothing and schedules nothing. */
+/** Sees what is sent over the network and what arrives; it draws nothing and schedules nothing. */
 export interface NetworkObserver {
   readonly sent: (from: string, to: string) => void;
   readonly delivered: (from: string, to: string) => void;
@@ -65,13 +65,13 @@
     this.#cuts.add(`${from}>${to}`);
   }
 
-  /** Nothing gets through, nobody is told, and all that is sent meanwhile arrives after the healing. */
+  /** Nothing gets through, nobody notices, and all that is sent meanwhile arrives after the healing. */
   stall(from: string, to: string): void {
     this.#stalled.set(`${from}>${to}`, []);
     this.cut(from, to);
   }
 
-  /** Nothing gets through, and whoever sends is told at once that the channel is over. */
+  /** Nothing gets through, and a sender sees at once that the connection was refused. */
   refuse(from: string, to: string): void {
     this.#refused.add(`${from}>${to}`);
     this.cut(from, to);
--- a/packages/simulator/src/world/process.ts
+++ b/packages/simulator/src/world/process.ts
@@ -44,7 +44,7 @@
   readonly coverage: Coverage;
   /** What an actor saw itself do that it may not. */
   readonly selfReportedViolations: string[];
-  /** The highest generation that any operator was told. */
+  /** The highest generation that was acknowledged to any operator. */
   readonly highestAcknowledgedGeneration: () => number;
   readonly frameObserver?: FrameObserver | undefined;
 }
@@ -64,14 +64,14 @@
   readonly #heldWork: (() => void)[] = [];
   readonly #endings = new Map<number, 'killed' | 'planned'>();
 
-  constructor(stage: SimulationContext, node: NodeId, address: Address, area: string) {
-    this.context = stage;
+  constructor(context: SimulationContext, node: NodeId, address: Address, area: string) {
+    this.context = context;
     this.node = node;
     this.address = address;
     this.zone = area;
-    this.#clockOffset = stage.random.uniform(1000, 1_000_000);
-    this.#clockRate = 1 + stage.random.uniform(-0.005, 0.005);
-    stage.processes.set(address, this);
+    this.#clockOffset = context.random.uniform(1000, 1_000_000);
+    this.#clockRate = 1 + context.random.uniform(-0.005, 0.005);
+    context.processes.set(address, this);
   }
 
   get isAlive(): boolean {
@@ -109,7 +109,7 @@
     this.#tick(this.#incarnationNumber);
   }
 
-  /** How a life of it came to its end. */
+  /** How one of its incarnations came to its end. */
   endOf(incarnationNumber: number): 'alive' | 'killed' | 'planned' {
     return this.#endings.get(incarnationNumber) ?? 'alive';
   }
@@ -121,7 +121,7 @@
     this.#isFrozen = false;
     this.#heldWork.splice(0);
     this.onEnd();
-    // Channels end: whoever can be told hears of it.
+    // Connections end: the peers that can be reached see it.
     for (const other of this.context.processes.values()) {
       if (other !== this && other.isAlive)
         this.context.network.sendDatagram(this.node, other.node, () =>
@@ -141,7 +141,7 @@
     for (const act of this.#heldWork.splice(0)) if (this.#isAlive) act();
   }
 
-  /** Runs something as part of this process: later if it is frozen, not at all if it is another life. */
+  /** Runs something as part of this process: later if it is frozen, not at all if it is another incarnation. */
   execute(work: () => void, incarnationNumber = this.#incarnationNumber): void {
     const guarded = (): void => {
       if (!this.#isAlive || incarnationNumber !== this.#incarnationNumber) return;
@@ -152,10 +152,10 @@
     else guarded();
   }
 
-  /** Lets something come about later, for this life of the process only. */
+  /** Schedules something for this incarnation of the process only. */
   schedule(delayMs: number, work: () => void): void {
-    const life = this.#incarnationNumber;
-    this.context.eventQueue.schedule(delayMs, () => this.execute(work, life));
+    const incarnationNumber = this.#incarnationNumber;
+    this.context.eventQueue.schedule(delayMs, () => this.execute(work, incarnationNumber));
   }
 
   #tick(incarnationNumber: number): void {
@@ -186,18 +186,18 @@
       return;
     }
     const from = this.peer;
-    const life = other.incarnationNumber;
+    const incarnationNumber = other.incarnationNumber;
     // Now and then what is sent goes through the real coding, so that frames and their checks stay in step.
-    const told = this.context.random.happens(0.02)
+    const received = this.context.random.happens(0.02)
       ? deserializeFrame(serializeFrame(frame)).unwrapOrElse((fault) => {
           throw new Error(`${frame.kind}: ${fault.text}`);
         })
       : frame;
     this.context.network.sendDatagram(this.node, other.node, () => {
-      if (other.incarnationNumber === life)
+      if (other.incarnationNumber === incarnationNumber)
         other.execute(
-          () => other.dispatch((now) => ({ kind: 'frameReceived', now, from, frame: told })),
-          life,
+          () => other.dispatch((now) => ({ kind: 'frameReceived', now, from, frame: received })),
+          incarnationNumber,
         );
     });
   }
--- a/packages/simulator/src/world/world.ts
+++ b/packages/simulator/src/world/world.ts
@@ -54,7 +54,7 @@
   readonly kind: 'apply' | 'purge';
   readonly sentAt: number;
   readonly marker: number;
-  /** Whether its description is one that may not be taken. */
+  /** Whether its configuration must be rejected. */
   readonly isInvalid: boolean;
   reply:
     | {
@@ -83,7 +83,7 @@
   readonly origins: SimulatedOrigin[] = [];
   readonly writes: OperatorWrite[] = [];
   readonly coverage = new Coverage();
-  /** What operators asked, and what they were told. */
+  /** What operators requested, and the replies they got. */
   readonly history = new History(() => this.eventQueue.now);
   readonly selfReportedViolations: string[] = [];
   readonly layout: FleetLayout;
@@ -172,7 +172,7 @@
     return registry;
   }
 
-  /** A new edge with an empty memory, which is told of some registries. */
+  /** A new edge that knows nothing but the addresses of some registries. */
   addEdge(name: string, index: number, seeds: readonly Address[]): SimulatedProxy {
     const edge = new SimulatedProxy(
       this,
@@ -272,7 +272,7 @@
     return origin;
   }
 
-  /** Starts every process and origin, founds the fleet and applies a first description. */
+  /** Starts every process and origin, founds the fleet and applies a first configuration. */
   form(): void {
     for (const actor of this.allProcesses)
       this.eventQueue.schedule(this.random.uniform(0, 100), () => actor.start());
@@ -300,8 +300,8 @@
           stores: this.stores.map((one) => one.node),
           voters: this.registries.map((one) => one.node),
         },
-        (told) => {
-          founded = told.status === 200;
+        (reply) => {
+          founded = reply.status === 200;
           if (!founded) this.eventQueue.schedule(100, found);
         },
       );
@@ -356,27 +356,27 @@
 
   #send(
     write: OperatorWrite,
-    call: (registry: SimulatedRegistry, done: (told: RegistryReply) => void) => void,
+    call: (registry: SimulatedRegistry, done: (reply: RegistryReply) => void) => void,
   ): void {
     const registry = this.#pickRegistry();
     if (registry === undefined) return;
-    call(registry, (told) => {
+    call(registry, (reply) => {
       if (
-        told.status === 200 &&
+        reply.status === 200 &&
         write.paths.some((path) => this.origins.some((one) => one.isWorkingOn(path)))
       )
         this.coverage.record('R7: a purge raced a fetch');
       write.reply ??= {
         at: this.eventQueue.now,
-        status: told.status,
-        generation: numberField(told.body, 'generation') ?? 0,
-        purge: numberField(told.body, 'purge') ?? 0,
-        hash: /"hash":"([0-9a-f]+)"/.exec(told.body)?.[1] ?? '',
+        status: reply.status,
+        generation: numberField(reply.body, 'generation') ?? 0,
+        purge: numberField(reply.body, 'purge') ?? 0,
+        hash: /"hash":"([0-9a-f]+)"/.exec(reply.body)?.[1] ?? '',
       };
     });
   }
 
-  /** The highest generation that any operator was told. */
+  /** The highest generation that was acknowledged to any operator. */
   highestAcknowledgedGeneration(): number {
     return Math.max(
       0,
@@ -384,7 +384,7 @@
     );
   }
 
-  /** An operator hands a description over; `mark` makes it one of its own. */
+  /** An operator applies a configuration; `marker` makes it unlike others. */
   apply(
     marker: number,
     base?: number,
@@ -427,11 +427,11 @@
           chunkHashes: order,
           chunks: bundle.value.chunks,
         },
-        (told) => {
+        (reply) => {
           const number =
-            told.status === 200 ? (numberField(told.body, 'generation') ?? 0) : undefined;
-          open.end({ outcome: outcomeOfStatus(told.status), version: { number, hash } });
-          done(told);
+            reply.status === 200 ? (numberField(reply.body, 'generation') ?? 0) : undefined;
+          open.end({ outcome: outcomeOfStatus(reply.status), version: { number, hash } });
+          done(reply);
         },
       );
     });
@@ -461,10 +461,10 @@
         startedAt: this.eventQueue.now,
         endedAt: undefined,
       });
-      registry.call({ verb: 'purge', id: write.id, aims }, (told) => {
-        const number = told.status === 200 ? (numberField(told.body, 'purge') ?? 0) : undefined;
-        open.end({ outcome: outcomeOfStatus(told.status), number });
-        done(told);
+      registry.call({ verb: 'purge', id: write.id, aims }, (reply) => {
+        const number = reply.status === 200 ? (numberField(reply.body, 'purge') ?? 0) : undefined;
+        open.end({ outcome: outcomeOfStatus(reply.status), number });
+        done(reply);
       });
     });
     return write;
