--- a/packages/simulator/src/run/replacement-copies.test.ts
+++ b/packages/simulator/src/run/replacement-copies.test.ts
@@ -275,7 +275,7 @@
     const write = acknowledged(run, 100, `seed ${seed}`);
     assert.deepEqual(inSync(run), [primary.node]);
     assert.ok(
-      run.world.logs.some((one) => one.includes('fewer copies')),
+      run.world.logs.some((one) => one.includes('in-sync set reduced')),
       'it says so',
     );
     for (const one of others) one.disk.calm();
