--- a/eslint.config.js
+++ b/eslint.config.js
@@ -1,9 +1,44 @@
+import { createNodeResolver, importX } from 'eslint-plugin-import-x';
+import jsdoc from 'eslint-plugin-jsdoc';
 import tseslint from 'typescript-eslint';
 
+/** Longest function in lines, blank lines and comments not counted. */
+const maxFunctionLines = 60;
+/** Most independent paths through one function (McCabe); an exhaustive switch counts as one. */
+const maxComplexity = 20;
+
+/** Exports whose purpose, units and errors a reader must find beside the code. */
+const documentedExports = {
+  publicOnly: true,
+  require: {
+    ArrowFunctionExpression: true,
+    ClassDeclaration: true,
+    FunctionDeclaration: true,
+    FunctionExpression: true,
+    MethodDefinition: false,
+  },
+  contexts: [
+    'ExportNamedDeclaration > TSInterfaceDeclaration',
+    'ExportNamedDeclaration > TSTypeAliasDeclaration',
+    'ExportNamedDeclaration > VariableDeclaration',
+  ],
+  enableFixer: false,
+};
+
 export default tseslint.config(
   { ignores: ['**/dist/**', '**/node_modules/**', 'packages/*/bin/**', 'eslint.config.js'] },
   ...tseslint.configs.strictTypeChecked,
   {
+    plugins: { 'import-x': importX, jsdoc },
+    settings: {
+      'import-x/parsers': { '@typescript-eslint/parser': ['.ts'] },
+      'import-x/resolver-next': [
+        createNodeResolver({
+          extensions: ['.ts', '.js'],
+          extensionAlias: { '.js': ['.ts', '.js'] },
+        }),
+      ],
+    },
     languageOptions: {
       parserOptions: { projectService: true, tsconfigRootDir: import.meta.dirname },
     },
@@ -17,8 +52,33 @@
         'error',
         { allowConstantLoopConditions: true },
       ],
+      '@typescript-eslint/naming-convention': [
+        'error',
+        { selector: 'typeLike', format: ['PascalCase'] },
+        { selector: ['function', 'parameter'], format: ['camelCase'], leadingUnderscore: 'allow' },
+        { selector: 'classMethod', format: ['camelCase'] },
+      ],
+      'import-x/no-cycle': ['error', { ignoreExternal: true }],
+      complexity: ['error', { max: maxComplexity, variant: 'modified' }],
       eqeqeq: 'error',
+      'object-shorthand': ['error', 'properties'],
       'prefer-const': 'error',
     },
   },
+  {
+    files: ['packages/*/src/**/*.ts', 'platform/src/**/*.ts'],
+    ignores: ['**/*.test.ts', '**/*.test-support.ts', '**/testing/**'],
+    rules: {
+      'jsdoc/require-jsdoc': ['error', documentedExports],
+      'max-lines-per-function': [
+        'error',
+        { max: maxFunctionLines, skipBlankLines: true, skipComments: true, IIFEs: true },
+      ],
+    },
+  },
+  {
+    files: ['**/*.test.ts'],
+    // Assertions read optional members in a row, and each `?.` counts as a path.
+    rules: { complexity: 'off' },
+  },
 );
