--- a/packages/replicated-store/src/commands/views.ts
+++ b/packages/replicated-store/src/commands/views.ts
@@ -1,3 +1,7 @@
+/**
+ * Views of the stored state for operators. Their JSON is part of the operators' interface.
+ */
+
 import { type Timestamp, noGeneration } from '@switchwheel/types';
 import { heldEpoch } from '@switchwheel/election';
 import { elapsedOf } from '../releases/release-progress.js';
@@ -72,7 +76,7 @@
           node: one.node,
           stamp: one.stamp,
           epoch: one.metadata?.epoch ?? null,
-          ageMs: Math.round(now - one.at),
+          ageMs: Math.round(now - one.heardAt),
         })),
       };
   }
