--- a/scripts/list-tests.js
+++ b/scripts/list-tests.js
@@ -28,6 +28,7 @@
   ...filesUnder('packages', isBuiltTest),
   ...filesUnder('platform', isBuiltTest),
   ...filesUnder('platform/days', (path) => path.endsWith('.test.js')),
+  ...filesUnder('scripts', (path) => path.endsWith('.test.js')),
 ].sort();
 
 const isKnownRed = (path) => knownRed.some((line) => line.startsWith(`${sourceOf(path)}: `));
