--- a/packages/election/src/candidate/campaign.ts
+++ b/packages/election/src/candidate/campaign.ts
@@ -45,10 +45,10 @@
   inSyncSet: readonly NodeId[],
   now: Timestamp,
 ): Transition<Candidate, ProcessEffect> => {
-  const epoch = nextEpoch(toEpoch(Math.max(candidate.highest, heldEpoch(candidate))));
+  const epoch = nextEpoch(toEpoch(Math.max(candidate.highestEpoch, heldEpoch(candidate))));
   const next: Candidate = {
     ...candidate,
-    highest: epoch,
+    highestEpoch: epoch,
     inSyncSet,
     phase: {
       phase: 'requestingVotes',
@@ -66,7 +66,7 @@
   context: ElectionContext,
   now: Timestamp,
 ): Transition<Candidate, ProcessEffect> => {
-  const epoch = nextEpoch(candidate.highest);
+  const epoch = nextEpoch(candidate.highestEpoch);
   const next: Candidate = {
     ...candidate,
     phase: { phase: 'preVote', startedAt: now, epoch, votes: new Map(), refusals: new Map() },
@@ -118,7 +118,7 @@
 /** A candidate and the random source that its retries are spread with. */
 interface CandidateWithRandom {
   readonly candidate: Candidate;
-  readonly dice: RandomState;
+  readonly randomState: RandomState;
 }
 
 type TickResult = Transition<CandidateWithRandom, ProcessEffect>;
@@ -126,14 +126,17 @@
 
 /** Becomes idle for a fixed time plus a random part of `jitterMs`. */
 const idleWithJitter = (
-  { candidate, dice: randomState }: CandidateWithRandom,
+  { candidate, randomState }: CandidateWithRandom,
   now: Timestamp,
   pauseMs: number,
   jitterMs: number,
 ): CandidateWithRandom => {
-  const [fraction, nextState] = nextRandom(randomState);
+  const [fraction, nextRandomState] = nextRandom(randomState);
   const retryAt = addMs(now, pauseMs + jitterMs * fraction);
-  return { candidate: { ...candidate, phase: { phase: 'idle', retryAt } }, dice: nextState };
+  return {
+    candidate: { ...candidate, phase: { phase: 'idle', retryAt } },
+    randomState: nextRandomState,
+  };
 };
 
 const tickHolder = (
@@ -142,13 +145,13 @@
   context: ElectionContext,
   now: Timestamp,
 ): TickResult => {
-  const { candidate, dice } = state;
+  const { candidate, randomState } = state;
   if (now >= phase.leaseEndsAt)
     return transition(idleWithJitter(state, now, expiredLeasePauseMs, expiredLeaseJitterMs));
   if (now - phase.renewalRequestedAt < candidate.leaseMs / renewalsPerLease)
     return transition(state);
   return transition(
-    { candidate: { ...candidate, phase: { ...phase, renewalRequestedAt: now } }, dice },
+    { candidate: { ...candidate, phase: { ...phase, renewalRequestedAt: now } }, randomState },
     ...voteRequests(candidate, context, phase.epoch, now, 'renewal'),
   );
 };
@@ -171,8 +174,11 @@
   );
 };
 
-const withRandom = (next: Transition<Candidate, ProcessEffect>, dice: RandomState): TickResult => ({
-  state: { candidate: next.state, dice },
+const withRandom = (
+  next: Transition<Candidate, ProcessEffect>,
+  randomState: RandomState,
+): TickResult => ({
+  state: { candidate: next.state, randomState },
   effects: next.effects,
 });
 
@@ -184,10 +190,13 @@
   candidate: Candidate,
   context: ElectionContext,
   wantsElection: boolean,
-  dice: RandomState,
+  randomState: RandomState,
   now: Timestamp,
-): Transition<{ readonly candidate: Candidate; readonly dice: RandomState }, ProcessEffect> => {
-  const state: CandidateWithRandom = { candidate, dice };
+): Transition<
+  { readonly candidate: Candidate; readonly randomState: RandomState },
+  ProcessEffect
+> => {
+  const state: CandidateWithRandom = { candidate, randomState };
   const { phase } = candidate;
   switch (phase.phase) {
     case 'holdingLease':
@@ -195,12 +204,12 @@
     case 'preVote':
       return leaseEnd(context, phase, candidate.leaseMs) === undefined
         ? tickRound(state, phase, context, now)
-        : withRandom(startElection(candidate, context, candidate.inSyncSet, now), dice);
+        : withRandom(startElection(candidate, context, candidate.inSyncSet, now), randomState);
     case 'requestingVotes':
       return tickRound(state, phase, context, now);
     case 'idle':
       return wantsElection && now >= phase.retryAt
-        ? withRandom(startPreVote(candidate, context, now), dice)
+        ? withRandom(startPreVote(candidate, context, now), randomState)
         : transition(state);
   }
 };
--- a/packages/election/src/candidate/candidate.ts
+++ b/packages/election/src/candidate/candidate.ts
@@ -19,9 +19,9 @@
 /** The newest vote of a voter in an epoch. */
 export interface CountedVote {
   /** When the candidate requested it, by the candidate's clock: a lease is counted from here. */
-  readonly at: Timestamp;
+  readonly requestedAt: Timestamp;
   /** Whether the voter had lost its memory by a restart and not yet recovered it. */
-  readonly recovering: boolean;
+  readonly wasRecovering: boolean;
   /** The incarnation of the voter that gave it. */
   readonly incarnation: Incarnation;
 }
@@ -58,7 +58,7 @@
   readonly leaseName: LeaseName;
   readonly phase: CandidatePhase;
   /** The highest epoch of the lease that this node knows of. */
-  readonly highest: Epoch;
+  readonly highestEpoch: Epoch;
   /** For the primary's lease: the stores that hold every confirmed write, as voters are to remember them. */
   readonly inSyncSet: readonly NodeId[];
   /** How long a lease is requested for; it is renewed four times within that. */
@@ -86,7 +86,7 @@
   leaseName,
   leaseMs,
   phase: { phase: 'idle', retryAt: toTimestamp(0) },
-  highest: noEpoch,
+  highestEpoch: noEpoch,
   inSyncSet,
 });
 
@@ -102,4 +102,4 @@
 
 /** Records an epoch that another node has. */
 export const observeEpoch = (candidate: Candidate, epoch: Epoch): Candidate =>
-  epoch > candidate.highest ? { ...candidate, highest: epoch } : candidate;
+  epoch > candidate.highestEpoch ? { ...candidate, highestEpoch: epoch } : candidate;
--- a/packages/election/src/candidate/vote-count.ts
+++ b/packages/election/src/candidate/vote-count.ts
@@ -26,8 +26,8 @@
 ): Timestamp | undefined => {
   const newestFirst = context.electorate.members
     .map((member) => count.votes.get(member.node))
-    .filter((vote) => vote !== undefined && (context.countsRecoveringVoters || !vote.recovering))
-    .map((vote) => (vote === undefined ? 0 : vote.at))
+    .filter((vote) => vote !== undefined && (context.countsRecoveringVoters || !vote.wasRecovering))
+    .map((vote) => (vote === undefined ? 0 : vote.requestedAt))
     .sort((left, right) => right - left);
   const decisive = newestFirst[quorumSize(context.electorate.members.length) - 1];
   return decisive === undefined ? undefined : toTimestamp(decisive + leaseMs - leaseSafetyMarginMs);
@@ -88,10 +88,10 @@
     return { ...observed, phase: { ...phase, refusals } };
   }
   const earlier = phase.votes.get(vote.voter);
-  if (earlier !== undefined && earlier.at >= vote.at) return observed;
+  if (earlier !== undefined && earlier.requestedAt >= vote.at) return observed;
   const votes = withEntry(phase.votes, vote.voter, {
-    at: vote.at,
-    recovering: vote.recovering,
+    requestedAt: vote.at,
+    wasRecovering: vote.recovering,
     incarnation: vote.life,
   });
   return { ...observed, phase: withVotes(phase, votes, context, observed.leaseMs, now) };
--- a/packages/model-checker/src/cluster/cluster.ts
+++ b/packages/model-checker/src/cluster/cluster.ts
@@ -244,7 +244,7 @@
           kind: 'store event',
           machine: index,
           incarnation,
-          event: (now) => ({ kind: 'configurationCompiled', now, hash: effect.hash, faults: [] }),
+          event: (now) => ({ kind: 'configurationCompiled', now, hash: effect.hash, issues: [] }),
         });
         break;
       case 'completeStop':
--- a/packages/model-checker/src/cluster/disk.ts
+++ b/packages/model-checker/src/cluster/disk.ts
@@ -17,7 +17,7 @@
   const entries = new Map<string, KeyedEntry>(before);
   for (const key of write.deletedKeys) entries.delete(key);
   for (const entry of write.entries) entries.set(entry.key, entry);
-  return { metadata: write.metadata, stamp: write.stamp, entries };
+  return { metadata: write.metadata, stamp: write.logPosition, entries };
 };
 
 /** What a store that starts reads from a disk. */
@@ -27,7 +27,7 @@
     : {
         status: 'complete',
         metadata: image.metadata,
-        stamp: image.stamp,
+        logPosition: image.stamp,
         entries: [...image.entries.values()],
       };
 
--- a/packages/model-checker/src/seeded-bugs/list.ts
+++ b/packages/model-checker/src/seeded-bugs/list.ts
@@ -51,8 +51,8 @@
     name: 'a lease is counted from before it was asked for',
     rule: 'one valid lease',
     file: candidate,
-    from: 'at: vote.at, recovering: vote.recovering,',
-    to: 'at: now, recovering: vote.recovering,',
+    from: 'requestedAt: vote.at, wasRecovering: vote.recovering,',
+    to: 'requestedAt: now, wasRecovering: vote.recovering,',
   },
   {
     name: 'a lease that ran out stays over',
@@ -86,7 +86,7 @@
     name: 'recovering votes do not count',
     rule: 'a primary has every confirmed write',
     file: candidate,
-    from: 'vote !== undefined && (context.countsRecoveringVoters || !vote.recovering)',
+    from: 'vote !== undefined && (context.countsRecoveringVoters || !vote.wasRecovering)',
     to: 'vote !== undefined',
   },
   {
@@ -142,7 +142,7 @@
     name: 'a backup takes no copy past a gap',
     rule: 'a primary has every confirmed write',
     file: backupWrite,
-    from: 'const isNext = isSameStamp(state.stamp, write.prior) || isSameStamp(state.stamp, write.stamp);',
+    from: 'const isNext = isSameLogPosition(state.logPosition, write.prior) || isSameLogPosition(state.logPosition, write.stamp);',
     to: 'const isNext = true;',
   },
   {
--- a/packages/proxy-core/src/node-agent/leader-candidacy.ts
+++ b/packages/proxy-core/src/node-agent/leader-candidacy.ts
@@ -94,7 +94,7 @@
 ): AgentTransition => {
   const known = candidateOf(state, service);
   const candidate = observeEpoch(known, highestEpoch(state.nodeSession, serviceLeaseOf(service)));
-  if (known.phase.phase === 'holdingLease' && candidate.highest > heldEpoch(known))
+  if (known.phase.phase === 'holdingLease' && candidate.highestEpoch > heldEpoch(known))
     return resignFencedLease(state, service, { before: known, after: candidate }, context, now);
   const ticked = tickCandidate(
     candidate,
@@ -104,7 +104,7 @@
     now,
   );
   const applied = applyCandidate(
-    { ...state, randomState: ticked.state.dice },
+    { ...state, randomState: ticked.state.randomState },
     service,
     { before: candidate, after: ticked.state.candidate },
     now,
--- a/packages/proxy-core/src/node-agent/lease-handover.ts
+++ b/packages/proxy-core/src/node-agent/lease-handover.ts
@@ -74,7 +74,7 @@
   return transition(
     {
       ...state,
-      randomState: ticked.state.dice,
+      randomState: ticked.state.randomState,
       vacantSince: withEntry(state.vacantSince, handover.duty, now),
       candidates: withEntry(state.candidates, service, ticked.state.candidate),
     },
--- a/packages/replicated-store/src/commands/apply-configuration.test.ts
+++ b/packages/replicated-store/src/commands/apply-configuration.test.ts
@@ -41,7 +41,7 @@
   chunkHashes: [hash],
   baseGeneration: undefined,
   requestedGeneration: number,
-  faults: [],
+  issues: [],
 });
 
 /** Configurations that operators upload one after another, each under its own command id. */
--- a/packages/replicated-store/src/commands/apply-configuration.ts
+++ b/packages/replicated-store/src/commands/apply-configuration.ts
@@ -76,7 +76,7 @@
     commandReply(command, 422, {
       kind: 'invalid',
       text: 'the description is refused whole',
-      faults: command.faults,
+      faults: command.issues,
     }),
   ],
 });
@@ -175,7 +175,7 @@
   const now = currentGeneration(control);
   if (command.baseGeneration !== undefined && command.baseGeneration !== now)
     return staleBase(command, now);
-  if (command.faults.length > 0) return invalid(command);
+  if (command.issues.length > 0) return invalid(command);
   const { requestedGeneration: number } = command;
   if (number === undefined) return accept(state, control, command, nextGeneration(now), seq);
   const taken = contentOf(control, number);
--- a/packages/replicated-store/src/commands/call-bodies.test.ts
+++ b/packages/replicated-store/src/commands/call-bodies.test.ts
@@ -68,7 +68,7 @@
       contents: {
         status: 'complete',
         metadata,
-        stamp: { epoch: toEpoch(1), seq: toSeq(1) },
+        logPosition: { epoch: toEpoch(1), seq: toSeq(1) },
         entries: [
           {
             key: 'purge/0000000000000003',
--- a/packages/replicated-store/src/commands/command.ts
+++ b/packages/replicated-store/src/commands/command.ts
@@ -32,7 +32,7 @@
       readonly chunkHashes: readonly Hash[];
       readonly baseGeneration: Generation | undefined;
       readonly requestedGeneration: Generation | undefined;
-      readonly faults: readonly ValidationIssue[];
+      readonly issues: readonly ValidationIssue[];
     }
   /** Chunks of a configuration that is too large for one write: they are stored before it. */
   | { readonly kind: 'storeChunks'; readonly hashes: readonly Hash[] }
--- a/packages/replicated-store/src/commands/configuration-upload.ts
+++ b/packages/replicated-store/src/commands/configuration-upload.ts
@@ -136,7 +136,7 @@
 
 /** Queues a configuration, and before it the writes that store the chunks of a large one. */
 const enqueueApply = (state: StoreState, command: ApplyCommand): StoreTransition => {
-  const storeChunks = command.faults.length > 0 ? [] : storeChunksCommands(state, command);
+  const storeChunks = command.issues.length > 0 ? [] : storeChunksCommands(state, command);
   let next: StoreTransition = transition(state);
   for (const queued of [...storeChunks, command])
     next = prependEffects(next.effects, enqueue(next.state, queued));
@@ -147,14 +147,14 @@
 export const onCompiled = (
   state: StoreState,
   hash: Hash,
-  faults: ApplyCommand['faults'],
+  issues: ApplyCommand['issues'],
 ): StoreTransition => {
   let next: StoreTransition = transition({
     ...state,
     compiling: withoutEntry(state.compiling, hash),
   });
   for (const command of state.compiling.get(hash) ?? [])
-    next = prependEffects(next.effects, enqueueApply(next.state, { ...command, faults }));
+    next = prependEffects(next.effects, enqueueApply(next.state, { ...command, issues }));
   return next;
 };
 
--- a/packages/replicated-store/src/commands/decide-rollout.ts
+++ b/packages/replicated-store/src/commands/decide-rollout.ts
@@ -60,11 +60,11 @@
   control: ControlState,
   now: Timestamp,
 ): Decision => {
-  const result = tickRollout(control, state.targetStatusSeen, state.rolloutOpenedAt, now);
+  const result = tickRollout(control, state.targetStatusSince, state.rolloutOpenedAt, now);
   return {
     ...noChange,
     puts: onlyCurrentRevisions(control, result.puts),
-    seen: result.seen,
-    opened: result.opened,
+    targetStatusSince: result.seen,
+    rolloutOpenedAt: result.opened,
   };
 };
--- a/packages/replicated-store/src/commands/decision.ts
+++ b/packages/replicated-store/src/commands/decision.ts
@@ -22,8 +22,8 @@
   readonly immediateReplies: readonly CommandReply[];
   readonly electorate?: Electorate;
   /** With an advanced rollout: since when each target has had its status, and when the rollout was opened. */
-  readonly seen?: StoreState['targetStatusSeen'];
-  readonly opened?: StoreState['rolloutOpenedAt'];
+  readonly targetStatusSince?: StoreState['targetStatusSince'];
+  readonly rolloutOpenedAt?: StoreState['rolloutOpenedAt'];
   /** Invariants that were found broken on the way. */
   readonly violations?: readonly Invariant[];
 }
--- a/packages/replicated-store/src/commands/operator-commands.ts
+++ b/packages/replicated-store/src/commands/operator-commands.ts
@@ -74,7 +74,7 @@
       chunkHashes: body.order,
       baseGeneration: call.base,
       requestedGeneration: body.number,
-      faults: [],
+      issues: [],
     },
     now,
   );
--- a/packages/replicated-store/src/commands/views.ts
+++ b/packages/replicated-store/src/commands/views.ts
@@ -11,7 +11,7 @@
 const viewHeader = (state: StoreState): object => ({
   store: ownId(state),
   epoch: heldEpoch(state.candidate),
-  stamp: state.stamp,
+  stamp: state.logPosition,
   generation: state.control.configuration?.offer.generation ?? noGeneration,
 });
 
@@ -77,7 +77,7 @@
         diskFullMs: state.diskFullAt === undefined ? null : Math.round(now - state.diskFullAt),
         peers: [...state.peers.values()].map((peer) => ({
           node: peer.node,
-          stamp: peer.stamp,
+          stamp: peer.logPosition,
           epoch: peer.metadata?.epoch ?? null,
           ageMs: Math.round(now - peer.heardAt),
         })),
--- a/packages/replicated-store/src/index.ts
+++ b/packages/replicated-store/src/index.ts
@@ -8,5 +8,5 @@
 export * from './state/events.js';
 export * from './state/state.js';
 export * from './state/replication-settings.js';
-export { inSync, isPrimary } from './leadership/candidacy.js';
+export { isInSync, isPrimary } from './leadership/candidacy.js';
 export { storeTransition } from './machine.js';
--- a/packages/replicated-store/src/leadership/candidacy.ts
+++ b/packages/replicated-store/src/leadership/candidacy.ts
@@ -15,8 +15,8 @@
 import { newerElectorate } from './electorate.js';
 import { backupTimeoutMs, chooseReplicas } from './replica-placement.js';
 import type { PeerStatus } from '../state/peers.js';
-import { type StoreState, noStamp, ownId } from '../state/state.js';
-import { isNewerStamp, isSameStamp } from '../state/table.js';
+import { type StoreState, noLogPosition, ownId } from '../state/state.js';
+import { isNewerLogPosition, isSameLogPosition } from '../state/table.js';
 
 /** How old a peer's status may be that counts as evidence, in milliseconds (as all times here). */
 const evidenceMaxAgeMs = 500;
@@ -41,10 +41,11 @@
   state.isServing && holdsLease(state.candidate, now);
 
 /** Whether the table is the state at its stamp: while a resync changes it there is no such stamp. */
-const hasConsistentTable = (state: StoreState): boolean => !isSameStamp(state.stamp, noStamp);
+const hasConsistentTable = (state: StoreState): boolean =>
+  !isSameLogPosition(state.logPosition, noLogPosition);
 
 /** Whether this store holds every committed write, as far as it knows. */
-export const inSync = (state: StoreState): boolean =>
+export const isInSync = (state: StoreState): boolean =>
   state.metadata !== undefined &&
   hasConsistentTable(state) &&
   state.metadata.inSyncSet.includes(ownId(state)) &&
@@ -62,7 +63,8 @@
   if (peer === undefined || now - peer.heardAt >= evidenceMaxAgeMs) return 'silent';
   if (peer.metadata === undefined) return 'empty';
   if (peer.metadata.fleet !== metadata.fleet) return 'silent';
-  return peer.metadata.epoch > metadata.epoch || isNewerStamp(peer.stamp, state.stamp)
+  return peer.metadata.epoch > metadata.epoch ||
+    isNewerLogPosition(peer.logPosition, state.logPosition)
     ? 'later'
     : 'same';
 };
@@ -129,7 +131,7 @@
     fleet: metadata.fleet,
     electorate: newerElectorate(metadata.electorate, state.session.electorate),
     holderRecord,
-    countsRecoveringVoters: inSync(state) && survivorsProveNoNewerPrimary(state, metadata, now),
+    countsRecoveringVoters: isInSync(state) && survivorsProveNoNewerPrimary(state, metadata, now),
   };
 };
 
@@ -155,7 +157,7 @@
 export const chooseBackups = (state: StoreState, now: Timestamp): ClusterMetadata['inSyncSet'] => {
   const own = [ownId(state)];
   // What a promoted learner knows of the others is older than the epoch that names it.
-  if (!inSync(state)) return own;
+  if (!isInSync(state)) return own;
   return [...chooseReplicas(state, own, reachableInSync(state, now))];
 };
 
@@ -164,15 +166,15 @@
  * names it, and died before the metadata came here. The voters know; they grant nothing to others.
  */
 const mayBePromoted = (state: StoreState): boolean =>
-  state.metadata !== undefined && !inSync(state) && hasConsistentTable(state);
+  state.metadata !== undefined && !isInSync(state) && hasConsistentTable(state);
 
 /** Whether this store may and should ask for the lease. */
 export const wantsElection = (state: StoreState, now: Timestamp): boolean => {
   if (state.phase !== 'member' || now < state.standDownUntil) return false;
-  if (!inSync(state) && !mayBePromoted(state)) return false;
+  if (!isInSync(state) && !mayBePromoted(state)) return false;
   const rank = [...reachableInSync(state, now)].sort().indexOf(ownId(state));
   const delay =
-    rank >= 0 && inSync(state) ? candidacyDelayPerRankMs * rank : learnerCandidacyDelayMs;
+    rank >= 0 && isInSync(state) ? candidacyDelayPerRankMs * rank : learnerCandidacyDelayMs;
   return (
     state.backupWrite === undefined &&
     state.primaryWrite === undefined &&
--- a/packages/replicated-store/src/leadership/electorate.ts
+++ b/packages/replicated-store/src/leadership/electorate.ts
@@ -82,7 +82,9 @@
   const holding = state.candidate.phase;
   const { serial, since } = state.polledElectorate;
   if (holding.phase !== 'holdingLease' || serial !== set.serial) return false;
-  const renewed = set.members.filter(({ node }) => (holding.votes.get(node)?.at ?? -1) > since);
+  const renewed = set.members.filter(
+    ({ node }) => (holding.votes.get(node)?.requestedAt ?? -1) > since,
+  );
   return renewed.length >= quorumSize(set.members.length);
 };
 
@@ -96,12 +98,12 @@
   return {
     isLive: (node) => {
       const known = state.subscribers.get(node);
-      return known?.voter === 'ready' && now - known.heardAt < contactTimeoutMs;
+      return known?.voterStatus === 'ready' && now - known.heardAt < contactTimeoutMs;
     },
     isDead: (node) => {
       const known = state.subscribers.get(node);
       return (
-        known?.voter === 'leaving' ||
+        known?.voterStatus === 'leaving' ||
         now - Math.max(known?.heardAt ?? leaseWonAt, leaseWonAt) >= silenceLimitMs
       );
     },
--- a/packages/replicated-store/src/leadership/graceful-stop.ts
+++ b/packages/replicated-store/src/leadership/graceful-stop.ts
@@ -13,7 +13,7 @@
 } from '@switchwheel/types';
 import { holdsLease } from '@switchwheel/election';
 import { sendHeartbeat } from '@switchwheel/membership';
-import { inSync, primaryTimeoutMs, reachableInSync } from './candidacy.js';
+import { isInSync, primaryTimeoutMs, reachableInSync } from './candidacy.js';
 import { handOverLeadership } from './hand-over.js';
 import { heartbeatContent } from '../registries/heartbeat.js';
 import { sendStatus } from '../resync/status.js';
@@ -50,7 +50,7 @@
   since: Timestamp,
   now: Timestamp,
 ): boolean => {
-  if (state.phase === 'reading' || state.metadata === undefined || !inSync(state)) return true;
+  if (state.phase === 'reading' || state.metadata === undefined || !isInSync(state)) return true;
   const hasPrimary = now - state.primaryHeardAt < primaryTimeoutMs;
   const isEnough = successors(state, now).length > state.settings.tolerate;
   return hasPrimary && isEnough && now - since >= exclusionWaitMs;
--- a/packages/replicated-store/src/leadership/lease.ts
+++ b/packages/replicated-store/src/leadership/lease.ts
@@ -70,7 +70,7 @@
     before.randomState,
     now,
   );
-  const { candidate, dice: randomState } = ticked.state;
+  const { candidate, randomState } = ticked.state;
   return prependEffects(
     ticked.effects,
     onCandidateTransition(before, { ...before, candidate, randomState }, now),
--- a/packages/replicated-store/src/leadership/replica-placement.ts
+++ b/packages/replicated-store/src/leadership/replica-placement.ts
@@ -8,7 +8,7 @@
 import type { NodeId, Timestamp } from '@switchwheel/types';
 import type { PeerStatus } from '../state/peers.js';
 import { type StoreState, ownId } from '../state/state.js';
-import { isSameStamp } from '../state/table.js';
+import { isSameLogPosition } from '../state/table.js';
 
 /** How long a store may be silent before it counts as out of reach, in milliseconds (as all times here). */
 export const peerTimeoutMs = 1000;
@@ -129,13 +129,14 @@
       (peer) =>
         now - peer.heardAt < backupTimeoutMs &&
         peer.metadata !== undefined &&
-        (isSameStamp(peer.stamp, state.stamp) || holdsOpenWrite(state, peer)),
+        (isSameLogPosition(peer.logPosition, state.logPosition) || holdsOpenWrite(state, peer)),
     )
     .map((peer) => peer.node)
     .sort();
 
 const holdsOpenWrite = (state: StoreState, peer: PeerStatus): boolean =>
-  state.primaryWrite !== undefined && isSameStamp(peer.stamp, state.primaryWrite.stamp);
+  state.primaryWrite !== undefined &&
+  isSameLogPosition(peer.logPosition, state.primaryWrite.logPosition);
 
 /** Whether a store that a new primary knows of has not been heard lately: its status may still come. */
 const awaitsFirstStatus = (state: StoreState, set: readonly NodeId[], now: Timestamp): boolean => {
--- a/packages/replicated-store/src/log-write/abandoned-write.ts
+++ b/packages/replicated-store/src/log-write/abandoned-write.ts
@@ -22,18 +22,18 @@
   // What a restart would read: the disk has the metadata of this write, and its epoch only goes up.
   metadata: primaryWrite.metadata,
   standDownUntil: clockOrigin,
-  stamp: primaryWrite.stamp,
-  table: withPuts(state.table, primaryWrite.puts, primaryWrite.stamp),
+  logPosition: primaryWrite.logPosition,
+  table: withPuts(state.table, primaryWrite.puts, primaryWrite.logPosition),
   control: primaryWrite.controlAfter,
 });
 
 /** Gives up the write that is open; the replies say that its outcome is not known. */
 export const abandon = (state: StoreState): StoreTransition => {
   const primaryWrite = state.primaryWrite;
-  if (primaryWrite === undefined || primaryWrite.phase === 'orphan') return transition(state);
+  if (primaryWrite === undefined || primaryWrite.phase === 'abandoned') return transition(state);
   const next =
-    primaryWrite.phase === 'copy'
+    primaryWrite.phase === 'replicating'
       ? applyLocally(state, primaryWrite)
-      : { ...state, primaryWrite: { ...primaryWrite, phase: 'orphan' as const } };
+      : { ...state, primaryWrite: { ...primaryWrite, phase: 'abandoned' as const } };
   return transition(next, ...unknownOutcomeReplies(primaryWrite.replies));
 };
--- a/packages/replicated-store/src/log-write/acknowledgements.ts
+++ b/packages/replicated-store/src/log-write/acknowledgements.ts
@@ -17,7 +17,7 @@
   if (peer === undefined) return state;
   const row: PeerStatus = {
     ...peer,
-    stamp: { epoch: acknowledgement.epoch, seq: acknowledgement.seq },
+    logPosition: { epoch: acknowledgement.epoch, seq: acknowledgement.seq },
     isDiskFull: false,
     heardAt: now,
     progressAt: now,
--- a/packages/replicated-store/src/log-write/backup-write.ts
+++ b/packages/replicated-store/src/log-write/backup-write.ts
@@ -13,7 +13,7 @@
 import type { StoreEffect, WriteFailed } from '../state/events.js';
 import type { BackupWrite } from '../state/open-writes.js';
 import { type StoreState, ownId } from '../state/state.js';
-import { type Table, isSameStamp, withPuts } from '../state/table.js';
+import { type Table, isSameLogPosition, withPuts } from '../state/table.js';
 import type { StoreTransition } from '../state/transition.js';
 
 /** How many writes may wait; a store that is further behind is resynced. */
@@ -22,15 +22,15 @@
 /** The reply to the primary: the write is on this disk, or why not. */
 const acknowledgement = (
   state: StoreState,
-  backupWrite: Pick<BackupWrite, 'replyTo' | 'metadata' | 'stamp'>,
+  backupWrite: Pick<BackupWrite, 'replyTo' | 'metadata' | 'logPosition'>,
   ok: boolean,
   text: string,
 ): StoreEffect =>
   send(backupWrite.replyTo, {
     kind: 'replicated',
     node: ownId(state),
-    epoch: backupWrite.stamp.epoch,
-    seq: backupWrite.stamp.seq,
+    epoch: backupWrite.logPosition.epoch,
+    seq: backupWrite.logPosition.seq,
     metadataEpoch: backupWrite.metadata.epoch,
     ok,
     text,
@@ -44,7 +44,7 @@
 ): StoreState => {
   const isKnown = state.replicationQueue.some(
     ({ frame }) =>
-      isSameStamp(frame.stamp, write.stamp) && frame.metadata.epoch === write.metadata.epoch,
+      isSameLogPosition(frame.stamp, write.stamp) && frame.metadata.epoch === write.metadata.epoch,
   );
   return isKnown || state.replicationQueue.length >= maxQueuedReplications
     ? state
@@ -68,17 +68,19 @@
 ): StoreTransition => {
   const { metadata } = before;
   if (metadata === undefined || metadata.fleet !== write.metadata.fleet) return transition(before);
-  const replicated = { replyTo: from.address, metadata: write.metadata, stamp: write.stamp };
+  const replicated = { replyTo: from.address, metadata: write.metadata, logPosition: write.stamp };
   if (write.metadata.epoch < metadata.epoch || write.metadata.epoch < heldEpoch(before.candidate))
     return transition(before, acknowledgement(before, replicated, false, 'an older epoch'));
   const state = notePrimary(before, write.metadata, now);
-  if (isSameStamp(state.stamp, write.stamp) && metadata.epoch === write.metadata.epoch)
+  if (isSameLogPosition(state.logPosition, write.stamp) && metadata.epoch === write.metadata.epoch)
     return transition(state, acknowledgement(state, replicated, true, ''));
   if (state.backupWrite !== undefined) return transition(queueReplication(state, from, write));
   if (state.primaryWrite !== undefined) return transition(state);
   const isRequired = write.metadata.inSyncSet.includes(ownId(state));
   // It may have the write itself already, from before the in-sync set changed.
-  const isNext = isSameStamp(state.stamp, write.prior) || isSameStamp(state.stamp, write.stamp);
+  const isNext =
+    isSameLogPosition(state.logPosition, write.prior) ||
+    isSameLogPosition(state.logPosition, write.stamp);
   if (!isNext)
     return transition(
       state,
@@ -89,7 +91,7 @@
     purpose: 'replicate',
     ...replicated,
     puts: write.puts,
-    stamps: new Map(),
+    logPositionByKey: new Map(),
     commandId: undefined,
   });
 };
@@ -109,11 +111,18 @@
 /** The table with a write in it; entries of a resync keep the stamps that they have at the primary. */
 const tableWith = (
   table: Table,
-  { puts, stamp, stamps }: Pick<BackupWrite, 'puts' | 'stamp' | 'stamps'>,
+  {
+    puts,
+    logPosition,
+    logPositionByKey,
+  }: Pick<BackupWrite, 'puts' | 'logPosition' | 'logPositionByKey'>,
 ): Table =>
-  stamps.size === 0
-    ? withPuts(table, puts, stamp)
-    : puts.reduce((next, put) => withPuts(next, [put], stamps.get(put.key) ?? stamp), table);
+  logPositionByKey.size === 0
+    ? withPuts(table, puts, logPosition)
+    : puts.reduce(
+        (next, put) => withPuts(next, [put], logPositionByKey.get(put.key) ?? logPosition),
+        table,
+      );
 
 /** A write that was taken from elsewhere is on this disk: it is acknowledged, and the next one is taken. */
 export const onBackupWriteSynced = (
@@ -123,7 +132,7 @@
 ): StoreTransition => {
   const { backupWrite } = before;
   if (backupWrite?.id !== writeId) return transition(before);
-  const { metadata, stamp, purpose } = backupWrite;
+  const { metadata, logPosition, purpose } = backupWrite;
   const state: StoreState = {
     ...before,
     backupWrite: undefined,
@@ -133,7 +142,7 @@
     metadata,
     diskDamage: '',
     phase: before.phase === 'empty' ? 'member' : before.phase,
-    stamp,
+    logPosition,
   };
   if (purpose === 'bootstrap')
     return transition(
--- a/packages/replicated-store/src/log-write/commit.ts
+++ b/packages/replicated-store/src/log-write/commit.ts
@@ -51,8 +51,8 @@
 ): StoreState => ({
   ...state,
   primaryWrite: undefined,
-  stamp: primaryWrite.stamp,
-  table: withPuts(state.table, primaryWrite.puts, primaryWrite.stamp),
+  logPosition: primaryWrite.logPosition,
+  table: withPuts(state.table, primaryWrite.puts, primaryWrite.logPosition),
   control: primaryWrite.controlAfter,
   metadata: primaryWrite.metadata,
   isServing: true,
@@ -62,7 +62,7 @@
     ? undefined
     : (state.shortageSince ?? now),
   lastNodeChangeSeq: changesNodes(state, primaryWrite)
-    ? primaryWrite.stamp.seq
+    ? primaryWrite.logPosition.seq
     : state.lastNodeChangeSeq,
 });
 
--- a/packages/replicated-store/src/log-write/disk-writes.ts
+++ b/packages/replicated-store/src/log-write/disk-writes.ts
@@ -16,34 +16,36 @@
   state: StoreState,
   content: Pick<
     PrimaryWrite,
-    'metadata' | 'stamp' | 'puts' | 'controlAfter' | 'replies' | 'canaryReports'
+    'metadata' | 'logPosition' | 'puts' | 'controlAfter' | 'replies' | 'canaryReports'
   >,
   now: Timestamp,
 ): PrimaryWrite => ({
   ...content,
   id: state.nextWriteId,
-  phase: 'disk',
+  phase: 'writingToDisk',
   isOnOwnDisk: false,
   phaseStartedAt: now,
   lastSentAt: now,
   acknowledgedBy: noAcknowledgements,
-  previousStamp: state.stamp,
+  previousLogPosition: state.logPosition,
 });
 
 /** Puts a write of the primary on its own disk. */
 export const diskWrite = ({
   id,
   metadata,
-  stamp,
+  logPosition,
   puts,
-}: Pick<PrimaryWrite, 'id' | 'metadata' | 'stamp' | 'puts'>): StoreEffect => ({
+}: Pick<PrimaryWrite, 'id' | 'metadata' | 'logPosition' | 'puts'>): StoreEffect => ({
   kind: 'writeToDisk',
   write: {
     id,
     metadata,
-    stamp,
+    logPosition,
     wipesFirst: false,
-    entries: puts.flatMap(({ key, data }) => (data === null ? [] : [{ key, stamp, data }])),
+    entries: puts.flatMap(({ key, data }) =>
+      data === null ? [] : [{ key, stamp: logPosition, data }],
+    ),
     deletedKeys: puts.flatMap(({ key, data }) => (data === null ? [key] : [])),
   },
 });
@@ -57,7 +59,7 @@
   content: Omit<BackupWrite, 'id'>,
 ): StoreTransition => {
   const backupWrite: BackupWrite = { ...content, id: state.nextWriteId };
-  const { id, metadata, stamp, puts, stamps } = backupWrite;
+  const { id, metadata, logPosition, puts, logPositionByKey } = backupWrite;
   return transition(
     { ...state, backupWrite, nextWriteId: state.nextWriteId + 1 },
     {
@@ -65,9 +67,9 @@
       write: {
         id,
         metadata,
-        stamp,
+        logPosition,
         entries: puts.flatMap(({ key, data }) =>
-          data === null ? [] : [{ key, data, stamp: stamps.get(key) ?? stamp }],
+          data === null ? [] : [{ key, data, stamp: logPositionByKey.get(key) ?? logPosition }],
         ),
         deletedKeys: puts.flatMap(({ key, data }) => (data === null ? [key] : [])),
         wipesFirst: backupWrite.purpose === 'bootstrap' || state.mustWipe,
--- a/packages/replicated-store/src/log-write/epoch-metadata.ts
+++ b/packages/replicated-store/src/log-write/epoch-metadata.ts
@@ -21,10 +21,17 @@
   metadata: ClusterMetadata,
   now: Timestamp,
 ): StoreTransition => {
-  const stamp: LogPosition = { epoch: metadata.epoch, seq: nextSeq(state.stamp.seq) };
+  const logPosition: LogPosition = { epoch: metadata.epoch, seq: nextSeq(state.logPosition.seq) };
   const primaryWrite = newPrimaryWrite(
     state,
-    { metadata, stamp, puts: [], controlAfter: state.control, replies: [], canaryReports: [] },
+    {
+      metadata,
+      logPosition,
+      puts: [],
+      controlAfter: state.control,
+      replies: [],
+      canaryReports: [],
+    },
     now,
   );
   return transition(
@@ -56,7 +63,7 @@
 export const onElected = (state: StoreState, now: Timestamp): StoreTransition => {
   const { metadata, primaryWrite } = state;
   if (metadata === undefined) return transition(state);
-  if (primaryWrite?.phase === 'orphan')
+  if (primaryWrite?.phase === 'abandoned')
     return handOverLeadership(state, standDownMs.abandonedWriteOnDisk, now);
   const metadataOfEpoch = metadataOfLease(state, metadata);
   if (primaryWrite === undefined || !state.isServing)
@@ -66,7 +73,7 @@
     ...primaryWrite,
     id: state.nextWriteId,
     metadata: { ...metadataOfEpoch, electorate: primaryWrite.metadata.electorate },
-    phase: 'disk',
+    phase: 'writingToDisk',
     phaseStartedAt: now,
   };
   return transition(
--- a/packages/replicated-store/src/log-write/primary-write.ts
+++ b/packages/replicated-store/src/log-write/primary-write.ts
@@ -56,8 +56,11 @@
     return transition(state);
   const { commands, rest, lacksReplicas } = nextBatch(state, metadata, now);
   if (commands.length === 0) return transition(lacksReplicas ? noteShortage(state, now) : state);
-  const stamp: LogPosition = { epoch: heldEpoch(state.candidate), seq: nextSeq(state.stamp.seq) };
-  const batch = decideBatch(state, metadata, commands, stamp.seq, now);
+  const logPosition: LogPosition = {
+    epoch: heldEpoch(state.candidate),
+    seq: nextSeq(state.logPosition.seq),
+  };
+  const batch = decideBatch(state, metadata, commands, logPosition.seq, now);
   const { puts, replies, canaryReports, control: controlAfter, electorate } = batch;
   const noted = noteViolations(batch.state, batch.violations);
   const next: StoreState = { ...noted.state, commandQueue: [...batch.undecided, ...rest] };
@@ -71,7 +74,7 @@
   const metadataAfter = electorate === metadata.electorate ? metadata : { ...metadata, electorate };
   const primaryWrite = newPrimaryWrite(
     state,
-    { metadata: metadataAfter, stamp, puts, controlAfter, replies, canaryReports },
+    { metadata: metadataAfter, logPosition, puts, controlAfter, replies, canaryReports },
     now,
   );
   return transition(
@@ -93,13 +96,13 @@
 ): StoreTransition => {
   const { primaryWrite } = state;
   if (primaryWrite?.id !== writeId) return transition(state);
-  if (primaryWrite.phase === 'orphan') return transition(applyLocally(state, primaryWrite));
-  if (primaryWrite.phase !== 'disk') return transition(state);
+  if (primaryWrite.phase === 'abandoned') return transition(applyLocally(state, primaryWrite));
+  if (primaryWrite.phase !== 'writingToDisk') return transition(state);
   if (!holdsLeaseOf(state, primaryWrite, now))
-    return abandon({ ...state, primaryWrite: { ...primaryWrite, phase: 'copy' } });
+    return abandon({ ...state, primaryWrite: { ...primaryWrite, phase: 'replicating' } });
   const next: PrimaryWrite = {
     ...primaryWrite,
-    phase: 'copy',
+    phase: 'replicating',
     isOnOwnDisk: true,
     acknowledgedBy: noAcknowledgements,
     phaseStartedAt: now,
@@ -132,7 +135,7 @@
 ): StoreTransition => {
   const { primaryWrite } = state;
   if (primaryWrite?.id !== writeId) return transition(state);
-  if (primaryWrite.phase === 'orphan') return transition({ ...state, primaryWrite: undefined });
+  if (primaryWrite.phase === 'abandoned') return transition({ ...state, primaryWrite: undefined });
   const rejections = primaryWrite.isOnOwnDisk
     ? unknownOutcomeReplies(primaryWrite.replies)
     : primaryWrite.replies.map((reply) =>
@@ -165,9 +168,9 @@
   primaryWrite: PrimaryWrite | undefined,
   acknowledgement: FrameOf<'replicated'>,
 ): primaryWrite is PrimaryWrite =>
-  primaryWrite?.phase === 'copy' &&
-  acknowledgement.epoch === primaryWrite.stamp.epoch &&
-  acknowledgement.seq === primaryWrite.stamp.seq &&
+  primaryWrite?.phase === 'replicating' &&
+  acknowledgement.epoch === primaryWrite.logPosition.epoch &&
+  acknowledgement.seq === primaryWrite.logPosition.seq &&
   // One under an earlier epoch does not show that this epoch's metadata is on that disk.
   acknowledgement.metadataEpoch === primaryWrite.metadata.epoch;
 
@@ -226,9 +229,9 @@
 export const tickPrimaryWrite = (state: StoreState, now: Timestamp): StoreTransition => {
   const { primaryWrite } = state;
   if (primaryWrite === undefined) return retryMetadata(state, now);
-  if (primaryWrite.phase === 'orphan' || state.candidate.phase.phase !== 'holdingLease')
+  if (primaryWrite.phase === 'abandoned' || state.candidate.phase.phase !== 'holdingLease')
     return transition(state);
-  if (primaryWrite.phase === 'copy') return tickReplication(state, primaryWrite, now);
+  if (primaryWrite.phase === 'replicating') return tickReplication(state, primaryWrite, now);
   if (now - primaryWrite.phaseStartedAt <= diskTimeoutMs) return transition(state);
   return prependEffects(
     [log('error', 'disk stalled, giving up the lease')],
--- a/packages/replicated-store/src/log-write/replication.ts
+++ b/packages/replicated-store/src/log-write/replication.ts
@@ -37,8 +37,8 @@
 const replicateFrame = (primaryWrite: PrimaryWrite): FrameOf<'replicate'> => ({
   kind: 'replicate',
   metadata: primaryWrite.metadata,
-  stamp: primaryWrite.stamp,
-  prior: primaryWrite.previousStamp,
+  stamp: primaryWrite.logPosition,
+  prior: primaryWrite.previousLogPosition,
   puts: [...primaryWrite.puts],
 });
 
@@ -61,4 +61,4 @@
 
 /** Sends the open write to a store that has just been brought to the state before it. */
 export const replicateOpenWrite = (state: StoreState, to: Address): readonly StoreEffect[] =>
-  state.primaryWrite?.phase === 'copy' ? [send(to, replicateFrame(state.primaryWrite))] : [];
+  state.primaryWrite?.phase === 'replicating' ? [send(to, replicateFrame(state.primaryWrite))] : [];
--- a/packages/replicated-store/src/log-write/write-batch.ts
+++ b/packages/replicated-store/src/log-write/write-batch.ts
@@ -100,8 +100,8 @@
     if (command.kind === 'advanceRollout')
       state = {
         ...state,
-        targetStatusSeen: decision.seen ?? state.targetStatusSeen,
-        rolloutOpenedAt: decision.opened,
+        targetStatusSince: decision.targetStatusSince ?? state.targetStatusSince,
+        rolloutOpenedAt: decision.rolloutOpenedAt,
       };
   }
   const undecided = commands.slice(decided);
--- a/packages/replicated-store/src/machine.ts
+++ b/packages/replicated-store/src/machine.ts
@@ -104,7 +104,7 @@
         ? onBackupWriteFailed(state, event)
         : onPrimaryWriteFailed(state, event);
     case 'configurationCompiled':
-      return onCompiled(state, event.hash, event.faults);
+      return onCompiled(state, event.hash, event.issues);
     case 'stopRequested':
       return onStopRequested(state, event.now, event.graceMs ?? defaultStopGraceMs);
   }
--- a/packages/replicated-store/src/registries/heartbeat.ts
+++ b/packages/replicated-store/src/registries/heartbeat.ts
@@ -5,13 +5,13 @@
 import { type Timestamp, noGeneration, noSeq } from '@switchwheel/types';
 import type { NodeStatus } from '@switchwheel/transport';
 import type { HeartbeatContent } from '@switchwheel/membership';
-import { inSync, isPrimary } from '../leadership/candidacy.js';
+import { isInSync, isPrimary } from '../leadership/candidacy.js';
 import type { StoreState } from '../state/state.js';
 
 const ownReport = (state: StoreState, now: Timestamp): NodeStatus => ({
   generation: state.control.configuration?.offer.generation ?? noGeneration,
   phase: 'none',
-  ready: state.phase === 'member' && (isPrimary(state, now) || inSync(state)),
+  ready: state.phase === 'member' && (isPrimary(state, now) || isInSync(state)),
   health: {
     name: 'store',
     healthy: state.diskDamage === '' && state.diskFullAt === undefined,
@@ -23,8 +23,8 @@
           : 'the disk is full',
     parts: [
       {
-        name: isPrimary(state, now) ? 'primary' : inSync(state) ? 'backup' : 'out of sync',
-        healthy: inSync(state),
+        name: isPrimary(state, now) ? 'primary' : isInSync(state) ? 'backup' : 'out of sync',
+        healthy: isInSync(state),
         text: '',
         parts: [],
       },
--- a/packages/replicated-store/src/registries/subscriptions.ts
+++ b/packages/replicated-store/src/registries/subscriptions.ts
@@ -30,10 +30,10 @@
 ): Subscriber => ({
   address: subscription.registry.address,
   zone: subscription.registry.area,
-  voter: subscription.voter,
+  voterStatus: subscription.voter,
   heardAt: now,
   serial: subscription.epoch === heldEpoch(state.candidate) ? subscription.serial : noSeq,
-  purged: subscription.purged,
+  latestPurge: subscription.purged,
 });
 
 /** Whether a report says what is recorded of its node already. */
--- a/packages/replicated-store/src/resync/bootstrap.test.ts
+++ b/packages/replicated-store/src/resync/bootstrap.test.ts
@@ -146,7 +146,7 @@
   const store = new StoreHarness(true, {
     status: 'complete',
     metadata,
-    stamp: { epoch: toEpoch(4), seq: noSeq },
+    logPosition: { epoch: toEpoch(4), seq: noSeq },
     entries: [],
   });
   store.receive(registry(1), proposal(1, toFleetId('f2')));
--- a/packages/replicated-store/src/resync/bootstrap.ts
+++ b/packages/replicated-store/src/resync/bootstrap.ts
@@ -38,9 +38,9 @@
     purpose: 'bootstrap',
     replyTo: from.address,
     metadata,
-    stamp: { epoch: metadata.epoch, seq: nextSeq(noSeq) },
+    logPosition: { epoch: metadata.epoch, seq: nextSeq(noSeq) },
     puts: [],
-    stamps: new Map(),
+    logPositionByKey: new Map(),
     commandId: proposal.id,
   });
 };
--- a/packages/replicated-store/src/resync/learner-resync.ts
+++ b/packages/replicated-store/src/resync/learner-resync.ts
@@ -5,12 +5,17 @@
 
 import { type Timestamp, clockOrigin, prependEffects, transition } from '@switchwheel/types';
 import { type FrameOf, type Peer, type TableMutation, send } from '@switchwheel/transport';
-import { inSync } from '../leadership/candidacy.js';
+import { isInSync } from '../leadership/candidacy.js';
 import { startBackupWrite } from '../log-write/disk-writes.js';
 import { sendStatus } from './status.js';
 import type { StoreEffect } from '../state/events.js';
-import { type StoreState, noStamp, ownId } from '../state/state.js';
-import { isNewerStamp, isSameStamp, keysInRange, rangeDigests } from '../state/table.js';
+import { type StoreState, noLogPosition, ownId } from '../state/state.js';
+import {
+  isNewerLogPosition,
+  isSameLogPosition,
+  keysInRange,
+  rangeDigests,
+} from '../state/table.js';
 import type { StoreTransition } from '../state/transition.js';
 
 /** How many frames of entries may wait for the disk. */
@@ -18,7 +23,7 @@
 
 /** Whether this store may be resynced by the primary of an epoch. */
 const acceptsResync = (state: StoreState, epoch: number): boolean =>
-  !inSync(state) &&
+  !isInSync(state) &&
   state.primaryWrite === undefined &&
   epoch >= Math.max(state.metadata?.epoch ?? 0, state.excludedAtEpoch);
 
@@ -31,11 +36,11 @@
 ): StoreTransition => {
   if (!acceptsResync(state, listing.epoch)) return transition(state);
   // What came here since the listing was made is not in it.
-  if (isNewerStamp(state.stamp, listing.stamp)) return transition(state);
+  if (isNewerLogPosition(state.logPosition, listing.stamp)) return transition(state);
   const listed = new Set(listing.keys.map(({ key }) => key));
   const missing = listing.keys.filter(({ key, stamp }) => {
     const entry = state.table.get(key);
-    return entry === undefined || !isSameStamp(entry.stamp, stamp);
+    return entry === undefined || !isSameLogPosition(entry.stamp, stamp);
   });
   const extra = keysInRange(state.table, listing.range).filter(({ key }) => !listed.has(key));
   const fetch: readonly StoreEffect[] =
@@ -59,9 +64,9 @@
       purpose: 'resync',
       replyTo: from.address,
       metadata: state.metadata,
-      stamp: noStamp,
+      logPosition: noLogPosition,
       puts,
-      stamps: new Map(),
+      logPositionByKey: new Map(),
       commandId: undefined,
     }),
   );
@@ -93,21 +98,21 @@
     return transition(state);
   if (state.metadata !== undefined && state.metadata.fleet !== batch.metadata.fleet)
     return transition(state);
-  const stamps = new Map(batch.entries.map(({ key, stamp: entryStamp }) => [key, entryStamp]));
+  const logPositionByKey = new Map(batch.entries.map(({ key, stamp }) => [key, stamp]));
   const puts = batch.entries.map(({ key, data }) => ({ key, data }));
   // What was equal when the primary compared may have changed since.
   if (batch.settled !== undefined && !digestsMatch(state, batch.settled.digests))
     return transition(state);
   // Until the primary settles it, this store has no stamp: no write can follow, and it is no candidate.
-  const stamp = batch.settled?.stamp ?? noStamp;
+  const logPosition = batch.settled?.stamp ?? noLogPosition;
   return startBackupWrite(state, {
     startedAt: now,
     purpose: 'resync',
     replyTo: from.address,
     metadata: batch.metadata,
-    stamp,
+    logPosition,
     puts,
-    stamps,
+    logPositionByKey,
     commandId: undefined,
   });
 };
--- a/packages/replicated-store/src/resync/peer-status.ts
+++ b/packages/replicated-store/src/resync/peer-status.ts
@@ -9,7 +9,7 @@
 import { peerTimeoutMs } from '../leadership/replica-placement.js';
 import type { PeerStatus } from '../state/peers.js';
 import type { StoreState } from '../state/state.js';
-import { isSameStamp } from '../state/table.js';
+import { isSameLogPosition } from '../state/table.js';
 
 /** When a peer last came closer to the primary's state: its stamp or digests changed, or it is back. */
 const lastProgressAt = (
@@ -19,7 +19,7 @@
 ): Timestamp => {
   if (before === undefined || now - before.heardAt >= peerTimeoutMs) return now;
   const hasMoved =
-    !isSameStamp(before.stamp, status.stamp) ||
+    !isSameLogPosition(before.logPosition, status.stamp) ||
     before.isDiskFull !== status.full ||
     (status.digests.length > 0 &&
       status.digests.some((digest, range) => digest !== before.digests[range]));
@@ -38,7 +38,7 @@
     node: status.node,
     address: from.address,
     metadata: status.metadata,
-    stamp: status.stamp,
+    logPosition: status.stamp,
     isPrimary: status.primary,
     isDiskFull: status.full,
     isStopping: status.leaving === true,
--- a/packages/replicated-store/src/resync/primary-resync.ts
+++ b/packages/replicated-store/src/resync/primary-resync.ts
@@ -18,7 +18,7 @@
 import { notePeerStatus } from './peer-status.js';
 import { mayPromote, promoteLearner, storesWithLearner } from './promotion.js';
 import type { StoreState } from '../state/state.js';
-import { isSameStamp, keysInRange, rangeDigests } from '../state/table.js';
+import { isSameLogPosition, keysInRange, rangeDigests } from '../state/table.js';
 import type { StoreTransition } from '../state/transition.js';
 
 /** No more entries join a frame once it bears so many characters. */
@@ -28,9 +28,10 @@
 const resyncRangesPerReply = 8;
 
 /** Whether a store with this stamp has the last confirmed write, or the one that is open. */
-const isFollowing = (state: StoreState, stamp: LogPosition): boolean =>
-  isSameStamp(stamp, state.stamp) ||
-  (state.primaryWrite !== undefined && isSameStamp(stamp, state.primaryWrite.stamp));
+const isFollowing = (state: StoreState, logPosition: LogPosition): boolean =>
+  isSameLogPosition(logPosition, state.logPosition) ||
+  (state.primaryWrite !== undefined &&
+    isSameLogPosition(logPosition, state.primaryWrite.logPosition));
 
 /** A peer sends its status: the primary replaces a backup that lost its disk, and resyncs learners. */
 export const onPeerStatus = (
@@ -79,21 +80,24 @@
         send(from.address, {
           kind: 'range-listing' as const,
           epoch: metadata.epoch,
-          stamp: state.stamp,
+          stamp: state.logPosition,
           range,
           keys: keysInRange(state.table, range),
         }),
       ),
     );
   }
-  if (!isSameStamp(status.stamp, state.stamp) || status.metadata?.epoch !== metadata.epoch) {
+  if (
+    !isSameLogPosition(status.stamp, state.logPosition) ||
+    status.metadata?.epoch !== metadata.epoch
+  ) {
     return transition(
       state,
       send(from.address, {
         kind: 'resync-entries',
         epoch: metadata.epoch,
         metadata: metadataWithLearner,
-        settled: { stamp: state.stamp, digests: ownDigests },
+        settled: { stamp: state.logPosition, digests: ownDigests },
         entries: [],
       }),
       ...replicateOpenWrite(state, from.address),
--- a/packages/replicated-store/src/resync/status.ts
+++ b/packages/replicated-store/src/resync/status.ts
@@ -5,7 +5,7 @@
 
 import { type Timestamp, transition } from '@switchwheel/types';
 import { type ClusterMetadata, type FrameOf, send } from '@switchwheel/transport';
-import { inSync, isPrimary, primaryTimeoutMs } from '../leadership/candidacy.js';
+import { isInSync, isPrimary, primaryTimeoutMs } from '../leadership/candidacy.js';
 import { type StoreState, ownId } from '../state/state.js';
 import { rangeDigests } from '../state/table.js';
 import type { StoreTransition } from '../state/transition.js';
@@ -31,7 +31,7 @@
       state.metadata?.stores.filter(
         (store) =>
           store.node !== ownId(state) &&
-          inSync(state) &&
+          isInSync(state) &&
           state.metadata?.inSyncSet.includes(store.node),
       ) ?? [];
     return [...new Set([primary.address, ...peers.map((store) => store.address)])];
@@ -57,17 +57,17 @@
   const primary = isPrimary(state, now);
   const isOutOfSync =
     !primary &&
-    !inSync(state) &&
+    !isInSync(state) &&
     state.backupWrite === undefined &&
     state.primaryWrite === undefined;
   const status: FrameOf<'replica-status'> = {
     kind: 'replica-status',
     node: ownId(state),
-    stamp: state.stamp,
+    stamp: state.logPosition,
     primary,
     full:
       state.diskFullAt !== undefined ||
-      state.primaryWrite?.phase === 'orphan' ||
+      state.primaryWrite?.phase === 'abandoned' ||
       (state.backupWrite !== undefined && now - state.backupWrite.startedAt > stalledDiskMs),
     ...(state.stopping === undefined ? {} : { leaving: true }),
     at: now,
--- a/packages/replicated-store/src/state/disk-recovery.ts
+++ b/packages/replicated-store/src/state/disk-recovery.ts
@@ -42,7 +42,7 @@
     ...state,
     phase: 'member',
     metadata: contents.metadata,
-    stamp: contents.stamp,
+    logPosition: contents.logPosition,
     table,
     control,
     candidate: observeEpoch(
--- a/packages/replicated-store/src/state/events.ts
+++ b/packages/replicated-store/src/state/events.ts
@@ -19,7 +19,7 @@
   | {
       readonly status: 'complete';
       readonly metadata: ClusterMetadata;
-      readonly stamp: LogPosition;
+      readonly logPosition: LogPosition;
       readonly entries: readonly KeyedEntry[];
     };
 
@@ -39,7 +39,7 @@
       readonly kind: 'configurationCompiled';
       readonly now: Timestamp;
       readonly hash: Hash;
-      readonly faults: readonly ValidationIssue[];
+      readonly issues: readonly ValidationIssue[];
     }
   /** The process is asked to stop, within `graceMs` if it is given. */
   | { readonly kind: 'stopRequested'; readonly now: Timestamp; readonly graceMs?: number };
@@ -51,7 +51,7 @@
 export interface DiskWrite {
   readonly id: number;
   readonly metadata: ClusterMetadata;
-  readonly stamp: LogPosition;
+  readonly logPosition: LogPosition;
   readonly entries: readonly KeyedEntry[];
   readonly deletedKeys: readonly string[];
   /** Whether everything on the disk is deleted first. */
--- a/packages/replicated-store/src/state/invariants.ts
+++ b/packages/replicated-store/src/state/invariants.ts
@@ -3,7 +3,7 @@
 import { type Invariant, type Transition, countViolations, transition } from '@switchwheel/types';
 import { log } from '@switchwheel/transport';
 import { lackingChunks } from '../commands/chunk-repair.js';
-import { inSync } from '../leadership/candidacy.js';
+import { isInSync } from '../leadership/candidacy.js';
 import type { StoreEffect } from './events.js';
 import type { StoreState } from './state.js';
 
@@ -25,13 +25,13 @@
 const mayAffectInvariants = (before: StoreState, after: StoreState): boolean =>
   before.control.configuration !== after.control.configuration ||
   before.control.chunks !== after.control.chunks ||
-  inSync(before) !== inSync(after);
+  isInSync(before) !== isInSync(after);
 
 /** Checks a store after an event that changed its table or its place in the in-sync set. */
 export const checkInvariants = (
   before: StoreState,
   after: StoreState,
 ): Transition<StoreState, StoreEffect> => {
-  if (!mayAffectInvariants(before, after) || !inSync(after)) return transition(after);
+  if (!mayAffectInvariants(before, after) || !isInSync(after)) return transition(after);
   return noteViolations(after, lackingChunks(after).length > 0 ? ['description-whole'] : []);
 };
--- a/packages/replicated-store/src/state/open-writes.ts
+++ b/packages/replicated-store/src/state/open-writes.ts
@@ -10,8 +10,8 @@
 /** A write of the primary that is open: first it goes to its own disk, then to those of the backups in sync. */
 export interface PrimaryWrite {
   readonly id: number;
-  /** An orphan was given up while the disk was still at it: whether it is durable is known later. */
-  readonly phase: 'disk' | 'copy' | 'orphan';
+  /** Set to `abandoned` if the write is given up while it is being written to disk; its outcome is known later. */
+  readonly phase: 'writingToDisk' | 'replicating' | 'abandoned';
   /** Whether this disk has it already, from before the in-sync set changed: then its callers never hear that it was rejected. */
   readonly isOnOwnDisk: boolean;
   readonly phaseStartedAt: Timestamp;
@@ -19,8 +19,8 @@
   readonly metadata: ClusterMetadata;
   /** The stores, learners too, that acknowledged it under this metadata. */
   readonly acknowledgedBy: ReadonlySet<NodeId>;
-  readonly stamp: LogPosition;
-  readonly previousStamp: LogPosition;
+  readonly logPosition: LogPosition;
+  readonly previousLogPosition: LogPosition;
   readonly puts: readonly TableMutation[];
   readonly controlAfter: ControlState;
   readonly replies: readonly CommandReply[];
@@ -34,8 +34,8 @@
   readonly purpose: 'replicate' | 'resync' | 'bootstrap';
   readonly replyTo: Address;
   readonly metadata: ClusterMetadata;
-  readonly stamp: LogPosition;
+  readonly logPosition: LogPosition;
   readonly puts: readonly TableMutation[];
-  readonly stamps: ReadonlyMap<string, LogPosition>;
+  readonly logPositionByKey: ReadonlyMap<string, LogPosition>;
   readonly commandId: CommandId | undefined;
 }
--- a/packages/replicated-store/src/state/peers.ts
+++ b/packages/replicated-store/src/state/peers.ts
@@ -10,7 +10,7 @@
   readonly node: NodeId;
   readonly address: Address;
   readonly metadata: ClusterMetadata | undefined;
-  readonly stamp: LogPosition;
+  readonly logPosition: LogPosition;
   readonly isPrimary: boolean;
   /** Whether its disk takes no writes now: it has no room, or is stalled. */
   readonly isDiskFull: boolean;
@@ -27,10 +27,10 @@
   readonly address: Address;
   readonly zone: ZoneName;
   /** How far its vote may be relied on, as it says. */
-  readonly voter: FrameOf<'subscribe'>['voter'];
+  readonly voterStatus: FrameOf<'subscribe'>['voter'];
   readonly heardAt: Timestamp;
   readonly serial: Seq;
-  readonly purged: Seq;
+  readonly latestPurge: Seq;
 }
 
 /** By which registry a node is in touch, and when it last was. */
--- a/packages/replicated-store/src/state/state.ts
+++ b/packages/replicated-store/src/state/state.ts
@@ -49,7 +49,7 @@
   /** Whether the disk holds something that can't be trusted: the first write clears it. */
   readonly mustWipe: boolean;
   readonly metadata: ClusterMetadata | undefined;
-  readonly stamp: LogPosition;
+  readonly logPosition: LogPosition;
   readonly table: Table;
   readonly control: ControlState;
   readonly candidate: Candidate;
@@ -117,7 +117,7 @@
   readonly lastNodeChangeSeq: Seq;
   /** The rollouts of releases as this primary watches them. */
   readonly releaseWatches: ReadonlyMap<ServiceName, RolloutWatch>;
-  readonly targetStatusSeen: StatusSince;
+  readonly targetStatusSince: StatusSince;
   readonly rolloutOpenedAt: Timestamp | undefined;
   readonly diskFullAt: Timestamp | undefined;
   /** When registries were last asked for chunks that the configuration in force lacks. */
@@ -132,7 +132,7 @@
 }
 
 /** The stamp of a store without a table: it has no write, and while a resync changes its table it has none either. */
-export const noStamp: LogPosition = { epoch: noEpoch, seq: noSeq };
+export const noLogPosition: LogPosition = { epoch: noEpoch, seq: noSeq };
 
 /** The state of a process that has not read its disk yet. */
 export const newStoreState = (
@@ -150,7 +150,7 @@
   diskDamage: '',
   mustWipe: false,
   metadata: undefined,
-  stamp: noStamp,
+  logPosition: noLogPosition,
   table: new Map(),
   control: emptyControlState,
   candidate: newCandidate(member.node, primaryLease, []),
@@ -181,7 +181,7 @@
   rolloutsDueAt: undefined,
   lastNodeChangeSeq: noSeq,
   releaseWatches: new Map(),
-  targetStatusSeen: new Map(),
+  targetStatusSince: new Map(),
   rolloutOpenedAt: undefined,
   diskFullAt: undefined,
   chunksRequestedAt: clockOrigin,
--- a/packages/replicated-store/src/state/table.ts
+++ b/packages/replicated-store/src/state/table.ts
@@ -28,11 +28,11 @@
   createHash('sha1').update(key).digest().readUInt8(0) % rangeCount;
 
 /** Whether two stamps are those of one write. */
-export const isSameStamp = (first: LogPosition, second: LogPosition): boolean =>
+export const isSameLogPosition = (first: LogPosition, second: LogPosition): boolean =>
   first.epoch === second.epoch && first.seq === second.seq;
 
 /** Whether the first stamp is the newer one: by epoch, then by number. */
-export const isNewerStamp = (first: LogPosition, second: LogPosition): boolean =>
+export const isNewerLogPosition = (first: LogPosition, second: LogPosition): boolean =>
   first.epoch > second.epoch || (first.epoch === second.epoch && first.seq > second.seq);
 
 /** A copy of the table with a write in it. */
--- a/packages/simulator/src/fault/process-actions.ts
+++ b/packages/simulator/src/fault/process-actions.ts
@@ -26,8 +26,9 @@
       (one) => one.reply?.status === 200 && world.eventQueue.now - one.reply.at < 1000,
     );
     if (primary && fresh) world.coverage.record('R4: a primary was lost just after it accepted');
-    if (target.writePhase === 'disk') world.coverage.record('a write was cut before its sync');
-    if (target.writePhase === 'copy')
+    if (target.writePhase === 'writingToDisk')
+      world.coverage.record('a write was cut before its sync');
+    if (target.writePhase === 'replicating')
       world.coverage.record('a write was cut between the two disks');
     if (primary && hasUnansweredWrite(context, target))
       world.coverage.record('a write was cut before its answer');
--- a/packages/simulator/src/fault/store-faults.ts
+++ b/packages/simulator/src/fault/store-faults.ts
@@ -83,12 +83,14 @@
   {
     name: 'power lost before a sync',
     weight: 1,
-    cause: (context) => losePowerDuringWrite(context, (store) => store.writePhase === 'disk'),
+    cause: (context) =>
+      losePowerDuringWrite(context, (store) => store.writePhase === 'writingToDisk'),
   },
   {
     name: 'power lost between the disks',
     weight: 1,
-    cause: (context) => losePowerDuringWrite(context, (store) => store.writePhase === 'copy'),
+    cause: (context) =>
+      losePowerDuringWrite(context, (store) => store.writePhase === 'replicating'),
   },
   {
     name: 'power lost before the answer',
--- a/packages/simulator/src/guard/list.ts
+++ b/packages/simulator/src/guard/list.ts
@@ -102,7 +102,7 @@
     name: 'recovering votes do not count',
     rule: 'lost write',
     file: candidate,
-    from: 'vote !== undefined && (context.countsRecoveringVoters || !vote.recovering)',
+    from: 'vote !== undefined && (context.countsRecoveringVoters || !vote.wasRecovering)',
     to: 'vote !== undefined',
   },
   {
@@ -165,7 +165,7 @@
     name: 'an invalid description is refused whole',
     rule: 'whole',
     file: decideApply,
-    from: 'if (command.faults.length > 0)',
+    from: 'if (command.issues.length > 0)',
     to: 'if (false)',
   },
   {
--- a/packages/simulator/src/processes/store.ts
+++ b/packages/simulator/src/processes/store.ts
@@ -93,9 +93,9 @@
   }
 
   /** How far the write under way here has come, if there is one. */
-  get writePhase(): 'disk' | 'copy' | undefined {
+  get writePhase(): 'writingToDisk' | 'replicating' | undefined {
     const phase = this.state?.primaryWrite?.phase;
-    return phase === 'disk' || phase === 'copy' ? phase : undefined;
+    return phase === 'writingToDisk' || phase === 'replicating' ? phase : undefined;
   }
 
   /** What the disk holds, put together from all that was ever synced. */
@@ -112,7 +112,7 @@
     return {
       status: 'complete',
       metadata: last.metadata,
-      stamp: last.stamp,
+      logPosition: last.logPosition,
       entries: [...entries.values()],
     };
   }
@@ -170,7 +170,7 @@
             kind: 'configurationCompiled',
             now,
             hash: effect.hash,
-            faults: built.isOk ? [] : built.error,
+            issues: built.isOk ? [] : built.error,
           }));
         });
         break;
--- a/packages/simulator/src/rules/rule-checker.test.ts
+++ b/packages/simulator/src/rules/rule-checker.test.ts
@@ -133,7 +133,7 @@
   for (const shield of [one, two]) {
     const phase = {
       phase: 'holdingLease' as const,
-      epoch: held.highest,
+      epoch: held.highestEpoch,
       votes: new Map(),
       leaseEndsAt: toTimestamp(shield.clock + 10_000),
       renewalRequestedAt: shield.clock,
--- a/packages/simulator/src/run/failures.test.ts
+++ b/packages/simulator/src/run/failures.test.ts
@@ -637,7 +637,7 @@
     assert.ok(primary !== undefined && backup !== undefined);
     backup.kill();
     const write = run.world.apply(70);
-    assert.ok(run.world.runUntil(3000, () => primary.writePhase === 'copy'));
+    assert.ok(run.world.runUntil(3000, () => primary.writePhase === 'replicating'));
     primary.disk.condition = 'full';
     run.world.runUntil(9000, () => write.reply !== undefined);
     primary.kill();
--- a/packages/simulator/src/run/operators.test.ts
+++ b/packages/simulator/src/run/operators.test.ts
@@ -196,7 +196,10 @@
     const box = send(run, registryAt(run, 0), 7, 51);
     const primary = run.world.primary();
     // The write lasts on the primary's disk or on both when it dies: whichever, the same order is acknowledged.
-    run.world.runUntil(2000, () => primary?.writePhase === (seed % 2 === 0 ? 'disk' : 'copy'));
+    run.world.runUntil(
+      2000,
+      () => primary?.writePhase === (seed % 2 === 0 ? 'writingToDisk' : 'replicating'),
+    );
     takeOver(run);
     run.world.runUntil(answerSpan, () => box.answer !== undefined);
     assert.ok(box.answer === undefined || box.answer.status !== 409, JSON.stringify(box.answer));
--- a/packages/store/src/disk-rows.ts
+++ b/packages/store/src/disk-rows.ts
@@ -57,7 +57,7 @@
       return { status: 'damaged', reason: `the entry ${row.key} can not be read` };
     entries.push(entry);
   }
-  return { status: 'complete', metadata: header.metadata, stamp: header.stamp, entries };
+  return { status: 'complete', metadata: header.metadata, logPosition: header.stamp, entries };
 };
 
 /** The rows of one write; the header goes with the entries, so both are durable or neither. */
@@ -68,7 +68,7 @@
     ...write.entries.map(entryRow),
     {
       key: headerKey,
-      text: JSON.stringify({ format: 1, metadata: write.metadata, stamp: write.stamp }),
+      text: JSON.stringify({ format: 1, metadata: write.metadata, stamp: write.logPosition }),
     },
   ],
 });
--- a/packages/store/src/head-row.test.ts
+++ b/packages/store/src/head-row.test.ts
@@ -54,7 +54,7 @@
       const found = await foundWith(disk, head);
       assert.ok(found.status === 'complete');
       assert.deepEqual(found.metadata, metadata);
-      assert.deepEqual(found.stamp, stamp);
+      assert.deepEqual(found.logPosition, stamp);
       assert.deepEqual(found.entries, [
         {
           key: 'number/0000000000000002',
@@ -65,7 +65,7 @@
       const change = rowsOf({
         id: 1,
         metadata: found.metadata,
-        stamp: found.stamp,
+        logPosition: found.logPosition,
         entries: found.entries,
         deletedKeys: ['number/0000000000000001'],
         wipesFirst: false,
--- a/packages/store/src/store-effects.ts
+++ b/packages/store/src/store-effects.ts
@@ -51,7 +51,7 @@
     kind: 'configurationCompiled',
     now,
     hash,
-    faults: compiled.isOk ? [] : compiled.error,
+    issues: compiled.isOk ? [] : compiled.error,
   }));
 };
 
--- a/packages/store/src/store-metrics.ts
+++ b/packages/store/src/store-metrics.ts
@@ -4,7 +4,7 @@
 
 import { type Timestamp, totalViolations } from '@switchwheel/types';
 import { type MetricSample, metricSample } from '@switchwheel/runtime';
-import { type StoreState, inSync, isPrimary } from '@switchwheel/replicated-store';
+import { type StoreState, isInSync, isPrimary } from '@switchwheel/replicated-store';
 
 /** What a store's process measures beside its state. */
 export interface StoreProcessReadings {
@@ -16,7 +16,7 @@
 
 /** Whether this store belongs to a fleet and is primary or in sync. */
 export const isStoreReady = (state: StoreState, now: Timestamp): boolean =>
-  state.phase === 'member' && (isPrimary(state, now) || inSync(state));
+  state.phase === 'member' && (isPrimary(state, now) || isInSync(state));
 
 /** The samples of a store, in the order in which they are shown. */
 export const storeMetrics = (
@@ -25,7 +25,7 @@
   { worstLoopLagMs, protocolErrorCount }: StoreProcessReadings,
 ): readonly MetricSample[] => [
   metricSample('primary', isPrimary(state, now) ? 1 : 0),
-  metricSample('in_sync', inSync(state) ? 1 : 0),
+  metricSample('in_sync', isInSync(state) ? 1 : 0),
   metricSample('entries', state.table.size),
   metricSample('epoch', state.metadata?.epoch ?? 0),
   metricSample('writes_waiting', state.commandQueue.length),
--- a/packages/store/src/stored-data.test.ts
+++ b/packages/store/src/stored-data.test.ts
@@ -106,9 +106,16 @@
   void test(`what is written again over the data folder of the ${name} has the rows that it had`, () =>
     withDataFolder(name, async (folder) => {
       await withDisk(folder, async (disk) => {
-        const { metadata, stamp, entries } = recordOn(disk);
+        const { metadata, logPosition: stamp, entries } = recordOn(disk);
         const written = await disk.write(
-          rowsOf({ id: 1, metadata, stamp, entries, deletedKeys: [], wipesFirst: true }),
+          rowsOf({
+            id: 1,
+            metadata,
+            logPosition: stamp,
+            entries,
+            deletedKeys: [],
+            wipesFirst: true,
+          }),
         );
         assert.ok(written.isOk);
       });
--- a/packages/store/src/testing/loaded-state.ts
+++ b/packages/store/src/testing/loaded-state.ts
@@ -194,7 +194,7 @@
   const { control } = state;
   return {
     clusterMetadata: metadataFacts(state),
-    lastWrite: { epochNumber: state.stamp.epoch, writeNumber: state.stamp.seq },
+    lastWrite: { epochNumber: state.logPosition.epoch, writeNumber: state.logPosition.seq },
     entryCount: state.table.size,
     rangeDigests: rangeDigests(state.table),
     inForce:
