--- a/packages/configuration/src/compiled/compile.ts
+++ b/packages/configuration/src/compiled/compile.ts
@@ -4,7 +4,7 @@
  */
 
 import { type Result, err, ok } from 'true-myth/result';
-import type { ClassName, Generation, Hash, ServiceName } from '@switchwheel/types';
+import type { ServiceClassName, Generation, Hash, ServiceName } from '@switchwheel/types';
 import { checkClassShares, checkHeader } from '../document/checks.js';
 import {
   type ConfigurationHeader,
@@ -66,12 +66,15 @@
 /** The classes whose routes go to each service. */
 const classNamesByService = (
   routesByChunk: ReadonlyMap<string, ChunkRoutes>,
-): ReadonlyMap<ServiceName, ReadonlySet<ClassName>> => {
-  const names = new Map<ServiceName, Set<ClassName>>();
+): ReadonlyMap<ServiceName, ReadonlySet<ServiceClassName>> => {
+  const names = new Map<ServiceName, Set<ServiceClassName>>();
   for (const routes of routesByChunk.values())
     for (const { route } of routes)
       for (const { service } of route.weightedServices)
-        names.set(service, (names.get(service) ?? new Set<ClassName>()).add(route.className));
+        names.set(
+          service,
+          (names.get(service) ?? new Set<ServiceClassName>()).add(route.className),
+        );
   return names;
 };
 
--- a/packages/configuration/src/compiled/compiled-configuration.ts
+++ b/packages/configuration/src/compiled/compiled-configuration.ts
@@ -3,7 +3,13 @@
  * leaves things out.
  */
 
-import type { ClassName, Generation, Hash, RouteName, ServiceName } from '@switchwheel/types';
+import type {
+  ServiceClassName,
+  Generation,
+  Hash,
+  RouteName,
+  ServiceName,
+} from '@switchwheel/types';
 import type {
   ServiceClass,
   ConfigurationHeader,
@@ -20,7 +26,7 @@
   readonly service: ServiceName;
   /** All of its services with their weights; one for a route that is not split. */
   readonly weightedServices: readonly WeightedService[];
-  readonly className: ClassName;
+  readonly className: ServiceClassName;
   readonly methods: ReadonlySet<string>;
   readonly isIdempotent: boolean;
   readonly timeoutMs: number;
@@ -56,10 +62,10 @@
   readonly headerText: string;
   /** The routes of each chunk, by its text: the next configuration takes over what it shares. */
   readonly routesByChunk: ReadonlyMap<string, ChunkRoutes>;
-  readonly classes: ReadonlyMap<ClassName, ServiceClass>;
+  readonly classes: ReadonlyMap<ServiceClassName, ServiceClass>;
   readonly services: ReadonlyMap<ServiceName, Service>;
   /** The classes whose routes go to each service: only they have a share of its slots. */
-  readonly classesByService: ReadonlyMap<ServiceName, ReadonlyMap<ClassName, ServiceClass>>;
+  readonly classesByService: ReadonlyMap<ServiceName, ReadonlyMap<ServiceClassName, ServiceClass>>;
   readonly routesByName: ReadonlyMap<RouteName, CompiledRoute>;
   readonly exactRoutes: RouteIndex;
   readonly prefixRoutes: RouteIndex;
--- a/packages/configuration/src/document/checks.ts
+++ b/packages/configuration/src/document/checks.ts
@@ -1,10 +1,10 @@
 /** Checks of a document beyond its schema: names, lending between classes, shares and the rollout policy. */
 
-import type { ClassName, ServiceName } from '@switchwheel/types';
+import type { ServiceClassName, ServiceName } from '@switchwheel/types';
 import type { ConfigurationHeader, RolloutPolicy, ServiceClass } from './schema.js';
 import { type ValidationIssue, validationIssue } from './validation-issue.js';
 
-type ClassTable = ReadonlyMap<ClassName, ServiceClass>;
+type ClassTable = ReadonlyMap<ServiceClassName, ServiceClass>;
 
 /** How long the gates of all waves may take together. */
 const maxGatesMs = 500;
@@ -31,10 +31,10 @@
 /** A path of lending from one class to another; undefined if there is none. */
 const lendingPath = (
   classes: ClassTable,
-  from: ClassName,
-  to: ClassName,
-  visited: Set<ClassName>,
-): readonly ClassName[] | undefined => {
+  from: ServiceClassName,
+  to: ServiceClassName,
+  visited: Set<ServiceClassName>,
+): readonly ServiceClassName[] | undefined => {
   for (const next of classes.get(from)?.lendsTo ?? []) {
     if (next === to) return [from, next];
     if (visited.has(next)) continue;
@@ -106,7 +106,7 @@
 
 /** Checks that the shares of the classes at each service are not more than the whole. */
 export const checkClassShares = (
-  classNamesByService: ReadonlyMap<ServiceName, ReadonlySet<ClassName>>,
+  classNamesByService: ReadonlyMap<ServiceName, ReadonlySet<ServiceClassName>>,
   classes: ClassTable,
   issues: ValidationIssue[],
 ): void => {
--- a/packages/configuration/src/document/schema.ts
+++ b/packages/configuration/src/document/schema.ts
@@ -32,10 +32,10 @@
 
 /** A class of service: what it promises, its share, and who may borrow from it. */
 export const serviceClass = v.strictObject({
-  name: g.className,
+  name: g.serviceClassName,
   latencyMs: v.optional(integerBetween(1, 600_000)),
   share: v.pipe(v.number('a number'), v.minValue(0, 'at least 0'), v.maxValue(1, 'at most 1')),
-  lendsTo: v.optional(v.array(g.className), []),
+  lendsTo: v.optional(v.array(g.serviceClassName), []),
 });
 /** A class of service. */
 export type ServiceClass = v.InferOutput<typeof serviceClass>;
@@ -108,7 +108,7 @@
   service: v.optional(g.serviceName),
   /** In place of one service: several, each with its part of the requests. */
   split: v.optional(trafficSplit),
-  class: g.className,
+  class: g.serviceClassName,
   repeatable: v.optional(v.boolean()),
   timeoutMs: v.optional(integerBetween(10, 600_000), 10_000),
   /** Within which time a response is worth most. */
--- a/packages/devfleet/src/fault-injection/preload.ts
+++ b/packages/devfleet/src/fault-injection/preload.ts
@@ -118,7 +118,7 @@
   'write',
   async function patched(this: Disk, change: unknown): Promise<unknown> {
     if (currentFaults.disk === 'full')
-      return err({ text: 'ENOSPC: no space left on device', full: true });
+      return err({ text: 'ENOSPC: no space left on device', isDiskFull: true });
     await new Promise<void>((done) => {
       runWhen(() => currentFaults.disk !== 'stalled', done);
     });
--- a/packages/proxy-core/src/forwarding/state.ts
+++ b/packages/proxy-core/src/forwarding/state.ts
@@ -6,7 +6,7 @@
 import type {
   Address,
   RequestId,
-  ClassName,
+  ServiceClassName,
   LeaseName,
   Epoch,
   Generation,
@@ -33,7 +33,7 @@
   readonly service: ServiceName;
   readonly generation: Generation;
   readonly route: RouteName;
-  readonly className: ClassName;
+  readonly className: ServiceClassName;
   readonly method: string;
   readonly host: string;
   readonly path: string;
--- a/packages/proxy-core/src/service-leader/admission.ts
+++ b/packages/proxy-core/src/service-leader/admission.ts
@@ -4,7 +4,7 @@
  */
 
 import {
-  type ClassName,
+  type ServiceClassName,
   type Timestamp,
   increment,
   prependEffects,
@@ -26,8 +26,8 @@
 const shareOfSlots = (share: number, capacity: number): number =>
   Math.floor(share * capacity + roundingTolerance);
 
-const attemptsByClass = (state: ServiceLeader): ReadonlyMap<ClassName, number> => {
-  const counts = new Map<ClassName, number>();
+const attemptsByClass = (state: ServiceLeader): ReadonlyMap<ServiceClassName, number> => {
+  const counts = new Map<ServiceClassName, number>();
   for (const attempt of state.attempts.values()) {
     const request = state.activeRequests.get(attempt.requestId);
     if (request !== undefined) increment(counts, request.className);
@@ -38,9 +38,9 @@
 /** How many slots must stay free for the other classes when a class starts one more attempt. */
 const reservedSlots = (
   state: ServiceLeader,
-  className: ClassName,
+  className: ServiceClassName,
   capacity: number,
-  usedSlots: ReadonlyMap<ClassName, number>,
+  usedSlots: ReadonlyMap<ServiceClassName, number>,
 ): number => {
   let sum = 0;
   for (const [otherName, other] of state.classes) {
@@ -55,7 +55,11 @@
 };
 
 /** Whether a class may start one more attempt now, by the slots that it and the others use. */
-export const mayAdmit = (state: ServiceLeader, className: ClassName, now: Timestamp): boolean => {
+export const mayAdmit = (
+  state: ServiceLeader,
+  className: ServiceClassName,
+  now: Timestamp,
+): boolean => {
   const capacity = totalCapacity(state, now);
   const free = capacity - state.attempts.size;
   if (free <= 0) return false;
@@ -73,14 +77,14 @@
 export const canSend = (state: ServiceLeader): boolean => !state.isClosing && hasToken(state);
 
 /** The weight of a class under the service's rate limit. */
-export const classShare = (state: ServiceLeader, className: ClassName): number =>
+export const classShare = (state: ServiceLeader, className: ServiceClassName): number =>
   Math.max(minClassShare, state.classes.get(className)?.share ?? 0);
 
-const rateUsageOf = (state: ServiceLeader, className: ClassName): number =>
+const rateUsageOf = (state: ServiceLeader, className: ServiceClassName): number =>
   state.rateUsage.get(className) ?? 0;
 
 /** The waiting classes in turn: under a rate limit the one first that used least for its weight. */
-const classTurnOrder = (state: ServiceLeader): readonly ClassName[] => {
+const classTurnOrder = (state: ServiceLeader): readonly ServiceClassName[] => {
   const names = [...state.queues.keys()];
   return state.serviceConfiguration.perSecond === undefined
     ? names
@@ -88,7 +92,7 @@
 };
 
 /** Lets a class join the turns as if it had used as much as the others: idle time earns no credit. */
-const enterTurnOrder = (state: ServiceLeader, className: ClassName): ServiceLeader => {
+const enterTurnOrder = (state: ServiceLeader, className: ServiceClassName): ServiceLeader => {
   if (state.serviceConfiguration.perSecond === undefined || state.queues.has(className))
     return state;
   const others = [...state.queues.keys()].map((name) => rateUsageOf(state, name));
@@ -116,7 +120,7 @@
 /** The queues with a class's queue replaced; an empty one goes. */
 export const withQueue = (
   queues: ServiceLeader['queues'],
-  className: ClassName,
+  className: ServiceClassName,
   queue: readonly PendingRequest[],
 ): ServiceLeader['queues'] =>
   queue.length === 0 ? withoutEntry(queues, className) : withEntry(queues, className, queue);
@@ -129,7 +133,7 @@
 /** The request of a class that may start now, and where. */
 const nextAdmission = (
   state: ServiceLeader,
-  className: ClassName,
+  className: ServiceClassName,
   now: Timestamp,
 ): Admission | undefined => {
   if (!canSend(state) || !mayAdmit(state, className, now)) return undefined;
@@ -144,7 +148,7 @@
 /** Takes an admitted request out of its queue, charges its class and starts the attempt. */
 const admit = (
   state: ServiceLeader,
-  className: ClassName,
+  className: ServiceClassName,
   { request, endpoint }: Admission,
   now: Timestamp,
 ): LeaderTransition => {
--- a/packages/proxy-core/src/service-leader/queue-wait.ts
+++ b/packages/proxy-core/src/service-leader/queue-wait.ts
@@ -3,7 +3,7 @@
  * check by which one that can no longer be served in time is turned away before its deadline.
  */
 
-import { type ClassName, type Timestamp, transition } from '@switchwheel/types';
+import { type ServiceClassName, type Timestamp, transition } from '@switchwheel/types';
 import { classShare, withQueue } from './admission.js';
 import { mayReceiveTraffic } from './canary.js';
 import { totalCapacity } from './endpoints.js';
@@ -28,7 +28,7 @@
 /** How long a request waits with so many of its class ahead: for slots, and for the rate limit. */
 const queueWaitMs = (
   state: ServiceLeader,
-  className: ClassName,
+  className: ServiceClassName,
   ahead: number,
   capacity: number,
 ): number => {
@@ -44,7 +44,7 @@
 /** How long a request of a class that arrives now would wait, in milliseconds. */
 export const estimatedWaitMs = (
   state: ServiceLeader,
-  className: ClassName,
+  className: ServiceClassName,
   now: Timestamp,
 ): number => {
   const ahead = state.queues.get(className)?.length ?? 0;
--- a/packages/proxy-core/src/service-leader/service-leader.test.ts
+++ b/packages/proxy-core/src/service-leader/service-leader.test.ts
@@ -6,12 +6,12 @@
 import { test } from 'node:test';
 import * as fc from 'fast-check';
 import {
-  type ClassName,
+  type ServiceClassName,
   addMs,
   noGeneration,
   toAddress,
   toRequestId,
-  toClassName,
+  toServiceClassName,
   toEpoch,
   toInstanceId,
   toTimestamp,
@@ -28,7 +28,7 @@
 } from './state.js';
 
 const service = toServiceName('shop');
-const [quick, slow] = [toClassName('quick'), toClassName('slow')];
+const [quick, slow] = [toServiceClassName('quick'), toServiceClassName('slow')];
 
 const classes = [
   { name: 'quick', latencyMs: 100, share: 0.6, lendsTo: ['slow'] },
@@ -101,7 +101,7 @@
     this.effects.push(...result.effects);
   }
 
-  arrive(id: string, className: ClassName, remainingMs = 60_000): void {
+  arrive(id: string, className: ServiceClassName, remainingMs = 60_000): void {
     this.dispatch({
       kind: 'requestArrived',
       now: this.now,
@@ -114,7 +114,7 @@
     });
   }
 
-  arriveMany(count: number, className: ClassName, first = 0): void {
+  arriveMany(count: number, className: ServiceClassName, first = 0): void {
     for (let index = first; index < first + count; index += 1) this.arrive(`a${index}`, className);
   }
 
@@ -123,7 +123,7 @@
     this.dispatch({ kind: 'tick', now: this.now });
   }
 
-  running(className: ClassName): number {
+  running(className: ServiceClassName): number {
     return [...this.state.attempts.values()].filter(
       (attempt) => this.state.activeRequests.get(attempt.requestId)?.className === className,
     ).length;
--- a/packages/proxy-core/src/service-leader/state.ts
+++ b/packages/proxy-core/src/service-leader/state.ts
@@ -4,7 +4,7 @@
 
 import type {
   RequestId,
-  ClassName,
+  ServiceClassName,
   Epoch,
   InstanceId,
   Timestamp,
@@ -70,7 +70,7 @@
 /** A request that waits in a queue or has attempts under way. */
 export interface PendingRequest {
   readonly id: RequestId;
-  readonly className: ClassName;
+  readonly className: ServiceClassName;
   readonly isIdempotent: boolean;
   readonly deadline: Timestamp;
   readonly attemptCount: number;
@@ -120,10 +120,10 @@
   readonly recentLeaderCount: number;
   readonly serviceConfiguration: Service;
   /** The classes whose routes go to this service. */
-  readonly classes: ReadonlyMap<ClassName, ServiceClass>;
+  readonly classes: ReadonlyMap<ServiceClassName, ServiceClass>;
   readonly endpoints: ReadonlyMap<InstanceId, Endpoint>;
   /** Requests that wait for a slot, by class, in their order. */
-  readonly queues: ReadonlyMap<ClassName, readonly PendingRequest[]>;
+  readonly queues: ReadonlyMap<ServiceClassName, readonly PendingRequest[]>;
   /** Requests with an attempt under way. */
   readonly activeRequests: ReadonlyMap<RequestId, PendingRequest>;
   readonly attempts: ReadonlyMap<number, Attempt>;
@@ -134,7 +134,7 @@
   readonly tokens: number;
   readonly refilledAt: Timestamp;
   /** What each waiting class has used of the rate limit, divided by its share. */
-  readonly rateUsage: ReadonlyMap<ClassName, number>;
+  readonly rateUsage: ReadonlyMap<ServiceClassName, number>;
   readonly recentRequests: SlidingWindow;
   readonly recentExtraAttempts: SlidingWindow;
   /** Requests since this leader started: what the share of a canary is taken of. */
@@ -151,7 +151,7 @@
   service: ServiceName,
   epoch: Epoch,
   serviceConfiguration: Service,
-  classes: ReadonlyMap<ClassName, ServiceClass>,
+  classes: ReadonlyMap<ServiceClassName, ServiceClass>,
   now: Timestamp,
   recentLeaderCount = 1,
 ): ServiceLeader => ({
@@ -184,7 +184,7 @@
       readonly kind: 'requestArrived';
       readonly now: Timestamp;
       readonly id: RequestId;
-      readonly className: ClassName;
+      readonly className: ServiceClassName;
       readonly isIdempotent: boolean;
       readonly mayHaveRun: boolean;
       readonly hasEarlierAttempt: boolean;
@@ -212,7 +212,7 @@
       readonly kind: 'configurationChanged';
       readonly now: Timestamp;
       readonly serviceConfiguration: Service;
-      readonly classes: ReadonlyMap<ClassName, ServiceClass>;
+      readonly classes: ReadonlyMap<ServiceClassName, ServiceClass>;
     }
   | {
       readonly kind: 'canaryResultsUpdated';
--- a/packages/proxy/src/admin/view-forms.test.ts
+++ b/packages/proxy/src/admin/view-forms.test.ts
@@ -5,7 +5,7 @@
   toAddress,
   toZoneName,
   toRequestId,
-  toClassName,
+  toServiceClassName,
   toEpoch,
   toIncarnation,
   toInstanceId,
@@ -27,7 +27,7 @@
   incarnation: toIncarnation(1),
 };
 const service = toServiceName('clips');
-const play = toClassName('play');
+const play = toServiceClassName('play');
 const release = toRelease('r2');
 const group = { name: play, share: 0.5, lendsTo: [] };
 const now = toTimestamp(1000);
--- a/packages/proxy/src/direct-edge/start-edge.ts
+++ b/packages/proxy/src/direct-edge/start-edge.ts
@@ -28,7 +28,7 @@
   newIncarnation,
   newRandomState,
   now,
-  runEventLoop,
+  startEventLoop,
 } from '@switchwheel/runtime';
 import { compileConfiguration } from '../node-agent/compile-configuration.js';
 import { ClientListener } from './client-listener.js';
@@ -88,8 +88,8 @@
     address: settings.readiness.address,
     readinessPath: settings.readiness.path,
     metricsPath: settings.metricsPath,
-    isReady: () => readiness.isReady(loop.machine.state()),
-    metrics: () => edgeMetrics(loop.machine.state(), router, loop.takeMaxLagMs()),
+    isReady: () => readiness.isReady(loop.stateMachine.state()),
+    metrics: () => edgeMetrics(loop.stateMachine.state(), router, loop.takeMaxLagMs()),
   });
   await channels.listen();
   await listener.listen(settings.clientAddress);
@@ -109,7 +109,7 @@
   const { node, address, incarnation } = member;
   const channels = new ChannelPool({ node, address, incarnation });
   const cache = new Cache(settings.cacheBytes);
-  const loop: NodeAgentLoop = runEventLoop<NodeAgent, NodeAgentEvent, EdgeEffect>(
+  const loop: NodeAgentLoop = startEventLoop<NodeAgent, NodeAgentEvent, EdgeEffect>(
     nodeAgentTransition,
     newNodeAgent(member, settings.seeds, newRandomState()),
     channels,
@@ -119,7 +119,7 @@
     tickIntervalMs,
     () => ticker.tick(),
   );
-  const nodeAgent = loop.machine.state;
+  const nodeAgent = loop.stateMachine.state;
   const router = newRouter(settings, channels, cache, nodeAgent);
   channels.on('frame', (from, frame) => {
     if (isObjectFrame(frame)) router.handlePeerFrame(from.address, frame);
--- a/packages/proxy/src/proxy/start-proxy.ts
+++ b/packages/proxy/src/proxy/start-proxy.ts
@@ -23,12 +23,12 @@
   type HttpServer,
   type Logger,
   type RunningProgram,
-  adminApp,
+  createAdminApp,
   isProcessEffect,
   newIncarnation,
   newRandomState,
   now,
-  runEventLoop,
+  startEventLoop,
   startHttpServer,
 } from '@switchwheel/runtime';
 import { proxyView } from '../admin/proxy-view.js';
@@ -76,7 +76,7 @@
     stop: async () => {
       loop.dispatch((at) => ({ kind: 'stopRequested', now: at }));
       const { role } = settings;
-      await drainProxy({ ...parts, state: loop.machine.state, role, clientServer, log });
+      await drainProxy({ ...parts, state: loop.stateMachine.state, role, clientServer, log });
       loop.stop();
       adminServer.stopAccepting();
       channels.close();
@@ -91,7 +91,7 @@
   const cache = new Cache(settings.cache * 1024 * 1024);
   const cacheLookup = new CacheLookup(cache);
   const origins = new StreamingOriginClient();
-  const loop: ProxyLoop = runEventLoop<ProxyState, ProxyEvent, OwnEffect>(
+  const loop: ProxyLoop = startEventLoop<ProxyState, ProxyEvent, OwnEffect>(
     proxyTransition,
     newProxyState(member, settings.seeds, newRandomState()),
     channels,
@@ -99,7 +99,7 @@
     (effect) => runEffect(parts, effect),
     isProcessEffectOfProxy,
   );
-  const context: HandlerContext = { now, state: loop.machine.state, dispatch: loop.dispatch };
+  const context: HandlerContext = { now, state: loop.stateMachine.state, dispatch: loop.dispatch };
   const edgeHandler = new EdgeRequestHandler(
     `${node}.${incarnation.toString(36)}`,
     cacheLookup,
@@ -139,7 +139,7 @@
   isProcessEffect(effect);
 
 const acceptDataChannels = (channels: ChannelPool, shieldHandler: ShieldRequestHandler): void => {
-  channels.on('data', (channel) => {
+  channels.on('dataChannel', (channel) => {
     const handlers = shieldHandler.inbound.accept(channel, now);
     channel.on('frame', (frame: Frame) => handlers.frame(frame));
     channel.on('closed', () => handlers.closed());
@@ -199,8 +199,8 @@
 };
 
 const startAdminServer = (settings: ProxySettings, parts: ProxyParts): Promise<HttpServer> => {
-  const { state } = parts.loop.machine;
-  const app = adminApp(
+  const { state } = parts.loop.stateMachine;
+  const app = createAdminApp(
     () => isReady(state().nodeAgent, now()),
     proxyMetrics({ ...parts, state, takeMaxLagMs: parts.loop.takeMaxLagMs }),
     () => proxyView(state()),
--- a/packages/registry/src/start-registry.ts
+++ b/packages/registry/src/start-registry.ts
@@ -23,7 +23,7 @@
   newIncarnation,
   newRandomState,
   now,
-  runEventLoop,
+  startEventLoop,
   startHttpServer,
 } from '@switchwheel/runtime';
 import { PendingRequests } from './pending-requests.js';
@@ -82,8 +82,8 @@
   log: Logger,
   seeds: readonly Address[],
   { proposal, offersDiskHints, tickIntervalMs }: RegistryOptions,
-): ReturnType<typeof runEventLoop<RegistryState, RegistryEvent, ReplyEffect>> =>
-  runEventLoop<RegistryState, RegistryEvent, ReplyEffect>(
+): ReturnType<typeof startEventLoop<RegistryState, RegistryEvent, ReplyEffect>> =>
+  startEventLoop<RegistryState, RegistryEvent, ReplyEffect>(
     registryTransition,
     newRegistryState(member, seeds, now(), newRandomState(), proposal, offersDiskHints ?? false),
     channels,
@@ -105,7 +105,7 @@
   const channels = new ChannelPool({ node, address, incarnation });
   const pending = new PendingRequests();
   const loop = startLoop(member, channels, pending, log, settings.seeds, options);
-  const { state } = loop.machine;
+  const { state } = loop.stateMachine;
 
   let maxLoopLagMs = 0;
   const listener = await startHttpServer(
--- a/packages/runtime/src/disk/disk.ts
+++ b/packages/runtime/src/disk/disk.ts
@@ -34,7 +34,7 @@
 export interface WriteFailure {
   readonly text: string;
   /** Whether the disk or the database has no space left. */
-  readonly full: boolean;
+  readonly isDiskFull: boolean;
 }
 
 const checksum = (key: string, text: string): string =>
@@ -105,7 +105,7 @@
     } catch (error) {
       const cause = await commitFailureCause(error);
       const text = cause instanceof Error ? cause.message : 'unwritable';
-      return err({ text, full: isOutOfSpace(text) });
+      return err({ text, isDiskFull: isOutOfSpace(text) });
     }
   }
 
--- a/packages/runtime/src/http/admin-forms.test.ts
+++ b/packages/runtime/src/http/admin-forms.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'node:test';
 import { toAddress } from '@switchwheel/types';
 import { httpExchange, responseText, snapshotsFor } from '@switchwheel/types/testing';
-import { adminApp } from './admin.js';
+import { createAdminApp } from './admin.js';
 import { startHttpServer } from './http-server.js';
 import { metricSample, withLabel } from './metrics.js';
 
@@ -14,7 +14,10 @@
 ];
 
 /** The responses of an app at every path of interest, as text. */
-const responsesOf = async (title: string, app: ReturnType<typeof adminApp>): Promise<string> => {
+const responsesOf = async (
+  title: string,
+  app: ReturnType<typeof createAdminApp>,
+): Promise<string> => {
   const listener = await startHttpServer(app, toAddress('127.0.0.1:0'));
   try {
     const responses: string[] = [title];
@@ -33,7 +36,7 @@
 void test('the administration paths answer as before', async () => {
   const full = await responsesOf(
     'ready, with a state',
-    adminApp(
+    createAdminApp(
       () => true,
       samples,
       () => ({ node: 'n1' }),
@@ -41,7 +44,7 @@
   );
   const bare = await responsesOf(
     'not ready, without a state',
-    adminApp(() => false, samples),
+    createAdminApp(() => false, samples),
   );
   matchSnapshot('admin-paths', `${full}\n\n${bare}`);
 });
--- a/packages/runtime/src/http/admin.ts
+++ b/packages/runtime/src/http/admin.ts
@@ -8,7 +8,7 @@
 const notFoundStatus = 404;
 
 /** The app that serves `/live`, `/ready`, `/metrics` and, if there is a `state`, `/state`. */
-export const adminApp = (
+export const createAdminApp = (
   isReady: () => boolean,
   samples: () => readonly MetricSample[],
   state?: () => object,
--- a/packages/runtime/src/run/event-loop.ts
+++ b/packages/runtime/src/run/event-loop.ts
@@ -18,7 +18,7 @@
 
 /** A machine that runs on the real clock and network. */
 export interface EventLoop<S, E> {
-  readonly machine: StateMachine<S, E>;
+  readonly stateMachine: StateMachine<S, E>;
   /** Dispatches the event that `make` builds with the current time. */
   readonly dispatch: (make: (now: Timestamp) => E) => void;
   /** Ends the ticks; frames are still handled until the channels are closed. */
@@ -64,7 +64,7 @@
  * @param intervalMs how often the machine gets a tick
  * @param afterTick is called after each tick
  */
-export const runEventLoop = <S, E, F>(
+export const startEventLoop = <S, E, F>(
   reduce: (state: S, event: E | ProcessEvent) => Transition<S, F | ProcessEffect>,
   initialState: S,
   channels: ChannelPool,
@@ -79,25 +79,25 @@
     else if (effect.kind === 'send') channels.send(effect.to, effect.frame);
     else log.write(effect.level, effect.message, effect.fields);
   };
-  const machine = createStateMachine<S, E | ProcessEvent, F | ProcessEffect>(
+  const stateMachine = createStateMachine<S, E | ProcessEvent, F | ProcessEffect>(
     reduce,
     initialState,
     runAnyEffect,
   );
   const dispatch = (make: (now: Timestamp) => E | ProcessEvent): void =>
-    machine.dispatch(make(now()));
+    stateMachine.dispatch(make(now()));
   channels.on('frame', (from, frame) =>
     dispatch((receivedAt) => ({ kind: 'frameReceived', now: receivedAt, from, frame })),
   );
-  channels.on('gone', (address) =>
+  channels.on('disconnected', (address) =>
     dispatch((closedAt) => ({ kind: 'peerDisconnected', now: closedAt, address })),
   );
-  channels.on('fault', (message) => log.write('warn', message));
+  channels.on('failure', (message) => log.write('warn', message));
   const ticker = startTicker(intervalMs, () => {
     dispatch((tickAt) => ({ kind: 'tick', now: tickAt }));
     afterTick();
   });
-  return { machine, dispatch, stop: ticker.stop, takeMaxLagMs: ticker.takeMaxLagMs };
+  return { stateMachine, dispatch, stop: ticker.stop, takeMaxLagMs: ticker.takeMaxLagMs };
 };
 
 /** Whether an effect is one that the event loop carries out for every process. */
--- a/packages/store/src/start-store.ts
+++ b/packages/store/src/start-store.ts
@@ -11,14 +11,14 @@
   type Logger,
   type MetricSample,
   type RunningProgram,
-  adminApp,
+  createAdminApp,
   delay,
   formatMetrics,
   isProcessEffect,
   newIncarnation,
   newRandomState,
   now,
-  runEventLoop,
+  startEventLoop,
   startHttpServer,
   withLabel,
 } from '@switchwheel/runtime';
@@ -92,7 +92,7 @@
   const stopCompleted = new Promise<void>((resolve) => {
     onStopCompleted = resolve;
   });
-  const loop = runEventLoop<StoreState, StoreEvent, StoreOnlyEffect>(
+  const loop = startEventLoop<StoreState, StoreEvent, StoreOnlyEffect>(
     storeTransition,
     newStoreState(
       member,
@@ -127,13 +127,13 @@
   const metrics = (): readonly MetricSample[] => {
     worstLoopLagMs = Math.max(worstLoopLagMs, loop.takeMaxLagMs());
     const { protocolErrorCount } = channels;
-    return storeMetrics(loop.machine.state(), now(), { worstLoopLagMs, protocolErrorCount });
+    return storeMetrics(loop.stateMachine.state(), now(), { worstLoopLagMs, protocolErrorCount });
   };
-  const isReady = (): boolean => isStoreReady(loop.machine.state(), now());
+  const isReady = (): boolean => isStoreReady(loop.stateMachine.state(), now());
   const admin =
     settings.admin === undefined
       ? undefined
-      : await startHttpServer(adminApp(isReady, metrics), settings.admin);
+      : await startHttpServer(createAdminApp(isReady, metrics), settings.admin);
   await channels.listen();
   const contents = readDisk(disk);
   loop.dispatch((at) => ({ kind: 'diskRead', now: at, contents }));
--- a/packages/store/src/store-effects.ts
+++ b/packages/store/src/store-effects.ts
@@ -35,7 +35,7 @@
           now,
           writeId: write.id,
           reason: result.error.text,
-          isDiskFull: result.error.full,
+          isDiskFull: result.error.isDiskFull,
         },
   );
 };
--- a/packages/transport/src/channel/channel-pool.ts
+++ b/packages/transport/src/channel/channel-pool.ts
@@ -16,11 +16,11 @@
 interface PoolEvents {
   frame: (from: Peer, frame: Frame, channel: Channel) => void;
   /** The channel with an address is closed; what was sent last may not have arrived. */
-  gone: (address: Address) => void;
+  disconnected: (address: Address) => void;
   /** Something went wrong that operators should see in the log. */
-  fault: (message: string) => void;
+  failure: (message: string) => void;
   /** Another process opened a data channel. */
-  data: (channel: Channel, peer: Peer) => void;
+  dataChannel: (channel: Channel, peer: Peer) => void;
 }
 
 /** A channel that has so many bytes to send is given no more frames. */
@@ -46,7 +46,7 @@
 }
 
 const sendUnlessBackedUp = (channel: Channel, frame: Frame): void => {
-  if (channel.backlog < maxBacklogBytes) channel.send(frame);
+  if (channel.backlogBytes < maxBacklogBytes) channel.send(frame);
 };
 
 /** See the module's comment. */
@@ -63,7 +63,7 @@
     super();
     this.#self = self;
     this.#server = createServer((socket) => this.#accept(socket));
-    this.#server.on('error', (error) => this.emit('fault', error.message));
+    this.#server.on('error', (error) => this.emit('failure', error.message));
   }
 
   /** Listens at this process's own address; rejects if the address can't be bound. */
@@ -121,7 +121,7 @@
     });
     channel.on('closed', () => {
       if (this.#outbound.get(to) === connection) this.#outbound.delete(to);
-      this.emit('gone', to);
+      this.emit('disconnected', to);
     });
     return connection;
   }
@@ -136,7 +136,7 @@
     channel.on('up', (peer: Peer, channelKind: ChannelKind) => {
       if (channelKind === 'data') {
         channel.removeAllListeners('frame');
-        this.emit('data', channel, peer);
+        this.emit('dataChannel', channel, peer);
         return;
       }
       this.#registerInbound(channel, peer);
@@ -148,7 +148,7 @@
     channel.on('closed', () => {
       if (this.#inbound.get(peer.address) !== channel) return;
       this.#inbound.delete(peer.address);
-      this.emit('gone', peer.address);
+      this.emit('disconnected', peer.address);
     });
   }
 
@@ -162,7 +162,7 @@
       if (!reason.startsWith(protocolErrorPrefix)) return;
       this.protocolErrorCount += 1;
       const peerName = channel.peer?.node ?? 'an unknown peer';
-      this.emit('fault', `channel closed by protocol error, peer ${peerName}: ${reason}`);
+      this.emit('failure', `channel closed by protocol error, peer ${peerName}: ${reason}`);
     });
   }
 }
--- a/packages/transport/src/channel/channel.ts
+++ b/packages/transport/src/channel/channel.ts
@@ -81,7 +81,7 @@
   }
 
   /** How many bytes are waiting to be sent. */
-  get backlog(): number {
+  get backlogBytes(): number {
     return this.#socket.writableLength;
   }
 
--- a/packages/transport/src/frame/edge-shield.ts
+++ b/packages/transport/src/frame/edge-shield.ts
@@ -16,7 +16,7 @@
   service: types.serviceName,
   generation: types.generation,
   route: types.routeName,
-  group: types.className,
+  group: types.serviceClassName,
   epoch: types.epoch,
   method: v.string(),
   host: v.string(),
--- a/packages/types/src/id/name.ts
+++ b/packages/types/src/id/name.ts
@@ -97,18 +97,18 @@
 export const toServiceName = serviceNameBrand.from;
 
 /** The name of a service class. At most 64 characters. */
-export type ClassName = Brand<string, 'ClassName'>;
-const classNameBrand = brandedString<ClassName>(
+export type ServiceClassName = Brand<string, 'ServiceClassName'>;
+const serviceClassNameBrand = brandedString<ServiceClassName>(
   isShortName,
   'a class name: letters, digits, dot, dash, at most 64',
   'a class name',
 );
-/** Whether a value is a valid {@link ClassName}. */
-export const isClassName = classNameBrand.is;
-/** Schema of a {@link ClassName}. */
-export const className = classNameBrand.schema;
-/** Converts a string to a {@link ClassName}; throws a TypeError if it is not valid. */
-export const toClassName = classNameBrand.from;
+/** Whether a value is a valid {@link ServiceClassName}. */
+export const isServiceClassName = serviceClassNameBrand.is;
+/** Schema of a {@link ServiceClassName}. */
+export const serviceClassName = serviceClassNameBrand.schema;
+/** Converts a string to a {@link ServiceClassName}; throws a TypeError if it is not valid. */
+export const toServiceClassName = serviceClassNameBrand.from;
 
 /** The name of a route. At most 64 characters. */
 export type RouteName = Brand<string, 'RouteName'>;
