--- a/packages/proxy-core/src/forwarding/forward-request.ts
+++ b/packages/proxy-core/src/forwarding/forward-request.ts
@@ -27,19 +27,19 @@
   /** Shown to the client. */
   readonly text: string;
   /** After how many milliseconds the client may retry; 0 for no advice. */
-  readonly retryMs: number;
+  readonly retryAfterMs: number;
 }
 
 /** Builds the effect that fails a request. One that may have run is not reported as rejected. */
 export const failRequest = (
   request: Pick<PendingForward, 'id' | 'mayHaveRun'>,
-  { errorKind, text, retryMs }: ForwardFailure,
+  { errorKind, text, retryAfterMs }: ForwardFailure,
 ): ForwardingEffect => ({
   kind: 'failRequest',
   id: request.id,
   errorKind: errorKind === 'rejected' && request.mayHaveRun ? 'lost' : errorKind,
   text,
-  retryMs,
+  retryAfterMs,
 });
 
 /** Forgets a request. */
@@ -53,8 +53,8 @@
   state: Forwarding,
   service: PendingForward['service'],
 ): Forwarding =>
-  state.leaderless.has(service)
-    ? { ...state, leaderless: withoutEntry(state.leaderless, service) }
+  state.leaderAbsences.has(service)
+    ? { ...state, leaderAbsences: withoutEntry(state.leaderAbsences, service) }
     : state;
 
 const withRequest = (state: Forwarding, request: PendingForward): Forwarding => ({
@@ -64,10 +64,13 @@
 
 /** Keeps a request until a leader is known. */
 const waitForLeader = (state: Forwarding, request: PendingForward, now: Timestamp): Forwarding => {
-  const since = state.leaderless.get(request.service)?.since ?? now;
-  const leaderless = withEntry(state.leaderless, request.service, { since, lastTriedAt: now });
+  const since = state.leaderAbsences.get(request.service)?.since ?? now;
+  const leaderAbsences = withEntry(state.leaderAbsences, request.service, {
+    since,
+    lastTriedAt: now,
+  });
   return withRequest(
-    { ...state, leaderless },
+    { ...state, leaderAbsences },
     { ...request, phase: { phase: 'waiting', since: now } },
   );
 };
@@ -91,7 +94,7 @@
   repeatable: request.isIdempotent,
   storable: request.isCacheable,
   again: request.mayHaveRun,
-  extra: request.attemptStarted,
+  extra: request.hasAttemptStarted,
   purged: request.requiredPurgeSeq,
   epoch: leader.epoch,
   left: toDurationMs(Math.max(1, request.deadline - now)),
@@ -129,6 +132,10 @@
   now >= request.deadline
     ? transition(
         endRequest(state, request.id),
-        failRequest(request, { errorKind: 'rejected', text: 'no keeper took it', retryMs: 500 }),
+        failRequest(request, {
+          errorKind: 'rejected',
+          text: 'no keeper took it',
+          retryAfterMs: 500,
+        }),
       )
     : forwardToLeader(state, request, minEpoch, now);
--- a/packages/proxy-core/src/forwarding/forwarding.ts
+++ b/packages/proxy-core/src/forwarding/forwarding.ts
@@ -33,12 +33,12 @@
 /** How long a request waits for a leader: well over what a change of the leader takes. */
 const leaderlessGraceMs = 2000;
 /** When a client whose request was rejected here may come back. */
-const retryMs = 1000;
+const retryAfterMs = 1000;
 
 const noLeaderFailure: ForwardFailure = {
   errorKind: 'rejected',
   text: 'no keeper for a while',
-  retryMs,
+  retryAfterMs,
 };
 
 const hasRoom = (state: Forwarding, { className }: NewForward): boolean => {
@@ -58,17 +58,17 @@
   const request: PendingForward = {
     ...accepted,
     mayHaveRun: false,
-    attemptStarted: false,
+    hasAttemptStarted: false,
     phase: { phase: 'waiting', since: now },
   };
-  const absence = state.leaderless.get(request.service);
+  const absence = state.leaderAbsences.get(request.service);
   if (absence !== undefined && now - absence.since > leaderlessGraceMs) {
     // One request at a time finds out whether there is a leader again; the others fail at once.
     if (now - absence.lastTriedAt < redispatchMs)
       return transition(state, rejectNew(accepted, noLeaderFailure));
     const tried = { ...absence, lastTriedAt: now };
-    const leaderless = withEntry(state.leaderless, request.service, tried);
-    return forwardToLeader({ ...state, leaderless }, request, 0, now);
+    const leaderAbsences = withEntry(state.leaderAbsences, request.service, tried);
+    return forwardToLeader({ ...state, leaderAbsences }, request, 0, now);
   }
   if (!hasRoom(state, accepted))
     return transition(
@@ -76,7 +76,7 @@
       rejectNew(accepted, {
         errorKind: 'rejected',
         text: 'too many requests are under way',
-        retryMs,
+        retryAfterMs,
       }),
     );
   return forwardToLeader(state, request, 0, now);
@@ -101,7 +101,7 @@
     failRequest(request, {
       errorKind: isWaiting ? 'rejected' : 'unknown',
       text: event.text,
-      retryMs: isWaiting ? retryMs : 0,
+      retryAfterMs: isWaiting ? retryAfterMs : 0,
     }),
   );
 };
@@ -113,7 +113,11 @@
   return transition(
     waiting.reduce((next, request) => endRequest(next, request.id), state),
     ...waiting.map((request) =>
-      failRequest(request, { errorKind: 'rejected', text: 'this node is out of touch', retryMs }),
+      failRequest(request, {
+        errorKind: 'rejected',
+        text: 'this node is out of touch',
+        retryAfterMs,
+      }),
     ),
   );
 };
@@ -123,9 +127,9 @@
     ? {
         errorKind: request.isIdempotent ? 'slow' : 'unknown',
         text: 'no result in time',
-        retryMs: 0,
+        retryAfterMs: 0,
       }
-    : { errorKind: 'rejected', text: 'no keeper in time', retryMs };
+    : { errorKind: 'rejected', text: 'no keeper in time', retryAfterMs };
 
 const tickRequest = (
   state: Forwarding,
@@ -141,7 +145,7 @@
       failRequest(request, expiryFailure(request)),
     );
   if (phase.phase === 'sent') return transition(state);
-  const absence = state.leaderless.get(request.service);
+  const absence = state.leaderAbsences.get(request.service);
   if (absence !== undefined && now - absence.since > leaderlessGraceMs)
     return transition(endRequest(state, request.id), failRequest(request, noLeaderFailure));
   return now - phase.since > redispatchMs
--- a/packages/proxy-core/src/forwarding/leader-events.ts
+++ b/packages/proxy-core/src/forwarding/leader-events.ts
@@ -61,7 +61,7 @@
     return leaseHolders.get(lease) !== state.leaseHolders.get(lease);
   };
   let next: ForwardingTransition = transition({ ...state, leaseHolders });
-  for (const service of state.leaderless.keys())
+  for (const service of state.leaderAbsences.keys())
     if (isChanged(service)) next = transition(noteLeaderFound(next.state, service));
   for (const request of state.requests.values()) {
     const leader = leaseHolders.get(serviceLeaseOf(request.service));
@@ -84,7 +84,7 @@
     failRequest(request, {
       errorKind: frame.errorKind,
       text: frame.text,
-      retryMs: frame.retryAfter,
+      retryAfterMs: frame.retryAfter,
     }),
   );
 };
@@ -112,8 +112,8 @@
   { id, from }: EventOf<'attemptStarted'>,
 ): ForwardingTransition => {
   const request = state.requests.get(id);
-  if (!isSentTo(request, from) || request.attemptStarted) return transition(state);
-  const started: PendingForward = { ...request, attemptStarted: true };
+  if (!isSentTo(request, from) || request.hasAttemptStarted) return transition(state);
+  const started: PendingForward = { ...request, hasAttemptStarted: true };
   return transition({
     ...noteLeaderFound(state, request.service),
     requests: withEntry(state.requests, request.id, started),
@@ -134,7 +134,7 @@
       failRequest(request, {
         errorKind: 'unknown',
         text: 'the channel to the keeper ended before a result',
-        retryMs: 0,
+        retryAfterMs: 0,
       }),
     );
   const mayHaveRun = request.mayHaveRun || !isUnsent;
--- a/packages/proxy-core/src/forwarding/state.ts
+++ b/packages/proxy-core/src/forwarding/state.ts
@@ -47,11 +47,11 @@
   /** Whether an attempt may have run it: then it is never reported as rejected. */
   readonly mayHaveRun: boolean;
   /** Whether a leader reported that an attempt started. */
-  readonly attemptStarted: boolean;
+  readonly hasAttemptStarted: boolean;
 }
 
 /** A request as the request handler hands it over. */
-export type NewForward = Omit<PendingForward, 'phase' | 'mayHaveRun' | 'attemptStarted'>;
+export type NewForward = Omit<PendingForward, 'phase' | 'mayHaveRun' | 'hasAttemptStarted'>;
 
 /** Since when no request of a service has found a leader, and when the last one tried. */
 export interface LeaderAbsence {
@@ -64,14 +64,14 @@
   readonly requests: ReadonlyMap<RequestId, PendingForward>;
   readonly leaseHolders: ReadonlyMap<LeaseName, LeaseHolder>;
   /** The services of which no leader is known. */
-  readonly leaderless: ReadonlyMap<ServiceName, LeaderAbsence>;
+  readonly leaderAbsences: ReadonlyMap<ServiceName, LeaderAbsence>;
 }
 
 /** Nothing is forwarded, and no leader is known. */
 export const initialForwarding: Forwarding = {
   requests: new Map(),
   leaseHolders: new Map(),
-  leaderless: new Map(),
+  leaderAbsences: new Map(),
 };
 
 /** The most requests that one edge has under way; one class may have half of them. */
@@ -145,7 +145,7 @@
       readonly id: RequestId;
       readonly errorKind: ErrorKind;
       readonly text: string;
-      readonly retryMs: number;
+      readonly retryAfterMs: number;
     };
 
 /** The state after an event, and the effects that the event asks for. */
--- a/packages/proxy-core/src/node-agent/config-update.ts
+++ b/packages/proxy-core/src/node-agent/config-update.ts
@@ -30,7 +30,7 @@
 type CompileFailed = Extract<NodeAgentEvent, { kind: 'compileFailed' }>;
 
 /** After how long without a chunk the missing ones are requested again. */
-const chunkRetryMs = 300;
+const chunkRetryIntervalMs = 300;
 /** How many chunks are requested at a time; the next ones when these are here. */
 const maxChunksPerRequest = 64;
 /** How long a fetch may take before it is logged. */
@@ -157,7 +157,7 @@
   now: Timestamp,
 ): AgentTransition => {
   const update = state.configUpdate;
-  if (update.phase !== 'fetching' || now - update.requestedAt < chunkRetryMs)
+  if (update.phase !== 'fetching' || now - update.requestedAt < chunkRetryIntervalMs)
     return transition(state);
   const isSlow = now - update.startedAt >= slowFetchMs;
   return prependEffects(
@@ -222,9 +222,9 @@
 /** Reports a configuration that does not compile; the node is not ready until a newer one does. */
 export const onCompileFailed = (
   state: NodeAgent,
-  { offer, faults, now }: CompileFailed,
+  { offer, issues, now }: CompileFailed,
 ): AgentTransition => {
-  const text = faults
+  const text = issues
     .slice(0, maxReportedFaults)
     .map((fault) => `${fault.path}: ${fault.text}`)
     .join('; ');
--- a/packages/proxy-core/src/node-agent/state.ts
+++ b/packages/proxy-core/src/node-agent/state.ts
@@ -97,7 +97,7 @@
       readonly kind: 'compileFailed';
       readonly now: Timestamp;
       readonly offer: ConfigManifest;
-      readonly faults: readonly ValidationIssue[];
+      readonly issues: readonly ValidationIssue[];
     }
   | { readonly kind: 'stopRequested'; readonly now: Timestamp };
 
--- a/packages/proxy-core/src/proxy/proxy.ts
+++ b/packages/proxy-core/src/proxy/proxy.ts
@@ -154,7 +154,7 @@
       requestId: request.id,
       errorKind: 'rejected',
       text: 'not the keeper',
-      retryMs: 0,
+      retryAfterMs: 0,
       leaderMoved: true,
     });
   return dispatchToLeader(state, key, {
@@ -227,13 +227,13 @@
   }
 };
 
-const noteActivity = (state: ProxyState, now: Timestamp): ProxyState => {
-  const isAwakening = state.lastActedAt > clockOrigin && now - state.lastActedAt > stallThresholdMs;
-  return { ...state, lastActedAt: now, lastWokeAt: isAwakening ? now : state.lastWokeAt };
+const recordEventTime = (state: ProxyState, now: Timestamp): ProxyState => {
+  const isResuming = state.lastEventAt > clockOrigin && now - state.lastEventAt > stallThresholdMs;
+  return { ...state, lastEventAt: now, lastResumedAt: isResuming ? now : state.lastResumedAt };
 };
 
 /** The reducer of a proxy: every change of its state goes through it. */
 export const proxyTransition = (state: ProxyState, event: ProxyEvent): ProxyTransition =>
-  andThen(closeExpiredLeaders(noteActivity(state, event.now), event.now), (current) =>
+  andThen(closeExpiredLeaders(recordEventTime(state, event.now), event.now), (current) =>
     handleEvent(current, event),
   );
--- a/packages/proxy-core/src/proxy/state.ts
+++ b/packages/proxy-core/src/proxy/state.ts
@@ -43,9 +43,9 @@
   readonly forwarding: Forwarding;
   readonly epochHistory: EpochHistory;
   /** When this process last took an event. */
-  readonly lastActedAt: Timestamp;
+  readonly lastEventAt: Timestamp;
   /** When it last took one after it had been suspended or stalled. */
-  readonly lastWokeAt: Timestamp;
+  readonly lastResumedAt: Timestamp;
 }
 
 /** The state of a proxy that has just started. */
@@ -59,8 +59,8 @@
   activeLeaders: new Map(),
   forwarding: initialForwarding,
   epochHistory: new Map(),
-  lastActedAt: clockOrigin,
-  lastWokeAt: clockOrigin,
+  lastEventAt: clockOrigin,
+  lastResumedAt: clockOrigin,
 });
 
 /** What happens to a proxy; times are of the monotonic clock, `leader` is a key in `leaders`. */
--- a/packages/proxy-core/src/request-handler/edge-request-handler.ts
+++ b/packages/proxy-core/src/request-handler/edge-request-handler.ts
@@ -48,7 +48,7 @@
  */
 const certainlyFreshMs = 1800;
 /** When a client may come back for whose request there was no room or no time. */
-const retryMs = 1000;
+const retryAfterMs = 1000;
 
 /** A request on its way through the filters. */
 interface FilterContext {
@@ -137,7 +137,7 @@
   findRoute(method: string, host: string, target: string): RouteLookup {
     const { nodeAgent } = this.#context.state();
     const lookup = lookUpRoute(nodeAgent, { method, host, target }, this.#context.now());
-    if ('told' in lookup) this.count(`fault_${lookup.told.errorKind}`);
+    if ('failure' in lookup) this.count(`fault_${lookup.failure.errorKind}`);
     return lookup;
   }
 
@@ -207,12 +207,15 @@
       if (this.#replyFromCache(context, cacheable, 'edge')) return;
       if (outcome.kind === 'failure') this.#reply(context, outcome);
       else if (this.#context.now() >= context.deadline)
-        this.#reply(context, failure('rejected', 'what it waited for came too late', retryMs));
+        this.#reply(context, failure('rejected', 'what it waited for came too late', retryAfterMs));
       else next(context);
     });
     if (joined === 'joined') this.count('joined');
     else if (joined === 'full')
-      this.#reply(context, failure('rejected', 'too many wait for results under way', retryMs));
+      this.#reply(
+        context,
+        failure('rejected', 'too many wait for results under way', retryAfterMs),
+      );
     else next({ ...context, finishFetch: this.#coalescing.lead(cacheable.coalescingKey) });
   }
 
@@ -303,9 +306,9 @@
     sentAt: Timestamp,
     purgeSeq: Seq,
   ): boolean {
-    const { nodeAgent, lastWokeAt } = this.#context.state();
+    const { nodeAgent, lastResumedAt } = this.#context.state();
     const now = this.#context.now();
-    if (lastWokeAt > sentAt) return true;
+    if (lastResumedAt > sentAt) return true;
     return (
       now - sentAt > certainlyFreshMs &&
       (!mayServeFromCache(nodeAgent, now) ||
--- a/packages/proxy-core/src/request-handler/failure.ts
+++ b/packages/proxy-core/src/request-handler/failure.ts
@@ -8,10 +8,14 @@
 /** A reply that tells of an error. */
 export type FailureReply = Extract<Reply, { kind: 'failure' }>;
 
-/** Builds the reply of an error; `retryMs` is 0 for no advice on when to come back. */
-export const failure = (errorKind: ErrorKind, text: string, retryMs: number): FailureReply => ({
+/** Builds the reply of an error; `retryAfterMs` is 0 for no advice on when to come back. */
+export const failure = (
+  errorKind: ErrorKind,
+  text: string,
+  retryAfterMs: number,
+): FailureReply => ({
   kind: 'failure',
   errorKind,
   text,
-  retryMs,
+  retryAfterMs,
 });
--- a/packages/proxy-core/src/request-handler/forwarded-requests.ts
+++ b/packages/proxy-core/src/request-handler/forwarded-requests.ts
@@ -16,7 +16,7 @@
 const staleResponseText =
   'it was under way for so long that it may be purged or past its lifetime by now';
 /** When the client of such a response may come back. */
-const staleRetryMs = 250;
+const staleRetryAfterMs = 250;
 
 /** What the forwarded requests stand on. */
 export interface ForwardedRequestsOptions {
@@ -37,8 +37,8 @@
     this.#context = context;
     this.#onIncomplete = onIncomplete;
     this.#channels = new LeaderChannels(openChannel, {
-      frame: (from, frame) => this.#onFrame(from, frame),
-      lost: (leader, unsentIds) => this.#onChannelLost(leader, unsentIds),
+      onFrame: (from, frame) => this.#onFrame(from, frame),
+      onLost: (leader, unsentIds) => this.#onChannelLost(leader, unsentIds),
     });
   }
 
@@ -72,7 +72,7 @@
       case 'failRequest': {
         const request = this.#requests.get(effect.id);
         this.#requests.delete(effect.id);
-        request?.fail(effect.errorKind, effect.text, effect.retryMs);
+        request?.fail(effect.errorKind, effect.text, effect.retryAfterMs);
         break;
       }
     }
@@ -153,7 +153,7 @@
     const result = request.finish(frame);
     if (result === 'corrupt')
       this.#failIncomplete(request, 'the digest between edge and keeper does not fit');
-    else if (result === 'stale') request.fail('lost', staleResponseText, staleRetryMs);
+    else if (result === 'stale') request.fail('lost', staleResponseText, staleRetryAfterMs);
   }
 
   /** Nothing more comes in for a request. */
--- a/packages/proxy-core/src/request-handler/inbound-requests.ts
+++ b/packages/proxy-core/src/request-handler/inbound-requests.ts
@@ -17,7 +17,7 @@
   windowBytes: number;
   /** Goes on with a streamed response that waits for its window. */
   resume: (() => void) | undefined;
-  attemptStarted: boolean;
+  hasAttemptStarted: boolean;
   /** Whether an attempt's response is going back in parts: no other's may. */
   isStreaming: boolean;
 }
@@ -80,9 +80,9 @@
   }
 
   /** Takes a channel that an edge opened; when it closes, its requests are cancelled. */
-  accept(channel: DataChannel, clock: () => Timestamp): Omit<DataChannelHandlers, 'up'> {
+  accept(channel: DataChannel, clock: () => Timestamp): Omit<DataChannelHandlers, 'onOpen'> {
     const ids = new Set<RequestId>();
-    const frame = (received: Frame): void => {
+    const onFrame = (received: Frame): void => {
       switch (received.kind) {
         case 'ask':
           if (this.#requests.has(received.id)) return;
@@ -100,10 +100,10 @@
           channel.terminate(`foreign: ${received.kind} on a data channel`);
       }
     };
-    const closed = (): void => {
+    const onClosed = (): void => {
       for (const id of ids) this.#cancel(id);
     };
-    return { frame, closed };
+    return { onFrame, onClosed };
   }
 
   /** Turns a request away. */
@@ -116,8 +116,8 @@
   /** Tells the edge that the first attempt of a request starts. */
   notifyAttemptStarted(id: RequestId): void {
     const inbound = this.#requests.get(id);
-    if (inbound === undefined || inbound.attemptStarted) return;
-    inbound.attemptStarted = true;
+    if (inbound === undefined || inbound.hasAttemptStarted) return;
+    inbound.hasAttemptStarted = true;
     inbound.channel.send({ kind: 'begun', id });
   }
 
@@ -204,7 +204,7 @@
       arrivedAt,
       windowBytes: this.#limits.windowBytes,
       resume: undefined,
-      attemptStarted: false,
+      hasAttemptStarted: false,
       isStreaming: false,
     };
     this.#requests.set(request.id, inbound);
--- a/packages/proxy-core/src/request-handler/leader-channels.ts
+++ b/packages/proxy-core/src/request-handler/leader-channels.ts
@@ -16,9 +16,9 @@
 /** What an edge does about what comes in on its data channels. */
 export interface LeaderChannelHandlers {
   /** Says whether the frame is one that belongs there. */
-  readonly frame: (from: Address, frame: Frame) => boolean;
+  readonly onFrame: (from: Address, frame: Frame) => boolean;
   /** A channel closed; of the requests in `unsentIds` no byte was sent. */
-  readonly lost: (leader: Address, unsentIds: ReadonlySet<RequestId>) => void;
+  readonly onLost: (leader: Address, unsentIds: ReadonlySet<RequestId>) => void;
 }
 
 /** The data channels of an edge, by the address of the leader. */
@@ -52,17 +52,17 @@
     const entry: LeaderChannel = { channel: undefined, isOpen: false, unsent: [] };
     this.#channels.set(to, entry);
     entry.channel = this.#openChannel(to, {
-      up: () => {
+      onOpen: () => {
         entry.isOpen = true;
         for (const request of entry.unsent.splice(0)) entry.channel?.send(request);
       },
-      frame: (frame) => {
-        if (!this.#handlers.frame(to, frame))
+      onFrame: (frame) => {
+        if (!this.#handlers.onFrame(to, frame))
           entry.channel?.terminate(`foreign: ${frame.kind} on a data channel`);
       },
-      closed: () => {
+      onClosed: () => {
         if (this.#channels.get(to) === entry) this.#channels.delete(to);
-        this.#handlers.lost(to, new Set(entry.unsent.map((request) => request.id)));
+        this.#handlers.onLost(to, new Set(entry.unsent.map((request) => request.id)));
       },
     });
     return entry;
--- a/packages/proxy-core/src/request-handler/origin-attempts.ts
+++ b/packages/proxy-core/src/request-handler/origin-attempts.ts
@@ -176,7 +176,7 @@
    */
   #isStale(id: RequestId, startedAt: Timestamp): boolean {
     return (
-      this.#context.state().lastWokeAt > startedAt && this.#admitted(id)?.cacheable !== undefined
+      this.#context.state().lastResumedAt > startedAt && this.#admitted(id)?.cacheable !== undefined
     );
   }
 
--- a/packages/proxy-core/src/request-handler/ports.ts
+++ b/packages/proxy-core/src/request-handler/ports.ts
@@ -23,9 +23,9 @@
 
 /** What comes in on such a channel. */
 export interface DataChannelHandlers {
-  readonly up: () => void;
-  readonly frame: (frame: Frame) => void;
-  readonly closed: () => void;
+  readonly onOpen: () => void;
+  readonly onFrame: (frame: Frame) => void;
+  readonly onClosed: () => void;
 }
 
 /** How long a channel to a service leader may take to open. */
@@ -70,7 +70,7 @@
       readonly kind: 'failure';
       readonly errorKind: ErrorKind;
       readonly text: string;
-      readonly retryMs: number;
+      readonly retryAfterMs: number;
       readonly allowedMethods?: readonly string[];
     }
   | {
@@ -130,10 +130,10 @@
 
 /** What comes back from an origin. */
 export interface AttemptHandlers {
-  readonly head: (status: number, fields: HeaderFields) => void;
-  readonly chunk: (bytes: Buffer, more: () => void) => void;
-  readonly ended: () => void;
-  readonly failed: (failure: AttemptFailure) => void;
+  readonly onHead: (status: number, fields: HeaderFields) => void;
+  readonly onChunk: (bytes: Buffer, more: () => void) => void;
+  readonly onEnd: () => void;
+  readonly onFailed: (failure: AttemptFailure) => void;
 }
 
 /** Connections to origins. */
--- a/packages/proxy-core/src/request-handler/request-state.ts
+++ b/packages/proxy-core/src/request-handler/request-state.ts
@@ -25,7 +25,7 @@
       readonly kind: 'failure';
       readonly errorKind: FrameOf<'reject'>['errorKind'];
       readonly text: string;
-      readonly retryMs: number;
+      readonly retryAfterMs: number;
     }
   /** The response goes to the client as it comes in. */
   | { readonly kind: 'streamed' };
@@ -133,9 +133,9 @@
   }
 
   /** Ends it without a complete response: a stream is aborted, so that the client sees it. */
-  fail(errorKind: FrameOf<'reject'>['errorKind'], text: string, retryMs: number): void {
+  fail(errorKind: FrameOf<'reject'>['errorKind'], text: string, retryAfterMs: number): void {
     if (this.#phase.phase === 'streaming') this.#phase.stream.abort(text);
-    else this.#options.onOutcome({ kind: 'failure', errorKind, text, retryMs });
+    else this.#options.onOutcome({ kind: 'failure', errorKind, text, retryAfterMs });
   }
 
   #isAllReceived(head: FrameOf<'result'>, end: FrameOf<'done'>, digest: string): boolean {
--- a/packages/proxy-core/src/request-handler/response-verifier.ts
+++ b/packages/proxy-core/src/request-handler/response-verifier.ts
@@ -74,7 +74,7 @@
   }
 
   /** Takes the head of the response in. */
-  head = (status: number, fields: HeaderFields): void => {
+  onHead = (status: number, fields: HeaderFields): void => {
     if (this.#isEnded) return;
     const named = fieldValue(fields, 'switchwheel-instance');
     if (named !== this.#request.instance) {
@@ -101,7 +101,7 @@
   };
 
   /** Takes bytes of the body in; calls back when there is room for more. */
-  chunk = (bytes: Buffer, more: () => void): void => {
+  onChunk = (bytes: Buffer, more: () => void): void => {
     const head = this.#head;
     if (this.#isEnded || head === undefined) return;
     this.#receivedBytes += bytes.length;
@@ -125,7 +125,7 @@
   };
 
   /** The response has ended. */
-  ended = (): void => {
+  onEnd = (): void => {
     const head = this.#head;
     if (this.#isEnded) return;
     if (head === undefined) {
@@ -149,7 +149,7 @@
   };
 
   /** The attempt has failed before the end of a response. */
-  failed = (failure: AttemptFailure): void => {
+  onFailed = (failure: AttemptFailure): void => {
     if (!failure.mayHaveBeenSent)
       this.#finish({ outcome: { kind: 'notSent', text: failure.text }, response: undefined });
     else if (failure.isTimeout)
--- a/packages/proxy-core/src/request-handler/route-lookup.ts
+++ b/packages/proxy-core/src/request-handler/route-lookup.ts
@@ -14,9 +14,9 @@
 /** Within how long after its confirmation a configuration is applied on every node (rule R4). */
 const configurationApplyMs = 2000;
 /** When a client may come back, by why it was not served. */
-const notReadyRetryMs = 1000;
-const overdueRetryMs = 200;
-const unknownRouteRetryMs = 300;
+const notReadyRetryAfterMs = 1000;
+const overdueRetryAfterMs = 200;
+const unknownRouteRetryAfterMs = 300;
 
 /** What names the route of a request. */
 export interface RouteQuery {
@@ -27,7 +27,7 @@
 }
 
 /** The route of a request, or the reply that says why there is none. */
-export type RouteLookup = { readonly track: CompiledRoute } | { readonly told: FailureReply };
+export type RouteLookup = { readonly route: CompiledRoute } | { readonly failure: FailureReply };
 
 /** Finds the route of a request. */
 export const lookUpRoute = (
@@ -37,22 +37,24 @@
 ): RouteLookup => {
   const { compiledConfiguration } = nodeAgent;
   if (compiledConfiguration === undefined || !acceptsRequests(nodeAgent, now))
-    return { told: failure('unready', 'this node is not ready', notReadyRetryMs) };
+    return { failure: failure('unready', 'this node is not ready', notReadyRetryAfterMs) };
   if (isConfigurationOverdue(nodeAgent, now, configurationApplyMs))
-    return { told: failure('unready', 'a newer description is on its way here', overdueRetryMs) };
+    return {
+      failure: failure('unready', 'a newer description is on its way here', overdueRetryAfterMs),
+    };
   const { path } = splitTarget(target);
-  if (!path.startsWith('/')) return { told: failure('malformed', 'a path starts with /', 0) };
+  if (!path.startsWith('/')) return { failure: failure('malformed', 'a path starts with /', 0) };
   const match = matchRoute(compiledConfiguration, method, host, path);
   switch (match.outcome) {
     case 'notFound':
       return knowsAllRoutes(nodeAgent, now)
-        ? { told: failure('absent', 'no route', 0) }
-        : { told: failure('unready', 'no route is known here yet', unknownRouteRetryMs) };
+        ? { failure: failure('absent', 'no route', 0) }
+        : { failure: failure('unready', 'no route is known here yet', unknownRouteRetryAfterMs) };
     case 'methodNotAllowed': {
       const reply = failure('absent', 'no route for this method', 0);
-      return { told: { ...reply, allowedMethods: match.methods } };
+      return { failure: { ...reply, allowedMethods: match.methods } };
     }
     default:
-      return { track: match.route };
+      return { route: match.route };
   }
 };
--- a/packages/proxy-core/src/request-handler/shield-request-handler.ts
+++ b/packages/proxy-core/src/request-handler/shield-request-handler.ts
@@ -21,7 +21,7 @@
 type LeaderEffect = Extract<ProxyEffect, { leader: string }>;
 
 /** When the client of a request may come back for which there was no room. */
-const retryMs = 1000;
+const retryAfterMs = 1000;
 
 /** Handles forwarded requests at a shield. */
 export class ShieldRequestHandler {
@@ -78,7 +78,7 @@
         this.inbound.reject(effect.requestId, {
           errorKind: effect.errorKind,
           text: effect.text,
-          retryAfter: effect.retryMs,
+          retryAfter: effect.retryAfterMs,
           moved: effect.leaderMoved,
         });
         break;
@@ -129,7 +129,7 @@
       this.inbound.reject(id, {
         errorKind: 'rejected',
         text: 'too many wait for results under way',
-        retryAfter: retryMs,
+        retryAfter: retryAfterMs,
         moved: false,
       });
     else this.#admit(inbound, cacheable, this.#coalescing.lead(cacheable.coalescingKey));
--- a/packages/proxy-core/src/service-leader/attempt-result.ts
+++ b/packages/proxy-core/src/service-leader/attempt-result.ts
@@ -33,7 +33,7 @@
 /** How far the newest response time moves the moving average of the service. */
 const latencyWeight = 0.05;
 /** When a client whose request certainly did not run may come back. */
-const notRunRetryMs = 500;
+const notRunRetryAfterMs = 500;
 const noRequest: RequestId = toRequestId('none');
 
 const cancelAttempt = (attempt: Attempt): ServiceLeaderEffect => ({
@@ -100,9 +100,13 @@
 ): ServiceLeaderEffect => {
   const text = rejectionText(outcome);
   if (!request.mayHaveRun)
-    return rejectRequest(request.id, { errorKind: 'rejected', text, retryMs: notRunRetryMs });
+    return rejectRequest(request.id, {
+      errorKind: 'rejected',
+      text,
+      retryAfterMs: notRunRetryAfterMs,
+    });
   const errorKind = outcome.kind === 'timedOut' ? 'slow' : 'lost';
-  return rejectRequest(request.id, { errorKind, text, retryMs: 0 });
+  return rejectRequest(request.id, { errorKind, text, retryAfterMs: 0 });
 };
 
 /** Puts a request whose only attempt failed at the head of its queue again, or turns it away. */
@@ -120,7 +124,7 @@
       rejectRequest(id, {
         errorKind: 'rejected',
         text: 'the keeper moved',
-        retryMs: 0,
+        retryAfterMs: 0,
         leaderMoved: true,
       }),
     );
--- a/packages/proxy-core/src/service-leader/canary.ts
+++ b/packages/proxy-core/src/service-leader/canary.ts
@@ -29,7 +29,7 @@
 const minJudgedFailures = 8;
 const maxCanaryFailureShare = 0.2;
 /** After how long a report that the store has not confirmed is repeated. */
-const reportRetryMs = 500;
+const reportRetryIntervalMs = 500;
 /** What a success takes off the failure score: it grows where more than one answer in eight fails. */
 const failureScoreDecay = 1 / 7;
 const maxFailureScore = 12;
@@ -279,7 +279,8 @@
     }
     const reservation = wantedReservation(state, canary);
     const isDue = reservation !== canary.reservedRequests || isReportDue(canary);
-    const isReported = canary.reportedAt !== undefined && now - canary.reportedAt < reportRetryMs;
+    const isReported =
+      canary.reportedAt !== undefined && now - canary.reportedAt < reportRetryIntervalMs;
     if (!isDue || isReported) continue;
     canaries = withEntry(canaries, canary.release, {
       ...canary,
--- a/packages/proxy-core/src/service-leader/queue-wait.ts
+++ b/packages/proxy-core/src/service-leader/queue-wait.ts
@@ -21,7 +21,7 @@
 /** The estimate while no endpoint is available but requests wait already. */
 const unknownWaitMs = 500;
 /** The least that a client which was turned away is asked to wait. */
-export const minRetryMs = 250;
+export const minRetryAfterMs = 250;
 /** The most of a typical response time that is kept free before a deadline. */
 const maxResponseReserveMs = 50;
 
@@ -110,12 +110,12 @@
     ? rejectRequest(request.id, {
         errorKind: 'lost',
         text: 'no further leg in time',
-        retryMs: 0,
+        retryAfterMs: 0,
       })
     : rejectRequest(request.id, {
         errorKind: 'rejected',
         text: 'no slot in time',
-        retryMs: Math.max(minRetryMs, estimatedWaitMs(state, request.className, now)),
+        retryAfterMs: Math.max(minRetryAfterMs, estimatedWaitMs(state, request.className, now)),
       });
 
 /** Turns away the queued requests that can't be served in their time any more. */
--- a/packages/proxy-core/src/service-leader/reject-request.ts
+++ b/packages/proxy-core/src/service-leader/reject-request.ts
@@ -11,7 +11,7 @@
   /** Shown to the client. */
   readonly text: string;
   /** After how many milliseconds a retry makes sense; 0 for no advice. */
-  readonly retryMs: number;
+  readonly retryAfterMs: number;
   /** Whether the edge should send it to the service's next leader instead. */
   readonly leaderMoved?: boolean;
 }
@@ -19,12 +19,12 @@
 /** Builds the effect that turns a request away. */
 export const rejectRequest = (
   requestId: RequestId,
-  { errorKind, text, retryMs, leaderMoved = false }: Rejection,
+  { errorKind, text, retryAfterMs, leaderMoved = false }: Rejection,
 ): ServiceLeaderEffect => ({
   kind: 'rejectRequest',
   requestId,
   errorKind,
   text,
-  retryMs,
+  retryAfterMs,
   leaderMoved,
 });
--- a/packages/proxy-core/src/service-leader/request-arrival.ts
+++ b/packages/proxy-core/src/service-leader/request-arrival.ts
@@ -5,7 +5,7 @@
 
 import { addMs, transition } from '@switchwheel/types';
 import { admitQueued, enqueue } from './admission.js';
-import { estimatedWaitMs, isWithoutEndpoints, minRetryMs } from './queue-wait.js';
+import { estimatedWaitMs, isWithoutEndpoints, minRetryAfterMs } from './queue-wait.js';
 import { type Rejection, rejectRequest } from './reject-request.js';
 import type {
   LeaderTransition,
@@ -17,7 +17,7 @@
 type RequestArrived = Extract<ServiceLeaderEvent, { kind: 'requestArrived' }>;
 
 /** When a client may come back after it was turned away for want of any endpoint. */
-const noEndpointRetryMs = 500;
+const noEndpointRetryAfterMs = 500;
 
 const isKnown = (state: ServiceLeader, id: RequestArrived['id']): boolean =>
   state.activeRequests.has(id) ||
@@ -27,12 +27,12 @@
 const queueRejection = (state: ServiceLeader, event: RequestArrived): Rejection | undefined => {
   const { now, className, remainingMs } = event;
   const waitMs = estimatedWaitMs(state, className, now);
-  const retryMs = Math.max(minRetryMs, waitMs);
+  const retryAfterMs = Math.max(minRetryAfterMs, waitMs);
   // Each class has a queue of its own: one that floods does not fill another's.
   if ((state.queues.get(className)?.length ?? 0) >= state.serviceConfiguration.waitlist)
-    return { errorKind: 'rejected', text: 'the waitlist is full', retryMs };
+    return { errorKind: 'rejected', text: 'the waitlist is full', retryAfterMs };
   if (waitMs + Math.min(state.latencyEwmaMs, remainingMs / 2) > remainingMs)
-    return { errorKind: 'rejected', text: 'the deadline can not be met', retryMs };
+    return { errorKind: 'rejected', text: 'the deadline can not be met', retryAfterMs };
   return undefined;
 };
 
@@ -55,7 +55,7 @@
       rejectRequest(id, {
         errorKind: 'rejected',
         text: 'the keeper is closing',
-        retryMs: 0,
+        retryAfterMs: 0,
         leaderMoved: true,
       }),
     );
@@ -67,7 +67,7 @@
       rejectRequest(id, {
         errorKind: event.mayHaveRun ? 'lost' : 'rejected',
         text: 'no origin for a while',
-        retryMs: noEndpointRetryMs,
+        retryAfterMs: noEndpointRetryAfterMs,
       }),
     );
   const rejection = queueRejection(state, event);
--- a/packages/proxy-core/src/service-leader/service-leader.test.ts
+++ b/packages/proxy-core/src/service-leader/service-leader.test.ts
@@ -183,7 +183,7 @@
   assert.ok(
     rejection?.kind === 'rejectRequest' &&
       rejection.errorKind === 'rejected' &&
-      rejection.retryMs > 0,
+      rejection.retryAfterMs > 0,
   );
 });
 
--- a/packages/proxy-core/src/service-leader/service-leader.ts
+++ b/packages/proxy-core/src/service-leader/service-leader.ts
@@ -35,11 +35,11 @@
 const onLeadershipEnded = (state: ServiceLeader): LeaderTransition => {
   const rejections = [...state.queues.values()].flat().map((request) =>
     request.mayHaveRun
-      ? rejectRequest(request.id, { errorKind: 'lost', text: 'the keeper moved', retryMs: 0 })
+      ? rejectRequest(request.id, { errorKind: 'lost', text: 'the keeper moved', retryAfterMs: 0 })
       : rejectRequest(request.id, {
           errorKind: 'rejected',
           text: 'the keeper moved',
-          retryMs: 0,
+          retryAfterMs: 0,
           leaderMoved: true,
         }),
   );
--- a/packages/proxy-core/src/service-leader/state.ts
+++ b/packages/proxy-core/src/service-leader/state.ts
@@ -228,7 +228,7 @@
   readonly requestId: RequestId;
   readonly errorKind: 'rejected' | 'unknown' | 'slow' | 'lost';
   readonly text: string;
-  readonly retryMs: number;
+  readonly retryAfterMs: number;
   readonly leaderMoved: boolean;
 }
 
--- a/packages/proxy/src/node-agent/compile-configuration.ts
+++ b/packages/proxy/src/node-agent/compile-configuration.ts
@@ -18,7 +18,7 @@
     dispatch((now) =>
       built.isOk
         ? { kind: 'configurationCompiled', now, offer, compiledConfiguration: built.value }
-        : { kind: 'compileFailed', now, offer, faults: built.error },
+        : { kind: 'compileFailed', now, offer, issues: built.error },
     ),
   );
 };
--- a/packages/proxy/src/proxy/open-data-channel.ts
+++ b/packages/proxy/src/proxy/open-data-channel.ts
@@ -11,12 +11,12 @@
     const timeout = setTimeout(() => channel.terminate('no hello in time'), connectTimeoutMs);
     channel.on('up', () => {
       clearTimeout(timeout);
-      handlers.up();
+      handlers.onOpen();
     });
-    channel.on('frame', (frame: Frame) => handlers.frame(frame));
+    channel.on('frame', (frame: Frame) => handlers.onFrame(frame));
     channel.on('closed', () => {
       clearTimeout(timeout);
-      handlers.closed();
+      handlers.onClosed();
     });
     return channel;
   };
--- a/packages/proxy/src/proxy/start-proxy.ts
+++ b/packages/proxy/src/proxy/start-proxy.ts
@@ -141,8 +141,8 @@
 const acceptDataChannels = (channels: ChannelPool, shieldHandler: ShieldRequestHandler): void => {
   channels.on('data', (channel) => {
     const handlers = shieldHandler.inbound.accept(channel, now);
-    channel.on('frame', (frame: Frame) => handlers.frame(frame));
-    channel.on('closed', () => handlers.closed());
+    channel.on('frame', (frame: Frame) => handlers.onFrame(frame));
+    channel.on('closed', () => handlers.onClosed());
   });
 };
 
--- a/packages/proxy/src/shield/header-forms.test.ts
+++ b/packages/proxy/src/shield/header-forms.test.ts
@@ -35,10 +35,10 @@
             isIdempotent: false,
           },
           {
-            head: () => undefined,
-            chunk: (_, more) => more(),
-            ended: resolve,
-            failed: ({ text }) => reject(new Error(text)),
+            onHead: () => undefined,
+            onChunk: (_, more) => more(),
+            onEnd: resolve,
+            onFailed: ({ text }) => reject(new Error(text)),
           },
         );
       });
--- a/packages/proxy/src/shield/origin-client.ts
+++ b/packages/proxy/src/shield/origin-client.ts
@@ -67,7 +67,7 @@
     });
     void readResponse(stream, handlers)
       .catch((error: unknown) => {
-        handlers.failed({
+        handlers.onFailed({
           mayHaveBeenSent: connection.isOpen,
           isTimeout: error instanceof Error && error.name === 'TimeoutError',
           text: error instanceof Error ? error.message : 'broke off',
@@ -141,14 +141,14 @@
     stream.once('response', done);
     stream.once('error', fail);
   });
-  handlers.head(message.statusCode ?? 0, headerFieldsOf(message));
+  handlers.onHead(message.statusCode ?? 0, headerFieldsOf(message));
   for await (const part of stream) {
     const chunk: Buffer = Buffer.isBuffer(part) ? part : Buffer.from(String(part));
     await new Promise<void>((more) => {
-      handlers.chunk(chunk, more);
+      handlers.onChunk(chunk, more);
     });
   }
-  handlers.ended();
+  handlers.onEnd();
 };
 
 /** A health check: whether an origin says that it is healthy and that it is the instance that was meant. */
--- a/packages/proxy/src/shielded-edge/client-handler.ts
+++ b/packages/proxy/src/shielded-edge/client-handler.ts
@@ -27,7 +27,7 @@
 const sendReply = (ctx: Koa.Context, reply: Reply): void => {
   switch (reply.kind) {
     case 'failure':
-      sendErrorResponse(ctx, reply.errorKind, reply.text, reply.retryMs);
+      sendErrorResponse(ctx, reply.errorKind, reply.text, reply.retryAfterMs);
       if (reply.allowedMethods === undefined) break;
       ctx.set('allow', reply.allowedMethods.join(', '));
       ctx.status = 405;
@@ -113,9 +113,9 @@
   const target = ctx.req.url ?? '/';
   const host = ctx.get('host').toLowerCase();
   const match = edge.findRoute(ctx.method, host, target);
-  if ('told' in match) {
-    if (match.told.errorKind === 'malformed') closeAfterResponse(ctx);
-    sendReply(ctx, match.told);
+  if ('failure' in match) {
+    if (match.failure.errorKind === 'malformed') closeAfterResponse(ctx);
+    sendReply(ctx, match.failure);
     return;
   }
   const body = await readBody(ctx.req, maxBodyBytes);
@@ -123,7 +123,7 @@
     rejectBody(edge, ctx, body.error);
     return;
   }
-  await serveRequest(edge, ctx, match.track, {
+  await serveRequest(edge, ctx, match.route, {
     method: ctx.method,
     host,
     target,
--- a/packages/simulator/src/guard/list.ts
+++ b/packages/simulator/src/guard/list.ts
@@ -67,8 +67,8 @@
     name: 'the fence of a keeper past its lease',
     rule: 'R1',
     file: proxy,
-    from: 'andThen(closeExpiredLeaders(noteActivity(state, event.now), event.now), (current) => handleEvent(current, event))',
-    to: 'handleEvent(noteActivity(state, event.now), event)',
+    from: 'andThen(closeExpiredLeaders(recordEventTime(state, event.now), event.now), (current) => handleEvent(current, event))',
+    to: 'handleEvent(recordEventTime(state, event.now), event)',
   },
   {
     name: 'the margin of a lease',
@@ -235,7 +235,7 @@
     name: 'no refusal of what may have run, in a waitlist',
     rule: 'R2',
     file: 'proxy-core/dist/service-leader/queue-wait.js',
-    from: "request.mayHaveRun ? rejectRequest(request.id, { errorKind: 'lost', text: 'no further leg in time', retryMs: 0, }) : ",
+    from: "request.mayHaveRun ? rejectRequest(request.id, { errorKind: 'lost', text: 'no further leg in time', retryAfterMs: 0, }) : ",
     to: '',
   },
   {
@@ -340,14 +340,14 @@
     name: 'an edge that slept does not tell what it had',
     rule: 'R7',
     file: edge,
-    from: 'if (lastWokeAt > sentAt)',
+    from: 'if (lastResumedAt > sentAt)',
     to: 'if (false)',
   },
   {
     name: 'a shield that slept does not tell what it had',
     rule: 'R7',
     file: 'proxy-core/dist/request-handler/origin-attempts.js',
-    from: 'return (this.#context.state().lastWokeAt > startedAt && ',
+    from: 'return (this.#context.state().lastResumedAt > startedAt && ',
     to: 'return (false && ',
   },
   {
--- a/packages/simulator/src/processes/caller-result.ts
+++ b/packages/simulator/src/processes/caller-result.ts
@@ -68,7 +68,7 @@
 export const toCallerResult = (reply: Reply): CallerResult => {
   switch (reply.kind) {
     case 'failure':
-      return failedResult(reply.errorKind, reply.text, reply.retryMs);
+      return failedResult(reply.errorKind, reply.text, reply.retryAfterMs);
     case 'cached':
       return completeResult(reply.entry.status, reply.entry.body, reply.source);
     case 'complete':
--- a/packages/simulator/src/processes/channel.ts
+++ b/packages/simulator/src/processes/channel.ts
@@ -18,7 +18,7 @@
   readonly process: SimulatedProcess;
   readonly incarnationNumber: number;
   readonly lane: { nextFreeAt: number };
-  handlers: Omit<DataChannelHandlers, 'up'> | undefined;
+  handlers: Omit<DataChannelHandlers, 'onOpen'> | undefined;
   lastHeardAt: number;
   isClosed: boolean;
 }
@@ -44,7 +44,7 @@
     from: SimulatedProcess,
     to: SimulatedProcess | undefined,
     ears: DataChannelHandlers,
-    accept: (channel: DataChannel) => Omit<DataChannelHandlers, 'up'>,
+    accept: (channel: DataChannel) => Omit<DataChannelHandlers, 'onOpen'>,
   ) {
     this.#context = context;
     this.#localEnd = newChannelEnd(from, context.eventQueue.now);
@@ -72,7 +72,7 @@
         end.lastHeardAt = context.eventQueue.now;
         this.#scheduleKeepalive(end);
       }
-      ears.up();
+      ears.onOpen();
     });
   }
 
@@ -109,7 +109,7 @@
       to.lastHeardAt = this.#context.eventQueue.now;
       if (!to.isClosed)
         to.process.execute(() => {
-          if (!to.isClosed) to.handlers?.frame(told);
+          if (!to.isClosed) to.handlers?.onFrame(told);
         }, to.incarnationNumber);
     });
   }
@@ -134,7 +134,7 @@
   #close(end: ChannelEnd): void {
     if (end.isClosed) return;
     end.isClosed = true;
-    end.handlers?.closed();
+    end.handlers?.onClosed();
     const other = this.#otherEnd(end);
     if (other === undefined) return;
     this.#context.network.sendOrdered(end.process.node, other.process.node, end.lane, () =>
--- a/packages/simulator/src/processes/origin-attempts.ts
+++ b/packages/simulator/src/processes/origin-attempts.ts
@@ -63,22 +63,22 @@
     const origin = this.#originAt(request.address);
     this.#proxy.schedule(request.timeoutMs, () => {
       if (!this.#cancelled.has(name))
-        handlers.failed({ mayHaveBeenSent: true, isTimeout: true, text: 'no result in time' });
+        handlers.onFailed({ mayHaveBeenSent: true, isTimeout: true, text: 'no result in time' });
     });
     if (origin === undefined || !this.#isConnected()) {
       this.#proxy.schedule(refusalMs, () => {
         if (!this.#cancelled.has(name))
-          handlers.failed({ mayHaveBeenSent: false, isTimeout: false, text: 'no one listens' });
+          handlers.onFailed({ mayHaveBeenSent: false, isTimeout: false, text: 'no one listens' });
       });
       return;
     }
     const inOrder = this.#orderedDelivery(name, handlers);
     eventQueue.schedule(random.uniform(minLatencyMs, maxLatencyMs), () =>
       origin.handleRequest(request, {
-        head: (status, fields) => inOrder(() => handlers.head(status, fields)),
-        chunk: (bytes, more) => inOrder(() => handlers.chunk(bytes, more)),
-        ended: () => inOrder(() => handlers.ended()),
-        failed: (how) => inOrder(() => handlers.failed(how)),
+        onHead: (status, fields) => inOrder(() => handlers.onHead(status, fields)),
+        onChunk: (bytes, more) => inOrder(() => handlers.onChunk(bytes, more)),
+        onEnd: () => inOrder(() => handlers.onEnd()),
+        onFailed: (how) => inOrder(() => handlers.onFailed(how)),
       }),
     );
   }
@@ -95,7 +95,7 @@
           if (this.#cancelled.has(name)) return;
           if (this.#isConnected()) deliver();
           else
-            handlers.failed({
+            handlers.onFailed({
               mayHaveBeenSent: true,
               isTimeout: false,
               text: 'cut off from the origin',
--- a/packages/simulator/src/processes/origin.ts
+++ b/packages/simulator/src/processes/origin.ts
@@ -177,18 +177,18 @@
     const { eventQueue, random } = this.context;
     if (!this.isAlive) {
       eventQueue.schedule(random.uniform(0.5, 3), () =>
-        response.failed({ mayHaveBeenSent: false, isTimeout: false, text: 'refused' }),
+        response.onFailed({ mayHaveBeenSent: false, isTimeout: false, text: 'refused' }),
       );
       return;
     }
     const unrun = (): void => {
       eventQueue.schedule(random.uniform(0.5, 3), () => {
-        response.head(503, [
+        response.onHead(503, [
           ['switchwheel-instance', this.instance],
           ['switchwheel-unrun', 'true'],
           ['content-length', '0'],
         ]);
-        response.ended();
+        response.onEnd();
       });
     };
     this.contactTimes.push(eventQueue.now);
@@ -218,7 +218,7 @@
         // It may have died just before or just after the work.
         if (random.happens(0.5))
           this.executions.push({ requestId: id, at: eventQueue.now, isUnsafe: unsafe });
-        response.failed(connectionLost('crashed'));
+        response.onFailed(connectionLost('crashed'));
         return;
       }
       this.executions.push({ requestId: id, at: eventQueue.now, isUnsafe: unsafe });
@@ -239,7 +239,7 @@
     const { random, coverage } = this.context;
     if (random.happens(this.lossProbability)) {
       if (unsafe) coverage.record('R1: an unsafe result was lost after the work');
-      back.failed(connectionLost('lost after the work'));
+      back.onFailed(connectionLost('lost after the work'));
       return;
     }
     const misnamed = random.happens(this.wrongInstanceProbability);
@@ -273,18 +273,18 @@
     const sly = cut && random.happens(0.5);
     if (sly) fields.pop();
     if (cut) coverage.record('R3: a result was cut amid its body');
-    back.head(bad ? 500 : 200, fields);
+    back.onHead(bad ? 500 : 200, fields);
     this.#sendChunks(body, 0, cut ? random.integer(0, body.length - 1) : body.length, sly, back);
   }
 
   #sendChunks(body: Buffer, at: number, breaks: number, sly: boolean, back: AttemptHandlers): void {
     const { eventQueue, random } = this.context;
-    if (sly && at >= breaks) back.ended();
+    if (sly && at >= breaks) back.onEnd();
     else if (!this.isAlive || (at >= breaks && breaks < body.length))
-      back.failed(connectionLost('broke off amid the body'));
-    else if (at >= body.length) back.ended();
+      back.onFailed(connectionLost('broke off amid the body'));
+    else if (at >= body.length) back.onEnd();
     else
-      back.chunk(body.subarray(at, Math.min(breaks, at + chunkBytes)), () =>
+      back.onChunk(body.subarray(at, Math.min(breaks, at + chunkBytes)), () =>
         eventQueue.schedule(random.uniform(0.1, 1) + this.extraChunkMs, () =>
           this.#sendChunks(body, Math.min(breaks, at + chunkBytes), breaks, sly, back),
         ),
--- a/packages/simulator/src/processes/proxy.ts
+++ b/packages/simulator/src/processes/proxy.ts
@@ -176,15 +176,15 @@
       other,
       {
         ...handlers,
-        closed: () => {
+        onClosed: () => {
           this.#channels.get(to)?.delete(channel);
-          handlers.closed();
+          handlers.onClosed();
         },
       },
       (accepted) =>
         other instanceof SimulatedProxy
           ? other.#accept(accepted)
-          : { frame: () => undefined, closed: () => undefined },
+          : { onFrame: () => undefined, onClosed: () => undefined },
     );
     const open = this.#channels.get(to) ?? new Set<SimulatedChannel>();
     this.#channels.set(to, open.add(channel));
@@ -211,8 +211,8 @@
   ): ReturnType<ShieldRequestHandler['inbound']['accept']> {
     return (
       this.#shield?.inbound.accept(channel, () => this.clock) ?? {
-        frame: () => undefined,
-        closed: () => undefined,
+        onFrame: () => undefined,
+        onClosed: () => undefined,
       }
     );
   }
@@ -271,8 +271,8 @@
       const edge = this.#edge;
       const found = edge?.findRoute(request.method, 'sim', request.path);
       if (edge === undefined || found === undefined) return;
-      if ('told' in found) {
-        onResult(toCallerResult(found.told));
+      if ('failure' in found) {
+        onResult(toCallerResult(found.failure));
         return;
       }
       const call: ClientRequest = {
@@ -287,7 +287,7 @@
         reply: (told) => onResult(toCallerResult(told)),
         startStream: (status, _, length) => streamToCaller(this, status, length, onResult),
       };
-      leave = edge.serve(found.track, call, caller);
+      leave = edge.serve(found.route, call, caller);
     });
     return () => this.execute(() => leave(), incarnationNumber);
   }
@@ -358,7 +358,7 @@
               kind: 'compileFailed',
               now,
               offer: effect.offer,
-              faults: built.isOk ? [{ path: '(node)', text: 'lame' }] : built.error,
+              issues: built.isOk ? [{ path: '(node)', text: 'lame' }] : built.error,
             },
       );
     });
