--- a/packages/proxy/src/direct-edge/client-listener.test.ts
+++ b/packages/proxy/src/direct-edge/client-listener.test.ts
@@ -150,7 +150,7 @@
         attempt.isCancelled = true;
       };
     },
-    forget: () => undefined,
+    closeIdleConnections: () => undefined,
   };
   const router = new EdgeRouter(
     { now: () => now, nodeAgent: () => nodeAgent },
--- a/packages/proxy/src/direct-edge/origin-client.test.ts
+++ b/packages/proxy/src/direct-edge/origin-client.test.ts
@@ -81,7 +81,7 @@
   assert.equal(fixture.sockets(), 1);
   assert.equal(bodyOf(await exchange(client, fixture.attempt('d', true, 'POST'))), 'body of d');
   assert.equal(fixture.sockets(), 2, 'one that may not be repeated has a connection of its own');
-  client.forget(toInstanceId('o1'));
+  client.closeIdleConnections(toInstanceId('o1'));
   fixture.server.close();
 });
 
@@ -97,7 +97,7 @@
   const second = await exchange(client, fixture.attempt('b'));
   assert.ok('failure' in second && second.mayHaveReachedOrigin, 'it may have run');
   assert.equal(bodyOf(await exchange(client, fixture.attempt('c'))), 'body of c');
-  client.forget(toInstanceId('o1'));
+  client.closeIdleConnections(toInstanceId('o1'));
   fixture.server.close();
 });
 
@@ -118,7 +118,7 @@
   await ended;
   assert.equal(bodyOf(await exchange(client, fixture.attempt('b'))), 'body of b');
   assert.equal(fixture.sockets(), 2);
-  client.forget(toInstanceId('o1'));
+  client.closeIdleConnections(toInstanceId('o1'));
   fixture.server.close();
 });
 
@@ -135,7 +135,7 @@
     const outcome = await exchange(client, fixture.attempt(id, id < 'c'));
     assert.ok('failure' in outcome && outcome.mayHaveReachedOrigin, id);
   }
-  client.forget(toInstanceId('o1'));
+  client.closeIdleConnections(toInstanceId('o1'));
   fixture.server.close();
   const nobody = await exchange(client, {
     ...fixture.attempt('e'),
@@ -157,7 +157,7 @@
     const outcome = await exchange(client, fixture.attempt(id));
     assert.ok('response' in outcome && outcome.response.isUnprocessed);
   }
-  client.forget(toInstanceId('o1'));
+  client.closeIdleConnections(toInstanceId('o1'));
   fixture.server.close();
 });
 
@@ -170,7 +170,7 @@
   for (const id of ['a', 'b', 'c', 'd'])
     assert.equal(bodyOf(await exchange(client, fixture.attempt(id))), `body of ${id}`);
   assert.equal(fixture.sockets(), 3);
-  client.forget(toInstanceId('o1'));
+  client.closeIdleConnections(toInstanceId('o1'));
   fixture.server.close();
 });
 
@@ -185,7 +185,7 @@
     const outcome = await exchange(client, fixture.attempt(id));
     assert.ok('failure' in outcome && outcome.mayHaveReachedOrigin, id);
   }
-  client.forget(toInstanceId('o1'));
+  client.closeIdleConnections(toInstanceId('o1'));
   fixture.server.close();
 });
 
@@ -206,7 +206,7 @@
   });
   assert.equal(bodyOf(await exchange(client, fixture.attempt('d'))), 'body of d');
   assert.equal(fixture.sockets(), 3);
-  client.forget(toInstanceId('o1'));
+  client.closeIdleConnections(toInstanceId('o1'));
   fixture.server.close();
 });
 
@@ -226,6 +226,6 @@
       setTimeout(done, number % 4);
     });
   }
-  client.forget(toInstanceId('o1'));
+  client.closeIdleConnections(toInstanceId('o1'));
   fixture.server.close();
 });
--- a/packages/proxy/src/direct-edge/origin-client.ts
+++ b/packages/proxy/src/direct-edge/origin-client.ts
@@ -20,8 +20,8 @@
   }
 
   /** Closes the idle connections to an instance that is gone. */
-  forget(instance: InstanceId): void {
-    this.#connections.forget(instance);
+  closeIdleConnections(instance: InstanceId): void {
+    this.#connections.closeIdleConnections(instance);
   }
 
   /** Sends a request to an origin once; gives what to call to cancel it. */
--- a/packages/proxy/src/direct-edge/origin-connections.ts
+++ b/packages/proxy/src/direct-edge/origin-connections.ts
@@ -31,7 +31,7 @@
   }
 
   /** Closes the idle connections to an instance that is gone; those in use end with their requests. */
-  forget(instance: InstanceId): void {
+  closeIdleConnections(instance: InstanceId): void {
     const agent = this.#agents.get(instance);
     if (agent === undefined) return;
     for (const sockets of Object.values(agent.freeSockets))
--- a/packages/routing/src/object-sharing/object-sharing.test.ts
+++ b/packages/routing/src/object-sharing/object-sharing.test.ts
@@ -170,7 +170,7 @@
           zone.fetches.push({ edge: this, request, handlers });
           return () => undefined;
         },
-        forget: () => undefined,
+        closeIdleConnections: () => undefined,
       },
       {
         zone: member.area,
--- a/packages/routing/src/router/edge-router.test.ts
+++ b/packages/routing/src/router/edge-router.test.ts
@@ -101,7 +101,7 @@
           attempt.isCancelled = true;
         };
       },
-      forget: () => undefined,
+      closeIdleConnections: () => undefined,
     };
     this.router = new EdgeRouter(
       { now: () => this.now, nodeAgent: () => this.nodeAgent },
--- a/packages/routing/src/router/edge-router.ts
+++ b/packages/routing/src/router/edge-router.ts
@@ -181,7 +181,7 @@
     this.#edgeCount.record(edges.length, now);
     this.#peerObjects.updateEdges(edges);
     this.#rolloutCounters.noteRollouts(nodeAgent.releaseStates.values(), now);
-    for (const instance of this.endpoints.update(origins, now)) this.#originClient.forget(instance);
+    for (const instance of this.endpoints.update(origins, now)) this.#originClient.closeIdleConnections(instance);
   }
 
   /** Serves a client's request, read with its whole body; gives what to call when the client leaves. */
--- a/packages/routing/src/router/ports.ts
+++ b/packages/routing/src/router/ports.ts
@@ -123,7 +123,7 @@
   /** Sends an attempt; gives what to call to cancel it, after which no handler is called. */
   readonly send: (attempt: AttemptRequest, handlers: AttemptHandlers) => () => void;
   /** Closes the idle connections to an instance that is gone. */
-  readonly forget: (instance: InstanceId) => void;
+  readonly closeIdleConnections: (instance: InstanceId) => void;
 }
 
 /** What a router reads: the time, and the state of its node's agent. */
--- a/packages/simulator/src/direct/attempt-port.ts
+++ b/packages/simulator/src/direct/attempt-port.ts
@@ -51,7 +51,7 @@
     this.#revisionOf = revisionOf;
   }
 
-  forget(): void {
+  closeIdleConnections(): void {
     // Idle connections bear nothing here: bytes left on them are among the conducts.
   }
 
