--- a/packages/proxy-core/src/cache/cache.ts
+++ b/packages/proxy-core/src/cache/cache.ts
@@ -67,9 +67,9 @@
 const isVariantFor = (entry: CacheEntry, request: HeaderFields): boolean =>
   [...entry.vary].every(([name, value]) => (fieldValue(request, name) ?? '') === value);
 
-const isSameVariant = (one: CacheEntry, two: CacheEntry): boolean =>
-  one.vary.size === two.vary.size &&
-  [...one.vary].every(([name, value]) => two.vary.get(name) === value);
+const isSameVariant = (left: CacheEntry, right: CacheEntry): boolean =>
+  left.vary.size === right.vary.size &&
+  [...left.vary].every(([name, value]) => right.vary.get(name) === value);
 
 /**
  * A cache of complete responses in the order of their last use. Its tables change in place: to copy
@@ -106,18 +106,18 @@
 
   /** Finds a fresh response for a request. */
   find(key: CacheKey, request: HeaderFields, now: Timestamp): CacheEntry | undefined {
-    const id = cacheKeyString(key);
-    const variants = this.#entriesByKey.get(id);
+    const keyString = cacheKeyString(key);
+    const variants = this.#entriesByKey.get(keyString);
     if (variants === undefined) return undefined;
     const entry = variants.find((variant) => isVariantFor(variant, request));
     if (entry === undefined) return undefined;
     if (now - entry.createdAt >= entry.lifetimeMs) {
-      this.#remove(id, entry);
+      this.#remove(keyString, entry);
       return undefined;
     }
     // The most recently used come last.
-    this.#entriesByKey.delete(id);
-    this.#entriesByKey.set(id, variants);
+    this.#entriesByKey.delete(keyString);
+    this.#entriesByKey.set(keyString, variants);
     return entry;
   }
 
@@ -143,14 +143,16 @@
       ...entry,
       vary: varyValues([...new Set([...varyNames(entry.fields), ...routeVary])], request),
     };
-    const id = cacheKeyString(key);
-    const replaced = this.#entriesByKey.get(id)?.find((variant) => isSameVariant(variant, stored));
-    if (replaced !== undefined) this.#remove(id, replaced);
-    const others = this.#entriesByKey.get(id) ?? [];
-    this.#entriesByKey.delete(id);
-    this.#entriesByKey.set(id, [...others, stored].slice(-maxVariants));
-    this.#index(this.#keysByPath, key.path, id);
-    for (const tag of tags) this.#index(this.#keysByTag, tag, id);
+    const keyString = cacheKeyString(key);
+    const replaced = this.#entriesByKey
+      .get(keyString)
+      ?.find((variant) => isSameVariant(variant, stored));
+    if (replaced !== undefined) this.#remove(keyString, replaced);
+    const others = this.#entriesByKey.get(keyString) ?? [];
+    this.#entriesByKey.delete(keyString);
+    this.#entriesByKey.set(keyString, [...others, stored].slice(-maxVariants));
+    this.#index(this.#keysByPath, key.path, keyString);
+    for (const tag of tags) this.#index(this.#keysByTag, tag, keyString);
     this.#bytes += stored.body.length + entryOverheadBytes;
     this.#evict();
     return stored;
@@ -191,9 +193,9 @@
   }
 
   #purgeMatching(target: PurgeTarget): void {
-    for (const id of this.#keysOf(target)) {
-      for (const entry of [...(this.#entriesByKey.get(id) ?? [])])
-        if (matches(entry.key, entry.tags, target)) this.#remove(id, entry);
+    for (const keyString of this.#keysOf(target)) {
+      for (const entry of [...(this.#entriesByKey.get(keyString) ?? [])])
+        if (matches(entry.key, entry.tags, target)) this.#remove(keyString, entry);
     }
   }
 
@@ -209,37 +211,37 @@
     }
   }
 
-  #index(table: Map<string, Set<string>>, name: string, id: string): void {
+  #index(table: Map<string, Set<string>>, name: string, keyString: string): void {
     const set = table.get(name);
-    if (set === undefined) table.set(name, new Set([id]));
-    else set.add(id);
+    if (set === undefined) table.set(name, new Set([keyString]));
+    else set.add(keyString);
   }
 
-  #unindex(table: Map<string, Set<string>>, name: string, id: string): void {
+  #unindex(table: Map<string, Set<string>>, name: string, keyString: string): void {
     const set = table.get(name);
-    set?.delete(id);
+    set?.delete(keyString);
     if (set?.size === 0) table.delete(name);
   }
 
-  #remove(id: string, entry: CacheEntry): void {
-    const variants = this.#entriesByKey.get(id) ?? [];
+  #remove(keyString: string, entry: CacheEntry): void {
+    const variants = this.#entriesByKey.get(keyString) ?? [];
     const rest = variants.filter((variant) => variant !== entry);
     if (rest.length === variants.length) return;
     this.#bytes -= entry.body.length + entryOverheadBytes;
-    if (rest.length > 0) this.#entriesByKey.set(id, rest);
+    if (rest.length > 0) this.#entriesByKey.set(keyString, rest);
     else {
-      this.#entriesByKey.delete(id);
-      this.#unindex(this.#keysByPath, entry.key.path, id);
+      this.#entriesByKey.delete(keyString);
+      this.#unindex(this.#keysByPath, entry.key.path, keyString);
     }
     for (const tag of entry.tags)
       if (!rest.some((variant) => variant.tags.includes(tag)))
-        this.#unindex(this.#keysByTag, tag, id);
+        this.#unindex(this.#keysByTag, tag, keyString);
   }
 
   #evict(): void {
-    for (const [id, variants] of this.#entriesByKey) {
+    for (const [keyString, variants] of this.#entriesByKey) {
       if (this.#bytes <= this.#maxBytes) return;
-      for (const entry of [...variants]) this.#remove(id, entry);
+      for (const entry of [...variants]) this.#remove(keyString, entry);
     }
   }
 }
--- a/packages/proxy-core/src/cache/request-coalescing.ts
+++ b/packages/proxy-core/src/cache/request-coalescing.ts
@@ -8,33 +8,33 @@
 /** The fetches under way, by a key that equal requests share. */
 export class RequestCoalescing<T> {
   readonly #inFlight = new Map<string, ((result: T) => void)[]>();
-  readonly #maxWaiting: number;
-  #waiting = 0;
+  readonly #maxWaiters: number;
+  #waiterCount = 0;
 
-  /** At most `maxWaiting` requests wait for all fetches together. */
-  constructor(maxWaiting: number) {
-    this.#maxWaiting = maxWaiting;
+  /** At most `maxWaiters` requests wait for all fetches together. */
+  constructor(maxWaiters: number) {
+    this.#maxWaiters = maxWaiters;
   }
 
   /** Waits for a fetch under way; `onResult` is called with its result. */
   join(key: string, onResult: (result: T) => void): JoinResult {
-    const waiting = this.#inFlight.get(key);
-    if (waiting === undefined) return 'none';
-    if (this.#waiting >= this.#maxWaiting) return 'full';
-    this.#waiting += 1;
-    waiting.push(onResult);
+    const waiters = this.#inFlight.get(key);
+    if (waiters === undefined) return 'none';
+    if (this.#waiterCount >= this.#maxWaiters) return 'full';
+    this.#waiterCount += 1;
+    waiters.push(onResult);
     return 'joined';
   }
 
   /** Leads a fetch, which others may join until the function that this returns gets its result. */
-  lead(key: string): (result: T) => void {
-    const waiting: ((result: T) => void)[] = [];
-    this.#inFlight.set(key, waiting);
+  startFetch(key: string): (result: T) => void {
+    const waiters: ((result: T) => void)[] = [];
+    this.#inFlight.set(key, waiters);
     return (result) => {
-      if (this.#inFlight.get(key) === waiting) this.#inFlight.delete(key);
-      const notified = waiting.splice(0);
-      this.#waiting -= notified.length;
-      for (const onResult of notified) onResult(result);
+      if (this.#inFlight.get(key) === waiters) this.#inFlight.delete(key);
+      const notifiedWaiters = waiters.splice(0);
+      this.#waiterCount -= notifiedWaiters.length;
+      for (const onResult of notifiedWaiters) onResult(result);
     };
   }
 
--- a/packages/proxy-core/src/forwarding/forward-request.ts
+++ b/packages/proxy-core/src/forwarding/forward-request.ts
@@ -49,7 +49,7 @@
 });
 
 /** Records that a service has a leader, as one took a request of it. */
-export const noteLeaderFound = (
+export const recordLeaderSeen = (
   state: Forwarding,
   service: PendingForward['service'],
 ): Forwarding =>
--- a/packages/proxy-core/src/forwarding/forwarding.ts
+++ b/packages/proxy-core/src/forwarding/forwarding.ts
@@ -29,7 +29,7 @@
 } from './state.js';
 
 /** After how long a waiting request is sent to the leader that is known again. */
-const redispatchMs = 100;
+const redispatchIntervalMs = 100;
 /** How long a request waits for a leader: well over what a change of the leader takes. */
 const leaderlessGraceMs = 2000;
 /** When a client whose request was rejected here may come back. */
@@ -41,10 +41,11 @@
   retryAfterMs,
 };
 
-const hasRoom = (state: Forwarding, { className }: NewForward): boolean => {
-  let ofClass = 0;
-  for (const request of state.requests.values()) if (request.className === className) ofClass += 1;
-  return state.requests.size < maxForwardedRequests && ofClass < maxForwardedRequests / 2;
+const hasCapacity = (state: Forwarding, { className }: NewForward): boolean => {
+  let sameClassCount = 0;
+  for (const request of state.requests.values())
+    if (request.className === className) sameClassCount += 1;
+  return state.requests.size < maxForwardedRequests && sameClassCount < maxForwardedRequests / 2;
 };
 
 const rejectNew = ({ id }: NewForward, failure: ForwardFailure): ForwardingEffect =>
@@ -64,13 +65,13 @@
   const absence = state.leaderAbsences.get(request.service);
   if (absence !== undefined && now - absence.since > leaderlessGraceMs) {
     // One request at a time finds out whether there is a leader again; the others fail at once.
-    if (now - absence.lastTriedAt < redispatchMs)
+    if (now - absence.lastTriedAt < redispatchIntervalMs)
       return transition(state, rejectNew(accepted, noLeaderFailure));
     const tried = { ...absence, lastTriedAt: now };
     const leaderAbsences = withEntry(state.leaderAbsences, request.service, tried);
     return forwardToLeader({ ...state, leaderAbsences }, request, 0, now);
   }
-  if (!hasRoom(state, accepted))
+  if (!hasCapacity(state, accepted))
     return transition(
       state,
       rejectNew(accepted, {
@@ -148,7 +149,7 @@
   const absence = state.leaderAbsences.get(request.service);
   if (absence !== undefined && now - absence.since > leaderlessGraceMs)
     return transition(endRequest(state, request.id), failRequest(request, noLeaderFailure));
-  return now - phase.since > redispatchMs
+  return now - phase.since > redispatchIntervalMs
     ? forwardToLeader(state, request, 0, now)
     : transition(state);
 };
--- a/packages/proxy-core/src/forwarding/leader-events.ts
+++ b/packages/proxy-core/src/forwarding/leader-events.ts
@@ -17,7 +17,7 @@
   endRequest,
   failRequest,
   forwardToLeader,
-  noteLeaderFound,
+  recordLeaderSeen,
   retryRequest,
 } from './forward-request.js';
 import type {
@@ -62,7 +62,7 @@
   };
   let next: ForwardingTransition = transition({ ...state, leaseHolders });
   for (const service of state.leaderAbsences.keys())
-    if (isChanged(service)) next = transition(noteLeaderFound(next.state, service));
+    if (isChanged(service)) next = transition(recordLeaderSeen(next.state, service));
   for (const request of state.requests.values()) {
     const leader = leaseHolders.get(serviceLeaseOf(request.service));
     if (leader === undefined || !isChanged(request.service)) continue;
@@ -80,7 +80,7 @@
   if (!isSentTo(request, from)) return transition(state);
   if (frame.moved) return retryRequest(state, request, request.phase.epoch + 1, now);
   return transition(
-    endRequest(noteLeaderFound(state, request.service), frame.id),
+    endRequest(recordLeaderSeen(state, request.service), frame.id),
     failRequest(request, {
       errorKind: frame.errorKind,
       text: frame.text,
@@ -99,7 +99,7 @@
   const responding: PendingForward = { ...request, phase: { phase: 'responding', leader: from } };
   return transition(
     {
-      ...noteLeaderFound(state, request.service),
+      ...recordLeaderSeen(state, request.service),
       requests: withEntry(state.requests, request.id, responding),
     },
     { kind: 'startResponse', to: from, id: request.id, frame },
@@ -115,12 +115,12 @@
   if (!isSentTo(request, from) || request.hasAttemptStarted) return transition(state);
   const started: PendingForward = { ...request, hasAttemptStarted: true };
   return transition({
-    ...noteLeaderFound(state, request.service),
+    ...recordLeaderSeen(state, request.service),
     requests: withEntry(state.requests, request.id, started),
   });
 };
 
-const onRequestStranded = (
+const onRequestChannelLost = (
   state: Forwarding,
   request: SentRequest,
   unsentIds: ReadonlySet<RequestId>,
@@ -149,7 +149,7 @@
   let next: ForwardingTransition = transition(state);
   for (const request of state.requests.values()) {
     if (!isSentTo(request, leader)) continue;
-    next = prependEffects(next.effects, onRequestStranded(next.state, request, unsentIds, now));
+    next = prependEffects(next.effects, onRequestChannelLost(next.state, request, unsentIds, now));
   }
   return next;
 };
--- a/packages/proxy-core/src/node-agent/config-update.ts
+++ b/packages/proxy-core/src/node-agent/config-update.ts
@@ -78,8 +78,8 @@
   now: Timestamp,
 ): AgentTransition => {
   const update = state.configUpdate;
-  const isUnderWay = update.phase === 'fetching' && update.offer.generation === offer.generation;
-  const startedAt = isUnderWay ? update.startedAt : now;
+  const isSameOffer = update.phase === 'fetching' && update.offer.generation === offer.generation;
+  const startedAt = isSameOffer ? update.startedAt : now;
   const missing = missingChunks(state, offer);
   if (missing.length === 0) return compile(state, offer, startedAt, now);
   const requested = missing.slice(0, maxChunksPerRequest);
--- a/packages/proxy-core/src/node-agent/heartbeat-reply.ts
+++ b/packages/proxy-core/src/node-agent/heartbeat-reply.ts
@@ -24,14 +24,14 @@
   if (top <= state.lastPurgeSeq) return transition(state);
   const fresh = purges
     .filter((purge) => purge.seq > state.lastPurgeSeq)
-    .sort((one, two) => one.seq - two.seq);
+    .sort((left, right) => left.seq - right.seq);
   const isComplete =
     fresh[0]?.seq === state.lastPurgeSeq + 1 && fresh.length === top - state.lastPurgeSeq;
   const next = { ...state, lastPurgeSeq: top };
   if (isComplete)
     return transition(next, { kind: 'purgeCache', purges: fresh, flush: false, lastPurgeSeq: top });
-  const areSomeLost = state.lastPurgeSeq + 1 < floor;
-  if (areSomeLost || state.lastPurgeSeq === 0)
+  const hasMissedPurges = state.lastPurgeSeq + 1 < floor;
+  if (hasMissedPurges || state.lastPurgeSeq === 0)
     return transition(next, { kind: 'purgeCache', purges: [], flush: true, lastPurgeSeq: top });
   return transition(state);
 };
@@ -50,7 +50,7 @@
 };
 
 /** Notes as of when all purges are applied here: only this node's own registry can say that. */
-const notePurgesCurrent = (
+const updatePurgesCurrent = (
   state: NodeAgent,
   reply: HeartbeatReply,
   isOwnRegistry: boolean,
@@ -95,7 +95,7 @@
 ): AgentTransition => {
   const purged = applyPurges(applyReply(before, from, reply, now), reply);
   const isOwnRegistry = before.nodeSession.registryLink?.address === from.address;
-  const state = notePurgesCurrent(purged.state, reply, isOwnRegistry);
+  const state = updatePurgesCurrent(purged.state, reply, isOwnRegistry);
   return prependEffects(
     purged.effects,
     reply.offer === undefined ? transition(state) : onOffer(state, reply.offer, now),
--- a/packages/proxy-core/src/node-agent/leader-candidacy.ts
+++ b/packages/proxy-core/src/node-agent/leader-candidacy.ts
@@ -27,7 +27,7 @@
 import { leadershipOrder, shieldMembers } from './leadership-order.js';
 import { candidateOf, electionContext, leaseHolder } from './service-lease.js';
 import type { AgentTransition, NodeAgent } from './state.js';
-import { noteVacantLeases } from './vacant-leases.js';
+import { recordVacantLeases } from './vacant-leases.js';
 
 /** How much later each further shield in the order stands for a vacant lease. */
 const rankDelayMs = 150;
@@ -35,7 +35,7 @@
 const removedServicePauseMs = 1000;
 
 /** Whether this shield should stand now: the first in the order at once, the others after it. */
-const wantsElection = (state: NodeAgent, service: ServiceName, now: Timestamp): boolean => {
+const shouldStartElection = (state: NodeAgent, service: ServiceName, now: Timestamp): boolean => {
   if (state.isStopping || state.compiledConfiguration === undefined) return false;
   const self = state.nodeSession.member.node;
   const holder = leaseHolder(state, service);
@@ -99,7 +99,7 @@
   const ticked = tickCandidate(
     candidate,
     context,
-    wantsElection(state, service, now),
+    shouldStartElection(state, service, now),
     state.randomState,
     now,
   );
@@ -133,7 +133,7 @@
   const services = before.compiledConfiguration?.services;
   if (before.nodeSession.member.role !== 'shield' || services === undefined)
     return transition(before);
-  let next: AgentTransition = transition(noteVacantLeases(before, now));
+  let next: AgentTransition = transition(recordVacantLeases(before, now));
   for (const service of services.keys()) {
     const context = electionContext(next.state, service);
     if (context === undefined) continue;
--- a/packages/proxy-core/src/node-agent/leadership-order.ts
+++ b/packages/proxy-core/src/node-agent/leadership-order.ts
@@ -16,8 +16,8 @@
   service: ServiceName,
   shields: readonly Member[],
 ): readonly Member[] =>
-  [...shields].sort((one, two) =>
-    rendezvousWeight(service, one.node) < rendezvousWeight(service, two.node) ? -1 : 1,
+  [...shields].sort((left, right) =>
+    rendezvousWeight(service, left.node) < rendezvousWeight(service, right.node) ? -1 : 1,
   );
 
 /** The shields that this one knows of, itself included. */
--- a/packages/proxy-core/src/node-agent/lease-handover.ts
+++ b/packages/proxy-core/src/node-agent/lease-handover.ts
@@ -27,13 +27,13 @@
 const stoppedPauseMs = 60_000;
 
 const handoverMessage = (
-  heir: { readonly address: Parameters<typeof send>[0] } | undefined,
+  successor: { readonly address: Parameters<typeof send>[0] } | undefined,
   candidate: Candidate,
 ): readonly ProcessEffect[] =>
-  heir === undefined
+  successor === undefined
     ? []
     : [
-        send(heir.address, {
+        send(successor.address, {
           kind: 'handover',
           duty: candidate.leaseName,
           epoch: heldEpoch(candidate),
@@ -46,13 +46,13 @@
   let next: AgentTransition = transition(state);
   for (const [service, candidate] of state.candidates) {
     if (!holdsLease(candidate, now)) continue;
-    const heir = leadershipOrder(service, shieldMembers(state)).find(
+    const successor = leadershipOrder(service, shieldMembers(state)).find(
       (shield) => shield.node !== self,
     );
     const resigned = stepDown(candidate, electionContext(state, service), now, stoppedPauseMs);
     const candidates = withEntry(next.state.candidates, service, resigned.state);
     next = prependEffects(
-      [...next.effects, ...resigned.effects, ...handoverMessage(heir, candidate)],
+      [...next.effects, ...resigned.effects, ...handoverMessage(successor, candidate)],
       transition({ ...next.state, candidates }, { kind: 'stopLeading' as const, service }),
     );
   }
--- a/packages/proxy-core/src/node-agent/state.ts
+++ b/packages/proxy-core/src/node-agent/state.ts
@@ -129,10 +129,12 @@
 /** The state of a node that has just started and knows the addresses of some registries. */
 export const newNodeAgent = (
   member: Member,
-  seeds: readonly Address[],
+  registryAddresses: readonly Address[],
   randomState: RandomState,
 ): NodeAgent => ({
-  nodeSession: newNodeSession(member, seeds, { seed: randomState.seed ^ sessionSeedMask }),
+  nodeSession: newNodeSession(member, registryAddresses, {
+    seed: randomState.seed ^ sessionSeedMask,
+  }),
   compiledConfiguration: undefined,
   configUpdate: { phase: 'idle' },
   chunks: new Map(),
--- a/packages/proxy-core/src/node-agent/vacant-leases.ts
+++ b/packages/proxy-core/src/node-agent/vacant-leases.ts
@@ -12,7 +12,7 @@
   vacantSince === state.vacantSince ? state : { ...state, vacantSince };
 
 /** Notes the leases that have no live holder from now on. */
-export const noteVacantLeases = (state: NodeAgent, now: Timestamp): NodeAgent => {
+export const recordVacantLeases = (state: NodeAgent, now: Timestamp): NodeAgent => {
   let vacantSince = state.vacantSince;
   for (const service of state.compiledConfiguration?.services.keys() ?? []) {
     const lease = serviceLeaseOf(service);
--- a/packages/proxy-core/src/proxy/epoch-history.ts
+++ b/packages/proxy-core/src/proxy/epoch-history.ts
@@ -15,9 +15,9 @@
 export type EpochHistory = ReadonlyMap<LeaseName, readonly SeenEpoch[]>;
 
 /** How far back lease holders are counted. */
-const historyMs = 10_000;
+const historyWindowMs = 10_000;
 
-const isOld = (seen: SeenEpoch, now: Timestamp): boolean => now - seen.at > historyMs;
+const isOld = (seen: SeenEpoch, now: Timestamp): boolean => now - seen.at > historyWindowMs;
 
 /** Adds the epochs of the lease holders that are known now. */
 export const recordEpochs = (
--- a/packages/proxy-core/src/proxy/state.ts
+++ b/packages/proxy-core/src/proxy/state.ts
@@ -51,10 +51,10 @@
 /** The state of a proxy that has just started. */
 export const newProxyState = (
   member: Member,
-  seeds: readonly Address[],
+  registryAddresses: readonly Address[],
   randomState: RandomState,
 ): ProxyState => ({
-  nodeAgent: newNodeAgent(member, seeds, randomState),
+  nodeAgent: newNodeAgent(member, registryAddresses, randomState),
   leaders: new Map(),
   activeLeaders: new Map(),
   forwarding: initialForwarding,
--- a/packages/proxy-core/src/request-handler/digest-verifier.ts
+++ b/packages/proxy-core/src/request-handler/digest-verifier.ts
@@ -20,7 +20,7 @@
 }
 
 /** Whether a digest field is one of the bytes that come in. */
-const isOfContent = (name: string, fields: HeaderFields): boolean =>
+const coversReceivedBytes = (name: string, fields: HeaderFields): boolean =>
   // The digest of the representation is not that of a coded or partial body.
   name === 'content-digest' ||
   (fieldValue(fields, 'content-encoding') === undefined &&
@@ -34,7 +34,7 @@
   constructor(fields: HeaderFields) {
     for (const name of ['content-digest', 'repr-digest']) {
       const value = fieldValue(fields, name);
-      if (value === undefined || !isOfContent(name, fields)) continue;
+      if (value === undefined || !coversReceivedBytes(name, fields)) continue;
       try {
         this.#expect(value);
       } catch {
--- a/packages/proxy-core/src/request-handler/edge-request-handler.ts
+++ b/packages/proxy-core/src/request-handler/edge-request-handler.ts
@@ -28,7 +28,7 @@
 import { RequestCoalescing } from '../cache/request-coalescing.js';
 import type { ForwardingEffect, NewForward } from '../forwarding/state.js';
 import { mayServeFromCache } from '../node-agent/readiness.js';
-import { failure } from './failure.js';
+import { failureReply } from './failure.js';
 import { ForwardedRequests } from './forwarded-requests.js';
 import {
   type HandlerContext,
@@ -46,7 +46,7 @@
  * A response that came back sooner than this is younger than any purge that must have been applied
  * by now.
  */
-const certainlyFreshMs = 1800;
+const purgeCheckThresholdMs = 1800;
 /** When a client may come back for whose request there was no room or no time. */
 const retryAfterMs = 1000;
 
@@ -203,20 +203,23 @@
       next(context);
       return;
     }
-    const joined = this.#coalescing.join(cacheable.coalescingKey, (outcome) => {
+    const joinResult = this.#coalescing.join(cacheable.coalescingKey, (outcome) => {
       if (this.#replyFromCache(context, cacheable, 'edge')) return;
       if (outcome.kind === 'failure') this.#reply(context, outcome);
       else if (this.#context.now() >= context.deadline)
-        this.#reply(context, failure('rejected', 'what it waited for came too late', retryAfterMs));
+        this.#reply(
+          context,
+          failureReply('rejected', 'what it waited for came too late', retryAfterMs),
+        );
       else next(context);
     });
-    if (joined === 'joined') this.count('joined');
-    else if (joined === 'full')
+    if (joinResult === 'joined') this.count('joined');
+    else if (joinResult === 'full')
       this.#reply(
         context,
-        failure('rejected', 'too many wait for results under way', retryAfterMs),
+        failureReply('rejected', 'too many wait for results under way', retryAfterMs),
       );
-    else next({ ...context, finishFetch: this.#coalescing.lead(cacheable.coalescingKey) });
+    else next({ ...context, finishFetch: this.#coalescing.startFetch(cacheable.coalescingKey) });
   }
 
   #forwardingFilter(context: FilterContext): void {
@@ -310,7 +313,7 @@
     const now = this.#context.now();
     if (lastResumedAt > sentAt) return true;
     return (
-      now - sentAt > certainlyFreshMs &&
+      now - sentAt > purgeCheckThresholdMs &&
       (!mayServeFromCache(nodeAgent, now) ||
         this.#cacheLookup.cache.isPurgedSince(cacheable.key, cacheTags(fields), purgeSeq))
     );
--- a/packages/proxy-core/src/request-handler/failure.ts
+++ b/packages/proxy-core/src/request-handler/failure.ts
@@ -9,7 +9,7 @@
 export type FailureReply = Extract<Reply, { kind: 'failure' }>;
 
 /** Builds the reply of an error; `retryAfterMs` is 0 for no advice on when to come back. */
-export const failure = (
+export const failureReply = (
   errorKind: ErrorKind,
   text: string,
   retryAfterMs: number,
--- a/packages/proxy-core/src/request-handler/inbound-requests.ts
+++ b/packages/proxy-core/src/request-handler/inbound-requests.ts
@@ -47,7 +47,7 @@
 /** Writes a response that goes back in parts. */
 export interface ResponseWriter {
   /** Sends bytes; calls back when there is room for more; false if nobody takes them any longer. */
-  readonly write: (bytes: Buffer, more: () => void) => boolean;
+  readonly write: (bytes: Buffer, onReady: () => void) => boolean;
   /** Ends the response; one that is not complete breaks off visibly. */
   readonly end: (isComplete: boolean) => void;
 }
@@ -168,14 +168,14 @@
     const hash = createHash('sha256');
     let length = 0;
     return {
-      write: (bytes, more) => {
+      write: (bytes, onReady) => {
         if (this.#requests.get(id) !== inbound) return false;
         inbound.windowBytes -= bytes.length;
         length += bytes.length;
         hash.update(bytes);
         inbound.channel.send({ kind: 'chunk', id, bytes });
-        if (inbound.windowBytes > 0) more();
-        else inbound.resume = more;
+        if (inbound.windowBytes > 0) onReady();
+        else inbound.resume = onReady;
         return true;
       },
       end: (isComplete) => {
--- a/packages/proxy-core/src/request-handler/origin-attempts.ts
+++ b/packages/proxy-core/src/request-handler/origin-attempts.ts
@@ -42,12 +42,12 @@
 }
 
 /** What names an attempt: its leader and its number there. */
-export interface AttemptName {
+export interface AttemptReference {
   readonly leader: string;
   readonly attemptId: number;
 }
 
-const attemptKey = ({ leader, attemptId }: AttemptName): string => `${leader}/${attemptId}`;
+const attemptKey = ({ leader, attemptId }: AttemptReference): string => `${leader}/${attemptId}`;
 
 /** The fields of an origin's response that go on. */
 export const responseFields = (fields: HeaderFields): HeaderFields =>
@@ -87,7 +87,7 @@
   readonly inbound: InboundRequests;
   /** A larger response goes to the edge while it comes in. */
   readonly maxBufferedBytes: number;
-  readonly admitted: (id: RequestId) => AdmittedRequest | undefined;
+  readonly findAdmitted: (id: RequestId) => AdmittedRequest | undefined;
   /** Adds one to a counter of the metrics. */
   readonly count: (name: string) => void;
   /** A response was not trusted. */
@@ -102,7 +102,7 @@
   readonly #context: HandlerContext;
   readonly #inbound: InboundRequests;
   readonly #maxBufferedBytes: number;
-  readonly #admitted: OriginAttemptsOptions['admitted'];
+  readonly #findAdmitted: OriginAttemptsOptions['findAdmitted'];
   readonly #count: OriginAttemptsOptions['count'];
   readonly #onUntrusted: OriginAttemptsOptions['onUntrusted'];
 
@@ -111,14 +111,14 @@
     this.#context = options.context;
     this.#inbound = options.inbound;
     this.#maxBufferedBytes = options.maxBufferedBytes;
-    this.#admitted = options.admitted;
+    this.#findAdmitted = options.findAdmitted;
     this.#count = options.count;
     this.#onUntrusted = options.onUntrusted;
   }
 
   /** Starts an attempt for a request, if anybody still waits for it. */
   start(effect: StartAttemptEffect): void {
-    const admitted = this.#admitted(effect.requestId);
+    const admitted = this.#findAdmitted(effect.requestId);
     const startedAt = this.#context.now();
     if (admitted === undefined) {
       this.#onAttemptEnded(effect, startedAt, {
@@ -136,13 +136,13 @@
   }
 
   /** Ends an attempt that the leader wants no more of. */
-  cancel(name: AttemptName): void {
-    this.#verifiers.get(attemptKey(name))?.cancel();
+  cancel(reference: AttemptReference): void {
+    this.#verifiers.get(attemptKey(reference))?.cancel();
   }
 
   /** The complete response of an attempt, while the leader decides about it. */
-  completed(name: AttemptName): CompletedAttempt | undefined {
-    return this.#completed.get(attemptKey(name));
+  completed(reference: AttemptReference): CompletedAttempt | undefined {
+    return this.#completed.get(attemptKey(reference));
   }
 
   #onAttemptEnded(effect: StartAttemptEffect, startedAt: Timestamp, ended: AttemptResult): void {
@@ -176,7 +176,8 @@
    */
   #isStale(id: RequestId, startedAt: Timestamp): boolean {
     return (
-      this.#context.state().lastResumedAt > startedAt && this.#admitted(id)?.cacheable !== undefined
+      this.#context.state().lastResumedAt > startedAt &&
+      this.#findAdmitted(id)?.cacheable !== undefined
     );
   }
 
@@ -198,7 +199,7 @@
         writer = this.#startStream(effect, { status, fields, length, purgeSeqAtFetch });
         admitted.finishFetch(undefined);
       },
-      write: (bytes, more) => writer?.write(bytes, more) ?? false,
+      write: (bytes, onReady) => writer?.write(bytes, onReady) ?? false,
     };
     const verifier = new ResponseVerifier({
       request,
--- a/packages/proxy-core/src/request-handler/ports.ts
+++ b/packages/proxy-core/src/request-handler/ports.ts
@@ -12,7 +12,7 @@
 export interface HandlerContext {
   readonly now: () => Timestamp;
   readonly state: () => ProxyState;
-  readonly dispatch: (make: (now: Timestamp) => ProxyEvent) => void;
+  readonly dispatch: (createEvent: (now: Timestamp) => ProxyEvent) => void;
 }
 
 /** A channel between an edge and a shield. */
@@ -90,7 +90,7 @@
 /** A response that goes to a client in parts. */
 export interface ClientStream {
   /** Calls back when there is room for more. */
-  readonly write: (bytes: Buffer, more: () => void) => void;
+  readonly write: (bytes: Buffer, onReady: () => void) => void;
   readonly end: () => void;
   /** Breaks it off so that the client sees that it is not complete. */
   readonly abort: (reason: string) => void;
@@ -131,7 +131,7 @@
 /** What comes back from an origin. */
 export interface AttemptHandlers {
   readonly onHead: (status: number, fields: HeaderFields) => void;
-  readonly onChunk: (bytes: Buffer, more: () => void) => void;
+  readonly onChunk: (bytes: Buffer, onReady: () => void) => void;
   readonly onEnd: () => void;
   readonly onFailed: (failure: AttemptFailure) => void;
 }
--- a/packages/proxy-core/src/request-handler/request-state.ts
+++ b/packages/proxy-core/src/request-handler/request-state.ts
@@ -65,7 +65,7 @@
   #phase: ResponsePhase = { phase: 'awaitingHead' };
   #receivedBytes = 0;
   /** The newest chunk of a stream waits until what follows it, or the end, is known to be right. */
-  #heldChunk: { readonly bytes: Buffer; readonly more: () => void } | undefined;
+  #heldChunk: { readonly bytes: Buffer; readonly onReady: () => void } | undefined;
 
   constructor(options: RequestStateOptions) {
     this.id = options.id;
@@ -90,7 +90,7 @@
   }
 
   /** Takes bytes of the body in; calls back when there is room for as many more. */
-  addChunk(bytes: Buffer, more: () => void): ReceiveResult {
+  addChunk(bytes: Buffer, onReady: () => void): ReceiveResult {
     const phase = this.#phase;
     if (phase.phase === 'awaitingHead') return 'continue';
     this.#receivedBytes += bytes.length;
@@ -101,9 +101,9 @@
     }
     const { length } = phase.head;
     if (length !== undefined && this.#receivedBytes > length) return 'corrupt';
-    const before = this.#heldChunk;
-    this.#heldChunk = { bytes, more };
-    if (before !== undefined) phase.stream.write(before.bytes, before.more);
+    const previousChunk = this.#heldChunk;
+    this.#heldChunk = { bytes, onReady };
+    if (previousChunk !== undefined) phase.stream.write(previousChunk.bytes, previousChunk.onReady);
     return 'continue';
   }
 
--- a/packages/proxy-core/src/request-handler/response-verifier.ts
+++ b/packages/proxy-core/src/request-handler/response-verifier.ts
@@ -26,7 +26,7 @@
 export interface ResponseSink {
   readonly start: (status: number, fields: HeaderFields, length: number | undefined) => void;
   /** Calls back when there is room for more; false if nobody takes it any longer. */
-  readonly write: (bytes: Buffer, more: () => void) => boolean;
+  readonly write: (bytes: Buffer, onReady: () => void) => boolean;
 }
 
 /** Whether the origin declares that it did not run the request. */
@@ -76,9 +76,11 @@
   /** Takes the head of the response in. */
   onHead = (status: number, fields: HeaderFields): void => {
     if (this.#isEnded) return;
-    const named = fieldValue(fields, 'switchwheel-instance');
-    if (named !== this.#request.instance) {
-      this.#distrust(`the answer names ${named ?? 'no instance'}, not ${this.#request.instance}`);
+    const respondingInstance = fieldValue(fields, 'switchwheel-instance');
+    if (respondingInstance !== this.#request.instance) {
+      this.#distrust(
+        `the answer names ${respondingInstance ?? 'no instance'}, not ${this.#request.instance}`,
+      );
       return;
     }
     if (isDeclaredNotRun(status, fields)) {
@@ -101,18 +103,18 @@
   };
 
   /** Takes bytes of the body in; calls back when there is room for more. */
-  onChunk = (bytes: Buffer, more: () => void): void => {
+  onChunk = (bytes: Buffer, onReady: () => void): void => {
     const head = this.#head;
     if (this.#isEnded || head === undefined) return;
     this.#receivedBytes += bytes.length;
     head.digests.update(bytes);
     if (this.#isStreaming) {
-      this.#writeToSink([bytes], more);
+      this.#writeToSink([bytes], onReady);
       return;
     }
     this.#buffered.push(bytes);
     if (this.#receivedBytes <= this.#maxBufferedBytes) {
-      more();
+      onReady();
       return;
     }
     if (head.contentLength === undefined && !head.isChunked) {
@@ -121,7 +123,7 @@
     }
     this.#isStreaming = true;
     this.#sink.start(head.status, head.fields, head.contentLength);
-    this.#writeToSink(this.#buffered.splice(0), more);
+    this.#writeToSink(this.#buffered.splice(0), onReady);
   };
 
   /** The response has ended. */
@@ -177,10 +179,10 @@
   }
 
   /** Passes chunks on one after the other, each when there is room. */
-  #writeToSink(chunks: Buffer[], more: () => void): void {
+  #writeToSink(chunks: Buffer[], onReady: () => void): void {
     const next = (): void => {
       const first = chunks.shift();
-      if (first === undefined) more();
+      if (first === undefined) onReady();
       else if (!this.#isEnded && !this.#sink.write(first, next))
         this.#distrust('the caller is gone');
     };
--- a/packages/proxy-core/src/request-handler/route-lookup.ts
+++ b/packages/proxy-core/src/request-handler/route-lookup.ts
@@ -9,7 +9,7 @@
 import { isConfigurationOverdue, knowsAllRoutes } from '../node-agent/configuration-staleness.js';
 import { acceptsRequests } from '../node-agent/readiness.js';
 import type { NodeAgent } from '../node-agent/state.js';
-import { type FailureReply, failure } from './failure.js';
+import { type FailureReply, failureReply } from './failure.js';
 
 /** Within how long after its confirmation a configuration is applied on every node (rule R4). */
 const configurationApplyMs = 2000;
@@ -37,21 +37,32 @@
 ): RouteLookup => {
   const { compiledConfiguration } = nodeAgent;
   if (compiledConfiguration === undefined || !acceptsRequests(nodeAgent, now))
-    return { failure: failure('unready', 'this node is not ready', notReadyRetryAfterMs) };
+    return { failure: failureReply('unready', 'this node is not ready', notReadyRetryAfterMs) };
   if (isConfigurationOverdue(nodeAgent, now, configurationApplyMs))
     return {
-      failure: failure('unready', 'a newer description is on its way here', overdueRetryAfterMs),
+      failure: failureReply(
+        'unready',
+        'a newer description is on its way here',
+        overdueRetryAfterMs,
+      ),
     };
   const { path } = splitTarget(target);
-  if (!path.startsWith('/')) return { failure: failure('malformed', 'a path starts with /', 0) };
+  if (!path.startsWith('/'))
+    return { failure: failureReply('malformed', 'a path starts with /', 0) };
   const match = matchRoute(compiledConfiguration, method, host, path);
   switch (match.outcome) {
     case 'notFound':
       return knowsAllRoutes(nodeAgent, now)
-        ? { failure: failure('absent', 'no route', 0) }
-        : { failure: failure('unready', 'no route is known here yet', unknownRouteRetryAfterMs) };
+        ? { failure: failureReply('absent', 'no route', 0) }
+        : {
+            failure: failureReply(
+              'unready',
+              'no route is known here yet',
+              unknownRouteRetryAfterMs,
+            ),
+          };
     case 'methodNotAllowed': {
-      const reply = failure('absent', 'no route for this method', 0);
+      const reply = failureReply('absent', 'no route for this method', 0);
       return { failure: { ...reply, allowedMethods: match.methods } };
     }
     default:
--- a/packages/proxy-core/src/request-handler/shield-request-handler.ts
+++ b/packages/proxy-core/src/request-handler/shield-request-handler.ts
@@ -54,7 +54,7 @@
       context,
       inbound: this.inbound,
       maxBufferedBytes: limits.maxBufferedBytes,
-      admitted: (id) => this.#admitted.get(id),
+      findAdmitted: (id) => this.#admitted.get(id),
       count: (name) => this.#count(name),
       onUntrusted,
     });
@@ -119,20 +119,20 @@
   /** Waits for a fetch that is under way, or leads one that others may wait for. */
   #coalesce(inbound: InboundRequest, cacheable: CacheableRequest): void {
     const { id } = inbound.request;
-    const joined = this.#coalescing.join(cacheable.coalescingKey, (entry) => {
+    const joinResult = this.#coalescing.join(cacheable.coalescingKey, (entry) => {
       if (this.inbound.find(id) !== inbound) return;
       if (entry === undefined || !this.#respondFromCache(inbound, cacheable))
         this.#admit(inbound, cacheable, () => undefined);
     });
-    if (joined === 'joined') this.#count('joined');
-    else if (joined === 'full')
+    if (joinResult === 'joined') this.#count('joined');
+    else if (joinResult === 'full')
       this.inbound.reject(id, {
         errorKind: 'rejected',
         text: 'too many wait for results under way',
         retryAfter: retryAfterMs,
         moved: false,
       });
-    else this.#admit(inbound, cacheable, this.#coalescing.lead(cacheable.coalescingKey));
+    else this.#admit(inbound, cacheable, this.#coalescing.startFetch(cacheable.coalescingKey));
   }
 
   #respondFromCache(inbound: InboundRequest, cacheable: CacheableRequest): boolean {
--- a/packages/proxy-core/src/service-leader/admission.ts
+++ b/packages/proxy-core/src/service-leader/admission.ts
@@ -48,7 +48,7 @@
     const share = shareOfSlots(other.share, capacity);
     const idle = Math.max(0, share - (usedSlots.get(otherName) ?? 0));
     const isWaiting = (state.queues.get(otherName)?.length ?? 0) > 0;
-    // A lender with an empty queue lends all but one slot, so that its next request finds one.
+    // A lender with an empty queue lends all but one slot, so that its next request can start at once.
     sum += other.lendsTo.includes(className) && !isWaiting ? Math.min(1, idle) : idle;
   }
   return sum;
@@ -84,7 +84,7 @@
   const names = [...state.queues.keys()];
   return state.serviceConfiguration.perSecond === undefined
     ? names
-    : names.sort((one, two) => rateUsageOf(state, one) - rateUsageOf(state, two));
+    : names.sort((left, right) => rateUsageOf(state, left) - rateUsageOf(state, right));
 };
 
 /** Lets a class join the turns as if it had used as much as the others: idle time earns no credit. */
--- a/packages/proxy-core/src/service-leader/canary.ts
+++ b/packages/proxy-core/src/service-leader/canary.ts
@@ -15,7 +15,7 @@
 } from './state.js';
 
 /** How many requests of a canary are reserved ahead at a time. */
-const reservationSize = 20;
+const reservationBatchSize = 20;
 /** What a canary may have beside its share; the rule (R10) allows 50. */
 const canaryBaseRequests = 45;
 /** The share of its service's traffic that a canary may have; the rule (R10) allows a tenth. */
@@ -26,14 +26,14 @@
 const maxPromotionFailureShare = 0.05;
 /** When a canary is rejected: so many failures, or a smaller number that is a large share. */
 const maxCanaryFailures = 25;
-const minJudgedFailures = 8;
+const minFailuresToReject = 8;
 const maxCanaryFailureShare = 0.2;
 /** After how long a report that the store has not confirmed is repeated. */
 const reportRetryIntervalMs = 500;
 /** What a success takes off the failure score: it grows where more than one answer in eight fails. */
 const failureScoreDecay = 1 / 7;
 const maxFailureScore = 12;
-const calmFailureScore = 4;
+const maxFallbackFailureScore = 4;
 
 interface NewCanary {
   readonly release: Release;
@@ -77,9 +77,9 @@
   isStored: true,
 });
 
-const mergedState = (one: Canary['state'], two: Canary['state']): Canary['state'] => {
-  if (one === 'bad' || two === 'bad') return 'bad';
-  return one === 'good' || two === 'good' ? 'good' : 'trial';
+const mergedState = (left: Canary['state'], right: Canary['state']): Canary['state'] => {
+  if (left === 'bad' || right === 'bad') return 'bad';
+  return left === 'good' || right === 'good' ? 'good' : 'trial';
 };
 
 /** A canary with what the store has of it: counts only grow, and a rejection is final. */
@@ -183,7 +183,7 @@
 /** Whether a release can be gone back to: the first one, or one that has few failures of late. */
 const isFallback = (state: ServiceLeader, canary: Canary): boolean =>
   canary.state === 'good' &&
-  (canary.reservedRequests === 0 || canary.failureScore < calmFailureScore) &&
+  (canary.reservedRequests === 0 || canary.failureScore < maxFallbackFailureScore) &&
   [...state.endpoints.values()].some(
     (endpoint) => endpoint.isLive && endpoint.release === canary.release,
   );
@@ -204,7 +204,7 @@
 /** Whether a canary answers too badly to go on. */
 const isFailing = (canary: Canary): boolean =>
   canary.failures >= maxCanaryFailures ||
-  (canary.failures >= minJudgedFailures &&
+  (canary.failures >= minFailuresToReject &&
     canary.failures > maxCanaryFailureShare * (canary.successes + canary.failures));
 
 /** The state that a canary's outcomes call for now, if it is another one than it has. */
@@ -254,9 +254,9 @@
 /** How many requests should be reserved for a canary now: some ahead of what it has used. */
 const wantedReservation = (state: ServiceLeader, canary: Canary): number =>
   canary.state === 'trial' &&
-  canary.usedRequests + reservationSize / 2 > canary.reservedRequests &&
+  canary.usedRequests + reservationBatchSize / 2 > canary.reservedRequests &&
   canary.usedRequests <= trafficBudget(state, canary)
-    ? canary.usedRequests + reservationSize
+    ? canary.usedRequests + reservationBatchSize
     : canary.reservedRequests;
 
 /** Whether the store lacks the canary, or failures of it that later leaders should know. */
--- a/packages/proxy-core/src/service-leader/endpoints.ts
+++ b/packages/proxy-core/src/service-leader/endpoints.ts
@@ -77,5 +77,5 @@
   const least = Math.min(...candidates.map(({ load }) => load));
   return candidates
     .filter(({ load }) => load <= least * loadTolerance)
-    .sort((one, two) => one.endpoint.lastAttemptId - two.endpoint.lastAttemptId)[0]?.endpoint;
+    .sort((left, right) => left.endpoint.lastAttemptId - right.endpoint.lastAttemptId)[0]?.endpoint;
 };
--- a/packages/proxy-core/src/service-leader/outlier-ejection.ts
+++ b/packages/proxy-core/src/service-leader/outlier-ejection.ts
@@ -47,7 +47,7 @@
 };
 
 const median = (values: readonly number[]): number =>
-  [...values].sort((one, two) => one - two)[Math.floor(values.length / 2)] ?? 0;
+  [...values].sort((left, right) => left - right)[Math.floor(values.length / 2)] ?? 0;
 
 /** Whether an endpoint is far slower than the other available ones of its service. */
 const isLatencyOutlier = (
@@ -80,13 +80,13 @@
     health.latencySamples === 0
       ? durationMs
       : health.latencyEwmaMs * (1 - latencyWeight) + durationMs * latencyWeight;
-  const eases = isSuccess && health.latencySamples % responsesPerEjectionLevel === 0;
+  const reducesLevel = isSuccess && health.latencySamples % responsesPerEjectionLevel === 0;
   return {
     ...health,
     latencyEwmaMs,
     latencySamples: Math.min(maxLatencySamples, health.latencySamples + 1),
     consecutiveFailures: isSuccess ? 0 : health.consecutiveFailures + 1,
-    ejectionLevel: eases ? Math.max(0, health.ejectionLevel - 1) : health.ejectionLevel,
+    ejectionLevel: reducesLevel ? Math.max(0, health.ejectionLevel - 1) : health.ejectionLevel,
   };
 };
 
--- a/packages/proxy-core/src/service-leader/queue-wait.ts
+++ b/packages/proxy-core/src/service-leader/queue-wait.ts
@@ -64,7 +64,7 @@
   );
 
 /** Records since when no endpoint has been usable, if none is. */
-export const noteEndpointAvailability = (state: ServiceLeader, now: Timestamp): ServiceLeader => {
+export const recordEndpointAvailability = (state: ServiceLeader, now: Timestamp): ServiceLeader => {
   if (usableEndpoints(state).length === 0)
     return state.noEndpointSince === undefined ? { ...state, noEndpointSince: now } : state;
   return state.noEndpointSince === undefined ? state : { ...state, noEndpointSince: undefined };
@@ -81,7 +81,7 @@
 };
 
 /** What the chance of a queued request to be served hangs on. */
-interface QueueOutlook {
+interface QueueConditions {
   readonly capacity: number;
   readonly availableAt: number | undefined;
   readonly now: Timestamp;
@@ -92,7 +92,7 @@
   state: ServiceLeader,
   request: PendingRequest,
   position: number,
-  { capacity, availableAt, now }: QueueOutlook,
+  { capacity, availableAt, now }: QueueConditions,
 ): boolean => {
   if (now >= request.deadline - Math.min(state.latencyEwmaMs, maxResponseReserveMs)) return true;
   if (availableAt === undefined) return isWithoutEndpoints(state, now);
@@ -122,14 +122,14 @@
 export const rejectUnservable = (state: ServiceLeader, now: Timestamp): LeaderTransition => {
   let queues = state.queues;
   const effects: ServiceLeaderEffect[] = [];
-  const outlook: QueueOutlook = {
+  const conditions: QueueConditions = {
     capacity: totalCapacity(state, now),
     availableAt: nextAvailableAt(state, now),
     now,
   };
   for (const [className, queue] of state.queues) {
     const unservable = queue.filter((request, position) =>
-      cannotMeetDeadline(state, request, position, outlook),
+      cannotMeetDeadline(state, request, position, conditions),
     );
     if (unservable.length === 0) continue;
     const remaining = queue.filter((request) => !unservable.includes(request));
--- a/packages/proxy-core/src/service-leader/service-leader.ts
+++ b/packages/proxy-core/src/service-leader/service-leader.ts
@@ -13,7 +13,7 @@
 import { startDueHealthChecks } from './health-checks.js';
 import { hedgeSlowAttempts } from './hedging.js';
 import { recordHealthCheck } from './outlier-ejection.js';
-import { noteEndpointAvailability, rejectUnservable } from './queue-wait.js';
+import { recordEndpointAvailability, rejectUnservable } from './queue-wait.js';
 import { refillTokens } from './rate-limit.js';
 import { rejectRequest } from './reject-request.js';
 import { onRequestArrived } from './request-arrival.js';
@@ -27,7 +27,7 @@
   const started = startCanaries(updateEndpoints(state, origins, now), now);
   return prependEffects(
     started.effects,
-    admitQueued(noteEndpointAvailability(started.state, now), now),
+    admitQueued(recordEndpointAvailability(started.state, now), now),
   );
 };
 
@@ -48,7 +48,7 @@
 
 const onTick = (state: ServiceLeader, now: Timestamp): LeaderTransition => {
   if (state.isClosing) return transition(state);
-  const rejected = rejectUnservable(noteEndpointAvailability(state, now), now);
+  const rejected = rejectUnservable(recordEndpointAvailability(state, now), now);
   const judged = advanceCanaries(rejected.state, now);
   const checked = startDueHealthChecks(refillTokens(judged.state, now), now);
   const admitted = admitQueued(checked.state, now);
--- a/packages/simulator/src/guard/list.ts
+++ b/packages/simulator/src/guard/list.ts
@@ -270,15 +270,15 @@
     name: 'a result names the instance that was asked',
     rule: 'R3',
     file: taking,
-    from: 'if (named !== this.#request.instance)',
+    from: 'if (respondingInstance !== this.#request.instance)',
     to: 'if (false)',
   },
   {
     name: 'the end of a stream is held back',
     rule: 'R3',
     file: trip,
-    from: 'this.#heldChunk = { bytes, more }; if (before !== undefined) phase.stream.write(before.bytes, before.more);',
-    to: 'phase.stream.write(bytes, more);',
+    from: 'this.#heldChunk = { bytes, onReady }; if (previousChunk !== undefined) phase.stream.write(previousChunk.bytes, previousChunk.onReady);',
+    to: 'phase.stream.write(bytes, onReady);',
   },
   {
     name: 'one stream for each ask',
@@ -333,7 +333,7 @@
     name: 'an edge does not tell what was long under way',
     rule: 'R7',
     file: edge,
-    from: 'return (now - sentAt > certainlyFreshMs &&',
+    from: 'return (now - sentAt > purgeCheckThresholdMs &&',
     to: 'return (false &&',
   },
   {
@@ -431,7 +431,7 @@
     name: 'a bad release is judged',
     rule: 'R10',
     file: trial,
-    from: 'canary.failures >= maxCanaryFailures || (canary.failures >= minJudgedFailures && canary.failures > maxCanaryFailureShare * (canary.successes + canary.failures))',
+    from: 'canary.failures >= maxCanaryFailures || (canary.failures >= minFailuresToReject && canary.failures > maxCanaryFailureShare * (canary.successes + canary.failures))',
     to: 'false',
   },
   {
@@ -452,7 +452,7 @@
     name: 'a keeper hands over as it stops',
     rule: 'R11',
     file: 'proxy-core/dist/node-agent/lease-handover.js',
-    from: 'if (!holdsLease(candidate, now)) continue; const heir',
-    to: 'if (true)\n            continue;\n        const heir',
+    from: 'if (!holdsLease(candidate, now)) continue; const successor',
+    to: 'if (true)\n            continue;\n        const successor',
   },
 ];
