--- a/packages/configuration/src/control-state/control-state.ts
+++ b/packages/configuration/src/control-state/control-state.ts
@@ -18,7 +18,7 @@
   nodeStatus,
   canaryResult,
 } from '@switchwheel/transport';
-import { policy } from '../document/schema.js';
+import { rolloutPolicy } from '../document/schema.js';
 import { type ReleaseRollout, releaseRollout } from '../release/release-rollout.js';
 
 const configVersion = v.object({ generation: g.generation, hash: g.hash });
@@ -47,7 +47,7 @@
   status: v.picklist(['pending', 'running', 'completed', 'failed', 'superseded']),
   wave: v.number(),
   waves: v.number(),
-  policy,
+  policy: rolloutPolicy,
   troubled: v.boolean(),
   rev: g.seq,
 });
@@ -116,18 +116,19 @@
 const padNumber = (raw: number): string => String(raw).padStart(16, '0');
 /** The keys of the table's rows. Numbers are padded so that rows sort by them. */
 export const controlKeys = {
-  stored: 'description',
+  configuration: 'description',
   node: (node: g.NodeId): string => `node/${node}`,
   rollout: (generation: g.Generation): string => `rollout/${padNumber(generation)}`,
   target: (generation: g.Generation, node: g.NodeId): string =>
     `target/${padNumber(generation)}/${node}`,
   purge: (seq: g.Seq): string => `purge/${padNumber(seq)}`,
-  verdict: (service: g.ServiceName, release: g.Release): string => `verdict/${service}/${release}`,
+  canaryResult: (service: g.ServiceName, release: g.Release): string =>
+    `verdict/${service}/${release}`,
   release: (service: g.ServiceName): string => `release/${service}`,
   origin: (instance: g.InstanceId): string => `origin/${instance}`,
-  call: (id: g.CommandId): string => `call/${id}`,
-  number: (number: g.Generation): string => `number/${padNumber(number)}`,
-  piece: (hash: g.Hash): string => `piece/${hash}`,
+  commandOutcome: (id: g.CommandId): string => `call/${id}`,
+  generation: (generation: g.Generation): string => `number/${padNumber(generation)}`,
+  chunk: (hash: g.Hash): string => `piece/${hash}`,
 } as const;
 
 /** Writes a row. */
--- a/packages/configuration/src/control-state/stored-rows.test.ts
+++ b/packages/configuration/src/control-state/stored-rows.test.ts
@@ -40,7 +40,7 @@
   const puts = [
     ...(control.configuration === undefined
       ? []
-      : [putRecord(controlKeys.stored, control.configuration)]),
+      : [putRecord(controlKeys.configuration, control.configuration)]),
     ...[...control.nodes].map(([node, row]) => putRecord(controlKeys.node(node), row)),
     ...[...control.rollouts].map(([generation, row]) =>
       putRecord(controlKeys.rollout(generation), row),
@@ -50,15 +50,17 @@
     ),
     ...control.purges.map((row) => putRecord(controlKeys.purge(row.seq), row)),
     ...[...control.canaryResults.values()].map((row) =>
-      putRecord(controlKeys.verdict(row.service, row.release), row),
+      putRecord(controlKeys.canaryResult(row.service, row.release), row),
     ),
     ...[...control.releases].map(([service, row]) => putRecord(controlKeys.release(service), row)),
     ...[...control.origins].map(([instance, row]) => putRecord(controlKeys.origin(instance), row)),
-    ...[...control.commandOutcomes].map(([id, row]) => putRecord(controlKeys.call(id), row)),
+    ...[...control.commandOutcomes].map(([id, row]) =>
+      putRecord(controlKeys.commandOutcome(id), row),
+    ),
     ...[...control.hashByGeneration].map(([number, hash]) =>
-      putRecord(controlKeys.number(number), { hash }),
+      putRecord(controlKeys.generation(number), { hash }),
     ),
-    ...[...control.chunks].map(([hash, data]) => ({ key: controlKeys.piece(hash), data })),
+    ...[...control.chunks].map(([hash, data]) => ({ key: controlKeys.chunk(hash), data })),
   ];
   return Object.fromEntries(puts.map(({ key, data }) => [key, JSON.parse(data ?? 'null')]));
 };
--- a/packages/configuration/src/document/configuration-schemas.test.ts
+++ b/packages/configuration/src/document/configuration-schemas.test.ts
@@ -20,7 +20,7 @@
     service: schemas.service,
     route: schemas.route,
     cachePolicy: schemas.cachePolicy,
-    rolloutPolicy: schemas.policy,
+    rolloutPolicy: schemas.rolloutPolicy,
     callerLimits: schemas.clientLimits,
     releaseOrder: releaseRollout,
   });
--- a/packages/configuration/src/document/schema.ts
+++ b/packages/configuration/src/document/schema.ts
@@ -124,7 +124,7 @@
 export type Route = v.InferOutput<typeof route>;
 
 /** How a generation is rolled out: the share of nodes that each wave reaches, and the gate between waves. */
-export const policy = v.strictObject({
+export const rolloutPolicy = v.strictObject({
   waves: v.optional(
     v.pipe(
       v.array(v.pipe(v.number(), v.minValue(0.01), v.maxValue(1))),
@@ -138,7 +138,7 @@
   verifyMs: v.optional(integerBetween(0, 600_000), 10_000),
 });
 /** How a generation is rolled out. */
-export type RolloutPolicy = v.InferOutput<typeof policy>;
+export type RolloutPolicy = v.InferOutput<typeof rolloutPolicy>;
 
 /** What clients may send, and how long they may take. */
 export const clientLimits = v.strictObject({
@@ -155,7 +155,7 @@
   format: v.literal(1, 'the format is 1'),
   classes: v.array(serviceClass),
   services: v.array(service),
-  rollout: v.optional(policy, {}),
+  rollout: v.optional(rolloutPolicy, {}),
   limits: v.optional(clientLimits, {}),
   note,
 });
--- a/packages/configuration/src/release/canary-counts.ts
+++ b/packages/configuration/src/release/canary-counts.ts
@@ -43,7 +43,7 @@
 /** One rollout as this primary sees it: when it began, by its own clock, and what edges report. */
 export interface RolloutWatch {
   /** The number of the rollout. */
-  readonly order: Seq;
+  readonly rolloutNumber: Seq;
   readonly startedAt: Timestamp;
   /** When this primary began to watch. */
   readonly watchedSince: Timestamp;
@@ -55,8 +55,12 @@
 const reportRetentionMs = 9000;
 
 /** Begins to watch a rollout that began so long ago. */
-export const newRolloutWatch = (order: Seq, spentMs: number, now: Timestamp): RolloutWatch => ({
-  order,
+export const newRolloutWatch = (
+  rolloutNumber: Seq,
+  spentMs: number,
+  now: Timestamp,
+): RolloutWatch => ({
+  rolloutNumber,
   startedAt: toTimestamp(now - spentMs),
   watchedSince: now,
   edges: new Map(),
@@ -75,7 +79,7 @@
   frame: FrameOf<'tally'>,
   now: Timestamp,
 ): RolloutWatch => {
-  if (frame.order !== watch.order) return watch;
+  if (frame.order !== watch.rolloutNumber) return watch;
   const key = edgeKey(frame.node, frame.incarnation);
   const known = watch.edges.get(key);
   const earlier = known?.recentReports ?? [];
--- a/packages/configuration/src/release/release-rollout.test.ts
+++ b/packages/configuration/src/release/release-rollout.test.ts
@@ -198,7 +198,7 @@
   );
   const third = requestReleaseRollout(bad, oldRelease, toRelease('r3'), 16_000, 4000);
   assert.ok(
-    third.kind === 'opened' && third.order.order > bad.order && third.order.serial > bad.serial,
+    third.kind === 'opened' && third.rollout.order > bad.order && third.rollout.serial > bad.serial,
   );
 });
 
@@ -211,7 +211,7 @@
   const second = openedRollout(requestReleaseRollout(good, newRelease, r3, 16_000, 20_000));
   assert.deepEqual(requestReleaseRollout(second, newRelease, newRelease, 16_000, 1000), {
     kind: 'alreadyAccepted',
-    order: first.order,
+    rolloutNumber: first.order,
   });
   assert.equal(
     requestReleaseRollout(second, newRelease, newRelease, 12_000, 1000).kind,
@@ -221,7 +221,7 @@
   const moved: ReleaseRollout = { ...second, phase: 'good', settled: r3, spentMs: 16_000 };
   assert.deepEqual(requestReleaseRollout(moved, r3, newRelease, 16_000, 30_000), {
     kind: 'alreadyAccepted',
-    order: first.order,
+    rolloutNumber: first.order,
   });
   assert.equal(requestReleaseRollout(moved, r3, newRelease, 12_000, 30_000).kind, 'opened');
   assert.equal(
--- a/packages/configuration/src/release/release-rollout.ts
+++ b/packages/configuration/src/release/release-rollout.ts
@@ -102,8 +102,8 @@
 
 /** The answer to a request for a rollout. */
 export type RolloutRequestResult =
-  | { readonly kind: 'opened'; readonly order: ReleaseRollout }
-  | { readonly kind: 'alreadyAccepted'; readonly order: g.Seq }
+  | { readonly kind: 'opened'; readonly rollout: ReleaseRollout }
+  | { readonly kind: 'alreadyAccepted'; readonly rolloutNumber: g.Seq }
   | { readonly kind: 'conflict'; readonly target: g.Release | undefined };
 
 const initialCanaryShare = 0.02;
@@ -145,16 +145,16 @@
   repeatMs: number = releaseSettings.duplicateWindowMs,
 ): RolloutRequestResult => {
   if (isSameRequest(known, target, spentMs, repeatMs))
-    return { kind: 'alreadyAccepted', order: known.order };
+    return { kind: 'alreadyAccepted', rolloutNumber: known.order };
   const repeated = known.earlier.find(
     (earlier) =>
       earlier.target === target && earlier.spanMs === spanMs && earlier.ageMs + spentMs < repeatMs,
   );
-  if (repeated !== undefined) return { kind: 'alreadyAccepted', order: repeated.order };
+  if (repeated !== undefined) return { kind: 'alreadyAccepted', rolloutNumber: repeated.order };
   if (isInProgress(known)) return { kind: 'conflict', target: known.target };
   return {
     kind: 'opened',
-    order: {
+    rollout: {
       ...settledRollout(known.service, settled),
       prior: settled,
       target,
--- a/packages/configuration/src/release/rollout-controller.ts
+++ b/packages/configuration/src/release/rollout-controller.ts
@@ -125,7 +125,7 @@
     target === undefined ||
     rollout.phase === 'none' ||
     rollout.phase === 'bad' ||
-    watch.order !== rollout.order
+    watch.rolloutNumber !== rollout.order
   )
     return rollout;
   const view = viewRollout(rollout, watch, liveOrigins, now, settings);
--- a/packages/configuration/src/rollout/progress.ts
+++ b/packages/configuration/src/rollout/progress.ts
@@ -91,9 +91,9 @@
 /** What a tick writes, and what the next tick needs. */
 export interface RolloutProgress {
   readonly puts: readonly TableMutation[];
-  readonly seen: StatusSince;
+  readonly statusSince: StatusSince;
   /** When the active rollout was first seen; undefined without one. */
-  readonly opened: Timestamp | undefined;
+  readonly openedAt: Timestamp | undefined;
 }
 
 interface TargetProgress {
@@ -167,7 +167,7 @@
   now: Timestamp,
 ): RolloutProgress => {
   const rollout = activeRollout(control);
-  if (rollout === undefined) return { puts: [], seen: new Map(), opened: undefined };
+  if (rollout === undefined) return { puts: [], statusSince: new Map(), openedAt: undefined };
   const since = opened ?? now;
   const puts: TableMutation[] = [];
   const nextSeen = new Map<string, StatusAt>();
@@ -192,5 +192,5 @@
         rev: nextSeq(rollout.rev),
       }),
     );
-  return { puts, seen: nextSeen, opened: since };
+  return { puts, statusSince: nextSeen, openedAt: since };
 };
--- a/packages/configuration/src/testing/rollout-simulation.ts
+++ b/packages/configuration/src/testing/rollout-simulation.ts
@@ -106,7 +106,7 @@
 /** The rollout that a request opened; fails if it opened none. */
 export const openedRollout = (result: RolloutRequestResult): ReleaseRollout => {
   if (result.kind !== 'opened') throw new Error(`not opened: ${result.kind}`);
-  return result.order;
+  return result.rollout;
 };
 
 const liveOrigins = new Map<Release, number>([
--- a/packages/membership/src/registry/event.ts
+++ b/packages/membership/src/registry/event.ts
@@ -32,9 +32,9 @@
       readonly chunkHashes: readonly Hash[];
       readonly chunks: ReadonlyMap<Hash, string>;
     }
-  | { readonly verb: 'purge'; readonly id: CommandId; readonly aims: readonly PurgeTarget[] }
+  | { readonly verb: 'purge'; readonly id: CommandId; readonly targets: readonly PurgeTarget[] }
   | { readonly verb: 'outcome'; readonly id: CommandId; readonly commandId: CommandId }
-  | { readonly verb: 'view'; readonly id: CommandId; readonly what: string }
+  | { readonly verb: 'view'; readonly id: CommandId; readonly viewName: string }
   | {
       readonly verb: 'electorate';
       readonly id: CommandId;
--- a/packages/membership/src/registry/external-requests.ts
+++ b/packages/membership/src/registry/external-requests.ts
@@ -41,7 +41,7 @@
     case 'purge':
       return {
         verb: 'purge',
-        body: JSON.stringify(request.aims),
+        body: JSON.stringify(request.targets),
         timeoutMs: writeTimeoutMs,
       };
     case 'release': {
@@ -55,7 +55,7 @@
     case 'outcome':
       return { verb: 'ask', body: request.commandId, timeoutMs: readTimeoutMs };
     case 'view':
-      return { verb: 'view', body: request.what, timeoutMs: readTimeoutMs };
+      return { verb: 'view', body: request.viewName, timeoutMs: readTimeoutMs };
   }
 };
 
--- a/packages/model-checker/src/cluster/disk.ts
+++ b/packages/model-checker/src/cluster/disk.ts
@@ -35,6 +35,6 @@
 
 /** The number of the configuration on a disk; 0 if there is none. */
 export const storedGeneration = (image: DiskImage | undefined): number => {
-  const data = image?.entries.get(controlKeys.stored)?.data;
+  const data = image?.entries.get(controlKeys.configuration)?.data;
   return Number(generationPattern.exec(data ?? '')?.[1] ?? 0);
 };
--- a/packages/model-checker/src/cluster/operator.ts
+++ b/packages/model-checker/src/cluster/operator.ts
@@ -97,7 +97,7 @@
     calls.push(writeRequest(nextNumber - 1, operator.turn % machines, 'rival'));
   calls.push({
     machine: operator.turn % machines,
-    call: { verb: 'view', id: toCommandId(`read-${operator.turn}`), what: 'description' },
+    call: { verb: 'view', id: toCommandId(`read-${operator.turn}`), viewName: 'description' },
     expected: { kind: 'read' },
   });
   return [{ turn: operator.turn + 1, nextNumber, open }, calls];
--- a/packages/registry/src/http/routes.ts
+++ b/packages/registry/src/http/routes.ts
@@ -88,7 +88,7 @@
   const form = await readRequestBody(ctx, purgeRequest);
   const id = form?.id ?? commandIdOf(ctx);
   if (form !== undefined && id !== undefined)
-    respondWithResult(ctx, await submit({ verb: 'purge', id, aims: form.aims }));
+    respondWithResult(ctx, await submit({ verb: 'purge', id, targets: form.aims }));
 };
 
 const postRollout: Handler = async (ctx, { submit }) => {
@@ -139,7 +139,7 @@
 const viewHandler =
   (view: string): Handler =>
   async (ctx, { submit }) => {
-    respondWithResult(ctx, await submit({ verb: 'view', id: newCommandId(), what: view }));
+    respondWithResult(ctx, await submit({ verb: 'view', id: newCommandId(), viewName: view }));
   };
 
 const notFound = (ctx: Koa.Context): void =>
--- a/packages/replicated-store/src/commands/apply-configuration.ts
+++ b/packages/replicated-store/src/commands/apply-configuration.ts
@@ -45,7 +45,7 @@
 ): readonly TableMutation[] => {
   if (control.hashByGeneration.has(number)) return [];
   const surplus = control.hashByGeneration.size + 1 - maxKeptGenerations;
-  if (surplus <= 0) return [putRecord(controlKeys.number(number), { hash })];
+  if (surplus <= 0) return [putRecord(controlKeys.generation(number), { hash })];
   const oldest = [...control.hashByGeneration.keys()]
     .sort((first, second) => first - second)
     .slice(0, surplus);
@@ -53,8 +53,8 @@
   // A number below all that are kept would be let go at once.
   if (number < newestDropped) return [];
   return [
-    putRecord(controlKeys.number(number), { hash }),
-    ...oldest.map((dropped) => deleteRecord(controlKeys.number(dropped))),
+    putRecord(controlKeys.generation(number), { hash }),
+    ...oldest.map((dropped) => deleteRecord(controlKeys.generation(dropped))),
   ];
 };
 
@@ -155,7 +155,7 @@
       ...chunkPuts(state, control, chunkHashes),
       ...unusedChunks(state, control, command),
       ...rolloutPuts(control, generation),
-      putRecord(controlKeys.stored, { offer, call: command.caller.id }),
+      putRecord(controlKeys.configuration, { offer, call: command.caller.id }),
       ...recordNumber(control, generation, hash),
       ...rememberReply(control, result, seq),
     ],
--- a/packages/replicated-store/src/commands/chunks.ts
+++ b/packages/replicated-store/src/commands/chunks.ts
@@ -70,7 +70,7 @@
   hashes: readonly Hash[],
 ): readonly TableMutation[] =>
   unstoredChunks(state, control, hashes).map(({ hash, data }) => ({
-    key: controlKeys.piece(hash),
+    key: controlKeys.chunk(hash),
     data,
   }));
 
@@ -94,7 +94,7 @@
   ]);
   return [...control.chunks.keys()]
     .filter((hash) => !kept.has(hash))
-    .map((hash) => deleteRecord(controlKeys.piece(hash)));
+    .map((hash) => deleteRecord(controlKeys.chunk(hash)));
 };
 
 /** Frees the chunks in memory that no configuration under way needs. */
--- a/packages/replicated-store/src/commands/decide-canary.ts
+++ b/packages/replicated-store/src/commands/decide-canary.ts
@@ -12,7 +12,7 @@
   command: Extract<Command, { kind: 'recordCanary' }>,
 ): Decision => {
   const { service, release, spent, bad, good, seen, state } = command.report;
-  const key = controlKeys.verdict(service, release);
+  const key = controlKeys.canaryResult(service, release);
   const known = control.canaryResults.get(key);
   // Counts only grow, and a bad verdict stays.
   const next = {
--- a/packages/replicated-store/src/commands/decide-rollout.ts
+++ b/packages/replicated-store/src/commands/decide-rollout.ts
@@ -10,7 +10,7 @@
   configurationHeader as headerSchema,
   controlKeys,
   planRollout,
-  policy as policySchema,
+  rolloutPolicy as policySchema,
   tickRollout,
 } from '@switchwheel/configuration';
 import { type Decision, noChange } from './decision.js';
@@ -64,7 +64,7 @@
   return {
     ...noChange,
     puts: onlyCurrentRevisions(control, result.puts),
-    seen: result.seen,
-    opened: result.opened,
+    seen: result.statusSince,
+    opened: result.openedAt,
   };
 };
--- a/packages/replicated-store/src/commands/decision.ts
+++ b/packages/replicated-store/src/commands/decision.ts
@@ -55,8 +55,12 @@
           .sort(([, first], [, second]) => first.seq - second.seq)
           .slice(0, control.commandOutcomes.size - maxKeptOutcomes + 1);
   return [
-    putRecord(controlKeys.call(reply.id), { status: reply.status, body: reply.body, seq }),
-    ...oldest.map(([id]) => deleteRecord(controlKeys.call(id))),
+    putRecord(controlKeys.commandOutcome(reply.id), {
+      status: reply.status,
+      body: reply.body,
+      seq,
+    }),
+    ...oldest.map(([id]) => deleteRecord(controlKeys.commandOutcome(id))),
   ];
 };
 
--- a/packages/replicated-store/src/commands/rollout-request.ts
+++ b/packages/replicated-store/src/commands/rollout-request.ts
@@ -70,13 +70,13 @@
     kind: 'accepted',
     service,
     target,
-    order: isOpened ? requested.order.order : requested.order,
+    order: isOpened ? requested.rollout.order : requested.rolloutNumber,
   });
   return {
     ...noChange,
     repliesAfterWrite: [reply],
     puts: [
-      ...(isOpened ? [putRecord(controlKeys.release(service), requested.order)] : []),
+      ...(isOpened ? [putRecord(controlKeys.release(service), requested.rollout)] : []),
       ...rememberReply(control, reply, seq),
     ],
   };
--- a/packages/replicated-store/src/releases/release-progress.ts
+++ b/packages/replicated-store/src/releases/release-progress.ts
@@ -55,7 +55,7 @@
 /** How much of a rollout's time span is over, in milliseconds, as far as this store knows. */
 export const elapsedOf = (state: StoreState, rollout: ReleaseRollout, now: Timestamp): number => {
   const watch = state.releaseWatches.get(rollout.service);
-  return watch?.order === rollout.order
+  return watch?.rolloutNumber === rollout.order
     ? Math.max(rollout.spentMs, elapsedAt(watch, now))
     : rollout.spentMs;
 };
@@ -64,7 +64,8 @@
 const withReleaseWatches = (state: StoreState, now: Timestamp): StoreState => {
   let watches = state.releaseWatches;
   for (const [service, rollout] of state.control.releases) {
-    if (rollout.target === undefined || watches.get(service)?.order === rollout.order) continue;
+    if (rollout.target === undefined || watches.get(service)?.rolloutNumber === rollout.order)
+      continue;
     watches = withEntry(watches, service, newRolloutWatch(rollout.order, rollout.spentMs, now));
   }
   const kept = filterEntries(watches, (_, service) => state.control.releases.has(service));
--- a/packages/simulator/src/guard/list.ts
+++ b/packages/simulator/src/guard/list.ts
@@ -193,7 +193,7 @@
     name: 'an order that others followed is known again',
     rule: 'order',
     file: releaseOrder,
-    from: "if (repeated !== undefined) return { kind: 'alreadyAccepted', order: repeated.order };",
+    from: "if (repeated !== undefined) return { kind: 'alreadyAccepted', rolloutNumber: repeated.order };",
     to: '',
   },
   {
--- a/packages/simulator/src/history/operators.ts
+++ b/packages/simulator/src/history/operators.ts
@@ -107,7 +107,7 @@
       startedAt: this.#world.eventQueue.now,
       endedAt: undefined,
     });
-    registry.call({ verb: 'view', id: this.#nextRequestId(), what: 'description' }, (reply) => {
+    registry.call({ verb: 'view', id: this.#nextRequestId(), viewName: 'description' }, (reply) => {
       if (reply.status === 200)
         open.end({ outcome: 'acknowledged', version: parseVersion(reply.body) });
       else open.end({ outcome: 'unknown' });
--- a/packages/simulator/src/run/configuration-repair.test.ts
+++ b/packages/simulator/src/run/configuration-repair.test.ts
@@ -22,7 +22,7 @@
 
 /** Takes a chunk off every disk, as if it had never been written. */
 const erasePiece = (run: Fixture, hash: Hash): void => {
-  const key = controlKeys.piece(hash);
+  const key = controlKeys.chunk(hash);
   for (const { disk } of run.world.stores) {
     const kept = disk.synced.map((write) => ({
       ...write,
--- a/packages/simulator/src/run/large-configuration.test.ts
+++ b/packages/simulator/src/run/large-configuration.test.ts
@@ -95,7 +95,7 @@
   id: string,
 ): RegistryReply | undefined =>
   settled(world, 25_000, (done) => {
-    registry.call({ verb: 'view', id: toCommandId(id), what: 'description' }, done);
+    registry.call({ verb: 'view', id: toCommandId(id), viewName: 'description' }, done);
   });
 
 const assertEqualDescription = (told: RegistryReply | undefined, description: object): void => {
--- a/packages/simulator/src/run/network-partition.test.ts
+++ b/packages/simulator/src/run/network-partition.test.ts
@@ -115,8 +115,8 @@
   const asked: Asked = { at: run.world.eventQueue.now, verb, told: undefined };
   registry.call(
     verb === 'view'
-      ? { verb, id, what: 'description' }
-      : { verb, id, aims: [{ by: 'tag', tag: `none-${serial}` }] },
+      ? { verb, id, viewName: 'description' }
+      : { verb, id, targets: [{ by: 'tag', tag: `none-${serial}` }] },
     (told) => {
       asked.told = { ...told, at: run.world.eventQueue.now };
     },
--- a/packages/simulator/src/run/releases.test.ts
+++ b/packages/simulator/src/run/releases.test.ts
@@ -57,7 +57,7 @@
   let answer: Answer | undefined;
   run.world.registries
     .find((one) => one.isAlive)
-    ?.call({ verb: 'view', id: toCommandId(id), what }, (one) => {
+    ?.call({ verb: 'view', id: toCommandId(id), viewName: what }, (one) => {
       answer = one;
     });
   run.world.runUntil(3000, () => answer !== undefined);
--- a/packages/simulator/src/world/world.ts
+++ b/packages/simulator/src/world/world.ts
@@ -461,7 +461,7 @@
         startedAt: this.eventQueue.now,
         endedAt: undefined,
       });
-      registry.call({ verb: 'purge', id: write.id, aims }, (reply) => {
+      registry.call({ verb: 'purge', id: write.id, targets: aims }, (reply) => {
         const number = reply.status === 200 ? (numberField(reply.body, 'purge') ?? 0) : undefined;
         open.end({ outcome: outcomeOfStatus(reply.status), number });
         done(reply);
