--- a/packages/proxy-core/src/proxy/state.ts
+++ b/packages/proxy-core/src/proxy/state.ts
@@ -43,24 +43,24 @@
   readonly forwarding: Forwarding;
   readonly epochHistory: EpochHistory;
   /** When this process last took an event. */
-  readonly lastActedAt: Timestamp;
+  readonly lastEventAt: Timestamp;
   /** When it last took one after it had been suspended or stalled. */
-  readonly lastWokeAt: Timestamp;
+  readonly lastResumedAt: Timestamp;
 }
 
 /** The state of a proxy that has just started. */
 export const newProxyState = (
   member: Member,
-  seeds: readonly Address[],
+  registryAddresses: readonly Address[],
   randomState: RandomState,
 ): ProxyState => ({
-  nodeAgent: newNodeAgent(member, seeds, randomState),
+  nodeAgent: newNodeAgent(member, registryAddresses, randomState),
   leaders: new Map(),
   activeLeaders: new Map(),
   forwarding: initialForwarding,
   epochHistory: new Map(),
-  lastActedAt: clockOrigin,
-  lastWokeAt: clockOrigin,
+  lastEventAt: clockOrigin,
+  lastResumedAt: clockOrigin,
 });
 
 /** What happens to a proxy; times are of the monotonic clock, `leader` is a key in `leaders`. */
--- a/packages/proxy-core/src/request-handler/inbound-requests.ts
+++ b/packages/proxy-core/src/request-handler/inbound-requests.ts
@@ -17,7 +17,7 @@
   windowBytes: number;
   /** Goes on with a streamed response that waits for its window. */
   resume: (() => void) | undefined;
-  attemptStarted: boolean;
+  hasAttemptStarted: boolean;
   /** Whether an attempt's response is going back in parts: no other's may. */
   isStreaming: boolean;
 }
@@ -47,7 +47,7 @@
 /** Writes a response that goes back in parts. */
 export interface ResponseWriter {
   /** Sends bytes; calls back when there is room for more; false if nobody takes them any longer. */
-  readonly write: (bytes: Buffer, more: () => void) => boolean;
+  readonly write: (bytes: Buffer, onReady: () => void) => boolean;
   /** Ends the response; one that is not complete breaks off visibly. */
   readonly end: (isComplete: boolean) => void;
 }
@@ -80,9 +80,9 @@
   }
 
   /** Takes a channel that an edge opened; when it closes, its requests are cancelled. */
-  accept(channel: DataChannel, clock: () => Timestamp): Omit<DataChannelHandlers, 'up'> {
+  accept(channel: DataChannel, clock: () => Timestamp): Omit<DataChannelHandlers, 'onOpen'> {
     const ids = new Set<RequestId>();
-    const frame = (received: Frame): void => {
+    const onFrame = (received: Frame): void => {
       switch (received.kind) {
         case 'ask':
           if (this.#requests.has(received.id)) return;
@@ -100,10 +100,10 @@
           channel.terminate(`foreign: ${received.kind} on a data channel`);
       }
     };
-    const closed = (): void => {
+    const onClosed = (): void => {
       for (const id of ids) this.#cancel(id);
     };
-    return { frame, closed };
+    return { onFrame, onClosed };
   }
 
   /** Turns a request away. */
@@ -116,8 +116,8 @@
   /** Tells the edge that the first attempt of a request starts. */
   notifyAttemptStarted(id: RequestId): void {
     const inbound = this.#requests.get(id);
-    if (inbound === undefined || inbound.attemptStarted) return;
-    inbound.attemptStarted = true;
+    if (inbound === undefined || inbound.hasAttemptStarted) return;
+    inbound.hasAttemptStarted = true;
     inbound.channel.send({ kind: 'begun', id });
   }
 
@@ -168,14 +168,14 @@
     const hash = createHash('sha256');
     let length = 0;
     return {
-      write: (bytes, more) => {
+      write: (bytes, onReady) => {
         if (this.#requests.get(id) !== inbound) return false;
         inbound.windowBytes -= bytes.length;
         length += bytes.length;
         hash.update(bytes);
         inbound.channel.send({ kind: 'chunk', id, bytes });
-        if (inbound.windowBytes > 0) more();
-        else inbound.resume = more;
+        if (inbound.windowBytes > 0) onReady();
+        else inbound.resume = onReady;
         return true;
       },
       end: (isComplete) => {
@@ -204,7 +204,7 @@
       arrivedAt,
       windowBytes: this.#limits.windowBytes,
       resume: undefined,
-      attemptStarted: false,
+      hasAttemptStarted: false,
       isStreaming: false,
     };
     this.#requests.set(request.id, inbound);
