--- a/packages/configuration/src/document/schema.ts
+++ b/packages/configuration/src/document/schema.ts
@@ -32,10 +32,10 @@
 
 /** A class of service: what it promises, its share, and who may borrow from it. */
 export const serviceClass = v.strictObject({
-  name: g.className,
+  name: g.serviceClassName,
   latencyMs: v.optional(integerBetween(1, 600_000)),
   share: v.pipe(v.number('a number'), v.minValue(0, 'at least 0'), v.maxValue(1, 'at most 1')),
-  lendsTo: v.optional(v.array(g.className), []),
+  lendsTo: v.optional(v.array(g.serviceClassName), []),
 });
 /** A class of service. */
 export type ServiceClass = v.InferOutput<typeof serviceClass>;
@@ -108,7 +108,7 @@
   service: v.optional(g.serviceName),
   /** In place of one service: several, each with its part of the requests. */
   split: v.optional(trafficSplit),
-  class: g.className,
+  class: g.serviceClassName,
   repeatable: v.optional(v.boolean()),
   timeoutMs: v.optional(integerBetween(10, 600_000), 10_000),
   /** Within which time a response is worth most. */
@@ -124,7 +124,7 @@
 export type Route = v.InferOutput<typeof route>;
 
 /** How a generation is rolled out: the share of nodes that each wave reaches, and the gate between waves. */
-export const policy = v.strictObject({
+export const rolloutPolicy = v.strictObject({
   waves: v.optional(
     v.pipe(
       v.array(v.pipe(v.number(), v.minValue(0.01), v.maxValue(1))),
@@ -138,7 +138,7 @@
   verifyMs: v.optional(integerBetween(0, 600_000), 10_000),
 });
 /** How a generation is rolled out. */
-export type RolloutPolicy = v.InferOutput<typeof policy>;
+export type RolloutPolicy = v.InferOutput<typeof rolloutPolicy>;
 
 /** What clients may send, and how long they may take. */
 export const clientLimits = v.strictObject({
@@ -155,7 +155,7 @@
   format: v.literal(1, 'the format is 1'),
   classes: v.array(serviceClass),
   services: v.array(service),
-  rollout: v.optional(policy, {}),
+  rollout: v.optional(rolloutPolicy, {}),
   limits: v.optional(clientLimits, {}),
   note,
 });
--- a/packages/proxy-core/src/forwarding/leader-events.ts
+++ b/packages/proxy-core/src/forwarding/leader-events.ts
@@ -17,7 +17,7 @@
   endRequest,
   failRequest,
   forwardToLeader,
-  noteLeaderFound,
+  recordLeaderSeen,
   retryRequest,
 } from './forward-request.js';
 import type {
@@ -61,8 +61,8 @@
     return leaseHolders.get(lease) !== state.leaseHolders.get(lease);
   };
   let next: ForwardingTransition = transition({ ...state, leaseHolders });
-  for (const service of state.leaderless.keys())
-    if (isChanged(service)) next = transition(noteLeaderFound(next.state, service));
+  for (const service of state.leaderAbsences.keys())
+    if (isChanged(service)) next = transition(recordLeaderSeen(next.state, service));
   for (const request of state.requests.values()) {
     const leader = leaseHolders.get(serviceLeaseOf(request.service));
     if (leader === undefined || !isChanged(request.service)) continue;
@@ -80,11 +80,11 @@
   if (!isSentTo(request, from)) return transition(state);
   if (frame.moved) return retryRequest(state, request, request.phase.epoch + 1, now);
   return transition(
-    endRequest(noteLeaderFound(state, request.service), frame.id),
+    endRequest(recordLeaderSeen(state, request.service), frame.id),
     failRequest(request, {
       errorKind: frame.errorKind,
       text: frame.text,
-      retryMs: frame.retryAfter,
+      retryAfterMs: frame.retryAfter,
     }),
   );
 };
@@ -99,7 +99,7 @@
   const responding: PendingForward = { ...request, phase: { phase: 'responding', leader: from } };
   return transition(
     {
-      ...noteLeaderFound(state, request.service),
+      ...recordLeaderSeen(state, request.service),
       requests: withEntry(state.requests, request.id, responding),
     },
     { kind: 'startResponse', to: from, id: request.id, frame },
@@ -112,15 +112,15 @@
   { id, from }: EventOf<'attemptStarted'>,
 ): ForwardingTransition => {
   const request = state.requests.get(id);
-  if (!isSentTo(request, from) || request.attemptStarted) return transition(state);
-  const started: PendingForward = { ...request, attemptStarted: true };
+  if (!isSentTo(request, from) || request.hasAttemptStarted) return transition(state);
+  const started: PendingForward = { ...request, hasAttemptStarted: true };
   return transition({
-    ...noteLeaderFound(state, request.service),
+    ...recordLeaderSeen(state, request.service),
     requests: withEntry(state.requests, request.id, started),
   });
 };
 
-const onRequestStranded = (
+const onRequestChannelLost = (
   state: Forwarding,
   request: SentRequest,
   unsentIds: ReadonlySet<RequestId>,
@@ -134,7 +134,7 @@
       failRequest(request, {
         errorKind: 'unknown',
         text: 'the channel to the keeper ended before a result',
-        retryMs: 0,
+        retryAfterMs: 0,
       }),
     );
   const mayHaveRun = request.mayHaveRun || !isUnsent;
@@ -149,7 +149,7 @@
   let next: ForwardingTransition = transition(state);
   for (const request of state.requests.values()) {
     if (!isSentTo(request, leader)) continue;
-    next = prependEffects(next.effects, onRequestStranded(next.state, request, unsentIds, now));
+    next = prependEffects(next.effects, onRequestChannelLost(next.state, request, unsentIds, now));
   }
   return next;
 };
--- a/packages/proxy-core/src/service-leader/queue-wait.ts
+++ b/packages/proxy-core/src/service-leader/queue-wait.ts
@@ -3,7 +3,7 @@
  * check by which one that can no longer be served in time is turned away before its deadline.
  */
 
-import { type ClassName, type Timestamp, transition } from '@switchwheel/types';
+import { type ServiceClassName, type Timestamp, transition } from '@switchwheel/types';
 import { classShare, withQueue } from './admission.js';
 import { mayReceiveTraffic } from './canary.js';
 import { totalCapacity } from './endpoints.js';
@@ -21,14 +21,14 @@
 /** The estimate while no endpoint is available but requests wait already. */
 const unknownWaitMs = 500;
 /** The least that a client which was turned away is asked to wait. */
-export const minRetryMs = 250;
+export const minRetryAfterMs = 250;
 /** The most of a typical response time that is kept free before a deadline. */
 const maxResponseReserveMs = 50;
 
 /** How long a request waits with so many of its class ahead: for slots, and for the rate limit. */
 const queueWaitMs = (
   state: ServiceLeader,
-  className: ClassName,
+  className: ServiceClassName,
   ahead: number,
   capacity: number,
 ): number => {
@@ -44,7 +44,7 @@
 /** How long a request of a class that arrives now would wait, in milliseconds. */
 export const estimatedWaitMs = (
   state: ServiceLeader,
-  className: ClassName,
+  className: ServiceClassName,
   now: Timestamp,
 ): number => {
   const ahead = state.queues.get(className)?.length ?? 0;
@@ -64,7 +64,7 @@
   );
 
 /** Records since when no endpoint has been usable, if none is. */
-export const noteEndpointAvailability = (state: ServiceLeader, now: Timestamp): ServiceLeader => {
+export const recordEndpointAvailability = (state: ServiceLeader, now: Timestamp): ServiceLeader => {
   if (usableEndpoints(state).length === 0)
     return state.noEndpointSince === undefined ? { ...state, noEndpointSince: now } : state;
   return state.noEndpointSince === undefined ? state : { ...state, noEndpointSince: undefined };
@@ -81,7 +81,7 @@
 };
 
 /** What the chance of a queued request to be served hangs on. */
-interface QueueOutlook {
+interface QueueConditions {
   readonly capacity: number;
   readonly availableAt: number | undefined;
   readonly now: Timestamp;
@@ -92,7 +92,7 @@
   state: ServiceLeader,
   request: PendingRequest,
   position: number,
-  { capacity, availableAt, now }: QueueOutlook,
+  { capacity, availableAt, now }: QueueConditions,
 ): boolean => {
   if (now >= request.deadline - Math.min(state.latencyEwmaMs, maxResponseReserveMs)) return true;
   if (availableAt === undefined) return isWithoutEndpoints(state, now);
@@ -110,26 +110,26 @@
     ? rejectRequest(request.id, {
         errorKind: 'lost',
         text: 'no further leg in time',
-        retryMs: 0,
+        retryAfterMs: 0,
       })
     : rejectRequest(request.id, {
         errorKind: 'rejected',
         text: 'no slot in time',
-        retryMs: Math.max(minRetryMs, estimatedWaitMs(state, request.className, now)),
+        retryAfterMs: Math.max(minRetryAfterMs, estimatedWaitMs(state, request.className, now)),
       });
 
 /** Turns away the queued requests that can't be served in their time any more. */
 export const rejectUnservable = (state: ServiceLeader, now: Timestamp): LeaderTransition => {
   let queues = state.queues;
   const effects: ServiceLeaderEffect[] = [];
-  const outlook: QueueOutlook = {
+  const conditions: QueueConditions = {
     capacity: totalCapacity(state, now),
     availableAt: nextAvailableAt(state, now),
     now,
   };
   for (const [className, queue] of state.queues) {
     const unservable = queue.filter((request, position) =>
-      cannotMeetDeadline(state, request, position, outlook),
+      cannotMeetDeadline(state, request, position, conditions),
     );
     if (unservable.length === 0) continue;
     const remaining = queue.filter((request) => !unservable.includes(request));
