--- a/packages/replicated-store/src/log-write/disk-writes.ts
+++ b/packages/replicated-store/src/log-write/disk-writes.ts
@@ -34,18 +34,16 @@
 export const diskWrite = ({
   id,
   metadata,
-  logPosition,
+  logPosition: stamp,
   puts,
 }: Pick<PrimaryWrite, 'id' | 'metadata' | 'logPosition' | 'puts'>): StoreEffect => ({
   kind: 'writeToDisk',
   write: {
     id,
     metadata,
-    logPosition,
+    logPosition: stamp,
     wipesFirst: false,
-    entries: puts.flatMap(({ key, data }) =>
-      data === null ? [] : [{ key, stamp: logPosition, data }],
-    ),
+    entries: puts.flatMap(({ key, data }) => (data === null ? [] : [{ key, stamp, data }])),
     deletedKeys: puts.flatMap(({ key, data }) => (data === null ? [key] : [])),
   },
 });
