--- a/packages/election/src/candidate/campaign.ts
+++ b/packages/election/src/candidate/campaign.ts
@@ -1,6 +1,6 @@
 /**
- * Elections from the candidate's side: pre-vote, vote requests, renewal of a lease, retry after a lost
- * round, and resignation. Votes that come in are counted by `vote-count.ts`.
+ * Candidate side of an election: pre-vote, vote requests, lease renewal, retry after a lost round, and
+ * stepping down. Votes are counted by `vote-count.ts`.
  */
 
 import {
@@ -29,16 +29,16 @@
 const roundTimeoutMs = 300;
 const renewalsPerLease = 4;
 
-/** Pause after a lease ran out: a fixed part and a random part on top of it. */
+/** Delay before a former holder campaigns again after its lease expired, plus random jitter. */
 const expiredLeasePauseMs = 50;
 const expiredLeaseJitterMs = 200;
 
-/** Pause after a lost round; the first part only if no refusal tells how long to wait. */
+/** Delay before the next round after a lost one; the undecided-round part applies only if no refusal states a wait. */
 const undecidedRoundPauseMs = 50;
 const lostRoundPauseMs = 10;
 const lostRoundJitterMs = 150;
 
-/** Requests votes in a new epoch; a holder may do so to change the in-sync set. */
+/** Requests votes in a new epoch. A lease holder also does so to change the in-sync set. */
 export const startElection = (
   candidate: Candidate,
   context: ElectionContext,
@@ -75,8 +75,8 @@
 };
 
 /**
- * Gives the lease up and tells the voters, so that it is free at once; does not stand again for
- * `retryDelayMs`.
+ * Releases the lease and notifies the voters, so that another candidate can acquire it at once. The
+ * candidate stays idle for `retryDelayMs`.
  */
 export const stepDown = (
   candidate: Candidate,
@@ -95,8 +95,8 @@
 };
 
 /**
- * How many milliseconds to wait after a round that can't be won any more: until enough of the leases
- * in its way are over. Undefined while it can still be won.
+ * Delay in milliseconds after a round that can no longer be won: until enough of the conflicting leases have
+ * expired. Undefined while the round can still be won.
  */
 const refusedRoundDelayMs = (
   context: ElectionContext,
@@ -115,7 +115,7 @@
   return Math.min(maxLeaseMs, remainingLeasesMs[excessRefusals - 1] ?? 0);
 };
 
-/** A candidate and the random source that its retries are spread with. */
+/** A candidate and the state of the random source for its retry jitter. */
 interface CandidateWithRandom {
   readonly candidate: Candidate;
   readonly randomState: RandomState;
@@ -124,7 +124,7 @@
 type TickResult = Transition<CandidateWithRandom, ProcessEffect>;
 type PhaseOf<K extends CandidatePhase['phase']> = Extract<CandidatePhase, { readonly phase: K }>;
 
-/** Becomes idle for a fixed time plus a random part of `jitterMs`. */
+/** Makes the candidate idle for `pauseMs` plus a random fraction of `jitterMs`. */
 const idleWithJitter = (
   { candidate, randomState }: CandidateWithRandom,
   now: Timestamp,
@@ -167,7 +167,7 @@
   const pauseMs = (delayMs ?? undecidedRoundPauseMs) + lostRoundPauseMs;
   const next = idleWithJitter(state, now, pauseMs, lostRoundJitterMs);
   if (phase.phase === 'preVote') return transition(next);
-  // Votes granted in a lost round are given back, so that nobody waits for them to expire.
+  // Returns the votes of the lost round, so that other candidates need not wait for them to expire.
   return transition(
     next,
     ...voteRequests(state.candidate, context, phase.epoch, now, 'abandonment'),
@@ -183,8 +183,8 @@
 });
 
 /**
- * Lets time pass: renews a lease that is held, gives up one that has run out, decides a pre-vote, ends
- * a lost round, and starts a pre-vote if the node wants the lease and its pause is over.
+ * Advances the candidate to `now`: renews a held lease, drops an expired one, evaluates a pre-vote, ends a
+ * lost round, and starts a pre-vote if `wantsElection` is set and the retry delay has passed.
  */
 export const tickCandidate = (
   candidate: Candidate,
--- a/packages/election/src/candidate/candidate.ts
+++ b/packages/election/src/candidate/candidate.ts
@@ -1,6 +1,6 @@
 /**
- * The state of a node that stands for one lease. How votes change it is in `vote-count.ts`, how time and
- * the node's own decisions change it in `campaign.ts`.
+ * State of a candidate for one lease. `vote-count.ts` changes it on votes, `campaign.ts` on time and on the
+ * node's own decisions.
  */
 
 import {
@@ -16,33 +16,33 @@
 import type { Electorate, LeaseHolder } from '@switchwheel/transport';
 import { maxLeaseMs } from '../voter/voter.js';
 
-/** The newest vote of a voter in an epoch. */
+/** Newest granted vote of a voter in an epoch. */
 export interface CountedVote {
-  /** When the candidate requested it, by the candidate's clock: a lease is counted from here. */
+  /** Time of the vote request by the candidate's clock; the lease starts here. */
   readonly requestedAt: Timestamp;
-  /** Whether the voter had lost its memory by a restart and not yet recovered it. */
+  /** Whether the voter had restarted and not yet recovered its grants. */
   readonly wasRecovering: boolean;
-  /** The incarnation of the voter that gave it. */
+  /** Incarnation of the voter that granted the vote. */
   readonly incarnation: Incarnation;
 }
 
-/** The votes granted in one epoch. */
+/** Votes granted in one epoch, by voter. */
 export interface VoteCount {
   readonly epoch: Epoch;
   readonly votes: ReadonlyMap<NodeId, CountedVote>;
 }
 
-/** A round of vote requests that is not decided yet. */
+/** Undecided round of vote requests. */
 interface Round extends VoteCount {
   readonly startedAt: Timestamp;
-  /** By voter that refused: for how many milliseconds the lease in the way may still last. */
+  /** By voter that refused: remaining time of the conflicting lease in milliseconds. */
   readonly refusals: ReadonlyMap<NodeId, number>;
 }
 
-/** How far a candidate is. */
+/** Phase of a candidate. */
 export type CandidatePhase =
   | { readonly phase: 'idle'; readonly retryAt: Timestamp }
-  /** Asks whether an election could be won: one that can't would only drive the epoch up (Raft's pre-vote). */
+  /** Checks whether an election can be won, so that a hopeless one does not raise the epoch (Raft's pre-vote). */
   | ({ readonly phase: 'preVote' } & Round)
   | ({ readonly phase: 'requestingVotes' } & Round)
   | ({
@@ -52,30 +52,30 @@
       readonly wonAt: Timestamp;
     } & VoteCount);
 
-/** A node's candidacy for one lease. */
+/** Candidacy of a node for one lease. */
 export interface Candidate {
   readonly self: NodeId;
   readonly leaseName: LeaseName;
   readonly phase: CandidatePhase;
-  /** The highest epoch of the lease that this node knows of. */
+  /** Highest epoch of the lease that this node has observed. */
   readonly highestEpoch: Epoch;
-  /** For the primary's lease: the stores that hold every confirmed write, as voters are to remember them. */
+  /** For the primary's lease: the stores that hold every confirmed write, recorded by the voters with their grant. */
   readonly inSyncSet: readonly NodeId[];
-  /** How long a lease is requested for; it is renewed four times within that. */
+  /** Requested lease duration; the holder renews the lease four times within it. */
   readonly leaseMs: number;
 }
 
-/** What a candidate needs to know of its fleet. */
+/** Fleet-wide input of a candidate. */
 export interface ElectionContext {
   readonly fleet: FleetId;
   readonly electorate: Electorate;
-  /** How others reach this node as holder; sent along with vote requests. */
+  /** Address record of this node as lease holder, sent with vote requests. */
   readonly holderRecord?: LeaseHolder;
-  /** Whether votes of voters that restarted and have not recovered count. */
+  /** Whether votes of restarted voters that have not recovered are counted. */
   readonly countsRecoveringVoters: boolean;
 }
 
-/** A candidate that has not stood for the lease yet. */
+/** Creates an idle candidate that has observed no epoch. */
 export const newCandidate = (
   self: NodeId,
   leaseName: LeaseName,
@@ -90,16 +90,16 @@
   inSyncSet,
 });
 
-/** Whether the candidate holds the lease at `now`, its own safety margin deducted. */
+/** Whether the candidate holds the lease at `now`; the lease end already includes the safety margin. */
 export const holdsLease = (candidate: Candidate, now: Timestamp): boolean =>
   candidate.phase.phase === 'holdingLease' && now < candidate.phase.leaseEndsAt;
 
-/** The epoch that the candidate requests votes or holds the lease in; `noEpoch` if neither. */
+/** Epoch in which the candidate requests votes or holds the lease; `noEpoch` otherwise. */
 export const heldEpoch = (candidate: Candidate): Epoch =>
   candidate.phase.phase === 'idle' || candidate.phase.phase === 'preVote'
     ? noEpoch
     : candidate.phase.epoch;
 
-/** Records an epoch that another node has. */
+/** Raises the highest observed epoch to an epoch reported by another node. */
 export const observeEpoch = (candidate: Candidate, epoch: Epoch): Candidate =>
   epoch > candidate.highestEpoch ? { ...candidate, highestEpoch: epoch } : candidate;
--- a/packages/election/src/candidate/vote-count.ts
+++ b/packages/election/src/candidate/vote-count.ts
@@ -1,4 +1,4 @@
-/** Counts the votes of a candidate and derives from them until when it holds the lease. */
+/** Counts the votes of a candidate and derives the end of its lease from them. */
 
 import { type NodeId, type Timestamp, toTimestamp, withEntry } from '@switchwheel/types';
 import type { FrameOf } from '@switchwheel/transport';
@@ -12,12 +12,12 @@
   observeEpoch,
 } from './candidate.js';
 
-/** By how many milliseconds a holder ends its lease early, against clocks that run at different rates. */
+/** Time by which a holder ends its lease early, to tolerate clock drift between holder and voters. */
 export const leaseSafetyMarginMs = 50;
 
 /**
- * Until when the votes of a quorum give the lease; undefined without a quorum. A lease is counted from
- * before its votes were requested, so it ends at the holder before it ends at any voter.
+ * End of the lease that the votes grant; undefined without a quorum. The lease starts when the votes were
+ * requested, so it ends at the holder before it ends at any voter.
  */
 export const leaseEnd = (
   context: ElectionContext,
@@ -58,7 +58,7 @@
       };
     }
     case 'holdingLease': {
-      // Once won, a renewal by any voter counts: a voter's memory only matters for the election.
+      // Renewals by recovering voters count: lost grants only matter for the election itself.
       const renewedUntil = leaseEnd({ ...context, countsRecoveringVoters: true }, count, leaseMs);
       const leaseEndsAt = toTimestamp(
         Math.max(renewedUntil ?? phase.leaseEndsAt, phase.leaseEndsAt),
@@ -68,7 +68,7 @@
   }
 };
 
-/** Applies a vote: counts it, notes a refusal, or ignores one of another round. */
+/** Applies a vote: counts a granted one, records a refusal, and ignores a vote of another round. */
 export const countVote = (
   candidate: Candidate,
   context: ElectionContext,
@@ -79,7 +79,7 @@
   const { phase } = observed;
   if (phase.phase === 'idle') return observed;
   if (vote.epoch !== phase.epoch || vote.preVote !== (phase.phase === 'preVote')) return observed;
-  // A lease that ran out is over for good, whatever votes are still on their way.
+  // Votes that arrive after the lease has expired do not revive it.
   if (phase.phase === 'holdingLease' && now >= phase.leaseEndsAt)
     return { ...observed, phase: { phase: 'idle', retryAt: now } };
   if (!vote.granted) {
--- a/packages/election/src/candidate/vote-requests.ts
+++ b/packages/election/src/candidate/vote-requests.ts
@@ -1,4 +1,4 @@
-/** The vote requests that a candidate sends to every voter of its electorate. */
+/** Vote requests from a candidate to every voter of its electorate. */
 
 import {
   type Epoch,
@@ -10,15 +10,15 @@
 import { type FrameOf, type ProcessEffect, send } from '@switchwheel/transport';
 import type { Candidate, ElectionContext } from './candidate.js';
 
-/** What a vote request is for. */
+/** Purpose of a vote request. */
 export type VotePurpose =
-  /** Asks what the vote would be and changes nothing at the voter. */
+  /** Asks how the voter would vote, without changing its state. */
   | 'preVote'
   | 'election'
   | 'renewal'
-  /** Gives up a lease that was held. */
+  /** Releases a held lease. */
   | 'resignation'
-  /** Gives back the votes of an election that was not won, and never will be. */
+  /** Returns the votes of an election that was not won and can no longer be won. */
   | 'abandonment';
 
 type PurposeFlags = Pick<FrameOf<'vote-request'>, 'renew' | 'preVote' | 'stepDown' | 'abandoned'>;
@@ -31,13 +31,13 @@
   abandonment: { renew: true, preVote: false, stepDown: true, abandoned: true },
 };
 
-/** The incarnation of a voter that gave the newest vote which this holder has of it. */
+/** Incarnation of the voter at its newest vote; undefined if the candidate does not hold the lease. */
 const incarnationOfVote = (candidate: Candidate, voter: NodeId): Incarnation | undefined =>
   candidate.phase.phase === 'holdingLease'
     ? candidate.phase.votes.get(voter)?.incarnation
     : undefined;
 
-/** One vote request to each voter, in the order of the electorate. */
+/** Builds one vote request per voter, in the order of the electorate. */
 export const voteRequests = (
   candidate: Candidate,
   context: ElectionContext,
--- a/packages/election/src/index.ts
+++ b/packages/election/src/index.ts
@@ -1,7 +1,7 @@
 /**
- * Leases by majority vote: the voters (registries) that grant them and the candidates (stores, shields)
- * that win, renew and give them up. Pure reducers over vote frames; who wants which lease, and what its
- * holder does, is decided by the packages that use this one.
+ * Leader election by majority vote: voters (registries) grant leases, candidates (stores, shields) acquire,
+ * renew and release them. Pure reducers over vote frames. The packages that use this one decide which node
+ * is a candidate for which lease and what a lease holder does.
  */
 
 export * from './voter/voter.js';
--- a/packages/election/src/voter/recovery.ts
+++ b/packages/election/src/voter/recovery.ts
@@ -1,6 +1,6 @@
 /**
- * How a voter that restarted learns what it granted before: from its peers' records. A record counts
- * towards the end of the recovery only if the peer made it after this voter's abstention.
+ * Recovery of a restarted voter's grants from the records of its peers. A peer counts towards the end of the
+ * recovery only if it made its records after this voter's abstention period.
  */
 
 import {
@@ -14,24 +14,24 @@
 import type { LeaseGrantRecord } from '@switchwheel/transport';
 import { type LeaseGrant, type Voter, abstentionEnd, maxLeaseMs, quorumSize } from './voter.js';
 
-/** What a peer remembers, and the newest gossip of this voter's registry that it had by then. */
+/** Grant records of a peer, and the newest gossip of this voter's registry that the peer had received by then. */
 export interface PeerGrants {
   readonly from: NodeId;
-  /** Whether the peer itself has lost its memory. */
+  /** Whether the peer is itself recovering. */
   readonly isRecovering: boolean;
   readonly records: readonly LeaseGrantRecord[];
   readonly lastGossipHeard:
     { readonly incarnation: Incarnation; readonly at: Timestamp } | undefined;
 }
 
-/** Whether a peer made its records after this voter's abstention: only then do they hold all that matters. */
+/** Whether a peer made its records after this voter's abstention period; earlier records may miss grants. */
 const isAfterAbstention = (state: Voter, peerGrants: PeerGrants): boolean =>
   peerGrants.lastGossipHeard?.incarnation === state.incarnation &&
   peerGrants.lastGossipHeard.at >= abstentionEnd(state);
 
 type Grants = ReadonlyMap<LeaseName, LeaseGrant>;
 
-/** Adopts a record of a higher epoch; a lease that this voter granted lasts to its end all the same. */
+/** Adopts a record with a higher epoch. A running lease that this voter granted is kept until it ends. */
 const withRecord = (grants: Grants, record: LeaseGrantRecord, now: Timestamp): Grants => {
   const grant = grants.get(record.duty);
   if (grant !== undefined && grant.epoch >= record.epoch) return grants;
@@ -47,7 +47,7 @@
   });
 };
 
-/** Whether the others that were heard meet every quorum of the electorate. */
+/** Whether the peers heard from intersect every quorum of the electorate. */
 const hasHeardEnough = (state: Voter, recoveredFrom: ReadonlySet<NodeId>): boolean => {
   if (state.electorate === undefined) return false;
   const { members } = state.electorate;
@@ -57,7 +57,7 @@
   return others.length >= members.length - quorumSize(members.length) + 1;
 };
 
-/** Adopts a peer's records; the recovery ends once enough peers were heard. */
+/** Adopts a peer's records and ends the recovery once enough peers have reported. */
 export const recoverGrants = (state: Voter, peerGrants: PeerGrants, now: Timestamp): Voter => {
   if (!state.isRecovering || peerGrants.isRecovering) return state;
   const grants = peerGrants.records.reduce<Grants>(
--- a/packages/election/src/voter/voter.test.ts
+++ b/packages/election/src/voter/voter.test.ts
@@ -1,4 +1,4 @@
-/** Voters: abstention after a restart, renewals, recovery, and elections that are given up. */
+/** Guards against two valid leases at once and against lost grants after a voter restarts. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -19,7 +19,7 @@
 import { type Voter, handleVoteRequest, maxLeaseMs, newVoter } from './voter.js';
 
 const voterNames = ['voter-1', 'voter-2', 'voter-3'].map((name) => toNodeId(name));
-const [me, second, third] = voterNames;
+const [self, second, third] = voterNames;
 const oldHolder = toNodeId('store-1');
 const newHolder = toNodeId('store-2');
 const startedAt = toTimestamp(50_000);
@@ -48,8 +48,8 @@
 });
 
 const restarted = (): Voter => {
-  assert.ok(me !== undefined);
-  return newVoter(me, startedAt, incarnation);
+  assert.ok(self !== undefined);
+  return newVoter(self, startedAt, incarnation);
 };
 const after = (ms: number): Timestamp => toTimestamp(startedAt + ms);
 
@@ -71,8 +71,8 @@
   }
 });
 
-void test("a restarted voter never renews the old holder's lease while its vote for a new holder may count", () => {
-  // Before its restart it voted for the new holder, who asked 1 ms before that and wins within 950 ms.
+void test("a restarted voter never renews the old holder's lease while its earlier vote can still elect a new holder", () => {
+  // Before its restart it voted for the new holder, which had sent its request 1 ms earlier and can win within 950 ms.
   const wonUntil = after(-1 + maxLeaseMs - 50);
   for (let at = 0; at < maxLeaseMs; at += 10) {
     const [, vote] = handleVoteRequest(restarted(), request({ renew: true }), after(at));
@@ -80,16 +80,16 @@
   }
 });
 
-void test("a renewal ends the recovery only if it echoes the voter's incarnation, not by being delivered twice", () => {
+void test("a renewal ends the recovery only if it echoes the voter's incarnation; a duplicate delivery does not", () => {
   const renewal = request({ renew: true });
   let voter = restarted();
-  for (let turn = 0; turn < 3; turn += 1) {
-    voter = handleVoteRequest(voter, renewal, after(maxLeaseMs + 10 * turn))[0];
-    assert.equal(voter.isRecovering, true, `delivery ${turn + 1}`);
+  for (let delivery = 0; delivery < 3; delivery += 1) {
+    voter = handleVoteRequest(voter, renewal, after(maxLeaseMs + 10 * delivery))[0];
+    assert.equal(voter.isRecovering, true, `delivery ${delivery + 1}`);
   }
   const echoOfEarlierIncarnation = request({ renew: true, voterLife: toIncarnation(6) });
   voter = handleVoteRequest(voter, echoOfEarlierIncarnation, after(maxLeaseMs + 50))[0];
-  assert.equal(voter.isRecovering, true, 'an echo of an earlier life');
+  assert.equal(voter.isRecovering, true, 'an echo of an earlier incarnation');
   const [next, vote] = handleVoteRequest(
     voter,
     request({ renew: true, voterLife: incarnation }),
@@ -99,7 +99,7 @@
   assert.equal(next.isRecovering, false);
 });
 
-void test("peers' records end the recovery only if made after the abstention", () => {
+void test("peers' records end the recovery only if made after the abstention period", () => {
   assert.ok(second !== undefined && third !== undefined);
   const [known] = handleVoteRequest(restarted(), request({ renew: true }), after(maxLeaseMs));
   const peerGrants = (from: typeof second, at: number, heardIncarnation = incarnation) => ({
@@ -109,41 +109,45 @@
     lastGossipHeard: { incarnation: heardIncarnation, at: after(at) },
   });
   const now = after(maxLeaseMs + 300);
-  const both = (...heard: readonly [number, number]): Voter =>
+  const recoveredFromBoth = (...heard: readonly [number, number]): Voter =>
     recoverGrants(
       recoverGrants(known, peerGrants(second, heard[0]), now),
       peerGrants(third, heard[1]),
       now,
     );
-  assert.equal(both(900, 1000).isRecovering, true, 'one spoke too early');
-  assert.equal(both(1000, 1000).isRecovering, false);
+  assert.equal(recoveredFromBoth(900, 1000).isRecovering, true, 'one record was made too early');
+  assert.equal(recoveredFromBoth(1000, 1000).isRecovering, false);
   assert.equal(
-    both(900, 900).grants.get(primaryLease)?.epoch,
+    recoveredFromBoth(900, 900).grants.get(primaryLease)?.epoch,
     6,
-    'the epoch is taken all the same',
+    'the epoch is adopted nevertheless',
   );
-  const other = recoverGrants(known, peerGrants(second, 1000, toIncarnation(6)), now);
-  assert.equal(other.recoveredFrom.size, 0, 'what was said to an earlier life');
+  const fromEarlierIncarnation = recoverGrants(
+    known,
+    peerGrants(second, 1000, toIncarnation(6)),
+    now,
+  );
+  assert.equal(fromEarlierIncarnation.recoveredFrom.size, 0, 'records for an earlier incarnation');
 });
 
 void test('an abandoned election restores the in-sync set; one that may have been won does not', () => {
-  const first = handleVoteRequest(restarted(), request({ renew: true }), after(maxLeaseMs))[0];
-  const alone = { epoch: toEpoch(6), inSyncSet: [oldHolder] };
-  const asked = handleVoteRequest(first, request(alone), after(1100))[0];
+  const renewed = handleVoteRequest(restarted(), request({ renew: true }), after(maxLeaseMs))[0];
+  const singleMemberElection = { epoch: toEpoch(6), inSyncSet: [oldHolder] };
+  const granted = handleVoteRequest(renewed, request(singleMemberElection), after(1100))[0];
   const rival = request({ epoch: toEpoch(7), node: newHolder });
   assert.equal(
-    handleVoteRequest(asked, rival, after(3000))[1].granted,
+    handleVoteRequest(granted, rival, after(3000))[1].granted,
     false,
-    'it may have won alone',
+    'the candidate may have won with itself as the only member',
   );
-  const back = request({ ...alone, renew: true, stepDown: true });
-  const resigned = handleVoteRequest(asked, back, after(1200))[0];
+  const resignation = request({ ...singleMemberElection, renew: true, stepDown: true });
+  const resigned = handleVoteRequest(granted, resignation, after(1200))[0];
   assert.equal(
     handleVoteRequest(resigned, rival, after(1300))[1].granted,
     false,
-    'it won and resigned',
+    'the candidate won and resigned',
   );
-  const abandoned = handleVoteRequest(asked, { ...back, abandoned: true }, after(1200))[0];
+  const abandoned = handleVoteRequest(granted, { ...resignation, abandoned: true }, after(1200))[0];
   assert.equal(handleVoteRequest(abandoned, rival, after(1300))[1].granted, true);
-  assert.equal(abandoned.grants.get(primaryLease)?.epoch, 6, 'the epoch stays taken');
+  assert.equal(abandoned.grants.get(primaryLease)?.epoch, 6, 'the epoch stays granted');
 });
--- a/packages/election/src/voter/voter.ts
+++ b/packages/election/src/voter/voter.ts
@@ -1,7 +1,7 @@
 /**
- * A voter: grants leases, each to one node at a time and for ever higher epochs. Its memory changes by
- * vote requests here and, after a restart, by what its peers remember (`recovery.ts`). It keeps nothing
- * on disk: a voter that restarted abstains until everything it may have granted has expired.
+ * Voter: grants each lease to one node at a time, in strictly increasing epochs. Its grants change on vote
+ * requests and, after a restart, on the records of its peers (`recovery.ts`). Grants are not persisted: a
+ * restarted voter abstains until every lease that it may have granted has expired.
  */
 
 import {
@@ -19,41 +19,41 @@
 } from '@switchwheel/types';
 import type { Electorate, FrameOf, LeaseGrantRecord } from '@switchwheel/transport';
 
-/** The longest lease a voter grants, in milliseconds; a voter that restarted abstains for as long. */
+/** Maximum duration of a granted lease; also the abstention period of a restarted voter. */
 export const maxLeaseMs = 1000;
 
-/** What a voter remembers of one lease: the highest epoch it granted, to whom, and until when. */
+/** Newest grant of one lease by a voter. */
 export interface LeaseGrant {
   readonly epoch: Epoch;
   readonly node: NodeId;
   /**
-   * Whose lease lasts until `leaseEndsAt`. Differs from `node` after a recovery: a higher epoch that a
-   * peer remembers does not end a lease that this voter granted.
+   * Holder of the lease that lasts until `leaseEndsAt`. Differs from `node` after a recovery: a higher
+   * epoch recorded by a peer does not end a lease that this voter granted.
    */
   readonly leaseHolder: NodeId;
   readonly leaseEndsAt: Timestamp;
-  /** For the primary's lease: the stores that hold every confirmed write under this epoch. */
+  /** For the primary's lease: the stores that hold every write confirmed in this epoch. */
   readonly inSyncSet: readonly NodeId[];
-  /** The in-sync set of the grant before; restored if the candidate abandons its election. */
+  /** In-sync set of the previous grant, restored if the candidate abandons its election. */
   readonly previousInSyncSet?: readonly NodeId[] | undefined;
 }
 
-/** The state of a voter. */
+/** State of a voter. */
 export interface Voter {
   readonly self: NodeId;
-  /** This run of the process: votes carry it, and only a renewal that echoes it proves a win. */
+  /** Incarnation of the process. Votes carry it; only a renewal that echoes it proves that the holder won. */
   readonly incarnation: Incarnation;
   readonly startedAt: Timestamp;
   readonly fleet: FleetId | undefined;
   readonly electorate: Electorate | undefined;
   readonly grants: ReadonlyMap<LeaseName, LeaseGrant>;
-  /** Whether this voter restarted and does not yet know what it granted before. */
+  /** Whether this voter has restarted and not yet recovered its earlier grants. */
   readonly isRecovering: boolean;
-  /** The peers whose records were received since this voter's abstention ended. */
+  /** Peers whose records count towards the end of the recovery. */
   readonly recoveredFrom: ReadonlySet<NodeId>;
 }
 
-/** A voter that has just started, and therefore recovers. */
+/** Creates a voter that has just started and is therefore recovering. */
 export const newVoter = (self: NodeId, startedAt: Timestamp, incarnation: Incarnation): Voter => ({
   self,
   incarnation,
@@ -66,12 +66,12 @@
 });
 
 /**
- * When a voter's abstention ends: by then every vote that an earlier incarnation gave is too old to win
- * an election, and every lease that it granted is over.
+ * End of a voter's abstention period: by then no vote of an earlier incarnation can win an election any
+ * more, and every lease that it granted has expired.
  */
 export const abstentionEnd = (state: Voter): Timestamp => addMs(state.startedAt, maxLeaseMs);
 
-/** The number of votes that is a majority of `size` voters. */
+/** Number of votes that form a majority of `size` voters. */
 export const quorumSize = (size: number): number => Math.floor(size / 2) + 1;
 
 const newerElectorate = (current: Electorate | undefined, received: Electorate): Electorate =>
@@ -99,7 +99,7 @@
   return false;
 };
 
-/** Whether the voter refuses a request; `electorate` is the newer of its own and the request's. */
+/** Whether the voter refuses a request; `electorate` is the newer one of the voter's and the request's. */
 const refuses = (
   state: Voter,
   request: FrameOf<'vote-request'>,
@@ -117,9 +117,9 @@
 };
 
 /**
- * Whether a renewal proves that its holder won with a vote of this incarnation of the voter: then
- * nothing that an earlier incarnation granted can be newer. A renewal that was under way for long, or
- * that is delivered twice, does not echo this incarnation and proves nothing.
+ * Whether a renewal proves that its holder won with a vote of this incarnation of the voter, so that no
+ * grant of an earlier incarnation can be newer. A delayed or duplicated renewal does not echo this
+ * incarnation and proves nothing.
  */
 const provesWin = (
   state: Voter,
@@ -133,7 +133,7 @@
   grant?.epoch === request.epoch &&
   grant.node === request.node;
 
-/** The grant that follows from a request which is not refused. */
+/** Grant that results from an accepted request. */
 const grantFor = (
   grant: LeaseGrant | undefined,
   request: FrameOf<'vote-request'>,
@@ -152,7 +152,7 @@
   };
 };
 
-/** A refusal: names the highest epoch granted and for how long the lease in the way may still last. */
+/** Refusal of a request, with the highest granted epoch and the remaining time of the conflicting lease. */
 const refusalOf = (
   state: Voter,
   request: FrameOf<'vote-request'>,
@@ -195,7 +195,7 @@
   highest,
 });
 
-/** Answers a vote request: the one place where a voter's grants change by a vote. */
+/** Handles a vote request and returns the voter's new state and its vote. */
 export const handleVoteRequest = (
   state: Voter,
   request: FrameOf<'vote-request'>,
@@ -216,7 +216,7 @@
   return [next, grantedVote(state, request, request.epoch)];
 };
 
-/** Adopts a newer electorate that the primary published; ignores one of another fleet. */
+/** Adopts a newer electorate published by the primary; ignores one of another fleet. */
 export const adoptElectorate = (state: Voter, fleet: FleetId, electorate: Electorate): Voter => {
   if (state.fleet !== undefined && state.fleet !== fleet) return state;
   const newest = newerElectorate(state.electorate, electorate);
@@ -225,7 +225,7 @@
     : { ...state, fleet, electorate: newest };
 };
 
-/** The voter's grants as peers are to remember them. */
+/** Records of the voter's grants, for its peers to keep. */
 export const grantRecords = (state: Voter): readonly LeaseGrantRecord[] =>
   [...state.grants].map(([duty, grant]) => ({
     duty,
