--- a/packages/election/src/candidate/campaign.ts
+++ b/packages/election/src/candidate/campaign.ts
@@ -33,7 +33,9 @@
 const expiredLeasePauseMs = 50;
 const expiredLeaseJitterMs = 200;
 
-/** Delay before the next round after a lost one; the undecided-round part applies only if no refusal states a wait. */
+/**
+ * Delay before the next round after a lost one; the undecided-round part applies only if no refusal states a wait.
+ */
 const undecidedRoundPauseMs = 50;
 const lostRoundPauseMs = 10;
 const lostRoundJitterMs = 150;
--- a/packages/election/src/voter/voter.test.ts
+++ b/packages/election/src/voter/voter.test.ts
@@ -72,7 +72,8 @@
 });
 
 void test("a restarted voter never renews the old holder's lease while its earlier vote can still elect a new holder", () => {
-  // Before its restart it voted for the new holder, which had sent its request 1 ms earlier and can win within 950 ms.
+  // Before its restart it voted for the new holder, which had sent its request 1 ms earlier and can win within 950
+  // ms.
   const wonUntil = after(-1 + maxLeaseMs - 50);
   for (let at = 0; at < maxLeaseMs; at += 10) {
     const [, vote] = handleVoteRequest(restarted(), request({ renew: true }), after(at));
--- a/packages/replicated-store/src/commands/decision.ts
+++ b/packages/replicated-store/src/commands/decision.ts
@@ -64,7 +64,10 @@
   ];
 };
 
-/** The reply that a command with this id got before, if it is still kept; sent once the write that it belongs to is committed. */
+/**
+ * The reply that a command with this id got before, if it is still kept; sent once the write that it belongs to is
+ * committed.
+ */
 export const earlierReply = (
   control: ControlState,
   command: Extract<Command, { caller: unknown }>,
--- a/packages/replicated-store/src/index.ts
+++ b/packages/replicated-store/src/index.ts
@@ -1,7 +1,7 @@
 /**
- * The replicated store of the control state: a state machine that elects a primary, replicates its log of
- * writes to backups, resyncs learners, and decides operators' commands. Sockets, clocks and disks are left
- * to the process that runs it (package store, the simulator, the model checker).
+ * Replicated store of the control state: a state machine that elects a primary, replicates its log of writes to
+ * backups, resyncs learners, and executes operators' commands. Sockets, clocks and disks belong to the process
+ * that runs it (package store, the simulator, the model checker).
  */
 
 export * from './state/table.js';
--- a/packages/replicated-store/src/leadership/candidacy.ts
+++ b/packages/replicated-store/src/leadership/candidacy.ts
@@ -1,6 +1,6 @@
 /**
- * Candidacy: whether a store may and should ask for the primary's lease, with which in-sync set, and what it
- * lets its voters know. Requesting and counting votes is the election package's business.
+ * Candidacy for the primary's lease: whether a store campaigns, which in-sync set it requests, and the context that
+ * it passes to the election package, which requests and counts the votes.
  */
 
 import {
@@ -18,40 +18,40 @@
 import { type StoreState, noLogPosition, ownId } from '../state/state.js';
 import { isNewerLogPosition, isSameLogPosition } from '../state/table.js';
 
-/** How old a peer's status may be that counts as evidence, in milliseconds (as all times here). */
+/** Maximum age of a peer's status that counts as evidence. */
 const evidenceMaxAgeMs = 500;
 
-/** How long the primary must be silent before a backup asks for the lease. */
+/** Silence of the primary after which a backup campaigns for the lease. */
 export const primaryTimeoutMs = 700;
 
-/** How much longer each backup waits than the one before it, so that not all ask at once. */
+/** Additional delay per rank of a backup, so that backups do not campaign at the same time. */
 const candidacyDelayPerRankMs = 40;
 
-/** How much longer a learner waits than the backups before it asks whether it was promoted. */
+/** Additional delay of a learner before it campaigns in case it was promoted. */
 const learnerCandidacyDelayMs = 300;
 
-/** How long a store whose voters are all recovering waits for silent members of its in-sync set. */
+/** Silence after which a store with recovering voters stops waiting for a member of its in-sync set. */
 const silentPeerTimeoutMs = 1400;
 
-/** How long it waits for others to be heard when a member of its in-sync set has lost its disk. */
+/** Time after the start during which a store waits for all members of its in-sync set to report. */
 const lostDiskWaitMs = 1000;
 
-/** Whether this store is the primary: it holds the lease, and the metadata of its epoch is on every disk it must be on. */
+/** Whether this store is the primary: it holds the lease and serves. */
 export const isPrimary = (state: StoreState, now: Timestamp): boolean =>
   state.isServing && holdsLease(state.candidate, now);
 
-/** Whether the table is the state at its stamp: while a resync changes it there is no such stamp. */
+/** Whether the table is the state at a log position; not the case while a resync changes it. */
 const hasConsistentTable = (state: StoreState): boolean =>
   !isSameLogPosition(state.logPosition, noLogPosition);
 
-/** Whether this store holds every committed write, as far as it knows. */
+/** Whether this store holds every committed write, to its own knowledge. */
 export const isInSync = (state: StoreState): boolean =>
   state.metadata !== undefined &&
   hasConsistentTable(state) &&
   state.metadata.inSyncSet.includes(ownId(state)) &&
   state.excludedAtEpoch <= state.metadata.epoch;
 
-/** What a peer's status says of epochs after this store's own. */
+/** Evidence from a peer's status about epochs later than this store's own. */
 type PeerEvidence = 'same' | 'later' | 'empty' | 'silent';
 
 const peerEvidence = (
@@ -69,8 +69,12 @@
     : 'same';
 };
 
-/** Whether a store is heard that belongs to a later in-sync set without this one. */
-const newerPrimaryHeard = (state: StoreState, metadata: ClusterMetadata, now: Timestamp): boolean =>
+/** Whether a peer reports a later epoch whose in-sync set excludes this store. */
+const hasHeardNewerPrimary = (
+  state: StoreState,
+  metadata: ClusterMetadata,
+  now: Timestamp,
+): boolean =>
   [...state.peers.values()].some(
     (peer) =>
       now - peer.heardAt < silentPeerTimeoutMs &&
@@ -80,8 +84,8 @@
   );
 
 /**
- * Whether no later primary can have committed anything without this store, by the evidence of its in-sync set. Then
- * the votes of recovering voters count.
+ * Whether the status of its in-sync set proves that no later primary committed a write without this store. The votes
+ * of recovering voters are counted in that case.
  */
 const survivorsProveNoNewerPrimary = (
   state: StoreState,
@@ -97,7 +101,7 @@
         heardAt: Math.max(peer?.heardAt ?? state.startedAt, state.startedAt),
       };
     });
-  if (newerPrimaryHeard(state, metadata, now)) return false;
+  if (hasHeardNewerPrimary(state, metadata, now)) return false;
   if (others.every(({ evidence }) => evidence === 'same')) return true;
   if (
     metadata.epoch === noEpoch ||
@@ -105,7 +109,9 @@
     now - state.startedAt < lostDiskWaitMs
   )
     return false;
-  // A lost disk can't have been in a later set; a silent store can, but only if it lost all that are heard at once.
+  // A store that lost its disk was in no later in-sync set. A silent one may have been, but only if that set replaced
+  // all
+  // reachable members at once, which exceeds the tolerated losses.
   const silent = others.filter(({ evidence }) => evidence === 'silent');
   const same = 1 + others.filter(({ evidence }) => evidence === 'same').length;
   return (
@@ -115,7 +121,7 @@
   );
 };
 
-/** What the election package needs to know of this store to request and count votes. */
+/** Context in which the election package requests and counts votes for this store. */
 export const electionContext = (
   state: StoreState,
   metadata: ClusterMetadata,
@@ -135,7 +141,7 @@
   };
 };
 
-/** The stores of the in-sync set that are in touch, whose disks take writes, and that are not stopping. */
+/** In-sync stores that are reachable, accept writes, and are not stopping unless `includesStopping` is set. */
 export const reachableInSync = (
   state: StoreState,
   now: Timestamp,
@@ -153,22 +159,22 @@
     );
   });
 
-/** The in-sync set to ask for: this store, and those in sync that are in touch, no more than replicas are wanted. */
+/** In-sync set to request: this store and reachable in-sync stores, up to the wanted number of replicas. */
 export const chooseBackups = (state: StoreState, now: Timestamp): ClusterMetadata['inSyncSet'] => {
   const own = [ownId(state)];
-  // What a promoted learner knows of the others is older than the epoch that names it.
+  // A promoted learner's knowledge of other stores is older than the epoch that names it.
   if (!isInSync(state)) return own;
   return [...chooseReplicas(state, own, reachableInSync(state, now))];
 };
 
 /**
- * Whether this store may be in sync without knowing it: a primary had an epoch granted whose set
- * names it, and died before the metadata came here. The voters know; they grant nothing to others.
+ * Whether this store may be in sync without knowing it: a primary acquired an epoch whose in-sync set includes
+ * this store, and failed before its metadata arrived. The voters know that set and refuse stores outside it.
  */
 const mayBePromoted = (state: StoreState): boolean =>
   state.metadata !== undefined && !isInSync(state) && hasConsistentTable(state);
 
-/** Whether this store may and should ask for the lease. */
+/** Whether this store should campaign for the lease. */
 export const wantsElection = (state: StoreState, now: Timestamp): boolean => {
   if (state.phase !== 'member' || now < state.standDownUntil) return false;
   if (!isInSync(state) && !mayBePromoted(state)) return false;
@@ -182,7 +188,7 @@
   );
 };
 
-/** Gives the lease up, and doesn't ask for it again for `standDownMs`. */
+/** Releases the lease and does not campaign for `standDownMs`. */
 export const resignLease = (
   state: StoreState,
   standDownMs: number,
--- a/packages/replicated-store/src/leadership/electorate-changes.ts
+++ b/packages/replicated-store/src/leadership/electorate-changes.ts
@@ -1,6 +1,6 @@
 /**
- * Lets the electorate follow the registries that are in touch. Which change is due is decided in
- * electorate.ts; this module puts it into the queue of commands.
+ * Automatic membership changes of the electorate. `electorate.ts` decides the next change; this module adds it to
+ * the command queue.
  */
 
 import { type Timestamp, prependEffects, toTimestamp, transition } from '@switchwheel/types';
@@ -10,18 +10,20 @@
 import type { StoreState } from '../state/state.js';
 import type { StoreTransition } from '../state/transition.js';
 
-/** Has the lease renewed with the next tick: a change of the electorate waits for it. */
+/** Makes the lease renewal due at the next tick, as a change of the electorate waits for it. */
 const renewLeaseSoon = (state: StoreState): StoreState => {
   const { candidate } = state;
   if (candidate.phase.phase !== 'holdingLease') return state;
-  const due = toTimestamp(Math.max(0, candidate.phase.renewalRequestedAt - candidate.leaseMs));
+  const renewalRequestedAt = toTimestamp(
+    Math.max(0, candidate.phase.renewalRequestedAt - candidate.leaseMs),
+  );
   return {
     ...state,
-    candidate: { ...candidate, phase: { ...candidate.phase, renewalRequestedAt: due } },
+    candidate: { ...candidate, phase: { ...candidate.phase, renewalRequestedAt } },
   };
 };
 
-/** Lets the electorate follow the registries, one member at a time. */
+/** Queues the next change that adapts the electorate to the live registries, one member at a time. */
 export const followRegistries = (before: StoreState, now: Timestamp): StoreTransition => {
   const noted = notePolledElectorate(before, now);
   const state = noted === before ? before : renewLeaseSoon(noted);
--- a/packages/replicated-store/src/leadership/electorate.ts
+++ b/packages/replicated-store/src/leadership/electorate.ts
@@ -1,19 +1,19 @@
 /**
  * Membership changes of the electorate.
  *
- * The electorate is the set of voters of which a majority grants and renews the primary's lease. It
- * is part of the cluster metadata and changes by one member at a time, so that each majority of the
- * old one shares a voter with each majority of the new one.
+ * The electorate is the set of voters whose majority grants and renews the primary's lease. It is part of
+ * the cluster metadata and changes by one member at a time, so that every majority of the old electorate
+ * intersects every majority of the new one.
  *
- * Invariant: before the electorate with serial s is replaced, (1) the metadata that names it has been
- * committed by the primary of the current epoch, and (2) a majority of it has renewed that primary's
- * lease under s. Each voter of that majority keeps the epoch's grant and refuses ballots of an older
- * electorate from then on.
+ * Invariant: before the electorate with serial s is replaced, (1) the primary of the current epoch has
+ * committed the metadata that names it, and (2) a majority of it has renewed that primary's lease under s.
+ * Each voter of that majority keeps the grant of the epoch and refuses vote requests of older electorates
+ * from then on.
  *
- * Hence a candidate that still polls an older electorate needs a majority that shares a voter with
- * one that has both the newer serial and the newer grant, and is refused by it. Serials are unique:
- * each one that a primary makes lies in the range of its epoch, so a change that a former primary
- * wrote down but did not commit never has the serial of another one, and counts as older.
+ * A candidate that still polls an older electorate therefore needs the vote of a voter that has both the
+ * newer serial and the newer grant, and that voter refuses it. Serials are unique: each primary assigns
+ * serials from the range of its epoch, so an uncommitted change of a former primary never shares its
+ * serial with another change, and counts as older.
  */
 
 import { type Epoch, type NodeId, type Seq, type Timestamp, toSeq } from '@switchwheel/types';
@@ -24,31 +24,31 @@
 
 type Member = Electorate['members'][number];
 
-/** How recently a registry must have spoken to count as in touch. */
+/** Silence after which a registry no longer counts as live. */
 const contactTimeoutMs = 1000;
 
 const defaultRecoveryWindowMs = 4000;
 
-/** The part of `recoveryWindowMs` for which a voter is silent before its seat may go. */
+/** Fraction of `recoveryWindowMs` after which a silent voter may be removed. */
 const silentVoterShare = 0.4;
 
 const minElectorate = 3;
 
-/** How many serials each epoch has to itself. */
+/** Number of serials reserved for each epoch. */
 const serialsPerEpoch = 1_000_000;
 
-/** What an electorate can bear, the most important figure first. */
+/** Failures that an electorate tolerates, most significant measure first. */
 interface Resilience {
-  /** How many voters a majority lacks (below zero) once the largest tolerated domains are lost. */
+  /** Negative number of voters missing for a majority after the loss of the largest tolerated domains; 0 if none. */
   readonly shortOnDomainLoss: number;
-  /** Voters that may be lost at once, with those counted that are lost already. */
-  readonly machines: number;
+  /** Live voters beyond a majority: the number that may fail in addition to those already lost. */
+  readonly spareVoters: number;
   readonly live: number;
-  /** Dead voters beyond the one that an odd electorate can keep at no cost. */
+  /** Dead voters beyond one; a single dead voter costs nothing in an odd electorate. */
   readonly surplusDead: number;
 }
 
-/** What the primary knows of the registries at one moment. */
+/** Primary's view of the registries at one point in time. */
 interface Registries {
   readonly isLive: (node: NodeId) => boolean;
   readonly isDead: (node: NodeId) => boolean;
@@ -56,36 +56,38 @@
   readonly toleratedDomains: number;
 }
 
-/** The first serial that the primary of an epoch may give after this one. */
+/** Next serial after `serial` in the range of an epoch. */
 const nextSerial = (serial: Seq, epoch: Epoch): Seq =>
   toSeq(Math.max(serial + 1, epoch * serialsPerEpoch));
 
-/** Of the stored electorate and the one that voters made known, the one with the higher serial. */
-export const newerElectorate = (stored: Electorate, heard: Electorate | undefined): Electorate =>
-  heard !== undefined && heard.serial > stored.serial ? heard : stored;
+/** Returns the electorate with the higher serial: the stored one or the one reported by voters. */
+export const newerElectorate = (
+  stored: Electorate,
+  reported: Electorate | undefined,
+): Electorate => (reported !== undefined && reported.serial > stored.serial ? reported : stored);
 
-/** The newest electorate that this store knows: the one that it polls as a candidate and as primary. */
+/** Newest known electorate, which this store polls as candidate and as primary. */
 export const polledElectorate = (state: StoreState): Electorate | undefined => {
   const stored = state.metadata?.electorate;
   return stored === undefined ? undefined : newerElectorate(stored, state.session.electorate);
 };
 
-/** Notes since when the electorate that this store polls has been the one that it polls. */
+/** Records the time at which the polled electorate changed. */
 export const notePolledElectorate = (state: StoreState, now: Timestamp): StoreState => {
-  const set = polledElectorate(state);
-  if (set === undefined || set.serial === state.polledElectorate.serial) return state;
-  return { ...state, polledElectorate: { serial: set.serial, since: now } };
+  const electorate = polledElectorate(state);
+  if (electorate === undefined || electorate.serial === state.polledElectorate.serial) return state;
+  return { ...state, polledElectorate: { serial: electorate.serial, since: now } };
 };
 
 /** Whether a majority of the electorate has renewed the lease under its serial. */
-const isConfirmed = (state: StoreState, set: Electorate): boolean => {
-  const holding = state.candidate.phase;
+const isConfirmed = (state: StoreState, electorate: Electorate): boolean => {
+  const leasePhase = state.candidate.phase;
   const { serial, since } = state.polledElectorate;
-  if (holding.phase !== 'holdingLease' || serial !== set.serial) return false;
-  const renewed = set.members.filter(
-    ({ node }) => (holding.votes.get(node)?.requestedAt ?? -1) > since,
+  if (leasePhase.phase !== 'holdingLease' || serial !== electorate.serial) return false;
+  const renewed = electorate.members.filter(
+    ({ node }) => (leasePhase.votes.get(node)?.requestedAt ?? -1) > since,
   );
-  return renewed.length >= quorumSize(set.members.length);
+  return renewed.length >= quorumSize(electorate.members.length);
 };
 
 const observeRegistries = (
@@ -115,15 +117,15 @@
   };
 };
 
-/** How many of these voters are left if the largest failure domains that may be lost are. */
+/** Number of live voters left after the loss of the largest tolerated failure domains. */
 const votersAfterDomainLoss = (live: readonly Member[], registries: Registries): number => {
   const sizes = new Map<string, number>();
   for (const { node } of live) {
     const domain = registries.domainOf(node);
     sizes.set(domain, (sizes.get(domain) ?? 0) + 1);
   }
-  const largest = [...sizes.values()].sort((first, second) => second - first);
-  const lost = largest.slice(0, registries.toleratedDomains);
+  const largestFirst = [...sizes.values()].sort((first, second) => second - first);
+  const lost = largestFirst.slice(0, registries.toleratedDomains);
   return lost.reduce((left, size) => left - size, live.length);
 };
 
@@ -133,21 +135,21 @@
   const needed = quorumSize(members.length);
   return {
     shortOnDomainLoss: Math.min(0, votersAfterDomainLoss(live, registries) - needed),
-    machines: live.length - needed,
+    spareVoters: live.length - needed,
     live: live.length,
     surplusDead: Math.max(0, dead.length - 1),
   };
 };
 
-/** Above zero if the first bears more than the second. */
+/** Returns a positive number if the first electorate tolerates more than the second. */
 const compareResilience = (first: Resilience, second: Resilience): number =>
   first.shortOnDomainLoss - second.shortOnDomainLoss ||
-  first.machines - second.machines ||
+  first.spareVoters - second.spareVoters ||
   first.live - second.live ||
   second.surplusDead - first.surplusDead;
 
-/** All electorates that differ from this one by a single member. */
-const neighbours = (
+/** Electorates that differ from the given one by a single member. */
+const singleMemberChanges = (
   members: readonly Member[],
   joinable: readonly Member[],
   registries: Registries,
@@ -156,64 +158,68 @@
     registries.isDead(node) || registries.toleratedDomains > 0;
   const removals =
     members.length > minElectorate
-      ? members.filter(mayRemove).map((gone) => members.filter((member) => member !== gone))
+      ? members.filter(mayRemove).map((removed) => members.filter((member) => member !== removed))
       : [];
   const additions = joinable
-    .filter((fresh) => !members.some(({ node }) => node === fresh.node))
-    .map((fresh) => [...members, fresh]);
+    .filter((added) => !members.some(({ node }) => node === added.node))
+    .map((added) => [...members, added]);
   return [...removals, ...additions];
 };
 
 interface Proposal {
-  /** The electorate that is one change away. */
+  /** Electorate after the change. */
   readonly members: readonly Member[];
-  /** What it can bear, or what one more change would make it bear. */
-  readonly leadsTo: Resilience;
+  /** Best resilience reachable by this change, or by one further change with look-ahead. */
+  readonly reachableResilience: Resilience;
 }
 
-/** The neighbour that bears most; with `lookAhead` the one from which one more change does. */
-const bestNeighbour = (
+/** Most resilient single-member change; with `looksAhead` also considers one further change. */
+const bestChange = (
   members: readonly Member[],
   joinable: readonly Member[],
   registries: Registries,
-  lookAhead: boolean,
+  looksAhead: boolean,
 ): Proposal | undefined => {
   let best: Proposal | undefined;
-  for (const candidate of neighbours(members, joinable, registries)) {
-    const own = resilienceOf(candidate, registries);
-    // A majority of the new electorate must be in touch, or the lease would end with the change.
-    if (own.machines < 0) continue;
-    const further = lookAhead
-      ? bestNeighbour(candidate, joinable, registries, false)?.leadsTo
+  for (const changed of singleMemberChanges(members, joinable, registries)) {
+    const ownResilience = resilienceOf(changed, registries);
+    // Without a live majority of the new electorate the lease would end with the change.
+    if (ownResilience.spareVoters < 0) continue;
+    const further = looksAhead
+      ? bestChange(changed, joinable, registries, false)?.reachableResilience
       : undefined;
-    const leadsTo = further !== undefined && compareResilience(further, own) > 0 ? further : own;
-    if (best === undefined || compareResilience(leadsTo, best.leadsTo) > 0)
-      best = { members: candidate, leadsTo };
+    const reachableResilience =
+      further !== undefined && compareResilience(further, ownResilience) > 0
+        ? further
+        : ownResilience;
+    if (best === undefined || compareResilience(reachableResilience, best.reachableResilience) > 0)
+      best = { members: changed, reachableResilience };
   }
   return best;
 };
 
-/** The electorate with the one change that is due next, if there is one. */
+/** Returns the electorate after the next due change; undefined if none is due. */
 export const nextElectorate = (state: StoreState, now: Timestamp): Electorate | undefined => {
-  const set = polledElectorate(state);
-  const holding = state.candidate.phase;
-  if (set === undefined || holding.phase !== 'holdingLease') return undefined;
-  // A newer one that a former primary left behind is written down here before it is changed.
-  if (set !== state.metadata?.electorate) return set;
-  if (!isConfirmed(state, set)) return undefined;
-  const registries = observeRegistries(state, holding.wonAt, now);
+  const electorate = polledElectorate(state);
+  const leasePhase = state.candidate.phase;
+  if (electorate === undefined || leasePhase.phase !== 'holdingLease') return undefined;
+  // A newer electorate of a former primary is committed here before it is changed.
+  if (electorate !== state.metadata?.electorate) return electorate;
+  if (!isConfirmed(state, electorate)) return undefined;
+  const registries = observeRegistries(state, leasePhase.wonAt, now);
   const joinable = [...state.subscribers]
     .filter(([node]) => registries.isLive(node))
     .map(([node, { address }]: readonly [NodeId, Subscriber]) => ({ node, address }));
-  const current = resilienceOf(set.members, registries);
+  const current = resilienceOf(electorate.members, registries);
   const lacksResilience =
-    current.shortOnDomainLoss < 0 || current.machines < state.settings.tolerate;
-  const best = bestNeighbour(
-    set.members,
+    current.shortOnDomainLoss < 0 || current.spareVoters < state.settings.tolerate;
+  const best = bestChange(
+    electorate.members,
     joinable,
     registries,
     registries.toleratedDomains > 0 && lacksResilience,
   );
-  if (best === undefined || compareResilience(best.leadsTo, current) <= 0) return undefined;
-  return { serial: nextSerial(set.serial, holding.epoch), members: [...best.members] };
+  if (best === undefined || compareResilience(best.reachableResilience, current) <= 0)
+    return undefined;
+  return { serial: nextSerial(electorate.serial, leasePhase.epoch), members: [...best.members] };
 };
--- a/packages/replicated-store/src/leadership/graceful-stop.ts
+++ b/packages/replicated-store/src/leadership/graceful-stop.ts
@@ -1,6 +1,6 @@
 /**
- * Graceful stop: the lease goes to a successor that is in sync, and the store's replica to other stores, so
- * that its end is no loss. The process ends the store at the deadline, whatever is still missing.
+ * Graceful stop: hands the lease over to an in-sync successor and waits until other stores hold enough replicas.
+ * At the deadline the store stops in any case.
  */
 
 import {
@@ -20,31 +20,31 @@
 import { type StoreState, ownId } from '../state/state.js';
 import type { StoreTransition } from '../state/transition.js';
 
-/** How long a store may take to stop if the process sets no time. */
+/** Time for a graceful stop if the process sets none. */
 export const defaultStopGraceMs = 4000;
 
-/** For how long a store that stops doesn't ask for the lease again. */
+/** Time for which a stopping store does not campaign. */
 const stopStandDownMs = 60_000;
 
-/** How long open writes and queued commands may hold up the handover. */
+/** Time for which open writes and queued commands may delay the handover. */
 const drainTimeoutMs = 500;
 
-/** How long the primary has to take this store out of the in-sync set while enough others are in it. */
+/** Time that the primary has to remove this store from the in-sync set before the store stops anyway. */
 const exclusionWaitMs = 1000;
 
-/** The stores that hold every committed write, are in touch, take writes and are not stopping. */
+/** Other in-sync stores that are reachable, accept writes and are not stopping. */
 export const successors = (state: StoreState, now: Timestamp): readonly NodeId[] =>
   reachableInSync(state, now).filter(
     (node) => node !== ownId(state) && state.peers.get(node)?.isStopping !== true,
   );
 
-/** Whether a primary that stops may hand over: there is a successor, and nothing is under way. */
+/** Whether a stopping primary may hand over: it has a successor, and is idle or has waited for `drainTimeoutMs`. */
 export const mayHandOver = (state: StoreState, since: Timestamp, now: Timestamp): boolean => {
   const isIdle = state.primaryWrite === undefined && state.commandQueue.length === 0;
   return successors(state, now).length > 0 && (isIdle || now - since >= drainTimeoutMs);
 };
 
-/** Whether the fleet keeps enough replicas without this store. */
+/** Whether the fleet has enough replicas without this store. */
 export const hasEnoughReplicasElsewhere = (
   state: StoreState,
   since: Timestamp,
@@ -56,7 +56,7 @@
   return hasPrimary && isEnough && now - since >= exclusionWaitMs;
 };
 
-/** Ends this store: it gives the lease up if it still holds it, and sends a last heartbeat and status. */
+/** Stops this store: releases the lease if still held, and sends a last heartbeat and status. */
 const completeStop = (state: StoreState, now: Timestamp): StoreTransition => {
   const heartbeat = sendHeartbeat(state.session, heartbeatContent(state, now, true), now);
   const handedOver = handOverLeadership(
@@ -74,7 +74,7 @@
   );
 };
 
-/** Goes on with a stop: first the lease goes to a successor, then replicas to other stores, then this store ends. */
+/** Advances a graceful stop: hands over the lease, waits for replicas elsewhere, then stops the store. */
 export const tickStop = (state: StoreState, now: Timestamp): StoreTransition => {
   const { stopping } = state;
   if (stopping === undefined) return transition(state);
@@ -85,14 +85,14 @@
     return prependEffects(handedOver.effects, sendStatus(handedOver.state, now));
   }
   if (hasEnoughReplicasElsewhere(state, stopping.since, now)) return completeStop(state, now);
-  // Another one that is in sync is elected before this one; without any, this one has to lead.
+  // With a successor this store does not campaign; without one it must remain electable.
   const hasSuccessor = successors(state, now).length > 0;
   return transition(
     hasSuccessor ? { ...state, standDownUntil: addMs(now, stopStandDownMs) } : state,
   );
 };
 
-/** The process is asked to stop; further requests change nothing. */
+/** Starts a graceful stop; further requests have no effect. */
 export const onStopRequested = (
   state: StoreState,
   now: Timestamp,
@@ -100,7 +100,7 @@
 ): StoreTransition => {
   if (state.stopping !== undefined) return transition(state);
   const stopping = { since: now, deadline: addMs(now, graceMs) };
-  const begun = tickStop({ ...state, stopping, statusSentAt: clockOrigin }, now);
-  // A handover has sent the status already; two frames at once might overtake each other.
-  return prependEffects(begun.effects, sendStatus(begun.state, now));
+  const started = tickStop({ ...state, stopping, statusSentAt: clockOrigin }, now);
+  // No second status after a handover, which sent one already: two frames could be reordered.
+  return prependEffects(started.effects, sendStatus(started.state, now));
 };
--- a/packages/replicated-store/src/leadership/hand-over.ts
+++ b/packages/replicated-store/src/leadership/hand-over.ts
@@ -1,5 +1,5 @@
 /**
- * The end of a lease, given up or lost: commands and writes that were under way end with it.
+ * End of a lease, released or lost: pending commands and writes end with it.
  */
 
 import { type Timestamp, clockOrigin, prependEffects } from '@switchwheel/types';
@@ -8,10 +8,10 @@
 import type { StoreState } from '../state/state.js';
 import type { StoreTransition } from '../state/transition.js';
 
-/** For how long a store doesn't ask for the lease again, by the reason for which it gave it up. */
+/** Time for which a store does not campaign after releasing the lease, by reason. */
 export const standDownMs = { abandonedWriteOnDisk: 500, stalledDisk: 5000, refusedWrite: 10_000 };
 
-/** Ends all that was under way under a lease. */
+/** Drops all state that depends on the lease and abandons the open write. */
 export const endLeadership = (state: StoreState): StoreTransition =>
   abandon({
     ...state,
@@ -25,14 +25,14 @@
     shortageSince: undefined,
   });
 
-/** Gives the lease up, and with it all that was under way, and doesn't ask for it again for `durationMs`. */
+/** Releases the lease with all pending work, and does not campaign for `durationMs`. */
 export const handOverLeadership = (
   state: StoreState,
   durationMs: number,
   now: Timestamp,
 ): StoreTransition => {
   const resigned = resignLease(state, durationMs, now);
-  // The peers hear of it at once: the next status is due now.
+  // Makes the next status due, so that the peers learn of it at once.
   return prependEffects(
     resigned.effects,
     endLeadership({ ...resigned.state, statusSentAt: clockOrigin }),
--- a/packages/replicated-store/src/leadership/lease.ts
+++ b/packages/replicated-store/src/leadership/lease.ts
@@ -1,6 +1,6 @@
 /**
- * The primary's lease as a store sees it: votes are counted, a lease that was won is served, and the end of
- * one ends all that was under way. How votes are requested and counted is the election package's business.
+ * Lease of the primary at a store: applies votes and ticks to the candidacy, starts leadership when the lease is
+ * acquired and ends it when the lease is lost. The election package requests and counts the votes.
  */
 
 import { type Timestamp, prependEffects, transition } from '@switchwheel/types';
@@ -13,35 +13,38 @@
 import type { StoreState } from '../state/state.js';
 import type { StoreTransition } from '../state/transition.js';
 
-/** Follows a change of the candidate: a lease that was won is served, the end of one ends all that was under way. */
+/** Starts or ends leadership after a change of the candidate's phase. */
 const onCandidateTransition = (
   before: StoreState,
   after: StoreState,
   now: Timestamp,
 ): StoreTransition => {
-  const was = before.candidate.phase.phase;
-  const is = after.candidate.phase.phase;
-  if (was === 'requestingVotes' && is === 'holdingLease')
+  const phaseBefore = before.candidate.phase.phase;
+  const phaseAfter = after.candidate.phase.phase;
+  if (phaseBefore === 'requestingVotes' && phaseAfter === 'holdingLease')
     return prependEffects(
       [log('info', 'primary lease acquired', ['epoch', heldEpoch(after.candidate)])],
       onElected(after, now),
     );
-  if ((was === 'requestingVotes' || was === 'holdingLease') && is === 'idle')
+  if (
+    (phaseBefore === 'requestingVotes' || phaseBefore === 'holdingLease') &&
+    phaseAfter === 'idle'
+  )
     return prependEffects(
-      was === 'holdingLease' ? [log('warn', 'primary lease lost')] : [],
+      phaseBefore === 'holdingLease' ? [log('warn', 'primary lease lost')] : [],
       endLeadership(after),
     );
   return transition(after);
 };
 
-/** The session with the newest electorate that is known. */
+/** Session with the newer electorate of its own and the given one. */
 const withElectorate = (session: NodeSession, electorate: Electorate | undefined): NodeSession =>
   electorate === undefined ||
   (session.electorate !== undefined && session.electorate.serial >= electorate.serial)
     ? session
     : { ...session, electorate };
 
-/** A voter answers a request for the lease, or for its renewal. */
+/** Applies a voter's reply to a vote request or renewal. */
 export const onVote = (
   state: StoreState,
   vote: FrameOf<'vote'>,
@@ -55,7 +58,7 @@
   return onCandidateTransition(before, { ...before, candidate }, now);
 };
 
-/** Requests, renews or gives up the lease as time passes; a store without a fleet does not. */
+/** Campaigns for, renews or drops the lease as time passes; only for a member of a fleet. */
 export const tickLease = (state: StoreState, now: Timestamp): StoreTransition => {
   const { metadata } = state;
   if (metadata === undefined || state.phase !== 'member') return transition(state);
--- a/packages/replicated-store/src/leadership/primary-sightings.ts
+++ b/packages/replicated-store/src/leadership/primary-sightings.ts
@@ -1,12 +1,12 @@
 /**
- * What a store concludes from a frame of a primary: that there is one, and whether it counts this store in.
+ * Observation of a primary from its frames.
  */
 
 import type { Timestamp } from '@switchwheel/types';
 import type { ClusterMetadata } from '@switchwheel/transport';
 import { type StoreState, ownId } from '../state/state.js';
 
-/** Takes note of a primary: of its being there, and of whether it counts this store in. */
+/** Records that a primary is alive, and its epoch if its in-sync set excludes this store. */
 export const notePrimary = (
   state: StoreState,
   metadata: ClusterMetadata,
@@ -18,10 +18,11 @@
     metadata.epoch < state.metadata.epoch
   )
     return state;
-  const out = !metadata.inSyncSet.includes(ownId(state)) && metadata.epoch > state.excludedAtEpoch;
+  const isExcluded =
+    !metadata.inSyncSet.includes(ownId(state)) && metadata.epoch > state.excludedAtEpoch;
   return {
     ...state,
     primaryHeardAt: now,
-    excludedAtEpoch: out ? metadata.epoch : state.excludedAtEpoch,
+    excludedAtEpoch: isExcluded ? metadata.epoch : state.excludedAtEpoch,
   };
 };
--- a/packages/replicated-store/src/leadership/replica-placement.ts
+++ b/packages/replicated-store/src/leadership/replica-placement.ts
@@ -1,8 +1,8 @@
 /**
- * Placement of replicas: which stores make up the in-sync set, and how many losses a set bears.
+ * Placement of replicas: selection of the stores for the in-sync set, and the failures that a set tolerates.
  *
- * A set is sufficient if `tolerate` machines, and `failureDomains.tolerate` zones or regions, can be
- * lost at once with one replica left: it has a machine more, and is in a domain more.
+ * A set is sufficient if one replica is left after the loss of any `tolerate` machines or any
+ * `failureDomains.tolerate` failure domains, so it needs one more machine and one more domain than that.
  */
 
 import type { NodeId, Timestamp } from '@switchwheel/types';
@@ -10,22 +10,22 @@
 import { type StoreState, ownId } from '../state/state.js';
 import { isSameLogPosition } from '../state/table.js';
 
-/** How long a store may be silent before it counts as out of reach, in milliseconds (as all times here). */
+/** Silence after which a store counts as unreachable. */
 export const peerTimeoutMs = 1000;
 
-/** How long a learner or backup may be silent and still be chosen. */
+/** Silence after which a learner or backup is no longer chosen as a replica. */
 export const backupTimeoutMs = 650;
 
-/** How long a learner that makes no progress is waited for while there are too few replicas. */
+/** Time without progress after which a learner is no longer awaited during a shortage of replicas. */
 const learnerStallTimeoutMs = 1500;
 
-/** How long a new primary waits to hear of the stores that it has not heard yet. */
+/** Time for which a new primary waits for the first status of known stores. */
 const peerDiscoveryMs = 700;
 
-/** How recently before the election a store must have been heard for its silence since to count. */
+/** Time before the election within which a store must have sent a status for its later silence to be conclusive. */
 const recentlyHeardMs = 2000;
 
-/** The zone of a store, if this store knows it. */
+/** Zone of a store; undefined if it is not known. */
 const knownZoneOf = (
   state: StoreState,
   node: NodeId,
@@ -34,11 +34,11 @@
     ? state.session.member.area
     : state.session.members.find((member) => member.node === node)?.area;
 
-/** The zone of a store; one that is not known counts as a zone of its own. */
+/** Zone of a store; a store in an unknown zone counts as a zone of its own. */
 export const zoneOf = (state: StoreState, node: NodeId): string =>
   knownZoneOf(state, node) ?? `around ${node}`;
 
-/** The failure domain of a store, if its zone is known. */
+/** Failure domain of a store; undefined if its zone is not known. */
 const domainOf = (state: StoreState, node: NodeId): string | undefined => {
   const zone = knownZoneOf(state, node);
   return zone === undefined
@@ -49,12 +49,12 @@
 const domainsOf = (state: StoreState, set: readonly NodeId[]): ReadonlySet<string> =>
   new Set(set.map((node) => domainOf(state, node)).filter((domain) => domain !== undefined));
 
-/** Whether a set of replicas bears the losses that the settings ask it to bear. */
+/** Whether a set of replicas tolerates the failures required by the settings. */
 export const hasEnoughReplicas = (state: StoreState, set: readonly NodeId[]): boolean =>
   set.length > state.settings.tolerate &&
   domainsOf(state, set).size > (state.settings.failureDomains?.tolerate ?? 0);
 
-/** Of some stores the one in a failure domain where a set has no member. */
+/** Returns the first store in a failure domain without a member of the set. */
 const inNewDomain = (
   state: StoreState,
   set: readonly NodeId[],
@@ -76,34 +76,34 @@
   return stores.find((node) => !zones.has(zoneOf(state, node)));
 };
 
-/** Adds stores to a set until it has `copies` members and is sufficient, as far as they help. */
+/** Adds stores to a set until it has the wanted size and is sufficient, or no store improves it any more. */
 export const chooseReplicas = (
   state: StoreState,
   kept: readonly NodeId[],
   stores: readonly NodeId[],
 ): readonly NodeId[] => {
-  const wanted = Math.max(state.settings.copies, state.settings.tolerate + 1);
+  const wantedSize = Math.max(state.settings.copies, state.settings.tolerate + 1);
   const set = [...kept];
-  let left = stores.filter((node) => !set.includes(node));
-  while (set.length < wanted || !hasEnoughReplicas(state, set)) {
-    const inOtherDomain = inNewDomain(state, set, left);
-    // Beyond the wanted number only a store in a new domain helps.
+  let remaining = stores.filter((node) => !set.includes(node));
+  while (set.length < wantedSize || !hasEnoughReplicas(state, set)) {
+    const inOtherDomain = inNewDomain(state, set, remaining);
+    // Beyond the wanted size only a store in a new domain improves the set.
     const next =
-      set.length < wanted
-        ? (inOtherDomain ?? inNewZone(state, set, left) ?? left[0])
+      set.length < wantedSize
+        ? (inOtherDomain ?? inNewZone(state, set, remaining) ?? remaining[0])
         : inOtherDomain;
     if (next === undefined) break;
     set.push(next);
-    left = left.filter((node) => node !== next);
+    remaining = remaining.filter((node) => node !== next);
   }
   return set;
 };
 
-/** Whether a peer belongs to this fleet, or to none yet. */
+/** Whether a peer belongs to this fleet or to none yet. */
 const mayJoin = (state: StoreState, peer: PeerStatus): boolean =>
   peer.metadata === undefined || peer.metadata.fleet === state.metadata?.fleet;
 
-/** The stores in reach, with working disks, that are no members of a set. */
+/** Reachable stores outside a set that accept writes and are not stopping. */
 const reachableLearners = (
   state: StoreState,
   set: readonly NodeId[],
@@ -118,7 +118,7 @@
       mayJoin(state, peer),
   );
 
-/** The stores outside of a set that hold every committed write, by their own status. */
+/** Reachable stores outside a set whose status shows that they hold every committed write. */
 export const caughtUpLearners = (
   state: StoreState,
   set: readonly NodeId[],
@@ -138,7 +138,7 @@
   state.primaryWrite !== undefined &&
   isSameLogPosition(peer.logPosition, state.primaryWrite.logPosition);
 
-/** Whether a store that a new primary knows of has not been heard lately: its status may still come. */
+/** Whether a new primary still waits for the first status of a known store. */
 const awaitsFirstStatus = (state: StoreState, set: readonly NodeId[], now: Timestamp): boolean => {
   const lease = state.candidate.phase;
   if (lease.phase !== 'holdingLease' || now - lease.wonAt >= peerDiscoveryMs) return false;
@@ -153,7 +153,7 @@
   );
 };
 
-/** Whether a store may soon be taken into a set that is not sufficient. */
+/** Whether a store may soon be added to an insufficient set. */
 export const awaitsLearner = (state: StoreState, set: readonly NodeId[], now: Timestamp): boolean =>
   awaitsFirstStatus(state, set, now) ||
   reachableLearners(state, set, now).some(
--- a/packages/replicated-store/src/log-write/abandoned-write.ts
+++ b/packages/replicated-store/src/log-write/abandoned-write.ts
@@ -1,5 +1,5 @@
 /**
- * Writes that a primary can't finish: whether they take effect is not known, and the replies say so.
+ * Writes that a primary abandons: whether they take effect is unknown, and the replies report that.
  */
 
 import { clockOrigin, transition } from '@switchwheel/types';
@@ -11,15 +11,17 @@
 import { withPuts } from '../state/table.js';
 import type { StoreTransition } from '../state/transition.js';
 
-/** Replies to all callers of a write that its outcome is not known. */
+/** Builds a reply to each caller of a write that its outcome is unknown. */
 export const unknownOutcomeReplies = (replies: readonly CommandReply[]): readonly StoreEffect[] =>
   replies.map(sendUnknownOutcome);
 
-/** Keeps in the table what is on this disk alone: a later resync finds by the digests how it differs from the primary's. */
+/**
+ * Applies a write that only this disk has; a later resync detects the difference from the primary by range digests.
+ */
 export const applyLocally = (state: StoreState, primaryWrite: PrimaryWrite): StoreState => ({
   ...state,
   primaryWrite: undefined,
-  // What a restart would read: the disk has the metadata of this write, and its epoch only goes up.
+  // Matches what a restart would read from disk; the epoch of the metadata never decreases.
   metadata: primaryWrite.metadata,
   standDownUntil: clockOrigin,
   logPosition: primaryWrite.logPosition,
@@ -27,7 +29,7 @@
   control: primaryWrite.controlAfter,
 });
 
-/** Gives up the write that is open; the replies say that its outcome is not known. */
+/** Abandons the open write and replies to its callers that the outcome is unknown. */
 export const abandon = (state: StoreState): StoreTransition => {
   const primaryWrite = state.primaryWrite;
   if (primaryWrite === undefined || primaryWrite.phase === 'abandoned') return transition(state);
--- a/packages/replicated-store/src/log-write/acknowledgements.ts
+++ b/packages/replicated-store/src/log-write/acknowledgements.ts
@@ -1,5 +1,5 @@
 /**
- * What the acknowledgements of backups say of these backups.
+ * Updates of a peer's status from its acknowledgements and refusals of writes.
  */
 
 import type { NodeId, Timestamp } from '@switchwheel/types';
@@ -7,7 +7,7 @@
 import type { PeerStatus } from '../state/peers.js';
 import type { StoreState } from '../state/state.js';
 
-/** Notes how far a store has come by its acknowledgement. */
+/** Records the log position that a store acknowledged. */
 export const noteAcknowledgement = (
   state: StoreState,
   acknowledgement: FrameOf<'replicated'>,
@@ -25,7 +25,7 @@
   return { ...state, peers: new Map([...state.peers, [acknowledgement.node, row]]) };
 };
 
-/** A backup that refused a write is no candidate for the next set before it speaks again. */
+/** Excludes a backup that refused a write from the next in-sync set until it sends another status. */
 export const noteRefusal = (state: StoreState, node: NodeId): StoreState => {
   const peer = state.peers.get(node);
   if (peer === undefined) return state;
--- a/packages/replicated-store/src/log-write/backup-replacement.ts
+++ b/packages/replicated-store/src/log-write/backup-replacement.ts
@@ -1,32 +1,32 @@
 /**
  * Replacement of backups.
  *
- * A backup that is silent, refuses a write, or lost its disk is replaced by a learner within one
- * change of the epoch. Invariants:
+ * A backup that is silent, refuses a write, or lost its disk is replaced by a learner in a single epoch
+ * change. Invariants:
  *
- * 1. A store is named in the set of an epoch only if it holds every committed write. Its stamp shows it:
- *    a store has a stamp S only if its table is the state after the write S, since it took each write
- *    directly after the prior one, or compared its digests with those that the primary had at S.
- *    A resync that has begun takes the stamp away, in the same disk write.
- * 2. Nothing is confirmed under an epoch before the metadata of the epoch is on the disks of its
- *    whole set. Acknowledgements bear the epoch of the metadata that went to the disk with the write.
- * 3. Voters grant an epoch only to members of the set of the newest epoch that they granted.
+ * 1. A store is in the in-sync set of an epoch only if it holds every committed write. Its log position
+ *    proves it: a store has the log position P only if its table is the state after the write P, because it
+ *    applied each write directly after the previous one, or matched its digests with the primary's at P.
+ *    The first disk write of a resync also clears the log position.
+ * 2. No write is confirmed in an epoch before every member of the in-sync set has the metadata of that epoch on
+ *    disk. Acknowledgements carry the epoch of the metadata that was written together with the write.
+ * 3. Voters grant an epoch only to members of the in-sync set of the newest epoch that they granted.
  *
- * Why no confirmed write is lost when the primary dies between two steps, under the epoch e with the
- * set I, after it asked for e+1 with the set J:
+ * No confirmed write is lost if the primary of epoch e with the in-sync set I fails at any point after
+ * it requested e+1 with the in-sync set J:
  *
- * - Before a majority granted e+1: members of I may be elected, and hold every confirmed write.
- * - After that, before the metadata of e+1 is on every disk of J: only members of J may be elected.
- *   Those of I know it. A learner in J has the metadata of an earlier epoch and asks the voters
- *   without knowing; they grant to it, and to no store that J leaves out. It counts no voter that
- *   lost its memory, and stands with a set of its own alone, as what it knows of others is older.
- *   By 1 it holds all that was confirmed until e+1 was asked for, and by 2 nothing was since.
- * - After that: the metadata of e+1 is on the disks of J, and the write that was open too.
+ * - Before a majority has granted e+1, members of I can be elected, and they hold every confirmed write.
+ * - From then until every member of J has the metadata of e+1 on disk, only members of J can be elected.
+ *   A learner in J still has the metadata of an earlier epoch and campaigns without knowing its promotion;
+ *   the voters grant it the lease, and refuse every store outside J. It ignores votes of recovering voters
+ *   and requests an in-sync set of itself alone, because its knowledge of the others is outdated.
+ *   By 1 it holds every write confirmed until e+1 was requested, and by 2 none was confirmed since.
+ * - Afterwards the members of J have both the metadata of e+1 and the open write on disk.
  *
- * Two changes in a row are two such steps, as the second is asked for under the first. A write that
- * is on some disks under e keeps its stamp under e+1, and is committed once all of J acknowledged it under
- * the metadata of e+1. A backup that returns with an empty disk says so and is replaced; one that
- * returns with the disk that it had before e+1 is refused by the voters, and resynced.
+ * Two consecutive changes are two such steps, as the second is requested under the first. A write that
+ * reached some disks under e keeps its log position under e+1 and is committed once all of J have acknowledged
+ * it with the metadata of e+1. A backup that returns with an empty disk reports that and is replaced; one that
+ * returns with its disk from before e+1 is refused by the voters and resynced.
  */
 
 import { type NodeId, type Timestamp, prependEffects, transition } from '@switchwheel/types';
@@ -43,11 +43,11 @@
 import type { StoreState } from '../state/state.js';
 import type { StoreTransition } from '../state/transition.js';
 
-/** Notes since when there have been too few replicas. */
+/** Records the start of a shortage of replicas. */
 export const noteShortage = (state: StoreState, now: Timestamp): StoreState =>
   state.shortageSince === undefined ? { ...state, shortageSince: now } : state;
 
-/** The stores of the metadata, with those of a set that are not in it yet. */
+/** Stores of the metadata, extended by the members of an in-sync set that it does not name yet. */
 const storesWith = (
   state: StoreState,
   metadata: ClusterMetadata,
@@ -61,7 +61,7 @@
   return [...metadata.stores, ...added];
 };
 
-/** Asks the voters for an epoch with this in-sync set. */
+/** Requests an epoch with this in-sync set from the voters. */
 export const requestInSyncSet = (
   state: StoreState,
   set: readonly NodeId[],
@@ -78,7 +78,7 @@
   return transition({ ...next, candidate: election.state }, ...election.effects);
 };
 
-/** Whether a backup that is late is still in touch and has not refused: its disk may only be slow. */
+/** Whether a late backup is still reachable and has not refused the write: its disk may just be slow. */
 const awaitsLateBackup = (state: StoreState, lost: readonly NodeId[], now: Timestamp): boolean =>
   lost.some((node) => {
     const peer = state.peers.get(node);
@@ -91,8 +91,8 @@
   });
 
 /**
- * Whether waiting may bring another replica. A primary that does not serve yet can resync nobody, so
- * it goes on with what there is; operators' commands wait for the replicas once it serves.
+ * Whether another replica may become available by waiting. A primary that does not serve yet cannot resync
+ * learners, so it continues with the replicas at hand; operators' commands wait for more once it serves.
  */
 const mayBecomeEnough = (
   state: StoreState,
@@ -104,8 +104,8 @@
   (awaitsLearner(state, [...set, ...lost], now) || awaitsLateBackup(state, lost, now));
 
 /**
- * Replaces backups by learners that have caught up, in one change of the epoch. While there are too
- * few of them but stores in reach that may catch up, nothing changes and an open write stays open.
+ * Replaces lost backups by caught-up learners in a single epoch change. If there are too few of them but a
+ * reachable store may still catch up, nothing changes and an open write stays open.
  */
 export const replaceBackups = (
   state: StoreState,
@@ -123,7 +123,7 @@
     ? log('warn', 'backups replaced', ['lost', lost.join(', ')], ['set', set.join(', ')])
     : log(
         'error',
-        'in-sync set reduced: no other store in reach has a working disk',
+        'in-sync set reduced: no other reachable store has a working disk',
         ['lost', lost.join(', ')],
         ['set', set.join(', ')],
       );
--- a/packages/replicated-store/src/log-write/backup-write.ts
+++ b/packages/replicated-store/src/log-write/backup-write.ts
@@ -1,6 +1,6 @@
 /**
- * Writes that the primary replicates to this store: they are taken in the order of their stamps, put on the
- * disk, and acknowledged. Also the end of a resync's and a bootstrap's write, as one write is open at a time.
+ * Writes that the primary replicates to this store: accepted in the order of their log positions, written to disk
+ * and acknowledged. Also completes the writes of a resync or bootstrap, as only one write is open at a time.
  */
 
 import { type Timestamp, clockOrigin, prependEffects, transition } from '@switchwheel/types';
@@ -16,10 +16,10 @@
 import { type Table, isSameLogPosition, withPuts } from '../state/table.js';
 import type { StoreTransition } from '../state/transition.js';
 
-/** How many writes may wait; a store that is further behind is resynced. */
+/** Maximum number of queued writes; a store that falls further behind is resynced. */
 const maxQueuedReplications = 16;
 
-/** The reply to the primary: the write is on this disk, or why not. */
+/** Reply to the primary that the write is on this disk, or the reason why it is not. */
 const acknowledgement = (
   state: StoreState,
   backupWrite: Pick<BackupWrite, 'replyTo' | 'metadata' | 'logPosition'>,
@@ -36,7 +36,7 @@
     text,
   });
 
-/** Keeps a write that came while another one is on its way to the disk: without it a learner would have a gap. */
+/** Queues a write received while another one is being written; dropping it would leave a gap at a learner. */
 const queueReplication = (
   state: StoreState,
   from: Peer,
@@ -51,7 +51,7 @@
     : { ...state, replicationQueue: [...state.replicationQueue, { from, frame: write }] };
 };
 
-/** Takes the next write that waits, if there is one and the disk is free. */
+/** Starts the next queued write if no other write is open. */
 const continueReplication = (state: StoreState, now: Timestamp): StoreTransition => {
   const [next, ...rest] = state.replicationQueue;
   if (next === undefined || state.backupWrite !== undefined) return transition(state);
@@ -59,7 +59,7 @@
   return prependEffects(taken.effects, continueReplication(taken.state, now));
 };
 
-/** The primary replicates a write: it is taken if it follows the last one that is here. */
+/** Handles a replicated write: accepts it if it directly follows the last write of this store. */
 export const onReplicate = (
   before: StoreState,
   from: Peer,
@@ -77,7 +77,7 @@
   if (state.backupWrite !== undefined) return transition(queueReplication(state, from, write));
   if (state.primaryWrite !== undefined) return transition(state);
   const isRequired = write.metadata.inSyncSet.includes(ownId(state));
-  // It may have the write itself already, from before the in-sync set changed.
+  // The store may already have this write from before the in-sync set changed.
   const isNext =
     isSameLogPosition(state.logPosition, write.prior) ||
     isSameLogPosition(state.logPosition, write.stamp);
@@ -96,7 +96,7 @@
   });
 };
 
-/** The reply to a bootstrap; none is due if this store was not asked by a command. */
+/** Reply to a bootstrap request; none if the write has no command id. */
 const bootstrapReply = (
   state: StoreState,
   backupWrite: BackupWrite,
@@ -108,7 +108,7 @@
   return [send(backupWrite.replyTo, { kind: 'bootstrapped', id, node: ownId(state), ok, text })];
 };
 
-/** The table with a write in it; entries of a resync keep the stamps that they have at the primary. */
+/** Table with a write applied; entries of a resync keep their log positions from the primary. */
 const tableWith = (
   table: Table,
   {
@@ -124,7 +124,7 @@
         table,
       );
 
-/** A write that was taken from elsewhere is on this disk: it is acknowledged, and the next one is taken. */
+/** Handles the completion of a backup write: acknowledges it and starts the next one. */
 export const onBackupWriteSynced = (
   before: StoreState,
   writeId: number,
@@ -162,7 +162,7 @@
   return prependEffects(resumed.effects, continueReplication(resumed.state, now));
 };
 
-/** The disk did not take a write that came from elsewhere; what waited behind it is dropped. */
+/** Handles a failed backup write; queued writes are dropped. */
 export const onBackupWriteFailed = (
   state: StoreState,
   { writeId, reason, isDiskFull, now }: WriteFailed,
--- a/packages/replicated-store/src/log-write/commit.ts
+++ b/packages/replicated-store/src/log-write/commit.ts
@@ -1,6 +1,6 @@
 /**
- * Commit of a write that is on every disk it must be on: the state takes it in, callers are answered, and
- * registries are fed.
+ * Commit of a write that the whole in-sync set has on disk: applies it to the state, replies to its callers and
+ * sends the feed to the registries.
  */
 
 import { type Timestamp, toTimestamp, transition } from '@switchwheel/types';
@@ -15,13 +15,13 @@
 import { withPuts } from '../state/table.js';
 import type { StoreTransition } from '../state/transition.js';
 
-/** At most how often a rollout is advanced by what its nodes report; the first report counts at once. */
+/** Minimum interval between rollout advances caused by node reports; the first report takes effect at once. */
 const rolloutThrottleMs = 250;
 
-/** One object for all, so that a state without held chunks equals the next. */
+/** Shared empty map, so that states without held chunks compare equal. */
 const noHeldChunks: StoreState['heldChunks'] = new Map();
 
-/** Families of keys that change nothing that nodes are to run. */
+/** Prefixes of keys that do not affect the desired state of nodes. */
 const keyPrefixesWithoutNodeChange = [
   'purge/',
   'call/',
@@ -31,7 +31,7 @@
   'origin/',
 ];
 
-/** Whether a write may change what nodes are to run, or is the first of its epoch. */
+/** Whether a write may change the desired state of nodes, or is the first of its epoch. */
 const changesNodes = (state: StoreState, primaryWrite: PrimaryWrite): boolean =>
   !state.isServing ||
   state.isReadOnly ||
@@ -40,10 +40,10 @@
     ({ key }) => !keyPrefixesWithoutNodeChange.some((prefix) => key.startsWith(prefix)),
   );
 
-/** Whether a write is the first of an epoch, by which this store begins to serve. */
+/** Whether committing a write makes this store begin to serve or leave read-only mode. */
 const beginsServing = (state: StoreState): boolean => !state.isServing || state.isReadOnly;
 
-/** The state with a committed write in it. */
+/** State with a committed write applied. */
 const withCommitted = (
   state: StoreState,
   primaryWrite: PrimaryWrite,
@@ -68,7 +68,7 @@
 
 const rolloutKeyPrefixes = ['node/', 'target/', 'rollout/'];
 
-/** When the open rollout is advanced next: soon if something that it rests on changed. */
+/** Time of the next rollout advance: soon if a write changed a record that the rollout depends on. */
 const nextRolloutAdvance = (
   state: StoreState,
   primaryWrite: PrimaryWrite,
@@ -82,7 +82,7 @@
   return toTimestamp(Math.min(state.rolloutsDueAt ?? Infinity, earliest));
 };
 
-/** Whether no configuration is on its way that may rely on chunks in memory. */
+/** Whether no pending configuration may depend on chunks in memory. */
 const needsNoChunks = (state: StoreState): boolean =>
   state.awaitingChunks.size === 0 &&
   state.compiling.size === 0 &&
@@ -90,7 +90,7 @@
     (command) => command.kind === 'applyConfiguration' || command.kind === 'storeChunks',
   );
 
-/** Takes in a write that is on every disk it must be on, answers its callers and feeds the registries. */
+/** Commits a write that the whole in-sync set has on disk, replies to its callers and sends the feed. */
 export const commitWrite = (
   before: StoreState,
   primaryWrite: PrimaryWrite,
@@ -100,7 +100,7 @@
   const changesConfiguration =
     state.control.configuration?.offer.generation !==
     before.control.configuration?.offer.generation;
-  // A rollout that was just opened is advanced at once: the throttle is for what its nodes report.
+  // A new rollout is advanced at once: the throttle only limits advances caused by node reports.
   const plansRollout = changesConfiguration || beginsServing(before);
   const rolloutCommands: readonly Command[] = plansRollout
     ? [{ kind: 'planRollout' }, { kind: 'advanceRollout' }]
@@ -122,7 +122,7 @@
   );
 };
 
-/** The recorded result of a canary, to the service leader that reported on it. */
+/** Sends the recorded result of a canary to the service leader that reported on it. */
 export const canaryReplies = (
   control: StoreState['control'],
   { to, report }: PrimaryWrite['canaryReports'][number],
--- a/packages/replicated-store/src/log-write/disk-writes.ts
+++ b/packages/replicated-store/src/log-write/disk-writes.ts
@@ -1,5 +1,5 @@
 /**
- * Opening a write, as primary and as backup, and the effect that puts it on this store's own disk.
+ * Creation of primary and backup writes, and the effects that write them to this store's own disk.
  */
 
 import { type Timestamp, transition } from '@switchwheel/types';
@@ -8,10 +8,10 @@
 import type { StoreState } from '../state/state.js';
 import type { StoreTransition } from '../state/transition.js';
 
-/** The acknowledgements of a write that no backup has confirmed yet. */
+/** Empty set of acknowledgements, for a write that no backup has acknowledged yet. */
 export const noAcknowledgements: PrimaryWrite['acknowledgedBy'] = new Set();
 
-/** A new write, about to go to the own disk. */
+/** Creates a primary write in the phase `writingToDisk`. */
 export const newPrimaryWrite = (
   state: StoreState,
   content: Pick<
@@ -30,7 +30,7 @@
   previousLogPosition: state.logPosition,
 });
 
-/** Puts a write of the primary on its own disk. */
+/** Effect that writes a primary write to the primary's own disk. */
 export const diskWrite = ({
   id,
   metadata,
@@ -49,8 +49,8 @@
 });
 
 /**
- * Opens a write that this store takes from elsewhere and puts it on the disk. A bootstrap, and the first write to a
- * damaged disk, clear the disk first.
+ * Opens a backup write and writes it to disk. A bootstrap, and the first write to a damaged disk, wipe the disk
+ * first.
  */
 export const startBackupWrite = (
   state: StoreState,
--- a/packages/replicated-store/src/log-write/epoch-metadata.ts
+++ b/packages/replicated-store/src/log-write/epoch-metadata.ts
@@ -1,6 +1,6 @@
 /**
- * The cluster metadata of a new epoch: a store that won the lease writes it before anything else, and a primary
- * whose disk had no room for it tries again.
+ * Cluster metadata of a new epoch: a store that acquired the lease writes it first, and a primary whose disk was
+ * full retries it.
  */
 
 import { type Timestamp, clockOrigin, nextSeq, transition } from '@switchwheel/types';
@@ -12,10 +12,10 @@
 import type { StoreState } from '../state/state.js';
 import type { StoreTransition } from '../state/transition.js';
 
-/** How often a full disk is tried again for the metadata of an epoch. */
+/** Interval between attempts to write the metadata of an epoch to a full disk. */
 const fullDiskRetryMs = 1000;
 
-/** Opens a write that changes nothing but the cluster metadata. */
+/** Opens a write that changes only the cluster metadata. */
 export const writeMetadata = (
   state: StoreState,
   metadata: ClusterMetadata,
@@ -40,14 +40,14 @@
   );
 };
 
-/** The metadata of the epoch that this store was granted. */
+/** Cluster metadata for the epoch in which this store holds the lease. */
 const metadataOfLease = (state: StoreState, metadata: ClusterMetadata): ClusterMetadata => ({
   ...metadata,
   epoch: heldEpoch(state.candidate),
   inSyncSet: [...state.candidate.inSyncSet],
 });
 
-/** A primary whose full disk didn't take the metadata of its epoch tries it again now and then. */
+/** Retries the metadata write of a read-only primary at a fixed interval. */
 export const retryMetadata = (state: StoreState, now: Timestamp): StoreTransition => {
   if (
     !state.isReadOnly ||
@@ -59,7 +59,7 @@
   return writeMetadata({ ...state, diskFullAt: now }, metadataOfLease(state, state.metadata), now);
 };
 
-/** This store won the lease: the metadata of its epoch is written before anything else. */
+/** Handles the acquisition of the lease: writes the metadata of the new epoch before any other write. */
 export const onElected = (state: StoreState, now: Timestamp): StoreTransition => {
   const { metadata, primaryWrite } = state;
   if (metadata === undefined) return transition(state);
@@ -68,7 +68,7 @@
   const metadataOfEpoch = metadataOfLease(state, metadata);
   if (primaryWrite === undefined || !state.isServing)
     return writeMetadata({ ...state, primaryWrite: undefined }, metadataOfEpoch, now);
-  // A write was open when the in-sync set changed: it goes on under the new metadata.
+  // The write was open when the in-sync set changed: it continues under the new metadata.
   const next: PrimaryWrite = {
     ...primaryWrite,
     id: state.nextWriteId,
--- a/packages/replicated-store/src/log-write/primary-write.ts
+++ b/packages/replicated-store/src/log-write/primary-write.ts
@@ -1,6 +1,6 @@
 /**
- * A write of the primary, from the queue of commands to its end: first it is on the primary's own disk, then
- * on those of all backups in sync, and only then it counts and is acknowledged (commit.ts). One write is open at a time.
+ * Life cycle of a primary write: taken from the command queue, written to the primary's own disk, replicated to
+ * every in-sync backup, and then committed and confirmed (commit.ts). One write is open at a time.
  */
 
 import { type Timestamp, nextSeq, prependEffects, transition } from '@switchwheel/types';
@@ -28,22 +28,22 @@
 import type { StoreState } from '../state/state.js';
 import type { StoreTransition } from '../state/transition.js';
 
-/** How long a backup may take before another store replaces it. */
+/** Time that a backup may take to acknowledge a write before it is replaced. */
 export const replicationTimeoutMs = 400;
 
-/** How long the own disk may make no progress before the lease is given up. */
+/** Time that a write to the own disk may take before the primary releases the lease. */
 export const diskTimeoutMs = 700;
 
-/** How long a backup may be silent before the write is sent to it again. */
+/** Interval after which a write is sent again to backups that have not acknowledged it. */
 const resendIntervalMs = 150;
 
-/** What an operator waits before it sends a command again that the disk refused. */
+/** Retry delay for operators whose command failed because of a disk error. */
 const diskRefusedRetryMs = 2000;
 
-/** How recently a backup must have been heard to take the lease over from a primary whose disk is full. */
+/** Maximum silence of a backup that can succeed a primary with a full disk. */
 const successorHeardWithinMs = 1000;
 
-/** Makes one write of the commands that wait, in their order, unless one is open. */
+/** Opens a write for the queued commands, in queue order, unless one is already open. */
 export const startWrite = (state: StoreState, now: Timestamp): StoreTransition => {
   const { metadata } = state;
   if (
@@ -84,11 +84,11 @@
   );
 };
 
-/** Whether this store holds the lease under whose epoch a write is open. */
+/** Whether this store holds the lease in the epoch of the open write. */
 const holdsLeaseOf = (state: StoreState, primaryWrite: PrimaryWrite, now: Timestamp): boolean =>
   holdsLease(state.candidate, now) && heldEpoch(state.candidate) === primaryWrite.metadata.epoch;
 
-/** The own disk has the write: the backups are next, all in sync must have it too. */
+/** Handles the completion of a write to the own disk: replicates the write to the backups. */
 export const onPrimaryWriteSynced = (
   state: StoreState,
   writeId: number,
@@ -114,7 +114,7 @@
   return transition({ ...state, primaryWrite: next }, ...replicateToAll(state, next, now));
 };
 
-/** Whether a backup that is in sync can take the lease over and has room on its disk. */
+/** Whether an in-sync backup with free disk space can take over the lease. */
 const hasSuccessorWithRoom = (
   state: StoreState,
   primaryWrite: PrimaryWrite,
@@ -128,7 +128,7 @@
       now - peer.heardAt < successorHeardWithinMs,
   );
 
-/** The own disk did not take the write: it never takes effect, unless this disk has had it since before. */
+/** Handles a failed write to the own disk: the write never takes effect, unless this disk already had it. */
 export const onPrimaryWriteFailed = (
   state: StoreState,
   { writeId, reason, isDiskFull, now }: WriteFailed,
@@ -143,7 +143,7 @@
       );
   const next: StoreState = {
     ...(primaryWrite.isOnOwnDisk ? applyLocally(state, primaryWrite) : state),
-    // The disk has the write under the metadata from before: it refused the newer one.
+    // The disk still has the previous metadata, as it refused the new one.
     metadata: state.metadata,
     primaryWrite: undefined,
     diskFullAt: isDiskFull ? now : state.diskFullAt,
@@ -154,7 +154,7 @@
       [logLine, ...rejections],
       handOverLeadership(next, standDownMs.refusedWrite, now),
     );
-  // Without a successor reads and feeds go on, and writes are rejected until there is room.
+  // Without a successor, reads and feeds continue, and writes are rejected until there is disk space.
   const isEpochWritten = state.isServing && primaryWrite.metadata.epoch === state.metadata?.epoch;
   return transition(
     { ...next, isServing: true, isReadOnly: state.isReadOnly || !isEpochWritten },
@@ -163,7 +163,7 @@
   );
 };
 
-/** Whether an acknowledgement is for the open write, under the metadata that it has now. */
+/** Whether an acknowledgement is for the open write with its current metadata. */
 const isForOpenWrite = (
   primaryWrite: PrimaryWrite | undefined,
   acknowledgement: FrameOf<'replicated'>,
@@ -171,10 +171,10 @@
   primaryWrite?.phase === 'replicating' &&
   acknowledgement.epoch === primaryWrite.logPosition.epoch &&
   acknowledgement.seq === primaryWrite.logPosition.seq &&
-  // One under an earlier epoch does not show that this epoch's metadata is on that disk.
+  // An acknowledgement of an earlier epoch does not prove that this epoch's metadata is on that disk.
   acknowledgement.metadataEpoch === primaryWrite.metadata.epoch;
 
-/** A backup acknowledged or refused a write: once all in sync have it, it is committed. */
+/** Handles a backup's acknowledgement or refusal; commits the write once every in-sync backup acknowledged it. */
 export const onReplicated = (
   before: StoreState,
   acknowledgement: FrameOf<'replicated'>,
@@ -200,7 +200,7 @@
   return isComplete ? commitWrite(state, next, now) : transition({ ...state, primaryWrite: next });
 };
 
-/** Replaces backups that are late, and sends the write again to those that have yet to acknowledge it. */
+/** Replaces late backups and sends the write again to backups that have not acknowledged it. */
 const tickReplication = (
   state: StoreState,
   primaryWrite: PrimaryWrite,
@@ -225,7 +225,7 @@
   return transition(resent, ...replaced.effects, ...replicateTo(open, targets));
 };
 
-/** Bounds the time that an open write takes, on the own disk and at the backups. */
+/** Enforces the timeouts of the open write on the own disk and at the backups. */
 export const tickPrimaryWrite = (state: StoreState, now: Timestamp): StoreTransition => {
   const { primaryWrite } = state;
   if (primaryWrite === undefined) return retryMetadata(state, now);
@@ -234,7 +234,7 @@
   if (primaryWrite.phase === 'replicating') return tickReplication(state, primaryWrite, now);
   if (now - primaryWrite.phaseStartedAt <= diskTimeoutMs) return transition(state);
   return prependEffects(
-    [log('error', 'disk stalled, giving up the lease')],
+    [log('error', 'disk stalled, releasing the primary lease')],
     handOverLeadership(state, standDownMs.stalledDisk, now),
   );
 };
--- a/packages/replicated-store/src/log-write/replication.ts
+++ b/packages/replicated-store/src/log-write/replication.ts
@@ -1,5 +1,5 @@
 /**
- * Sending the primary's open write to the other stores, and which of them have yet to acknowledge it.
+ * Replication of the primary's open write to other stores, and the backups whose acknowledgement is outstanding.
  */
 
 import type { Address, NodeId, Timestamp } from '@switchwheel/types';
@@ -9,7 +9,7 @@
 import type { PrimaryWrite } from '../state/open-writes.js';
 import { type StoreState, ownId } from '../state/state.js';
 
-/** Who gets each write: the stores that the metadata names, and those in touch that it doesn't name yet. */
+/** Stores that receive each write: those named by the metadata and reachable ones that it does not name yet. */
 export const replicationTargets = (
   state: StoreState,
   metadata: ClusterMetadata,
@@ -25,7 +25,7 @@
   return [...named, ...others.map(({ node, address }) => ({ node, address }))];
 };
 
-/** The backups in sync that have yet to acknowledge a write. */
+/** In-sync backups that have not acknowledged a write yet. */
 export const unacknowledgedBackups = (
   state: StoreState,
   primaryWrite: PrimaryWrite,
@@ -42,7 +42,7 @@
   puts: [...primaryWrite.puts],
 });
 
-/** Sends a write to some stores. */
+/** Sends a write to the given stores. */
 export const replicateTo = (
   primaryWrite: PrimaryWrite,
   to: readonly ClusterMetadata['stores'][number][],
@@ -51,7 +51,7 @@
   return to.map((store) => send(store.address, frame));
 };
 
-/** Sends a write to all stores that get each write. */
+/** Sends a write to every replication target. */
 export const replicateToAll = (
   state: StoreState,
   primaryWrite: PrimaryWrite,
@@ -59,6 +59,6 @@
 ): readonly StoreEffect[] =>
   replicateTo(primaryWrite, replicationTargets(state, primaryWrite.metadata, now));
 
-/** Sends the open write to a store that has just been brought to the state before it. */
+/** Sends the open write to a learner that has just been resynced to the log position before it. */
 export const replicateOpenWrite = (state: StoreState, to: Address): readonly StoreEffect[] =>
   state.primaryWrite?.phase === 'replicating' ? [send(to, replicateFrame(state.primaryWrite))] : [];
--- a/packages/replicated-store/src/log-write/write-batch.ts
+++ b/packages/replicated-store/src/log-write/write-batch.ts
@@ -1,6 +1,6 @@
 /**
- * Which commands the next write of the primary takes, and what they come to together. The write itself is
- * primary-write.ts's business.
+ * Selection of the commands for the primary's next write, and their combined result. The write itself is handled by
+ * primary-write.ts.
  */
 
 import type { Invariant, Seq, Timestamp } from '@switchwheel/types';
@@ -12,20 +12,23 @@
 import type { PrimaryWrite } from '../state/open-writes.js';
 import type { StoreState } from '../state/state.js';
 
-/** The most commands of one write. */
+/** Maximum number of commands in one write. */
 const maxBatchCommands = 512;
 
-/** No more commands join a write once it bears so many characters: it has to fit one frame. */
+/** Size at which a write takes no further commands, so that it fits into one frame. */
 const maxBatchCharacters = 1024 * 1024;
 
 interface WriteBatch {
   readonly commands: readonly Command[];
   readonly rest: readonly Command[];
-  /** Whether operators' commands wait: there are too few replicas, and a store is on its way to become one. */
+  /** Whether operators' commands are held back: there are too few replicas, and a store may soon become one. */
   readonly lacksReplicas: boolean;
 }
 
-/** What the next write takes; operators' commands wait while a store is on its way into an in-sync set too small for them. */
+/**
+ * Selects the commands of the next write; holds back operators' commands while an undersized in-sync set awaits a
+ * learner.
+ */
 export const nextBatch = (
   state: StoreState,
   metadata: ClusterMetadata,
@@ -41,20 +44,20 @@
       rest: queue.slice(maxBatchCommands),
       lacksReplicas,
     };
-  const isOfOperator = (command: Command): boolean => 'caller' in command;
-  const own = queue.filter((command) => !isOfOperator(command));
+  const isFromOperator = (command: Command): boolean => 'caller' in command;
+  const internalCommands = queue.filter((command) => !isFromOperator(command));
   return {
-    commands: own.slice(0, maxBatchCommands),
-    rest: [...queue.filter(isOfOperator), ...own.slice(maxBatchCommands)],
+    commands: internalCommands.slice(0, maxBatchCommands),
+    rest: [...queue.filter(isFromOperator), ...internalCommands.slice(maxBatchCommands)],
     lacksReplicas,
   };
 };
 
-/** What the commands of a batch come to. */
+/** Combined result of the commands of a batch. */
 interface DecidedBatch {
-  /** The state with what an advanced rollout remembers. */
+  /** State with the rollout fields updated. */
   readonly state: StoreState;
-  /** The control state once the write is committed. */
+  /** Control state after the write is committed. */
   readonly control: ControlState;
   readonly electorate: Electorate;
   readonly puts: readonly TableMutation[];
@@ -62,11 +65,11 @@
   readonly immediateReplies: readonly CommandReply[];
   readonly canaryReports: PrimaryWrite['canaryReports'];
   readonly violations: readonly Invariant[];
-  /** Commands for which this write has no room. */
+  /** Commands that did not fit into this write. */
   readonly undecided: readonly Command[];
 }
 
-/** Decides commands one after the other, each on the control state that those before it leave. */
+/** Decides commands in order, each on the control state left by the previous ones. */
 export const decideBatch = (
   before: StoreState,
   metadata: ClusterMetadata,
@@ -118,6 +121,6 @@
   };
 };
 
-/** Whether a batch needs no write. */
+/** Whether a batch needs no write, as it changes nothing and no reply depends on it. */
 export const changesNothing = (batch: DecidedBatch, metadata: ClusterMetadata): boolean =>
   batch.puts.length === 0 && batch.replies.length === 0 && batch.electorate === metadata.electorate;
--- a/packages/replicated-store/src/machine.ts
+++ b/packages/replicated-store/src/machine.ts
@@ -1,6 +1,6 @@
 /**
- * The state machine of a store: which module handles which event and which frame.
- * It decides nothing itself; whatever an event queued is written at the event's end.
+ * State machine of a store: dispatches events and frames to the modules that handle them. Commands queued by an
+ * event are written at the end of that event.
  */
 
 import { type Timestamp, prependEffects, transition } from '@switchwheel/types';
@@ -110,7 +110,7 @@
   }
 };
 
-/** The store: one function for every change of its state. What an event queued is written at its end. */
+/** Handles an event, then starts a write of the queued commands and checks the invariants. */
 export const storeTransition = (state: StoreState, event: StoreEvent): StoreTransition => {
   const handled = onEvent(state, event);
   const written = prependEffects(handled.effects, startWrite(handled.state, event.now));
--- a/packages/replicated-store/src/resync/bootstrap.ts
+++ b/packages/replicated-store/src/resync/bootstrap.ts
@@ -1,5 +1,5 @@
 /**
- * Bootstrap of a new fleet on stores with empty disks, on a registry's proposal.
+ * Bootstrap of a new fleet on stores with empty disks, requested by a registry.
  */
 
 import { type Timestamp, nextSeq, noEpoch, noSeq, transition } from '@switchwheel/types';
@@ -9,7 +9,7 @@
 import { type StoreState, ownId } from '../state/state.js';
 import type { StoreTransition } from '../state/transition.js';
 
-/** A registry proposes a fleet; agreed to as often as it comes, and refused once the store belongs to another one. */
+/** Handles a registry's bootstrap request: idempotent for one fleet, refused once the store belongs to another. */
 export const onBootstrap = (
   state: StoreState,
   from: Peer,
--- a/packages/replicated-store/src/resync/learner-choice.ts
+++ b/packages/replicated-store/src/resync/learner-choice.ts
@@ -1,5 +1,5 @@
 /**
- * Which learner the primary resyncs now: one at a time, each for its turn.
+ * Selection of the learner that the primary resyncs; one learner at a time.
  */
 
 import type { NodeId, Timestamp } from '@switchwheel/types';
@@ -8,10 +8,10 @@
 import type { PeerStatus } from '../state/peers.js';
 import type { StoreState } from '../state/state.js';
 
-/** How long a learner may make no progress before the next one has its turn. */
+/** Time without progress after which the next learner is resynced. */
 const resyncTurnMs = 4000;
 
-/** Which learner is resynced first: one with room, in a zone without a replica, that the metadata names. */
+/** Returns the preferred learner: with free disk space, in a zone without a replica, named by the metadata. */
 const bestLearner = (
   state: StoreState,
   metadata: ClusterMetadata,
@@ -27,7 +27,7 @@
   )[0]?.node;
 };
 
-/** Chooses the one learner that is resynced now; one that had its turn in vain waits until all others had theirs. */
+/** Selects the learner to resync. One that timed out waits until all others have been tried. */
 export const pickLearner = (
   state: StoreState,
   metadata: ClusterMetadata,
@@ -56,6 +56,6 @@
   };
 };
 
-/** A learner that has caught up leaves its turn to the next. */
+/** Ends the resync of a caught-up learner, so that another one can be selected. */
 export const endResyncOf = (state: StoreState, node: NodeId): StoreState =>
   state.activeResync?.node === node ? { ...state, activeResync: undefined } : state;
--- a/packages/replicated-store/src/resync/learner-resync.ts
+++ b/packages/replicated-store/src/resync/learner-resync.ts
@@ -1,6 +1,6 @@
 /**
- * A learner's side of a resync: what the primary doesn't have is deleted, what is missing is fetched. The
- * learner has no stamp from the first write of a resync until the primary settles it.
+ * Learner side of a resync: deletes entries that the primary does not have and fetches missing ones. The learner has
+ * no log position from the first write of a resync until the primary's `settled` frame confirms the table.
  */
 
 import { type Timestamp, clockOrigin, prependEffects, transition } from '@switchwheel/types';
@@ -18,16 +18,16 @@
 } from '../state/table.js';
 import type { StoreTransition } from '../state/transition.js';
 
-/** How many frames of entries may wait for the disk. */
+/** Maximum number of queued entry frames. */
 const maxQueuedResyncs = 64;
 
-/** Whether this store may be resynced by the primary of an epoch. */
+/** Whether this store accepts a resync from the primary of an epoch. */
 const acceptsResync = (state: StoreState, epoch: number): boolean =>
   !isInSync(state) &&
   state.primaryWrite === undefined &&
   epoch >= Math.max(state.metadata?.epoch ?? 0, state.excludedAtEpoch);
 
-/** The primary lists a range that differs: what it doesn't have is deleted here, what is missing is fetched. */
+/** Handles the primary's listing of a differing range: deletes extra entries and fetches missing ones. */
 export const onRangeListing = (
   state: StoreState,
   from: Peer,
@@ -35,7 +35,7 @@
   now: Timestamp,
 ): StoreTransition => {
   if (!acceptsResync(state, listing.epoch)) return transition(state);
-  // What came here since the listing was made is not in it.
+  // The listing lacks writes that this store received after it was made.
   if (isNewerLogPosition(state.logPosition, listing.stamp)) return transition(state);
   const listed = new Set(listing.keys.map(({ key }) => key));
   const missing = listing.keys.filter(({ key, stamp }) => {
@@ -72,7 +72,7 @@
   );
 };
 
-/** Whether the table equals the one that has these digests. */
+/** Whether the table has these range digests. */
 const digestsMatch = (state: StoreState, otherDigests: readonly string[]): boolean => {
   const own = rangeDigests(state.table);
   return (
@@ -81,7 +81,7 @@
   );
 };
 
-/** Entries from the primary: they replace what is here, one write after another. */
+/** Handles entries from the primary, which replace the local ones; one frame is written at a time. */
 export const onResyncEntries = (
   state: StoreState,
   from: Peer,
@@ -100,10 +100,10 @@
     return transition(state);
   const logPositionByKey = new Map(batch.entries.map(({ key, stamp }) => [key, stamp]));
   const puts = batch.entries.map(({ key, data }) => ({ key, data }));
-  // What was equal when the primary compared may have changed since.
+  // The table may have changed since the primary compared it.
   if (batch.settled !== undefined && !digestsMatch(state, batch.settled.digests))
     return transition(state);
-  // Until the primary settles it, this store has no stamp: no write can follow, and it is no candidate.
+  // Without a log position this store accepts no replicated write and does not campaign until the resync is settled.
   const logPosition = batch.settled?.stamp ?? noLogPosition;
   return startBackupWrite(state, {
     startedAt: now,
@@ -117,7 +117,9 @@
   });
 };
 
-/** Takes the next frame of entries, or asks the primary at once, by a status, what still differs. */
+/**
+ * Handles the next queued entry frame, or sends a status at once so that the primary lists the remaining differences.
+ */
 export const continueResync = (state: StoreState, now: Timestamp): StoreTransition => {
   const [next, ...rest] = state.resyncQueue;
   if (next !== undefined)
--- a/packages/replicated-store/src/resync/peer-status.ts
+++ b/packages/replicated-store/src/resync/peer-status.ts
@@ -1,5 +1,5 @@
 /**
- * What a store remembers of a peer's status.
+ * Record of the last status of each peer store.
  */
 
 import { type Timestamp, toTimestamp } from '@switchwheel/types';
@@ -11,22 +11,22 @@
 import type { StoreState } from '../state/state.js';
 import { isSameLogPosition } from '../state/table.js';
 
-/** When a peer last came closer to the primary's state: its stamp or digests changed, or it is back. */
+/** Time of a peer's last resync progress: its log position or digests changed, or it became reachable again. */
 const lastProgressAt = (
   before: PeerStatus | undefined,
   status: FrameOf<'replica-status'>,
   now: Timestamp,
 ): Timestamp => {
   if (before === undefined || now - before.heardAt >= peerTimeoutMs) return now;
-  const hasMoved =
+  const hasProgressed =
     !isSameLogPosition(before.logPosition, status.stamp) ||
     before.isDiskFull !== status.full ||
     (status.digests.length > 0 &&
       status.digests.some((digest, range) => digest !== before.digests[range]));
-  return hasMoved ? now : before.progressAt;
+  return hasProgressed ? now : before.progressAt;
 };
 
-/** Takes a peer's status in. A primary that gave its lease up counts as silent at once. */
+/** Records a peer's status. A primary that released its lease counts as silent at once. */
 export const notePeerStatus = (
   state: StoreState,
   from: Peer,
@@ -50,10 +50,10 @@
     status.primary && status.metadata !== undefined
       ? notePrimary(state, status.metadata, now)
       : state;
-  const gaveLeaseUp = !status.primary && before?.isPrimary === true;
+  const hasReleasedLease = !status.primary && before?.isPrimary === true;
   return {
     ...noted,
-    primaryHeardAt: gaveLeaseUp ? toTimestamp(now - primaryTimeoutMs) : noted.primaryHeardAt,
+    primaryHeardAt: hasReleasedLease ? toTimestamp(now - primaryTimeoutMs) : noted.primaryHeardAt,
     peers: new Map([...state.peers, [status.node, peer]]),
   };
 };
--- a/packages/replicated-store/src/resync/primary-resync.ts
+++ b/packages/replicated-store/src/resync/primary-resync.ts
@@ -1,6 +1,6 @@
 /**
- * The primary's side of a resync: a learner's digests are compared with the primary's, ranges that differ are
- * listed, entries that it asks for are sent, and once it is equal it is promoted.
+ * Primary side of a resync: compares a learner's digests with its own, lists differing ranges, sends requested
+ * entries, and promotes the learner once the tables are equal.
  */
 
 import { type Timestamp, transition } from '@switchwheel/types';
@@ -21,19 +21,19 @@
 import { isSameLogPosition, keysInRange, rangeDigests } from '../state/table.js';
 import type { StoreTransition } from '../state/transition.js';
 
-/** No more entries join a frame once it bears so many characters. */
+/** Size beyond which a frame takes no further entries. */
 const resyncBatchCharacters = 1024 * 1024;
 
-/** How many ranges are listed in answer to one status. */
+/** Maximum number of ranges listed in reply to one status. */
 const resyncRangesPerReply = 8;
 
-/** Whether a store with this stamp has the last confirmed write, or the one that is open. */
+/** Whether a store at this log position has the last committed write or the open one. */
 const isFollowing = (state: StoreState, logPosition: LogPosition): boolean =>
   isSameLogPosition(logPosition, state.logPosition) ||
   (state.primaryWrite !== undefined &&
     isSameLogPosition(logPosition, state.primaryWrite.logPosition));
 
-/** A peer sends its status: the primary replaces a backup that lost its disk, and resyncs learners. */
+/** Handles a peer's status: the primary replaces a backup that lost its disk, and resyncs learners. */
 export const onPeerStatus = (
   state: StoreState,
   from: Peer,
@@ -45,7 +45,7 @@
   if (metadata === undefined || !isPrimary(state, now)) return transition(noted);
   if (status.metadata !== undefined && status.metadata.fleet !== metadata.fleet)
     return transition(noted);
-  // A store of the in-sync set that has no metadata has lost its disk: it is replaced at once, and then resynced.
+  // An in-sync store without metadata has lost its disk: it is replaced at once, then resynced.
   if (metadata.inSyncSet.includes(status.node) && status.metadata === undefined)
     return replaceBackups(noted, [status.node], now);
   if (metadata.inSyncSet.includes(status.node) || status.digests.length === 0)
@@ -55,7 +55,10 @@
   return resyncLearner(pickLearner(noted, metadata, now), from, status, metadata, now);
 };
 
-/** Resyncs the learner whose turn it is, and promotes it once it is equal; all have their turn while there are too few replicas. */
+/**
+ * Resyncs the selected learner, or any learner during a shortage of replicas, and promotes it once the tables are
+ * equal.
+ */
 const resyncLearner = (
   state: StoreState,
   from: Peer,
@@ -103,13 +106,13 @@
       ...replicateOpenWrite(state, from.address),
     );
   }
-  // Equal in entries and stamp, and no write is open: it is in sync from the next epoch on.
+  // Equal entries and log position, and no open write: the learner is in sync from the next epoch on.
   return mayPromote(state, status.node, now)
     ? promoteLearner(state, from, metadataWithLearner, now)
     : transition(state);
 };
 
-/** A learner requests entries that it lacks: as many are sent as fit a frame, which counts as progress. */
+/** Sends requested entries to a learner, as many as fit into a frame; the request counts as progress. */
 export const onFetchEntries = (
   state: StoreState,
   from: Peer,
--- a/packages/replicated-store/src/resync/promotion.ts
+++ b/packages/replicated-store/src/resync/promotion.ts
@@ -1,5 +1,5 @@
 /**
- * Promotion of a learner that has caught up into the in-sync set.
+ * Promotion of a caught-up learner to the in-sync set.
  */
 
 import { type NodeId, type Timestamp, prependEffects } from '@switchwheel/types';
@@ -10,10 +10,10 @@
 import type { StoreState } from '../state/state.js';
 import type { StoreTransition } from '../state/transition.js';
 
-/** How long a store out of sync may be silent before it is removed from the metadata. */
+/** Silence after which an out-of-sync store is removed from the metadata. */
 const removeAfterMs = 10_000;
 
-/** The stores of the metadata with a learner, and without those that are out of sync and were silent for long. */
+/** Stores of the metadata with the learner added and long-silent out-of-sync stores removed. */
 export const storesWithLearner = (
   state: StoreState,
   from: Peer,
@@ -29,13 +29,13 @@
   { node: from.node, address: from.address },
 ];
 
-/** Whether another replica is needed and this store would be one, and no write is open that would have to wait for it. */
+/** Whether this store is needed as a replica, and no open write would have to wait for it. */
 export const mayPromote = (state: StoreState, node: NodeId, now: Timestamp): boolean =>
   state.primaryWrite === undefined &&
   state.peers.get(node)?.isStopping !== true &&
   chooseReplicas(state, reachableInSync(state, now), [node]).includes(node);
 
-/** Takes a learner whose table equals the primary's into the in-sync set. */
+/** Requests an in-sync set that includes a learner whose table equals the primary's. */
 export const promoteLearner = (
   state: StoreState,
   from: Peer,
--- a/packages/replicated-store/src/resync/status.ts
+++ b/packages/replicated-store/src/resync/status.ts
@@ -1,6 +1,6 @@
 /**
- * A store's status to its peers. The status of a store out of sync bears its digests; the primary answers it
- * with what differs (primary-resync.ts).
+ * Periodic status of a store to its peers. An out-of-sync store includes its range digests; the primary replies with
+ * the differences (primary-resync.ts).
  */
 
 import { type Timestamp, transition } from '@switchwheel/types';
@@ -10,13 +10,16 @@
 import { rangeDigests } from '../state/table.js';
 import type { StoreTransition } from '../state/transition.js';
 
-/** How often a store sends its status. */
+/** Interval at which a store sends its status. */
 const statusIntervalMs = 300;
 
-/** How long a write to this disk may take before the disk counts as stalled. */
+/** Duration of a write after which the disk counts as stalled. */
 const stalledDiskMs = 1000;
 
-/** Who gets the status: all stores from the primary, and while there is none; else the primary, and backups among themselves. */
+/**
+ * Addresses that receive the status: all stores if this store is the primary or no primary is known; otherwise the
+ * primary and, from an in-sync store, the other in-sync stores.
+ */
 const statusTargets = (
   state: StoreState,
   now: Timestamp,
@@ -36,17 +39,17 @@
       ) ?? [];
     return [...new Set([primary.address, ...peers.map((store) => store.address)])];
   }
-  const known =
+  const metadataAddresses =
     state.metadata?.stores
       .filter((store) => store.node !== ownId(state))
       .map((store) => store.address) ?? [];
-  const near = state.session.members
+  const sessionAddresses = state.session.members
     .filter((member) => member.role === 'store' && member.node !== ownId(state))
     .map((member) => member.address);
-  return [...new Set([...known, ...near])];
+  return [...new Set([...metadataAddresses, ...sessionAddresses])];
 };
 
-/** Sends this store's status when it is due; the primary's answer to a store out of sync resyncs it. */
+/** Sends this store's status if it is due. */
 export const sendStatus = (state: StoreState, now: Timestamp): StoreTransition => {
   if (
     now - state.statusSentAt < statusIntervalMs ||
--- a/packages/replicated-store/src/state/disk-recovery.ts
+++ b/packages/replicated-store/src/state/disk-recovery.ts
@@ -1,6 +1,6 @@
 /**
- * Start of a store from its disk: a complete disk is loaded, an empty or damaged one leaves the store
- * without a state until it is bootstrapped or a primary resyncs it. Reading the disk is the process's work.
+ * Start of a store from its disk: a complete disk is loaded; with an empty or damaged one the store has no state
+ * until it is bootstrapped or a primary resyncs it. The process itself reads the disk.
  */
 
 import { type Timestamp, transition } from '@switchwheel/types';
@@ -11,7 +11,7 @@
 import type { StoreState } from './state.js';
 import type { StoreTransition } from './transition.js';
 
-/** The process has read the disk: the store takes its state from it, or waits for one. */
+/** Handles the contents of the disk: restores the state from it, or waits for a bootstrap or resync. */
 export const onDiskRead = (
   before: StoreState,
   contents: DiskContents,
--- a/packages/replicated-store/src/state/events.ts
+++ b/packages/replicated-store/src/state/events.ts
@@ -1,5 +1,5 @@
 /**
- * Events that reach a store, and effects that it asks of its process, the disk included.
+ * Events that a store handles, and effects that its process runs, disk access included.
  */
 
 import type { Hash, Timestamp } from '@switchwheel/types';
@@ -12,7 +12,7 @@
 import type { ValidationIssue } from '@switchwheel/configuration';
 import type { KeyedEntry } from './table.js';
 
-/** What a disk held when the store started. */
+/** Contents of the disk at the start of the store. */
 export type DiskContents =
   | { readonly status: 'empty' }
   | { readonly status: 'damaged'; readonly reason: string }
@@ -23,7 +23,7 @@
       readonly entries: readonly KeyedEntry[];
     };
 
-/** What reaches a store; `now` is the time of its process's monotonic clock. */
+/** Event for a store; `now` is the monotonic clock of its process. */
 export type StoreEvent =
   | ProcessEvent
   | { readonly kind: 'diskRead'; readonly now: Timestamp; readonly contents: DiskContents }
@@ -41,24 +41,24 @@
       readonly hash: Hash;
       readonly issues: readonly ValidationIssue[];
     }
-  /** The process is asked to stop, within `graceMs` if it is given. */
+  /** Request to stop the process, within `graceMs` if given. */
   | { readonly kind: 'stopRequested'; readonly now: Timestamp; readonly graceMs?: number };
 
-/** The disk did not take a write. */
+/** Event of a failed disk write. */
 export type WriteFailed = Extract<StoreEvent, { kind: 'writeFailed' }>;
 
-/** One write to the disk: all of it is durable, or none. */
+/** Atomic write to the disk: all of it becomes durable, or none. */
 export interface DiskWrite {
   readonly id: number;
   readonly metadata: ClusterMetadata;
   readonly logPosition: LogPosition;
   readonly entries: readonly KeyedEntry[];
   readonly deletedKeys: readonly string[];
-  /** Whether everything on the disk is deleted first. */
+  /** Whether the disk is wiped first. */
   readonly wipesFirst: boolean;
 }
 
-/** What a store asks of its process, in the order in which it is to be done. */
+/** Effect that a store requests from its process; effects are run in order. */
 export type StoreEffect =
   | ProcessEffect
   | { readonly kind: 'writeToDisk'; readonly write: DiskWrite }
--- a/packages/replicated-store/src/state/expiry.ts
+++ b/packages/replicated-store/src/state/expiry.ts
@@ -1,15 +1,15 @@
 /**
- * Keeps a store's memory bounded: members that are gone are forgotten, so that what is kept depends
- * on the fleet as it is and not on how long it has run.
+ * Expiry of members that have left the fleet, so that the memory of a store depends on the size of the fleet and
+ * not on its uptime.
  */
 
 import { type Timestamp, filterEntries } from '@switchwheel/types';
 import type { StoreState } from './state.js';
 
-/** How long a member of which nothing else is kept may be silent. */
+/** Silence after which a member without a stored record is removed. */
 const silentMemberExpiryMs = 60_000;
 
-/** Forgets silent registries, nodes without a record, and stores that the metadata does not name. */
+/** Removes silent registries, silent nodes without a record, and silent stores that the metadata does not name. */
 export const expireSilentMembers = (state: StoreState, now: Timestamp): StoreState => {
   const isRecent = (member: { readonly heardAt: Timestamp }): boolean =>
     now - member.heardAt < silentMemberExpiryMs;
@@ -20,7 +20,7 @@
     state.nodeContacts,
     (contact, node) => isRecent(contact) || state.control.nodes.has(node),
   );
-  // One that showed a later epoch is still evidence against this store's candidacy.
+  // Peers with a later epoch are kept as evidence against this store's candidacy.
   const peers = filterEntries(
     state.peers,
     (peer, node) => isRecent(peer) || named.has(node) || (peer.metadata?.epoch ?? 0) > epoch,
--- a/packages/replicated-store/src/state/invariants.ts
+++ b/packages/replicated-store/src/state/invariants.ts
@@ -1,4 +1,4 @@
-/** The invariants of a store: what must hold after each event, and what becomes of a violation. */
+/** Invariants of a store, checked after each event. Violations are counted and logged. */
 
 import { type Invariant, type Transition, countViolations, transition } from '@switchwheel/types';
 import { log } from '@switchwheel/transport';
@@ -21,13 +21,13 @@
         ),
       );
 
-/** Whether what the invariants speak of is another than before. */
+/** Whether an event changed a part of the state that the invariants cover. */
 const mayAffectInvariants = (before: StoreState, after: StoreState): boolean =>
   before.control.configuration !== after.control.configuration ||
   before.control.chunks !== after.control.chunks ||
   isInSync(before) !== isInSync(after);
 
-/** Checks a store after an event that changed its table or its place in the in-sync set. */
+/** Checks the invariants after an event that changed the configuration, its chunks or the in-sync membership. */
 export const checkInvariants = (
   before: StoreState,
   after: StoreState,
--- a/packages/replicated-store/src/state/open-writes.ts
+++ b/packages/replicated-store/src/state/open-writes.ts
@@ -1,5 +1,5 @@
 /**
- * Writes that are under way: the primary's own, and one that a backup takes from its primary.
+ * Open writes of a store: one as primary, and one received from a primary or registry.
  */
 
 import type { Address, CommandId, NodeId, Timestamp } from '@switchwheel/types';
@@ -7,17 +7,20 @@
 import type { ControlState } from '@switchwheel/configuration';
 import type { CanaryReport, CommandReply } from '../commands/command.js';
 
-/** A write of the primary that is open: first it goes to its own disk, then to those of the backups in sync. */
+/** Open write of the primary: written to its own disk, then replicated to the in-sync backups. */
 export interface PrimaryWrite {
   readonly id: number;
   /** Set to `abandoned` if the write is given up while it is being written to disk; its outcome is known later. */
   readonly phase: 'writingToDisk' | 'replicating' | 'abandoned';
-  /** Whether this disk has it already, from before the in-sync set changed: then its callers never hear that it was rejected. */
+  /**
+   * Whether the own disk already has the write from before an in-sync set change; it is then never reported as
+   * rejected.
+   */
   readonly isOnOwnDisk: boolean;
   readonly phaseStartedAt: Timestamp;
   readonly lastSentAt: Timestamp;
   readonly metadata: ClusterMetadata;
-  /** The stores, learners too, that acknowledged it under this metadata. */
+  /** Stores, learners included, that acknowledged the write with its current metadata. */
   readonly acknowledgedBy: ReadonlySet<NodeId>;
   readonly logPosition: LogPosition;
   readonly previousLogPosition: LogPosition;
@@ -27,7 +30,7 @@
   readonly canaryReports: readonly { readonly to: Address; readonly report: CanaryReport }[];
 }
 
-/** A write from elsewhere that this store is putting on its own disk: replicated, part of a resync, or a bootstrap. */
+/** Open write of this store for another node: a replicated write, a part of a resync, or a bootstrap. */
 export interface BackupWrite {
   readonly id: number;
   readonly startedAt: Timestamp;
@@ -36,6 +39,7 @@
   readonly metadata: ClusterMetadata;
   readonly logPosition: LogPosition;
   readonly puts: readonly TableMutation[];
+  /** Log positions of resynced entries; entries that are not listed get `logPosition`. */
   readonly logPositionByKey: ReadonlyMap<string, LogPosition>;
   readonly commandId: CommandId | undefined;
 }
--- a/packages/replicated-store/src/state/peers.ts
+++ b/packages/replicated-store/src/state/peers.ts
@@ -1,39 +1,40 @@
 /**
- * What a store knows of the processes around it: other stores, registries, and the nodes behind them.
+ * State that a store keeps of other processes: peer stores, registries, and the nodes connected to registries.
  */
 
 import type { Address, NodeId, Seq, Timestamp, ZoneName } from '@switchwheel/types';
 import type { ClusterMetadata, FrameOf, LogPosition } from '@switchwheel/transport';
 
-/** The last status of a peer store. */
+/** Last known status of a peer store. */
 export interface PeerStatus {
   readonly node: NodeId;
   readonly address: Address;
   readonly metadata: ClusterMetadata | undefined;
   readonly logPosition: LogPosition;
   readonly isPrimary: boolean;
-  /** Whether its disk takes no writes now: it has no room, or is stalled. */
+  /** Whether its disk currently accepts no writes, as it is full or stalled. */
   readonly isDiskFull: boolean;
-  /** Whether it is about to stop. */
+  /** Whether it is stopping gracefully. */
   readonly isStopping: boolean;
   readonly heardAt: Timestamp;
   readonly digests: readonly string[];
-  /** When it last came closer to the primary's state, or came back. */
+  /** Time at which its resync last progressed or it became reachable again. */
   readonly progressAt: Timestamp;
 }
 
-/** A registry that gets the feed, with what it has already. */
+/** Registry that receives the feed, with the positions that it already has. */
 export interface Subscriber {
   readonly address: Address;
   readonly zone: ZoneName;
-  /** How far its vote may be relied on, as it says. */
+  /** State of its voter, as reported by the registry. */
   readonly voterStatus: FrameOf<'subscribe'>['voter'];
   readonly heardAt: Timestamp;
+  /** Last write whose desired state it has; `noSeq` if that was of another epoch. */
   readonly serial: Seq;
   readonly latestPurge: Seq;
 }
 
-/** By which registry a node is in touch, and when it last was. */
+/** Registry that last reported a node as connected, and the time of that report. */
 export interface NodeContact {
   readonly registry: NodeId;
   readonly heardAt: Timestamp;
--- a/packages/replicated-store/src/state/replication-settings.ts
+++ b/packages/replicated-store/src/state/replication-settings.ts
@@ -1,35 +1,35 @@
 /**
- * Settings of the replication: how many replicas there are, and which losses they must bear.
+ * Replication settings: the number of replicas and the failures to tolerate.
  */
 
 import type { ZoneName } from '@switchwheel/types';
 import type { ReleaseSettings } from '@switchwheel/configuration';
 
-/** Failure domains: parts of the fleet that fail as one. */
+/** Failure domains: zones, or groups of zones, that can fail together. */
 export interface FailureDomains {
-  /** How many of them may be lost at once. */
+  /** Number of domains that may fail at once. */
   readonly tolerate: number;
-  /** The domain of each zone that is not one by itself. */
+  /** Domain of each zone that is grouped with others; any other zone is its own domain. */
   readonly domainOfZone: ReadonlyMap<ZoneName, string>;
 }
 
-/** How many replicas of the state a fleet keeps, and how many machines with a disk it may lose at once. */
+/** Number of replicas of the state, and of machines with a disk that may be lost at once. */
 export interface ReplicationSettings {
   readonly copies: number;
   readonly tolerate: number;
-  /** Whether registries that join become voters, and replace those that are gone, without an operator. */
+  /** Whether registries become voters automatically and replace voters that are gone. */
   readonly electorateFollowsRegistries: boolean;
-  /** Zones, or groups of them, that may be lost as a whole, besides single machines. */
+  /** Failure domains to tolerate the loss of, in addition to single machines. */
   readonly failureDomains?: FailureDomains;
-  /** The time after a loss, in milliseconds, within which repairs are done so that the next losses are borne. */
+  /** Time after a failure within which redundancy is restored, so that further failures are tolerated. */
   readonly recoveryWindowMs?: number;
-  /** Whether the origins that are up are kept on disk. */
+  /** Whether live origins are recorded on disk. */
   readonly persistsOrigins?: boolean;
-  /** The thresholds by which canaries of releases are judged. */
+  /** Thresholds for evaluating canaries of releases. */
   readonly releases?: ReleaseSettings;
 }
 
-/** Two replicas, one of which may be lost, and an electorate that only operators change. */
+/** Default settings: two replicas, one tolerated loss, and an electorate that only operators change. */
 export const defaultReplicationSettings: ReplicationSettings = {
   copies: 2,
   tolerate: 1,
--- a/packages/replicated-store/src/state/state.ts
+++ b/packages/replicated-store/src/state/state.ts
@@ -1,6 +1,6 @@
 /**
- * The whole state of a store, and the state that a process starts with. Changes are made by the modules
- * that own the parts; nothing in here is on the wire or on a disk in this form.
+ * State of a store, and its initial value. Each part is changed by the module that owns it. The state is not sent or
+ * stored in this form.
  */
 
 import {
@@ -35,52 +35,61 @@
 import { type ReplicationSettings, defaultReplicationSettings } from './replication-settings.js';
 import type { Table } from './table.js';
 
-/** The whole state of a store. */
+/** State of a store; all times are of the process's own monotonic clock. */
 export interface StoreState {
   readonly session: NodeSession;
   readonly settings: ReplicationSettings;
   readonly phase: 'reading' | 'empty' | 'member' | 'stopping';
-  /** When this process had read its disk, by its own clock as all times here. */
+  /** Time at which the disk had been read. */
   readonly startedAt: Timestamp;
-  /** Why the disk could not be used; empty if it could. */
+  /** Reason why the contents of the disk are unusable; empty if they are usable. */
   readonly diskDamage: string;
-  /** Whether a fleet may be bootstrapped on this store: one that came back with an empty disk belongs to one already. */
+  /**
+   * Whether a fleet may be bootstrapped on this store; false for one that restarted with an empty disk, as it already
+   * belongs to a fleet.
+   */
   readonly mayBootstrap: boolean;
-  /** Whether the disk holds something that can't be trusted: the first write clears it. */
+  /** Whether the disk holds damaged data, which the first write wipes. */
   readonly mustWipe: boolean;
   readonly metadata: ClusterMetadata | undefined;
   readonly logPosition: LogPosition;
   readonly table: Table;
   readonly control: ControlState;
   readonly candidate: Candidate;
-  /** Whether this store holds or held the lease and the metadata of its epoch is on every disk it must be on. */
+  /**
+   * Whether this store serves as primary: the metadata of its epoch is committed, or it is read-only. Reset when the
+   * lease ends.
+   */
   readonly isServing: boolean;
-  /** Whether the metadata of this epoch could not be written, as the disk is full: it answers queries and feeds, and writes nothing. */
+  /**
+   * Whether a full disk refused the metadata of this epoch: the primary serves queries and feeds, but accepts no
+   * writes.
+   */
   readonly isReadOnly: boolean;
   readonly primaryWrite: PrimaryWrite | undefined;
   readonly backupWrite: BackupWrite | undefined;
-  /** Entries of a resync that came while others were being written. */
+  /** Entries of a resync received while others were being written. */
   readonly resyncQueue: readonly {
     readonly from: Peer;
     readonly frame: FrameOf<'resync-entries'>;
   }[];
-  /** Writes of the primary that came while another one was on its way to the disk. */
+  /** Replicated writes received while another one was being written. */
   readonly replicationQueue: readonly {
     readonly from: Peer;
     readonly frame: FrameOf<'replicate'>;
   }[];
   readonly commandQueue: readonly Command[];
-  /** Commands whose configuration is being compiled: several may bring the same one. */
+  /** Commands whose configuration is being compiled, by its hash; several may share one configuration. */
   readonly compiling: ReadonlyMap<
     Hash,
     readonly Extract<Command, { kind: 'applyConfiguration' }>[]
   >;
   /**
-   * The text of each chunk that an upload under way relies on, whether it was received for it or is in the table:
-   * another one's write may delete it from the table before this one is written.
+   * Text of each chunk that a pending upload needs, received or copied from the table: the write of another
+   * upload may delete a chunk from the table before this one is written.
    */
   readonly heldChunks: ReadonlyMap<Hash, string>;
-  /** Uploads that wait for chunks. */
+  /** Uploads that are waiting for chunks. */
   readonly awaitingChunks: ReadonlyMap<
     CommandId,
     {
@@ -91,50 +100,51 @@
     }
   >;
   readonly peers: ReadonlyMap<NodeId, PeerStatus>;
-  /** The learner that is being resynced, and since when it made no progress. */
+  /** Learner being resynced, and the time of its last progress. */
   readonly activeResync: { readonly node: NodeId; readonly since: Timestamp } | undefined;
-  /** Learners that had their turn in vain: the others have theirs first. */
+  /** Learners whose last resync timed out; other learners are resynced first. */
   readonly resyncAttempted: ReadonlySet<NodeId>;
   readonly subscribers: ReadonlyMap<NodeId, Subscriber>;
   readonly nodeContacts: ReadonlyMap<NodeId, NodeContact>;
-  /** Since when this primary has had fewer replicas than the losses to be tolerated ask for. */
+  /** Start of the current shortage of replicas at this primary. */
   readonly shortageSince: Timestamp | undefined;
-  /** The highest epoch whose in-sync set is known to leave this store out. */
+  /** Highest epoch whose in-sync set is known to exclude this store. */
   readonly excludedAtEpoch: Epoch;
-  /** When a primary was last heard. */
   readonly primaryHeardAt: Timestamp;
   readonly statusSentAt: Timestamp;
-  /** When the recorded origins were last compared with the announced ones. */
+  /** Time at which the recorded origins were last compared with the announced ones. */
   readonly originsCheckedAt: Timestamp;
   readonly rolloutPlannedAt: Timestamp;
   readonly rolloutsAdvancedAt: Timestamp;
-  /** The electorate that this store polls, and since when: votes asked for before count for an older one. */
+  /** Electorate that this store polls, and the time since when; votes requested before that are of an older one. */
   readonly polledElectorate: { readonly serial: Seq; readonly since: Timestamp };
-  /** Since when this store is stopping, and until when it may take. */
+  /** Start and deadline of a graceful stop. */
   readonly stopping: { readonly since: Timestamp; readonly deadline: Timestamp } | undefined;
   readonly rolloutsDueAt: Timestamp | undefined;
-  /** The last write that changed what nodes are to run: registries that have it get no desired state again. */
+  /**
+   * Last write that changed the desired state of nodes; registries that have it are not sent the desired state again.
+   */
   readonly lastNodeChangeSeq: Seq;
-  /** The rollouts of releases as this primary watches them. */
+  /** Progress of release rollouts observed by this primary. */
   readonly releaseWatches: ReadonlyMap<ServiceName, RolloutWatch>;
   readonly targetStatusSince: StatusSince;
   readonly rolloutOpenedAt: Timestamp | undefined;
   readonly diskFullAt: Timestamp | undefined;
-  /** When registries were last asked for chunks that the configuration in force lacks. */
+  /** Time at which missing chunks of the current configuration were last requested from registries. */
   readonly chunksRequestedAt: Timestamp;
-  /** How many chunks were requested here that the table did not hold. */
+  /** Number of requested chunks that were not in the table. */
   readonly missedChunkRequests: number;
-  /** How often each invariant was found broken here. */
+  /** Number of violations of each invariant. */
   readonly violations: Violations;
   readonly standDownUntil: Timestamp;
   readonly nextWriteId: number;
   readonly randomState: RandomState;
 }
 
-/** The stamp of a store without a table: it has no write, and while a resync changes its table it has none either. */
+/** Log position of a store whose table is empty or is being changed by a resync. */
 export const noLogPosition: LogPosition = { epoch: noEpoch, seq: noSeq };
 
-/** The state of a process that has not read its disk yet. */
+/** Initial state of a store that has not read its disk yet. */
 export const newStoreState = (
   member: Member,
   seeds: readonly Address[],
@@ -192,5 +202,5 @@
   randomState,
 });
 
-/** The id of this store. */
+/** Node id of this store. */
 export const ownId = (state: StoreState): NodeId => state.session.member.node;
--- a/packages/replicated-store/src/state/table.ts
+++ b/packages/replicated-store/src/state/table.ts
@@ -1,72 +1,73 @@
 /**
- * The replicated table: entries by key, each with the stamp of the write that made it, and the digests by
- * which two copies of it are compared range by range. What the entries mean is the configuration package's business.
+ * Replicated table: entries by key, each with the log position of the write that stored it, and digests to compare
+ * two copies range by range. The configuration package interprets the entries.
  */
 
 import { createHash } from 'node:crypto';
 import type { LogPosition, TableMutation } from '@switchwheel/transport';
 
-/** One entry of the replicated table, with the write that made it. */
+/** Entry of the replicated table. Its fields are spread into `resync-entries` frames and keep their names there. */
 export interface Entry {
+  /** Log position of the write that stored the entry. */
   readonly stamp: LogPosition;
   readonly data: string;
 }
 
-/** The table by key; never changed in place. */
+/** Entries by key; immutable. */
 export type Table = ReadonlyMap<string, Entry>;
 
-/** An entry with its key, as it is on a disk. */
+/** Entry with its key, as stored on disk. */
 export interface KeyedEntry extends Entry {
   readonly key: string;
 }
 
-/** In how many ranges keys are compared. */
+/** Number of ranges into which keys are hashed for comparison. */
 export const rangeCount = 64;
 
-/** The range that a key belongs to, from 0. */
+/** Range of a key, from 0 to `rangeCount` - 1. */
 export const rangeOf = (key: string): number =>
   createHash('sha1').update(key).digest().readUInt8(0) % rangeCount;
 
-/** Whether two stamps are those of one write. */
+/** Whether two log positions are of the same write. */
 export const isSameLogPosition = (first: LogPosition, second: LogPosition): boolean =>
   first.epoch === second.epoch && first.seq === second.seq;
 
-/** Whether the first stamp is the newer one: by epoch, then by number. */
+/** Whether the first log position is newer than the second, by epoch, then by sequence number. */
 export const isNewerLogPosition = (first: LogPosition, second: LogPosition): boolean =>
   first.epoch > second.epoch || (first.epoch === second.epoch && first.seq > second.seq);
 
-/** A copy of the table with a write in it. */
+/** Copy of the table with a write applied; the table itself if the write is empty. */
 export const withPuts = (
   table: Table,
   puts: readonly TableMutation[],
-  stamp: LogPosition,
+  logPosition: LogPosition,
 ): Table => {
   if (puts.length === 0) return table;
   const copy = new Map(table);
   for (const { key, data } of puts) {
     if (data === null) copy.delete(key);
-    else copy.set(key, { stamp, data });
+    else copy.set(key, { stamp: logPosition, data });
   }
   return copy;
 };
 
 const digestCache = new WeakMap<Table, string[]>();
 
-/** A digest for each range, over keys and stamps; a table never changes, so each is computed once. */
+/** Digest of each range over keys and log positions, computed once per table. */
 export const rangeDigests = (table: Table): string[] => {
-  const before = digestCache.get(table);
-  if (before !== undefined) return before;
+  const cached = digestCache.get(table);
+  if (cached !== undefined) return cached;
   const rows: string[][] = Array.from({ length: rangeCount }, () => []);
   for (const [key, entry] of table)
     rows[rangeOf(key)]?.push(`${key} ${entry.stamp.epoch} ${entry.stamp.seq}`);
-  const result = rows.map((row) =>
+  const digests = rows.map((row) =>
     createHash('sha256').update(row.sort().join('\n')).digest('hex').slice(0, 16),
   );
-  digestCache.set(table, result);
-  return result;
+  digestCache.set(table, digests);
+  return digests;
 };
 
-/** The keys of a range with their stamps, in the order of the table. */
+/** Keys of a range with their log positions, in table order, in the form of a `range-listing` frame. */
 export const keysInRange = (table: Table, range: number): { key: string; stamp: LogPosition }[] =>
   [...table]
     .filter(([key]) => rangeOf(key) === range)
--- a/packages/replicated-store/src/state/transition.ts
+++ b/packages/replicated-store/src/state/transition.ts
@@ -1,8 +1,8 @@
-/** The result type that every reducer of a store shares. */
+/** Result type shared by all reducers of a store. */
 
 import type { Transition } from '@switchwheel/types';
 import type { StoreEffect } from './events.js';
 import type { StoreState } from './state.js';
 
-/** A store's state after an event, with the effects that its process is to run, in order. */
+/** State of a store after an event, with the effects for its process to run in order. */
 export type StoreTransition = Transition<StoreState, StoreEffect>;
--- a/packages/replicated-store/src/tick.ts
+++ b/packages/replicated-store/src/tick.ts
@@ -1,6 +1,6 @@
 /**
- * What time alone brings about: the order in which the parts of a store are given the tick.
- * Each part decides by its own intervals what is due.
+ * Periodic work of a store: runs the tick handlers of its parts in a fixed order. Each handler checks its own
+ * intervals.
  */
 
 import { type Timestamp, prependEffects, transition } from '@switchwheel/types';
@@ -23,16 +23,15 @@
 import type { StoreState } from './state/state.js';
 import type { StoreTransition } from './state/transition.js';
 
-/** How often a rollout is planned without a cause. */
+/** Interval of periodic rollout planning. */
 const rolloutPlanIntervalMs = 60_000;
 
-/** How often a rollout is advanced without a cause. */
+/** Interval of periodic rollout advances. */
 const rolloutIntervalMs = 5000;
 
-/** How often a store without a primary sends a hint. */
+/** Interval of hints from a store without a primary. */
 const hintIntervalMs = 300;
 
-/** Queues what the open rollout needs now and then. */
 const tickRolloutPlan = (state: StoreState, now: Timestamp): StoreTransition =>
   now - state.rolloutPlannedAt >= rolloutPlanIntervalMs
     ? enqueue({ ...state, rolloutPlannedAt: now }, { kind: 'planRollout' })
@@ -48,7 +47,7 @@
     : transition(state);
 };
 
-/** Hints keep the pace of the statuses; one that became due within this tick brings no hint. */
+/** Sends a hint when a status was due at the start of the tick, so that both keep the same interval. */
 const tickHint = (state: StoreState, now: Timestamp, atStart: StoreState): StoreTransition =>
   now - atStart.statusSentAt >= hintIntervalMs
     ? transition(state, ...sendHint(state, now))
@@ -59,10 +58,10 @@
   return transition({ ...state, session: session.state }, ...session.effects);
 };
 
-/** What one part of a store does with a tick, given the state as it is now and as it was when the tick began. */
+/** Tick handler of a part of the store; gets the current state and the state at the start of the tick. */
 type TickHandler = (state: StoreState, now: Timestamp, atStart: StoreState) => StoreTransition;
 
-/** What every store does with a tick, in this order. */
+/** Tick handlers of every store, in order. */
 const storeTicks: readonly TickHandler[] = [
   tickNodeSession,
   tickLease,
@@ -73,7 +72,7 @@
   tickStop,
 ];
 
-/** What the primary does besides, in this order. */
+/** Additional tick handlers of the primary, in order. */
 const primaryTicks: readonly TickHandler[] = [
   followRegistries,
   markSilentNodesOffline,
@@ -95,7 +94,7 @@
   return next;
 };
 
-/** Time passes: each part of the store does what is due. */
+/** Runs the tick handlers of the store and, on the primary, those of the primary. */
 export const onTick = (before: StoreState, now: Timestamp): StoreTransition => {
   if (before.phase === 'reading') return transition(before);
   const next = runTicks(expireSilentMembers(before, now), storeTicks, now);
