--- a/packages/replicated-store/src/leadership/electorate.ts
+++ b/packages/replicated-store/src/leadership/electorate.ts
@@ -61,10 +61,8 @@
   toSeq(Math.max(serial + 1, epoch * serialsPerEpoch));
 
 /** Returns the electorate with the higher serial: the stored one or the one reported by voters. */
-export const newerElectorate = (
-  stored: Electorate,
-  reported: Electorate | undefined,
-): Electorate => (reported !== undefined && reported.serial > stored.serial ? reported : stored);
+export const newerElectorate = (stored: Electorate, other: Electorate | undefined): Electorate =>
+  other !== undefined && other.serial > stored.serial ? other : stored;
 
 /** Newest known electorate, which this store polls as candidate and as primary. */
 export const polledElectorate = (state: StoreState): Electorate | undefined => {
