--- a/packages/model-checker/src/seeded-bugs/list.ts
+++ b/packages/model-checker/src/seeded-bugs/list.ts
@@ -149,7 +149,7 @@
     name: 'a lower number does not replace a higher one',
     rule: 'a primary has every confirmed write',
     file: apply,
-    from: 'if (number <= now)',
+    from: 'if (requestedGeneration <= current)',
     to: 'if (false)',
   },
   {
--- a/packages/replicated-store/src/commands/apply-configuration.ts
+++ b/packages/replicated-store/src/commands/apply-configuration.ts
@@ -1,7 +1,7 @@
 /**
- * Decides whether a configuration is taken. Every number has one content for ever: the highest
- * number is in force, the same content under its number is acknowledged again whenever it comes,
- * other content under a taken number is refused.
+ * Decides commands that apply a configuration. Each generation is bound to one content for good: the highest
+ * generation is in force, repeating a generation with its content is acknowledged again, and other content
+ * under a taken generation is refused.
  */
 
 import {
@@ -29,36 +29,36 @@
 const currentGeneration = (control: ControlState): Generation =>
   control.configuration?.offer.generation ?? noGeneration;
 
-/** The content that a number has, as far as it is kept. */
-const contentOf = (control: ControlState, number: Generation): Hash | undefined => {
-  const kept = control.hashByGeneration.get(number);
+/** Returns the content that a generation is bound to; undefined if it is not recorded. */
+const contentOf = (control: ControlState, generation: Generation): Hash | undefined => {
+  const kept = control.hashByGeneration.get(generation);
   if (kept !== undefined) return kept;
   const offer = control.configuration?.offer;
-  return offer?.generation === number ? offer.hash : undefined;
+  return offer?.generation === generation ? offer.hash : undefined;
 };
 
-/** Binds a number to its content; the lowest numbers are let go once too many are kept. */
-const recordNumber = (
+/** Binds a generation to its content; drops the records of the lowest generations beyond the limit. */
+const recordGeneration = (
   control: ControlState,
-  number: Generation,
+  generation: Generation,
   hash: Hash,
 ): readonly TableMutation[] => {
-  if (control.hashByGeneration.has(number)) return [];
+  if (control.hashByGeneration.has(generation)) return [];
   const surplus = control.hashByGeneration.size + 1 - maxKeptGenerations;
-  if (surplus <= 0) return [putRecord(controlKeys.generation(number), { hash })];
+  if (surplus <= 0) return [putRecord(controlKeys.generation(generation), { hash })];
   const oldest = [...control.hashByGeneration.keys()]
     .sort((first, second) => first - second)
     .slice(0, surplus);
   const newestDropped = oldest.at(-1) ?? noGeneration;
-  // A number below all that are kept would be let go at once.
-  if (number < newestDropped) return [];
+  // The record of a generation below all kept ones would be dropped at once.
+  if (generation < newestDropped) return [];
   return [
-    putRecord(controlKeys.generation(number), { hash }),
+    putRecord(controlKeys.generation(generation), { hash }),
     ...oldest.map((dropped) => deleteRecord(controlKeys.generation(dropped))),
   ];
 };
 
-/** A configuration that was made from another base than the one in force. */
+/** Refusal of a configuration that was made from another base than the one in force. */
 const staleBase = (command: ApplyCommand, current: Generation): Decision => ({
   ...noChange,
   immediateReplies: [
@@ -81,37 +81,37 @@
   ],
 });
 
-/** The number belongs to another content. Answered once the write that took it lasts. */
-const numberTaken = (command: ApplyCommand, number: Generation, taken: Hash): Decision => ({
+/** Refusal of a generation that is bound to another content; sent once the write that bound it is committed. */
+const generationTaken = (command: ApplyCommand, generation: Generation, taken: Hash): Decision => ({
   ...noChange,
   repliesAfterWrite: [
     commandReply(command, 409, {
       kind: 'stale',
-      text: `number ${number} was taken by the configuration ${taken}; this one is ${command.hash}`,
-      generation: number,
+      text: `number ${generation} was taken by the configuration ${taken}; this one is ${command.hash}`,
+      generation,
       taken,
       offered: command.hash,
     }),
   ],
 });
 
-/** A number that is not above the newest: acknowledged, and nothing changes but that its content is known. */
+/** Acknowledgement of a generation that is not above the current one: only its content is recorded. */
 const alreadySuperseded = (
   control: ControlState,
   command: ApplyCommand,
-  number: Generation,
+  generation: Generation,
 ): Decision => ({
   ...noChange,
-  puts: recordNumber(control, number, command.hash),
+  puts: recordGeneration(control, generation, command.hash),
   repliesAfterWrite: [
     commandReply(command, 200, { kind: 'held', generation: currentGeneration(control) }),
   ],
 });
 
-/** How many generations back rollouts and their targets are kept. */
+/** Number of past generations whose rollouts and targets are kept. */
 const keptRollouts = 8;
 
-/** The end of rollouts that lie far behind. */
+/** Deletes the rollouts and targets of generations beyond `keptRollouts`. */
 const rolloutPuts = (control: ControlState, generation: Generation): readonly TableMutation[] => [
   ...[...control.targets]
     .filter(([, target]) => target.generation + keptRollouts < generation)
@@ -121,10 +121,10 @@
     .map((known) => deleteRecord(controlKeys.rollout(known))),
 ];
 
-/** What an operator waits before it sends a configuration again that lost chunks. */
+/** Retry delay for an operator whose configuration lost chunks. */
 const lostChunksRetryMs = 200;
 
-/** A chunk of the configuration is neither in the table nor held any more: it is not put in force. */
+/** Rejection of a configuration with a chunk that is neither in the table nor held in memory. */
 const lostChunks = (command: ApplyCommand): Decision => ({
   ...noChange,
   immediateReplies: [
@@ -156,30 +156,33 @@
       ...unusedChunks(state, control, command),
       ...rolloutPuts(control, generation),
       putRecord(controlKeys.configuration, { offer, call: command.caller.id }),
-      ...recordNumber(control, generation, hash),
+      ...recordGeneration(control, generation, hash),
       ...rememberReply(control, result, seq),
     ],
     repliesAfterWrite: [result],
   };
 };
 
-/** What a configuration that was handed in comes to. */
+/** Decides a command that applies a configuration. */
 export const decideApply = (
   state: ApplyState,
   control: ControlState,
   command: ApplyCommand,
   seq: Seq,
 ): Decision => {
-  const again = earlierReply(control, command, seq);
-  if (again !== undefined) return again;
-  const now = currentGeneration(control);
-  if (command.baseGeneration !== undefined && command.baseGeneration !== now)
-    return staleBase(command, now);
+  const earlier = earlierReply(control, command, seq);
+  if (earlier !== undefined) return earlier;
+  const current = currentGeneration(control);
+  if (command.baseGeneration !== undefined && command.baseGeneration !== current)
+    return staleBase(command, current);
   if (command.issues.length > 0) return invalid(command);
-  const { requestedGeneration: number } = command;
-  if (number === undefined) return accept(state, control, command, nextGeneration(now), seq);
-  const taken = contentOf(control, number);
-  if (taken !== undefined && taken !== command.hash) return numberTaken(command, number, taken);
-  if (number <= now) return alreadySuperseded(control, command, number);
-  return accept(state, control, command, number, seq);
+  const { requestedGeneration } = command;
+  if (requestedGeneration === undefined)
+    return accept(state, control, command, nextGeneration(current), seq);
+  const taken = contentOf(control, requestedGeneration);
+  if (taken !== undefined && taken !== command.hash)
+    return generationTaken(command, requestedGeneration, taken);
+  if (requestedGeneration <= current)
+    return alreadySuperseded(control, command, requestedGeneration);
+  return accept(state, control, command, requestedGeneration, seq);
 };
--- a/packages/replicated-store/src/commands/chunk-repair.ts
+++ b/packages/replicated-store/src/commands/chunk-repair.ts
@@ -1,6 +1,6 @@
 /**
- * Repair of a configuration in force whose chunks are not all in the table, as a fleet may have it on disk from
- * an earlier version. Registries keep the chunks that their nodes asked for, so the primary asks them and stores what comes.
+ * Repair of a configuration in force with chunks missing from the table, as an earlier version may have left it on
+ * disk. Registries cache chunks for their nodes, so the primary requests missing ones from them and stores them.
  */
 
 import { type Hash, type Timestamp, prependEffects, transition } from '@switchwheel/types';
@@ -10,14 +10,14 @@
 import { type StoreState, ownId } from '../state/state.js';
 import type { StoreTransition } from '../state/transition.js';
 
-/** How often registries are asked for chunks that the table lacks. */
+/** Interval of requests for missing chunks. */
 const repairIntervalMs = 500;
 
-/** The chunks of the configuration in force that the table lacks. */
+/** Chunks of the configuration in force that are missing from the table. */
 export const lackingChunks = ({ control }: Pick<StoreState, 'control'>): readonly Hash[] =>
   control.configuration?.offer.pieces.filter((hash) => !control.chunks.has(hash)) ?? [];
 
-/** Asks every registry for the chunks that the table lacks. */
+/** Requests missing chunks from every registry. */
 export const tickChunkRepair = (state: StoreState, now: Timestamp): StoreTransition => {
   if (now - state.chunksRequestedAt < repairIntervalMs) return transition(state);
   const hashes = lackingChunks(state).slice(0, maxChunksPerRequest);
@@ -30,7 +30,7 @@
   );
 };
 
-/** Stores a held chunk if the configuration in force lacks it. */
+/** Stores a received chunk if it is missing from the configuration in force. */
 export const storeLackingChunk = (state: StoreState, hash: Hash): StoreTransition => {
   if (!lackingChunks(state).includes(hash)) return transition(state);
   return prependEffects(
--- a/packages/replicated-store/src/commands/chunk-requests.ts
+++ b/packages/replicated-store/src/commands/chunk-requests.ts
@@ -1,5 +1,5 @@
 /**
- * Registries' requests for chunks of the configuration in force.
+ * Requests of registries for chunks of the configuration in force.
  */
 
 import { type Hash, transition } from '@switchwheel/types';
@@ -8,7 +8,7 @@
 import type { StoreState } from '../state/state.js';
 import type { StoreTransition } from '../state/transition.js';
 
-/** Log lines for chunks that were requested and are not in the table. */
+/** Logs requested chunks that are not in the table. */
 const logMissedChunks = (
   state: StoreState,
   from: Peer,
@@ -24,7 +24,7 @@
     ),
   );
 
-/** A registry requests chunks of the configuration in force. */
+/** Sends requested chunks to a registry; counts and logs those that are not in the table. */
 export const onChunkRequest = (
   state: StoreState,
   from: Peer,
--- a/packages/replicated-store/src/commands/chunks.ts
+++ b/packages/replicated-store/src/commands/chunks.ts
@@ -1,6 +1,6 @@
 /**
- * Chunks of configurations on their way into the table. A write goes to each backup in one frame, so the chunks
- * of a large configuration are stored by writes of their own, of bounded size, before the write that puts it in force.
+ * Storage of configuration chunks in the table. A write is sent to each backup in one frame, so the chunks of a large
+ * configuration are stored by separate writes of bounded size before the write that puts it in force.
  */
 
 import { type Hash, filterEntries } from '@switchwheel/types';
@@ -9,15 +9,15 @@
 import type { ApplyCommand, Command } from './command.js';
 import type { StoreState } from '../state/state.js';
 
-/** The most characters of chunks that one command adds to a write. */
+/** Maximum number of characters of chunks that one command adds to a write. */
 export const maxChunkCharactersPerWrite = 1024 * 1024;
 
-/** The most chunks that are requested at once. */
+/** Maximum number of chunks in one request. */
 export const maxChunksPerRequest = 64;
 
 type StoreChunksCommand = Extract<Command, { kind: 'storeChunks' }>;
 
-/** Keeps the chunks that an upload needs and the table has: from here on it does not depend on the table. */
+/** Copies the chunks that an upload needs from the table, so that it no longer depends on the table. */
 export const holdChunks = (state: StoreState, hashes: readonly Hash[]): StoreState => {
   const held = hashes.flatMap((hash) => {
     const data = state.heldChunks.has(hash) ? undefined : state.control.chunks.get(hash);
@@ -28,13 +28,13 @@
     : { ...state, heldChunks: new Map([...state.heldChunks, ...held]) };
 };
 
-/** The chunks of an upload that are not held: they have to be requested. */
+/** Chunks of an upload that are not held and must be requested. */
 export const missingChunks = (
   state: Pick<StoreState, 'heldChunks'>,
   hashes: readonly Hash[],
 ): readonly Hash[] => hashes.filter((hash) => !state.heldChunks.has(hash));
 
-/** The held chunks that are not in the table yet, or not any more. */
+/** Held chunks that are not in the table. */
 const unstoredChunks = (
   state: Pick<StoreState, 'heldChunks'>,
   control: ControlState,
@@ -45,7 +45,7 @@
     return data === undefined ? [] : [{ hash, data }];
   });
 
-/** The writes that go before a configuration: none if its chunks fit the write that puts it in force. */
+/** Commands that store the chunks of a large configuration in advance; none if they fit into its own write. */
 export const storeChunksCommands = (
   state: StoreState,
   command: ApplyCommand,
@@ -63,7 +63,7 @@
   return batches.length === 1 ? [] : batches.map((hashes) => ({ kind: 'storeChunks', hashes }));
 };
 
-/** The entries that store the chunks which came in. */
+/** Table mutations that store the held chunks which are not in the table. */
 export const chunkPuts = (
   state: Pick<StoreState, 'heldChunks'>,
   control: ControlState,
@@ -74,13 +74,13 @@
     data,
   }));
 
-/** The chunks that a queued command relies on. */
+/** Chunks that a queued command depends on. */
 const chunksOf = (command: Command): readonly Hash[] => {
   if (command.kind === 'applyConfiguration') return command.chunkHashes;
   return command.kind === 'storeChunks' ? command.hashes : [];
 };
 
-/** Deletes the chunks that neither this configuration, nor the one in force, nor a queued one needs. */
+/** Deletes chunks that neither this configuration, nor the one in force, nor a queued one needs. */
 export const unusedChunks = (
   state: Pick<StoreState, 'commandQueue'>,
   control: ControlState,
@@ -97,7 +97,7 @@
     .map((hash) => deleteRecord(controlKeys.chunk(hash)));
 };
 
-/** Frees the chunks in memory that no configuration under way needs. */
+/** Releases held chunks that no pending configuration needs. */
 export const releaseChunks = (state: StoreState): StoreState => {
   if (state.heldChunks.size === 0) return state;
   const uploads = [
--- a/packages/replicated-store/src/commands/command.ts
+++ b/packages/replicated-store/src/commands/command.ts
@@ -1,6 +1,6 @@
 /**
- * Commands: what is to become part of a write, in its turn, whether an operator sent it or the primary made
- * it itself; and the replies to those that an operator sent.
+ * Commands of the command queue, sent by operators or created by the primary itself, and replies to operators'
+ * commands.
  */
 
 import type {
@@ -17,13 +17,13 @@
 import type { Electorate, NodeStatus, PurgeTarget } from '@switchwheel/transport';
 import type { ReleaseRollout, ValidationIssue } from '@switchwheel/configuration';
 
-/** Who waits for the reply to an operator's command: the registry that forwarded it, and the command's id. */
+/** Return address of an operator's command: the registry that forwarded it, and the command id. */
 export interface Caller {
   readonly to: Address;
   readonly id: CommandId;
 }
 
-/** What is to become part of a write; those with a caller are an operator's. */
+/** Queued command, executed as part of a write. Commands with a caller were sent by an operator. */
 export type Command =
   | {
       readonly kind: 'applyConfiguration';
@@ -34,7 +34,7 @@
       readonly requestedGeneration: Generation | undefined;
       readonly issues: readonly ValidationIssue[];
     }
-  /** Chunks of a configuration that is too large for one write: they are stored before it. */
+  /** Stores chunks in advance of a configuration that is too large for one write. */
   | { readonly kind: 'storeChunks'; readonly hashes: readonly Hash[] }
   | { readonly kind: 'purge'; readonly caller: Caller; readonly targets: readonly PurgeTarget[] }
   | { readonly kind: 'changeElectorate'; readonly caller: Caller; readonly electorate: Electorate }
@@ -61,7 +61,7 @@
   | { readonly kind: 'planRollout' }
   | { readonly kind: 'advanceRollout' };
 
-/** A service leader's counts of a canary; `at` is by the sender's clock and comes back in the reply. */
+/** Canary counts of a service leader; `at` is by the sender's clock and is echoed in the reply. */
 export interface CanaryReport {
   readonly service: ServiceName;
   readonly release: Release;
@@ -73,7 +73,7 @@
   readonly at: Timestamp;
 }
 
-/** The reply to an operator's command: an HTTP status and a body of JSON. */
+/** Reply to an operator's command: an HTTP status and a JSON body. */
 export interface CommandReply {
   readonly to: Address;
   readonly id: CommandId;
@@ -81,5 +81,5 @@
   readonly body: string;
 }
 
-/** An operator's command to put a configuration in force. */
+/** Operator's command to apply a configuration. */
 export type ApplyCommand = Extract<Command, { kind: 'applyConfiguration' }>;
--- a/packages/replicated-store/src/commands/configuration-upload.ts
+++ b/packages/replicated-store/src/commands/configuration-upload.ts
@@ -1,6 +1,6 @@
 /**
- * A configuration on its way into the queue of commands: its chunks are requested from the registry that sent
- * it, it is compiled with the nodes' own code, and then queued with the writes that store its chunks.
+ * Upload of a configuration: requests its chunks from the registry that forwarded it, has it compiled with the code
+ * that nodes use, and queues it with the commands that store its chunks.
  */
 
 import {
@@ -28,19 +28,19 @@
 import { type StoreState, ownId } from '../state/state.js';
 import type { StoreTransition } from '../state/transition.js';
 
-/** How long all chunks of a configuration may take before its command is rejected. */
+/** Time to receive all chunks of a configuration before its command is rejected. */
 const chunksTimeoutMs = 6000;
 
-/** What an operator waits before it sends such a configuration again. */
+/** Retry delay for an operator after that timeout. */
 const chunksTimeoutRetryMs = 1000;
 
-/** How long a request for chunks may stay without one before it is sent again. */
+/** Time without a received chunk after which a request is sent again. */
 const chunkRequestIntervalMs = 300;
 
 type AwaitingChunks = NonNullable<ReturnType<StoreState['awaitingChunks']['get']>>;
 
-/** Whether this very command is on its way already. */
-const isUnderWay = (state: StoreState, { caller }: ApplyCommand): boolean =>
+/** Whether the command with this id is already being processed. */
+const isPending = (state: StoreState, { caller }: ApplyCommand): boolean =>
   state.awaitingChunks.has(caller.id) ||
   [...state.compiling.values()].flat().some((command) => command.caller.id === caller.id) ||
   state.commandQueue.some(
@@ -48,7 +48,7 @@
   ) ||
   (state.primaryWrite?.replies.some((reply) => reply.id === caller.id) ?? false);
 
-/** Has the configuration compiled once all its chunks are here; one that is being compiled already is not again. */
+/** Requests compilation of a configuration, unless another command has already requested it. */
 const compile = (state: StoreState, command: ApplyCommand): StoreTransition => {
   const others = state.compiling.get(command.hash) ?? [];
   const next = {
@@ -60,7 +60,7 @@
   return transition(next, { kind: 'compileConfiguration', hash: command.hash, texts });
 };
 
-/** Requests some of the chunks that are missing; the next ones once these are here. */
+/** Requests the next batch of missing chunks. */
 const requestChunks = (
   state: StoreState,
   upload: Pick<AwaitingChunks, 'command' | 'since'>,
@@ -83,20 +83,20 @@
   );
 };
 
-/** An operator hands a configuration in: its chunks are requested unless they are here. */
+/** Handles an operator's upload: requests missing chunks, or compiles the configuration if there are none. */
 export const onApply = (
   before: StoreState,
   command: ApplyCommand,
   now: Timestamp,
 ): StoreTransition => {
-  if (isUnderWay(before, command)) return transition(before);
+  if (isPending(before, command)) return transition(before);
   const state = holdChunks(before, command.chunkHashes);
   const missing = missingChunks(state, command.chunkHashes);
   if (missing.length === 0) return compile(state, command);
   return requestChunks(state, { command, since: now }, missing, now);
 };
 
-/** Goes on with an upload once the chunks that it requested last are here. */
+/** Requests the next missing chunks of an upload, or compiles its configuration. */
 const advanceApply = (
   state: StoreState,
   id: CommandId,
@@ -111,7 +111,7 @@
   );
 };
 
-/** A chunk came in; one whose content doesn't fit its hash is ignored. */
+/** Handles a received chunk; ignores one that does not match its hash. */
 export const onChunk = (
   state: StoreState,
   chunk: FrameOf<'piece'>,
@@ -134,7 +134,7 @@
   return next;
 };
 
-/** Queues a configuration, and before it the writes that store the chunks of a large one. */
+/** Queues a configuration, preceded by the commands that store the chunks of a large one. */
 const enqueueApply = (state: StoreState, command: ApplyCommand): StoreTransition => {
   const storeChunks = command.issues.length > 0 ? [] : storeChunksCommands(state, command);
   let next: StoreTransition = transition(state);
@@ -143,7 +143,7 @@
   return next;
 };
 
-/** A configuration was compiled: all commands that bring it go on, with the faults that were found. */
+/** Handles a compiled configuration: queues all commands that carry it, with the validation issues found. */
 export const onCompiled = (
   state: StoreState,
   hash: Hash,
@@ -158,7 +158,7 @@
   return next;
 };
 
-/** Requests chunks again that did not come, and rejects uploads that took too long. */
+/** Repeats chunk requests without a response, and rejects uploads that timed out. */
 export const tickAwaitingChunks = (before: StoreState, now: Timestamp): StoreTransition => {
   const state = releaseChunks(before);
   let next: StoreTransition = transition(state);
--- a/packages/replicated-store/src/commands/decide-canary.ts
+++ b/packages/replicated-store/src/commands/decide-canary.ts
@@ -1,12 +1,12 @@
 /**
- * Decides what is recorded of a canary from a service leader's reports.
+ * Decides the recorded result of a canary from the reports of service leaders.
  */
 
 import { type ControlState, controlKeys, putRecord } from '@switchwheel/configuration';
 import type { Command } from './command.js';
 import { type Decision, noChange } from './decision.js';
 
-/** Takes a service leader's counts of a canary into its record: counts only grow, and a bad result stays. */
+/** Merges a service leader's canary counts into the record: counts never decrease, and a bad result is final. */
 export const decideCanary = (
   control: ControlState,
   command: Extract<Command, { kind: 'recordCanary' }>,
@@ -14,7 +14,6 @@
   const { service, release, spent, bad, good, seen, state } = command.report;
   const key = controlKeys.canaryResult(service, release);
   const known = control.canaryResults.get(key);
-  // Counts only grow, and a bad verdict stays.
   const next = {
     service,
     release,
--- a/packages/replicated-store/src/commands/decide-node.ts
+++ b/packages/replicated-store/src/commands/decide-node.ts
@@ -1,5 +1,5 @@
 /**
- * Decides what is recorded of a node from its reports.
+ * Decides the record of a node from its reports.
  */
 
 import { type NodeId, equalAsJson } from '@switchwheel/types';
@@ -13,7 +13,7 @@
 import type { Command } from './command.js';
 import { type Decision, noChange } from './decision.js';
 
-/** Records what a node reports; an earlier run of its process changes nothing. */
+/** Records the report of a node; ignores reports of an earlier incarnation. */
 export const decideNode = (
   control: ControlState,
   command: Extract<Command, { kind: 'recordNode' }>,
@@ -21,7 +21,7 @@
   const known = control.nodes.get(command.node);
   const { role, incarnation, online, report } = command;
   if (known !== undefined && known.incarnation > incarnation) return noChange;
-  const isNewRun = known?.incarnation !== incarnation;
+  const isNewIncarnation = known?.incarnation !== incarnation;
   const row: NodeRecord = {
     role,
     incarnation,
@@ -29,15 +29,16 @@
     reported: report,
     assigned: known?.assigned,
     desired: known?.desired,
-    // A new run of a node starts without a mark; a mark ends when the node runs what it was for.
+    // Cleared by a new incarnation and once the node has applied a configuration.
     failed:
-      report.failed?.hash ?? (isNewRun || report.phase === 'applied' ? undefined : known.failed),
+      report.failed?.hash ??
+      (isNewIncarnation || report.phase === 'applied' ? undefined : known.failed),
   };
   if (known !== undefined && equalAsJson(known, row)) return noChange;
   return { ...noChange, puts: [putRecord(controlKeys.node(command.node), row)] };
 };
 
-/** Forgets a node that is offline. */
+/** Deletes the record of a node that is offline. */
 export const decideForgetNode = (control: ControlState, node: NodeId): Decision =>
   control.nodes.get(node)?.online === false
     ? { ...noChange, puts: [deleteRecord(controlKeys.node(node))] }
--- a/packages/replicated-store/src/commands/decide-purge.ts
+++ b/packages/replicated-store/src/commands/decide-purge.ts
@@ -1,5 +1,5 @@
 /**
- * Decides purges.
+ * Decides purge commands.
  */
 
 import { type Seq, nextSeq } from '@switchwheel/types';
@@ -15,7 +15,7 @@
 import type { Command } from './command.js';
 import { type Decision, commandReply, earlierReply, noChange, rememberReply } from './decision.js';
 
-/** Numbers a purge and keeps it; the oldest are deleted once there are too many. */
+/** Assigns a number to a purge and records it; deletes the oldest purges beyond the limit. */
 export const decidePurge = (
   control: ControlState,
   command: Extract<Command, { kind: 'purge' }>,
@@ -24,19 +24,19 @@
   const earlier = earlierReply(control, command, seq);
   if (earlier !== undefined) return earlier;
   const number = nextSeq(latestPurge(control));
-  const batch: Purge = { seq: number, aims: [...command.targets] };
+  const purge: Purge = { seq: number, aims: [...command.targets] };
   const reply = commandReply(command, 200, {
     kind: 'accepted',
     purge: number,
     aims: command.targets.length,
   });
-  const dropped = purgesToDrop(control.purges, batch);
+  const dropped = purgesToDrop(control.purges, purge);
   return {
     ...noChange,
     repliesAfterWrite: [reply],
     puts: [
-      putRecord(controlKeys.purge(number), batch),
-      ...dropped.map((purge) => deleteRecord(controlKeys.purge(purge.seq))),
+      putRecord(controlKeys.purge(number), purge),
+      ...dropped.map((oldPurge) => deleteRecord(controlKeys.purge(oldPurge.seq))),
       ...rememberReply(control, reply, seq),
     ],
   };
--- a/packages/replicated-store/src/commands/decide-rollout.ts
+++ b/packages/replicated-store/src/commands/decide-rollout.ts
@@ -1,5 +1,5 @@
 /**
- * Decides the steps of a configuration's rollout over the nodes.
+ * Decides the steps of a configuration rollout across the nodes.
  */
 
 import * as v from 'valibot';
@@ -18,7 +18,7 @@
 
 const revisioned = v.object({ rev: v.number() });
 
-/** The rollout policy of the configuration in force; the default one if it can't be read. */
+/** Rollout policy of the configuration in force; the default policy if its header is missing or invalid. */
 const rolloutPolicyOf = (control: ControlState): v.InferOutput<typeof policySchema> => {
   const headerHash = control.configuration?.offer.pieces[0];
   const text = headerHash === undefined ? undefined : control.chunks.get(headerHash);
@@ -26,25 +26,26 @@
   return header?.success === true ? header.output.rollout : v.parse(policySchema, {});
 };
 
-/** Compare-and-set: a change of a rollout or a target counts only on the revision it was made from. */
+/** Compare-and-set: keeps changes of rollouts and targets only if they are based on the current revision. */
 const onlyCurrentRevisions = (
   control: ControlState,
   puts: readonly TableMutation[],
 ): readonly TableMutation[] =>
   puts.filter(({ key, data }) => {
     if (data === null) return true;
-    const old = key.startsWith('target/')
+    const current = key.startsWith('target/')
       ? control.targets.get(key)
       : key.startsWith('rollout/')
         ? [...control.rollouts.values()].find(
             (rollout) => controlKeys.rollout(rollout.generation) === key,
           )
         : undefined;
-    if (old === undefined) return true;
-    const read = v.safeParse(revisioned, JSON.parse(data));
+    if (current === undefined) return true;
+    const parsed = v.safeParse(revisioned, JSON.parse(data));
     return (
-      read.success &&
-      (read.output.rev === old.rev + 1 || (key.startsWith('rollout/') && read.output.rev === 0))
+      parsed.success &&
+      (parsed.output.rev === current.rev + 1 ||
+        (key.startsWith('rollout/') && parsed.output.rev === 0))
     );
   });
 
@@ -54,7 +55,7 @@
   puts: onlyCurrentRevisions(control, planRollout(control, rolloutPolicyOf(control))),
 });
 
-/** Advances the open rollout by what its nodes report. */
+/** Advances the open rollout according to the reports of its nodes. */
 export const decideRolloutAdvance = (
   state: StoreState,
   control: ControlState,
--- a/packages/replicated-store/src/commands/decide.ts
+++ b/packages/replicated-store/src/commands/decide.ts
@@ -1,6 +1,6 @@
 /**
- * Decides commands: what each changes in the table, and who is answered. No state is changed here; the write
- * that bears the changes is log-write's business.
+ * Dispatches commands to the functions that decide their table mutations and replies. Nothing is written here; the
+ * log-write modules write the mutations.
  */
 
 import type { Seq, Timestamp } from '@switchwheel/types';
@@ -18,7 +18,7 @@
 import { originPuts } from '../origins/origin-records.js';
 import type { StoreState } from '../state/state.js';
 
-/** What one command changes, seen from the control state as it will be after those before it. */
+/** Decides one command on the control state left by the commands before it. */
 export const decide = (
   state: StoreState,
   control: ControlState,
--- a/packages/replicated-store/src/commands/decision.ts
+++ b/packages/replicated-store/src/commands/decision.ts
@@ -1,5 +1,5 @@
 /**
- * What deciding a command yields, and what all deciders share: replies, and the replies kept by command id.
+ * Result of deciding a command, and helpers for replies and for the replies stored by command id.
  */
 
 import type { Invariant, Seq } from '@switchwheel/types';
@@ -14,24 +14,24 @@
 import type { Command, CommandReply } from './command.js';
 import type { StoreState } from '../state/state.js';
 
-/** What a command comes to: changes of the table, and the replies that are sent once these are committed. */
+/** Result of a command: table mutations, and replies that are sent once these are committed. */
 export interface Decision {
   readonly puts: readonly TableMutation[];
   readonly repliesAfterWrite: readonly CommandReply[];
-  /** Sent at once: nothing is written for them. */
+  /** Replies sent at once, as they depend on no write. */
   readonly immediateReplies: readonly CommandReply[];
   readonly electorate?: Electorate;
-  /** With an advanced rollout: since when each target has had its status, and when the rollout was opened. */
+  /** Result of a rollout advance: start of each target's current status, and the opening time of the rollout. */
   readonly targetStatusSince?: StoreState['targetStatusSince'];
   readonly rolloutOpenedAt?: StoreState['rolloutOpenedAt'];
-  /** Invariants that were found broken on the way. */
+  /** Invariants found violated while deciding. */
   readonly violations?: readonly Invariant[];
 }
 
-/** A command that changes nothing and needs no reply. */
+/** Decision without changes or replies. */
 export const noChange: Decision = { puts: [], repliesAfterWrite: [], immediateReplies: [] };
 
-/** A reply to whoever sent the command, under the command's id. */
+/** Builds a reply to the caller of a command, with the command id in its body. */
 export const commandReply = (
   command: Extract<Command, { caller: unknown }>,
   status: number,
@@ -42,7 +42,7 @@
   body: JSON.stringify({ ...body, id: command.caller.id }),
 });
 
-/** Keeps the reply with the write that it belongs to, and deletes the oldest beyond the bound. */
+/** Stores a reply by its command id, and deletes the oldest stored replies beyond the limit. */
 export const rememberReply = (
   control: ControlState,
   reply: CommandReply,
@@ -65,7 +65,7 @@
 };
 
 /**
- * The reply that a command with this id got before, if it is still kept; sent once the write that it belongs to is
+ * Returns the stored reply of an earlier command with this id, if any; sent once the write that stores it is
  * committed.
  */
 export const earlierReply = (
@@ -73,10 +73,10 @@
   command: Extract<Command, { caller: unknown }>,
   seq: Seq,
 ): Decision | undefined => {
-  const before = control.commandOutcomes.get(command.caller.id);
-  if (before === undefined) return undefined;
-  const reply: CommandReply = { ...command.caller, status: before.status, body: before.body };
-  const isInThisWrite = before.seq === seq;
+  const outcome = control.commandOutcomes.get(command.caller.id);
+  if (outcome === undefined) return undefined;
+  const reply: CommandReply = { ...command.caller, status: outcome.status, body: outcome.body };
+  const isInThisWrite = outcome.seq === seq;
   return isInThisWrite
     ? { ...noChange, repliesAfterWrite: [reply] }
     : { ...noChange, immediateReplies: [reply] };
--- a/packages/replicated-store/src/commands/electorate-command.ts
+++ b/packages/replicated-store/src/commands/electorate-command.ts
@@ -1,5 +1,5 @@
 /**
- * Operators' changes of the electorate, by one member at a time.
+ * Operators' commands to change the electorate, one member at a time.
  */
 
 import * as v from 'valibot';
@@ -11,7 +11,7 @@
 import { type Decision, commandReply, earlierReply, noChange, rememberReply } from './decision.js';
 import type { StoreState } from '../state/state.js';
 
-/** The electorate after an operator's change; undefined unless it changes by one member, or moves one. */
+/** Returns the changed electorate; undefined unless exactly one member is added, removed or moved. */
 export const changedElectorate = (
   current: Electorate,
   body: v.InferOutput<typeof electorateBody>,
@@ -26,7 +26,7 @@
   return { serial: nextSeq(current.serial), members };
 };
 
-/** Replaces the electorate, unless it has changed since the command came. */
+/** Decides a change of the electorate; refused if the electorate has changed since the command was queued. */
 export const decideElectorate = (
   state: StoreState,
   control: ControlState,
--- a/packages/replicated-store/src/commands/operator-commands.ts
+++ b/packages/replicated-store/src/commands/operator-commands.ts
@@ -1,6 +1,6 @@
 /**
- * Operators' commands as registries forward them: queries are answered at once, changes are checked and put
- * into the queue of commands. Only the primary answers.
+ * Operators' commands forwarded by registries: queries are answered at once, changes are validated and queued. Only
+ * the primary replies.
  */
 
 import { type Timestamp, transition } from '@switchwheel/types';
@@ -17,52 +17,52 @@
 import type { StoreState } from '../state/state.js';
 import type { StoreTransition } from '../state/transition.js';
 
-type Call = FrameOf<'call'>;
+type CommandFrame = FrameOf<'call'>;
 
-/** What an operator waits before it sends a change to a full disk again. */
+/** Retry delay for an operator whose command met a full disk. */
 const diskFullRetryMs = 2000;
 
-/** A registry forwards an operator's command. */
+/** Handles an operator's command forwarded by a registry. */
 export const onOperatorCommand = (
   state: StoreState,
   from: Peer,
-  call: Call,
+  frame: CommandFrame,
   now: Timestamp,
 ): StoreTransition => {
-  // Any other store stays silent: the registry asks the primary as soon as it knows it.
+  // Other stores do not reply: the registry sends the command to the primary once it knows it.
   if (!isPrimary(state, now)) return transition(state);
-  const caller: Caller = { to: from.address, id: call.id };
-  const earlier = state.control.commandOutcomes.get(call.id);
+  const caller: Caller = { to: from.address, id: frame.id };
+  const earlier = state.control.commandOutcomes.get(frame.id);
   if (earlier !== undefined)
     return transition(state, sendReply({ ...caller, status: earlier.status, body: earlier.body }));
-  if (state.isReadOnly && call.verb !== 'ask' && call.verb !== 'view')
+  if (state.isReadOnly && frame.verb !== 'ask' && frame.verb !== 'view')
     return transition(
       state,
       sendRejection(caller, 'the disk is full: nothing can be written', diskFullRetryMs),
     );
-  switch (call.verb) {
+  switch (frame.verb) {
     case 'apply':
-      return onApplyCall(state, caller, call, now);
+      return onApplyCommand(state, caller, frame, now);
     case 'purge':
-      return onPurgeCall(state, caller, call);
+      return onPurgeCommand(state, caller, frame);
     case 'electorate':
-      return onElectorateCall(state, caller, call);
+      return onElectorateCommand(state, caller, frame);
     case 'release':
-      return onReleaseCall(state, caller, call);
+      return onReleaseCommand(state, caller, frame);
     case 'ask':
-      return transition(state, sendReply({ ...caller, ...outcomeReply(state, call.body) }));
+      return transition(state, sendReply({ ...caller, ...outcomeReply(state, frame.body) }));
     case 'view':
-      return transition(state, sendReply({ ...caller, ...viewReply(state, call.body, now) }));
+      return transition(state, sendReply({ ...caller, ...viewReply(state, frame.body, now) }));
   }
 };
 
-const onApplyCall = (
+const onApplyCommand = (
   state: StoreState,
   caller: Caller,
-  call: Call,
+  frame: CommandFrame,
   now: Timestamp,
 ): StoreTransition => {
-  const body = parse(applyBody, call.body);
+  const body = parse(applyBody, frame.body);
   if (body === undefined || configurationHash(body.order) !== body.hash)
     return transition(state, sendInvalid(caller, 'not a description in pieces'));
   return onApply(
@@ -72,7 +72,7 @@
       caller,
       hash: body.hash,
       chunkHashes: body.order,
-      baseGeneration: call.base,
+      baseGeneration: frame.base,
       requestedGeneration: body.number,
       issues: [],
     },
@@ -80,15 +80,23 @@
   );
 };
 
-const onPurgeCall = (state: StoreState, caller: Caller, call: Call): StoreTransition => {
-  const targets = parse(purgeBody, call.body);
+const onPurgeCommand = (
+  state: StoreState,
+  caller: Caller,
+  frame: CommandFrame,
+): StoreTransition => {
+  const targets = parse(purgeBody, frame.body);
   if (targets === undefined)
     return transition(state, sendInvalid(caller, 'a purge names 1 to 10000 objects or tags'));
   return enqueueOnce(state, { kind: 'purge', caller, targets });
 };
 
-const onElectorateCall = (state: StoreState, caller: Caller, call: Call): StoreTransition => {
-  const body = parse(electorateBody, call.body);
+const onElectorateCommand = (
+  state: StoreState,
+  caller: Caller,
+  frame: CommandFrame,
+): StoreTransition => {
+  const body = parse(electorateBody, frame.body);
   const electorate =
     body === undefined || state.metadata === undefined
       ? undefined
@@ -98,8 +106,12 @@
   return enqueueOnce(state, { kind: 'changeElectorate', caller, electorate });
 };
 
-const onReleaseCall = (state: StoreState, caller: Caller, call: Call): StoreTransition => {
-  const body = parse(releaseBody, call.body);
+const onReleaseCommand = (
+  state: StoreState,
+  caller: Caller,
+  frame: CommandFrame,
+): StoreTransition => {
+  const body = parse(releaseBody, frame.body);
   if (body === undefined)
     return transition(
       state,
@@ -108,17 +120,17 @@
   return enqueueOnce(state, { kind: 'requestRollout', caller, ...body });
 };
 
-/** Queues a command, unless one with its id is waiting or being written already. */
+/** Queues a command, unless one with its id is already queued or being written. */
 const enqueueOnce = (
   state: StoreState,
   command: Extract<Command, { kind: 'purge' | 'changeElectorate' | 'requestRollout' }>,
 ): StoreTransition => {
-  const isUnderWay =
+  const isPending =
     state.commandQueue.some(
       (queued) => 'caller' in queued && queued.caller.id === command.caller.id,
     ) ||
     (state.primaryWrite?.replies.some((reply) => reply.id === command.caller.id) ?? false);
-  return isUnderWay ? transition(state) : enqueue(state, command);
+  return isPending ? transition(state) : enqueue(state, command);
 };
 
 interface ImmediateReply {
@@ -140,9 +152,9 @@
     : { status: 200, body: JSON.stringify(release) };
 };
 
-/** What became of an earlier command: its reply is kept with the write that it belongs to. */
+/** Reply with the stored outcome of an earlier command, or status 404 if none is stored. */
 const outcomeReply = (state: StoreState, id: string): ImmediateReply => {
-  const entry = [...state.control.commandOutcomes].find(([known]) => known === id);
+  const entry = [...state.control.commandOutcomes].find(([commandId]) => commandId === id);
   if (entry !== undefined) return { status: entry[1].status, body: entry[1].body };
   return {
     status: 404,
--- a/packages/replicated-store/src/commands/queue.ts
+++ b/packages/replicated-store/src/commands/queue.ts
@@ -1,5 +1,5 @@
 /**
- * The queue of commands that wait for their write.
+ * Queue of commands that wait for their write.
  */
 
 import { transition } from '@switchwheel/types';
@@ -8,15 +8,15 @@
 import type { StoreState } from '../state/state.js';
 import type { StoreTransition } from '../state/transition.js';
 
-/** The most commands that wait for their write at once. */
+/** Maximum number of queued commands. */
 export const maxQueuedCommands = 1024;
 
-/** What an operator waits before it sends a command to a full queue again. */
+/** Retry delay for an operator whose command met a full queue. */
 const fullQueueRetryMs = 1000;
 
 /**
- * Appends a command to the queue. If the queue is full, an operator's command is rejected, and one that the primary
- * made itself is dropped: it makes it again. The write starts at the end of the event.
+ * Appends a command to the queue. If the queue is full, an operator's command is rejected, and an internal command is
+ * dropped, because the primary queues it again later. The write starts at the end of the event.
  */
 export const enqueue = (state: StoreState, command: Command): StoreTransition => {
   if (state.commandQueue.length < maxQueuedCommands)
--- a/packages/replicated-store/src/commands/replies.ts
+++ b/packages/replicated-store/src/commands/replies.ts
@@ -1,13 +1,13 @@
 /**
- * Replies to operators' commands that are sent at once. Replies that rest on a write are part of it (decision.ts).
- * Status and body are those of the operators' HTTP interface.
+ * Replies to operators' commands, with the status and body of the operators' HTTP interface. Replies that depend on a
+ * write are part of its decision (decision.ts).
  */
 
 import { send } from '@switchwheel/transport';
 import type { Caller, CommandReply } from './command.js';
 import type { StoreEffect } from '../state/events.js';
 
-/** The frame that answers an operator's command. */
+/** Sends a reply to an operator's command. */
 export const sendReply = (reply: CommandReply): StoreEffect =>
   send(reply.to, {
     kind: 'called',
@@ -16,11 +16,11 @@
     body: reply.body,
   });
 
-/** The command makes no sense, and will not if it is sent again. */
+/** Refuses an invalid command; sending it again has the same result. */
 export const sendInvalid = ({ to, id }: Caller, text: string): StoreEffect =>
   sendReply({ to, id, status: 422, body: JSON.stringify({ kind: 'invalid', id, text }) });
 
-/** The command had no effect; it may be sent again after `retryAfterMs`. */
+/** Rejects a command without effect; it may be sent again after `retryAfterMs`. */
 export const sendRejection = (
   { to, id }: Caller,
   text: string,
@@ -33,7 +33,7 @@
     body: JSON.stringify({ kind: 'rejected', id, text, retryAfterMs }),
   });
 
-/** Whether the command takes effect is not known; it may be sent again with the same id. */
+/** Reports an unknown outcome; the command may be sent again with the same id. */
 export const sendUnknownOutcome = ({ to, id }: Caller): StoreEffect =>
   sendReply({
     to,
--- a/packages/replicated-store/src/commands/rollout-request.ts
+++ b/packages/replicated-store/src/commands/rollout-request.ts
@@ -1,5 +1,5 @@
 /**
- * Decides operators' requests to move a service to a release, and the progress that the primary records of them.
+ * Decides operators' rollout requests for releases, and the progress records of release rollouts.
  */
 
 import type { Release, Seq, ServiceName, Timestamp } from '@switchwheel/types';
@@ -22,7 +22,7 @@
 } from '../releases/release-progress.js';
 import type { StoreState } from '../state/state.js';
 
-/** The release to go back to: the settled one, unless no origin of it is up any more and one of another is. */
+/** Release to roll back to: the settled one, unless none of its origins is up and an origin of another release is. */
 const settledReleaseFor = (
   state: StoreState,
   known: ReleaseRollout,
@@ -35,7 +35,7 @@
   return mostCommonRelease(liveOrigins, target) ?? known.settled;
 };
 
-/** Opens a rollout to a release, unless it was accepted before or another one is under way. */
+/** Decides a rollout request: opens the rollout, unless it was accepted before or another one is in progress. */
 export const decideRolloutRequest = (
   state: StoreState,
   control: ControlState,
@@ -82,7 +82,7 @@
   };
 };
 
-/** Compare-and-set: a change counts only on the record that it was made from. */
+/** Compare-and-set: accepts a progress record only if it is based on the current one. */
 export const decideRelease = (
   control: ControlState,
   next: ReleaseRollout,
--- a/packages/replicated-store/src/commands/views.ts
+++ b/packages/replicated-store/src/commands/views.ts
@@ -1,5 +1,5 @@
 /**
- * Views of the stored state for operators. Their JSON is part of the operators' interface.
+ * Operators' views of the stored state. Their JSON is part of the operators' interface.
  */
 
 import { type Timestamp, noGeneration } from '@switchwheel/types';
@@ -7,7 +7,7 @@
 import { elapsedOf } from '../releases/release-progress.js';
 import { type StoreState, ownId } from '../state/state.js';
 
-/** What each view begins with. */
+/** Fields that every view starts with. */
 const viewHeader = (state: StoreState): object => ({
   store: ownId(state),
   epoch: heldEpoch(state.candidate),
@@ -15,7 +15,7 @@
   generation: state.control.configuration?.offer.generation ?? noGeneration,
 });
 
-/** The last release rollout of a service; undefined if there was none. */
+/** View of the last release rollout of a service; undefined if there was none. */
 export const viewRelease = (
   state: StoreState,
   service: string,
@@ -38,11 +38,11 @@
   };
 };
 
-/** What operators may ask of the stored state. */
+/** View of the stored state for a subject; an unknown subject gives the view of the store itself. */
 export const viewState = (state: StoreState, subject: string, now: Timestamp): object => {
   const control = state.control;
   switch (subject) {
-    // The offer alone: the registry collects the chunks, as they may not fit one frame.
+    // Only the manifest: the registry collects the chunks, as they may not fit into one frame.
     case 'description':
       return { ...viewHeader(state), offer: control.configuration?.offer ?? null };
     case 'rollouts':
--- a/packages/simulator/src/guard/list.ts
+++ b/packages/simulator/src/guard/list.ts
@@ -158,7 +158,7 @@
     name: 'a generation is made from its base',
     rule: 'generation',
     file: decideApply,
-    from: 'if (command.baseGeneration !== undefined && command.baseGeneration !== now)',
+    from: 'if (command.baseGeneration !== undefined && command.baseGeneration !== current)',
     to: 'if (false)',
   },
   {
@@ -186,7 +186,7 @@
     name: 'a lower number alters nothing',
     rule: 'generation',
     file: decideApply,
-    from: 'if (number <= now) return alreadySuperseded(control, command, number);',
+    from: 'if (requestedGeneration <= current) return alreadySuperseded(control, command, requestedGeneration);',
     to: '',
   },
   {
@@ -207,8 +207,8 @@
     name: 'a call is answered once',
     rule: 'whole',
     file: decision,
-    from: 'if (before === undefined) return undefined; const reply',
-    to: 'if (before !== undefined || before === undefined) return undefined; const reply',
+    from: 'if (outcome === undefined) return undefined; const reply',
+    to: 'if (outcome !== undefined || outcome === undefined) return undefined; const reply',
   },
   {
     name: 'a bad verdict stays',
