--- a/packages/replicated-store/src/commands/apply-configuration.test.ts
+++ b/packages/replicated-store/src/commands/apply-configuration.test.ts
@@ -1,4 +1,4 @@
-/** Which configurations are taken, by their numbers and contents. */
+/** Guards against two contents under one generation, and against a lower generation replacing a higher one. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -28,11 +28,11 @@
   commandQueue: [],
 };
 const contents: readonly Hash[] = texts.map((text) => contentHash(text));
-const contentAt = (at: number): Hash => contents[at % contents.length] ?? contentHash('a');
+const contentAt = (index: number): Hash => contents[index % contents.length] ?? contentHash('a');
 
 const commandOf = (
   id: number,
-  number: Generation | undefined,
+  generation: Generation | undefined,
   hash: Hash,
 ): Extract<Command, { kind: 'applyConfiguration' }> => ({
   kind: 'applyConfiguration',
@@ -40,50 +40,55 @@
   hash,
   chunkHashes: [hash],
   baseGeneration: undefined,
-  requestedGeneration: number,
+  requestedGeneration: generation,
   issues: [],
 });
 
-/** Configurations that operators upload one after another, each under its own command id. */
+/** Uploads configurations one after another, each with its own command id. */
 class Uploads {
   control: ControlState = emptyControlState;
   #seq = noSeq;
   #id = 0;
 
-  send(number: number | undefined, hash: Hash): number {
+  send(generation: number | undefined, hash: Hash): number {
     this.#id += 1;
     this.#seq = nextSeq(this.#seq);
-    const asked = number === undefined ? undefined : toGeneration(number);
-    const decision = decideApply(state, this.control, commandOf(this.#id, asked, hash), this.#seq);
+    const requested = generation === undefined ? undefined : toGeneration(generation);
+    const decision = decideApply(
+      state,
+      this.control,
+      commandOf(this.#id, requested, hash),
+      this.#seq,
+    );
     this.control = applyPuts(this.control, decision.puts);
     assert.equal(
       decision.immediateReplies.length,
       0,
-      'the reply waits for the write that it rests on',
+      'the reply waits for the write that it depends on',
     );
     return decision.repliesAfterWrite[0]?.status ?? 0;
   }
 }
 
-void test('keeps the contents of the newest numbers and no more', () => {
+void test('keeps the contents of the newest generations up to the limit', () => {
   const uploads = new Uploads();
-  const many = maxKeptGenerations + 200;
-  for (let number = 1; number <= many; number += 1)
-    assert.equal(uploads.send(number, contentAt(number)), 200);
+  const newest = maxKeptGenerations + 200;
+  for (let generation = 1; generation <= newest; generation += 1)
+    assert.equal(uploads.send(generation, contentAt(generation)), 200);
   assert.equal(uploads.control.hashByGeneration.size, maxKeptGenerations);
   assert.ok(uploads.control.commandOutcomes.size <= maxKeptOutcomes);
-  const least = many - maxKeptGenerations + 1;
-  assert.equal(Math.min(...uploads.control.hashByGeneration.keys()), least);
-  assert.equal(uploads.send(least, contentAt(least + 1)), 409);
-  assert.equal(uploads.send(least, contentAt(least)), 200);
-  // Below all that is kept the content is not known: acknowledged, and nothing is kept of it.
-  assert.equal(uploads.send(least - 1, contentAt(least)), 200);
-  assert.equal(uploads.control.hashByGeneration.has(toGeneration(least - 1)), false);
+  const oldestKept = newest - maxKeptGenerations + 1;
+  assert.equal(Math.min(...uploads.control.hashByGeneration.keys()), oldestKept);
+  assert.equal(uploads.send(oldestKept, contentAt(oldestKept + 1)), 409);
+  assert.equal(uploads.send(oldestKept, contentAt(oldestKept)), 200);
+  // The content of a generation below all kept ones is unknown: it is acknowledged and not recorded.
+  assert.equal(uploads.send(oldestKept - 1, contentAt(oldestKept)), 200);
+  assert.equal(uploads.control.hashByGeneration.has(toGeneration(oldestKept - 1)), false);
   assert.equal(uploads.control.hashByGeneration.size, maxKeptGenerations);
-  assert.equal(uploads.control.configuration?.offer.generation, many);
+  assert.equal(uploads.control.configuration?.offer.generation, newest);
 });
 
-void test('binds numbers that the store gives itself to one content too', () => {
+void test('binds generations that the store assigns itself to one content too', () => {
   const uploads = new Uploads();
   assert.equal(uploads.send(undefined, contentAt(0)), 200);
   assert.equal(uploads.send(undefined, contentAt(1)), 200);
@@ -92,7 +97,7 @@
   assert.equal(uploads.send(1, contentAt(0)), 200);
 });
 
-void test('takes the content in force for that of its number when no record of the number was kept', () => {
+void test('binds the current generation to the content in force when its record was not kept', () => {
   const uploads = new Uploads();
   uploads.send(5, contentAt(0));
   uploads.control = { ...uploads.control, hashByGeneration: new Map() };
@@ -100,22 +105,22 @@
   assert.equal(uploads.send(5, contentAt(0)), 200);
 });
 
-void test('binds each number to one content and puts the highest in force, in whatever order they come', () => {
+void test('binds each generation to one content and puts the highest in force, in any order of arrival', () => {
   for (let seed = 1; seed <= 50; seed += 1) {
     const uploads = new Uploads();
     const confirmed = new Map<number, Hash>();
     let random = seed;
-    for (let turn = 0; turn < 200; turn += 1) {
+    for (let upload = 0; upload < 200; upload += 1) {
       random = (random * 48_271) % 2_147_483_647;
-      const number = 1 + (random % 40);
+      const generation = 1 + (random % 40);
       const hash = contentAt(Math.floor(random / 64));
-      const known = confirmed.get(number);
-      const status = uploads.send(number, hash);
-      assert.equal(status, known === undefined || known === hash ? 200 : 409);
-      if (status === 200) confirmed.set(number, hash);
-      const top = Math.max(...confirmed.keys());
+      const boundHash = confirmed.get(generation);
+      const status = uploads.send(generation, hash);
+      assert.equal(status, boundHash === undefined || boundHash === hash ? 200 : 409);
+      if (status === 200) confirmed.set(generation, hash);
+      const highest = Math.max(...confirmed.keys());
       const offer = uploads.control.configuration?.offer;
-      assert.deepEqual([offer?.generation, offer?.hash], [top, confirmed.get(top)]);
+      assert.deepEqual([offer?.generation, offer?.hash], [highest, confirmed.get(highest)]);
     }
   }
 });
--- a/packages/replicated-store/src/commands/call-bodies.test.ts
+++ b/packages/replicated-store/src/commands/command-bodies.test.ts
@@ -1,6 +1,6 @@
 /**
- * Holds the JSON bodies of calls as registries send them to the primary, and of the answers that registries read:
- * they are texts within frames, so the schemas of the frames say nothing of them.
+ * Guards against changes of the JSON bodies of commands and replies between registries and the primary, which the
+ * frame schemas do not cover.
  */
 
 import assert from 'node:assert/strict';
@@ -24,7 +24,7 @@
 import { type StoreState, newStoreState } from '../state/state.js';
 
 type Verb = FrameOf<'call'>['verb'];
-type CallStep = ReturnType<typeof onOperatorCommand>;
+type CommandResult = ReturnType<typeof onOperatorCommand>;
 
 const now = toTimestamp(1000);
 const registry: Peer = {
@@ -37,7 +37,7 @@
 const chunkHash = contentHash(chunk);
 const configurationHashText = configurationHash([chunkHash]);
 
-/** A primary with an empty configuration, and one piece of content at hand. */
+/** Primary with an empty configuration, and one chunk in memory. */
 const primaryStore = (): StoreState => {
   const address = toAddress('127.0.0.1:7010');
   const metadata = {
@@ -97,7 +97,7 @@
   };
 };
 
-const callWith = (verb: Verb, body: string): CallStep =>
+const sendCommand = (verb: Verb, body: string): CommandResult =>
   onOperatorCommand(
     primaryStore(),
     registry,
@@ -105,25 +105,25 @@
     now,
   );
 
-/** The answers among effects: status and body. */
-const answersIn = (effects: readonly StoreEffect[]): readonly (readonly [number, unknown])[] =>
+/** Status and body of each reply among the effects. */
+const repliesIn = (effects: readonly StoreEffect[]): readonly (readonly [number, unknown])[] =>
   effects.flatMap((effect) =>
     effect.kind === 'send' && effect.frame.kind === 'called'
       ? [[effect.frame.status, JSON.parse(effect.frame.body)] as const]
       : [],
   );
 
-const answerTo = (verb: Verb, body: string): readonly (readonly [number, unknown])[] =>
-  answersIn(callWith(verb, body).effects);
+const repliesTo = (verb: Verb, body: string): readonly (readonly [number, unknown])[] =>
+  repliesIn(sendCommand(verb, body).effects);
 
 const refusal = (text: string): readonly (readonly [number, unknown])[] => [
   [422, { kind: 'invalid', id: 'call-1', text }],
 ];
 
-void test('an apply names the content, the order of its chunks and its number', () => {
+void test('an apply command names the content, the order of its chunks and its generation', () => {
   const body = `{"hash":"${configurationHashText}","order":["${chunkHash}"],"number":7}`;
-  const { state, effects } = callWith('apply', body);
-  assert.deepEqual(answersIn(effects), []);
+  const { state, effects } = sendCommand('apply', body);
+  assert.deepEqual(repliesIn(effects), []);
   const [command] = state.compiling.get(configurationHashText) ?? [];
   assert.ok(command !== undefined);
   assert.deepEqual(
@@ -132,26 +132,28 @@
   );
 });
 
-void test('an apply may leave its number out', () => {
+void test('an apply command may omit the generation', () => {
   const body = `{"hash":"${configurationHashText}","order":["${chunkHash}"]}`;
-  const [command] = callWith('apply', body).state.compiling.get(configurationHashText) ?? [];
+  const [command] = sendCommand('apply', body).state.compiling.get(configurationHashText) ?? [];
   assert.ok(command !== undefined);
   assert.equal(command.requestedGeneration, undefined);
 });
 
-void test('a purge is a list of objects, tags or everything', () => {
+void test('a purge command is a list of objects, tags or everything', () => {
   const body =
     '[{"by":"object","host":"cdn.example","path":"/a"},{"by":"tag","tag":"album-7"},{"by":"all"}]';
-  const [command] = callWith('purge', body).state.commandQueue;
+  const [command] = sendCommand('purge', body).state.commandQueue;
   assert.ok(command?.kind === 'purge');
   assert.deepEqual(command.targets, JSON.parse(body));
 });
 
-void test('a change of the electorate adds or removes one member', () => {
-  const added = callWith('electorate', '{"add":{"node":"registry-2","address":"127.0.0.2:7000"}}')
-    .state.commandQueue[0];
-  assert.ok(added?.kind === 'changeElectorate');
-  assert.deepEqual(added.electorate, {
+void test('an electorate command adds or removes one member', () => {
+  const queued = sendCommand(
+    'electorate',
+    '{"add":{"node":"registry-2","address":"127.0.0.2:7000"}}',
+  ).state.commandQueue[0];
+  assert.ok(queued?.kind === 'changeElectorate');
+  assert.deepEqual(queued.electorate, {
     serial: 5,
     members: [
       { node: 'registry-1', address: '127.0.0.1:7000' },
@@ -159,14 +161,14 @@
     ],
   });
   assert.deepEqual(
-    answerTo('electorate', '{"remove":"registry-1"}'),
+    repliesTo('electorate', '{"remove":"registry-1"}'),
     refusal('that would not change the electorate by one'),
     'the last member stays',
   );
 });
 
-void test('an order of a release names the service, the release and its span', () => {
-  const [command] = callWith('release', '{"service":"shop","target":"r2","spanMs":16000}').state
+void test('a rollout request names the service, the release and its duration', () => {
+  const [command] = sendCommand('release', '{"service":"shop","target":"r2","spanMs":16000}').state
     .commandQueue;
   assert.ok(command?.kind === 'requestRollout');
   assert.deepEqual([command.service, command.target, command.spanMs], ['shop', 'r2', 16_000]);
@@ -194,30 +196,30 @@
   ],
 ];
 for (const [number, [verb, body, text]] of incompleteBodies.entries())
-  void test(`the call ${verb} is refused without a part of its body (${number + 1})`, () => {
-    assert.deepEqual(answerTo(verb, body), refusal(text));
+  void test(`the command ${verb} is refused if a part of its body is missing (${number + 1})`, () => {
+    assert.deepEqual(repliesTo(verb, body), refusal(text));
   });
 
-const about = { store: 'store-1', epoch: 1, stamp: { epoch: 1, seq: 1 }, generation: 0 };
+const viewHeader = { store: 'store-1', epoch: 1, stamp: { epoch: 1, seq: 1 }, generation: 0 };
 
-void test('a view of the configuration has the offer that the registry collects', () => {
-  assert.deepEqual(answerTo('view', 'description'), [[200, { ...about, offer: null }]]);
+void test('a view of the configuration contains the manifest that the registry collects chunks by', () => {
+  assert.deepEqual(repliesTo('view', 'description'), [[200, { ...viewHeader, offer: null }]]);
 });
 
-void test('views of the stored state name each family', () => {
-  const viewed = new Map<string, object>([
+void test('each view of the stored state has its records under its own key', () => {
+  const recordsByView = new Map<string, object>([
     ['rollouts', { rollouts: [] }],
     ['nodes', { nodes: [] }],
     ['purges', { purges: [{ seq: 3, aims: [{ by: 'all' }] }] }],
     ['verdicts', { verdicts: [] }],
     ['releases', { releases: [] }],
   ]);
-  for (const [name, rows] of viewed)
-    assert.deepEqual(answerTo('view', name), [[200, { ...about, ...rows }]], name);
+  for (const [name, rows] of recordsByView)
+    assert.deepEqual(repliesTo('view', name), [[200, { ...viewHeader, ...rows }]], name);
 });
 
-void test('a call that asks for an unknown command is told that sending it again is safe', () => {
-  assert.deepEqual(answerTo('ask', 'call-0'), [
+void test('a query for an unknown command is answered that sending it again is safe', () => {
+  assert.deepEqual(repliesTo('ask', 'call-0'), [
     [
       404,
       {
--- a/packages/replicated-store/src/commands/view-forms.test.ts
+++ b/packages/replicated-store/src/commands/view-forms.test.ts
@@ -1,4 +1,4 @@
-/** Holds the JSON of the operators' views of the stored state. */
+/** Guards against changes of the JSON of operators' views. */
 
 import { test } from 'node:test';
 import { jsonShape, snapshotsFor } from '@switchwheel/types/testing';
@@ -17,18 +17,18 @@
 const matchSnapshot = snapshotsFor(import.meta.dirname);
 const now = toTimestamp(5000);
 const hash = 'a'.repeat(64);
-const place = { generation: 4, hash };
-const offer = { ...place, pieces: [hash] };
+const version = { generation: 4, hash };
+const offer = { ...version, pieces: [hash] };
 const report = {
-  ...place,
+  ...version,
   phase: 'failed',
-  failed: { ...place, text: 'why' },
+  failed: { ...version, text: 'why' },
   health: { name: 'node', healthy: true, text: '', parts: [] },
   ready: true,
 };
 const node = { role: 'edge', incarnation: 1, online: true, reported: report };
 const verdict = { service: 'clips', release: 'r2', state: 'trial', spent: 1, bad: 0, good: 1 };
-const order = {
+const rollout = {
   service: 'clips',
   settled: 'r1',
   prior: 'r1',
@@ -48,13 +48,13 @@
   text: '',
   earlier: [{ target: 'r1', spanMs: 1000, order: 0, ageMs: 9 }],
 };
-/** Rows as they stand in the table of a store. */
+/** Rows in the form in which the table stores them. */
 const rows: readonly (readonly [string, object])[] = [
   ['description', { offer, call: 'c1' }],
-  ['node/e1', { ...node, assigned: place, desired: place, failed: hash }],
+  ['node/e1', { ...node, assigned: version, desired: version, failed: hash }],
   [
     'rollout/0000000000000004',
-    { ...place, status: 'running', wave: 0, waves: 1, policy: {}, troubled: false, rev: 1 },
+    { ...version, status: 'running', wave: 0, waves: 1, policy: {}, troubled: false, rev: 1 },
   ],
   [
     'target/0000000000000004/e1',
@@ -62,10 +62,10 @@
   ],
   ['purge/0000000000000002', { seq: 2, aims: [{ by: 'object', host: 'h', path: '/a' }] }],
   ['verdict/clips/r2', { ...verdict, seen: 9 }],
-  ['release/clips', order],
+  ['release/clips', rollout],
 ];
 
-void test('what operators are shown of the stored state keeps its keys', () => {
+void test('views of the stored state keep their keys', () => {
   const member = {
     node: toNodeId('s1'),
     role: 'store' as const,
@@ -75,7 +75,7 @@
   };
   const empty = newStoreState(member, [], { seed: 1 });
   const control = rows.reduce(
-    (held, [key, row]) => applyPut(held, { key, data: JSON.stringify(row) }),
+    (controlState, [key, row]) => applyPut(controlState, { key, data: JSON.stringify(row) }),
     emptyControlState,
   );
   const full = { ...empty, control };
--- a/packages/replicated-store/src/origins/origin-records.test.ts
+++ b/packages/replicated-store/src/origins/origin-records.test.ts
@@ -1,4 +1,4 @@
-/** The record of origins follows what origins announce. */
+/** Guards against records of dead origins, and against losing records of origins before they announce themselves. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -19,7 +19,11 @@
 import { originPuts } from './origin-records.js';
 
 const now: Timestamp = toTimestamp(100_000);
-const seen = (number: number, state: KnownOrigin['state'], silentMs: number): KnownOrigin => ({
+const announcedOrigin = (
+  number: number,
+  state: KnownOrigin['state'],
+  silentMs: number,
+): KnownOrigin => ({
   service: toServiceName('clips'),
   instance: toInstanceId(`o${number}`),
   address: toAddress(`10.0.0.${number}:80`),
@@ -28,7 +32,7 @@
   state,
   lastHeardAt: subtractMs(now, silentMs),
 });
-const list = fc.array(
+const originRows = fc.array(
   fc.record({
     number: fc.integer({ min: 1, max: 9 }),
     state: fc.constantFrom<KnownOrigin['state']>('up', 'leaving', 'gone'),
@@ -43,34 +47,37 @@
   }[],
 ): ReadonlyMap<InstanceId, KnownOrigin> =>
   new Map(
-    rows.map((one) => [toInstanceId(`o${one.number}`), seen(one.number, one.state, one.silentMs)]),
+    rows.map((row) => [
+      toInstanceId(`o${row.number}`),
+      announcedOrigin(row.number, row.state, row.silentMs),
+    ]),
   );
-const record = (rows: readonly KnownOrigin[]): ReadonlyMap<InstanceId, OriginInstance> =>
+const recordsOf = (rows: readonly KnownOrigin[]): ReadonlyMap<InstanceId, OriginInstance> =>
   applyPuts(
     emptyControlState,
-    originPuts(new Map(), new Map(rows.map((one) => [one.instance, one])), false, now),
+    originPuts(new Map(), new Map(rows.map((origin) => [origin.instance, origin])), false, now),
   ).origins;
 
-void test('the record holds just the origins that are up; one that was never heard stays until that is sure', () => {
+void test('records match the live origins; one that was not announced is kept until all announcements are in', () => {
   fc.assert(
-    fc.property(list, list, fc.boolean(), (before, after, sure) => {
-      const known = record([...mapOf(before).values()]);
-      const heard = mapOf(after);
+    fc.property(originRows, originRows, fc.boolean(), (before, after, isComplete) => {
+      const recorded = recordsOf([...mapOf(before).values()]);
+      const announced = mapOf(after);
       const control = applyPuts(
-        { ...emptyControlState, origins: known },
-        originPuts(known, heard, sure, now),
+        { ...emptyControlState, origins: recorded },
+        originPuts(recorded, announced, isComplete, now),
       );
-      for (const one of heard.values())
+      for (const origin of announced.values())
         assert.equal(
-          control.origins.has(one.instance),
-          one.state === 'up' && now - one.lastHeardAt < 10_000,
+          control.origins.has(origin.instance),
+          origin.state === 'up' && now - origin.lastHeardAt < 10_000,
         );
-      for (const instance of known.keys())
-        if (!heard.has(instance)) assert.equal(control.origins.has(instance), !sure);
+      for (const instance of recorded.keys())
+        if (!announced.has(instance)) assert.equal(control.origins.has(instance), !isComplete);
       assert.deepEqual(
-        originPuts(control.origins, heard, sure, now),
+        originPuts(control.origins, announced, isComplete, now),
         [],
-        'and then nothing is written',
+        'a second comparison writes nothing',
       );
     }),
     { seed: 3 },
--- a/packages/replicated-store/src/origins/origin-records.ts
+++ b/packages/replicated-store/src/origins/origin-records.ts
@@ -1,6 +1,6 @@
 /**
- * The record of the origins that are up, kept so that a fleet that lost all its processes need not wait until
- * each origin announces itself again.
+ * Records of live origins, stored so that a fleet that restarts as a whole need not wait for every origin to announce
+ * itself again.
  */
 
 import { type InstanceId, type Timestamp, toDurationMs, transition } from '@switchwheel/types';
@@ -11,13 +11,13 @@
 import type { StoreState } from '../state/state.js';
 import type { StoreTransition } from '../state/transition.js';
 
-/** How often the record is compared with what origins announce. */
+/** Interval at which the records are compared with the announced origins. */
 const checkIntervalMs = 500;
 
-/** How long after its election a primary takes a recorded origin that it has not heard for gone. */
+/** Time after its election after which a primary deletes recorded origins that were not announced. */
 const absentAfterMs = 12_000;
 
-/** How long an origin that is only known from a disk may be used until it is heard itself. */
+/** Time for which an origin known only from a record may be used before it announces itself. */
 const provisionalMs = 2500;
 
 const originRecord = ({
@@ -45,7 +45,7 @@
   first.slots === second.slots &&
   first.area === second.area;
 
-/** The changes that make the record equal the origins that are up. */
+/** Table mutations that bring the records in line with the live origins. */
 export const originPuts = (
   recorded: ReadonlyMap<InstanceId, OriginInstance>,
   announced: StoreState['session']['origins'],
@@ -61,36 +61,40 @@
         puts.push(putRecord(controlKeys.origin(origin.instance), after));
     } else if (before !== undefined) puts.push(deleteRecord(controlKeys.origin(origin.instance)));
   }
-  // A primary that has just begun may not have heard of all of them yet.
+  // A new primary may not have received all announcements yet.
   if (isAnnouncementComplete)
     for (const instance of recorded.keys())
       if (!announced.has(instance)) puts.push(deleteRecord(controlKeys.origin(instance)));
   return puts;
 };
 
-/** Queues a change of the record if it differs from the origins that are up. */
+/** Queues an update of the records if they differ from the live origins. */
 export const tickOrigins = (state: StoreState, now: Timestamp): StoreTransition => {
-  const own = state.candidate.phase;
+  const leasePhase = state.candidate.phase;
   if (
     !state.settings.persistsOrigins ||
-    own.phase !== 'holdingLease' ||
+    leasePhase.phase !== 'holdingLease' ||
     now - state.originsCheckedAt < checkIntervalMs
   )
     return transition(state);
   const next: StoreState = { ...state, originsCheckedAt: now };
   if (state.commandQueue.some(({ kind }) => kind === 'recordOrigins')) return transition(next);
   if (
-    originPuts(state.control.origins, state.session.origins, now - own.wonAt > absentAfterMs, now)
-      .length === 0
+    originPuts(
+      state.control.origins,
+      state.session.origins,
+      now - leasePhase.wonAt > absentAfterMs,
+      now,
+    ).length === 0
   )
     return transition(next);
   return enqueue(next, {
     kind: 'recordOrigins',
-    isAnnouncementComplete: now - own.wonAt > absentAfterMs,
+    isAnnouncementComplete: now - leasePhase.wonAt > absentAfterMs,
   });
 };
 
-/** The recorded origins as a hint bears them: for a short time only, as they may be gone. */
+/** Recorded origins for a hint, with an age that lets them expire soon, as they may be gone. */
 export const storedOrigins = (state: StoreState): OriginInstance[] =>
   [...state.control.origins.values()].map((origin) => ({
     ...origin,
--- a/packages/replicated-store/src/registries/feed.ts
+++ b/packages/replicated-store/src/registries/feed.ts
@@ -1,6 +1,6 @@
 /**
- * The feed to registries: the desired state of nodes and what else they lack, sent on subscription and after
- * each committed write.
+ * Feed to registries: the desired state of nodes, purges, canary results and release rollouts, sent on each
+ * subscription and after each committed write.
  */
 
 import { type Timestamp, clockOrigin, noSeq } from '@switchwheel/types';
@@ -12,7 +12,7 @@
 import type { Subscriber } from '../state/peers.js';
 import type { StoreState } from '../state/state.js';
 
-/** How long a registry may be silent and still gets the feed after a commit. */
+/** Silence after which a registry is no longer sent the feed after commits. */
 const subscriberTimeoutMs = 3000;
 
 const offersOf = (state: StoreState): readonly ConfigManifest[] => {
@@ -20,7 +20,7 @@
   return stored === undefined ? [] : [stored];
 };
 
-/** A feed for one registry: all of the desired state if it lacks any, and the purges that it lacks. */
+/** Feed for one registry: the whole desired state if it is outdated there, and the purges that it lacks. */
 const feedFrame = (
   state: StoreState,
   subscriber: Subscriber,
@@ -55,7 +55,7 @@
   };
 };
 
-/** Sends the feed to one registry; `at` is the time by its clock at which it subscribed. */
+/** Sends the feed to one registry; `at` is the time of its subscription by its own clock. */
 export const feedSubscriber = (
   state: StoreState,
   subscriber: Subscriber,
@@ -66,7 +66,7 @@
   return frame === undefined ? [] : [send(subscriber.address, frame)];
 };
 
-/** Sends the feed to every registry that is in touch; the time that it bears renews nothing there. */
+/** Sends the feed to every live subscriber. Its `at` is the clock origin, so it does not renew a subscription. */
 export const feedSubscribers = (state: StoreState, now: Timestamp): readonly StoreEffect[] =>
   [...state.subscribers.values()]
     .filter((subscriber) => now - subscriber.heardAt < subscriberTimeoutMs)
--- a/packages/replicated-store/src/registries/heartbeat.ts
+++ b/packages/replicated-store/src/registries/heartbeat.ts
@@ -1,5 +1,5 @@
 /**
- * What a store reports of itself to its registry.
+ * Status that a store reports to its registry with heartbeats.
  */
 
 import { type Timestamp, noGeneration, noSeq } from '@switchwheel/types';
@@ -32,7 +32,7 @@
   },
 });
 
-/** The content of a heartbeat; the last one before the end says that the store leaves. */
+/** Content of a heartbeat; the last one before the process ends announces that the store is leaving. */
 export const heartbeatContent = (
   state: StoreState,
   now: Timestamp,
--- a/packages/replicated-store/src/registries/hint.ts
+++ b/packages/replicated-store/src/registries/hint.ts
@@ -1,5 +1,5 @@
 /**
- * Hints: what a store has on its disk, sent to the registries while no primary is heard of.
+ * Hints to registries: the stored configuration and origins of a store, sent while no primary is known.
  */
 
 import type { Timestamp } from '@switchwheel/types';
@@ -11,8 +11,9 @@
 import type { StoreState } from '../state/state.js';
 
 /**
- * While no primary is heard of, all registries get what this disk holds, so that nodes which run nothing
- * need not wait for an election. Each needs it from every store in sync; the store's own gets the origins too.
+ * While no primary is known, sends the contents of this disk to all registries, so that nodes without a
+ * configuration need not wait for an election. A registry needs hints from every in-sync store; only the store's own
+ * registry also receives the origins.
  */
 export const sendHint = (state: StoreState, now: Timestamp): readonly StoreEffect[] => {
   const offer = state.control.configuration?.offer;
--- a/packages/replicated-store/src/registries/node-contacts.ts
+++ b/packages/replicated-store/src/registries/node-contacts.ts
@@ -1,5 +1,5 @@
 /**
- * Which nodes are in touch by way of any registry: silent ones are recorded as offline, and forgotten in the end.
+ * Connectivity of nodes, as reported by registries: silent nodes are recorded as offline and eventually deleted.
  */
 
 import {
@@ -15,13 +15,13 @@
 import { type StoreState, ownId } from '../state/state.js';
 import type { StoreTransition } from '../state/transition.js';
 
-/** How long a node may be out of touch with all registries before it is recorded as offline. */
+/** Time without contact to any registry after which a node is recorded as offline. */
 const nodeOfflineAfterMs = 2000;
 
-/** How long a node may be offline before it is forgotten. */
+/** Time without contact after which the record of an offline node is deleted. */
 const forgetNodeAfterMs = 3_600_000;
 
-/** Checks one node; a node of which nothing was heard yet gets the whole time from now on. */
+/** Checks one node; the timeout of a node without a recorded contact starts now. */
 const checkNode = (
   state: StoreState,
   node: NodeId,
@@ -58,7 +58,7 @@
   });
 };
 
-/** Records nodes as offline that no registry has reported for a while, and forgets them in the end. */
+/** Records nodes without contact as offline, and deletes the records of long-offline nodes. */
 export const markSilentNodesOffline = (state: StoreState, now: Timestamp): StoreTransition => {
   let next: StoreTransition = transition(state);
   for (const [node, record] of state.control.nodes)
--- a/packages/replicated-store/src/registries/subscriptions.ts
+++ b/packages/replicated-store/src/registries/subscriptions.ts
@@ -1,5 +1,5 @@
 /**
- * Subscriptions of registries at the primary: each brings what its nodes report and is answered by a feed.
+ * Subscriptions of registries at the primary: each carries the reports of connected nodes and is answered with a feed.
  */
 
 import {
@@ -36,7 +36,7 @@
   latestPurge: subscription.purged,
 });
 
-/** Whether a report says what is recorded of its node already. */
+/** Whether a report equals the record of its node. */
 const isRecorded = (state: StoreState, report: NodeReport): boolean => {
   const recorded = state.control.nodes.get(report.node);
   return (
@@ -57,7 +57,7 @@
       command.online === report.open,
   );
 
-/** Whether a report of a lost connection doesn't count, as the node is in touch by way of another registry. */
+/** Whether a report of a lost connection is obsolete, as the node was last seen by another registry. */
 const isSuperseded = (
   state: StoreState,
   registry: Subscription['registry'],
@@ -67,7 +67,7 @@
   return !open && contact !== undefined && contact.registry !== registry.node;
 };
 
-/** Notes by which registry a node is in touch, and queues what its report changes. */
+/** Records the registry that a node is connected to, and queues a change of the node's record. */
 const onNodeReport = (
   state: StoreState,
   registry: Subscription['registry'],
@@ -96,14 +96,14 @@
   });
 };
 
-/** Whether a subscription brings a node of which nothing is recorded yet: the rollout has to be planned anew. */
+/** Whether a subscription reports a node without a record, which requires a new rollout plan. */
 const bringsNewNode = (state: StoreState, subscription: Subscription): boolean =>
   subscription.reports.some(
     (report) =>
       !state.control.nodes.has(report.node) && !isSuperseded(state, subscription.registry, report),
   );
 
-/** A registry subscribes, or renews its subscription: the primary takes the reports in and sends a feed. */
+/** Handles a new or renewed subscription: sends a feed and processes the node reports. */
 export const onSubscribe = (
   state: StoreState,
   subscription: Subscription,
--- a/packages/replicated-store/src/releases/release-progress.ts
+++ b/packages/replicated-store/src/releases/release-progress.ts
@@ -1,6 +1,6 @@
 /**
- * Progress of requests to move a service to a release: edges' counts are collected, and the record is advanced
- * by the rules of the configuration package.
+ * Progress of release rollouts: collects the request counts of edges and advances each rollout's record by the rules of
+ * the configuration package.
  */
 
 import {
@@ -27,7 +27,7 @@
 import type { StoreState } from '../state/state.js';
 import type { StoreTransition } from '../state/transition.js';
 
-/** How many origins of each release of a service are up. */
+/** Number of live origins of a service, by release. */
 export const liveOriginsByRelease = (
   state: StoreState,
   service: ServiceName,
@@ -40,7 +40,7 @@
   return counts;
 };
 
-/** The release that most origins run, other than `except`; the lesser name if several have as many. */
+/** Release that most origins run, other than `except`; on a tie the one that sorts first. */
 export const mostCommonRelease = (
   liveOrigins: ReadonlyMap<Release, number>,
   except?: Release,
@@ -52,7 +52,7 @@
         otherCount - count || (release < otherRelease ? -1 : 1),
     )[0]?.[0];
 
-/** How much of a rollout's time span is over, in milliseconds, as far as this store knows. */
+/** Elapsed time of a rollout in milliseconds, by its record and this store's own observation. */
 export const elapsedOf = (state: StoreState, rollout: ReleaseRollout, now: Timestamp): number => {
   const watch = state.releaseWatches.get(rollout.service);
   return watch?.rolloutNumber === rollout.order
@@ -60,7 +60,7 @@
     : rollout.spentMs;
 };
 
-/** Watches the rollouts that need it, from where their records say they are. */
+/** Starts watching rollouts at their recorded progress, and drops the watches of services without a record. */
 const withReleaseWatches = (state: StoreState, now: Timestamp): StoreState => {
   let watches = state.releaseWatches;
   for (const [service, rollout] of state.control.releases) {
@@ -72,7 +72,7 @@
   return kept === state.releaseWatches ? state : { ...state, releaseWatches: kept };
 };
 
-/** Whether a change of a service's record is queued or being written already. */
+/** Whether a change of a service's rollout record is queued or being written. */
 const hasPendingChange = (state: StoreState, service: ServiceName): boolean =>
   state.commandQueue.some(
     (command) =>
@@ -83,42 +83,42 @@
 
 const advanceRelease = (
   state: StoreState,
-  order: ReleaseRollout,
+  rollout: ReleaseRollout,
   now: Timestamp,
 ): StoreTransition => {
-  const own = state.releaseWatches.get(order.service);
+  const watch = state.releaseWatches.get(rollout.service);
   if (
-    own === undefined ||
-    !needsCounts(order, elapsedAt(own, now)) ||
-    hasPendingChange(state, order.service)
+    watch === undefined ||
+    !needsCounts(rollout, elapsedAt(watch, now)) ||
+    hasPendingChange(state, rollout.service)
   )
     return transition(state);
-  const next = advanceReleaseRollout(
-    order,
-    own,
-    liveOriginsByRelease(state, order.service),
+  const advanced = advanceReleaseRollout(
+    rollout,
+    watch,
+    liveOriginsByRelease(state, rollout.service),
     now,
     state.settings.releases ?? releaseSettings,
   );
-  if (next === order) return transition(state);
+  if (advanced === rollout) return transition(state);
   const logLines =
-    next.phase === order.phase
+    advanced.phase === rollout.phase
       ? []
       : [
           log(
             'info',
             'release rollout advanced',
-            ['service', order.service],
-            ['target', next.target ?? ''],
-            ['phase', next.phase],
-            ['spent', Math.round(next.spentMs)],
-            ['why', next.text],
+            ['service', rollout.service],
+            ['target', advanced.target ?? ''],
+            ['phase', advanced.phase],
+            ['spent', Math.round(advanced.spentMs)],
+            ['why', advanced.text],
           ),
         ];
-  return prependEffects(logLines, enqueue(state, { kind: 'recordRelease', record: next }));
+  return prependEffects(logLines, enqueue(state, { kind: 'recordRelease', record: advanced }));
 };
 
-/** Records the release that each service runs of which there is no record yet. */
+/** Records the current release of each service that has no record yet. */
 const recordSettledReleases = (state: StoreState): StoreTransition => {
   let next: StoreTransition = transition(state);
   const services = new Set(
@@ -138,27 +138,27 @@
   return next;
 };
 
-/** Advances the rollouts of releases, and records the releases of services that have no record yet. */
+/** Advances release rollouts, and records the current release of services without a record. */
 export const tickReleases = (state: StoreState, now: Timestamp): StoreTransition => {
   let next = recordSettledReleases(withReleaseWatches(state, now));
-  for (const order of state.control.releases.values())
-    next = prependEffects(next.effects, advanceRelease(next.state, order, now));
+  for (const rollout of state.control.releases.values())
+    next = prependEffects(next.effects, advanceRelease(next.state, rollout, now));
   return next;
 };
 
-/** An edge reports its counts; a release that they show to be bad is judged at once. */
+/** Handles an edge's request counts and advances the rollout at once, so that a bad release is detected early. */
 export const onTally = (
   before: StoreState,
   tally: FrameOf<'tally'>,
   now: Timestamp,
 ): StoreTransition => {
   const state = withReleaseWatches(before, now);
-  const own = state.releaseWatches.get(tally.service);
-  const order = state.control.releases.get(tally.service);
-  if (own === undefined || order === undefined) return transition(state);
+  const watch = state.releaseWatches.get(tally.service);
+  const rollout = state.control.releases.get(tally.service);
+  if (watch === undefined || rollout === undefined) return transition(state);
   const next = {
     ...state,
-    releaseWatches: withEntry(state.releaseWatches, tally.service, recordCounts(own, tally, now)),
+    releaseWatches: withEntry(state.releaseWatches, tally.service, recordCounts(watch, tally, now)),
   };
-  return advanceRelease(next, order, now);
+  return advanceRelease(next, rollout, now);
 };
--- a/packages/replicated-store/src/resync/bootstrap.test.ts
+++ b/packages/replicated-store/src/resync/bootstrap.test.ts
@@ -1,4 +1,4 @@
-/** Bootstrap of a fleet on a store, by proposals that come in any order and more than once. */
+/** Guards against a store that joins two fleets or loses its metadata on repeated or reordered bootstrap requests. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -39,85 +39,88 @@
   serial: noSeq,
   members: [1, 2, 3].map(registry).map(({ node, address }) => ({ node, address })),
 };
-const proposal = (by: number, other = fleet): FrameOf<'bootstrap'> => ({
+const bootstrapRequest = (
+  registryNumber: number,
+  requestedFleet = fleet,
+): FrameOf<'bootstrap'> => ({
   kind: 'bootstrap',
-  id: toCommandId(`${other}.r${by}`),
-  fleet: other,
+  id: toCommandId(`${requestedFleet}.r${registryNumber}`),
+  fleet: requestedFleet,
   stores: stores.map(({ node, address }) => ({ node, address })),
   electorate,
 });
 
-/** A store whose disk completes writes only when the test says so. */
+/** Store whose disk completes writes only on request of the test. */
 class StoreHarness {
   state: StoreState;
   now: Timestamp = toTimestamp(1000);
   readonly effects: StoreEffect[] = [];
-  #pending: number[] = [];
+  #pendingWriteIds: number[] = [];
 
-  constructor(foundable = true, found: DiskContents = { status: 'empty' }) {
-    const first = newStoreState(
+  constructor(mayBootstrap = true, contents: DiskContents = { status: 'empty' }) {
+    const initial = newStoreState(
       stores[0] ?? member('s1', 1),
       [],
       { seed: 1 },
       defaultReplicationSettings,
-      foundable,
+      mayBootstrap,
     );
-    const read = storeTransition(first, { kind: 'diskRead', now: this.now, contents: found });
-    this.state = read.state;
+    const started = storeTransition(initial, { kind: 'diskRead', now: this.now, contents });
+    this.state = started.state;
   }
 
   receive(from: Peer, frame: FrameOf<'bootstrap'>): void {
-    this.#take(storeTransition(this.state, { kind: 'frameReceived', now: this.now, from, frame }));
+    this.#apply(storeTransition(this.state, { kind: 'frameReceived', now: this.now, from, frame }));
   }
 
   completeWrites(): void {
-    for (const id of this.#pending.splice(0))
-      this.#take(storeTransition(this.state, { kind: 'writeSynced', now: this.now, writeId: id }));
+    for (const id of this.#pendingWriteIds.splice(0))
+      this.#apply(storeTransition(this.state, { kind: 'writeSynced', now: this.now, writeId: id }));
   }
 
   replies(): readonly boolean[] {
-    return this.effects.flatMap((one) =>
-      one.kind === 'send' && one.frame.kind === 'bootstrapped' ? [one.frame.ok] : [],
+    return this.effects.flatMap((effect) =>
+      effect.kind === 'send' && effect.frame.kind === 'bootstrapped' ? [effect.frame.ok] : [],
     );
   }
 
-  #take(done: { readonly state: StoreState; readonly effects: readonly StoreEffect[] }): void {
-    this.state = done.state;
-    this.effects.push(...done.effects);
-    for (const one of done.effects)
-      if (one.kind === 'writeToDisk') this.#pending.push(one.write.id);
+  #apply(result: { readonly state: StoreState; readonly effects: readonly StoreEffect[] }): void {
+    this.state = result.state;
+    this.effects.push(...result.effects);
+    for (const effect of result.effects)
+      if (effect.kind === 'writeToDisk') this.#pendingWriteIds.push(effect.write.id);
   }
 }
 
-void test('a store comes to one metadata, whichever registries propose the fleet, however often and in whatever order', () => {
+void test('bootstrap requests of any registries, repeated and in any order, lead to the same metadata', () => {
   fc.assert(
     fc.property(
       fc.array(fc.oneof(fc.integer({ min: 1, max: 3 }), fc.constant('sync' as const)), {
         minLength: 1,
         maxLength: 20,
       }),
-      (moves) => {
+      (steps) => {
         const store = new StoreHarness();
-        for (const move of moves) {
-          if (move === 'sync') store.completeWrites();
-          else store.receive(registry(move), proposal(move));
+        for (const step of steps) {
+          if (step === 'sync') store.completeWrites();
+          else store.receive(registry(step), bootstrapRequest(step));
         }
-        store.receive(registry(1), proposal(1));
+        store.receive(registry(1), bootstrapRequest(1));
         store.completeWrites();
         const { metadata } = store.state;
         assert.ok(metadata !== undefined);
         assert.deepEqual(
           [metadata.fleet, metadata.epoch, metadata.inSyncSet, store.state.phase],
-          [fleet, toEpoch(0), stores.map((one) => one.node), 'member'],
+          [fleet, toEpoch(0), stores.map((storeMember) => storeMember.node), 'member'],
         );
-        store.receive(registry(2), proposal(2));
-        assert.equal(store.replies().at(-1), true, 'asked again it agrees again');
-        store.receive(registry(3), proposal(3, toFleetId('f2')));
-        const after = store.state.metadata;
+        store.receive(registry(2), bootstrapRequest(2));
+        assert.equal(store.replies().at(-1), true, 'a repeated request is accepted again');
+        store.receive(registry(3), bootstrapRequest(3, toFleetId('f2')));
+        const metadataAfter = store.state.metadata;
         assert.equal(
-          after?.fleet,
+          metadataAfter?.fleet,
           fleet,
-          'another fleet changes nothing once something was written',
+          'a request for another fleet changes nothing once metadata was written',
         );
       },
     ),
@@ -125,9 +128,9 @@
   );
 });
 
-void test('a store that came back with an empty disk refuses a bootstrap', () => {
+void test('a store that restarted with an empty disk refuses a bootstrap', () => {
   const store = new StoreHarness(false);
-  store.receive(registry(1), proposal(1));
+  store.receive(registry(1), bootstrapRequest(1));
   store.completeWrites();
   assert.deepEqual(
     [store.replies(), store.state.metadata, store.state.phase],
@@ -135,12 +138,12 @@
   );
 });
 
-void test('a store of a fleet that has had a primary keeps its metadata', () => {
+void test('a store whose fleet has had a primary keeps its metadata', () => {
   const metadata: ClusterMetadata = {
     fleet,
     epoch: toEpoch(4),
     inSyncSet: [toNodeId('s1')],
-    stores: proposal(1).stores,
+    stores: bootstrapRequest(1).stores,
     electorate,
   };
   const store = new StoreHarness(true, {
@@ -149,7 +152,7 @@
     logPosition: { epoch: toEpoch(4), seq: noSeq },
     entries: [],
   });
-  store.receive(registry(1), proposal(1, toFleetId('f2')));
-  store.receive(registry(1), proposal(1));
+  store.receive(registry(1), bootstrapRequest(1, toFleetId('f2')));
+  store.receive(registry(1), bootstrapRequest(1));
   assert.deepEqual([store.replies(), store.state.metadata], [[false, true], metadata]);
 });
