--- a/packages/replicated-store/src/commands/apply-configuration.ts
+++ b/packages/replicated-store/src/commands/apply-configuration.ts
@@ -19,7 +19,7 @@
   maxKeptGenerations,
   putRecord,
 } from '@switchwheel/configuration';
-import { chunkPuts, missingChunks, unusedChunks } from './chunks.js';
+import { chunkPuts, missingChunks, unusedChunkDeletions } from './chunks.js';
 import type { ApplyCommand } from './command.js';
 import { type Decision, commandReply, earlierReply, noChange, rememberReply } from './decision.js';
 import type { StoreState } from '../state/state.js';
@@ -112,13 +112,16 @@
 const keptRollouts = 8;
 
 /** Deletes the rollouts and targets of generations beyond `keptRollouts`. */
-const rolloutPuts = (control: ControlState, generation: Generation): readonly TableMutation[] => [
+const expiredRolloutDeletions = (
+  control: ControlState,
+  generation: Generation,
+): readonly TableMutation[] => [
   ...[...control.targets]
     .filter(([, target]) => target.generation + keptRollouts < generation)
     .map(([key]) => deleteRecord(key)),
   ...[...control.rollouts.keys()]
-    .filter((known) => known + keptRollouts < generation)
-    .map((known) => deleteRecord(controlKeys.rollout(known))),
+    .filter((rolloutGeneration) => rolloutGeneration + keptRollouts < generation)
+    .map((rolloutGeneration) => deleteRecord(controlKeys.rollout(rolloutGeneration))),
 ];
 
 /** Retry delay for an operator whose configuration lost chunks. */
@@ -153,8 +156,8 @@
     ...noChange,
     puts: [
       ...chunkPuts(state, control, chunkHashes),
-      ...unusedChunks(state, control, command),
-      ...rolloutPuts(control, generation),
+      ...unusedChunkDeletions(state, control, command),
+      ...expiredRolloutDeletions(control, generation),
       putRecord(controlKeys.configuration, { offer, call: command.caller.id }),
       ...recordGeneration(control, generation, hash),
       ...rememberReply(control, result, seq),
--- a/packages/replicated-store/src/commands/chunk-repair.ts
+++ b/packages/replicated-store/src/commands/chunk-repair.ts
@@ -14,13 +14,13 @@
 const repairIntervalMs = 500;
 
 /** Chunks of the configuration in force that are missing from the table. */
-export const lackingChunks = ({ control }: Pick<StoreState, 'control'>): readonly Hash[] =>
+export const chunksMissingFromTable = ({ control }: Pick<StoreState, 'control'>): readonly Hash[] =>
   control.configuration?.offer.pieces.filter((hash) => !control.chunks.has(hash)) ?? [];
 
 /** Requests missing chunks from every registry. */
 export const tickChunkRepair = (state: StoreState, now: Timestamp): StoreTransition => {
   if (now - state.chunksRequestedAt < repairIntervalMs) return transition(state);
-  const hashes = lackingChunks(state).slice(0, maxChunksPerRequest);
+  const hashes = chunksMissingFromTable(state).slice(0, maxChunksPerRequest);
   if (hashes.length === 0) return transition(state);
   const request = { kind: 'piece-request' as const, node: ownId(state), hashes };
   return transition(
@@ -31,8 +31,8 @@
 };
 
 /** Stores a received chunk if it is missing from the configuration in force. */
-export const storeLackingChunk = (state: StoreState, hash: Hash): StoreTransition => {
-  if (!lackingChunks(state).includes(hash)) return transition(state);
+export const storeMissingChunk = (state: StoreState, hash: Hash): StoreTransition => {
+  if (!chunksMissingFromTable(state).includes(hash)) return transition(state);
   return prependEffects(
     [log('info', 'missing chunk received', ['chunk', hash])],
     enqueue(state, { kind: 'storeChunks', hashes: [hash] }),
--- a/packages/replicated-store/src/commands/chunk-requests.ts
+++ b/packages/replicated-store/src/commands/chunk-requests.ts
@@ -30,15 +30,15 @@
   from: Peer,
   request: FrameOf<'piece-request'>,
 ): StoreTransition => {
-  const sent = request.hashes.flatMap((hash): readonly StoreEffect[] => {
+  const replies = request.hashes.flatMap((hash): readonly StoreEffect[] => {
     const data = state.control.chunks.get(hash);
     return data === undefined ? [] : [send(from.address, { kind: 'piece', hash, data })];
   });
   const missed = request.hashes.filter((hash) => !state.control.chunks.has(hash));
-  if (missed.length === 0) return transition(state, ...sent);
+  if (missed.length === 0) return transition(state, ...replies);
   return transition(
     { ...state, missedChunkRequests: state.missedChunkRequests + missed.length },
-    ...sent,
+    ...replies,
     ...logMissedChunks(state, from, missed),
   );
 };
--- a/packages/replicated-store/src/commands/chunks.ts
+++ b/packages/replicated-store/src/commands/chunks.ts
@@ -81,7 +81,7 @@
 };
 
 /** Deletes chunks that neither this configuration, nor the one in force, nor a queued one needs. */
-export const unusedChunks = (
+export const unusedChunkDeletions = (
   state: Pick<StoreState, 'commandQueue'>,
   control: ControlState,
   command: ApplyCommand,
@@ -98,7 +98,7 @@
 };
 
 /** Releases held chunks that no pending configuration needs. */
-export const releaseChunks = (state: StoreState): StoreState => {
+export const freeUnusedChunks = (state: StoreState): StoreState => {
   if (state.heldChunks.size === 0) return state;
   const uploads = [
     ...[...state.awaitingChunks.values()].map((upload) => upload.command),
--- a/packages/replicated-store/src/commands/configuration-upload.ts
+++ b/packages/replicated-store/src/commands/configuration-upload.ts
@@ -14,12 +14,12 @@
 } from '@switchwheel/types';
 import { type FrameOf, send } from '@switchwheel/transport';
 import { contentHash } from '@switchwheel/configuration';
-import { storeLackingChunk } from './chunk-repair.js';
+import { storeMissingChunk } from './chunk-repair.js';
 import {
   holdChunks,
   maxChunksPerRequest,
   missingChunks,
-  releaseChunks,
+  freeUnusedChunks,
   storeChunksCommands,
 } from './chunks.js';
 import type { ApplyCommand } from './command.js';
@@ -50,12 +50,12 @@
 
 /** Requests compilation of a configuration, unless another command has already requested it. */
 const compile = (state: StoreState, command: ApplyCommand): StoreTransition => {
-  const others = state.compiling.get(command.hash) ?? [];
+  const waitingCommands = state.compiling.get(command.hash) ?? [];
   const next = {
     ...state,
-    compiling: withEntry(state.compiling, command.hash, [...others, command]),
+    compiling: withEntry(state.compiling, command.hash, [...waitingCommands, command]),
   };
-  if (others.length > 0) return transition(next);
+  if (waitingCommands.length > 0) return transition(next);
   const texts = command.chunkHashes.map((hash) => state.heldChunks.get(hash) ?? '');
   return transition(next, { kind: 'compileConfiguration', hash: command.hash, texts });
 };
@@ -120,13 +120,17 @@
   if (state.heldChunks.has(chunk.hash) || contentHash(chunk.data) !== chunk.hash)
     return transition(state);
   const held = { ...state, heldChunks: withEntry(state.heldChunks, chunk.hash, chunk.data) };
-  let next = storeLackingChunk(held, chunk.hash);
+  let next = storeMissingChunk(held, chunk.hash);
   for (const [id, upload] of state.awaitingChunks) {
     if (!upload.command.chunkHashes.includes(chunk.hash)) continue;
     if (upload.outstandingChunks > 1) {
-      const row = { ...upload, outstandingChunks: upload.outstandingChunks - 1, requestedAt: now };
+      const updatedUpload = {
+        ...upload,
+        outstandingChunks: upload.outstandingChunks - 1,
+        requestedAt: now,
+      };
       next = transition(
-        { ...next.state, awaitingChunks: withEntry(next.state.awaitingChunks, id, row) },
+        { ...next.state, awaitingChunks: withEntry(next.state.awaitingChunks, id, updatedUpload) },
         ...next.effects,
       );
     } else next = prependEffects(next.effects, advanceApply(next.state, id, upload, now));
@@ -160,7 +164,7 @@
 
 /** Repeats chunk requests without a response, and rejects uploads that timed out. */
 export const tickAwaitingChunks = (before: StoreState, now: Timestamp): StoreTransition => {
-  const state = releaseChunks(before);
+  const state = freeUnusedChunks(before);
   let next: StoreTransition = transition(state);
   for (const [id, upload] of state.awaitingChunks) {
     if (now - upload.since > chunksTimeoutMs) {
--- a/packages/replicated-store/src/commands/decide-canary.ts
+++ b/packages/replicated-store/src/commands/decide-canary.ts
@@ -13,26 +13,26 @@
 ): Decision => {
   const { service, release, spent, bad, good, seen, state } = command.report;
   const key = controlKeys.canaryResult(service, release);
-  const known = control.canaryResults.get(key);
+  const recorded = control.canaryResults.get(key);
   const next = {
     service,
     release,
-    spent: Math.max(spent, known?.spent ?? 0),
-    bad: Math.max(bad, known?.bad ?? 0),
-    good: Math.max(good, known?.good ?? 0),
-    seen: Math.max(seen, known?.seen ?? 0),
+    spent: Math.max(spent, recorded?.spent ?? 0),
+    bad: Math.max(bad, recorded?.bad ?? 0),
+    good: Math.max(good, recorded?.good ?? 0),
+    seen: Math.max(seen, recorded?.seen ?? 0),
     state:
-      known?.state === 'bad'
+      recorded?.state === 'bad'
         ? ('bad' as const)
-        : state === 'trial' && known?.state === 'good'
+        : state === 'trial' && recorded?.state === 'good'
           ? ('good' as const)
           : state,
   };
   if (
-    known !== undefined &&
-    known.spent === next.spent &&
-    known.bad === next.bad &&
-    known.state === next.state
+    recorded !== undefined &&
+    recorded.spent === next.spent &&
+    recorded.bad === next.bad &&
+    recorded.state === next.state
   )
     return noChange;
   return { ...noChange, puts: [putRecord(key, next)] };
--- a/packages/replicated-store/src/commands/decide-node.ts
+++ b/packages/replicated-store/src/commands/decide-node.ts
@@ -18,23 +18,23 @@
   control: ControlState,
   command: Extract<Command, { kind: 'recordNode' }>,
 ): Decision => {
-  const known = control.nodes.get(command.node);
+  const previous = control.nodes.get(command.node);
   const { role, incarnation, online, report } = command;
-  if (known !== undefined && known.incarnation > incarnation) return noChange;
-  const isNewIncarnation = known?.incarnation !== incarnation;
+  if (previous !== undefined && previous.incarnation > incarnation) return noChange;
+  const isNewIncarnation = previous?.incarnation !== incarnation;
   const row: NodeRecord = {
     role,
     incarnation,
     online,
     reported: report,
-    assigned: known?.assigned,
-    desired: known?.desired,
+    assigned: previous?.assigned,
+    desired: previous?.desired,
     // Cleared by a new incarnation and once the node has applied a configuration.
     failed:
       report.failed?.hash ??
-      (isNewIncarnation || report.phase === 'applied' ? undefined : known.failed),
+      (isNewIncarnation || report.phase === 'applied' ? undefined : previous.failed),
   };
-  if (known !== undefined && equalAsJson(known, row)) return noChange;
+  if (previous !== undefined && equalAsJson(previous, row)) return noChange;
   return { ...noChange, puts: [putRecord(controlKeys.node(command.node), row)] };
 };
 
--- a/packages/replicated-store/src/commands/rollout-request.ts
+++ b/packages/replicated-store/src/commands/rollout-request.ts
@@ -16,7 +16,7 @@
 import type { Command } from './command.js';
 import { type Decision, commandReply, earlierReply, noChange, rememberReply } from './decision.js';
 import {
-  elapsedOf,
+  rolloutElapsedMs,
   liveOriginsByRelease,
   mostCommonRelease,
 } from '../releases/release-progress.js';
@@ -25,14 +25,17 @@
 /** Release to roll back to: the settled one, unless none of its origins is up and an origin of another release is. */
 const settledReleaseFor = (
   state: StoreState,
-  known: ReleaseRollout,
+  current: ReleaseRollout,
   service: ServiceName,
   target: Release,
 ): Release | undefined => {
   const liveOrigins = liveOriginsByRelease(state, service);
-  if (known.settled !== undefined && (known.settled === target || liveOrigins.has(known.settled)))
-    return known.settled;
-  return mostCommonRelease(liveOrigins, target) ?? known.settled;
+  if (
+    current.settled !== undefined &&
+    (current.settled === target || liveOrigins.has(current.settled))
+  )
+    return current.settled;
+  return mostCommonRelease(liveOrigins, target) ?? current.settled;
 };
 
 /** Decides a rollout request: opens the rollout, unless it was accepted before or another one is in progress. */
@@ -46,13 +49,13 @@
   const earlier = earlierReply(control, command, seq);
   if (earlier !== undefined) return earlier;
   const { service, target, spanMs } = command;
-  const known = control.releases.get(service) ?? settledRollout(service, undefined);
+  const current = control.releases.get(service) ?? settledRollout(service, undefined);
   const requested = requestReleaseRollout(
-    known,
-    settledReleaseFor(state, known, service, target),
+    current,
+    settledReleaseFor(state, current, service, target),
     target,
     spanMs,
-    elapsedOf(state, known, now),
+    rolloutElapsedMs(state, current, now),
     (state.settings.releases ?? releaseSettings).duplicateWindowMs,
   );
   if (requested.kind === 'conflict')
@@ -87,12 +90,12 @@
   control: ControlState,
   next: ReleaseRollout,
 ): readonly TableMutation[] => {
-  const known = control.releases.get(next.service);
+  const current = control.releases.get(next.service);
   const isCurrent =
-    known === undefined
+    current === undefined
       ? next.phase === 'none'
-      : known.order === next.order &&
-        (next.serial === known.serial + 1 ||
-          (next.serial === known.serial && next.spentMs > known.spentMs));
+      : current.order === next.order &&
+        (next.serial === current.serial + 1 ||
+          (next.serial === current.serial && next.spentMs > current.spentMs));
   return isCurrent ? [putRecord(controlKeys.release(next.service), next)] : [];
 };
--- a/packages/replicated-store/src/commands/views.ts
+++ b/packages/replicated-store/src/commands/views.ts
@@ -4,7 +4,7 @@
 
 import { type Timestamp, noGeneration } from '@switchwheel/types';
 import { heldEpoch } from '@switchwheel/election';
-import { elapsedOf } from '../releases/release-progress.js';
+import { rolloutElapsedMs } from '../releases/release-progress.js';
 import { type StoreState, ownId } from '../state/state.js';
 
 /** Fields that every view starts with. */
@@ -33,7 +33,7 @@
     settled: settled ?? null,
     share,
     spanMs,
-    spentMs: Math.round(elapsedOf(state, rollout, now)),
+    spentMs: Math.round(rolloutElapsedMs(state, rollout, now)),
     text,
   };
 };
--- a/packages/replicated-store/src/leadership/candidacy.ts
+++ b/packages/replicated-store/src/leadership/candidacy.ts
@@ -110,8 +110,7 @@
   )
     return false;
   // A store that lost its disk was in no later in-sync set. A silent one may have been, but only if that set replaced
-  // all
-  // reachable members at once, which exceeds the tolerated losses.
+  // all reachable members at once, which exceeds the tolerated losses.
   const silent = others.filter(({ evidence }) => evidence === 'silent');
   const same = 1 + others.filter(({ evidence }) => evidence === 'same').length;
   return (
@@ -161,10 +160,10 @@
 
 /** In-sync set to request: this store and reachable in-sync stores, up to the wanted number of replicas. */
 export const chooseBackups = (state: StoreState, now: Timestamp): ClusterMetadata['inSyncSet'] => {
-  const own = [ownId(state)];
+  const selfOnly = [ownId(state)];
   // A promoted learner's knowledge of other stores is older than the epoch that names it.
-  if (!isInSync(state)) return own;
-  return [...chooseReplicas(state, own, reachableInSync(state, now))];
+  if (!isInSync(state)) return selfOnly;
+  return [...chooseReplicas(state, selfOnly, reachableInSync(state, now))];
 };
 
 /**
--- a/packages/replicated-store/src/leadership/electorate-changes.ts
+++ b/packages/replicated-store/src/leadership/electorate-changes.ts
@@ -6,7 +6,7 @@
 import { type Timestamp, prependEffects, toTimestamp, transition } from '@switchwheel/types';
 import { log } from '@switchwheel/transport';
 import { enqueue } from '../commands/queue.js';
-import { nextElectorate, notePolledElectorate } from './electorate.js';
+import { nextElectorate, recordPolledElectorate } from './electorate.js';
 import type { StoreState } from '../state/state.js';
 import type { StoreTransition } from '../state/transition.js';
 
@@ -25,7 +25,7 @@
 
 /** Queues the next change that adapts the electorate to the live registries, one member at a time. */
 export const followRegistries = (before: StoreState, now: Timestamp): StoreTransition => {
-  const noted = notePolledElectorate(before, now);
+  const noted = recordPolledElectorate(before, now);
   const state = noted === before ? before : renewLeaseSoon(noted);
   const isChanging =
     state.primaryWrite !== undefined ||
--- a/packages/replicated-store/src/leadership/electorate.ts
+++ b/packages/replicated-store/src/leadership/electorate.ts
@@ -71,7 +71,7 @@
 };
 
 /** Records the time at which the polled electorate changed. */
-export const notePolledElectorate = (state: StoreState, now: Timestamp): StoreState => {
+export const recordPolledElectorate = (state: StoreState, now: Timestamp): StoreState => {
   const electorate = polledElectorate(state);
   if (electorate === undefined || electorate.serial === state.polledElectorate.serial) return state;
   return { ...state, polledElectorate: { serial: electorate.serial, since: now } };
@@ -97,14 +97,14 @@
   const silenceLimitMs = recoveryWindowMs * silentVoterShare;
   return {
     isLive: (node) => {
-      const known = state.subscribers.get(node);
-      return known?.voterStatus === 'ready' && now - known.heardAt < contactTimeoutMs;
+      const subscriber = state.subscribers.get(node);
+      return subscriber?.voterStatus === 'ready' && now - subscriber.heardAt < contactTimeoutMs;
     },
     isDead: (node) => {
-      const known = state.subscribers.get(node);
+      const subscriber = state.subscribers.get(node);
       return (
-        known?.voterStatus === 'leaving' ||
-        now - Math.max(known?.heardAt ?? leaseWonAt, leaseWonAt) >= silenceLimitMs
+        subscriber?.voterStatus === 'leaving' ||
+        now - Math.max(subscriber?.heardAt ?? leaseWonAt, leaseWonAt) >= silenceLimitMs
       );
     },
     domainOf: (node) => {
--- a/packages/replicated-store/src/leadership/hand-over.ts
+++ b/packages/replicated-store/src/leadership/hand-over.ts
@@ -4,7 +4,7 @@
 
 import { type Timestamp, clockOrigin, prependEffects } from '@switchwheel/types';
 import { resignLease } from './candidacy.js';
-import { abandon } from '../log-write/abandoned-write.js';
+import { abandonOpenWrite } from '../log-write/abandoned-write.js';
 import type { StoreState } from '../state/state.js';
 import type { StoreTransition } from '../state/transition.js';
 
@@ -13,7 +13,7 @@
 
 /** Drops all state that depends on the lease and abandons the open write. */
 export const endLeadership = (state: StoreState): StoreTransition =>
-  abandon({
+  abandonOpenWrite({
     ...state,
     isServing: false,
     isReadOnly: false,
--- a/packages/replicated-store/src/leadership/primary-sightings.ts
+++ b/packages/replicated-store/src/leadership/primary-sightings.ts
@@ -7,7 +7,7 @@
 import { type StoreState, ownId } from '../state/state.js';
 
 /** Records that a primary is alive, and its epoch if its in-sync set excludes this store. */
-export const notePrimary = (
+export const observePrimary = (
   state: StoreState,
   metadata: ClusterMetadata,
   now: Timestamp,
--- a/packages/replicated-store/src/leadership/replica-placement.ts
+++ b/packages/replicated-store/src/leadership/replica-placement.ts
@@ -142,11 +142,11 @@
 const awaitsFirstStatus = (state: StoreState, set: readonly NodeId[], now: Timestamp): boolean => {
   const lease = state.candidate.phase;
   if (lease.phase !== 'holdingLease' || now - lease.wonAt >= peerDiscoveryMs) return false;
-  const known = [
+  const knownStores = [
     ...(state.metadata?.stores.map((store) => store.node) ?? []),
     ...state.session.members.filter(({ role }) => role === 'store').map((member) => member.node),
   ];
-  return known.some(
+  return knownStores.some(
     (node) =>
       !set.includes(node) &&
       (state.peers.get(node)?.heardAt ?? -Infinity) < Math.max(0, lease.wonAt - recentlyHeardMs),
--- a/packages/replicated-store/src/log-write/abandoned-write.ts
+++ b/packages/replicated-store/src/log-write/abandoned-write.ts
@@ -30,7 +30,7 @@
 });
 
 /** Abandons the open write and replies to its callers that the outcome is unknown. */
-export const abandon = (state: StoreState): StoreTransition => {
+export const abandonOpenWrite = (state: StoreState): StoreTransition => {
   const primaryWrite = state.primaryWrite;
   if (primaryWrite === undefined || primaryWrite.phase === 'abandoned') return transition(state);
   const next =
--- a/packages/replicated-store/src/log-write/backup-replacement.ts
+++ b/packages/replicated-store/src/log-write/backup-replacement.ts
@@ -44,16 +44,16 @@
 import type { StoreTransition } from '../state/transition.js';
 
 /** Records the start of a shortage of replicas. */
-export const noteShortage = (state: StoreState, now: Timestamp): StoreState =>
+export const recordShortage = (state: StoreState, now: Timestamp): StoreState =>
   state.shortageSince === undefined ? { ...state, shortageSince: now } : state;
 
 /** Stores of the metadata, extended by the members of an in-sync set that it does not name yet. */
-const storesWith = (
+const withAddedStores = (
   state: StoreState,
   metadata: ClusterMetadata,
-  set: readonly NodeId[],
+  inSyncSet: readonly NodeId[],
 ): ClusterMetadata['stores'] => {
-  const added = set.flatMap((node) => {
+  const added = inSyncSet.flatMap((node) => {
     const peer = state.peers.get(node);
     const isNamed = metadata.stores.some((store) => store.node === node);
     return isNamed || peer === undefined ? [] : [{ node, address: peer.address }];
@@ -64,17 +64,17 @@
 /** Requests an epoch with this in-sync set from the voters. */
 export const requestInSyncSet = (
   state: StoreState,
-  set: readonly NodeId[],
+  inSyncSet: readonly NodeId[],
   now: Timestamp,
 ): StoreTransition => {
   if (state.metadata === undefined) return transition(state);
   const metadata: ClusterMetadata = {
     ...state.metadata,
-    stores: storesWith(state, state.metadata, set),
+    stores: withAddedStores(state, state.metadata, inSyncSet),
   };
   const next: StoreState = { ...state, metadata };
   const context = electionContext(next, metadata, now);
-  const election = startElection(state.candidate, context, set, now);
+  const election = startElection(state.candidate, context, inSyncSet, now);
   return transition({ ...next, candidate: election.state }, ...election.effects);
 };
 
@@ -94,14 +94,14 @@
  * Whether another replica may become available by waiting. A primary that does not serve yet cannot resync
  * learners, so it continues with the replicas at hand; operators' commands wait for more once it serves.
  */
-const mayBecomeEnough = (
+const mayGainReplica = (
   state: StoreState,
-  set: readonly NodeId[],
+  inSyncSet: readonly NodeId[],
   lost: readonly NodeId[],
   now: Timestamp,
 ): boolean =>
   state.isServing &&
-  (awaitsLearner(state, [...set, ...lost], now) || awaitsLateBackup(state, lost, now));
+  (awaitsLearner(state, [...inSyncSet, ...lost], now) || awaitsLateBackup(state, lost, now));
 
 /**
  * Replaces lost backups by caught-up learners in a single epoch change. If there are too few of them but a
@@ -115,17 +115,17 @@
   if (state.metadata === undefined || !holdsLease(state.candidate, now)) return transition(state);
   const kept = state.candidate.inSyncSet.filter((node) => !lost.includes(node));
   const learners = caughtUpLearners(state, [...kept, ...lost], now);
-  const set = chooseReplicas(state, kept, learners);
-  const isEnough = hasEnoughReplicas(state, set);
-  if (!isEnough && mayBecomeEnough(state, set, lost, now))
-    return transition(noteShortage(state, now));
+  const inSyncSet = chooseReplicas(state, kept, learners);
+  const isEnough = hasEnoughReplicas(state, inSyncSet);
+  if (!isEnough && mayGainReplica(state, inSyncSet, lost, now))
+    return transition(recordShortage(state, now));
   const logLine = isEnough
-    ? log('warn', 'backups replaced', ['lost', lost.join(', ')], ['set', set.join(', ')])
+    ? log('warn', 'backups replaced', ['lost', lost.join(', ')], ['set', inSyncSet.join(', ')])
     : log(
         'error',
         'in-sync set reduced: no other reachable store has a working disk',
         ['lost', lost.join(', ')],
-        ['set', set.join(', ')],
+        ['set', inSyncSet.join(', ')],
       );
-  return prependEffects([logLine], requestInSyncSet(state, set, now));
+  return prependEffects([logLine], requestInSyncSet(state, inSyncSet, now));
 };
--- a/packages/replicated-store/src/log-write/backup-write.ts
+++ b/packages/replicated-store/src/log-write/backup-write.ts
@@ -7,7 +7,7 @@
 import { type FrameOf, type Peer, log, send } from '@switchwheel/transport';
 import { heldEpoch } from '@switchwheel/election';
 import { applyPuts } from '@switchwheel/configuration';
-import { notePrimary } from '../leadership/primary-sightings.js';
+import { observePrimary } from '../leadership/primary-sightings.js';
 import { startBackupWrite } from './disk-writes.js';
 import { continueResync } from '../resync/learner-resync.js';
 import type { StoreEffect, WriteFailed } from '../state/events.js';
@@ -71,7 +71,7 @@
   const replicated = { replyTo: from.address, metadata: write.metadata, logPosition: write.stamp };
   if (write.metadata.epoch < metadata.epoch || write.metadata.epoch < heldEpoch(before.candidate))
     return transition(before, acknowledgement(before, replicated, false, 'an older epoch'));
-  const state = notePrimary(before, write.metadata, now);
+  const state = observePrimary(before, write.metadata, now);
   if (isSameLogPosition(state.logPosition, write.stamp) && metadata.epoch === write.metadata.epoch)
     return transition(state, acknowledgement(state, replicated, true, ''));
   if (state.backupWrite !== undefined) return transition(queueReplication(state, from, write));
--- a/packages/replicated-store/src/log-write/primary-write.ts
+++ b/packages/replicated-store/src/log-write/primary-write.ts
@@ -9,9 +9,9 @@
 import { sendRejection, sendReply } from '../commands/replies.js';
 import { isPrimary } from '../leadership/candidacy.js';
 import { handOverLeadership, standDownMs } from '../leadership/hand-over.js';
-import { abandon, applyLocally, unknownOutcomeReplies } from './abandoned-write.js';
-import { noteAcknowledgement, noteRefusal } from './acknowledgements.js';
-import { noteShortage, replaceBackups } from './backup-replacement.js';
+import { abandonOpenWrite, applyLocally, unknownOutcomeReplies } from './abandoned-write.js';
+import { recordAcknowledgement, recordRefusal } from './acknowledgements.js';
+import { recordShortage, replaceBackups } from './backup-replacement.js';
 import { canaryReplies, commitWrite } from './commit.js';
 import { diskWrite, newPrimaryWrite, noAcknowledgements } from './disk-writes.js';
 import { retryMetadata } from './epoch-metadata.js';
@@ -23,7 +23,7 @@
 } from './replication.js';
 import { changesNothing, decideBatch, nextBatch } from './write-batch.js';
 import type { WriteFailed } from '../state/events.js';
-import { noteViolations } from '../state/invariants.js';
+import { recordViolations } from '../state/invariants.js';
 import type { PrimaryWrite } from '../state/open-writes.js';
 import type { StoreState } from '../state/state.js';
 import type { StoreTransition } from '../state/transition.js';
@@ -55,14 +55,14 @@
   )
     return transition(state);
   const { commands, rest, lacksReplicas } = nextBatch(state, metadata, now);
-  if (commands.length === 0) return transition(lacksReplicas ? noteShortage(state, now) : state);
+  if (commands.length === 0) return transition(lacksReplicas ? recordShortage(state, now) : state);
   const logPosition: LogPosition = {
     epoch: heldEpoch(state.candidate),
     seq: nextSeq(state.logPosition.seq),
   };
   const batch = decideBatch(state, metadata, commands, logPosition.seq, now);
   const { puts, replies, canaryReports, control: controlAfter, electorate } = batch;
-  const noted = noteViolations(batch.state, batch.violations);
+  const noted = recordViolations(batch.state, batch.violations);
   const next: StoreState = { ...noted.state, commandQueue: [...batch.undecided, ...rest] };
   const effects = [...noted.effects, ...batch.immediateReplies.map(sendReply)];
   if (changesNothing(batch, metadata))
@@ -99,7 +99,7 @@
   if (primaryWrite.phase === 'abandoned') return transition(applyLocally(state, primaryWrite));
   if (primaryWrite.phase !== 'writingToDisk') return transition(state);
   if (!holdsLeaseOf(state, primaryWrite, now))
-    return abandon({ ...state, primaryWrite: { ...primaryWrite, phase: 'replicating' } });
+    return abandonOpenWrite({ ...state, primaryWrite: { ...primaryWrite, phase: 'replicating' } });
   const next: PrimaryWrite = {
     ...primaryWrite,
     phase: 'replicating',
@@ -181,7 +181,7 @@
   now: Timestamp,
 ): StoreTransition => {
   const { node, ok, text } = acknowledgement;
-  const state = ok ? noteAcknowledgement(before, acknowledgement, now) : before;
+  const state = ok ? recordAcknowledgement(before, acknowledgement, now) : before;
   const { primaryWrite } = state;
   if (!isForOpenWrite(primaryWrite, acknowledgement)) return transition(state);
   const isRequired = primaryWrite.metadata.inSyncSet.includes(node);
@@ -189,7 +189,7 @@
   if (!ok)
     return prependEffects(
       [log('warn', 'backup refused a write', ['store', node], ['why', text])],
-      replaceBackups(noteRefusal(state, node), [node], now),
+      replaceBackups(recordRefusal(state, node), [node], now),
     );
   if (!holdsLeaseOf(state, primaryWrite, now)) return transition(state);
   const next: PrimaryWrite = {
--- a/packages/replicated-store/src/log-write/replication.ts
+++ b/packages/replicated-store/src/log-write/replication.ts
@@ -15,14 +15,14 @@
   metadata: ClusterMetadata,
   now: Timestamp,
 ): readonly ClusterMetadata['stores'][number][] => {
-  const named = metadata.stores.filter((store) => store.node !== ownId(state));
-  const others = [...state.peers.values()].filter(
+  const namedStores = metadata.stores.filter((store) => store.node !== ownId(state));
+  const otherStores = [...state.peers.values()].filter(
     (peer) =>
       now - peer.heardAt < peerTimeoutMs &&
       peer.metadata?.fleet === metadata.fleet &&
-      !named.some((store) => store.node === peer.node),
+      !namedStores.some((store) => store.node === peer.node),
   );
-  return [...named, ...others.map(({ node, address }) => ({ node, address }))];
+  return [...namedStores, ...otherStores.map(({ node, address }) => ({ node, address }))];
 };
 
 /** In-sync backups that have not acknowledged a write yet. */
--- a/packages/replicated-store/src/registries/feed.ts
+++ b/packages/replicated-store/src/registries/feed.ts
@@ -7,7 +7,7 @@
 import { type ConfigManifest, type FrameOf, send } from '@switchwheel/transport';
 import { heldEpoch } from '@switchwheel/election';
 import { latestPurge, oldestKeptPurge, releaseStateOf } from '@switchwheel/configuration';
-import { elapsedOf } from '../releases/release-progress.js';
+import { rolloutElapsedMs } from '../releases/release-progress.js';
 import type { StoreEffect } from '../state/events.js';
 import type { Subscriber } from '../state/peers.js';
 import type { StoreState } from '../state/state.js';
@@ -30,7 +30,7 @@
   const { metadata } = state;
   if (metadata === undefined) return undefined;
   const isBehind = subscriber.serial === noSeq || subscriber.serial < state.lastNodeChangeSeq;
-  const rows = [...state.control.nodes].flatMap(([node, row]) => {
+  const desiredStates = [...state.control.nodes].flatMap(([node, row]) => {
     if (row.desired === undefined) return [];
     return [{ node, ...row.desired, ...(row.failed === undefined ? {} : { failed: row.failed }) }];
   });
@@ -42,7 +42,7 @@
     serial: state.logPosition.seq,
     fleet: metadata.fleet,
     electorate: metadata.electorate,
-    ...(isBehind ? { desired: rows } : {}),
+    ...(isBehind ? { desired: desiredStates } : {}),
     offers: isBehind ? [...offersOf(state)] : [],
     ...(isBehind && current !== undefined ? { current } : {}),
     purges: state.control.purges.filter((purge) => purge.seq > subscriber.latestPurge),
@@ -50,7 +50,7 @@
     top: latestPurge(state.control),
     verdicts: [...state.control.canaryResults.values()],
     releases: [...state.control.releases.values()].map((rollout) =>
-      releaseStateOf(rollout, elapsedOf(state, rollout, now)),
+      releaseStateOf(rollout, rolloutElapsedMs(state, rollout, now)),
     ),
   };
 };
--- a/packages/replicated-store/src/registries/heartbeat.ts
+++ b/packages/replicated-store/src/registries/heartbeat.ts
@@ -8,7 +8,7 @@
 import { isInSync, isPrimary } from '../leadership/candidacy.js';
 import type { StoreState } from '../state/state.js';
 
-const ownReport = (state: StoreState, now: Timestamp): NodeStatus => ({
+const ownStatus = (state: StoreState, now: Timestamp): NodeStatus => ({
   generation: state.control.configuration?.offer.generation ?? noGeneration,
   phase: 'none',
   ready: state.phase === 'member' && (isPrimary(state, now) || isInSync(state)),
@@ -38,7 +38,7 @@
   now: Timestamp,
   isLast: boolean,
 ): HeartbeatContent => ({
-  report: ownReport(state, now),
+  report: ownStatus(state, now),
   heldLeases: [],
   latestPurge: noSeq,
   isLeaving: isLast,
--- a/packages/replicated-store/src/releases/release-progress.ts
+++ b/packages/replicated-store/src/releases/release-progress.ts
@@ -53,7 +53,11 @@
     )[0]?.[0];
 
 /** Elapsed time of a rollout in milliseconds, by its record and this store's own observation. */
-export const elapsedOf = (state: StoreState, rollout: ReleaseRollout, now: Timestamp): number => {
+export const rolloutElapsedMs = (
+  state: StoreState,
+  rollout: ReleaseRollout,
+  now: Timestamp,
+): number => {
   const watch = state.releaseWatches.get(rollout.service);
   return watch?.rolloutNumber === rollout.order
     ? Math.max(rollout.spentMs, elapsedAt(watch, now))
--- a/packages/replicated-store/src/resync/bootstrap.ts
+++ b/packages/replicated-store/src/resync/bootstrap.ts
@@ -18,10 +18,10 @@
 ): StoreTransition => {
   const reply = (ok: boolean, text: string): StoreEffect =>
     send(from.address, { kind: 'bootstrapped', id: proposal.id, node: ownId(state), ok, text });
-  const known = state.metadata;
-  if (known?.fleet === proposal.fleet) return transition(state, reply(true, ''));
-  if (known !== undefined && known.epoch > 0)
-    return transition(state, reply(false, `belongs to the fleet ${known.fleet}`));
+  const current = state.metadata;
+  if (current?.fleet === proposal.fleet) return transition(state, reply(true, ''));
+  if (current !== undefined && current.epoch > 0)
+    return transition(state, reply(false, `belongs to the fleet ${current.fleet}`));
   if (!state.mayBootstrap)
     return transition(state, reply(false, 'no fleet is founded on this store'));
   if (state.phase === 'reading' || state.backupWrite !== undefined)
--- a/packages/replicated-store/src/resync/learner-choice.ts
+++ b/packages/replicated-store/src/resync/learner-choice.ts
@@ -28,7 +28,7 @@
 };
 
 /** Selects the learner to resync. One that timed out waits until all others have been tried. */
-export const pickLearner = (
+export const selectLearner = (
   state: StoreState,
   metadata: ClusterMetadata,
   now: Timestamp,
--- a/packages/replicated-store/src/resync/learner-resync.ts
+++ b/packages/replicated-store/src/resync/learner-resync.ts
@@ -74,10 +74,10 @@
 
 /** Whether the table has these range digests. */
 const digestsMatch = (state: StoreState, otherDigests: readonly string[]): boolean => {
-  const own = rangeDigests(state.table);
+  const ownDigests = rangeDigests(state.table);
   return (
-    own.length === otherDigests.length &&
-    own.every((digest, range) => digest === otherDigests[range])
+    ownDigests.length === otherDigests.length &&
+    ownDigests.every((digest, range) => digest === otherDigests[range])
   );
 };
 
--- a/packages/replicated-store/src/resync/peer-status.ts
+++ b/packages/replicated-store/src/resync/peer-status.ts
@@ -5,7 +5,7 @@
 import { type Timestamp, toTimestamp } from '@switchwheel/types';
 import type { FrameOf, Peer } from '@switchwheel/transport';
 import { primaryTimeoutMs } from '../leadership/candidacy.js';
-import { notePrimary } from '../leadership/primary-sightings.js';
+import { observePrimary } from '../leadership/primary-sightings.js';
 import { peerTimeoutMs } from '../leadership/replica-placement.js';
 import type { PeerStatus } from '../state/peers.js';
 import type { StoreState } from '../state/state.js';
@@ -27,7 +27,7 @@
 };
 
 /** Records a peer's status. A primary that released its lease counts as silent at once. */
-export const notePeerStatus = (
+export const recordPeerStatus = (
   state: StoreState,
   from: Peer,
   status: FrameOf<'replica-status'>,
@@ -48,7 +48,7 @@
   };
   const noted =
     status.primary && status.metadata !== undefined
-      ? notePrimary(state, status.metadata, now)
+      ? observePrimary(state, status.metadata, now)
       : state;
   const hasReleasedLease = !status.primary && before?.isPrimary === true;
   return {
--- a/packages/replicated-store/src/resync/primary-resync.ts
+++ b/packages/replicated-store/src/resync/primary-resync.ts
@@ -14,8 +14,8 @@
 import { isPrimary } from '../leadership/candidacy.js';
 import { replaceBackups } from '../log-write/backup-replacement.js';
 import { replicateOpenWrite } from '../log-write/replication.js';
-import { endResyncOf, pickLearner } from './learner-choice.js';
-import { notePeerStatus } from './peer-status.js';
+import { endResyncOf, selectLearner } from './learner-choice.js';
+import { recordPeerStatus } from './peer-status.js';
 import { mayPromote, promoteLearner, storesWithLearner } from './promotion.js';
 import type { StoreState } from '../state/state.js';
 import { isSameLogPosition, keysInRange, rangeDigests } from '../state/table.js';
@@ -40,7 +40,7 @@
   status: FrameOf<'replica-status'>,
   now: Timestamp,
 ): StoreTransition => {
-  const noted = notePeerStatus(state, from, status, now);
+  const noted = recordPeerStatus(state, from, status, now);
   const { metadata } = state;
   if (metadata === undefined || !isPrimary(state, now)) return transition(noted);
   if (status.metadata !== undefined && status.metadata.fleet !== metadata.fleet)
@@ -52,7 +52,7 @@
     return transition(noted);
   if (isFollowing(state, status.stamp) && !mayPromote(noted, status.node, now))
     return transition(endResyncOf(noted, status.node));
-  return resyncLearner(pickLearner(noted, metadata, now), from, status, metadata, now);
+  return resyncLearner(selectLearner(noted, metadata, now), from, status, metadata, now);
 };
 
 /**
--- a/packages/replicated-store/src/resync/promotion.ts
+++ b/packages/replicated-store/src/resync/promotion.ts
@@ -43,7 +43,7 @@
   now: Timestamp,
 ): StoreTransition => {
   const withoutStopping = [...reachableInSync(state, now), from.node];
-  const set = hasEnoughReplicas(state, withoutStopping)
+  const inSyncSet = hasEnoughReplicas(state, withoutStopping)
     ? withoutStopping
     : [...reachableInSync(state, now, true), from.node];
   const next: StoreState = {
@@ -54,6 +54,6 @@
   };
   return prependEffects(
     [log('info', 'learner caught up', ['store', from.node])],
-    requestInSyncSet(next, set, now),
+    requestInSyncSet(next, inSyncSet, now),
   );
 };
--- a/packages/replicated-store/src/state/expiry.ts
+++ b/packages/replicated-store/src/state/expiry.ts
@@ -14,7 +14,7 @@
   const isRecent = (member: { readonly heardAt: Timestamp }): boolean =>
     now - member.heardAt < silentMemberExpiryMs;
   const epoch = state.metadata?.epoch ?? 0;
-  const named = new Set(state.metadata?.stores.map((store) => store.node));
+  const namedStores = new Set(state.metadata?.stores.map((store) => store.node));
   const subscribers = filterEntries(state.subscribers, isRecent);
   const contacts = filterEntries(
     state.nodeContacts,
@@ -23,7 +23,7 @@
   // Peers with a later epoch are kept as evidence against this store's candidacy.
   const peers = filterEntries(
     state.peers,
-    (peer, node) => isRecent(peer) || named.has(node) || (peer.metadata?.epoch ?? 0) > epoch,
+    (peer, node) => isRecent(peer) || namedStores.has(node) || (peer.metadata?.epoch ?? 0) > epoch,
   );
   const unchanged =
     subscribers === state.subscribers && contacts === state.nodeContacts && peers === state.peers;
--- a/packages/replicated-store/src/state/invariants.ts
+++ b/packages/replicated-store/src/state/invariants.ts
@@ -2,13 +2,13 @@
 
 import { type Invariant, type Transition, countViolations, transition } from '@switchwheel/types';
 import { log } from '@switchwheel/transport';
-import { lackingChunks } from '../commands/chunk-repair.js';
+import { chunksMissingFromTable } from '../commands/chunk-repair.js';
 import { isInSync } from '../leadership/candidacy.js';
 import type { StoreEffect } from './events.js';
 import type { StoreState } from './state.js';
 
 /** Counts violations and logs them. */
-export const noteViolations = (
+export const recordViolations = (
   state: StoreState,
   violated: readonly Invariant[],
 ): Transition<StoreState, StoreEffect> =>
@@ -33,5 +33,8 @@
   after: StoreState,
 ): Transition<StoreState, StoreEffect> => {
   if (!mayAffectInvariants(before, after) || !isInSync(after)) return transition(after);
-  return noteViolations(after, lackingChunks(after).length > 0 ? ['description-whole'] : []);
+  return recordViolations(
+    after,
+    chunksMissingFromTable(after).length > 0 ? ['description-whole'] : [],
+  );
 };
--- a/packages/simulator/src/guard/list.ts
+++ b/packages/simulator/src/guard/list.ts
@@ -214,7 +214,7 @@
     name: 'a bad verdict stays',
     rule: 'R10',
     file: decideCanary,
-    from: "state: known?.state === 'bad' ? 'bad' : ",
+    from: "state: recorded?.state === 'bad' ? 'bad' : ",
     to: 'state: ',
   },
   {
