--- a/packages/replicated-store/src/log-write/backup-replacement.ts
+++ b/packages/replicated-store/src/log-write/backup-replacement.ts
@@ -48,7 +48,7 @@
   state.shortageSince === undefined ? { ...state, shortageSince: now } : state;
 
 /** Stores of the metadata, extended by the members of an in-sync set that it does not name yet. */
-const withAddedStores = (
+const extendedStores = (
   state: StoreState,
   metadata: ClusterMetadata,
   inSyncSet: readonly NodeId[],
@@ -70,7 +70,7 @@
   if (state.metadata === undefined) return transition(state);
   const metadata: ClusterMetadata = {
     ...state.metadata,
-    stores: withAddedStores(state, state.metadata, inSyncSet),
+    stores: extendedStores(state, state.metadata, inSyncSet),
   };
   const next: StoreState = { ...state, metadata };
   const context = electionContext(next, metadata, now);
