--- a/packages/replicated-store/src/commands/apply-configuration.ts
+++ b/packages/replicated-store/src/commands/apply-configuration.ts
@@ -33,8 +33,8 @@
 const contentOf = (control: ControlState, generation: Generation): Hash | undefined => {
   const kept = control.hashByGeneration.get(generation);
   if (kept !== undefined) return kept;
-  const offer = control.configuration?.offer;
-  return offer?.generation === generation ? offer.hash : undefined;
+  const manifest = control.configuration?.offer;
+  return manifest?.generation === generation ? manifest.hash : undefined;
 };
 
 /** Binds a generation to its content; drops the records of the lowest generations beyond the limit. */
@@ -150,19 +150,19 @@
   const { hash, chunkHashes } = command;
   if (missingChunks(state, chunkHashes).some((chunkHash) => !control.chunks.has(chunkHash)))
     return lostChunks(command);
-  const result = commandReply(command, 200, { kind: 'accepted', generation, hash });
-  const offer = { generation, hash, pieces: [...chunkHashes] };
+  const reply = commandReply(command, 200, { kind: 'accepted', generation, hash });
+  const manifest = { generation, hash, pieces: [...chunkHashes] };
   return {
     ...noChange,
     puts: [
       ...chunkPuts(state, control, chunkHashes),
       ...unusedChunkDeletions(state, control, command),
       ...expiredRolloutDeletions(control, generation),
-      putRecord(controlKeys.configuration, { offer, call: command.caller.id }),
+      putRecord(controlKeys.configuration, { offer: manifest, call: command.caller.id }),
       ...recordGeneration(control, generation, hash),
-      ...rememberReply(control, result, seq),
+      ...rememberReply(control, reply, seq),
     ],
-    repliesAfterWrite: [result],
+    repliesAfterWrite: [reply],
   };
 };
 
--- a/packages/replicated-store/src/commands/chunk-repair.ts
+++ b/packages/replicated-store/src/commands/chunk-repair.ts
@@ -30,7 +30,7 @@
   );
 };
 
-/** Stores a received chunk if it is missing from the configuration in force. */
+/** Queues the storage of a received chunk if the configuration in force needs it and the table lacks it. */
 export const storeMissingChunk = (state: StoreState, hash: Hash): StoreTransition => {
   if (!chunksMissingFromTable(state).includes(hash)) return transition(state);
   return prependEffects(
--- a/packages/replicated-store/src/registries/feed.ts
+++ b/packages/replicated-store/src/registries/feed.ts
@@ -15,9 +15,9 @@
 /** Silence after which a registry is no longer sent the feed after commits. */
 const subscriberTimeoutMs = 3000;
 
-const offersOf = (state: StoreState): readonly ConfigManifest[] => {
-  const stored = state.control.configuration?.offer;
-  return stored === undefined ? [] : [stored];
+const storedManifests = (state: StoreState): readonly ConfigManifest[] => {
+  const manifest = state.control.configuration?.offer;
+  return manifest === undefined ? [] : [manifest];
 };
 
 /** Feed for one registry: the whole desired state if it is outdated there, and the purges that it lacks. */
@@ -43,7 +43,7 @@
     fleet: metadata.fleet,
     electorate: metadata.electorate,
     ...(isBehind ? { desired: desiredStates } : {}),
-    offers: isBehind ? [...offersOf(state)] : [],
+    offers: isBehind ? [...storedManifests(state)] : [],
     ...(isBehind && current !== undefined ? { current } : {}),
     purges: state.control.purges.filter((purge) => purge.seq > subscriber.latestPurge),
     floor: oldestKeptPurge(state.control),
--- a/packages/replicated-store/src/registries/hint.ts
+++ b/packages/replicated-store/src/registries/hint.ts
@@ -11,12 +11,12 @@
 import type { StoreState } from '../state/state.js';
 
 /**
- * While no primary is known, sends the contents of this disk to all registries, so that nodes without a
- * configuration need not wait for an election. A registry needs hints from every in-sync store; only the store's own
- * registry also receives the origins.
+ * Sends the cluster metadata and the manifest on this disk to all registries while no primary is known, so that nodes
+ * without a configuration need not wait for an election. A registry needs hints from every in-sync store. Only the
+ * store's own registry also receives the origins.
  */
 export const sendHint = (state: StoreState, now: Timestamp): readonly StoreEffect[] => {
-  const offer = state.control.configuration?.offer;
+  const manifest = state.control.configuration?.offer;
   const { metadata, session } = state;
   if (
     metadata === undefined ||
@@ -34,7 +34,7 @@
     incarnation,
     at: now,
     metadata,
-    ...(offer === undefined ? {} : { offer }),
+    ...(manifest === undefined ? {} : { offer: manifest }),
     origins: [],
   };
   return [
--- a/packages/replicated-store/src/resync/learner-choice.ts
+++ b/packages/replicated-store/src/resync/learner-choice.ts
@@ -9,7 +9,7 @@
 import type { StoreState } from '../state/state.js';
 
 /** Time without progress after which the next learner is resynced. */
-const resyncTurnMs = 4000;
+const resyncStallTimeoutMs = 4000;
 
 /** Returns the preferred learner: with free disk space, in a zone without a replica, named by the metadata. */
 const bestLearner = (
@@ -43,7 +43,7 @@
   const current = state.activeResync;
   const isInReach =
     current !== undefined && learners.some((learner) => learner.node === current.node);
-  if (isInReach && now - current.since < resyncTurnMs) return state;
+  if (isInReach && now - current.since < resyncStallTimeoutMs) return state;
   const attempted = isInReach
     ? new Set([...state.resyncAttempted, current.node])
     : state.resyncAttempted;
--- a/packages/replicated-store/src/resync/learner-resync.ts
+++ b/packages/replicated-store/src/resync/learner-resync.ts
@@ -1,6 +1,6 @@
 /**
  * Learner side of a resync: deletes entries that the primary does not have and fetches missing ones. The learner has
- * no log position from the first write of a resync until the primary's `settled` frame confirms the table.
+ * no log position from the first write of a resync until entries with `settled` confirm that the table is complete.
  */
 
 import { type Timestamp, clockOrigin, prependEffects, transition } from '@switchwheel/types';
@@ -117,9 +117,7 @@
   });
 };
 
-/**
- * Handles the next queued entry frame, or sends a status at once so that the primary lists the remaining differences.
- */
+/** Handles the next queued entry frame, or sends a status at once to request the remaining differences. */
 export const continueResync = (state: StoreState, now: Timestamp): StoreTransition => {
   const [next, ...rest] = state.resyncQueue;
   if (next !== undefined)
