--- a/packages/proxy-core/src/cache/cache-control.ts
+++ b/packages/proxy-core/src/cache/cache-control.ts
@@ -1,17 +1,20 @@
 /**
- * What a response says about caching it (RFC 9111): the directives of Cache-Control, its freshness
- * lifetime, its age, its tags and what it varies by.
+ * Caching metadata of responses (RFC 9111): the directives of Cache-Control, freshness lifetime,
+ * age, tags and Vary.
  */
 
 import type { HeaderFields } from '@switchwheel/transport';
 import { fieldValue } from './header-fields.js';
 
-/** The status codes of responses that are cached. */
+/** Status codes of cacheable responses. */
 const cacheableStatuses: ReadonlySet<number> = new Set([200, 203, 300, 301, 404, 410]);
 
 const unquote = (value: string): string => value.trim().replace(/^"|"$/g, '');
 
-/** The directives of Cache-Control by their lower-case names; one without a value has an empty one. */
+/**
+ * Returns the directives of Cache-Control by lower-case name; one without a value maps to an empty
+ * string.
+ */
 export const cacheControl = (fields: HeaderFields): ReadonlyMap<string, string> => {
   const directives = new Map<string, string>();
   for (const part of (fieldValue(fields, 'cache-control') ?? '').split(',')) {
@@ -34,8 +37,8 @@
   fieldValue(fields, 'vary')?.includes('*') === true;
 
 /**
- * For how many milliseconds after its creation a response is fresh: the shorter one of the origin's
- * lifetime and the route's own. Undefined if it may not be cached.
+ * Returns the freshness lifetime of a response in milliseconds from its creation: the shorter of
+ * the origin's lifetime and the route's. Undefined if the response may not be cached.
  */
 export const freshnessLifetimeMs = (
   status: number,
@@ -54,17 +57,17 @@
   return lifetimes.length === 0 ? undefined : Math.min(...lifetimes);
 };
 
-/** How old a response was when it came from the origin (Age), in milliseconds. */
+/** Returns the value of the Age field in milliseconds; 0 if it is absent or invalid. */
 export const responseAgeMs = (fields: HeaderFields): number =>
   (parseDecimal(fieldValue(fields, 'age')) ?? 0) * 1000;
 
-/** The tags that purges may name a response by. */
+/** Returns the cache tags of a response, by which purges may select it. */
 export const cacheTags = (fields: HeaderFields): readonly string[] =>
   (fieldValue(fields, 'cache-tag') ?? fieldValue(fields, 'surrogate-key') ?? '')
     .split(/[\s,]+/)
     .filter((tag) => tag !== '');
 
-/** The lower-case names of the request fields that a response varies by. */
+/** Returns the lower-case names of the request fields listed in Vary. */
 export const varyNames = (fields: HeaderFields): readonly string[] =>
   (fieldValue(fields, 'vary') ?? '')
     .split(',')
--- a/packages/proxy-core/src/cache/cache-lookup.ts
+++ b/packages/proxy-core/src/cache/cache-lookup.ts
@@ -1,6 +1,6 @@
 /**
- * Which responses a request may get from the cache, and which are stored: the same rules at edges
- * and shields. The cache itself is in `cache`.
+ * Rules for serving requests from the cache and for storing responses, shared by edges and shields.
+ * The cache itself is in `cache`.
  */
 
 import { type Timestamp, type Seq, toTimestamp } from '@switchwheel/types';
@@ -20,7 +20,10 @@
     : { path: target.slice(0, separator), query: target.slice(separator + 1) };
 };
 
-/** Fields that a cacheable request does not pass on: the cache needs the complete response. */
+/**
+ * Conditional and range fields. They are not forwarded with a cacheable request, since the cache
+ * needs the complete response.
+ */
 export const conditionalFields: readonly string[] = [
   'if-none-match',
   'if-modified-since',
@@ -30,36 +33,39 @@
   'range',
 ];
 
-/** Request fields in which those who wait for one fetch agree, beside those of the route. */
+/**
+ * Request fields that must match for two requests to share a fetch, in addition to the fields
+ * configured for the route.
+ */
 const negotiationFields = ['accept', 'accept-encoding', 'accept-language'];
 
-/** Whether a request is one whose responses are never shared. */
+/** Whether responses to a request must never be shared between clients. */
 const isPrivateRequest = (fields: HeaderFields): boolean =>
   fieldValue(fields, 'authorization') !== undefined ||
   fieldValue(fields, 'cookie') !== undefined ||
   cacheControl(fields).has('no-store');
 
-/** A request whose response may be cached. */
+/** Request whose response may be cached. */
 export interface CacheableRequest {
   readonly key: CacheKey;
   readonly fields: HeaderFields;
   readonly route: CompiledRoute;
-  /** Requests with the same one may wait for one fetch. */
+  /** Requests with the same key may share a fetch. */
   readonly coalescingKey: string;
 }
 
-/** A complete response as it was fetched. */
+/** Complete response as fetched. */
 export interface FetchedResponse {
   readonly status: number;
   readonly fields: HeaderFields;
   readonly body: Buffer;
   readonly digest: string;
   readonly createdAt: Timestamp;
-  /** The last purge that was applied when its fetch began. */
+  /** Last purge that had been applied when its fetch started. */
   readonly purgeSeqAtFetch: Seq;
 }
 
-/** Reads and writes a cache by the rules for requests and responses. */
+/** Applies the caching rules for requests and responses to a cache. */
 export class CacheLookup {
   readonly cache: Cache;
 
@@ -67,7 +73,7 @@
     this.cache = cache;
   }
 
-  /** A request as the cache sees it; undefined if its response may not be cached. */
+  /** Returns the cacheable form of a request; undefined if its response may not be cached. */
   cacheableRequest(
     route: CompiledRoute,
     method: string,
@@ -90,7 +96,10 @@
     return { key, fields, route, coalescingKey };
   }
 
-  /** The same for a request that an edge forwarded to this shield. */
+  /**
+   * Returns the cacheable form of a request forwarded to this shield; undefined if its response may
+   * not be cached.
+   */
   cacheableForwardedRequest(
     configuration: CompiledConfiguration | undefined,
     request: Omit<ForwardedRequest, 'body'>,
@@ -103,12 +112,15 @@
       : this.cacheableRequest(route, method, host, path, fields);
   }
 
-  /** Whether this cache may respond now to a node that knows of the purges up to `requiredPurgeSeq`. */
+  /** Whether this cache may serve a node that knows of the purges up to `requiredPurgeSeq`. */
   isCurrent(nodeAgent: NodeAgent, requiredPurgeSeq: Seq, now: Timestamp): boolean {
     return mayServeFromCache(nodeAgent, now) && this.cache.lastPurgeSeq >= requiredPurgeSeq;
   }
 
-  /** A stored response that may be used now; one that does not match its digest is removed. */
+  /**
+   * Returns a stored response that may be used now. One whose body does not match its digest is
+   * removed.
+   */
   find(
     cacheable: CacheableRequest,
     nodeAgent: NodeAgent,
@@ -123,7 +135,7 @@
     return undefined;
   }
 
-  /** Stores a response, if it may be; gives what was stored. */
+  /** Stores a response if permitted; returns the stored entry. */
   store(
     { key, fields: requestFields, route }: CacheableRequest,
     response: FetchedResponse,
@@ -143,8 +155,8 @@
 }
 
 /**
- * When a response was made, by the clock of the node that requested it: not later than it really
- * was, as its age is counted from when it was requested.
+ * Returns the creation time of a response by the clock of the requesting node. It is never later
+ * than the actual one, since the age is subtracted from the time of the request.
  */
 export const creationTime = (requestedAt: Timestamp, ageMs: number): Timestamp =>
   toTimestamp(requestedAt - ageMs);
--- a/packages/proxy-core/src/cache/cache.test.ts
+++ b/packages/proxy-core/src/cache/cache.test.ts
@@ -1,5 +1,5 @@
 /**
- * The cache: variants, lifetimes, purges, eviction, and which responses may be cached.
+ * Guards against serving a wrong variant, an expired or purged response, and against caching private responses.
  */
 
 import assert from 'node:assert/strict';
@@ -42,7 +42,7 @@
 const find = (cache: Cache, request: HeaderFields = [], at = now): string | undefined =>
   cache.find(key, request, at)?.body.toString();
 
-void test('a response that varies is found only by requests with the same values; its lifetime counts from its creation', () => {
+void test('a varying response is served only to requests with the same field values, and its lifetime counts from its creation', () => {
   const cache = new Cache(1_000_000);
   store(cache, 'german', {
     fields: [['vary', 'Accept-Language']],
@@ -60,19 +60,19 @@
     ],
     ['german', 'english', undefined],
   );
-  const old = new Cache(1_000_000);
-  store(old, 'x', { createdAt: toTimestamp(500) });
+  const agingCache = new Cache(1_000_000);
+  store(agingCache, 'x', { createdAt: toTimestamp(500) });
   assert.deepEqual(
-    [find(old, [], addMs(now, 499)), find(old, [], addMs(now, 500))],
+    [find(agingCache, [], addMs(now, 499)), find(agingCache, [], addMs(now, 500))],
     ['x', undefined],
   );
 });
 
-void test('purges go by object, by tag or to all; a response that was fetched before a purge is not stored after it', () => {
+void test('purges select by object, by tag or everything, and a response fetched before a matching purge is not stored', () => {
   const cache = new Cache(1_000_000);
-  const other = { ...key, path: '/q' };
+  const otherKey = { ...key, path: '/q' };
   store(cache, 'a', { tags: ['one'] });
-  store(cache, 'b', { key: other, tags: ['two'] });
+  store(cache, 'b', { key: otherKey, tags: ['two'] });
   cache.purge([{ seq: toSeq(1), aims: [{ by: 'tag', tag: 'one' }] }], false, toSeq(1));
   assert.deepEqual([find(cache), cache.size], [undefined, 1]);
   assert.equal(store(cache, 'late', { tags: ['one'], purgeSeqAtFetch: 0 }), false);
@@ -85,7 +85,7 @@
   assert.equal(store(cache, 'before the flush', { purgeSeqAtFetch: 8 }), false);
 });
 
-void test('private, authorized and set-cookie responses are not cached; of two lifetimes the shorter one holds', () => {
+void test('private, authorized and Set-Cookie responses are not cached, and the shorter of two lifetimes applies', () => {
   const lifetime = (
     fields: HeaderFields,
     isAuthorized = false,
--- a/packages/proxy-core/src/cache/cache.ts
+++ b/packages/proxy-core/src/cache/cache.ts
@@ -1,6 +1,6 @@
 /**
- * A cache of complete responses in memory, with purges. It knows keys, variants, lifetimes and tags;
- * whether it may be asked at all, and what is stored, is decided in `cache-lookup`.
+ * In-memory cache of complete responses: keys, variants, lifetimes, tags and purges. The rules on
+ * serving and storing are in `cache-lookup`.
  */
 
 import { createHash } from 'node:crypto';
@@ -9,7 +9,7 @@
 import { varyNames } from './cache-control.js';
 import { fieldValue } from './header-fields.js';
 
-/** What a stored response is found by, before its variants. */
+/** Primary key of a stored response, without its variant. */
 export interface CacheKey {
   readonly route: string;
   readonly host: string;
@@ -17,39 +17,41 @@
   readonly query: string;
 }
 
-/** A stored response. */
+/** Stored response. */
 export interface CacheEntry {
   readonly key: CacheKey;
-  /** The values that the request fields of its variant have, by their names. */
+  /** Values of the request fields that select this variant, by name. */
   readonly vary: ReadonlyMap<string, string>;
   readonly status: number;
   readonly fields: HeaderFields;
   readonly body: Buffer;
-  /** Of the body: SHA-256 in Base64. */
+  /** SHA-256 of the body in Base64. */
   readonly digest: string;
-  /** When the origin made it, at the earliest. */
+  /** Earliest possible time of creation at the origin. */
   readonly createdAt: Timestamp;
   readonly lifetimeMs: number;
   readonly tags: readonly string[];
 }
 
-/** The largest part of the cache that one response may take. */
+/** Maximum fraction of the cache that one response may occupy. */
 const maxEntryFraction = 1 / 8;
-/** The most variants of one key. */
+/** Maximum number of variants per key. */
 const maxVariants = 32;
-/** What an entry takes beside its body. */
+/** Estimated size of an entry without its body. */
 const entryOverheadBytes = 512;
-/** How many purges are remembered; what was fetched before all of them is not stored. */
+/**
+ * Maximum number of recent purges kept. A response fetched before the oldest of them is not stored.
+ */
 const maxRecentPurges = 256;
 
 const cacheKeyString = (key: CacheKey): string =>
   `${key.route}\n${key.host}\n${key.path}\n${key.query}`;
 
-/** The SHA-256 of a body in Base64. */
+/** Returns the SHA-256 of a body in Base64. */
 export const bodyDigest = (body: Uint8Array): string =>
   createHash('sha256').update(body).digest('base64');
 
-const matches = (key: CacheKey, tags: readonly string[], target: PurgeTarget): boolean => {
+const isTargeted = (key: CacheKey, tags: readonly string[], target: PurgeTarget): boolean => {
   switch (target.by) {
     case 'all':
       return true;
@@ -60,7 +62,7 @@
   }
 };
 
-/** The values of the request fields that a response varies by. */
+/** Returns the values of the request fields that a response varies by. */
 const varyValues = (names: readonly string[], request: HeaderFields): ReadonlyMap<string, string> =>
   new Map(names.map((name) => [name, fieldValue(request, name) ?? '']));
 
@@ -72,8 +74,8 @@
   [...left.vary].every(([name, value]) => right.vary.get(name) === value);
 
 /**
- * A cache of complete responses in the order of their last use. Its tables change in place: to copy
- * thousands of entries for each request would cost more than the request.
+ * LRU cache of complete responses. It is mutable: copying thousands of entries for each request
+ * would cost more than the request itself.
  */
 export class Cache {
   readonly #entriesByKey = new Map<string, CacheEntry[]>();
@@ -89,22 +91,22 @@
     this.#maxBytes = maxBytes;
   }
 
-  /** How many bytes the entries take. */
+  /** Size of all entries in bytes, with their overhead. */
   get bytes(): number {
     return this.#bytes;
   }
 
-  /** How many keys have entries. */
+  /** Number of keys with entries. */
   get size(): number {
     return this.#entriesByKey.size;
   }
 
-  /** The last purge that was applied. */
+  /** Last purge that was applied. */
   get lastPurgeSeq(): Seq {
     return this.#lastPurgeSeq;
   }
 
-  /** Finds a fresh response for a request. */
+  /** Returns a fresh response for a request and marks it as recently used. */
   find(key: CacheKey, request: HeaderFields, now: Timestamp): CacheEntry | undefined {
     const keyString = cacheKeyString(key);
     const variants = this.#entriesByKey.get(keyString);
@@ -115,15 +117,15 @@
       this.#remove(keyString, entry);
       return undefined;
     }
-    // The most recently used come last.
+    // Map order is order of use: the most recently used key is last.
     this.#entriesByKey.delete(keyString);
     this.#entriesByKey.set(keyString, variants);
     return entry;
   }
 
   /**
-   * Stores a response, unless it is too large, no longer fresh, or meant by a purge that came after
-   * `purgeSeqAtFetch`. It varies by its own Vary field and by the names in `routeVary`.
+   * Stores a response, unless it is too large, expired, or targeted by a purge after
+   * `purgeSeqAtFetch`. It varies by its Vary field and by the names in `routeVary`.
    */
   store(
     entry: Omit<CacheEntry, 'vary'>,
@@ -158,15 +160,18 @@
     return stored;
   }
 
-  /** Whether a purge that came after `since` means an object. */
+  /** Whether a purge after `since` targets an object. */
   isPurgedSince(key: CacheKey, tags: readonly string[], since: Seq): boolean {
     if (since < this.#flushedUpTo) return true;
     return this.#recentPurges.some(
-      (purge) => purge.seq > since && purge.aims.some((target) => matches(key, tags, target)),
+      (purge) => purge.seq > since && purge.aims.some((target) => isTargeted(key, tags, target)),
     );
   }
 
-  /** Applies purges up to `lastPurgeSeq`; `flush` empties the cache, as some were missed. */
+  /**
+   * Applies purges up to `lastPurgeSeq`. With `flush` the whole cache is emptied first, because
+   * purges were missed.
+   */
   purge(purges: readonly Purge[], flush: boolean, lastPurgeSeq: Seq): void {
     if (flush) {
       this.#entriesByKey.clear();
@@ -193,14 +198,14 @@
   }
 
   #purgeMatching(target: PurgeTarget): void {
-    for (const keyString of this.#keysOf(target)) {
+    for (const keyString of this.#keysForTarget(target)) {
       for (const entry of [...(this.#entriesByKey.get(keyString) ?? [])])
-        if (matches(entry.key, entry.tags, target)) this.#remove(keyString, entry);
+        if (isTargeted(entry.key, entry.tags, target)) this.#remove(keyString, entry);
     }
   }
 
-  /** The keys that may have entries which a purge means. */
-  #keysOf(target: PurgeTarget): readonly string[] {
+  /** Returns the keys that may have entries targeted by a purge. */
+  #keysForTarget(target: PurgeTarget): readonly string[] {
     switch (target.by) {
       case 'all':
         return [...this.#entriesByKey.keys()];
@@ -225,16 +230,16 @@
 
   #remove(keyString: string, entry: CacheEntry): void {
     const variants = this.#entriesByKey.get(keyString) ?? [];
-    const rest = variants.filter((variant) => variant !== entry);
-    if (rest.length === variants.length) return;
+    const remaining = variants.filter((variant) => variant !== entry);
+    if (remaining.length === variants.length) return;
     this.#bytes -= entry.body.length + entryOverheadBytes;
-    if (rest.length > 0) this.#entriesByKey.set(keyString, rest);
+    if (remaining.length > 0) this.#entriesByKey.set(keyString, remaining);
     else {
       this.#entriesByKey.delete(keyString);
       this.#unindex(this.#keysByPath, entry.key.path, keyString);
     }
     for (const tag of entry.tags)
-      if (!rest.some((variant) => variant.tags.includes(tag)))
+      if (!remaining.some((variant) => variant.tags.includes(tag)))
         this.#unindex(this.#keysByTag, tag, keyString);
   }
 
--- a/packages/proxy-core/src/cache/header-fields.ts
+++ b/packages/proxy-core/src/cache/header-fields.ts
@@ -1,11 +1,11 @@
 /**
- * Header fields of requests and responses: reading one, and leaving out those that do not go on to
- * the next hop (RFC 9110, section 7.6.1).
+ * Header fields of requests and responses: lookup, and removal of hop-by-hop fields (RFC 9110,
+ * section 7.6.1).
  */
 
 import type { HeaderFields } from '@switchwheel/transport';
 
-/** Fields of one connection only: they do not go on. */
+/** Hop-by-hop fields. */
 const hopByHopFields: ReadonlySet<string> = new Set([
   'connection',
   'keep-alive',
@@ -18,16 +18,19 @@
   'proxy-connection',
 ]);
 
-/** The value of a field by its lower-case name; several of one name are joined as a list. */
+/** Returns the value of a field by its lower-case name; multiple values are joined into a list. */
 export const fieldValue = (fields: HeaderFields, name: string): string | undefined => {
   const values = fields.filter(([key]) => key === name).map(([, value]) => value);
   return values.length === 0 ? undefined : values.join(', ');
 };
 
-/** Fields that each hop writes for itself. */
+/** Fields that each hop sets itself. */
 export const rewrittenFields: readonly string[] = ['host', 'content-length', 'expect'];
 
-/** The fields that go on to the next hop: not those of the connection, nor those to be omitted. */
+/**
+ * Returns the fields to forward: all but hop-by-hop fields, fields listed in Connection, and those
+ * in `omitted`.
+ */
 export const forwardableFields = (
   fields: HeaderFields,
   omitted: readonly string[] = [],
--- a/packages/proxy-core/src/cache/request-coalescing.ts
+++ b/packages/proxy-core/src/cache/request-coalescing.ts
@@ -1,22 +1,22 @@
 /**
- * Request coalescing: requests for the same response wait for one fetch instead of starting one each.
+ * Request coalescing: concurrent requests for the same response share one fetch.
  */
 
-/** Whether a request waits for a fetch: there may be none, or too many wait already. */
+/** Result of joining a fetch: joined, no fetch in progress, or too many waiting requests. */
 export type JoinResult = 'joined' | 'none' | 'full';
 
-/** The fetches under way, by a key that equal requests share. */
+/** Fetches in progress, by a key that equal requests share. */
 export class RequestCoalescing<T> {
   readonly #inFlight = new Map<string, ((result: T) => void)[]>();
   readonly #maxWaiters: number;
   #waiterCount = 0;
 
-  /** At most `maxWaiters` requests wait for all fetches together. */
+  /** `maxWaiters` limits the number of waiting requests over all fetches. */
   constructor(maxWaiters: number) {
     this.#maxWaiters = maxWaiters;
   }
 
-  /** Waits for a fetch under way; `onResult` is called with its result. */
+  /** Joins a fetch in progress; `onResult` is called with its result. */
   join(key: string, onResult: (result: T) => void): JoinResult {
     const waiters = this.#inFlight.get(key);
     if (waiters === undefined) return 'none';
@@ -26,7 +26,10 @@
     return 'joined';
   }
 
-  /** Leads a fetch, which others may join until the function that this returns gets its result. */
+  /**
+   * Starts a fetch that others may join; the returned function completes it and passes the result
+   * to them.
+   */
   startFetch(key: string): (result: T) => void {
     const waiters: ((result: T) => void)[] = [];
     this.#inFlight.set(key, waiters);
@@ -38,7 +41,7 @@
     };
   }
 
-  /** Lets nobody join the fetches under way any more: a purge may mean what they bring. */
+  /** Prevents joining the fetches in progress, since a purge may target their results. */
   detachAll(): void {
     this.#inFlight.clear();
   }
--- a/packages/proxy-core/src/forwarding/forward-request.ts
+++ b/packages/proxy-core/src/forwarding/forward-request.ts
@@ -1,6 +1,6 @@
 /**
- * The steps that any event may take with a forwarded request: send it to the leader of its service,
- * keep it waiting, end it.
+ * Basic operations on forwarded requests: send one to the leader of its service, keep it waiting
+ * for a leader, fail it.
  */
 
 import {
@@ -21,16 +21,19 @@
   PendingForward,
 } from './state.js';
 
-/** How a forwarded request fails. */
+/** Reason why a forwarded request fails. */
 export interface ForwardFailure {
   readonly errorKind: ErrorKind;
   /** Shown to the client. */
   readonly text: string;
-  /** After how many milliseconds the client may retry; 0 for no advice. */
+  /** Suggested delay before a retry, in milliseconds; 0 for none. */
   readonly retryAfterMs: number;
 }
 
-/** Builds the effect that fails a request. One that may have run is not reported as rejected. */
+/**
+ * Builds the effect that fails a request. One that may have run is reported as lost instead of
+ * rejected.
+ */
 export const failRequest = (
   request: Pick<PendingForward, 'id' | 'mayHaveRun'>,
   { errorKind, text, retryAfterMs }: ForwardFailure,
@@ -42,13 +45,13 @@
   retryAfterMs,
 });
 
-/** Forgets a request. */
+/** Removes a request. */
 export const endRequest = (state: Forwarding, id: RequestId): Forwarding => ({
   ...state,
   requests: withoutEntry(state.requests, id),
 });
 
-/** Records that a service has a leader, as one took a request of it. */
+/** Records that a service has a leader: one has accepted a request, or a new one became known. */
 export const recordLeaderSeen = (
   state: Forwarding,
   service: PendingForward['service'],
@@ -75,7 +78,7 @@
   );
 };
 
-/** The frame of a request without its body, by the names that go on the wire. */
+/** Builds the frame of a request without its body, with the names used on the wire. */
 const toFrame = (
   request: PendingForward,
   leader: LeaseHolder,
@@ -100,7 +103,10 @@
   left: toDurationMs(Math.max(1, request.deadline - now)),
 });
 
-/** Sends a request to the leader of its service; without one of at least the given epoch it waits. */
+/**
+ * Sends a request to the leader of its service. It waits while no leader with at least epoch
+ * `minEpoch` is known.
+ */
 export const forwardToLeader = (
   state: Forwarding,
   request: PendingForward,
@@ -122,7 +128,9 @@
   });
 };
 
-/** Sends a request again, if its time is not over. The caller has made sure that this is safe. */
+/**
+ * Sends a request again, or fails it after its deadline. The caller ensures that a retry is safe.
+ */
 export const retryRequest = (
   state: Forwarding,
   request: PendingForward,
--- a/packages/proxy-core/src/forwarding/forwarding.test.ts
+++ b/packages/proxy-core/src/forwarding/forwarding.test.ts
@@ -1,5 +1,5 @@
 /**
- * An edge's forwarding: which requests move to a new leader, and what their clients learn.
+ * Guards against unsafe retries of forwarded requests and wrong error kinds when a leader changes or is lost.
  */
 
 import assert from 'node:assert/strict';
@@ -31,7 +31,7 @@
 const service = toServiceName('shop');
 const start = toTimestamp(10_000);
 
-/** The reducer with its state and all effects so far. */
+/** Runs the reducer and keeps its state and effects. */
 class Fixture {
   state: Forwarding = initialForwarding;
   effects: readonly ForwardingEffect[] = [];
@@ -96,7 +96,7 @@
 const summaries = (effects: readonly ForwardingEffect[]): readonly string[] =>
   effects.map(summarize);
 
-void test('on a change of the leader idempotent requests move to the new one, others stay and are never retried', () => {
+void test('on a change of leader, idempotent requests move to the new leader and others stay and are never retried', () => {
   const fixture = new Fixture();
   fixture.changeLeader(1, '10.0.0.1:1');
   fixture.accept('read', true);
@@ -114,7 +114,7 @@
   assert.deepEqual(summaries(lost), ['act unknown']);
 });
 
-void test('an unsent request goes to the next leader even if it is not idempotent; one that may have run is never reported as rejected', () => {
+void test('an unsent request is sent to the next leader even if it is not idempotent, and one that may have run is never reported as rejected', () => {
   const fixture = new Fixture();
   fixture.changeLeader(1, '10.0.0.1:1');
   fixture.accept('act', false);
@@ -167,7 +167,7 @@
   );
 });
 
-void test('without a leader a request waits for as long as a change of the leader takes, and is then rejected', () => {
+void test('without a leader, a request is rejected after the grace period', () => {
   const fixture = new Fixture();
   fixture.accept('act', false);
   assert.deepEqual(summaries(fixture.dispatch({ kind: 'tick', now: addMs(start, 1900) })), []);
--- a/packages/proxy-core/src/forwarding/forwarding.ts
+++ b/packages/proxy-core/src/forwarding/forwarding.ts
@@ -1,7 +1,7 @@
 /**
- * An edge's side of forwarding: each request goes to the leader of its service, waits while there
- * is none, and goes to the next leader where that is safe. Bodies and responses are the request
- * handler's; this module sees neither.
+ * Forwarding of requests by an edge: each request is sent to the leader of its service, waits while
+ * there is none, and is moved to the next leader where that is safe. Bodies and responses are
+ * handled by the request handler.
  */
 
 import { type Timestamp, prependEffects, transition, withEntry } from '@switchwheel/types';
@@ -28,11 +28,11 @@
   maxForwardedRequests,
 } from './state.js';
 
-/** After how long a waiting request is sent to the leader that is known again. */
+/** Interval at which a waiting request is sent to the known leader again. */
 const redispatchIntervalMs = 100;
-/** How long a request waits for a leader: well over what a change of the leader takes. */
+/** Time that a request waits for a leader; well above the duration of a change of leader. */
 const leaderlessGraceMs = 2000;
-/** When a client whose request was rejected here may come back. */
+/** Suggested retry delay for clients of requests that are rejected here. */
 const retryAfterMs = 1000;
 
 const noLeaderFailure: ForwardFailure = {
@@ -64,7 +64,7 @@
   };
   const absence = state.leaderAbsences.get(request.service);
   if (absence !== undefined && now - absence.since > leaderlessGraceMs) {
-    // One request at a time finds out whether there is a leader again; the others fail at once.
+    // One request per interval probes for a leader; all others fail at once.
     if (now - absence.lastTriedAt < redispatchIntervalMs)
       return transition(state, rejectNew(accepted, noLeaderFailure));
     const tried = { ...absence, lastTriedAt: now };
@@ -88,7 +88,10 @@
     ? []
     : [{ kind: 'cancelRequest', to: request.phase.leader, id: request.id }];
 
-/** Nobody can say of a request that was sent to a leader that it did not run. */
+/**
+ * Handles a client's cancellation. A request that was sent to a leader may have run, so its outcome
+ * is reported as unknown.
+ */
 const onRequestCancelled = (
   state: Forwarding,
   event: Extract<ForwardingEvent, { kind: 'requestCancelled' }>,
@@ -161,7 +164,7 @@
   return next;
 };
 
-/** The reducer of an edge's forwarding: every change of its state goes through it. */
+/** Reducer of the forwarding; the only place where its state changes. */
 export const forwardingTransition = (
   state: Forwarding,
   event: ForwardingEvent,
--- a/packages/proxy-core/src/forwarding/leader-events.ts
+++ b/packages/proxy-core/src/forwarding/leader-events.ts
@@ -1,6 +1,6 @@
 /**
- * What leaders, and the channels to them, do to forwarded requests: rejections, responses, a lost
- * channel, a change of the leader.
+ * Events from service leaders and their channels: rejections, responses, lost channels and changes
+ * of leader.
  */
 
 import {
@@ -35,7 +35,7 @@
 const isSentTo = (request: PendingForward | undefined, leader: Address): request is SentRequest =>
   request?.phase.phase === 'sent' && request.phase.leader === leader;
 
-/** Sends a request to a new leader, if that is safe and no response has begun. */
+/** Moves a request to a new leader, if that is safe and no response has started. */
 const moveToLeader = (
   state: Forwarding,
   request: PendingForward,
@@ -45,13 +45,14 @@
   const { phase } = request;
   if (phase.phase === 'responding') return transition(state);
   if (phase.phase === 'waiting') return forwardToLeader(state, request, 0, now);
-  // The earlier leader may be frozen; a request that is not idempotent stays with it all the same.
+  // A non-idempotent request stays with the previous leader, which may be suspended rather than
+  // gone.
   if (!request.isIdempotent || phase.epoch >= leader.epoch) return transition(state);
   const cancel: ForwardingEffect = { kind: 'cancelRequest', to: phase.leader, id: request.id };
   return prependEffects([cancel], forwardToLeader(state, { ...request, mayHaveRun: true }, 0, now));
 };
 
-/** Takes over who leads which service, and sends on what can move to a new leader. */
+/** Updates the leaders of services, and moves requests to new leaders. */
 export const onLeaseHoldersChanged = (
   state: Forwarding,
   { leaseHolders, now }: EventOf<'leaseHoldersChanged'>,
@@ -71,7 +72,10 @@
   return next;
 };
 
-/** A leader rejected a request; where the lease has moved, the next leader gets it. */
+/**
+ * Handles a leader's rejection of a request. If leadership has moved, the request is sent to the
+ * next leader.
+ */
 export const onRequestRejected = (
   state: Forwarding,
   { frame, from, now }: EventOf<'requestRejected'>,
@@ -89,7 +93,7 @@
   );
 };
 
-/** The head of a response came in: from now on no other leader may respond. */
+/** Handles the head of a response; from then on no other leader may respond. */
 export const onResponseStarted = (
   state: Forwarding,
   { frame, from }: EventOf<'responseStarted'>,
@@ -106,7 +110,7 @@
   );
 };
 
-/** A leader started the first attempt of a request. */
+/** Handles the start of a request's first attempt. */
 export const onAttemptStarted = (
   state: Forwarding,
   { id, from }: EventOf<'attemptStarted'>,
@@ -141,7 +145,10 @@
   return retryRequest(state, { ...request, mayHaveRun }, request.phase.epoch + 1, now);
 };
 
-/** A channel to a leader closed: what is safe goes to the next leader, the rest fails. */
+/**
+ * Handles the loss of a channel to a leader: requests that are safe to retry are sent to the next
+ * leader, the others fail.
+ */
 export const onChannelLost = (
   state: Forwarding,
   { leader, unsentIds, now }: EventOf<'channelLost'>,
--- a/packages/proxy-core/src/forwarding/state.ts
+++ b/packages/proxy-core/src/forwarding/state.ts
@@ -1,6 +1,5 @@
 /**
- * The state of an edge's forwarding: the requests that it has taken on and their way to the leaders
- * of their services, with the events that change it and the effects that it asks for.
+ * State, events and effects of the forwarding of an edge.
  */
 
 import type {
@@ -19,15 +18,15 @@
 } from '@switchwheel/types';
 import type { ForwardedRequest, HeaderFields, FrameOf, LeaseHolder } from '@switchwheel/transport';
 
-/** How far a request is on its way. */
+/** Phase of a forwarded request. */
 export type ForwardPhase =
-  /** No leader is known that would take it. */
+  /** No suitable leader is known. */
   | { readonly phase: 'waiting'; readonly since: Timestamp }
   | { readonly phase: 'sent'; readonly leader: Address; readonly epoch: Epoch }
-  /** The head of a response has come in. */
+  /** The head of a response has arrived. */
   | { readonly phase: 'responding'; readonly leader: Address };
 
-/** A request that an edge has taken on, without its body, which the request handler keeps. */
+/** Request accepted by an edge. Its body stays with the request handler. */
 export interface PendingForward {
   readonly id: RequestId;
   readonly service: ServiceName;
@@ -41,43 +40,43 @@
   readonly isIdempotent: boolean;
   readonly isCacheable: boolean;
   readonly deadline: Timestamp;
-  /** A cache must have applied the purges up to this one to respond. */
+  /** A cache must have applied all purges up to this one to respond. */
   readonly requiredPurgeSeq: Seq;
   readonly phase: ForwardPhase;
-  /** Whether an attempt may have run it: then it is never reported as rejected. */
+  /** Whether an attempt may have run it; if so, it is never reported as rejected. */
   readonly mayHaveRun: boolean;
-  /** Whether a leader reported that an attempt started. */
+  /** Whether a leader reported the start of an attempt. */
   readonly hasAttemptStarted: boolean;
 }
 
-/** A request as the request handler hands it over. */
+/** Request as passed in by the request handler. */
 export type NewForward = Omit<PendingForward, 'phase' | 'mayHaveRun' | 'hasAttemptStarted'>;
 
-/** Since when no request of a service has found a leader, and when the last one tried. */
+/** Time since when a service has had no leader, and time of the last attempt to reach one. */
 export interface LeaderAbsence {
   readonly since: Timestamp;
   readonly lastTriedAt: Timestamp;
 }
 
-/** The whole state of an edge's forwarding. */
+/** State of the forwarding of an edge. */
 export interface Forwarding {
   readonly requests: ReadonlyMap<RequestId, PendingForward>;
   readonly leaseHolders: ReadonlyMap<LeaseName, LeaseHolder>;
-  /** The services of which no leader is known. */
+  /** Services without a known leader. */
   readonly leaderAbsences: ReadonlyMap<ServiceName, LeaderAbsence>;
 }
 
-/** Nothing is forwarded, and no leader is known. */
+/** Initial state, without requests or known leaders. */
 export const initialForwarding: Forwarding = {
   requests: new Map(),
   leaseHolders: new Map(),
   leaderAbsences: new Map(),
 };
 
-/** The most requests that one edge has under way; one class may have half of them. */
+/** Maximum number of requests in progress per edge. A single class may use half of it. */
 export const maxForwardedRequests = 2048;
 
-/** What happens to the forwarded requests of an edge; times are of the monotonic clock. */
+/** Event for the forwarding; times are of the monotonic clock. */
 export type ForwardingEvent =
   | {
       readonly kind: 'requestAccepted';
@@ -108,7 +107,7 @@
       readonly id: RequestId;
     }
   | { readonly kind: 'responseCompleted'; readonly now: Timestamp; readonly id: RequestId }
-  /** A channel to a leader closed; of the requests in `unsentIds` no byte was sent. */
+  /** The channel to a leader closed; no byte was sent of the requests in `unsentIds`. */
   | {
       readonly kind: 'channelLost';
       readonly now: Timestamp;
@@ -121,11 +120,11 @@
       readonly id: RequestId;
       readonly text: string;
     }
-  /** This node lost touch with the registries: it gives up what waits for a leader. */
+  /** This node is disconnected from the registries; requests that wait for a leader fail. */
   | { readonly kind: 'nodeDisconnected'; readonly now: Timestamp }
   | { readonly kind: 'tick'; readonly now: Timestamp };
 
-/** What the forwarding asks of the request handler. */
+/** Effect that the forwarding requests from the request handler. */
 export type ForwardingEffect =
   /** The request handler adds the body. */
   | {
@@ -148,5 +147,5 @@
       readonly retryAfterMs: number;
     };
 
-/** The state after an event, and the effects that the event asks for. */
+/** State of the forwarding after an event, with the requested effects. */
 export type ForwardingTransition = Transition<Forwarding, ForwardingEffect>;
--- a/packages/proxy-core/src/index.ts
+++ b/packages/proxy-core/src/index.ts
@@ -1,7 +1,7 @@
 /**
- * The deciding parts of a proxy: the node agent (control side of any node), the HTTP cache, an
- * edge's forwarding, a shield's service leaders, and the request handlers that stand on them.
- * Sockets, timers and HTTP are left to the program in `packages/proxy`.
+ * Decision logic of a proxy: the node agent (control side of any node), the HTTP cache, an edge's
+ * forwarding, a shield's service leaders, and the request handlers that use them. Sockets, timers
+ * and HTTP are left to the program in `packages/proxy`.
  */
 
 export * from './node-agent/state.js';
--- a/packages/proxy-core/src/node-agent/config-freshness.ts
+++ b/packages/proxy-core/src/node-agent/config-freshness.ts
@@ -1,6 +1,7 @@
 /**
- * How fresh a node's knowledge of the newest confirmed configuration is. All times count from when
- * the primary confirmed it to a registry: a node that hears no registry serves on by what it has.
+ * Freshness of a node's knowledge of the newest confirmed configuration. Ages count from the
+ * primary's confirmation to a registry; a node without a registry keeps serving with the
+ * configuration it has.
  */
 
 import {
@@ -13,32 +14,41 @@
 } from '@switchwheel/types';
 import type { FrameOf } from '@switchwheel/transport';
 
-/** How many generations that are not adopted yet are remembered with their times. */
+/** Maximum number of generations tracked before they are applied. */
 const maxPendingGenerations = 64;
 
-/** A confirmed generation, and when the core first knew of it. */
+/** Confirmed generation that is not applied here yet, and the time of its confirmation. */
 export interface PendingGeneration {
   readonly generation: Generation;
   readonly at: Timestamp;
 }
 
-/** The newest confirmed generation that a node knows of, and as of when it is the newest. */
+/**
+ * Newest confirmed generation known to a node, and the time up to which it is known to be the
+ * newest.
+ */
 export interface ConfigFreshness {
   readonly newestGeneration: Generation;
-  /** The primary's confirmation, by this node's clock; undefined before the first one. */
+  /**
+   * Time of the primary's latest confirmation, by this node's clock; undefined before the first
+   * one.
+   */
   readonly confirmedAsOf: Timestamp | undefined;
-  /** The generations above the one that runs here, the lowest first. */
+  /** Confirmed generations above the running one, in ascending order. */
   readonly pendingGenerations: readonly PendingGeneration[];
 }
 
-/** The freshness of a node that has heard nothing. */
+/** Freshness before the first heartbeat reply. */
 export const initialConfigFreshness: ConfigFreshness = {
   newestGeneration: noGeneration,
   confirmedAsOf: undefined,
   pendingGenerations: [],
 };
 
-/** Takes in what a registry replied, if it has fresh contact with the primary. */
+/**
+ * Updates the freshness from a heartbeat reply. A reply without `age` comes from a registry without
+ * recent contact to the primary and is ignored.
+ */
 export const updateConfigFreshness = (
   known: ConfigFreshness,
   reply: FrameOf<'heartbeat-reply'>,
@@ -60,13 +70,14 @@
       ? [...known.pendingGenerations, pending]
       : known.pendingGenerations,
   };
-  // A registry that is behind confirms nothing, and neither does a reply that no heartbeat asked for.
+  // A registry that lags behind confirms nothing, and neither does a reply that answers no
+  // heartbeat.
   if (reply.newest < known.newestGeneration || reply.at === clockOrigin) return updated;
   const confirmedAsOf = Math.max(reply.at - reply.age, known.confirmedAsOf ?? clockOrigin);
   return { ...updated, confirmedAsOf: toTimestamp(confirmedAsOf) };
 };
 
-/** Forgets the pending generations that the adopted one settles. */
+/** Drops the pending generations up to the running one. */
 export const dropAppliedGenerations = (
   known: ConfigFreshness,
   running: Generation,
@@ -75,7 +86,7 @@
   pendingGenerations: known.pendingGenerations.filter(({ generation }) => generation > running),
 });
 
-/** Whether the primary confirmed the newest generation less than so many milliseconds ago. */
+/** Whether the primary confirmed the newest generation less than `limitMs` ago. */
 export const isConfirmedWithin = (
   { confirmedAsOf }: ConfigFreshness,
   now: Timestamp,
--- a/packages/proxy-core/src/node-agent/config-update.ts
+++ b/packages/proxy-core/src/node-agent/config-update.ts
@@ -1,6 +1,6 @@
 /**
- * The update of a node's configuration: the chunks of an offered one are fetched from the registry,
- * compiled by the program, and adopted. The generation that runs never goes down.
+ * Update of a node's configuration: chunks of an offered configuration are fetched from the
+ * registry, compiled by the program, and applied. The running generation never decreases.
  */
 
 import {
@@ -29,14 +29,14 @@
 type ConfigurationCompiled = Extract<NodeAgentEvent, { kind: 'configurationCompiled' }>;
 type CompileFailed = Extract<NodeAgentEvent, { kind: 'compileFailed' }>;
 
-/** After how long without a chunk the missing ones are requested again. */
+/** Time without any chunk after which the missing ones are requested again. */
 const chunkRetryIntervalMs = 300;
-/** How many chunks are requested at a time; the next ones when these are here. */
+/** Maximum number of chunks per request; the next request follows once all of them have arrived. */
 const maxChunksPerRequest = 64;
-/** How long a fetch may take before it is logged. */
+/** Duration of a fetch above which it is logged as slow. */
 const slowFetchMs = 600;
-/** How many faults of a configuration are named in logs and status reports. */
-const maxReportedFaults = 5;
+/** Maximum number of validation issues listed in logs and status reports. */
+const maxReportedIssues = 5;
 
 const missingChunks = (state: NodeAgent, offer: ConfigManifest): ConfigManifest['pieces'] =>
   offer.pieces.filter((hash) => !state.chunks.has(hash));
@@ -71,7 +71,10 @@
         }),
       ];
 
-/** Compiles an offered configuration once all its chunks are here, or requests missing ones. */
+/**
+ * Compiles an offered configuration if all its chunks have arrived; otherwise requests missing
+ * ones.
+ */
 const continueUpdate = (
   state: NodeAgent,
   offer: ConfigManifest,
@@ -93,7 +96,10 @@
   return transition({ ...state, configUpdate }, ...requestChunks(state, requested));
 };
 
-/** Takes an offered configuration, unless what runs, is under way or has failed is as new. */
+/**
+ * Starts the update to an offered configuration, unless the running one or the update in progress
+ * is at least as new, or a newer one failed to compile.
+ */
 export const onOffer = (
   state: NodeAgent,
   offer: ConfigManifest,
@@ -112,7 +118,10 @@
   return continueUpdate(state, offer, now);
 };
 
-/** Keeps a requested chunk, if it has the content that its hash names. */
+/**
+ * Stores a requested chunk if its content matches its hash, and continues the update once all
+ * requested chunks have arrived.
+ */
 export const onChunk = (
   state: NodeAgent,
   { hash, data }: FrameOf<'piece'>,
@@ -150,7 +159,7 @@
     ['registry', registry ?? 'none'],
   );
 
-/** Requests missing chunks again if none has come for a while from the registry that was asked. */
+/** Requests the missing chunks again if none has arrived within the retry interval. */
 export const retryFetch = (
   state: NodeAgent,
   askedRegistry: Address | undefined,
@@ -174,7 +183,7 @@
       ]
     : [];
 
-/** A compiled generation below the one that runs is a fault of this program: it is not adopted. */
+/** Reports an invariant violation: a compiled generation below the running one is not applied. */
 const rejectLowerGeneration = (state: NodeAgent): AgentTransition =>
   transition(
     {
@@ -185,7 +194,7 @@
     log('error', 'an invariant is broken', ['invariant', 'generation-rises']),
   );
 
-/** Adopts a compiled configuration and reports it at once. */
+/** Applies a compiled configuration and reports it with an immediate heartbeat. */
 export const onConfigurationCompiled = (
   state: NodeAgent,
   { offer, compiledConfiguration, now }: ConfigurationCompiled,
@@ -219,14 +228,17 @@
   );
 };
 
-/** Reports a configuration that does not compile; the node is not ready until a newer one does. */
+/**
+ * Reports a configuration that does not compile. The node is not ready until a newer one is
+ * applied.
+ */
 export const onCompileFailed = (
   state: NodeAgent,
   { offer, issues, now }: CompileFailed,
 ): AgentTransition => {
   const text = issues
-    .slice(0, maxReportedFaults)
-    .map((fault) => `${fault.path}: ${fault.text}`)
+    .slice(0, maxReportedIssues)
+    .map((issue) => `${issue.path}: ${issue.text}`)
     .join('; ');
   const next: NodeAgent = {
     ...state,
@@ -237,7 +249,7 @@
     [
       log(
         'error',
-        'configuration can not be applied, requests are refused until one can',
+        'configuration does not compile; requests are rejected until a valid one is applied',
         ['generation', offer.generation],
         ['reason', text],
       ),
--- a/packages/proxy-core/src/node-agent/configuration-staleness.ts
+++ b/packages/proxy-core/src/node-agent/configuration-staleness.ts
@@ -1,24 +1,30 @@
 /**
- * What a node may still answer by a configuration that might not be the newest one.
+ * Limits on serving with a configuration that may not be the newest one.
  */
 
 import type { Timestamp } from '@switchwheel/types';
 import { isConfirmedWithin } from './config-freshness.js';
 import type { NodeAgent } from './state.js';
 
-/** How long a node may take its configuration for the newest without a confirmation by the primary. */
+/**
+ * Time after the primary's last confirmation during which a node may consider its configuration the
+ * newest.
+ */
 const freshnessLeaseMs = 2000;
 /**
- * How fresh the contact with the primary must be for a configuration to count as overdue: while a
- * new primary is elected no node can fetch one.
+ * Maximum age of the last contact with the primary for a configuration to count as overdue. During
+ * an election of the primary no node can fetch a configuration.
  */
 const primaryContactMs = 1000;
-/** The part of the time to apply a configuration for which a node may go on with the one before. */
+/**
+ * Fraction of the time limit for applying a configuration during which the previous one may still
+ * be used.
+ */
 const overdueFraction = 0.9;
 
 /**
- * Whether the node may say that there is no route: only if its configuration is known to be the
- * newest one. Started from disks, or out of touch, it can't know.
+ * Whether the node may report that a route does not exist, which requires the newest configuration.
+ * A node that started from its disk or is disconnected can't know that.
  */
 export const knowsAllRoutes = (state: NodeAgent, now: Timestamp): boolean =>
   state.compiledConfiguration !== undefined &&
@@ -26,9 +32,9 @@
   isConfirmedWithin(state.configFreshness, now, freshnessLeaseMs);
 
 /**
- * Whether a newer configuration should have been applied by now, within `applyMs` after it was
- * confirmed. The node then answers nothing by the one that it runs: a request might be one that
- * only the older configuration allows.
+ * Whether a newer configuration should have been applied by now; `applyMs` is the time limit after
+ * its confirmation. The node then rejects all requests, since one may match a route that was
+ * removed.
  */
 export const isConfigurationOverdue = (
   state: NodeAgent,
--- a/packages/proxy-core/src/node-agent/heartbeat-reply.ts
+++ b/packages/proxy-core/src/node-agent/heartbeat-reply.ts
@@ -1,6 +1,6 @@
 /**
- * What a node learns from the replies to its heartbeats: members, purges, rollout states, canary
- * results, vacant leases, and the configuration that it should run.
+ * Handling of heartbeat replies: members, purges, rollout states, canary results, vacant leases and
+ * the offered configuration.
  */
 
 import {
@@ -19,7 +19,11 @@
 
 type HeartbeatReply = FrameOf<'heartbeat-reply'>;
 
-/** Applies the purges that follow the last one; where some are lost, the whole cache is flushed. */
+/**
+ * Applies the purges after the last applied one. If some are missing, the cache is flushed when the
+ * registry no longer has them or this node has applied none yet; otherwise the next reply is
+ * awaited.
+ */
 const applyPurges = (state: NodeAgent, { top, floor, purges }: HeartbeatReply): AgentTransition => {
   if (top <= state.lastPurgeSeq) return transition(state);
   const fresh = purges
@@ -36,7 +40,7 @@
   return transition(state);
 };
 
-/** Only the newest state of each service counts, whichever registry it comes from. */
+/** Merges rollout states by service; the highest serial wins, whichever registry sent it. */
 const mergeReleaseStates = (
   known: NodeAgent['releaseStates'],
   received: readonly RolloutState[],
@@ -49,7 +53,9 @@
     : new Map([...known, ...fresh.map((rollout) => [rollout.service, rollout] as const)]);
 };
 
-/** Notes as of when all purges are applied here: only this node's own registry can say that. */
+/**
+ * Records the time up to which all purges are applied; only the node's own registry can confirm it.
+ */
 const updatePurgesCurrent = (
   state: NodeAgent,
   reply: HeartbeatReply,
@@ -70,7 +76,7 @@
   now: Timestamp,
 ): NodeAgent => {
   const nodeSession = applyHeartbeatReply(state.nodeSession, from, reply, now);
-  // Without an age the registry has no fresh contact with the primary.
+  // A reply without an age comes from a registry without recent contact to the primary.
   const isFromPrimary = reply.age !== undefined;
   return {
     ...applyVacantLeases({ ...state, nodeSession }, reply, now),
@@ -86,7 +92,7 @@
   };
 };
 
-/** Takes in the reply to a heartbeat. */
+/** Handles the reply to a heartbeat. */
 export const onHeartbeatReply = (
   before: NodeAgent,
   from: Peer,
--- a/packages/proxy-core/src/node-agent/heartbeat.ts
+++ b/packages/proxy-core/src/node-agent/heartbeat.ts
@@ -1,6 +1,6 @@
 /**
- * What a node reports to its registry with each heartbeat: its configuration and health, the leases
- * that it holds or knows of, the purges it has applied, the rollout states it has seen.
+ * Heartbeats of a node to its registry: configuration and health, leases held or known, the last
+ * applied purge, and a digest of the known rollout states.
  */
 
 import { type Timestamp, noGeneration, transition } from '@switchwheel/types';
@@ -40,7 +40,10 @@
   };
 };
 
-/** Digests by the map that they are of: heartbeats are far more frequent than changes. */
+/**
+ * Digests by the map they were computed from, since heartbeats are far more frequent than changes
+ * of the map.
+ */
 const digestCache = new WeakMap<NodeAgent['releaseStates'], string>();
 
 const releaseStatesDigest = (releases: NodeAgent['releaseStates']): string => {
@@ -49,7 +52,7 @@
   return digest;
 };
 
-/** The content of a heartbeat now; the last one of a stopping node says that it is leaving. */
+/** Returns the content of a heartbeat; `isLeaving` is set in the last one of a stopping node. */
 export const heartbeatContent = (
   state: NodeAgent,
   now: Timestamp,
@@ -62,7 +65,7 @@
   releasesDigest: releaseStatesDigest(state.releaseStates),
 });
 
-/** Sends a heartbeat at once, without waiting for its interval. */
+/** Sends a heartbeat immediately instead of at the next interval. */
 export const sendHeartbeatNow = (
   state: NodeAgent,
   now: Timestamp,
--- a/packages/proxy-core/src/node-agent/leader-candidacy.ts
+++ b/packages/proxy-core/src/node-agent/leader-candidacy.ts
@@ -1,6 +1,6 @@
 /**
- * A shield's candidacies for the leases of services: when it stands for election, what follows from
- * votes, and which leases it holds. The protocol itself is in the election package.
+ * Candidacies of a shield for service leases: when it starts an election, how votes are counted and
+ * which leases it holds. The election protocol itself is in `@switchwheel/election`.
  */
 
 import {
@@ -29,19 +29,22 @@
 import type { AgentTransition, NodeAgent } from './state.js';
 import { recordVacantLeases } from './vacant-leases.js';
 
-/** How much later each further shield in the order stands for a vacant lease. */
+/** Delay per rank in the leadership order before a shield starts an election for a vacant lease. */
 const rankDelayMs = 150;
-/** How long a shield does not stand again for the lease of a service that was removed. */
+/** Time during which a shield starts no election for the lease of a removed service. */
 const removedServicePauseMs = 1000;
 
-/** Whether this shield should stand now: the first in the order at once, the others after it. */
+/**
+ * Whether this shield should start an election: the first shield in the leadership order does so at
+ * once, each further one after a delay.
+ */
 const shouldStartElection = (state: NodeAgent, service: ServiceName, now: Timestamp): boolean => {
   if (state.isStopping || state.compiledConfiguration === undefined) return false;
   const self = state.nodeSession.member.node;
   const holder = leaseHolder(state, service);
   const vacantSince = state.vacantSince.get(serviceLeaseOf(service));
   if (vacantSince === undefined) return false;
-  // The holder that failed is left out of the order.
+  // The failed holder is left out of the order.
   const shields = shieldMembers(state).filter(
     (shield) => shield.node === self || holder?.node !== shield.node,
   );
@@ -49,7 +52,9 @@
   return now - vacantSince >= rank * rankDelayMs;
 };
 
-/** Replaces a candidate, and starts or stops leading if it has acquired or lost its lease. */
+/**
+ * Replaces a candidate, and starts or stops leading the service if its lease was acquired or lost.
+ */
 const applyCandidate = (
   state: NodeAgent,
   service: ServiceName,
@@ -68,7 +73,7 @@
   return transition(next);
 };
 
-/** Gives up a lease that a higher epoch has fenced off, so that it can be acquired anew. */
+/** Resigns a lease that is fenced off by a higher epoch, so that it can be acquired again. */
 const resignFencedLease = (
   state: NodeAgent,
   service: ServiceName,
@@ -112,7 +117,7 @@
   return prependEffects(ticked.effects, applied);
 };
 
-/** Gives up the lease of a service that the configuration no longer has. */
+/** Resigns the lease of a service that was removed from the configuration. */
 const dropCandidacy = (
   state: NodeAgent,
   service: ServiceName,
@@ -128,7 +133,7 @@
   return prependEffects(resigned.effects, dropped);
 };
 
-/** Lets time pass over all candidacies of a shield. */
+/** Advances all candidacies of a shield to the current time. */
 export const tickCandidacies = (before: NodeAgent, now: Timestamp): AgentTransition => {
   const services = before.compiledConfiguration?.services;
   if (before.nodeSession.member.role !== 'shield' || services === undefined)
@@ -146,7 +151,9 @@
   return next;
 };
 
-/** Counts a vote for the candidate whose lease it is of; a newer electorate is taken over with it. */
+/**
+ * Counts a vote for the candidate of its lease, and adopts a newer electorate that comes with it.
+ */
 export const onVote = (
   before: NodeAgent,
   vote: FrameOf<'vote'>,
@@ -169,7 +176,7 @@
   return transition(state);
 };
 
-/** The service leases that this shield holds now, as it reports them to registries. */
+/** Returns the service leases that this shield holds, as reported to registries. */
 export const heldLeases = (state: NodeAgent, now: Timestamp): LeaseHolder[] =>
   [...state.candidates].flatMap(([service, candidate]) => {
     const record = holdsLease(candidate, now)
--- a/packages/proxy-core/src/node-agent/leadership-order.ts
+++ b/packages/proxy-core/src/node-agent/leadership-order.ts
@@ -1,6 +1,6 @@
 /**
- * Which shield should lead which service: by rendezvous hashing, so that services spread over the
- * shields, and few of them move when a shield comes or goes.
+ * Preferred leaders of services, by rendezvous hashing: services are spread over the shields, and
+ * only a few move when a shield joins or leaves.
  */
 
 import { createHash } from 'node:crypto';
@@ -11,7 +11,7 @@
 const rendezvousWeight = (service: ServiceName, node: string): string =>
   createHash('sha1').update(`${service} ${node}`).digest('hex');
 
-/** The shields in the order in which they should lead a service. */
+/** Returns the shields in order of preference for leading a service. */
 export const leadershipOrder = (
   service: ServiceName,
   shields: readonly Member[],
@@ -20,7 +20,7 @@
     rendezvousWeight(service, left.node) < rendezvousWeight(service, right.node) ? -1 : 1,
   );
 
-/** The shields that this one knows of, itself included. */
+/** Returns the shields known to this node, itself included. */
 export const shieldMembers = ({ nodeSession }: NodeAgent): readonly Member[] => {
   const shields = nodeSession.members.filter((member) => member.role === 'shield');
   return shields.some((member) => member.node === nodeSession.member.node)
--- a/packages/proxy-core/src/node-agent/lease-handover.ts
+++ b/packages/proxy-core/src/node-agent/lease-handover.ts
@@ -1,6 +1,6 @@
 /**
- * The planned handover of service leases: a shield that stops gives its leases up, and the next
- * shield in the order stands for them at once.
+ * Planned handover of service leases: a stopping shield resigns its leases, and the next shield in
+ * the leadership order starts an election at once.
  */
 
 import {
@@ -23,7 +23,7 @@
 import { candidateOf, electionContext } from './service-lease.js';
 import type { AgentTransition, NodeAgent } from './state.js';
 
-/** How long a stopping shield does not stand again: it has ended by then. */
+/** Time during which a stopping shield starts no further election; longer than a shutdown takes. */
 const stoppedPauseMs = 60_000;
 
 const handoverMessage = (
@@ -40,7 +40,7 @@
         }),
       ];
 
-/** Gives up every lease that is held, and tells the next shield in the order of each. */
+/** Resigns every held lease and notifies the next shield in its leadership order. */
 export const handOverLeases = (state: NodeAgent, now: Timestamp): AgentTransition => {
   const self = state.nodeSession.member.node;
   let next: AgentTransition = transition(state);
@@ -59,7 +59,9 @@
   return next;
 };
 
-/** A stopping shield hands the lease of a service over to this one, which stands for it at once. */
+/**
+ * Handles the handover of a service lease by a stopping shield: starts an election for it at once.
+ */
 export const onHandover = (
   state: NodeAgent,
   handover: FrameOf<'handover'>,
--- a/packages/proxy-core/src/node-agent/node-agent.ts
+++ b/packages/proxy-core/src/node-agent/node-agent.ts
@@ -1,6 +1,7 @@
 /**
- * The control side of a node: its session with a registry, its configuration, its purges and, on a
- * shield, its candidacies for service leases. This module routes events to the modules beside it.
+ * Control side of a node: its session with a registry, its configuration, its purges and, on a
+ * shield, its candidacies for service leases. This module dispatches events to the modules beside
+ * it.
  */
 
 import { type Timestamp, prependEffects, transition } from '@switchwheel/types';
@@ -46,7 +47,7 @@
       return onHandover(state, frame, now);
     case 'tried':
       return transition(withCanaryResult(state, frame.verdict));
-    // An edge's router takes these.
+    // Handled by the router of a direct edge.
     case 'object-request':
     case 'object':
     case 'object-status':
@@ -59,7 +60,7 @@
   }
 };
 
-/** Hands the leases over, and leaves with a last heartbeat. */
+/** Hands over the held leases and sends a last heartbeat. */
 const onStopRequested = (state: NodeAgent, now: Timestamp): AgentTransition => {
   const handedOver = handOverLeases({ ...state, isStopping: true }, now);
   return prependEffects(
@@ -68,7 +69,7 @@
   );
 };
 
-/** The reducer of a node agent: every change of its state goes through it. */
+/** Reducer of a node agent; the only place where its state changes. */
 export const nodeAgentTransition = (state: NodeAgent, event: NodeAgentEvent): AgentTransition => {
   switch (event.kind) {
     case 'tick':
--- a/packages/proxy-core/src/node-agent/service-lease.ts
+++ b/packages/proxy-core/src/node-agent/service-lease.ts
@@ -1,5 +1,5 @@
 /**
- * What a shield knows of a service's lease: who holds it, and this shield's own candidate for it.
+ * State of a service's lease as known to a shield: its holder, and the shield's own candidate.
  */
 
 import { type ServiceName, serviceLeaseOf } from '@switchwheel/types';
@@ -8,15 +8,21 @@
 import { highestEpoch } from '@switchwheel/membership';
 import type { NodeAgent } from './state.js';
 
-/** Clients wait while a service has no leader, so its lease is shorter than the primary's. */
+/**
+ * Duration of a service lease; shorter than the primary's, because clients wait while a service has
+ * no leader.
+ */
 const leaderLeaseMs = 600;
 
-/** This shield's candidate for the lease of a service; an idle one if it never stood. */
+/** Returns this shield's candidate for the lease of a service; an idle one if there is none yet. */
 export const candidateOf = (state: NodeAgent, service: ServiceName): Candidate =>
   state.candidates.get(service) ??
   newCandidate(state.nodeSession.member.node, serviceLeaseOf(service), [], leaderLeaseMs);
 
-/** What an election of a service's leader needs to know; undefined until the voters are known. */
+/**
+ * Returns the context of an election for the lease of a service; undefined until the electorate is
+ * known.
+ */
 export const electionContext = (
   state: NodeAgent,
   service: ServiceName,
@@ -34,11 +40,11 @@
   return { fleet, electorate, holderRecord, countsRecoveringVoters: true };
 };
 
-/** The holder of a service's lease, as far as it is known, whether it lives or not. */
+/** Returns the last known holder of a service's lease, whether it is live or not. */
 export const leaseHolder = (state: NodeAgent, service: ServiceName): LeaseHolder | undefined =>
   state.nodeSession.holders.get(serviceLeaseOf(service));
 
-/** Whether the holder of a service's lease is among the members that are known to live. */
+/** Whether the known holder of a service's lease is in the member list. */
 export const hasLiveHolder = (state: NodeAgent, service: ServiceName): boolean => {
   const holder = leaseHolder(state, service);
   return (
--- a/packages/proxy-core/src/node-agent/state.ts
+++ b/packages/proxy-core/src/node-agent/state.ts
@@ -1,5 +1,5 @@
 /**
- * The state of a node agent, the events that change it and the effects that it asks for.
+ * State, events and effects of a node agent.
  */
 
 import {
@@ -30,16 +30,16 @@
 import type { ValidationIssue, CompiledConfiguration } from '@switchwheel/configuration';
 import { type ConfigFreshness, initialConfigFreshness } from './config-freshness.js';
 
-/** How far the update to an offered configuration is. */
+/** Progress of the update to an offered configuration. */
 export type ConfigUpdate =
   | { readonly phase: 'idle' }
   | {
       readonly phase: 'fetching';
       readonly offer: ConfigManifest;
       readonly startedAt: Timestamp;
-      /** When chunks were last requested, or one came in. */
+      /** Time of the last request for chunks or of the last chunk received. */
       readonly requestedAt: Timestamp;
-      /** How many of the requested chunks have not come in. */
+      /** Number of requested chunks that have not arrived. */
       readonly outstandingChunks: number;
     }
   | {
@@ -49,42 +49,42 @@
       readonly fetchedAt: Timestamp;
     };
 
-/** A configuration that did not compile. */
+/** Offered configuration that did not compile, with its validation issues as text. */
 export interface FailedUpdate {
   readonly offer: ConfigManifest;
   readonly text: string;
 }
 
-/** The whole state of a node agent: its session, configuration, purges and candidacies. */
+/** State of a node agent. */
 export interface NodeAgent {
   readonly nodeSession: NodeSession;
-  /** The configuration that the node runs. */
+  /** The configuration that the node is running. */
   readonly compiledConfiguration: CompiledConfiguration | undefined;
   readonly configUpdate: ConfigUpdate;
-  /** The chunks of the running configuration and of the one that is fetched. */
+  /** Chunks of the running configuration and of the one being fetched. */
   readonly chunks: ReadonlyMap<Hash, string>;
   readonly failedUpdate: FailedUpdate | undefined;
-  /** The last purge that was applied. */
+  /** Sequence number of the last applied purge. */
   readonly lastPurgeSeq: Seq;
-  /** As of when this node is known to have applied every accepted purge. */
+  /** Time up to which this node is known to have applied every accepted purge. */
   readonly purgesCurrentAsOf: Timestamp | undefined;
   readonly configFreshness: ConfigFreshness;
   readonly canaryResults: readonly CanaryResult[];
-  /** Which release each service's requests go to, as last heard. */
+  /** Latest known rollout state of each service. */
   readonly releaseStates: ReadonlyMap<ServiceName, RolloutState>;
-  /** When a registry with fresh contact to the primary last confirmed them. */
+  /** Time of the last reply of a registry that has recent contact to the primary. */
   readonly releaseStatesAt: Timestamp;
-  /** This shield's candidacies; a service without one has an idle candidate. */
+  /** Candidacies of this shield; a service without an entry has an idle candidate. */
   readonly candidates: ReadonlyMap<ServiceName, Candidate>;
-  /** Since when each lease that has no live holder is seen vacant. */
+  /** Time since when each lease without a live holder has been vacant. */
   readonly vacantSince: ReadonlyMap<LeaseName, Timestamp>;
   readonly isStopping: boolean;
-  /** How often each invariant was violated here. */
+  /** Number of violations of each invariant. */
   readonly violations: Violations;
   readonly randomState: RandomState;
 }
 
-/** What happens to a node agent; times are of the monotonic clock. */
+/** Event for a node agent; times are of the monotonic clock. */
 export type NodeAgentEvent =
   | ProcessEvent
   | {
@@ -101,7 +101,7 @@
     }
   | { readonly kind: 'stopRequested'; readonly now: Timestamp };
 
-/** What a node agent asks of the program around it. */
+/** Effect that a node agent requests from the program. */
 export type NodeAgentEffect =
   | ProcessEffect
   | {
@@ -114,19 +114,22 @@
   | {
       readonly kind: 'purgeCache';
       readonly purges: readonly Purge[];
-      /** Whether the whole cache goes, as purges were missed. */
+      /** Whether to flush the whole cache, because purges were missed. */
       readonly flush: boolean;
       readonly lastPurgeSeq: Seq;
     }
   /** The lease of a service was acquired. */
   | { readonly kind: 'startLeading'; readonly service: ServiceName; readonly candidate: Candidate }
-  /** The lease of a service was lost or given up. */
+  /** The lease of a service was lost or resigned. */
   | { readonly kind: 'stopLeading'; readonly service: ServiceName };
 
-/** Gives the session random draws of its own, apart from those of the candidacies. */
+/**
+ * Derives the session's random seed, so that its random numbers are independent of those of the
+ * candidacies.
+ */
 const sessionSeedMask = 0x2545f491;
 
-/** The state of a node that has just started and knows the addresses of some registries. */
+/** Returns the state of a node that has just started and knows the addresses of some registries. */
 export const newNodeAgent = (
   member: Member,
   registryAddresses: readonly Address[],
@@ -152,5 +155,5 @@
   randomState,
 });
 
-/** A node agent's state after an event, and the effects that the event asks for. */
+/** State of a node agent after an event, with the requested effects. */
 export type AgentTransition = Transition<NodeAgent, NodeAgentEffect>;
--- a/packages/proxy-core/src/node-agent/vacant-leases.ts
+++ b/packages/proxy-core/src/node-agent/vacant-leases.ts
@@ -1,6 +1,6 @@
 /**
- * Since when service leases are vacant: by the voters, which see leases end, and by the members that
- * this shield knows of.
+ * Tracking of vacant service leases, as reported by voters, which see leases end, and as derived
+ * from the list of members.
  */
 
 import { type Timestamp, serviceLeaseOf, withEntry, withoutEntry } from '@switchwheel/types';
@@ -11,7 +11,7 @@
 const withVacantSince = (state: NodeAgent, vacantSince: NodeAgent['vacantSince']): NodeAgent =>
   vacantSince === state.vacantSince ? state : { ...state, vacantSince };
 
-/** Notes the leases that have no live holder from now on. */
+/** Records leases without a live holder as vacant from `now` on. */
 export const recordVacantLeases = (state: NodeAgent, now: Timestamp): NodeAgent => {
   let vacantSince = state.vacantSince;
   for (const service of state.compiledConfiguration?.services.keys() ?? []) {
@@ -22,7 +22,10 @@
   return withVacantSince(state, vacantSince);
 };
 
-/** Takes in which leases a voter reports as vacant; the others are held, if their holder lives. */
+/**
+ * Updates the vacant leases from a heartbeat reply: leases reported as vacant are recorded, others
+ * are cleared if their holder is live.
+ */
 export const applyVacantLeases = (
   state: NodeAgent,
   reply: FrameOf<'heartbeat-reply'>,
--- a/packages/proxy-core/src/proxy/and-then.ts
+++ b/packages/proxy-core/src/proxy/and-then.ts
@@ -5,7 +5,10 @@
 import { prependEffects } from '@switchwheel/types';
 import type { ProxyState, ProxyTransition } from './state.js';
 
-/** Goes on from the state of a transition; the effects of the first come before those of the next. */
+/**
+ * Applies `next` to the state of a transition and returns the result, with the effects of both in
+ * order.
+ */
 export const andThen = (
   first: ProxyTransition,
   next: (state: ProxyState) => ProxyTransition,
--- a/packages/proxy-core/src/proxy/epoch-history.ts
+++ b/packages/proxy-core/src/proxy/epoch-history.ts
@@ -1,6 +1,6 @@
 /**
- * Which epochs of each lease were seen when. A new service leader learns from it how many leaders
- * the service may have had of late, each of which may have spent a part of the service's budgets.
+ * History of lease epochs. A new service leader derives from it how many leaders the service may
+ * have had recently, each of which may have spent a part of the service's budgets.
  */
 
 import { type LeaseName, type Epoch, type Timestamp, noEpoch, withEntry } from '@switchwheel/types';
@@ -11,15 +11,15 @@
   readonly at: Timestamp;
 }
 
-/** The epochs of each lease with when they were first seen, the oldest first. */
+/** Epochs of each lease with the time when they were first seen, oldest first. */
 export type EpochHistory = ReadonlyMap<LeaseName, readonly SeenEpoch[]>;
 
-/** How far back lease holders are counted. */
+/** Time span over which lease holders are counted. */
 const historyWindowMs = 10_000;
 
 const isOld = (seen: SeenEpoch, now: Timestamp): boolean => now - seen.at > historyWindowMs;
 
-/** Adds the epochs of the lease holders that are known now. */
+/** Records the epochs of the known lease holders. */
 export const recordEpochs = (
   history: EpochHistory,
   holders: ReadonlyMap<LeaseName, LeaseHolder>,
@@ -30,7 +30,7 @@
     const known = next.get(lease) ?? [];
     const last = known.at(-1);
     if (last !== undefined && last.epoch >= epoch) continue;
-    // Of the epochs from before the counted time only the newest matters.
+    // Of the epochs before the time span only the newest is needed.
     const newestOld = known.filter((seen) => isOld(seen, now)).slice(-1);
     const recent = known.filter((seen) => !isOld(seen, now));
     next = withEntry(next, lease, [...newestOld, ...recent, { epoch, at: now }]);
@@ -39,8 +39,8 @@
 };
 
 /**
- * How many holders a lease may have had in the last ten seconds, the one of the given epoch
- * included. Epochs that were never seen here count as well.
+ * Returns the maximum number of holders that a lease may have had in the last ten seconds, up to
+ * the one of `epoch`. Epochs that this node never saw count as well.
  */
 export const recentHolderCount = (
   history: EpochHistory,
--- a/packages/proxy-core/src/proxy/leaders.ts
+++ b/packages/proxy-core/src/proxy/leaders.ts
@@ -1,6 +1,6 @@
 /**
- * The service leaders of a shield: one starts when the shield acquires a service's lease and closes
- * when the lease is over. Their effects are turned into those of the proxy.
+ * Service leaders of a shield: one is created when the shield acquires a service's lease, and
+ * closed when the lease ends. Their effects are converted into those of the proxy.
  */
 
 import {
@@ -27,7 +27,10 @@
 
 type ReportCanary = Extract<ServiceLeaderEffect, { kind: 'reportCanary' }>;
 
-/** Sends the state of a canary to the primary; without a known primary it is repeated later. */
+/**
+ * Sends a canary report to the primary. Without a known primary nothing is sent: the leader repeats
+ * the report.
+ */
 const reportCanary = (state: ProxyState, report: ReportCanary): readonly ProxyEffect[] => {
   const { nodeSession } = state.nodeAgent;
   const primary = nodeSession.holders.get(primaryLease);
@@ -78,7 +81,10 @@
   }
 };
 
-/** Hands an event to a leader, if it is still there; a closing one without attempts is dropped. */
+/**
+ * Dispatches an event to a leader, if it still exists. A closing leader without attempts is
+ * removed.
+ */
 export const dispatchToLeader = (
   state: ProxyState,
   key: string,
@@ -97,7 +103,7 @@
   return transition(next, ...result.effects.flatMap((effect) => toProxyEffects(next, key, effect)));
 };
 
-/** Hands an event to the leader of each service that is led here. */
+/** Dispatches an event to the leader of each service that this node leads. */
 export const dispatchToActiveLeaders = (
   state: ProxyState,
   event: ServiceLeaderEvent,
@@ -124,8 +130,8 @@
 };
 
 /**
- * Closes the leaders whose lease is over. It comes before any event is acted on, so that a process
- * that was suspended past its lease starts no attempt.
+ * Closes the leaders whose lease has ended. It is called before each event is handled, so that a
+ * process that was suspended past its lease starts no attempt.
  */
 export const closeExpiredLeaders = (state: ProxyState, now: Timestamp): ProxyTransition => {
   let next: ProxyTransition = transition(state);
@@ -140,7 +146,10 @@
   return next;
 };
 
-/** Starts the leader of a service whose lease was acquired, and hands it what is known already. */
+/**
+ * Creates the leader of a service whose lease was acquired, and passes it the known canary results
+ * and origins.
+ */
 export const openLeader = (
   state: ProxyState,
   service: ServiceName,
--- a/packages/proxy-core/src/proxy/proxy.ts
+++ b/packages/proxy-core/src/proxy/proxy.ts
@@ -1,6 +1,6 @@
 /**
- * The reducer of a proxy process. It routes events to the node agent, to the service leaders and to
- * the forwarding, and hands what the node agent learned to the other two.
+ * Reducer of a proxy process. It dispatches events to the node agent, the service leaders and the
+ * forwarding, and passes changes in the node agent on to the other two.
  */
 
 import { type Timestamp, clockOrigin, transition } from '@switchwheel/types';
@@ -23,7 +23,9 @@
 
 type EventOf<K extends ProxyEvent['kind']> = Extract<ProxyEvent, { kind: K }>;
 
-/** A process that took no event for so long was suspended or stalled. */
+/**
+ * Time without an event after which the process is considered to have been suspended or stalled.
+ */
 const stallThresholdMs = 1500;
 
 const onConfigurationAdopted = (
@@ -92,7 +94,7 @@
   );
 };
 
-/** Hands what changed in the node agent to the leaders and to the forwarding. */
+/** Passes changes in the node agent on to the leaders and the forwarding. */
 const propagateChanges = (
   before: NodeAgent,
   state: ProxyState,
@@ -122,7 +124,7 @@
 const onTick = (state: ProxyState, now: Timestamp): ProxyTransition => {
   let next = dispatchToNodeAgent(state, { kind: 'tick', now });
   for (const [key, leader] of next.state.leaders) {
-    // Whether an origin is live also hangs on the time.
+    // Whether an origin is live depends on the time, too.
     if (!leader.isClosing)
       next = andThen(next, (current) =>
         dispatchToLeader(current, key, {
@@ -140,7 +142,10 @@
     : andThen(next, (current) => dispatchToForwarding(current, { kind: 'nodeDisconnected', now }));
 };
 
-/** Hands a request that an edge forwarded to the service's leader; without one the edge asks on. */
+/**
+ * Dispatches a forwarded request to the service's leader. Without a leader of at least the
+ * request's epoch, the edge is asked to retry with the next leader.
+ */
 const onInboundRequest = (
   state: ProxyState,
   { request, now }: EventOf<'inboundRequestArrived'>,
@@ -228,11 +233,11 @@
 };
 
 const recordEventTime = (state: ProxyState, now: Timestamp): ProxyState => {
-  const isResuming = state.lastEventAt > clockOrigin && now - state.lastEventAt > stallThresholdMs;
-  return { ...state, lastEventAt: now, lastResumedAt: isResuming ? now : state.lastResumedAt };
+  const hasResumed = state.lastEventAt > clockOrigin && now - state.lastEventAt > stallThresholdMs;
+  return { ...state, lastEventAt: now, lastResumedAt: hasResumed ? now : state.lastResumedAt };
 };
 
-/** The reducer of a proxy: every change of its state goes through it. */
+/** Reducer of a proxy; the only place where its state changes. */
 export const proxyTransition = (state: ProxyState, event: ProxyEvent): ProxyTransition =>
   andThen(closeExpiredLeaders(recordEventTime(state, event.now), event.now), (current) =>
     handleEvent(current, event),
--- a/packages/proxy-core/src/proxy/shutdown-phase.ts
+++ b/packages/proxy-core/src/proxy/shutdown-phase.ts
@@ -1,22 +1,28 @@
 /**
- * The phases of a graceful shutdown: requests are accepted for a while longer, those under way are
- * drained, and what is left is aborted before the process is killed.
+ * Phases of a graceful shutdown: new requests are accepted for a grace period, then requests in
+ * progress are drained, and the remaining ones are aborted before the process is killed.
  */
 
 import type { Timestamp } from '@switchwheel/types';
 
-/** How long an edge accepts requests after SIGTERM: the platform needs a moment to see the stop. */
+/**
+ * Time that an edge continues to accept requests after SIGTERM, until the platform stops routing
+ * requests to it.
+ */
 const edgeGraceMs = 1500;
 const shieldGraceMs = 100;
-/** When what is left is aborted: the process is killed after six seconds. */
+/**
+ * Time after SIGTERM at which remaining requests are aborted; the platform kills the process after
+ * 6 s.
+ */
 const abortAfterMs = 4700;
 
-/** How far a shutdown has come. */
+/** Phase of a graceful shutdown. */
 export type ShutdownPhase = 'serving' | 'draining' | 'aborting' | 'finished';
 
 /**
- * The phase of a shutdown that was requested at a time, with so many requests and attempts still
- * open.
+ * Returns the phase of a shutdown that was requested at `requestedAt`; `openCount` is the number of
+ * open requests and attempts.
  */
 export const shutdownPhase = (
   role: 'edge' | 'shield',
--- a/packages/proxy-core/src/proxy/state.ts
+++ b/packages/proxy-core/src/proxy/state.ts
@@ -1,6 +1,6 @@
 /**
- * The state of a proxy process: its node agent, the services that it leads and the requests that it
- * forwards, with the events that change it and the effects that it asks for.
+ * State, events and effects of a proxy process: its node agent, its service leaders and its
+ * forwarding.
  */
 
 import {
@@ -33,22 +33,25 @@
 } from '../service-leader/state.js';
 import type { EpochHistory } from './epoch-history.js';
 
-/** The whole state of a proxy. */
+/** State of a proxy. */
 export interface ProxyState {
   readonly nodeAgent: NodeAgent;
-  /** Service leaders by service and epoch; a closing one stays until its attempts have ended. */
+  /**
+   * Service leaders, keyed by service and epoch; a closing one remains until its attempts have
+   * ended.
+   */
   readonly leaders: ReadonlyMap<string, ServiceLeader>;
-  /** The key in `leaders` of each service that is led here. */
+  /** Key in `leaders` of the active leader of each service that is led here. */
   readonly activeLeaders: ReadonlyMap<ServiceName, string>;
   readonly forwarding: Forwarding;
   readonly epochHistory: EpochHistory;
-  /** When this process last took an event. */
+  /** Time of the last event. */
   readonly lastEventAt: Timestamp;
-  /** When it last took one after it had been suspended or stalled. */
+  /** Time of the last event that followed a suspension or stall of the process. */
   readonly lastResumedAt: Timestamp;
 }
 
-/** The state of a proxy that has just started. */
+/** Returns the state of a proxy that has just started. */
 export const newProxyState = (
   member: Member,
   registryAddresses: readonly Address[],
@@ -63,7 +66,7 @@
   lastResumedAt: clockOrigin,
 });
 
-/** What happens to a proxy; times are of the monotonic clock, `leader` is a key in `leaders`. */
+/** Event for a proxy; times are of the monotonic clock, `leader` is a key in `leaders`. */
 export type ProxyEvent =
   | NodeAgentEvent
   | Exclude<ForwardingEvent, { kind: 'leaseHoldersChanged' | 'nodeDisconnected' | 'tick' }>
@@ -96,7 +99,7 @@
       readonly durationMs: number;
     };
 
-/** What a proxy asks of the program around it. */
+/** Effect that a proxy requests from the program. */
 export type ProxyEffect =
   | Exclude<NodeAgentEffect, { kind: 'startLeading' | 'stopLeading' }>
   | ForwardingEffect
@@ -106,5 +109,5 @@
   | Extract<ServiceLeaderEffect, { kind: 'checkHealth' }>
   | { readonly kind: 'setLiveOrigins'; readonly liveInstances: ReadonlySet<InstanceId> };
 
-/** A proxy's state after an event, and the effects that the event asks for. */
+/** State of a proxy after an event, with the requested effects. */
 export type ProxyTransition = Transition<ProxyState, ProxyEffect>;
--- a/packages/proxy-core/src/request-handler/digest-verifier.ts
+++ b/packages/proxy-core/src/request-handler/digest-verifier.ts
@@ -1,6 +1,6 @@
 /**
- * The digests that an origin sends with a response (RFC 9530, Content-Digest and Repr-Digest), checked
- * while its bytes come in.
+ * Verification of the digests that an origin sends with a response (RFC 9530, Content-Digest and
+ * Repr-Digest) while its body is received.
  */
 
 import { createHash, timingSafeEqual, type Hash } from 'node:crypto';
@@ -8,7 +8,7 @@
 import type { HeaderFields } from '@switchwheel/transport';
 import { fieldValue } from '../cache/header-fields.js';
 
-/** The algorithms that are checked, by their names in the fields and in Node.js. */
+/** Supported algorithms: name in the field, name in Node.js. */
 const digestAlgorithms = new Map([
   ['sha-256', 'sha256'],
   ['sha-512', 'sha512'],
@@ -19,14 +19,15 @@
   readonly expected: Buffer;
 }
 
-/** Whether a digest field is one of the bytes that come in. */
+/** Whether a digest field covers the bytes as received. */
 const coversReceivedBytes = (name: string, fields: HeaderFields): boolean =>
-  // The digest of the representation is not that of a coded or partial body.
+  // The representation digest of an encoded or partial body differs from that of the bytes
+  // received.
   name === 'content-digest' ||
   (fieldValue(fields, 'content-encoding') === undefined &&
     fieldValue(fields, 'content-range') === undefined);
 
-/** Checks the bytes of one response against the digests in its head. */
+/** Verifies the body of one response against the digests in its header fields. */
 export class DigestVerifier {
   readonly #expectedDigests: ExpectedDigest[] = [];
   #isParsable = true;
@@ -36,19 +37,22 @@
       const value = fieldValue(fields, name);
       if (value === undefined || !coversReceivedBytes(name, fields)) continue;
       try {
-        this.#expect(value);
+        this.#addExpectedDigests(value);
       } catch {
         this.#isParsable = false;
       }
     }
   }
 
-  /** Takes bytes of the body in. */
+  /** Adds received bytes of the body. */
   update(bytes: Uint8Array): void {
     for (const { hash } of this.#expectedDigests) hash.update(bytes);
   }
 
-  /** Whether all that came in matches; `absent` if no digest was sent that is known here. */
+  /**
+   * Compares the received bytes with all digests; returns `absent` if no supported digest was sent,
+   * and `mismatch` if a digest field can't be parsed.
+   */
   verify(): 'match' | 'mismatch' | 'absent' {
     if (!this.#isParsable) return 'mismatch';
     const matches = this.#expectedDigests.map(({ hash, expected }) => {
@@ -59,7 +63,7 @@
     return matches.length > 0 ? 'match' : 'absent';
   }
 
-  #expect(field: string): void {
+  #addExpectedDigests(field: string): void {
     for (const [name, [value]] of parseDictionary(field)) {
       const algorithm = digestAlgorithms.get(name);
       if (algorithm !== undefined && value instanceof ArrayBuffer)
--- a/packages/proxy-core/src/request-handler/edge-request-handler.ts
+++ b/packages/proxy-core/src/request-handler/edge-request-handler.ts
@@ -1,7 +1,7 @@
 /**
- * The way of a client's request at an edge: its route is found, then it passes a chain of filters:
- * the cache, the coalescing of equal requests, and the forwarding to the leader of its service.
- * HTTP itself is the program's.
+ * Handling of client requests at an edge: after the route lookup a request passes a chain of
+ * filters for the cache, the coalescing of equal requests, and the forwarding to the leader of its
+ * service. HTTP itself is left to the program.
  */
 
 import {
@@ -43,49 +43,59 @@
 import { type RouteLookup, lookUpRoute } from './route-lookup.js';
 
 /**
- * A response that came back sooner than this is younger than any purge that must have been applied
- * by now.
+ * Responses that took longer than this are checked against purges. A faster one is newer than any
+ * purge that must have been applied by the time it arrives.
  */
 const purgeCheckThresholdMs = 1800;
-/** When a client may come back for whose request there was no room or no time. */
+/** Suggested retry delay for requests rejected for lack of capacity or time. */
 const retryAfterMs = 1000;
 
-/** A request on its way through the filters. */
+/** State of a request in the filter chain. */
 interface FilterContext {
   readonly request: ClientRequest;
   readonly route: CompiledRoute;
   readonly client: ClientConnection;
   readonly deadline: Timestamp;
   readonly cacheable: CacheableRequest | undefined;
-  /** Hands the outcome to those who wait for this fetch; undefined if nobody can. */
+  /**
+   * Passes the outcome to the requests that wait for this fetch; undefined if the fetch can't be
+   * joined.
+   */
   readonly finishFetch: ((outcome: RequestOutcome) => void) | undefined;
-  /** The id of the forwarded request, once there is one. */
+  /** Id of the forwarded request; undefined until it is forwarded. */
   readonly forwarded: { id: RequestId | undefined };
 }
 type Filter = (context: FilterContext, next: (context: FilterContext) => void) => void;
 
-/** Runs a request through filters in their order; each replies to it or passes it on. */
+/**
+ * Runs the first filter, which replies to the request or calls `next` to run the remaining ones.
+ */
 const runFilters = (filters: readonly Filter[], context: FilterContext): void => {
   const [first, ...rest] = filters;
   first?.(context, (next) => runFilters(rest, next));
 };
 
-/** Adds the client's address to those that earlier proxies noted. */
+/** Appends the client's address to X-Forwarded-For. */
 const withForwardedFor = (request: ClientRequest, fields: HeaderFields): HeaderFields => {
-  const before = fields.filter(([name]) => name === 'x-forwarded-for').map(([, value]) => value);
+  const earlierAddresses = fields
+    .filter(([name]) => name === 'x-forwarded-for')
+    .map(([, value]) => value);
   return [
     ...fields.filter(([name]) => name !== 'x-forwarded-for'),
-    ['x-forwarded-for', [...before, request.remoteAddress].join(', ')],
+    ['x-forwarded-for', [...earlierAddresses, request.remoteAddress].join(', ')],
   ];
 };
 
-/** The fields of a request that go on; for a cacheable one the complete response is fetched. */
+/**
+ * Returns the header fields to forward. Conditional fields of a cacheable request are left out,
+ * since the complete response is needed.
+ */
 const fieldsToForward = (request: ClientRequest, isCacheable: boolean): HeaderFields => {
   const omitted = isCacheable ? [...conditionalFields, ...rewrittenFields] : rewrittenFields;
   return withForwardedFor(request, forwardableFields(request.fields, omitted));
 };
 
-/** Handles clients' requests at an edge. */
+/** Handles client requests at an edge. */
 export class EdgeRequestHandler {
   readonly #forwarded: ForwardedRequests;
   readonly #coalescing: RequestCoalescing<RequestOutcome>;
@@ -95,10 +105,10 @@
   readonly #limits: TransferLimits;
   readonly #filters: readonly Filter[];
   #forwardedCount = 0;
-  /** What happened here by name, for the metrics. */
+  /** Event counters by name, for the metrics. */
   readonly counts = new Map<string, number>();
 
-  /** `idPrefix` is of this process alone: the ids of requests begin with it. */
+  /** `idPrefix` must be unique to this process: the ids of its requests start with it. */
   constructor(
     idPrefix: string,
     cacheLookup: CacheLookup,
@@ -123,17 +133,20 @@
     ];
   }
 
-  /** How many forwarded requests are under way. */
+  /** Number of forwarded requests in progress. */
   get openRequests(): number {
     return this.#forwarded.size;
   }
 
-  /** Purges were applied: nobody joins a fetch that began before them. */
+  /** Called after purges were applied. Fetches that started before them can no longer be joined. */
   onPurged(): void {
     this.#coalescing.detachAll();
   }
 
-  /** Finds the route of a request before its body is read, or the reply that says why there is none. */
+  /**
+   * Finds the route of a request before its body is read; returns the reply to send if there is
+   * none.
+   */
   findRoute(method: string, host: string, target: string): RouteLookup {
     const { nodeAgent } = this.#context.state();
     const lookup = lookUpRoute(nodeAgent, { method, host, target }, this.#context.now());
@@ -141,7 +154,7 @@
     return lookup;
   }
 
-  /** Takes a request with its body on; gives what to call when the client disconnects. */
+  /** Handles a request with its body. Returns the function to call when the client disconnects. */
   serve(route: CompiledRoute, request: ClientRequest, client: ClientConnection): () => void {
     const forwarded: FilterContext['forwarded'] = { id: undefined };
     const { method, host, target, fields } = request;
@@ -155,26 +168,28 @@
       finishFetch: undefined,
       deadline: toTimestamp(this.#context.now() + route.timeoutMs),
     });
-    // Others may wait for a cacheable response: its fetch goes on without the client.
+    // Other requests may wait for a cacheable response, so its fetch continues without the client.
     return () => {
       if (cacheable === undefined && forwarded.id !== undefined)
         this.#cancel(forwarded.id, 'the caller left');
     };
   }
 
-  /** Aborts all requests that are under way, visibly to their clients; gives their number. */
+  /**
+   * Aborts all requests in progress with an error visible to their clients; returns their number.
+   */
   abortAll(text: string): number {
     const { ids } = this.#forwarded;
     for (const id of ids) this.#cancel(id, text);
     return ids.length;
   }
 
-  /** Adds one to a counter of the metrics. */
+  /** Increments a counter of the metrics. */
   count(name: string): void {
     increment(this.counts, name);
   }
 
-  /** Does what the forwarding decided. */
+  /** Executes an effect of the forwarding. */
   run(effect: ForwardingEffect): void {
     this.#forwarded.run(effect);
   }
@@ -282,7 +297,7 @@
     }
   }
 
-  /** Caches a response, if it may be, and replies with it. */
+  /** Stores a response in the cache if permitted, and replies with it. */
   #onComplete(
     context: FilterContext,
     sentAt: Timestamp,
@@ -300,8 +315,8 @@
   }
 
   /**
-   * Whether a cacheable response may have been purged or expired on its way: this process was
-   * suspended meanwhile, or it took long and a purge may have come in.
+   * Whether a cacheable response may have been purged or expired in transit: this process was
+   * suspended in the meantime, or the response took long and a purge may have arrived.
    */
   #isStale(
     cacheable: CacheableRequest,
--- a/packages/proxy-core/src/request-handler/failure.ts
+++ b/packages/proxy-core/src/request-handler/failure.ts
@@ -1,14 +1,14 @@
 /**
- * The reply that tells a client of an error.
+ * Error replies to clients.
  */
 
 import type { ErrorKind } from '@switchwheel/types';
 import type { Reply } from './ports.js';
 
-/** A reply that tells of an error. */
+/** Reply that reports an error to the client. */
 export type FailureReply = Extract<Reply, { kind: 'failure' }>;
 
-/** Builds the reply of an error; `retryAfterMs` is 0 for no advice on when to come back. */
+/** Builds an error reply; a `retryAfterMs` of 0 suggests no retry delay. */
 export const failureReply = (
   errorKind: ErrorKind,
   text: string,
--- a/packages/proxy-core/src/request-handler/forwarded-requests.ts
+++ b/packages/proxy-core/src/request-handler/forwarded-requests.ts
@@ -1,6 +1,6 @@
 /**
- * The forwarded requests of an edge: their bodies go to the leaders that the forwarding chose, and
- * what the leaders send back goes to the request that it is for.
+ * Forwarded requests of an edge: request bodies are sent to the leaders chosen by the forwarding,
+ * and frames from leaders are passed to the request they belong to.
  */
 
 import type { Address, RequestId } from '@switchwheel/types';
@@ -12,21 +12,21 @@
 
 type EffectOf<K extends ForwardingEffect['kind']> = Extract<ForwardingEffect, { kind: K }>;
 
-/** Shown to the client of a response that came too late to be used. */
+/** Shown to the client of a response that arrived too late to be used. */
 const staleResponseText =
   'it was under way for so long that it may be purged or past its lifetime by now';
-/** When the client of such a response may come back. */
+/** Suggested retry delay for such a response. */
 const staleRetryAfterMs = 250;
 
-/** What the forwarded requests stand on. */
+/** Dependencies of `ForwardedRequests`. */
 export interface ForwardedRequestsOptions {
   readonly context: HandlerContext;
   readonly openChannel: OpenDataChannel;
-  /** A response broke off, or did not arrive as it was sent. */
+  /** Called when a response ended early or failed verification. */
   readonly onIncomplete: () => void;
 }
 
-/** The requests that an edge has forwarded and not yet finished. */
+/** Requests that an edge has forwarded and that are not finished. */
 export class ForwardedRequests {
   readonly #requests = new Map<RequestId, RequestState>();
   readonly #context: HandlerContext;
@@ -42,22 +42,22 @@
     });
   }
 
-  /** How many requests are under way. */
+  /** Number of requests in progress. */
   get size(): number {
     return this.#requests.size;
   }
 
-  /** The ids of the requests that are under way. */
+  /** Ids of the requests in progress. */
   get ids(): readonly RequestId[] {
     return [...this.#requests.keys()];
   }
 
-  /** Adds a request that the forwarding is about to take on. */
+  /** Adds a request before it is dispatched to the forwarding. */
   add(request: RequestState): void {
     this.#requests.set(request.id, request);
   }
 
-  /** Does what the forwarding decided. */
+  /** Executes an effect of the forwarding. */
   run(effect: ForwardingEffect): void {
     switch (effect.kind) {
       case 'sendRequest':
@@ -100,7 +100,7 @@
     this.#context.dispatch((now) => ({ kind: 'channelLost', now, leader, unsentIds }));
   }
 
-  /** Takes a frame of a leader in; false if it is none that leaders send. */
+  /** Handles a frame from a leader; returns false for a kind that leaders don't send. */
   #onFrame(from: Address, frame: Frame): boolean {
     switch (frame.kind) {
       case 'result':
@@ -123,13 +123,16 @@
     }
   }
 
-  /** The request whose response a leader sends, if that is the leader that was asked. */
+  /** Returns the request that is receiving its response from `from`, if any. */
   #receiving(from: Address, id: RequestId): RequestState | undefined {
     const request = this.#requests.get(id);
     return request?.hasResponse === true && request.leader === from ? request : undefined;
   }
 
-  /** A response that had begun broke off: the client must not take it for complete. */
+  /**
+   * Handles a rejection. If the response has started already, it is aborted, so that the client
+   * doesn't take it for complete.
+   */
   #onReject(from: Address, frame: FrameOf<'reject'>): void {
     const request = this.#receiving(from, frame.id);
     if (request !== undefined) this.#abort(request, frame.text);
@@ -156,7 +159,7 @@
     else if (result === 'stale') request.fail('lost', staleResponseText, staleRetryAfterMs);
   }
 
-  /** Nothing more comes in for a request. */
+  /** Removes a request whose response has ended. */
   #finish(request: RequestState): void {
     this.#requests.delete(request.id);
     this.#context.dispatch((now) => ({ kind: 'responseCompleted', now, id: request.id }));
--- a/packages/proxy-core/src/request-handler/inbound-requests.ts
+++ b/packages/proxy-core/src/request-handler/inbound-requests.ts
@@ -1,6 +1,6 @@
 /**
- * A shield's side of the data channels: forwarded requests come in, responses go back, streamed ones
- * no faster than their flow-control window allows.
+ * Shield side of the data channels: receives forwarded requests and sends the responses; streamed
+ * ones are limited by a flow-control window.
  */
 
 import { createHash, type Hash } from 'node:crypto';
@@ -8,57 +8,62 @@
 import type { ForwardedRequest, HeaderFields, Frame, FrameOf } from '@switchwheel/transport';
 import type { DataChannel, DataChannelHandlers, TransferLimits } from './ports.js';
 
-/** A request that came in, with the channel that its response goes back on. */
+/** Forwarded request, with the channel on which to respond. */
 export interface InboundRequest {
   readonly request: ForwardedRequest;
   readonly channel: DataChannel;
   readonly arrivedAt: Timestamp;
-  /** How many more bytes of a streamed response the edge takes now; below 0 after a large chunk. */
+  /**
+   * Bytes of a streamed response that the edge still accepts; negative after a chunk larger than
+   * the window.
+   */
   windowBytes: number;
-  /** Goes on with a streamed response that waits for its window. */
+  /** Resumes a streamed response that is waiting for its window. */
   resume: (() => void) | undefined;
   hasAttemptStarted: boolean;
-  /** Whether an attempt's response is going back in parts: no other's may. */
+  /** Whether the response of an attempt is being streamed; no other attempt may respond then. */
   isStreaming: boolean;
 }
 
-/** A complete response, from an origin or from the cache. */
+/** Complete response, from an origin or from the cache. */
 export interface UpstreamResponse {
   readonly status: number;
   readonly fields: HeaderFields;
   readonly body: Buffer;
   readonly digest: string;
-  /** How old it was when the request came in. */
+  /** Age at the arrival of the request, in milliseconds. */
   readonly ageMs: number;
   readonly source: 'origin' | 'cache';
-  /** The last purge that was applied when its fetch began. */
+  /** Last purge that had been applied when its fetch started. */
   readonly purgeSeqAtFetch: Seq;
 }
 
-/** The head of a response that goes back in parts. */
+/** Head of a streamed response. */
 export interface StreamHead {
   readonly status: number;
   readonly fields: HeaderFields;
-  /** The length of the body, if the origin gave it. */
+  /** Length of the body, if the origin sent it. */
   readonly length: number | undefined;
   readonly purgeSeqAtFetch: Seq;
 }
 
-/** Writes a response that goes back in parts. */
+/** Writer of a streamed response. */
 export interface ResponseWriter {
-  /** Sends bytes; calls back when there is room for more; false if nobody takes them any longer. */
+  /**
+   * Sends bytes and calls `onReady` once more are accepted; returns false if the request is gone.
+   */
   readonly write: (bytes: Buffer, onReady: () => void) => boolean;
-  /** Ends the response; one that is not complete breaks off visibly. */
+  /** Ends the response; with `isComplete` false it is rejected as lost. */
   readonly end: (isComplete: boolean) => void;
 }
 
-/** What becomes of the requests that come in. */
+/** Handlers for forwarded requests. */
 export interface InboundHandlers {
   readonly onRequest: (inbound: InboundRequest) => void;
   readonly onCancelled: (id: RequestId) => void;
 }
 
-/** The requests of edges that this shield has not responded to. */
+/** Forwarded requests that this shield has not responded to. */
 export class InboundRequests {
   readonly #requests = new Map<RequestId, InboundRequest>();
   readonly #limits: TransferLimits;
@@ -69,17 +74,17 @@
     this.#handlers = handlers;
   }
 
-  /** How many requests are under way. */
+  /** Number of requests in progress. */
   get size(): number {
     return this.#requests.size;
   }
 
-  /** The request with an id, if it is under way. */
+  /** Returns a request in progress by its id. */
   find(id: RequestId): InboundRequest | undefined {
     return this.#requests.get(id);
   }
 
-  /** Takes a channel that an edge opened; when it closes, its requests are cancelled. */
+  /** Accepts a channel opened by an edge. When it closes, its requests are cancelled. */
   accept(channel: DataChannel, clock: () => Timestamp): Omit<DataChannelHandlers, 'onOpen'> {
     const ids = new Set<RequestId>();
     const onFrame = (received: Frame): void => {
@@ -106,14 +111,14 @@
     return { onFrame, onClosed };
   }
 
-  /** Turns a request away. */
+  /** Rejects a request. */
   reject(id: RequestId, frame: Omit<FrameOf<'reject'>, 'kind' | 'id'>): void {
     const inbound = this.#requests.get(id);
     this.#requests.delete(id);
     inbound?.channel.send({ kind: 'reject', id, ...frame });
   }
 
-  /** Tells the edge that the first attempt of a request starts. */
+  /** Notifies the edge of the start of a request's first attempt. */
   notifyAttemptStarted(id: RequestId): void {
     const inbound = this.#requests.get(id);
     if (inbound === undefined || inbound.hasAttemptStarted) return;
@@ -121,7 +126,7 @@
     inbound.channel.send({ kind: 'begun', id });
   }
 
-  /** Sends a complete response back. */
+  /** Sends a complete response to the edge. It is dropped if another response is being streamed. */
   respond(id: RequestId, response: UpstreamResponse): void {
     const inbound = this.#requests.get(id);
     if (inbound === undefined || inbound.isStreaming) return;
@@ -145,7 +150,10 @@
     channel.send({ kind: 'done', id, digest, length: body.length });
   }
 
-  /** Opens a response that goes back in parts; undefined if nobody waits for it. */
+  /**
+   * Starts a streamed response; returns undefined if the request is gone or another response is
+   * being streamed.
+   */
   startStream(id: RequestId, head: StreamHead): ResponseWriter | undefined {
     const inbound = this.#requests.get(id);
     if (inbound === undefined || inbound.isStreaming) return undefined;
--- a/packages/proxy-core/src/request-handler/leader-channels.ts
+++ b/packages/proxy-core/src/request-handler/leader-channels.ts
@@ -1,6 +1,6 @@
 /**
- * An edge's data channels to service leaders: opened on the first request, closed by the other end
- * or by a failure. Requests wait until their channel is open.
+ * Data channels of an edge to service leaders: opened on the first request, closed by the leader or
+ * by a failure. Requests are queued until their channel is open.
  */
 
 import type { Address, RequestId } from '@switchwheel/types';
@@ -13,15 +13,15 @@
   readonly unsent: ForwardedRequest[];
 }
 
-/** What an edge does about what comes in on its data channels. */
+/** Handlers for the data channels of an edge. */
 export interface LeaderChannelHandlers {
-  /** Says whether the frame is one that belongs there. */
+  /** Returns false if the frame is of a kind that doesn't belong on the channel. */
   readonly onFrame: (from: Address, frame: Frame) => boolean;
-  /** A channel closed; of the requests in `unsentIds` no byte was sent. */
+  /** Called when a channel closes; no byte was sent of the requests in `unsentIds`. */
   readonly onLost: (leader: Address, unsentIds: ReadonlySet<RequestId>) => void;
 }
 
-/** The data channels of an edge, by the address of the leader. */
+/** Data channels of an edge, by the address of the leader. */
 export class LeaderChannels {
   readonly #openChannel: OpenDataChannel;
   readonly #handlers: LeaderChannelHandlers;
@@ -32,14 +32,17 @@
     this.#handlers = handlers;
   }
 
-  /** Sends a request, as soon as the channel to the leader is open. */
+  /** Sends a request once the channel to the leader is open. */
   sendRequest(to: Address, request: ForwardedRequest): void {
     const entry = this.#channels.get(to) ?? this.#open(to);
     if (entry.isOpen) entry.channel?.send(request);
     else entry.unsent.push(request);
   }
 
-  /** Cancels a request or grants it more window; one that was not sent yet is only forgotten. */
+  /**
+   * Sends a cancellation or flow-control credit. A request that is still queued is removed without
+   * sending the frame.
+   */
   sendControl(to: Address, frame: FrameOf<'quit'> | FrameOf<'credit'>): void {
     const entry = this.#channels.get(to);
     if (entry === undefined) return;
--- a/packages/proxy-core/src/request-handler/origin-attempts.ts
+++ b/packages/proxy-core/src/request-handler/origin-attempts.ts
@@ -1,6 +1,6 @@
 /**
- * The attempts of a shield at origins: they are sent, their responses verified, and complete ones
- * kept until the service leader has decided whether to use them.
+ * Attempts of a shield at origins: sends them, verifies the responses, and holds complete ones
+ * until the service leader has decided whether to use them.
  */
 
 import type { RequestId, Timestamp, Seq } from '@switchwheel/types';
@@ -26,22 +26,22 @@
 
 type StartAttemptEffect = Extract<ProxyEffect, { kind: 'startAttempt' }>;
 
-/** A request that the service leader decides about. */
+/** Request that was passed to the service leader. */
 export interface AdmittedRequest {
   readonly inbound: InboundRequest;
   readonly cacheable: CacheableRequest | undefined;
   readonly purgeSeqAtFetch: Seq;
-  /** Hands the cached response, if there is one, to those who wait for this fetch. */
+  /** Passes the cached response, if there is one, to the requests that wait for this fetch. */
   readonly finishFetch: (entry: CacheEntry | undefined) => void;
 }
 
-/** A complete response that waits for the leader's decision. */
+/** Complete response that awaits the leader's decision. */
 export interface CompletedAttempt {
   readonly response: CompleteResponse;
   readonly startedAt: Timestamp;
 }
 
-/** What names an attempt: its leader and its number there. */
+/** Identifies an attempt by its leader and its id there. */
 export interface AttemptReference {
   readonly leader: string;
   readonly attemptId: number;
@@ -49,11 +49,11 @@
 
 const attemptKey = ({ leader, attemptId }: AttemptReference): string => `${leader}/${attemptId}`;
 
-/** The fields of an origin's response that go on. */
+/** Returns the header fields of an origin's response to pass on. */
 export const responseFields = (fields: HeaderFields): HeaderFields =>
   forwardableFields(fields, ['content-length', 'switchwheel-instance', 'switchwheel-unrun']);
 
-/** The request that goes to the origin. */
+/** Builds the request to the origin. */
 const attemptRequest = (
   effect: StartAttemptEffect,
   forwarded: ForwardedRequest,
@@ -69,7 +69,7 @@
   isIdempotent: forwarded.repeatable,
 });
 
-/** The names under which outcomes of attempts are counted in the metrics. */
+/** Names of the metrics' counters of attempt outcomes. */
 const attemptCounters: Readonly<Record<AttemptOutcome['kind'], string>> = {
   succeeded: 'leg_good',
   originError: 'leg_bad',
@@ -80,21 +80,21 @@
   cancelled: 'leg_dropped',
 };
 
-/** What the attempts of a shield stand on. */
+/** Dependencies of `OriginAttempts`. */
 export interface OriginAttemptsOptions {
   readonly port: AttemptPort;
   readonly context: HandlerContext;
   readonly inbound: InboundRequests;
-  /** A larger response goes to the edge while it comes in. */
+  /** Size above which a response is streamed to the edge. */
   readonly maxBufferedBytes: number;
   readonly findAdmitted: (id: RequestId) => AdmittedRequest | undefined;
-  /** Adds one to a counter of the metrics. */
+  /** Increments a counter of the metrics. */
   readonly count: (name: string) => void;
-  /** A response was not trusted. */
+  /** Called for each attempt that ends without a complete and verified response. */
   readonly onUntrusted: (instance: string, reason: string) => void;
 }
 
-/** The attempts that are under way, and the responses that wait for a decision. */
+/** Attempts in progress, and complete responses that await a decision. */
 export class OriginAttempts {
   readonly #verifiers = new Map<string, ResponseVerifier>();
   readonly #completed = new Map<string, CompletedAttempt>();
@@ -116,7 +116,7 @@
     this.#onUntrusted = options.onUntrusted;
   }
 
-  /** Starts an attempt for a request, if anybody still waits for it. */
+  /** Starts an attempt, unless its request is gone. */
   start(effect: StartAttemptEffect): void {
     const admitted = this.#findAdmitted(effect.requestId);
     const startedAt = this.#context.now();
@@ -135,12 +135,12 @@
     this.#port.send(key, request, verifier);
   }
 
-  /** Ends an attempt that the leader wants no more of. */
+  /** Cancels an attempt. */
   cancel(reference: AttemptReference): void {
     this.#verifiers.get(attemptKey(reference))?.cancel();
   }
 
-  /** The complete response of an attempt, while the leader decides about it. */
+  /** Returns the complete response of an attempt while the leader decides about it. */
   completed(reference: AttemptReference): CompletedAttempt | undefined {
     return this.#completed.get(attemptKey(reference));
   }
@@ -157,7 +157,7 @@
     if (outcome.kind === 'lost') this.#onUntrusted(effect.instance, outcome.text);
     this.#verifiers.delete(key);
     this.#port.cancel(key);
-    // The leader decides while the event is dispatched; after that the response is of no use.
+    // The leader decides while the event is dispatched; afterwards the response is dropped.
     if (response !== undefined) this.#completed.set(key, { response, startedAt });
     this.#context.dispatch((now) => ({
       kind: 'attemptEnded',
@@ -172,7 +172,7 @@
 
   /**
    * Whether a cacheable response may have been purged or expired here: this process was suspended
-   * since its attempt began, and nobody knows for how long the response waited.
+   * after the start of the attempt, and it is unknown how long the response has been waiting.
    */
   #isStale(id: RequestId, startedAt: Timestamp): boolean {
     return (
@@ -181,7 +181,9 @@
     );
   }
 
-  /** Verifies the response of an attempt; a large one goes to the edge while it comes in. */
+  /**
+   * Creates the verifier for the response of an attempt; a large response is streamed to the edge.
+   */
   #responseVerifier(
     effect: StartAttemptEffect,
     admitted: AdmittedRequest,
@@ -214,7 +216,7 @@
     return verifier;
   }
 
-  /** Tells the leader, and opens the response to the edge. */
+  /** Notifies the leader of the streamed response, and starts it towards the edge. */
   #startStream(
     { requestId, leader, attemptId }: StartAttemptEffect,
     head: StreamHead,
--- a/packages/proxy-core/src/request-handler/ports.ts
+++ b/packages/proxy-core/src/request-handler/ports.ts
@@ -1,6 +1,6 @@
 /**
- * What the request handlers need of the program around them: data channels between edges and
- * shields, connections of clients, attempts at origins. The simulator has its own of each.
+ * Interfaces of the request handlers to the program: data channels between edges and shields,
+ * client connections, attempts at origins. The simulator provides its own implementations.
  */
 
 import type { Address, InstanceId, ErrorKind, Timestamp } from '@switchwheel/types';
@@ -8,44 +8,47 @@
 import type { CacheEntry } from '../cache/cache.js';
 import type { ProxyState, ProxyEvent } from '../proxy/state.js';
 
-/** The proxy that a request handler belongs to: its clock, its state, and its reducer. */
+/** Proxy that a request handler belongs to: its clock, its state and its reducer. */
 export interface HandlerContext {
   readonly now: () => Timestamp;
   readonly state: () => ProxyState;
   readonly dispatch: (createEvent: (now: Timestamp) => ProxyEvent) => void;
 }
 
-/** A channel between an edge and a shield. */
+/** Data channel between an edge and a shield. */
 export interface DataChannel {
   readonly send: (frame: Frame) => void;
   readonly terminate: (reason: string) => void;
 }
 
-/** What comes in on such a channel. */
+/** Handlers for the events of a data channel. */
 export interface DataChannelHandlers {
   readonly onOpen: () => void;
   readonly onFrame: (frame: Frame) => void;
   readonly onClosed: () => void;
 }
 
-/** How long a channel to a service leader may take to open. */
+/** Time limit for opening a channel to a service leader. */
 export const connectTimeoutMs = 500;
 
-/** Opens a channel to a service leader; one that does not open within the time-out is closed. */
+/** Opens a channel to a service leader; one that does not open in time is closed. */
 export type OpenDataChannel = (to: Address, handlers: DataChannelHandlers) => DataChannel;
 
-/** How responses are buffered and cut up on their way. */
+/** Limits for buffering, chunking and coalescing. */
 export interface TransferLimits {
-  /** Up to this many bytes a response is buffered until it is complete and verified. */
+  /**
+   * Maximum size of a response that is buffered until it is complete and verified; larger ones are
+   * streamed.
+   */
   readonly maxBufferedBytes: number;
   readonly chunkBytes: number;
-  /** How many bytes of a streamed response may be under way to its client (flow control). */
+  /** Flow-control window: maximum number of unacknowledged bytes of a streamed response. */
   readonly windowBytes: number;
-  /** How many requests may wait for the fetches of others. */
+  /** Maximum number of requests that wait for the fetches of others. */
   readonly maxCoalescedWaiters: number;
 }
 
-/** The limits of a proxy outside tests. */
+/** Default limits. */
 export const defaultTransferLimits: TransferLimits = {
   maxBufferedBytes: 4 * 1024 * 1024,
   chunkBytes: 64 * 1024,
@@ -53,7 +56,7 @@
   maxCoalescedWaiters: 2048,
 };
 
-/** A request as it came from a client, with its whole body. */
+/** Request of a client, with its complete body. */
 export interface ClientRequest {
   readonly method: string;
   readonly host: string;
@@ -64,7 +67,7 @@
   readonly remoteAddress: string;
 }
 
-/** What a client gets at once, as opposed to a response in parts. */
+/** Complete reply to a client, as opposed to a streamed response. */
 export type Reply =
   | {
       readonly kind: 'failure';
@@ -87,16 +90,16 @@
       readonly source: string;
     };
 
-/** A response that goes to a client in parts. */
+/** Response streamed to a client. */
 export interface ClientStream {
-  /** Calls back when there is room for more. */
+  /** Writes bytes; calls `onReady` once there is room for more. */
   readonly write: (bytes: Buffer, onReady: () => void) => void;
   readonly end: () => void;
-  /** Breaks it off so that the client sees that it is not complete. */
+  /** Aborts the response in a way that the client recognizes as incomplete. */
   readonly abort: (reason: string) => void;
 }
 
-/** The client of one request: it gets a reply, or a response in parts. */
+/** Connection to the client of one request, which gets a reply or a streamed response. */
 export interface ClientConnection {
   readonly reply: (reply: Reply) => void;
   readonly startStream: (
@@ -106,7 +109,7 @@
   ) => ClientStream;
 }
 
-/** One attempt of a request at one origin. */
+/** Request of an attempt at an origin. */
 export interface AttemptRequest {
   readonly address: Address;
   readonly instance: InstanceId;
@@ -116,11 +119,11 @@
   readonly fields: HeaderFields;
   readonly body: Uint8Array;
   readonly timeoutMs: number;
-  /** Whether a kept-alive connection may be used: only where running twice does no harm. */
+  /** Whether the request is idempotent. Only then may it be sent on a kept-alive connection. */
   readonly isIdempotent: boolean;
 }
 
-/** How an attempt failed, as its connection saw it. */
+/** Failure of an attempt, as reported by its connection. */
 export interface AttemptFailure {
   /** Whether a byte of the request may have been sent. */
   readonly mayHaveBeenSent: boolean;
@@ -128,7 +131,9 @@
   readonly text: string;
 }
 
-/** What comes back from an origin. */
+/**
+ * Handlers for the response of an origin. `onReady` is to be called when more bytes are accepted.
+ */
 export interface AttemptHandlers {
   readonly onHead: (status: number, fields: HeaderFields) => void;
   readonly onChunk: (bytes: Buffer, onReady: () => void) => void;
@@ -136,9 +141,9 @@
   readonly onFailed: (failure: AttemptFailure) => void;
 }
 
-/** Connections to origins. */
+/** Connections to origins. `attemptKey` identifies an attempt. */
 export interface AttemptPort {
-  readonly send: (name: string, request: AttemptRequest, handlers: AttemptHandlers) => void;
-  /** Gives an attempt up: none of its handlers is called any more. */
-  readonly cancel: (name: string) => void;
+  readonly send: (attemptKey: string, request: AttemptRequest, handlers: AttemptHandlers) => void;
+  /** Cancels an attempt; none of its handlers is called afterwards. */
+  readonly cancel: (attemptKey: string) => void;
 }
--- a/packages/proxy-core/src/request-handler/request-state.ts
+++ b/packages/proxy-core/src/request-handler/request-state.ts
@@ -1,6 +1,6 @@
 /**
- * One forwarded request at its edge: its body, and its response as it comes in. A response counts
- * only if its length and digest are those that the leader reports at its end.
+ * State of one forwarded request at its edge: its body, and its response as it arrives. A response
+ * is only accepted if its length and digest match those that the leader reports at its end.
  */
 
 import { createHash, type Hash } from 'node:crypto';
@@ -8,7 +8,7 @@
 import type { HeaderFields, FrameOf } from '@switchwheel/transport';
 import type { ClientConnection, ClientStream } from './ports.js';
 
-/** What a forwarded request came to. */
+/** Outcome of a forwarded request. */
 export type RequestOutcome =
   | {
       readonly kind: 'complete';
@@ -17,7 +17,7 @@
       readonly body: Buffer;
       readonly digest: string;
       readonly ageMs: number;
-      /** The last purge that was applied where the response was fetched, when its fetch began. */
+      /** Last purge that had been applied at the fetching node when the fetch started. */
       readonly purgeSeqAtFetch: Seq;
       readonly source: string;
     }
@@ -27,10 +27,12 @@
       readonly text: string;
       readonly retryAfterMs: number;
     }
-  /** The response goes to the client as it comes in. */
+  /** The response is streamed to the client. */
   | { readonly kind: 'streamed' };
 
-/** What follows from what came in; a stale response is right, but not sure to be still valid. */
+/**
+ * Result of receiving a part of a response; a stale response is intact, but may no longer be valid.
+ */
 export type ReceiveResult = 'continue' | 'complete' | 'corrupt' | 'stale';
 
 type ResponsePhase =
@@ -42,29 +44,29 @@
       readonly stream: ClientStream;
     };
 
-/** What a forwarded request stands on. */
+/** Options of `RequestState`. */
 export interface RequestStateOptions {
   readonly id: RequestId;
   readonly body: Uint8Array;
   readonly client: ClientConnection;
-  /** A response that is not streamed may not be larger. */
+  /** Maximum size of a response that is not streamed. */
   readonly maxBufferedBytes: number;
-  /** Whether a response with these fields comes too late to be used. */
+  /** Whether a response with these header fields arrives too late to be used. */
   readonly isStale: (fields: HeaderFields) => boolean;
   readonly onOutcome: (outcome: RequestOutcome) => void;
 }
 
-/** The state of one forwarded request. */
+/** State of one forwarded request. */
 export class RequestState {
   readonly id: RequestId;
   readonly body: Uint8Array;
-  /** The address of the leader that it was last sent to. */
+  /** Address of the leader to which it was last sent. */
   leader: Address | undefined;
   readonly #options: RequestStateOptions;
   readonly #hash: Hash = createHash('sha256');
   #phase: ResponsePhase = { phase: 'awaitingHead' };
   #receivedBytes = 0;
-  /** The newest chunk of a stream waits until what follows it, or the end, is known to be right. */
+  /** Latest chunk of a stream, held back until the next chunk or the end has been verified. */
   #heldChunk: { readonly bytes: Buffer; readonly onReady: () => void } | undefined;
 
   constructor(options: RequestStateOptions) {
@@ -73,12 +75,14 @@
     this.#options = options;
   }
 
-  /** Whether the head of a response has come in. */
+  /** Whether the head of a response has arrived. */
   get hasResponse(): boolean {
     return this.#phase.phase !== 'awaitingHead';
   }
 
-  /** Takes the head of a response in; a streamed one goes on to the client at once. */
+  /**
+   * Handles the head of a response; starts the stream to the client if the response is streamed.
+   */
   startResponse(head: FrameOf<'result'>): ReceiveResult {
     this.#phase = { phase: 'buffering', head, chunks: [] };
     if (!head.streamed) return 'continue';
@@ -89,7 +93,7 @@
     return 'continue';
   }
 
-  /** Takes bytes of the body in; calls back when there is room for as many more. */
+  /** Handles bytes of the body; calls `onReady` when as many more are accepted. */
   addChunk(bytes: Buffer, onReady: () => void): ReceiveResult {
     const phase = this.#phase;
     if (phase.phase === 'awaitingHead') return 'continue';
@@ -107,7 +111,10 @@
     return 'continue';
   }
 
-  /** Takes the end of a response in: it counts only if it is what the leader says that it sent. */
+  /**
+   * Handles the end of a response, and verifies its length and digest against those reported by the
+   * leader.
+   */
   finish(end: FrameOf<'done'>): ReceiveResult {
     const phase = this.#phase;
     if (phase.phase === 'awaitingHead') return 'continue';
@@ -132,7 +139,7 @@
     return 'complete';
   }
 
-  /** Ends it without a complete response: a stream is aborted, so that the client sees it. */
+  /** Fails the request; a stream is aborted, so that the client sees that it is incomplete. */
   fail(errorKind: FrameOf<'reject'>['errorKind'], text: string, retryAfterMs: number): void {
     if (this.#phase.phase === 'streaming') this.#phase.stream.abort(text);
     else this.#options.onOutcome({ kind: 'failure', errorKind, text, retryAfterMs });
--- a/packages/proxy-core/src/request-handler/response-verifier.ts
+++ b/packages/proxy-core/src/request-handler/response-verifier.ts
@@ -1,6 +1,7 @@
 /**
- * Takes the response of one attempt in and trusts it only if it is complete and names the instance
- * that was asked. A large one is passed on as it comes; its end tells whether it was complete.
+ * Verification of the response of one attempt: it must be complete and name the instance that was
+ * asked. A large response is passed on while it is received, and its end reports whether it was
+ * complete.
  */
 
 import type { HeaderFields } from '@switchwheel/transport';
@@ -9,27 +10,29 @@
 import { DigestVerifier } from './digest-verifier.js';
 import type { AttemptFailure, AttemptHandlers, AttemptRequest } from './ports.js';
 
-/** A response with its whole body. */
+/** Response with its complete body. */
 export interface CompleteResponse {
   readonly status: number;
   readonly fields: HeaderFields;
   readonly body: Buffer;
 }
 
-/** How an attempt ended, with the response, if there is a complete one that was not passed on. */
+/** Outcome of an attempt, with its response if that is complete and was not streamed. */
 export interface AttemptResult {
   readonly outcome: AttemptOutcome;
   readonly response: CompleteResponse | undefined;
 }
 
-/** Takes a response that is too large to buffer: its head, then its body as it comes. */
+/** Receives a response that is too large to buffer. */
 export interface ResponseSink {
   readonly start: (status: number, fields: HeaderFields, length: number | undefined) => void;
-  /** Calls back when there is room for more; false if nobody takes it any longer. */
+  /**
+   * Writes bytes and calls `onReady` once more are accepted; returns false if the receiver is gone.
+   */
   readonly write: (bytes: Buffer, onReady: () => void) => boolean;
 }
 
-/** Whether the origin declares that it did not run the request. */
+/** Whether the origin declared that it did not run the request. */
 const isDeclaredNotRun = (status: number, fields: HeaderFields): boolean =>
   status >= 400 && (fieldValue(fields, 'switchwheel-unrun') ?? '').toLowerCase() === 'true';
 
@@ -44,13 +47,13 @@
   readonly digests: DigestVerifier;
 }
 
-/** What a verifier stands on. */
+/** Options of `ResponseVerifier`. */
 export interface ResponseVerifierOptions {
   readonly request: AttemptRequest;
-  /** A larger response is passed on as it comes. */
+  /** Size above which a response is passed on while it is received. */
   readonly maxBufferedBytes: number;
   readonly sink: ResponseSink;
-  /** Called once. */
+  /** Called exactly once. */
   readonly onEnd: (result: AttemptResult) => void;
 }
 
@@ -73,7 +76,7 @@
     this.#onEnd = onEnd;
   }
 
-  /** Takes the head of the response in. */
+  /** Handles the head of the response. */
   onHead = (status: number, fields: HeaderFields): void => {
     if (this.#isEnded) return;
     const respondingInstance = fieldValue(fields, 'switchwheel-instance');
@@ -102,7 +105,7 @@
       });
   };
 
-  /** Takes bytes of the body in; calls back when there is room for more. */
+  /** Handles bytes of the body; calls `onReady` when more are accepted. */
   onChunk = (bytes: Buffer, onReady: () => void): void => {
     const head = this.#head;
     if (this.#isEnded || head === undefined) return;
@@ -126,7 +129,7 @@
     this.#writeToSink(this.#buffered.splice(0), onReady);
   };
 
-  /** The response has ended. */
+  /** Handles the end of the response. */
   onEnd = (): void => {
     const head = this.#head;
     if (this.#isEnded) return;
@@ -150,7 +153,7 @@
       });
   };
 
-  /** The attempt has failed before the end of a response. */
+  /** Handles the failure of the attempt before the end of the response. */
   onFailed = (failure: AttemptFailure): void => {
     if (!failure.mayHaveBeenSent)
       this.#finish({ outcome: { kind: 'notSent', text: failure.text }, response: undefined });
@@ -159,7 +162,7 @@
     else this.#distrust(failure.text);
   };
 
-  /** The leader wants no more of it. */
+  /** Ends the attempt as cancelled. */
   cancel(): void {
     this.#finish({ outcome: { kind: 'cancelled' }, response: undefined });
   }
@@ -178,7 +181,7 @@
     this.#onEnd(result);
   }
 
-  /** Passes chunks on one after the other, each when there is room. */
+  /** Passes chunks to the sink, each one after it is ready for more. */
   #writeToSink(chunks: Buffer[], onReady: () => void): void {
     const next = (): void => {
       const first = chunks.shift();
--- a/packages/proxy-core/src/request-handler/route-lookup.ts
+++ b/packages/proxy-core/src/request-handler/route-lookup.ts
@@ -1,6 +1,5 @@
 /**
- * Finds the route of a request by the configuration that the node runs, as far as that one may
- * still be answered by.
+ * Route lookup with the running configuration, subject to the limits on stale configurations.
  */
 
 import type { Timestamp } from '@switchwheel/types';
@@ -11,22 +10,22 @@
 import type { NodeAgent } from '../node-agent/state.js';
 import { type FailureReply, failureReply } from './failure.js';
 
-/** Within how long after its confirmation a configuration is applied on every node (rule R4). */
+/** Time limit for applying a configuration on every node after its confirmation. */
 const configurationApplyMs = 2000;
-/** When a client may come back, by why it was not served. */
+/** Suggested retry delays by reason. */
 const notReadyRetryAfterMs = 1000;
 const overdueRetryAfterMs = 200;
 const unknownRouteRetryAfterMs = 300;
 
-/** What names the route of a request. */
+/** Properties of a request that select its route. */
 export interface RouteQuery {
   readonly method: string;
   readonly host: string;
-  /** Path and query as the client sent them. */
+  /** Path and query as sent by the client. */
   readonly target: string;
 }
 
-/** The route of a request, or the reply that says why there is none. */
+/** Route of a request, or the error reply to send if there is none. */
 export type RouteLookup = { readonly route: CompiledRoute } | { readonly failure: FailureReply };
 
 /** Finds the route of a request. */
--- a/packages/proxy-core/src/request-handler/shield-request-handler.ts
+++ b/packages/proxy-core/src/request-handler/shield-request-handler.ts
@@ -1,6 +1,6 @@
 /**
- * The way of a forwarded request at a shield: the cache and the coalescing of equal requests first,
- * then the service leader, which decides about attempts. Attempts themselves are in `origin-attempts`.
+ * Handling of forwarded requests at a shield: the cache and the coalescing of equal requests, then
+ * the service leader, which decides about attempts. Attempts are executed in `origin-attempts`.
  */
 
 import { type RequestId, increment, toTimestamp, toDurationMs } from '@switchwheel/types';
@@ -20,19 +20,19 @@
 
 type LeaderEffect = Extract<ProxyEffect, { leader: string }>;
 
-/** When the client of a request may come back for which there was no room. */
+/** Suggested retry delay for requests rejected for lack of capacity. */
 const retryAfterMs = 1000;
 
 /** Handles forwarded requests at a shield. */
 export class ShieldRequestHandler {
-  /** The requests of edges that are under way here. */
+  /** Forwarded requests in progress here. */
   readonly inbound: InboundRequests;
   readonly #admitted = new Map<RequestId, AdmittedRequest>();
   readonly #coalescing: RequestCoalescing<CacheEntry | undefined>;
   readonly #attempts: OriginAttempts;
   readonly #cacheLookup: CacheLookup;
   readonly #context: HandlerContext;
-  /** What happened here by name, for the metrics. */
+  /** Event counters by name, for the metrics. */
   readonly counts = new Map<string, number>();
 
   constructor(
@@ -60,7 +60,7 @@
     });
   }
 
-  /** Does what a service leader decided. */
+  /** Executes an effect of a service leader. */
   run(effect: LeaderEffect): void {
     switch (effect.kind) {
       case 'startAttempt':
@@ -85,7 +85,7 @@
     }
   }
 
-  /** Purges were applied: nobody joins a fetch that began before them. */
+  /** Called after purges were applied. Fetches that started before them can no longer be joined. */
   onPurged(): void {
     this.#coalescing.detachAll();
   }
@@ -116,7 +116,7 @@
     else if (!this.#respondFromCache(inbound, cacheable)) this.#coalesce(inbound, cacheable);
   }
 
-  /** Waits for a fetch that is under way, or leads one that others may wait for. */
+  /** Joins a fetch in progress, or starts one that others may join. */
   #coalesce(inbound: InboundRequest, cacheable: CacheableRequest): void {
     const { id } = inbound.request;
     const joinResult = this.#coalescing.join(cacheable.coalescingKey, (entry) => {
@@ -158,7 +158,7 @@
     return true;
   }
 
-  /** Hands a request to the service leader, with the time that is left of it by now. */
+  /** Dispatches a request to the service leader, with the time that is left until its deadline. */
   #admit(
     inbound: InboundRequest,
     cacheable: CacheableRequest | undefined,
@@ -179,7 +179,9 @@
     this.#context.dispatch((now) => ({ kind: 'inboundRequestCancelled', now, id }));
   }
 
-  /** Sends the response that the leader chose to the edge, and caches it if it may be. */
+  /**
+   * Sends the response chosen by the leader to the edge, and stores it in the cache if permitted.
+   */
   #useResponse(effect: Extract<LeaderEffect, { kind: 'useResponse' }>): void {
     const id = effect.requestId;
     const admitted = this.#admitted.get(id);
--- a/packages/proxy-core/src/service-leader/admission.ts
+++ b/packages/proxy-core/src/service-leader/admission.ts
@@ -1,6 +1,7 @@
 /**
- * Admission control of one service: which queued request starts next. Classes share the slots of
- * the endpoints by weight and may lend idle ones; under a rate limit they take turns by weight.
+ * Admission control of one service: decides which queued request starts next. Classes share the
+ * slots of the endpoints by weight and may lend idle ones; under a rate limit, they are served by
+ * weighted fair queuing.
  */
 
 import {
@@ -18,9 +19,9 @@
 import { hasToken, refillTokens } from './rate-limit.js';
 import type { Endpoint, LeaderTransition, PendingRequest, ServiceLeader } from './state.js';
 
-/** The share that a class without one, or with a smaller one, has of the rate limit. */
+/** Minimum share of the rate limit per class; also the share of a class that configures none. */
 const minClassShare = 0.05;
-/** Keeps a share of a whole number of slots from being rounded down. */
+/** Keeps floating-point error from rounding a whole number of slots down. */
 const roundingTolerance = 1e-9;
 
 const shareOfSlots = (share: number, capacity: number): number =>
@@ -35,7 +36,10 @@
   return counts;
 };
 
-/** How many slots must stay free for the other classes when a class starts one more attempt. */
+/**
+ * Returns the number of slots that must stay free for other classes when `className` starts one
+ * more attempt.
+ */
 const reservedSlots = (
   state: ServiceLeader,
   className: ClassName,
@@ -48,13 +52,17 @@
     const share = shareOfSlots(other.share, capacity);
     const idle = Math.max(0, share - (usedSlots.get(otherName) ?? 0));
     const isWaiting = (state.queues.get(otherName)?.length ?? 0) > 0;
-    // A lender with an empty queue lends all but one slot, so that its next request can start at once.
+    // A lender with an empty queue keeps one idle slot back, so that its next request can start at
+    // once.
     sum += other.lendsTo.includes(className) && !isWaiting ? Math.min(1, idle) : idle;
   }
   return sum;
 };
 
-/** Whether a class may start one more attempt now, by the slots that it and the others use. */
+/**
+ * Whether a class may start one more attempt, given the slots in use by all classes. A class below
+ * its share needs only a free slot.
+ */
 export const mayAdmit = (state: ServiceLeader, className: ClassName, now: Timestamp): boolean => {
   const capacity = totalCapacity(state, now);
   const free = capacity - state.attempts.size;
@@ -69,17 +77,20 @@
   return free > reservedSlots(state, className, capacity, usedSlots);
 };
 
-/** Whether any attempt may start at all: not while the leader closes or its rate limit is used up. */
+/** Whether any attempt may start: the leader is not closing and the rate limit has a token left. */
 export const canSend = (state: ServiceLeader): boolean => !state.isClosing && hasToken(state);
 
-/** The weight of a class under the service's rate limit. */
+/** Returns the weight of a class under the service's rate limit. */
 export const classShare = (state: ServiceLeader, className: ClassName): number =>
   Math.max(minClassShare, state.classes.get(className)?.share ?? 0);
 
 const rateUsageOf = (state: ServiceLeader, className: ClassName): number =>
   state.rateUsage.get(className) ?? 0;
 
-/** The waiting classes in turn: under a rate limit the one first that used least for its weight. */
+/**
+ * Returns the classes with queued requests in service order: under a rate limit, the lowest
+ * weighted usage first.
+ */
 const classTurnOrder = (state: ServiceLeader): readonly ClassName[] => {
   const names = [...state.queues.keys()];
   return state.serviceConfiguration.perSecond === undefined
@@ -87,7 +98,10 @@
     : names.sort((left, right) => rateUsageOf(state, left) - rateUsageOf(state, right));
 };
 
-/** Lets a class join the turns as if it had used as much as the others: idle time earns no credit. */
+/**
+ * Raises the usage of a class that starts queuing to the lowest usage of the waiting classes, so
+ * that idle time earns no credit.
+ */
 const enterTurnOrder = (state: ServiceLeader, className: ClassName): ServiceLeader => {
   if (state.serviceConfiguration.perSecond === undefined || state.queues.has(className))
     return state;
@@ -105,7 +119,7 @@
   };
 };
 
-/** Puts a new request at the end of its class's queue. */
+/** Appends a request to the queue of its class. */
 export const enqueue = (before: ServiceLeader, request: PendingRequest): ServiceLeader => {
   const { className } = request;
   const state = enterTurnOrder(before, className);
@@ -113,7 +127,7 @@
   return { ...state, queues: withEntry(state.queues, className, queue) };
 };
 
-/** The queues with a class's queue replaced; an empty one goes. */
+/** Returns the queues with one class's queue replaced; an empty queue is removed. */
 export const withQueue = (
   queues: ServiceLeader['queues'],
   className: ClassName,
@@ -126,7 +140,10 @@
   readonly endpoint: Endpoint;
 }
 
-/** The request of a class that may start now, and where. */
+/**
+ * Returns the next request of a class that may start, with the endpoint for it. Retries are skipped
+ * while the budget of extra attempts is used up.
+ */
 const nextAdmission = (
   state: ServiceLeader,
   className: ClassName,
@@ -141,7 +158,7 @@
   return endpoint === undefined ? undefined : { request, endpoint };
 };
 
-/** Takes an admitted request out of its queue, charges its class and starts the attempt. */
+/** Removes an admitted request from its queue, charges its class and starts the attempt. */
 const admit = (
   state: ServiceLeader,
   className: ClassName,
@@ -155,7 +172,7 @@
   return startAttempt({ ...state, queues, rateUsage }, request, endpoint, now);
 };
 
-/** Starts all queued requests that may start now, class by class, each class in its order. */
+/** Starts all queued requests that may start now. */
 export const admitQueued = (before: ServiceLeader, now: Timestamp): LeaderTransition => {
   let next: LeaderTransition = transition(refillTokens(before, now));
   for (let hasAdmitted = true; hasAdmitted;) {
@@ -165,7 +182,7 @@
       if (admission === undefined) continue;
       next = prependEffects(next.effects, admit(next.state, className, admission, now));
       hasAdmitted = true;
-      // Under a rate limit each start changes whose turn it is.
+      // Under a rate limit, each start changes the order of the classes.
       if (next.state.serviceConfiguration.perSecond !== undefined) break;
     }
   }
--- a/packages/proxy-core/src/service-leader/attempt-result.ts
+++ b/packages/proxy-core/src/service-leader/attempt-result.ts
@@ -1,6 +1,6 @@
 /**
- * What follows from an attempt: its response is used, the request is retried, or it is turned away.
- * An attempt that may have run a request which is not idempotent is never followed by another one.
+ * Handling of finished attempts: the response is used, or the request is retried or rejected. After
+ * an attempt that may have run a non-idempotent request, no other attempt is started.
  */
 
 import {
@@ -30,9 +30,9 @@
 
 type AttemptEnded = Extract<ServiceLeaderEvent, { kind: 'attemptEnded' }>;
 
-/** How far the newest response time moves the moving average of the service. */
+/** Weight of the newest sample in the moving average of the service's response time. */
 const latencyWeight = 0.05;
-/** When a client whose request certainly did not run may come back. */
+/** Retry delay suggested to the client of a request that certainly did not run. */
 const notRunRetryAfterMs = 500;
 const noRequest: RequestId = toRequestId('none');
 
@@ -41,7 +41,7 @@
   attemptId: attempt.id,
 });
 
-/** Whether another attempt is safe after one ended: nothing ran, or running twice does no harm. */
+/** Whether another attempt is safe: the request did not run, or it is idempotent. */
 const mayRetry = (request: PendingRequest, outcome: AttemptOutcome): boolean =>
   outcome.kind === 'notRun' || outcome.kind === 'notSent' || request.isIdempotent;
 
@@ -56,7 +56,10 @@
       }
     : state;
 
-/** Draws an ended attempt into the health of its endpoint, its canary and the service's latency. */
+/**
+ * Records an ended attempt in the health of its endpoint, in the canary of its release and in the
+ * service's latency.
+ */
 const recordAttempt = (
   before: ServiceLeader,
   attempt: Attempt,
@@ -74,7 +77,7 @@
   return transition(updateLatency(canary.state, event), ...canary.effects, ...ejection);
 };
 
-/** Whether a response is the one for the client: a good one, or an error that no retry can better. */
+/** Whether a response is final: a success, or an origin error that can't be retried. */
 const isResponseFinal = (
   state: ServiceLeader,
   request: PendingRequest,
@@ -93,7 +96,10 @@
   return outcome.kind === 'notRun' ? 'the origin refused it unrun' : 'no result in time';
 };
 
-/** Turns a request away after its last attempt: as rejected only if it certainly did not run. */
+/**
+ * Rejects a request after its last attempt; only one that certainly did not run gets the error kind
+ * `rejected`.
+ */
 const rejectAfterAttempt = (
   request: PendingRequest,
   outcome: AttemptOutcome,
@@ -109,7 +115,9 @@
   return rejectRequest(request.id, { errorKind, text, retryAfterMs: 0 });
 };
 
-/** Puts a request whose only attempt failed at the head of its queue again, or turns it away. */
+/**
+ * Puts a request back at the head of its queue when its only running attempt failed, or rejects it.
+ */
 const retryOrReject = (
   before: ServiceLeader,
   request: PendingRequest,
@@ -140,7 +148,7 @@
   return admitQueued({ ...state, queues: withEntry(state.queues, className, queue) }, now);
 };
 
-/** Decides about a request, one of whose attempts ended. */
+/** Decides what to do with a request after one of its attempts ended. */
 const settleRequest = (
   state: ServiceLeader,
   attempt: Attempt,
@@ -165,12 +173,14 @@
     request.mayHaveRun || (outcome.kind !== 'notRun' && outcome.kind !== 'notSent');
   const updated = { ...request, mayHaveRun };
   if (otherAttempts.length === 0) return retryOrReject(state, updated, outcome, now);
-  // Another attempt may still bring a response.
+  // Another attempt is still running and may succeed.
   const activeRequests = withEntry(state.activeRequests, request.id, updated);
   return admitQueued({ ...state, activeRequests }, now);
 };
 
-/** Takes the end of an attempt in: its slot is free, and its request is settled or retried. */
+/**
+ * Handles the end of an attempt: frees its slot, then completes, retries or rejects its request.
+ */
 export const onAttemptEnded = (before: ServiceLeader, event: AttemptEnded): LeaderTransition => {
   const attempt = before.attempts.get(event.attemptId);
   if (attempt === undefined) return transition(before);
@@ -181,7 +191,10 @@
   );
 };
 
-/** A response goes to the client in parts: the request's other attempts end, and no more may start. */
+/**
+ * Handles the start of a streamed response: cancels the request's other attempts and prevents
+ * further ones.
+ */
 export const onStreamingStarted = (state: ServiceLeader, attemptId: number): LeaderTransition => {
   const requestId = state.attempts.get(attemptId)?.requestId ?? noRequest;
   const request = state.activeRequests.get(requestId);
@@ -202,7 +215,10 @@
   );
 };
 
-/** Nobody waits for a request any more: it leaves its queue, and attempts that are safe to end do. */
+/**
+ * Handles a client's cancellation: removes the request from its queue and cancels its attempts if
+ * the request is idempotent.
+ */
 export const onRequestCancelled = (
   state: ServiceLeader,
   id: RequestId,
@@ -218,7 +234,7 @@
       );
   }
   const request = state.activeRequests.get(id);
-  // An attempt that may have run a request that is not idempotent is left to end by itself.
+  // An attempt of a non-idempotent request may have run already: it is left to complete.
   const cancellations =
     request?.isIdempotent === true ? attemptsOf(state, id).map(cancelAttempt) : [];
   const activeRequests =
--- a/packages/proxy-core/src/service-leader/attempts.ts
+++ b/packages/proxy-core/src/service-leader/attempts.ts
@@ -1,6 +1,6 @@
 /**
- * Starting and removing attempts: the books of a service leader over what it has sent to origins.
- * Whether a request may start one is decided in `admission` and `hedging`.
+ * Bookkeeping of attempts: slots, tokens, canary counts and the budget of extra attempts. Whether
+ * an attempt may start is decided in `admission` and `hedging`.
  */
 
 import {
@@ -22,12 +22,12 @@
   ServiceLeader,
 } from './state.js';
 
-/** The most attempts that one request gets in all. */
+/** Maximum number of attempts per request, the first one included. */
 export const maxAttempts = 3;
 
 /**
- * The endpoint for the next attempt of a request: one that it has not tried; one that it has tried
- * only if none of its attempts can have run.
+ * Picks the endpoint for the next attempt of a request: one not tried yet or, if no attempt can
+ * have run the request, any.
  */
 export const pickForRequest = (
   state: ServiceLeader,
@@ -44,7 +44,7 @@
     ? undefined
     : pickEndpoint(state, (endpoint) => mayReceiveTraffic(state, endpoint.release), now));
 
-/** Counts an attempt that starts: its slot, its token, its canary and the budget of extra attempts. */
+/** Records the start of an attempt. */
 const withAttempt = (
   state: ServiceLeader,
   request: PendingRequest,
@@ -76,7 +76,10 @@
   };
 };
 
-/** Starts an attempt of a request at an endpoint. */
+/**
+ * Starts an attempt of a request at an endpoint. Every attempt after the first counts as an extra
+ * one.
+ */
 export const startAttempt = (
   state: ServiceLeader,
   request: PendingRequest,
@@ -115,13 +118,16 @@
   });
 };
 
-/** Frees the slot of an attempt that ended; an endpoint that left goes with its last attempt. */
+/**
+ * Frees the slot of an ended attempt; an endpoint that is no longer live is removed with its last
+ * attempt.
+ */
 export const removeAttempt = (state: ServiceLeader, attempt: Attempt): ServiceLeader => ({
   ...state,
   attempts: withoutEntry(state.attempts, attempt.id),
   endpoints: endpointsWithout(state, attempt),
 });
 
-/** The attempts of a request that are under way. */
+/** Returns the attempts of a request that are in progress. */
 export const attemptsOf = (state: ServiceLeader, requestId: RequestId): readonly Attempt[] =>
   [...state.attempts.values()].filter((attempt) => attempt.requestId === requestId);
--- a/packages/proxy-core/src/service-leader/canary.ts
+++ b/packages/proxy-core/src/service-leader/canary.ts
@@ -1,7 +1,7 @@
 /**
- * Canary releases: a new release gets a small share of its service's traffic until it has earned
- * the whole of it; one that answers badly gets none. The requests that it may have are reserved in
- * the store before they are sent, so that a change of the leader does not grant them twice.
+ * Canary releases: a new release gets a small share of its service's traffic until it is promoted;
+ * a failing one is rejected and gets none. Its requests are reserved in the store before they are
+ * sent, so that a change of leader does not grant them twice.
  */
 
 import { type Timestamp, type Release, transition, withEntry } from '@switchwheel/types';
@@ -14,23 +14,32 @@
   ServiceLeaderEffect,
 } from './state.js';
 
-/** How many requests of a canary are reserved ahead at a time. */
+/** Number of requests that are reserved for a canary at a time. */
 const reservationBatchSize = 20;
-/** What a canary may have beside its share; the rule (R10) allows 50. */
+/**
+ * Requests that a canary may receive in addition to its traffic share; below the allowed maximum of
+ * 50.
+ */
 const canaryBaseRequests = 45;
-/** The share of its service's traffic that a canary may have; the rule (R10) allows a tenth. */
+/** Share of the service's traffic that a canary may receive; below the allowed maximum of 0.1. */
 const canaryTrafficShare = 0.08;
-/** What a canary needs to get all its traffic: so many successes, over so long, with few failures. */
+/** Conditions of promotion: successes, minimum duration and maximum share of failures. */
 const promotionSuccesses = 40;
 const promotionMinMs = 3000;
 const maxPromotionFailureShare = 0.05;
-/** When a canary is rejected: so many failures, or a smaller number that is a large share. */
+/**
+ * Conditions of rejection: a number of failures, or a smaller number that is a large share of the
+ * results.
+ */
 const maxCanaryFailures = 25;
 const minFailuresToReject = 8;
 const maxCanaryFailureShare = 0.2;
-/** After how long a report that the store has not confirmed is repeated. */
+/** Interval at which a report that the store has not confirmed is repeated. */
 const reportRetryIntervalMs = 500;
-/** What a success takes off the failure score: it grows where more than one answer in eight fails. */
+/**
+ * Amount that a success subtracts from the failure score; a failure adds 1, so the score rises when
+ * more than one result in eight is a failure.
+ */
 const failureScoreDecay = 1 / 7;
 const maxFailureScore = 12;
 const maxFallbackFailureScore = 4;
@@ -38,7 +47,7 @@
 interface NewCanary {
   readonly release: Release;
   readonly state: Canary['state'];
-  /** The leader's count of requests when the canary began. */
+  /** The leader's request count when the canary started. */
   readonly requestCount: number;
 }
 
@@ -61,7 +70,10 @@
 const withCanaries = (state: ServiceLeader, canaries: ServiceLeader['canaries']): ServiceLeader =>
   canaries === state.canaries ? state : { ...state, canaries };
 
-/** A canary as the store has it; what an earlier leader reserved counts as used, as it may be. */
+/**
+ * Creates a canary from its stored result. Requests reserved by an earlier leader count as used,
+ * because that leader may have sent them.
+ */
 const canaryFromStore = (
   { requestCount }: ServiceLeader,
   stored: CanaryResult,
@@ -82,7 +94,7 @@
   return left === 'good' || right === 'good' ? 'good' : 'trial';
 };
 
-/** A canary with what the store has of it: counts only grow, and a rejection is final. */
+/** Merges a canary with its stored result: reservations only grow, and a rejection is final. */
 const mergeStored = (known: Canary, stored: CanaryResult): Canary => {
   const state = mergedState(known.state, stored.state);
   const reservedRequests = Math.max(known.reservedRequests, stored.spent);
@@ -97,7 +109,7 @@
   };
 };
 
-/** Takes the stored canary results of this service in. */
+/** Applies the stored canary results of this service. */
 export const applyCanaryResults = (
   state: ServiceLeader,
   results: readonly CanaryResult[],
@@ -114,7 +126,10 @@
   return withCanaries(state, canaries);
 };
 
-/** Begins a canary for each new release; the first release of a service needs none to pass. */
+/**
+ * Starts a canary for each new release. While no release is promoted, a new one is promoted at
+ * once.
+ */
 export const startCanaries = (state: ServiceLeader, now: Timestamp): LeaderTransition => {
   let canaries = state.canaries;
   const effects: ServiceLeaderEffect[] = [];
@@ -138,26 +153,29 @@
   return transition(withCanaries(state, canaries), ...effects);
 };
 
-/** The service's requests since the canary began, through all its leaders. */
+/**
+ * Returns the number of the service's requests since the canary started, including those reported
+ * by earlier leaders.
+ */
 const trafficSinceStart = (state: ServiceLeader, canary: Canary): number =>
   canary.priorTraffic + state.requestCount - canary.requestCountAtStart;
 
-/** How many requests a canary may have had by now. */
+/** Returns the number of requests that a canary may have received so far. */
 const trafficBudget = (state: ServiceLeader, canary: Canary): number =>
   canaryBaseRequests + canaryTrafficShare * trafficSinceStart(state, canary);
 
-/** The same, as far as they are reserved in the store. */
+/** Returns the traffic budget, capped by the reservation in the store. */
 const allowance = (state: ServiceLeader, canary: Canary): number =>
   Math.min(canary.reservedRequests, Math.floor(trafficBudget(state, canary)));
 
-/** Whether a release may get one more request. */
+/** Whether a release may receive one more request. */
 export const mayReceiveTraffic = (state: ServiceLeader, release: Release): boolean => {
   const canary = state.canaries.get(release);
   if (canary === undefined || canary.state === 'bad') return false;
   return canary.state === 'good' || canary.usedRequests < allowance(state, canary);
 };
 
-/** Counts a request that is sent to a release. */
+/** Counts a request that is sent to a release against its canary. */
 export const countCanaryRequest = (state: ServiceLeader, release: Release): ServiceLeader => {
   const canary = state.canaries.get(release);
   if (canary === undefined) return state;
@@ -180,7 +198,10 @@
   state: canary.state,
 });
 
-/** Whether a release can be gone back to: the first one, or one that has few failures of late. */
+/**
+ * Whether a release is live and healthy enough to fall back to. A release without reserved requests
+ * was never a canary and always qualifies.
+ */
 const isFallback = (state: ServiceLeader, canary: Canary): boolean =>
   canary.state === 'good' &&
   (canary.reservedRequests === 0 || canary.failureScore < maxFallbackFailureScore) &&
@@ -188,26 +209,26 @@
     (endpoint) => endpoint.isLive && endpoint.release === canary.release,
   );
 
-/** Whether a promoted release went bad while there is one to go back to. */
+/** Whether a promoted release is failing while another release is available to fall back to. */
 const hasRegressed = (state: ServiceLeader, canary: Canary): boolean =>
   canary.failureScore >= maxFailureScore &&
   [...state.canaries.values()].some(
     (other) => other.release !== canary.release && isFallback(state, other),
   );
 
-/** Whether a canary may have all its traffic: enough successes, over some time. */
+/** Whether a canary meets the conditions of promotion. */
 const hasEarnedPromotion = (canary: Canary, now: Timestamp): boolean =>
   canary.successes >= promotionSuccesses &&
   canary.failures <= maxPromotionFailureShare * (canary.successes + canary.failures) &&
   now - canary.startedAt >= promotionMinMs;
 
-/** Whether a canary answers too badly to go on. */
+/** Whether a canary meets the conditions of rejection. */
 const isFailing = (canary: Canary): boolean =>
   canary.failures >= maxCanaryFailures ||
   (canary.failures >= minFailuresToReject &&
     canary.failures > maxCanaryFailureShare * (canary.successes + canary.failures));
 
-/** The state that a canary's outcomes call for now, if it is another one than it has. */
+/** Returns the new state of a canary after its latest result; undefined if it stays the same. */
 const canaryDecision = (
   state: ServiceLeader,
   canary: Canary,
@@ -233,7 +254,10 @@
         failureScore: Math.max(0, canary.failureScore - failureScoreDecay),
       };
 
-/** Draws the outcome of an attempt into the canary of its release. */
+/**
+ * Records the outcome of an attempt in the canary of its release, and reports a promotion or
+ * rejection that follows.
+ */
 export const recordCanaryOutcome = (
   state: ServiceLeader,
   release: Release,
@@ -251,7 +275,10 @@
   return decision === undefined ? transition(next) : transition(next, canaryReport(state, canary));
 };
 
-/** How many requests should be reserved for a canary now: some ahead of what it has used. */
+/**
+ * Returns the number of requests to reserve for a canary; more are reserved before the current
+ * reservation is used up.
+ */
 const wantedReservation = (state: ServiceLeader, canary: Canary): number =>
   canary.state === 'trial' &&
   canary.usedRequests + reservationBatchSize / 2 > canary.reservedRequests &&
@@ -259,13 +286,13 @@
     ? canary.usedRequests + reservationBatchSize
     : canary.reservedRequests;
 
-/** Whether the store lacks the canary, or failures of it that later leaders should know. */
+/** Whether the store lacks the canary, or recent failures that later leaders need to know. */
 const isReportDue = (canary: Canary): boolean =>
   !canary.isStored || (canary.state === 'trial' && canary.failures > canary.reportedFailures);
 
 /**
- * Promotes canaries that lacked only time, reserves more requests ahead through the store, and
- * repeats what the store has not confirmed.
+ * Promotes canaries that have reached the minimum duration, reserves more requests in the store,
+ * and repeats unconfirmed reports.
  */
 export const advanceCanaries = (state: ServiceLeader, now: Timestamp): LeaderTransition => {
   let canaries = state.canaries;
--- a/packages/proxy-core/src/service-leader/endpoints.ts
+++ b/packages/proxy-core/src/service-leader/endpoints.ts
@@ -1,6 +1,6 @@
 /**
- * The endpoints of one service (the instances of its origin): which there are, how many attempts
- * each may have, and which one is picked. Their health is judged in `outlier-ejection`.
+ * Endpoints of one service (the instances of its origin): membership, capacity and load balancing.
+ * Their health is tracked in `outlier-ejection`.
  */
 
 import type { InstanceId, Timestamp } from '@switchwheel/types';
@@ -8,14 +8,20 @@
 import { isAvailable, newEndpointHealth } from './outlier-ejection.js';
 import type { Endpoint, ServiceLeader } from './state.js';
 
-/** How long a new leader starts slowly: attempts of the leader before it may still be running. */
+/**
+ * Duration of the slow start of a new leader, during which attempts of the previous leader may
+ * still be running.
+ */
 const slowStartMs = 1000;
-/** How far above the lightest load an endpoint may be and still take its turn. */
+/** Endpoints with up to this multiple of the lowest load are picked in turn. */
 const loadTolerance = 1.5;
-/** The response time that doubles the load which an endpoint counts as having. */
+/** Response time that doubles the weighted load of an endpoint. */
 const loadLatencyScaleMs = 50;
 
-/** Takes over the origins of the service as they are known now; one with attempts stays until they end. */
+/**
+ * Updates the endpoints from the known origins. An endpoint that is gone stays, not live, until its
+ * attempts have ended.
+ */
 export const updateEndpoints = (
   state: ServiceLeader,
   origins: OriginTable,
@@ -45,11 +51,14 @@
   return { ...state, endpoints };
 };
 
-/** How many attempts an endpoint may have at a time: half its slots during the slow start. */
+/**
+ * Returns the maximum number of concurrent attempts at an endpoint: half its slots during the slow
+ * start.
+ */
 const endpointCapacity = (state: ServiceLeader, endpoint: Endpoint, now: Timestamp): number =>
   now - state.startedAt < slowStartMs ? Math.max(1, Math.ceil(endpoint.slots / 2)) : endpoint.slots;
 
-/** How many attempts the available endpoints may have together at a time. */
+/** Returns the maximum number of concurrent attempts at all available endpoints together. */
 export const totalCapacity = (state: ServiceLeader, now: Timestamp): number => {
   let sum = 0;
   for (const endpoint of state.endpoints.values())
@@ -57,7 +66,10 @@
   return sum;
 };
 
-/** Picks among the available endpoints that a predicate allows: those with about the least load take turns. */
+/**
+ * Picks an available endpoint that `isAllowed` accepts and that has free capacity: of those with
+ * about the lowest load, the least recently used one.
+ */
 export const pickEndpoint = (
   state: ServiceLeader,
   isAllowed: (endpoint: Endpoint) => boolean,
--- a/packages/proxy-core/src/service-leader/extra-attempt-budget.ts
+++ b/packages/proxy-core/src/service-leader/extra-attempt-budget.ts
@@ -1,6 +1,6 @@
 /**
- * The budget of extra attempts (retries and hedges) of one service: a share of its requests and a
- * base, over a sliding window. It bounds how far retries can multiply the load on origins.
+ * Budget of extra attempts (retries and hedges) of one service: a fixed number plus a share of its
+ * requests, over a sliding window. It limits how far retries can amplify the load on origins.
  */
 
 import type { Timestamp } from '@switchwheel/types';
@@ -8,16 +8,16 @@
 import type { ServiceLeader } from './state.js';
 
 /**
- * Extra attempts allowed for each request of the window. The rule (R8) allows 0.2 and a base of 60;
- * what is used stays below it, for what an earlier leader may have spent in the same window.
+ * Extra attempts allowed per request in the window. Share and base stay below the allowed maximum
+ * (0.2 and 60), because earlier leaders may have used a part of it in the same window.
  */
 const extraAttemptShare = 0.15;
 const extraAttemptBase = 35;
-/** The base of a new leader; halved for each leader that came before it within the window. */
+/** Base of a leader during its first window; halved for each other recent leader of the service. */
 const newLeaderExtraBase = 12;
 const extraAttemptWindowMs = 10_000;
 
-/** Whether one more attempt may start beyond the first one of each request. */
+/** Whether the budget allows one more retry or hedge. */
 export const hasExtraAttemptBudget = (state: ServiceLeader, now: Timestamp): boolean => {
   const base =
     now - state.startedAt < extraAttemptWindowMs
--- a/packages/proxy-core/src/service-leader/health-checks.ts
+++ b/packages/proxy-core/src/service-leader/health-checks.ts
@@ -1,16 +1,19 @@
 /**
- * When the endpoints of a service are health-checked. The checks themselves are sent by the program;
- * their results are drawn in by `outlier-ejection`.
+ * Scheduling of health checks of a service's endpoints. The program sends them; `outlier-ejection`
+ * records their results.
  */
 
 import { type Timestamp, transition, withEntry } from '@switchwheel/types';
 import { hasToken, tokensAfterSend } from './rate-limit.js';
 import type { LeaderTransition, ServiceLeader, ServiceLeaderEffect } from './state.js';
 
-/** The most of a rate limit that health checks may take, as they count under it. */
+/** Maximum share of the rate limit for health checks, which count towards it. */
 const healthCheckShare = 0.25;
 
-/** How often each endpoint is checked: less often where the rate limit leaves little room. */
+/**
+ * Returns the interval between health checks of an endpoint; longer than configured if the rate
+ * limit is low.
+ */
 const checkIntervalMs = (state: ServiceLeader): number => {
   const rate = state.serviceConfiguration.perSecond;
   const { everyMs } = state.serviceConfiguration.probe;
@@ -19,7 +22,7 @@
     : Math.max(everyMs, (state.endpoints.size / (rate * healthCheckShare)) * 1000);
 };
 
-/** Sends the health checks that are due, as far as the rate limit allows. */
+/** Starts the health checks that are due, as far as the rate limit allows. */
 export const startDueHealthChecks = (before: ServiceLeader, now: Timestamp): LeaderTransition => {
   const intervalMs = checkIntervalMs(before);
   const effects: ServiceLeaderEffect[] = [];
--- a/packages/proxy-core/src/service-leader/hedging.ts
+++ b/packages/proxy-core/src/service-leader/hedging.ts
@@ -1,6 +1,6 @@
 /**
- * Hedged requests: a second attempt for an idempotent request whose first one takes far longer than
- * responses of the service usually do.
+ * Hedged requests: a second attempt of an idempotent request whose first attempt is much slower
+ * than usual for the service.
  */
 
 import { type Timestamp, prependEffects, transition } from '@switchwheel/types';
@@ -11,7 +11,7 @@
 import { hasExtraAttemptBudget } from './extra-attempt-budget.js';
 import type { Attempt, LeaderTransition, ServiceLeader } from './state.js';
 
-/** Without a configured delay, how many typical response times pass before a hedge. */
+/** Hedge delay in multiples of the average response time, if no delay is configured. */
 const hedgeLatencyFactor = 4;
 const minHedgeDelayMs = 50;
 
@@ -19,7 +19,9 @@
   state.serviceConfiguration.hedgeMs ??
   Math.max(minHedgeDelayMs, state.latencyEwmaMs * hedgeLatencyFactor);
 
-/** Starts a second attempt beside a slow one, if the request, the budget and the slots allow it. */
+/**
+ * Starts a second attempt of a request, if its idempotency, the budget and the free slots allow it.
+ */
 const hedge = (state: ServiceLeader, attempt: Attempt, now: Timestamp): LeaderTransition => {
   const request = state.activeRequests.get(attempt.requestId);
   if (
@@ -41,7 +43,7 @@
   return endpoint === undefined ? transition(state) : startAttempt(state, request, endpoint, now);
 };
 
-/** Starts hedges for all attempts that have been under way for longer than the hedge delay. */
+/** Starts hedges for all attempts that have been running for longer than the hedge delay. */
 export const hedgeSlowAttempts = (before: ServiceLeader, now: Timestamp): LeaderTransition => {
   const delayMs = hedgeDelayMs(before);
   let next: LeaderTransition = transition(before);
--- a/packages/proxy-core/src/service-leader/outlier-ejection.ts
+++ b/packages/proxy-core/src/service-leader/outlier-ejection.ts
@@ -1,6 +1,7 @@
 /**
- * Outlier ejection: an endpoint that fails several times in a row, or responds far slower than the
- * others of its service, gets no attempts for a while, longer each time. Health checks count too.
+ * Outlier ejection: an endpoint with consecutive failures, or with a far higher latency than the
+ * others of its service, receives no attempts for a while. The ejection time doubles with each
+ * ejection. Endpoints with a failed health check are unavailable, too.
  */
 
 import { type InstanceId, type Timestamp, addMs, withEntry } from '@switchwheel/types';
@@ -10,18 +11,21 @@
 const maxEjectionMs = 8000;
 const maxEjectionLevel = 6;
 const failuresBeforeEjection = 3;
-/** An endpoint is an outlier if its response time is this many times the median of the others. */
+/**
+ * Latency, in multiples of the median of the other endpoints, above which an endpoint is an
+ * outlier.
+ */
 const outlierLatencyFactor = 4;
 const outlierLatencyFloorMs = 40;
-/** Below so many samples a response time says nothing. */
+/** Minimum number of samples for a latency to be compared. */
 const minLatencySamples = 5;
 const maxLatencySamples = 1000;
-/** After how many responses the next ejection gets shorter again. */
+/** Number of responses after which a success lowers the ejection level by one. */
 const responsesPerEjectionLevel = 50;
-/** How far the newest response time moves the moving average of its endpoint. */
+/** Weight of the newest sample in the moving average of an endpoint's latency. */
 const latencyWeight = 0.2;
 
-/** The health of an endpoint that nothing is known of yet. */
+/** Returns the initial health of an endpoint. */
 export const newEndpointHealth = (now: Timestamp): EndpointHealth => ({
   consecutiveFailures: 0,
   latencyEwmaMs: 0,
@@ -31,7 +35,10 @@
   healthCheck: 'unknown',
 });
 
-/** Whether an endpoint may get attempts: it is live, not ejected, and its last health check passed. */
+/**
+ * Whether an endpoint may receive attempts: it is live and not ejected, and its last health check
+ * did not fail.
+ */
 export const isAvailable = (endpoint: Endpoint, now: Timestamp): boolean =>
   endpoint.isLive && now >= endpoint.health.ejectedUntil && endpoint.health.healthCheck !== 'bad';
 
@@ -49,7 +56,7 @@
 const median = (values: readonly number[]): number =>
   [...values].sort((left, right) => left - right)[Math.floor(values.length / 2)] ?? 0;
 
-/** Whether an endpoint is far slower than the other available ones of its service. */
+/** Whether an endpoint is far slower than the other available endpoints of its service. */
 const isLatencyOutlier = (
   state: ServiceLeader,
   instance: InstanceId,
@@ -70,7 +77,7 @@
   );
 };
 
-/** Draws a response time into an endpoint's health; a time-out counts as a failure as well. */
+/** Records a response time; that of a timed-out attempt also counts as a failure. */
 const withLatency = (
   health: EndpointHealth,
   isSuccess: boolean,
@@ -109,20 +116,25 @@
   }
 };
 
-/** How an attempt at an endpoint ended. */
+/** Outcome of an attempt at an endpoint, with its duration. */
 export interface AttemptResult {
   readonly instance: InstanceId;
   readonly outcome: AttemptOutcome;
   readonly durationMs: number;
 }
 
-/** A leader's state after an outcome, and why the endpoint is ejected, if it is. */
+/**
+ * State of a leader after an outcome, and the reason for ejecting the endpoint, if it was ejected.
+ */
 export interface RecordedOutcome {
   readonly state: ServiceLeader;
   readonly ejectionReason: string | undefined;
 }
 
-/** Draws the outcome of an attempt into the health of its endpoint, which may be ejected for it. */
+/**
+ * Records the outcome of an attempt in the health of its endpoint and ejects the endpoint if
+ * needed.
+ */
 export const recordOutcome = (
   state: ServiceLeader,
   { instance, outcome, durationMs }: AttemptResult,
@@ -133,20 +145,20 @@
   let health = withOutcome(endpoint.health, outcome, durationMs);
   let ejectionReason: string | undefined;
   if (outcome.kind === 'succeeded' && isLatencyOutlier(state, instance, health, now)) {
-    ejectionReason = `response time of ${Math.round(health.latencyEwmaMs)} ms`;
+    ejectionReason = `average response time of ${Math.round(health.latencyEwmaMs)} ms is far above the median of the other endpoints`;
     health = { ...eject(health, now), latencySamples: 0 };
   }
-  // Where no connection opens, one failure is enough.
+  // A failed connection attempt ejects the endpoint at once.
   const failureLimit = outcome.kind === 'notSent' ? 1 : failuresBeforeEjection;
   if (health.consecutiveFailures >= failureLimit) {
-    ejectionReason = `consecutive failures, the last one: ${outcome.kind}`;
+    ejectionReason = `too many consecutive failures, last outcome: ${outcome.kind}`;
     health = eject(health, now);
   }
   const endpoints = withEntry(state.endpoints, instance, { ...endpoint, health });
   return { state: { ...state, endpoints }, ejectionReason };
 };
 
-/** Draws the result of a health check into the health of its endpoint. */
+/** Records the result of a health check. */
 export const recordHealthCheck = (
   state: ServiceLeader,
   instance: InstanceId,
--- a/packages/proxy-core/src/service-leader/queue-wait.ts
+++ b/packages/proxy-core/src/service-leader/queue-wait.ts
@@ -1,6 +1,6 @@
 /**
- * How long queued requests wait: the estimate by which a request is turned away on arrival, and the
- * check by which one that can no longer be served in time is turned away before its deadline.
+ * Queueing delay: the estimate by which requests are rejected on arrival, and the check that
+ * rejects queued requests which can't be served before their deadline.
  */
 
 import { type ClassName, type Timestamp, transition } from '@switchwheel/types';
@@ -16,16 +16,19 @@
   ServiceLeaderEffect,
 } from './state.js';
 
-/** How long requests wait for any endpoint to become usable before they are turned away. */
+/** Time that requests wait for a usable endpoint before they are rejected. */
 const noEndpointGraceMs = 1000;
-/** The estimate while no endpoint is available but requests wait already. */
+/** Estimate used while no endpoint is available and requests are already queued. */
 const unknownWaitMs = 500;
-/** The least that a client which was turned away is asked to wait. */
+/** Minimum retry delay suggested to clients of rejected requests. */
 export const minRetryAfterMs = 250;
-/** The most of a typical response time that is kept free before a deadline. */
+/** Maximum time reserved for the response before a request's deadline. */
 const maxResponseReserveMs = 50;
 
-/** How long a request waits with so many of its class ahead: for slots, and for the rate limit. */
+/**
+ * Returns the expected wait of a request with `ahead` requests of its class before it: the longer
+ * of the waits for slots and for the rate limit.
+ */
 const queueWaitMs = (
   state: ServiceLeader,
   className: ClassName,
@@ -41,7 +44,7 @@
   return Math.max(slotWaitMs, (ahead / ((rate * classShare(state, className)) / shares)) * 1000);
 };
 
-/** How long a request of a class that arrives now would wait, in milliseconds. */
+/** Returns the expected wait, in milliseconds, of a request of a class that arrives now. */
 export const estimatedWaitMs = (
   state: ServiceLeader,
   className: ClassName,
@@ -53,24 +56,27 @@
   return queueWaitMs(state, className, ahead, capacity);
 };
 
-/** Whether no endpoint has been usable for so long that waiting for one is pointless. */
+/** Whether no endpoint has been usable for longer than the grace period. */
 export const isWithoutEndpoints = (state: ServiceLeader, now: Timestamp): boolean =>
   state.noEndpointSince !== undefined && now - state.noEndpointSince > noEndpointGraceMs;
 
-/** The endpoints that may take a request at all, now or once they are healthy again. */
+/** Returns the endpoints that may receive requests, now or once they are healthy again. */
 const usableEndpoints = (state: ServiceLeader): readonly Endpoint[] =>
   [...state.endpoints.values()].filter(
     (endpoint) => endpoint.isLive && mayReceiveTraffic(state, endpoint.release),
   );
 
-/** Records since when no endpoint has been usable, if none is. */
+/** Records since when no endpoint has been usable; clears the record when one is. */
 export const recordEndpointAvailability = (state: ServiceLeader, now: Timestamp): ServiceLeader => {
   if (usableEndpoints(state).length === 0)
     return state.noEndpointSince === undefined ? { ...state, noEndpointSince: now } : state;
   return state.noEndpointSince === undefined ? state : { ...state, noEndpointSince: undefined };
 };
 
-/** When the first usable endpoint may be available again; undefined if there is none. */
+/**
+ * Returns the earliest time at which a usable endpoint may be available; undefined if there is
+ * none.
+ */
 const nextAvailableAt = (state: ServiceLeader, now: Timestamp): number | undefined => {
   const times = usableEndpoints(state).map((endpoint) =>
     endpoint.health.healthCheck === 'bad'
@@ -80,14 +86,14 @@
   return times.length === 0 ? undefined : Math.min(...times);
 };
 
-/** What the chance of a queued request to be served hangs on. */
+/** Conditions that decide whether queued requests can be served in time. */
 interface QueueConditions {
   readonly capacity: number;
   readonly availableAt: number | undefined;
   readonly now: Timestamp;
 }
 
-/** Whether a queued request can't be served in its time any more. */
+/** Whether a queued request can no longer be served before its deadline. */
 const cannotMeetDeadline = (
   state: ServiceLeader,
   request: PendingRequest,
@@ -97,7 +103,7 @@
   if (now >= request.deadline - Math.min(state.latencyEwmaMs, maxResponseReserveMs)) return true;
   if (availableAt === undefined) return isWithoutEndpoints(state, now);
   const waitMs = capacity === 0 ? 0 : queueWaitMs(state, request.className, position, capacity);
-  // Half the estimate: what moves faster than estimated is still served.
+  // Only half of the estimate counts, since the queue may move faster than estimated.
   return Math.max(now, availableAt) + waitMs / 2 > request.deadline;
 };
 
@@ -118,7 +124,7 @@
         retryAfterMs: Math.max(minRetryAfterMs, estimatedWaitMs(state, request.className, now)),
       });
 
-/** Turns away the queued requests that can't be served in their time any more. */
+/** Rejects the queued requests that can no longer be served before their deadlines. */
 export const rejectUnservable = (state: ServiceLeader, now: Timestamp): LeaderTransition => {
   let queues = state.queues;
   const effects: ServiceLeaderEffect[] = [];
--- a/packages/proxy-core/src/service-leader/rate-limit.ts
+++ b/packages/proxy-core/src/service-leader/rate-limit.ts
@@ -1,15 +1,15 @@
 /**
- * The rate limit of a service: a token bucket that requests and health checks draw from. A service
- * without a configured rate has no limit.
+ * Rate limit of a service: a token bucket shared by requests and health checks. A service without a
+ * configured rate has no limit.
  */
 
 import type { Timestamp } from '@switchwheel/types';
 import type { ServiceLeader } from './state.js';
 
-/** The size of the bucket, in seconds of the configured rate. */
+/** Capacity of the bucket, in seconds at the configured rate. */
 const burstSeconds = 0.3;
 
-/** Adds the tokens for the time since the last call. */
+/** Adds the tokens for the time since the last refill. */
 export const refillTokens = (state: ServiceLeader, now: Timestamp): ServiceLeader => {
   const rate = state.serviceConfiguration.perSecond;
   if (rate === undefined) return state;
@@ -25,6 +25,6 @@
 export const hasToken = (state: ServiceLeader): boolean =>
   state.serviceConfiguration.perSecond === undefined || state.tokens >= 1;
 
-/** The tokens that are left after one more request or health check. */
+/** Returns the tokens left after one more request or health check. */
 export const tokensAfterSend = (state: ServiceLeader): number =>
   state.serviceConfiguration.perSecond === undefined ? state.tokens : state.tokens - 1;
--- a/packages/proxy-core/src/service-leader/reject-request.ts
+++ b/packages/proxy-core/src/service-leader/reject-request.ts
@@ -1,22 +1,22 @@
 /**
- * The effect by which a service leader turns a request away. Its text goes to the client as it is.
+ * Rejection of a request by a service leader. Its text is sent to the client unchanged.
  */
 
 import type { RequestId } from '@switchwheel/types';
 import type { RejectRequestEffect, ServiceLeaderEffect } from './state.js';
 
-/** Why a request is turned away, and when its client may come back. */
+/** Reason for rejecting a request, with advice on when to retry. */
 export interface Rejection {
   readonly errorKind: RejectRequestEffect['errorKind'];
   /** Shown to the client. */
   readonly text: string;
-  /** After how many milliseconds a retry makes sense; 0 for no advice. */
+  /** Suggested delay before a retry, in milliseconds; 0 for none. */
   readonly retryAfterMs: number;
-  /** Whether the edge should send it to the service's next leader instead. */
+  /** Whether the edge should send the request to the service's next leader instead. */
   readonly leaderMoved?: boolean;
 }
 
-/** Builds the effect that turns a request away. */
+/** Builds the effect that rejects a request. */
 export const rejectRequest = (
   requestId: RequestId,
   { errorKind, text, retryAfterMs, leaderMoved = false }: Rejection,
--- a/packages/proxy-core/src/service-leader/request-arrival.ts
+++ b/packages/proxy-core/src/service-leader/request-arrival.ts
@@ -1,6 +1,6 @@
 /**
- * A request that an edge forwarded: it is queued, or turned away at once if it can't be served in
- * its time. What becomes of it after its attempts is in `attempt-result`.
+ * Arrival of a forwarded request: it is queued, or rejected at once if it can't be served before
+ * its deadline. Results of its attempts are handled in `attempt-result`.
  */
 
 import { addMs, transition } from '@switchwheel/types';
@@ -16,19 +16,22 @@
 
 type RequestArrived = Extract<ServiceLeaderEvent, { kind: 'requestArrived' }>;
 
-/** When a client may come back after it was turned away for want of any endpoint. */
+/** Retry delay suggested to the client when the service has no usable endpoint. */
 const noEndpointRetryAfterMs = 500;
 
 const isKnown = (state: ServiceLeader, id: RequestArrived['id']): boolean =>
   state.activeRequests.has(id) ||
   [...state.queues.values()].some((queue) => queue.some((request) => request.id === id));
 
-/** Why a request is not queued, by the queue of its class and by its deadline. */
+/**
+ * Returns the rejection of a request whose queue is full or whose deadline can't be met; undefined
+ * if it may be queued.
+ */
 const queueRejection = (state: ServiceLeader, event: RequestArrived): Rejection | undefined => {
   const { now, className, remainingMs } = event;
   const waitMs = estimatedWaitMs(state, className, now);
   const retryAfterMs = Math.max(minRetryAfterMs, waitMs);
-  // Each class has a queue of its own: one that floods does not fill another's.
+  // The limit holds per class, so that a flood in one class does not fill another's queue.
   if ((state.queues.get(className)?.length ?? 0) >= state.serviceConfiguration.waitlist)
     return { errorKind: 'rejected', text: 'the waitlist is full', retryAfterMs };
   if (waitMs + Math.min(state.latencyEwmaMs, remainingMs / 2) > remainingMs)
@@ -46,7 +49,10 @@
   mayHaveRun: event.mayHaveRun,
 });
 
-/** Queues a request and starts what may start, or turns it away. A request known already is ignored. */
+/**
+ * Queues a request and starts all that may start, or rejects it. A request that is already known is
+ * ignored.
+ */
 export const onRequestArrived = (state: ServiceLeader, event: RequestArrived): LeaderTransition => {
   const { now, id } = event;
   if (state.isClosing)
--- a/packages/proxy-core/src/service-leader/service-leader.test.ts
+++ b/packages/proxy-core/src/service-leader/service-leader.test.ts
@@ -1,5 +1,5 @@
 /**
- * A service leader: how classes share slots, and when requests are turned away.
+ * Guards against classes that starve each other of slots, and against requests left waiting past their deadline.
  */
 
 import assert from 'node:assert/strict';
@@ -41,7 +41,7 @@
   { name: 'c', prefix: '/c/', service: 'other', class: 'elsewhere' },
 ];
 
-/** The classes that share the service, as the compiled configuration has them. */
+/** Returns the classes that share the service, from a compiled configuration. */
 const sharingClasses = (): ServiceLeader['classes'] => {
   const bundle = runToCompletion(
     splitIntoChunks({
@@ -65,7 +65,7 @@
   return table.classesByService.get(service) ?? new Map();
 };
 
-/** A leader of one service with one endpoint. */
+/** Leader of one service with one endpoint. */
 class Fixture {
   state: ServiceLeader;
   readonly effects: ServiceLeaderEffect[] = [];
@@ -118,18 +118,18 @@
     for (let index = first; index < first + count; index += 1) this.arrive(`a${index}`, className);
   }
 
-  tickAfter(ms: number): void {
-    this.now = addMs(this.now, ms);
+  advance(durationMs: number): void {
+    this.now = addMs(this.now, durationMs);
     this.dispatch({ kind: 'tick', now: this.now });
   }
 
-  running(className: ClassName): number {
+  runningAttempts(className: ClassName): number {
     return [...this.state.attempts.values()].filter(
       (attempt) => this.state.activeRequests.get(attempt.requestId)?.className === className,
     ).length;
   }
 
-  endOldest(): void {
+  completeOldestAttempt(): void {
     const attemptId = [...this.state.attempts.keys()][0];
     this.now = addMs(this.now, 20);
     if (attemptId !== undefined)
@@ -143,43 +143,47 @@
   }
 }
 
-void test('classes of other services reserve no slots of this one', () => {
+void test('classes of other services reserve no slots of this service', () => {
   const shared = sharingClasses();
   assert.deepEqual([...shared.keys()], ['quick', 'slow']);
   const fixture = new Fixture(shared, 10);
   fixture.arriveMany(20, quick);
-  // All but the share of the other class of this service.
-  assert.equal(fixture.running(quick), 8);
+  // All slots but the other class's share.
+  assert.equal(fixture.runningAttempts(quick), 8);
 });
 
-void test('a lent slot comes back with the next responses, and the lender always finds one for its next request', () => {
+void test('lent slots return with the next responses, and a lending class always has a slot for its next request', () => {
   const fixture = new Fixture(sharingClasses(), 10);
   fixture.arriveMany(30, slow);
-  assert.equal(fixture.running(slow), 9, 'all but the one slot that the lender keeps');
+  assert.equal(fixture.runningAttempts(slow), 9, 'a lending class keeps one slot');
   fixture.arrive('a100', quick);
-  assert.equal(fixture.running(quick), 1, 'at once');
+  assert.equal(
+    fixture.runningAttempts(quick),
+    1,
+    'the request of the lending class starts at once',
+  );
   fixture.arriveMany(9, quick, 101);
-  for (let ended = 0; ended < 8; ended += 1) fixture.endOldest();
+  for (let ended = 0; ended < 8; ended += 1) fixture.completeOldestAttempt();
   assert.ok(
-    fixture.running(quick) >= 6,
-    `${fixture.running(quick)} of the lender run after one round of responses`,
+    fixture.runningAttempts(quick) >= 6,
+    `${fixture.runningAttempts(quick)} attempts of the lending class after one round of responses`,
   );
 });
 
-void test('a request that can no longer be served in its time is rejected before its deadline, with when to retry', () => {
+void test('a request that can no longer be served in time is rejected before its deadline, with a retry delay', () => {
   const fixture = new Fixture(sharingClasses(), 2);
   fixture.arriveMany(2, quick);
   fixture.arrive('late', quick, 5000);
-  // The only endpoint leaves: nothing will serve what waits.
+  // The only endpoint is removed.
   fixture.dispatch({ kind: 'originsUpdated', now: fixture.now, origins: new Map() });
-  const rejectionOfLate = (): ServiceLeaderEffect | undefined =>
+  const rejectionOfLateRequest = (): ServiceLeaderEffect | undefined =>
     fixture.effects.find(
       (effect) => effect.kind === 'rejectRequest' && effect.requestId === 'late',
     );
-  fixture.tickAfter(900);
-  assert.equal(rejectionOfLate(), undefined, 'another one may come up');
-  fixture.tickAfter(200);
-  const rejection = rejectionOfLate();
+  fixture.advance(900);
+  assert.equal(rejectionOfLateRequest(), undefined, 'within the grace period for a new endpoint');
+  fixture.advance(200);
+  const rejection = rejectionOfLateRequest();
   assert.ok(
     rejection?.kind === 'rejectRequest' &&
       rejection.errorKind === 'rejected' &&
@@ -187,7 +191,7 @@
   );
 });
 
-void test('there are never more attempts than slots, and no waiting class is below its share while slots are free', () => {
+void test('attempts never exceed slots, and no class with queued requests is below its share while slots are free', () => {
   fc.assert(
     fc.property(
       fc.array(fc.oneof(fc.constant('quick'), fc.constant('slow'), fc.constant('end')), {
@@ -197,7 +201,7 @@
       (steps, slots) => {
         const fixture = new Fixture(sharingClasses(), slots);
         steps.forEach((step, index) => {
-          if (step === 'end') fixture.endOldest();
+          if (step === 'end') fixture.completeOldestAttempt();
           else fixture.arrive(`a${index}`, step === 'quick' ? quick : slow);
           assert.ok(fixture.state.attempts.size <= slots);
           for (const [className, share] of [
@@ -205,7 +209,7 @@
             [slow, 0.2],
           ] as const) {
             const waiting = fixture.state.queues.get(className)?.length ?? 0;
-            if (waiting > 0 && fixture.running(className) < Math.floor(share * slots))
+            if (waiting > 0 && fixture.runningAttempts(className) < Math.floor(share * slots))
               assert.equal(fixture.state.attempts.size, slots);
           }
         });
--- a/packages/proxy-core/src/service-leader/service-leader.ts
+++ b/packages/proxy-core/src/service-leader/service-leader.ts
@@ -1,7 +1,7 @@
 /**
- * The leader of one service: the shield that holds the service's lease admits its requests, sends
- * them to endpoints, retries, hedges and judges canaries. This module routes events to the modules
- * beside it; all of them are pure. Which shield leads is decided in `node-agent`.
+ * Leader of one service: the shield that holds the service's lease admits its requests, sends them
+ * to endpoints, retries, hedges and evaluates canaries. This module dispatches events to the pure
+ * functions of the modules beside it. Which shield leads is decided in `node-agent`.
  */
 
 import { type Timestamp, prependEffects, transition } from '@switchwheel/types';
@@ -31,7 +31,7 @@
   );
 };
 
-/** The lease is over: queued requests are turned away, attempts under way end by themselves. */
+/** Rejects the queued requests at the end of the lease; running attempts complete. */
 const onLeadershipEnded = (state: ServiceLeader): LeaderTransition => {
   const rejections = [...state.queues.values()].flat().map((request) =>
     request.mayHaveRun
@@ -49,16 +49,16 @@
 const onTick = (state: ServiceLeader, now: Timestamp): LeaderTransition => {
   if (state.isClosing) return transition(state);
   const rejected = rejectUnservable(recordEndpointAvailability(state, now), now);
-  const judged = advanceCanaries(rejected.state, now);
-  const checked = startDueHealthChecks(refillTokens(judged.state, now), now);
+  const advanced = advanceCanaries(rejected.state, now);
+  const checked = startDueHealthChecks(refillTokens(advanced.state, now), now);
   const admitted = admitQueued(checked.state, now);
   return prependEffects(
-    [...rejected.effects, ...judged.effects, ...checked.effects, ...admitted.effects],
+    [...rejected.effects, ...advanced.effects, ...checked.effects, ...admitted.effects],
     hedgeSlowAttempts(admitted.state, now),
   );
 };
 
-/** The reducer of a service leader: every change of its state goes through it. */
+/** Reducer of a service leader; the only place where its state changes. */
 export const serviceLeaderTransition = (
   state: ServiceLeader,
   event: ServiceLeaderEvent,
@@ -90,5 +90,5 @@
   }
 };
 
-/** Whether a leader has no attempt under way: a closing one may then be dropped. */
+/** Whether a leader has no attempt in progress; a closing leader is removed once it is idle. */
 export const isIdle = (state: ServiceLeader): boolean => state.attempts.size === 0;
--- a/packages/proxy-core/src/service-leader/sliding-window.ts
+++ b/packages/proxy-core/src/service-leader/sliding-window.ts
@@ -1,20 +1,20 @@
 /**
- * Counts over a sliding window, in slots. A sum takes the oldest slot in whole, so it may say a
- * little too much and never too little.
+ * Sum over a sliding window, counted in slots. The oldest slot counts in full, so the sum may be
+ * slightly too high but never too low.
  */
 
 import type { Timestamp } from '@switchwheel/types';
 
-/** Counts of the last slots; slot numbers count from the origin of the clock. */
+/** Counts of the most recent slots. Slots are numbered from the origin of the clock. */
 export interface SlidingWindow {
   readonly slotMs: number;
-  /** A ring: the count of slot `n` is at `n` modulo its length. */
+  /** Ring buffer: the count of slot `n` is at index `n` modulo the length. */
   readonly slots: readonly number[];
-  /** The number of the newest slot. */
+  /** Number of the newest slot. */
   readonly head: number;
 }
 
-/** An empty window over a span, counted in slots of the given length (both in milliseconds). */
+/** Returns an empty window of `spanMs`, counted in slots of `slotMs`. */
 export const newSlidingWindow = (spanMs: number, slotMs: number): SlidingWindow => ({
   slotMs,
   slots: Array.from({ length: Math.ceil(spanMs / slotMs) + 1 }, () => 0),
@@ -33,7 +33,7 @@
   return { ...window, slots, head };
 };
 
-/** Adds an amount to the slot of the present. */
+/** Adds an amount to the current slot. */
 export const addToWindow = (
   window: SlidingWindow,
   now: Timestamp,
@@ -46,6 +46,6 @@
   return { ...current, slots };
 };
 
-/** The sum over the window that ends now. */
+/** Returns the sum over the window that ends now. */
 export const windowSum = (window: SlidingWindow, now: Timestamp): number =>
   advance(window, now).slots.reduce((sum, count) => sum + count, 0);
