--- a/packages/proxy-core/src/service-leader/state.ts
+++ b/packages/proxy-core/src/service-leader/state.ts
@@ -1,5 +1,5 @@
 /**
- * The state of a service leader, the events that change it and the effects that it asks for.
+ * State, events and effects of a service leader.
  */
 
 import type {
@@ -18,48 +18,48 @@
 import type { ServiceClass, Service } from '@switchwheel/configuration';
 import { type SlidingWindow, newSlidingWindow } from './sliding-window.js';
 
-/** The window over which the budget of extra attempts is counted, and its slots. */
+/** Window and slot length for the budget of extra attempts. */
 const budgetWindowMs = 10_000;
 const budgetSlotMs = 200;
-/** The response time that is assumed before there are any. */
+/** Assumed response time before the first sample. */
 const initialLatencyMs = 30;
 
-/** How an attempt at an origin ended. */
+/** Outcome of an attempt at an origin. */
 export type AttemptOutcome =
   | { readonly kind: 'succeeded'; readonly status: number }
-  /** A complete response of the origin, with a status of 500 or above. */
+  /** A complete response with a status of 500 or above. */
   | { readonly kind: 'originError'; readonly status: number }
-  /** The origin says that it did not run the request. */
+  /** The origin declared that it did not run the request. */
   | { readonly kind: 'notRun' }
   /** No byte of the request was sent. */
   | { readonly kind: 'notSent'; readonly text: string }
-  /** Bytes were sent, and no complete and trusted response came back. */
+  /** Bytes were sent, but no complete and verified response was received. */
   | { readonly kind: 'lost'; readonly text: string }
   | { readonly kind: 'timedOut' }
-  /** The leader wanted no more of it. */
+  /** The leader cancelled the attempt. */
   | { readonly kind: 'cancelled' };
 
-/** The health of an endpoint, from health checks and from the outcomes of attempts. */
+/** Health of an endpoint, from health checks and outcomes of attempts. */
 export interface EndpointHealth {
   readonly consecutiveFailures: number;
-  /** Moving average of its response times, in milliseconds. */
+  /** Moving average of the response time, in milliseconds. */
   readonly latencyEwmaMs: number;
   readonly latencySamples: number;
   readonly ejectedUntil: Timestamp;
-  /** How often it was ejected of late: each time it is ejected for longer. */
+  /** Number of recent ejections; each one doubles the next ejection time. */
   readonly ejectionLevel: number;
   readonly healthCheck: 'unknown' | 'good' | 'bad';
 }
 
-/** An instance of the service's origin as the leader sees it. */
+/** Instance of the service's origin, as seen by the leader. */
 export interface Endpoint {
   readonly instance: InstanceId;
   readonly address: Address;
   readonly release: Release;
-  /** How many requests it takes at a time. */
+  /** Maximum number of concurrent requests. */
   readonly slots: number;
   readonly activeAttempts: number;
-  /** The last attempt that went there, so that endpoints take turns. */
+  /** Latest attempt at this endpoint; used to pick the least recently used endpoint. */
   readonly lastAttemptId: number;
   readonly lastCheckedAt: Timestamp | undefined;
   /** Whether the registries list it as up. */
@@ -67,7 +67,7 @@
   readonly health: EndpointHealth;
 }
 
-/** A request that waits in a queue or has attempts under way. */
+/** Request that is queued or has attempts in progress. */
 export interface PendingRequest {
   readonly id: RequestId;
   readonly className: ClassName;
@@ -75,11 +75,11 @@
   readonly deadline: Timestamp;
   readonly attemptCount: number;
   readonly triedInstances: ReadonlySet<InstanceId>;
-  /** Whether an attempt may have run it: then it is never reported as rejected. */
+  /** Whether an attempt may have run it; if so, it is never reported as rejected. */
   readonly mayHaveRun: boolean;
 }
 
-/** One try of a request at one endpoint. */
+/** Single attempt of a request at one endpoint. */
 export interface Attempt {
   readonly id: number;
   readonly requestId: RequestId;
@@ -88,65 +88,68 @@
   readonly startedAt: Timestamp;
 }
 
-/** What the leader knows of a release that is, or was, a canary. */
+/** Current or former canary, as known to the leader. */
 export interface Canary {
   readonly release: Release;
-  /** How many requests are reserved for it in the store. */
+  /** Number of requests reserved for it in the store. */
   readonly reservedRequests: number;
   readonly usedRequests: number;
   readonly successes: number;
   readonly failures: number;
-  /** How badly it did of late: failures raise it, successes lower it. */
+  /** Recent failures: a failure raises the score, a success lowers it. */
   readonly failureScore: number;
-  /** The service's requests since the canary began, as earlier leaders reported them. */
+  /** The service's requests since the canary started, as reported by earlier leaders. */
   readonly priorTraffic: number;
-  /** This leader's count of requests when it took the canary on. */
+  /** This leader's request count when the canary was added. */
   readonly requestCountAtStart: number;
   readonly startedAt: Timestamp;
   readonly reportedAt: Timestamp | undefined;
-  /** How many of its failures were reported to the store. */
+  /** Number of failures already reported to the store. */
   readonly reportedFailures: number;
   readonly state: 'trial' | 'good' | 'bad';
   /** Whether the store is known to have it. */
   readonly isStored: boolean;
 }
 
-/** The whole state of the leader of one service. */
+/** State of the leader of one service. */
 export interface ServiceLeader {
   readonly service: ServiceName;
   readonly epoch: Epoch;
   readonly startedAt: Timestamp;
-  /** How many leaders there may have been in the ten seconds before it began, itself included. */
+  /**
+   * Maximum number of leaders that the service may have had in the last ten seconds, this one
+   * included.
+   */
   readonly recentLeaderCount: number;
   readonly serviceConfiguration: Service;
-  /** The classes whose routes go to this service. */
+  /** Classes whose routes point to this service. */
   readonly classes: ReadonlyMap<ClassName, ServiceClass>;
   readonly endpoints: ReadonlyMap<InstanceId, Endpoint>;
-  /** Requests that wait for a slot, by class, in their order. */
+  /** Queued requests by class, in order. */
   readonly queues: ReadonlyMap<ClassName, readonly PendingRequest[]>;
-  /** Requests with an attempt under way. */
+  /** Requests with an attempt in progress. */
   readonly activeRequests: ReadonlyMap<RequestId, PendingRequest>;
   readonly attempts: ReadonlyMap<number, Attempt>;
   readonly nextAttemptId: number;
-  /** Since when no endpoint has been usable; undefined while one is. */
+  /** Time since when no endpoint has been usable; undefined while one is. */
   readonly noEndpointSince: Timestamp | undefined;
-  /** The tokens of the rate limit. */
+  /** Tokens left in the bucket of the rate limit. */
   readonly tokens: number;
   readonly refilledAt: Timestamp;
-  /** What each waiting class has used of the rate limit, divided by its share. */
+  /** Usage of the rate limit by each waiting class, divided by its share. */
   readonly rateUsage: ReadonlyMap<ClassName, number>;
   readonly recentRequests: SlidingWindow;
   readonly recentExtraAttempts: SlidingWindow;
-  /** Requests since this leader started: what the share of a canary is taken of. */
+  /** Requests since this leader started; the basis of the canaries' traffic shares. */
   readonly requestCount: number;
   readonly canaries: ReadonlyMap<Release, Canary>;
-  /** Moving average of the response times of the service, in milliseconds. */
+  /** Moving average of the service's response time, in milliseconds. */
   readonly latencyEwmaMs: number;
-  /** The lease is over: no attempt starts any more. */
+  /** Whether the lease has ended; no further attempts are started. */
   readonly isClosing: boolean;
 }
 
-/** The state of a leader that has just acquired its lease. */
+/** Returns the state of a leader that has just acquired its lease. */
 export const newServiceLeader = (
   service: ServiceName,
   epoch: Epoch,
@@ -178,7 +181,7 @@
   isClosing: false,
 });
 
-/** What happens to a service leader; times are of the monotonic clock. */
+/** Event for a service leader; times are of the monotonic clock. */
 export type ServiceLeaderEvent =
   | {
       readonly kind: 'requestArrived';
@@ -190,7 +193,7 @@
       readonly hasEarlierAttempt: boolean;
       readonly remainingMs: number;
     }
-  /** An attempt's response goes to the client in parts: no other one may take its place. */
+  /** The response of an attempt is streamed to the client; no other attempt may replace it. */
   | { readonly kind: 'streamingStarted'; readonly now: Timestamp; readonly attemptId: number }
   | {
       readonly kind: 'attemptEnded';
@@ -222,7 +225,7 @@
   | { readonly kind: 'tick'; readonly now: Timestamp }
   | { readonly kind: 'leadershipEnded'; readonly now: Timestamp };
 
-/** Turns a request away; see `Rejection` for the fields. */
+/** Rejects a request; `Rejection` describes the fields. */
 export interface RejectRequestEffect {
   readonly kind: 'rejectRequest';
   readonly requestId: RequestId;
@@ -232,7 +235,7 @@
   readonly leaderMoved: boolean;
 }
 
-/** What a service leader asks of the program around it. */
+/** Effect that a service leader requests from the program. */
 export type ServiceLeaderEffect =
   | {
       readonly kind: 'startAttempt';
@@ -244,7 +247,7 @@
       readonly timeoutMs: number;
     }
   | { readonly kind: 'cancelAttempt'; readonly attemptId: number }
-  /** The attempt's response is the one for the client. */
+  /** The attempt's response is to be sent to the client. */
   | { readonly kind: 'useResponse'; readonly attemptId: number; readonly requestId: RequestId }
   | RejectRequestEffect
   | {
@@ -266,5 +269,5 @@
     }
   | { readonly kind: 'reportEjection'; readonly instance: InstanceId; readonly text: string };
 
-/** A leader's state after an event, and the effects that the event asks for. */
+/** State of a leader after an event, with the requested effects. */
 export type LeaderTransition = Transition<ServiceLeader, ServiceLeaderEffect>;
