--- a/packages/proxy-core/src/forwarding/forwarding.ts
+++ b/packages/proxy-core/src/forwarding/forwarding.ts
@@ -67,8 +67,8 @@
     // One request per interval probes for a leader; all others fail at once.
     if (now - absence.lastTriedAt < redispatchIntervalMs)
       return transition(state, rejectNew(accepted, noLeaderFailure));
-    const tried = { ...absence, lastTriedAt: now };
-    const leaderAbsences = withEntry(state.leaderAbsences, request.service, tried);
+    const updatedAbsence = { ...absence, lastTriedAt: now };
+    const leaderAbsences = withEntry(state.leaderAbsences, request.service, updatedAbsence);
     return forwardToLeader({ ...state, leaderAbsences }, request, 0, now);
   }
   if (!hasCapacity(state, accepted))
@@ -164,7 +164,7 @@
   return next;
 };
 
-/** Reducer of the forwarding; the only place where its state changes. */
+/** Reducer of the forwarding module; the only place where its state changes. */
 export const forwardingTransition = (
   state: Forwarding,
   event: ForwardingEvent,
--- a/packages/proxy-core/src/forwarding/state.ts
+++ b/packages/proxy-core/src/forwarding/state.ts
@@ -1,5 +1,5 @@
 /**
- * State, events and effects of the forwarding of an edge.
+ * State, events and effects of the module that forwards requests at an edge.
  */
 
 import type {
@@ -58,7 +58,7 @@
   readonly lastTriedAt: Timestamp;
 }
 
-/** State of the forwarding of an edge. */
+/** State of the forwarding module of an edge. */
 export interface Forwarding {
   readonly requests: ReadonlyMap<RequestId, PendingForward>;
   readonly leaseHolders: ReadonlyMap<LeaseName, LeaseHolder>;
@@ -76,7 +76,7 @@
 /** Maximum number of requests in progress per edge. A single class may use half of it. */
 export const maxForwardedRequests = 2048;
 
-/** Event for the forwarding; times are of the monotonic clock. */
+/** Event for the forwarding module; times are of the monotonic clock. */
 export type ForwardingEvent =
   | {
       readonly kind: 'requestAccepted';
@@ -124,7 +124,7 @@
   | { readonly kind: 'nodeDisconnected'; readonly now: Timestamp }
   | { readonly kind: 'tick'; readonly now: Timestamp };
 
-/** Effect that the forwarding requests from the request handler. */
+/** Effect that the forwarding module requests from the request handler. */
 export type ForwardingEffect =
   /** The request handler adds the body. */
   | {
@@ -147,5 +147,5 @@
       readonly retryAfterMs: number;
     };
 
-/** State of the forwarding after an event, with the requested effects. */
+/** State of the forwarding module after an event, with the requested effects. */
 export type ForwardingTransition = Transition<Forwarding, ForwardingEffect>;
--- a/packages/proxy-core/src/node-agent/config-freshness.ts
+++ b/packages/proxy-core/src/node-agent/config-freshness.ts
@@ -20,7 +20,7 @@
 /** Confirmed generation that is not applied here yet, and the time of its confirmation. */
 export interface PendingGeneration {
   readonly generation: Generation;
-  readonly at: Timestamp;
+  readonly confirmedAt: Timestamp;
 }
 
 /**
@@ -62,7 +62,7 @@
     isNewer &&
     newestGeneration > running &&
     known.pendingGenerations.length < maxPendingGenerations;
-  const pending = { generation: newestGeneration, at: subtractMs(now, reply.newestAge) };
+  const pending = { generation: newestGeneration, confirmedAt: subtractMs(now, reply.newestAge) };
   const updated: ConfigFreshness = {
     ...known,
     newestGeneration,
--- a/packages/proxy-core/src/node-agent/config-update.ts
+++ b/packages/proxy-core/src/node-agent/config-update.ts
@@ -34,7 +34,7 @@
 /** Maximum number of chunks per request; the next request follows once all of them have arrived. */
 const maxChunksPerRequest = 64;
 /** Duration of a fetch above which it is logged as slow. */
-const slowFetchMs = 600;
+const slowFetchThresholdMs = 600;
 /** Maximum number of validation issues listed in logs and status reports. */
 const maxReportedIssues = 5;
 
@@ -168,7 +168,7 @@
   const update = state.configUpdate;
   if (update.phase !== 'fetching' || now - update.requestedAt < chunkRetryIntervalMs)
     return transition(state);
-  const isSlow = now - update.startedAt >= slowFetchMs;
+  const isSlow = now - update.startedAt >= slowFetchThresholdMs;
   return prependEffects(
     isSlow ? [slowFetchWarning(state, update, askedRegistry, now)] : [],
     continueUpdate(state, update.offer, now),
--- a/packages/proxy-core/src/node-agent/configuration-staleness.ts
+++ b/packages/proxy-core/src/node-agent/configuration-staleness.ts
@@ -15,7 +15,7 @@
  * Maximum age of the last contact with the primary for a configuration to count as overdue. During
  * an election of the primary no node can fetch a configuration.
  */
-const primaryContactMs = 1000;
+const maxPrimaryContactAgeMs = 1000;
 /**
  * Fraction of the time limit for applying a configuration during which the previous one may still
  * be used.
@@ -44,7 +44,7 @@
   const [oldest] = state.configFreshness.pendingGenerations;
   return (
     oldest !== undefined &&
-    now - oldest.at >= overdueFraction * applyMs &&
-    isConfirmedWithin(state.configFreshness, now, primaryContactMs)
+    now - oldest.confirmedAt >= overdueFraction * applyMs &&
+    isConfirmedWithin(state.configFreshness, now, maxPrimaryContactAgeMs)
   );
 };
--- a/packages/proxy-core/src/node-agent/heartbeat-reply.ts
+++ b/packages/proxy-core/src/node-agent/heartbeat-reply.ts
@@ -26,14 +26,19 @@
  */
 const applyPurges = (state: NodeAgent, { top, floor, purges }: HeartbeatReply): AgentTransition => {
   if (top <= state.lastPurgeSeq) return transition(state);
-  const fresh = purges
+  const newPurges = purges
     .filter((purge) => purge.seq > state.lastPurgeSeq)
     .sort((left, right) => left.seq - right.seq);
   const isComplete =
-    fresh[0]?.seq === state.lastPurgeSeq + 1 && fresh.length === top - state.lastPurgeSeq;
+    newPurges[0]?.seq === state.lastPurgeSeq + 1 && newPurges.length === top - state.lastPurgeSeq;
   const next = { ...state, lastPurgeSeq: top };
   if (isComplete)
-    return transition(next, { kind: 'purgeCache', purges: fresh, flush: false, lastPurgeSeq: top });
+    return transition(next, {
+      kind: 'purgeCache',
+      purges: newPurges,
+      flush: false,
+      lastPurgeSeq: top,
+    });
   const hasMissedPurges = state.lastPurgeSeq + 1 < floor;
   if (hasMissedPurges || state.lastPurgeSeq === 0)
     return transition(next, { kind: 'purgeCache', purges: [], flush: true, lastPurgeSeq: top });
@@ -45,12 +50,12 @@
   known: NodeAgent['releaseStates'],
   received: readonly RolloutState[],
 ): NodeAgent['releaseStates'] => {
-  const fresh = received.filter(
+  const newerStates = received.filter(
     (rollout) => rollout.serial >= (known.get(rollout.service)?.serial ?? 0),
   );
-  return fresh.length === 0
+  return newerStates.length === 0
     ? known
-    : new Map([...known, ...fresh.map((rollout) => [rollout.service, rollout] as const)]);
+    : new Map([...known, ...newerStates.map((rollout) => [rollout.service, rollout] as const)]);
 };
 
 /**
--- a/packages/proxy-core/src/proxy/epoch-history.ts
+++ b/packages/proxy-core/src/proxy/epoch-history.ts
@@ -8,7 +8,7 @@
 
 interface SeenEpoch {
   readonly epoch: Epoch;
-  readonly at: Timestamp;
+  readonly seenAt: Timestamp;
 }
 
 /** Epochs of each lease with the time when they were first seen, oldest first. */
@@ -17,7 +17,8 @@
 /** Time span over which lease holders are counted. */
 const historyWindowMs = 10_000;
 
-const isOld = (seen: SeenEpoch, now: Timestamp): boolean => now - seen.at > historyWindowMs;
+const isBeforeWindow = (seen: SeenEpoch, now: Timestamp): boolean =>
+  now - seen.seenAt > historyWindowMs;
 
 /** Records the epochs of the known lease holders. */
 export const recordEpochs = (
@@ -31,9 +32,9 @@
     const last = known.at(-1);
     if (last !== undefined && last.epoch >= epoch) continue;
     // Of the epochs before the time span only the newest is needed.
-    const newestOld = known.filter((seen) => isOld(seen, now)).slice(-1);
-    const recent = known.filter((seen) => !isOld(seen, now));
-    next = withEntry(next, lease, [...newestOld, ...recent, { epoch, at: now }]);
+    const newestBeforeWindow = known.filter((seen) => isBeforeWindow(seen, now)).slice(-1);
+    const recent = known.filter((seen) => !isBeforeWindow(seen, now));
+    next = withEntry(next, lease, [...newestBeforeWindow, ...recent, { epoch, seenAt: now }]);
   }
   return next;
 };
@@ -48,6 +49,8 @@
   epoch: Epoch,
   now: Timestamp,
 ): number => {
-  const newestOld = (history.get(lease) ?? []).filter((seen) => isOld(seen, now)).at(-1);
-  return Math.max(1, epoch - (newestOld?.epoch ?? noEpoch));
+  const newestBeforeWindow = (history.get(lease) ?? [])
+    .filter((seen) => isBeforeWindow(seen, now))
+    .at(-1);
+  return Math.max(1, epoch - (newestBeforeWindow?.epoch ?? noEpoch));
 };
--- a/packages/proxy-core/src/proxy/proxy.ts
+++ b/packages/proxy-core/src/proxy/proxy.ts
@@ -1,6 +1,6 @@
 /**
  * Reducer of a proxy process. It dispatches events to the node agent, the service leaders and the
- * forwarding, and passes changes in the node agent on to the other two.
+ * forwarding module, and passes changes in the node agent on to the other two.
  */
 
 import { type Timestamp, clockOrigin, transition } from '@switchwheel/types';
@@ -94,7 +94,7 @@
   );
 };
 
-/** Passes changes in the node agent on to the leaders and the forwarding. */
+/** Passes changes in the node agent on to the leaders and the forwarding module. */
 const propagateChanges = (
   before: NodeAgent,
   state: ProxyState,
--- a/packages/proxy-core/src/proxy/state.ts
+++ b/packages/proxy-core/src/proxy/state.ts
@@ -1,6 +1,6 @@
 /**
  * State, events and effects of a proxy process: its node agent, its service leaders and its
- * forwarding.
+ * forwarding module.
  */
 
 import {
--- a/packages/proxy-core/src/request-handler/edge-request-handler.ts
+++ b/packages/proxy-core/src/request-handler/edge-request-handler.ts
@@ -1,6 +1,6 @@
 /**
  * Handling of client requests at an edge: after the route lookup a request passes a chain of
- * filters for the cache, the coalescing of equal requests, and the forwarding to the leader of its
+ * filters for the cache, the coalescing of equal requests, and forwarding to the leader of its
  * service. HTTP itself is left to the program.
  */
 
@@ -189,7 +189,7 @@
     increment(this.counts, name);
   }
 
-  /** Executes an effect of the forwarding. */
+  /** Executes an effect of the forwarding module. */
   run(effect: ForwardingEffect): void {
     this.#forwarded.run(effect);
   }
--- a/packages/proxy-core/src/request-handler/forwarded-requests.ts
+++ b/packages/proxy-core/src/request-handler/forwarded-requests.ts
@@ -1,6 +1,6 @@
 /**
- * Forwarded requests of an edge: request bodies are sent to the leaders chosen by the forwarding,
- * and frames from leaders are passed to the request they belong to.
+ * Forwarded requests of an edge: sends request bodies to the leaders that the forwarding module
+ * selects, and passes frames from leaders to the request they belong to.
  */
 
 import type { Address, RequestId } from '@switchwheel/types';
@@ -52,12 +52,12 @@
     return [...this.#requests.keys()];
   }
 
-  /** Adds a request before it is dispatched to the forwarding. */
+  /** Adds a request before it is dispatched to the forwarding module. */
   add(request: RequestState): void {
     this.#requests.set(request.id, request);
   }
 
-  /** Executes an effect of the forwarding. */
+  /** Executes an effect of the forwarding module. */
   run(effect: ForwardingEffect): void {
     switch (effect.kind) {
       case 'sendRequest':
--- a/packages/proxy-core/src/service-leader/canary.ts
+++ b/packages/proxy-core/src/service-leader/canary.ts
@@ -24,8 +24,8 @@
 /** Share of the service's traffic that a canary may receive; below the allowed maximum of 0.1. */
 const canaryTrafficShare = 0.08;
 /** Conditions of promotion: successes, minimum duration and maximum share of failures. */
-const promotionSuccesses = 40;
-const promotionMinMs = 3000;
+const minPromotionSuccesses = 40;
+const minPromotionMs = 3000;
 const maxPromotionFailureShare = 0.05;
 /**
  * Conditions of rejection: a number of failures, or a smaller number that is a large share of the
@@ -218,9 +218,9 @@
 
 /** Whether a canary meets the conditions of promotion. */
 const hasEarnedPromotion = (canary: Canary, now: Timestamp): boolean =>
-  canary.successes >= promotionSuccesses &&
+  canary.successes >= minPromotionSuccesses &&
   canary.failures <= maxPromotionFailureShare * (canary.successes + canary.failures) &&
-  now - canary.startedAt >= promotionMinMs;
+  now - canary.startedAt >= minPromotionMs;
 
 /** Whether a canary meets the conditions of rejection. */
 const isFailing = (canary: Canary): boolean =>
--- a/packages/proxy-core/src/service-leader/endpoints.ts
+++ b/packages/proxy-core/src/service-leader/endpoints.ts
@@ -86,8 +86,8 @@
       load: utilization * (1 + endpoint.health.latencyEwmaMs / loadLatencyScaleMs),
     });
   }
-  const least = Math.min(...candidates.map(({ load }) => load));
+  const lowestLoad = Math.min(...candidates.map(({ load }) => load));
   return candidates
-    .filter(({ load }) => load <= least * loadTolerance)
+    .filter(({ load }) => load <= lowestLoad * loadTolerance)
     .sort((left, right) => left.endpoint.lastAttemptId - right.endpoint.lastAttemptId)[0]?.endpoint;
 };
