--- a/packages/proxy-core/src/forwarding/state.ts
+++ b/packages/proxy-core/src/forwarding/state.ts
@@ -5,7 +5,7 @@
 import type {
   Address,
   RequestId,
-  ClassName,
+  ServiceClassName,
   LeaseName,
   Epoch,
   Generation,
@@ -32,7 +32,7 @@
   readonly service: ServiceName;
   readonly generation: Generation;
   readonly route: RouteName;
-  readonly className: ClassName;
+  readonly className: ServiceClassName;
   readonly method: string;
   readonly host: string;
   readonly path: string;
--- a/packages/proxy-core/src/service-leader/admission.ts
+++ b/packages/proxy-core/src/service-leader/admission.ts
@@ -5,7 +5,7 @@
  */
 
 import {
-  type ClassName,
+  type ServiceClassName,
   type Timestamp,
   increment,
   prependEffects,
@@ -27,8 +27,8 @@
 const shareOfSlots = (share: number, capacity: number): number =>
   Math.floor(share * capacity + roundingTolerance);
 
-const attemptsByClass = (state: ServiceLeader): ReadonlyMap<ClassName, number> => {
-  const counts = new Map<ClassName, number>();
+const attemptsByClass = (state: ServiceLeader): ReadonlyMap<ServiceClassName, number> => {
+  const counts = new Map<ServiceClassName, number>();
   for (const attempt of state.attempts.values()) {
     const request = state.activeRequests.get(attempt.requestId);
     if (request !== undefined) increment(counts, request.className);
@@ -42,9 +42,9 @@
  */
 const reservedSlots = (
   state: ServiceLeader,
-  className: ClassName,
+  className: ServiceClassName,
   capacity: number,
-  usedSlots: ReadonlyMap<ClassName, number>,
+  usedSlots: ReadonlyMap<ServiceClassName, number>,
 ): number => {
   let sum = 0;
   for (const [otherName, other] of state.classes) {
@@ -63,7 +63,11 @@
  * Whether a class may start one more attempt, given the slots in use by all classes. A class below
  * its share needs only a free slot.
  */
-export const mayAdmit = (state: ServiceLeader, className: ClassName, now: Timestamp): boolean => {
+export const mayAdmit = (
+  state: ServiceLeader,
+  className: ServiceClassName,
+  now: Timestamp,
+): boolean => {
   const capacity = totalCapacity(state, now);
   const free = capacity - state.attempts.size;
   if (free <= 0) return false;
@@ -81,17 +85,17 @@
 export const canSend = (state: ServiceLeader): boolean => !state.isClosing && hasToken(state);
 
 /** Returns the weight of a class under the service's rate limit. */
-export const classShare = (state: ServiceLeader, className: ClassName): number =>
+export const classShare = (state: ServiceLeader, className: ServiceClassName): number =>
   Math.max(minClassShare, state.classes.get(className)?.share ?? 0);
 
-const rateUsageOf = (state: ServiceLeader, className: ClassName): number =>
+const rateUsageOf = (state: ServiceLeader, className: ServiceClassName): number =>
   state.rateUsage.get(className) ?? 0;
 
 /**
  * Returns the classes with queued requests in service order: under a rate limit, the lowest
  * weighted usage first.
  */
-const classTurnOrder = (state: ServiceLeader): readonly ClassName[] => {
+const classTurnOrder = (state: ServiceLeader): readonly ServiceClassName[] => {
   const names = [...state.queues.keys()];
   return state.serviceConfiguration.perSecond === undefined
     ? names
@@ -102,7 +106,7 @@
  * Raises the usage of a class that starts queuing to the lowest usage of the waiting classes, so
  * that idle time earns no credit.
  */
-const enterTurnOrder = (state: ServiceLeader, className: ClassName): ServiceLeader => {
+const enterTurnOrder = (state: ServiceLeader, className: ServiceClassName): ServiceLeader => {
   if (state.serviceConfiguration.perSecond === undefined || state.queues.has(className))
     return state;
   const others = [...state.queues.keys()].map((name) => rateUsageOf(state, name));
@@ -130,7 +134,7 @@
 /** Returns the queues with one class's queue replaced; an empty queue is removed. */
 export const withQueue = (
   queues: ServiceLeader['queues'],
-  className: ClassName,
+  className: ServiceClassName,
   queue: readonly PendingRequest[],
 ): ServiceLeader['queues'] =>
   queue.length === 0 ? withoutEntry(queues, className) : withEntry(queues, className, queue);
@@ -146,7 +150,7 @@
  */
 const nextAdmission = (
   state: ServiceLeader,
-  className: ClassName,
+  className: ServiceClassName,
   now: Timestamp,
 ): Admission | undefined => {
   if (!canSend(state) || !mayAdmit(state, className, now)) return undefined;
@@ -161,7 +165,7 @@
 /** Removes an admitted request from its queue, charges its class and starts the attempt. */
 const admit = (
   state: ServiceLeader,
-  className: ClassName,
+  className: ServiceClassName,
   { request, endpoint }: Admission,
   now: Timestamp,
 ): LeaderTransition => {
--- a/packages/proxy-core/src/service-leader/queue-wait.ts
+++ b/packages/proxy-core/src/service-leader/queue-wait.ts
@@ -3,7 +3,7 @@
  * rejects queued requests which can't be served before their deadline.
  */
 
-import { type ClassName, type Timestamp, transition } from '@switchwheel/types';
+import { type ServiceClassName, type Timestamp, transition } from '@switchwheel/types';
 import { classShare, withQueue } from './admission.js';
 import { mayReceiveTraffic } from './canary.js';
 import { totalCapacity } from './endpoints.js';
@@ -31,7 +31,7 @@
  */
 const queueWaitMs = (
   state: ServiceLeader,
-  className: ClassName,
+  className: ServiceClassName,
   ahead: number,
   capacity: number,
 ): number => {
@@ -47,7 +47,7 @@
 /** Returns the expected wait, in milliseconds, of a request of a class that arrives now. */
 export const estimatedWaitMs = (
   state: ServiceLeader,
-  className: ClassName,
+  className: ServiceClassName,
   now: Timestamp,
 ): number => {
   const ahead = state.queues.get(className)?.length ?? 0;
--- a/packages/proxy-core/src/service-leader/state.ts
+++ b/packages/proxy-core/src/service-leader/state.ts
@@ -4,7 +4,7 @@
 
 import type {
   RequestId,
-  ClassName,
+  ServiceClassName,
   Epoch,
   InstanceId,
   Timestamp,
@@ -70,7 +70,7 @@
 /** Request that is queued or has attempts in progress. */
 export interface PendingRequest {
   readonly id: RequestId;
-  readonly className: ClassName;
+  readonly className: ServiceClassName;
   readonly isIdempotent: boolean;
   readonly deadline: Timestamp;
   readonly attemptCount: number;
@@ -123,10 +123,10 @@
   readonly recentLeaderCount: number;
   readonly serviceConfiguration: Service;
   /** Classes whose routes point to this service. */
-  readonly classes: ReadonlyMap<ClassName, ServiceClass>;
+  readonly classes: ReadonlyMap<ServiceClassName, ServiceClass>;
   readonly endpoints: ReadonlyMap<InstanceId, Endpoint>;
   /** Queued requests by class, in order. */
-  readonly queues: ReadonlyMap<ClassName, readonly PendingRequest[]>;
+  readonly queues: ReadonlyMap<ServiceClassName, readonly PendingRequest[]>;
   /** Requests with an attempt in progress. */
   readonly activeRequests: ReadonlyMap<RequestId, PendingRequest>;
   readonly attempts: ReadonlyMap<number, Attempt>;
@@ -137,7 +137,7 @@
   readonly tokens: number;
   readonly refilledAt: Timestamp;
   /** Usage of the rate limit by each waiting class, divided by its share. */
-  readonly rateUsage: ReadonlyMap<ClassName, number>;
+  readonly rateUsage: ReadonlyMap<ServiceClassName, number>;
   readonly recentRequests: SlidingWindow;
   readonly recentExtraAttempts: SlidingWindow;
   /** Requests since this leader started; the basis of the canaries' traffic shares. */
@@ -154,7 +154,7 @@
   service: ServiceName,
   epoch: Epoch,
   serviceConfiguration: Service,
-  classes: ReadonlyMap<ClassName, ServiceClass>,
+  classes: ReadonlyMap<ServiceClassName, ServiceClass>,
   now: Timestamp,
   recentLeaderCount = 1,
 ): ServiceLeader => ({
@@ -187,7 +187,7 @@
       readonly kind: 'requestArrived';
       readonly now: Timestamp;
       readonly id: RequestId;
-      readonly className: ClassName;
+      readonly className: ServiceClassName;
       readonly isIdempotent: boolean;
       readonly mayHaveRun: boolean;
       readonly hasEarlierAttempt: boolean;
@@ -215,7 +215,7 @@
       readonly kind: 'configurationChanged';
       readonly now: Timestamp;
       readonly serviceConfiguration: Service;
-      readonly classes: ReadonlyMap<ClassName, ServiceClass>;
+      readonly classes: ReadonlyMap<ServiceClassName, ServiceClass>;
     }
   | {
       readonly kind: 'canaryResultsUpdated';
