--- a/packages/proxy-core/src/forwarding/forwarding.ts
+++ b/packages/proxy-core/src/forwarding/forwarding.ts
@@ -33,12 +33,12 @@
 /** Time that a request waits for a leader; well above the duration of a change of leader. */
 const leaderlessGraceMs = 2000;
 /** Suggested retry delay for clients of requests that are rejected here. */
-const retryAfterMs = 1000;
+const rejectionRetryAfterMs = 1000;
 
 const noLeaderFailure: ForwardFailure = {
   errorKind: 'rejected',
   text: 'no keeper for a while',
-  retryAfterMs,
+  retryAfterMs: rejectionRetryAfterMs,
 };
 
 const hasCapacity = (state: Forwarding, { className }: NewForward): boolean => {
@@ -77,7 +77,7 @@
       rejectNew(accepted, {
         errorKind: 'rejected',
         text: 'too many requests are under way',
-        retryAfterMs,
+        retryAfterMs: rejectionRetryAfterMs,
       }),
     );
   return forwardToLeader(state, request, 0, now);
@@ -105,7 +105,7 @@
     failRequest(request, {
       errorKind: isWaiting ? 'rejected' : 'unknown',
       text: event.text,
-      retryAfterMs: isWaiting ? retryAfterMs : 0,
+      retryAfterMs: isWaiting ? rejectionRetryAfterMs : 0,
     }),
   );
 };
@@ -120,7 +120,7 @@
       failRequest(request, {
         errorKind: 'rejected',
         text: 'this node is out of touch',
-        retryAfterMs,
+        retryAfterMs: rejectionRetryAfterMs,
       }),
     ),
   );
@@ -133,7 +133,7 @@
         text: 'no result in time',
         retryAfterMs: 0,
       }
-    : { errorKind: 'rejected', text: 'no keeper in time', retryAfterMs };
+    : { errorKind: 'rejected', text: 'no keeper in time', retryAfterMs: rejectionRetryAfterMs };
 
 const tickRequest = (
   state: Forwarding,
--- a/packages/proxy-core/src/request-handler/edge-request-handler.ts
+++ b/packages/proxy-core/src/request-handler/edge-request-handler.ts
@@ -48,7 +48,7 @@
  */
 const purgeCheckThresholdMs = 1800;
 /** Suggested retry delay for requests rejected for lack of capacity or time. */
-const retryAfterMs = 1000;
+const rejectionRetryAfterMs = 1000;
 
 /** State of a request in the filter chain. */
 interface FilterContext {
@@ -224,7 +224,7 @@
       else if (this.#context.now() >= context.deadline)
         this.#reply(
           context,
-          failureReply('rejected', 'what it waited for came too late', retryAfterMs),
+          failureReply('rejected', 'what it waited for came too late', rejectionRetryAfterMs),
         );
       else next(context);
     });
@@ -232,7 +232,7 @@
     else if (joinResult === 'full')
       this.#reply(
         context,
-        failureReply('rejected', 'too many wait for results under way', retryAfterMs),
+        failureReply('rejected', 'too many wait for results under way', rejectionRetryAfterMs),
       );
     else next({ ...context, finishFetch: this.#coalescing.startFetch(cacheable.coalescingKey) });
   }
--- a/packages/proxy-core/src/request-handler/origin-attempts.ts
+++ b/packages/proxy-core/src/request-handler/origin-attempts.ts
@@ -90,7 +90,10 @@
   readonly findAdmitted: (id: RequestId) => AdmittedRequest | undefined;
   /** Increments a counter of the metrics. */
   readonly count: (name: string) => void;
-  /** Called for each attempt that ends without a complete and verified response. */
+  /**
+   * Called for each attempt with the outcome `lost`: its response was incomplete or failed
+   * verification.
+   */
   readonly onUntrusted: (instance: string, reason: string) => void;
 }
 
--- a/packages/proxy-core/src/request-handler/shield-request-handler.ts
+++ b/packages/proxy-core/src/request-handler/shield-request-handler.ts
@@ -21,7 +21,7 @@
 type LeaderEffect = Extract<ProxyEffect, { leader: string }>;
 
 /** Suggested retry delay for requests rejected for lack of capacity. */
-const retryAfterMs = 1000;
+const rejectionRetryAfterMs = 1000;
 
 /** Handles forwarded requests at a shield. */
 export class ShieldRequestHandler {
@@ -129,7 +129,7 @@
       this.inbound.reject(id, {
         errorKind: 'rejected',
         text: 'too many wait for results under way',
-        retryAfter: retryAfterMs,
+        retryAfter: rejectionRetryAfterMs,
         moved: false,
       });
     else this.#admit(inbound, cacheable, this.#coalescing.startFetch(cacheable.coalescingKey));
--- a/packages/proxy-core/src/service-leader/service-leader.test.ts
+++ b/packages/proxy-core/src/service-leader/service-leader.test.ts
@@ -50,19 +50,19 @@
       services: [{ name: 'shop' }, { name: 'other' }],
       routes,
     }),
-  ).unwrapOrElse((faults) => {
-    throw new Error(JSON.stringify(faults));
+  ).unwrapOrElse((issues) => {
+    throw new Error(JSON.stringify(issues));
   });
-  const table = runToCompletion(
+  const configuration = runToCompletion(
     buildConfiguration(
       bundle.chunkHashes.map((hash) => bundle.chunks.get(hash) ?? ''),
       noGeneration,
       bundle.hash,
     ),
-  ).unwrapOrElse((faults) => {
-    throw new Error(JSON.stringify(faults));
+  ).unwrapOrElse((issues) => {
+    throw new Error(JSON.stringify(issues));
   });
-  return table.classesByService.get(service) ?? new Map();
+  return configuration.classesByService.get(service) ?? new Map();
 };
 
 /** Leader of one service with one endpoint. */
@@ -71,12 +71,12 @@
   readonly effects: ServiceLeaderEffect[] = [];
   now = toTimestamp(10_000);
 
-  constructor(classesOfService: ServiceLeader['classes'], slots: number) {
+  constructor(serviceClasses: ServiceLeader['classes'], slots: number) {
     this.state = newServiceLeader(
       service,
       toEpoch(1),
       { name: service, waitlist: 500, probe: { path: '/health', everyMs: 500 } },
-      classesOfService,
+      serviceClasses,
       toTimestamp(0),
     );
     const origin = {
@@ -114,8 +114,9 @@
     });
   }
 
-  arriveMany(count: number, className: ServiceClassName, first = 0): void {
-    for (let index = first; index < first + count; index += 1) this.arrive(`a${index}`, className);
+  arriveMany(count: number, className: ServiceClassName, firstIndex = 0): void {
+    for (let index = firstIndex; index < firstIndex + count; index += 1)
+      this.arrive(`a${index}`, className);
   }
 
   advance(durationMs: number): void {
--- a/packages/proxy-core/src/service-leader/state.ts
+++ b/packages/proxy-core/src/service-leader/state.ts
@@ -117,8 +117,8 @@
   readonly epoch: Epoch;
   readonly startedAt: Timestamp;
   /**
-   * Maximum number of leaders that the service may have had in the last ten seconds, this one
-   * included.
+   * Maximum number of leaders that the service may have had in the ten seconds before this one
+   * started, itself included.
    */
   readonly recentLeaderCount: number;
   readonly serviceConfiguration: Service;
