--- a/packages/store/src/data-folder.ts
+++ b/packages/store/src/data-folder.ts
@@ -1,25 +1,26 @@
-/**
- * Opening a store's data folder, at once or as soon as its disk allows. What is in it is read by disk-rows.ts.
- */
+/** Opens a store's data folder. Its contents are parsed by `disk-rows.ts`. */
 
 import { Disk, type Logger, delay } from '@switchwheel/runtime';
 
-/** How often a data folder that can't be opened is tried again. */
-const openRetryMs = 500;
+const openRetryIntervalMs = 500;
 
-/** Opens the data folder; throws with the reason if it can't be used. */
-export const openData = (folder: string): Disk => new Disk(folder);
+/** Opens the data folder; throws an error with the reason if it can't be opened. */
+export const openDataFolder = (folder: string): Disk => new Disk(folder);
 
-/** Opens the data folder, and retries while its disk can't be used: the rest of the process serves meanwhile. */
-export const openDataWithRetry = async (folder: string, log: Logger): Promise<Disk> => {
+/** Opens the data folder, retrying until it succeeds, so that the rest of the process can serve in the meantime. */
+export const openDataFolderWithRetry = async (folder: string, log: Logger): Promise<Disk> => {
   for (let attempts = 0; ; attempts += 1) {
     try {
-      return openData(folder);
+      return openDataFolder(folder);
     } catch (error) {
-      const why = error instanceof Error ? error.message : 'unknown';
+      const reason = error instanceof Error ? error.message : 'unknown';
       if (attempts === 0)
-        log.write('error', 'the data folder cannot be opened', new Map([['why', why]]));
-      await delay(openRetryMs);
+        log.write(
+          'error',
+          'the data folder cannot be opened; retrying',
+          new Map([['why', reason]]),
+        );
+      await delay(openRetryIntervalMs);
     }
   }
 };
--- a/packages/store/src/disk-rows.ts
+++ b/packages/store/src/disk-rows.ts
@@ -1,12 +1,12 @@
 /**
- * The rows of a store's data folder: one header row with the cluster metadata and the stamp of the last write, and one
- * row for each entry of the table. The form is that of every folder in use and must stay readable.
+ * Row format of a store's data folder: one header row with the cluster metadata and the log position of the last write,
+ * and one row per entry of the table. Existing folders have this format, so it must stay readable.
  */
 
 import * as v from 'valibot';
 import {
   clusterMetadata as metadataSchema,
-  logPosition as stampSchema,
+  logPosition as logPositionSchema,
 } from '@switchwheel/transport';
 import type { Disk, StoredRow } from '@switchwheel/runtime';
 import type { DiskWrite, DiskContents, KeyedEntry } from '@switchwheel/replicated-store';
@@ -15,7 +15,7 @@
 const headerSchema = v.object({
   format: v.literal(1),
   metadata: metadataSchema,
-  stamp: stampSchema,
+  stamp: logPositionSchema,
 });
 
 const entryRow = (entry: KeyedEntry): StoredRow => ({
@@ -23,9 +23,9 @@
   text: `${entry.stamp.epoch} ${entry.stamp.seq} ${entry.data}`,
 });
 
-const readRow = (row: StoredRow): KeyedEntry | undefined => {
+const parseEntryRow = (row: StoredRow): KeyedEntry | undefined => {
   const [epoch, seq] = row.text.split(' ', 2);
-  const read = v.safeParse(stampSchema, { epoch: Number(epoch), seq: Number(seq) });
+  const read = v.safeParse(logPositionSchema, { epoch: Number(epoch), seq: Number(seq) });
   if (!row.key.startsWith('=') || !read.success) return undefined;
   return {
     key: row.key.slice(1),
@@ -34,34 +34,35 @@
   };
 };
 
-/** What a data folder holds: nothing, a complete state, or something that can't be trusted. */
-export const readDisk = (disk: Disk): DiskContents => {
+/** Reads a data folder: empty, complete, or damaged if any row is missing or malformed. */
+export const readDiskContents = (disk: Disk): DiskContents => {
   if (disk.quarantineReason !== undefined)
     return { status: 'damaged', reason: disk.quarantineReason };
   const read = disk.read();
   if (read.isErr) return { status: 'damaged', reason: read.error };
   if (read.value.length === 0) return { status: 'empty' };
   const headerRow = read.value.find((row) => row.key === headerKey);
-  if (headerRow === undefined) return { status: 'damaged', reason: 'the head is missing' };
+  if (headerRow === undefined)
+    return { status: 'damaged', reason: 'the header row !head is missing' };
   let header: v.InferOutput<typeof headerSchema>;
   try {
     header = v.parse(headerSchema, JSON.parse(headerRow.text));
   } catch {
-    return { status: 'damaged', reason: 'the head can not be read' };
+    return { status: 'damaged', reason: 'the header row !head is malformed' };
   }
   const entries: KeyedEntry[] = [];
   for (const row of read.value) {
     if (row.key === headerKey) continue;
-    const entry = readRow(row);
+    const entry = parseEntryRow(row);
     if (entry === undefined)
-      return { status: 'damaged', reason: `the entry ${row.key} can not be read` };
+      return { status: 'damaged', reason: `the entry row ${row.key} is malformed` };
     entries.push(entry);
   }
   return { status: 'complete', metadata: header.metadata, logPosition: header.stamp, entries };
 };
 
-/** The rows of one write; the header goes with the entries, so both are durable or neither. */
-export const rowsOf = (write: DiskWrite): Parameters<Disk['write']>[0] => ({
+/** Changes of rows for one write; the header is in the same transaction as the entries, so both are durable or neither. */
+export const rowChangesFor = (write: DiskWrite): Parameters<Disk['write']>[0] => ({
   clearFirst: write.wipesFirst,
   deletes: write.deletedKeys.map((key) => `=${key}`),
   puts: [
--- a/packages/store/src/head-row.test.ts
+++ b/packages/store/src/head-row.test.ts
@@ -1,12 +1,12 @@
-/** Holds the form of the head row, which says to which fleet and epoch the other rows of a disk belong. */
+/** Guards the format of the header row: with another format, existing data folders could not be read. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { type Disk, type StoredRow } from '@switchwheel/runtime';
-import { rowsOf, readDisk } from './disk-rows.js';
+import { rowChangesFor, readDiskContents } from './disk-rows.js';
 import { withDisk, withTemporaryFolder } from './testing/stored-fixture.js';
 
-const headKey = '!head';
+const headerKey = '!head';
 const metadata = {
   fleet: 'fixture.1',
   epoch: 6,
@@ -14,78 +14,81 @@
   stores: [{ node: 'store-1', address: '127.0.0.1:7010' }],
   electorate: { serial: 3, members: [{ node: 'registry-1', address: '127.0.0.1:7000' }] },
 };
-const stamp = { epoch: 6, seq: 93 };
-const head = { format: 1, metadata, stamp };
+const logPosition = { epoch: 6, seq: 93 };
+const header = { format: 1, metadata, stamp: logPosition };
 const entry: StoredRow = {
   key: '=number/0000000000000002',
   text: '5 40 {"hash":"of a configuration"}',
 };
 
-const writeRows = async (disk: Disk, sets: readonly StoredRow[]): Promise<void> => {
-  const written = await disk.write({ puts: sets, deletes: [], clearFirst: true });
-  assert.ok(written.isOk);
+const writeRows = async (disk: Disk, rows: readonly StoredRow[]): Promise<void> => {
+  const result = await disk.write({ puts: rows, deletes: [], clearFirst: true });
+  assert.ok(result.isOk);
 };
 
-/** What a disk with a head and one entry is found to hold. */
-const foundWith = async (disk: Disk, headRow: object): Promise<ReturnType<typeof readDisk>> => {
-  await writeRows(disk, [{ key: headKey, text: JSON.stringify(headRow) }, entry]);
-  return readDisk(disk);
+/** Writes a header and one entry, and reads the disk. */
+const readWithHeader = async (
+  disk: Disk,
+  headerRow: object,
+): Promise<ReturnType<typeof readDiskContents>> => {
+  await writeRows(disk, [{ key: headerKey, text: JSON.stringify(headerRow) }, entry]);
+  return readDiskContents(disk);
 };
 
-const incompleteHeads: ReadonlyMap<string, object> = new Map<string, object>([
-  ['no format', { metadata, stamp }],
-  ['another format', { ...head, format: 2 }],
-  ['no metadata', { format: 1, stamp }],
-  ['no stamp', { format: 1, metadata }],
-  ['a stamp without its epoch', { ...head, stamp: { seq: 93 } }],
-  ['a stamp without its number', { ...head, stamp: { epoch: 6 } }],
+const incompleteHeaders: ReadonlyMap<string, object> = new Map<string, object>([
+  ['no format', { metadata, stamp: logPosition }],
+  ['another format', { ...header, format: 2 }],
+  ['no metadata', { format: 1, stamp: logPosition }],
+  ['no log position', { format: 1, metadata }],
+  ['a log position without its epoch', { ...header, stamp: { seq: 93 } }],
+  ['a log position without its sequence', { ...header, stamp: { epoch: 6 } }],
   ...Object.keys(metadata).map((name): [string, object] => [
     `metadata without ${name}`,
     {
-      ...head,
+      ...header,
       metadata: Object.fromEntries(Object.entries(metadata).filter(([key]) => key !== name)),
     },
   ]),
 ]);
 
-void test('a head and an entry are found as they were written, and written again alike', () =>
+void test('a header and an entry are read as written, and are written in the same format', () =>
   withTemporaryFolder((folder) =>
     withDisk(folder, async (disk) => {
-      const found = await foundWith(disk, head);
-      assert.ok(found.status === 'complete');
-      assert.deepEqual(found.metadata, metadata);
-      assert.deepEqual(found.logPosition, stamp);
-      assert.deepEqual(found.entries, [
+      const contents = await readWithHeader(disk, header);
+      assert.ok(contents.status === 'complete');
+      assert.deepEqual(contents.metadata, metadata);
+      assert.deepEqual(contents.logPosition, logPosition);
+      assert.deepEqual(contents.entries, [
         {
           key: 'number/0000000000000002',
           stamp: { epoch: 5, seq: 40 },
           data: '{"hash":"of a configuration"}',
         },
       ]);
-      const change = rowsOf({
+      const changes = rowChangesFor({
         id: 1,
-        metadata: found.metadata,
-        logPosition: found.logPosition,
-        entries: found.entries,
+        metadata: contents.metadata,
+        logPosition: contents.logPosition,
+        entries: contents.entries,
         deletedKeys: ['number/0000000000000001'],
         wipesFirst: false,
       });
-      assert.deepEqual(change, {
+      assert.deepEqual(changes, {
         clearFirst: false,
         deletes: ['=number/0000000000000001'],
-        puts: [entry, { key: headKey, text: JSON.stringify(head) }],
+        puts: [entry, { key: headerKey, text: JSON.stringify(header) }],
       });
     }),
   ));
 
-void test('a head that lacks a part, or is of another format, makes the disk damaged', () =>
+void test('a disk whose header lacks a member or has another format is reported as damaged', () =>
   withTemporaryFolder((folder) =>
     withDisk(folder, async (disk) => {
-      for (const [what, incomplete] of incompleteHeads)
+      for (const [description, incomplete] of incompleteHeaders)
         assert.deepEqual(
-          await foundWith(disk, incomplete),
-          { status: 'damaged', reason: 'the head can not be read' },
-          what,
+          await readWithHeader(disk, incomplete),
+          { status: 'damaged', reason: 'the header row !head is malformed' },
+          description,
         );
     }),
   ));
--- a/packages/store/src/index.ts
+++ b/packages/store/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * The store as a program and as a part of another program: settings, the data folder, and starting and stopping.
- * The state machine itself is the replicated-store package's.
+ * The store, as a program and for embedding in another program: settings, data folder, start and stop. Its state
+ * machine is in the replicated-store package.
  */
 
 export { program, settingsSchema } from './settings.js';
--- a/packages/store/src/main.ts
+++ b/packages/store/src/main.ts
@@ -1,4 +1,4 @@
-/** The program `store`: reads its settings, opens its data folder, and runs a store until a signal. */
+/** The `store` program: reads its settings, opens its data folder, and runs a store until a shutdown signal. */
 
 import {
   type Disk,
@@ -6,7 +6,7 @@
   createLogger,
   handleShutdownSignals,
 } from '@switchwheel/runtime';
-import { openData } from './data-folder.js';
+import { openDataFolder } from './data-folder.js';
 import { program, settingsSchema } from './settings.js';
 import { startStore } from './start-store.js';
 
@@ -15,10 +15,10 @@
 
 let disk: Disk;
 try {
-  disk = openData(settings.data);
+  disk = openDataFolder(settings.data);
 } catch (error) {
   process.stderr.write(
-    `${program.name}: data: the folder can't be used: ${error instanceof Error ? error.message : 'unknown'}\n`,
+    `${program.name}: data: can't open the data folder: ${error instanceof Error ? error.message : 'unknown'}\n`,
   );
   process.exit(2);
 }
--- a/packages/store/src/run-forms.test.ts
+++ b/packages/store/src/run-forms.test.ts
@@ -1,4 +1,4 @@
-/** Holds the administration paths and the metrics of a running store. */
+/** Guards the responses of a store's admin HTTP paths and the names of its metrics. */
 
 import { mkdtempSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -13,12 +13,12 @@
   responseText,
   snapshotsFor,
 } from '@switchwheel/types/testing';
-import { openData } from './data-folder.js';
+import { openDataFolder } from './data-folder.js';
 import { startStore } from './start-store.js';
 
 const matchSnapshot = snapshotsFor(import.meta.dirname);
 
-void test('a store keeps its administration paths and its metrics, alone and beside a registry', async () => {
+void test('a running store serves its admin paths and metrics, unlabelled and labelled, in the recorded form', async () => {
   const folder = mkdtempSync(join(tmpdir(), 'store-'));
   const admin = await freeAddress();
   const store = await startStore(
@@ -32,13 +32,13 @@
       graceMs: 0,
     },
     { write: () => undefined },
-    openData(folder),
+    openDataFolder(folder),
   );
   try {
     const texts: string[] = [];
     for (const path of ['/live', '/ready', '/state']) {
-      const asked = { method: 'GET', path };
-      texts.push(responseText(asked, await httpExchange(portOf(admin), asked)));
+      const request = { method: 'GET', path };
+      texts.push(responseText(request, await httpExchange(portOf(admin), request)));
     }
     matchSnapshot('admin-responses', texts.join('\n'));
     const metrics = await httpExchange(portOf(admin), { method: 'GET', path: '/metrics' });
--- a/packages/store/src/settings-forms.test.ts
+++ b/packages/store/src/settings-forms.test.ts
@@ -1,4 +1,4 @@
-/** Holds the store's settings, its help, and its exit codes for wrong use. */
+/** Guards the store's settings, its help text, and its exit code for invalid settings. */
 
 import { join } from 'node:path';
 import { test } from 'node:test';
@@ -8,13 +8,15 @@
 const matchSnapshot = snapshotsFor(import.meta.dirname);
 const script = join(import.meta.dirname, '..', 'bin', 'store.js');
 
-void test('the settings of the store keep their names, types and checks', () => {
-  const flags = program.settings.map((one) => `--${one.name} ${one.type}: ${one.help}`);
+void test('the settings of the store have the recorded names, types and checks', () => {
+  const flags = program.settings.map(
+    (setting) => `--${setting.name} ${setting.type}: ${setting.help}`,
+  );
   matchSnapshot('settings', `${flags.join('\n')}\n\n${schemaLines(settingsSchema, 'settings')}`);
 });
 
-void test('the help of the store and its exit codes for wrong use stay', async () => {
-  const place = [
+void test('the store prints the recorded help, and exits with code 2 for invalid settings', async () => {
+  const commonFlags = [
     '--node',
     's1',
     '--area',
@@ -28,7 +30,9 @@
     'command-line',
     await runCommands(script, 'store', [
       { args: ['--help'] },
-      { args: [...place, '--admin', 'here', '--copies', '0', '--electorate', 'other', 'word'] },
+      {
+        args: [...commonFlags, '--admin', 'here', '--copies', '0', '--electorate', 'other', 'word'],
+      },
     ]),
   );
 });
--- a/packages/store/src/settings.ts
+++ b/packages/store/src/settings.ts
@@ -1,4 +1,4 @@
-/** The settings of the program `store`, their checks, and its help. Their names are part of the operators' interface. */
+/** Settings of the `store` program and its help text. The names of the settings are a public interface. */
 
 import * as v from 'valibot';
 import { address } from '@switchwheel/types';
@@ -8,21 +8,30 @@
   commonSettingDefinitions,
 } from '@switchwheel/runtime';
 
-/** The program as its help shows it. */
+/** Name and settings of the program, for its help text. */
 export const program: ProgramDefinition = {
   name: 'store',
-  description: 'The store of configuration of switchwheel: one on every core machine with a disk.',
+  description:
+    'A switchwheel store, which keeps a replica of the configuration. One runs on each core machine with a disk.',
   settings: [
     ...commonSettingDefinitions,
-    { name: 'data', type: 'text', help: 'the one folder that all files live under' },
-    { name: 'admin', type: 'text', help: 'IP:port for /live, /ready and /metrics' },
-    { name: 'copies', type: 'number', help: 'stores that must have each write (2)' },
-    { name: 'tolerate', type: 'number', help: 'machines with a disk that may be lost at once (1)' },
-    { name: 'electorate', type: 'text', help: 'fixed, or follows the registries (fixed)' },
+    { name: 'data', type: 'text', help: 'the folder for all files of the store' },
+    {
+      name: 'admin',
+      type: 'text',
+      help: 'IP:port of the HTTP listener for /live, /ready and /metrics',
+    },
+    { name: 'copies', type: 'number', help: 'number of stores that keep each write (2)' },
+    { name: 'tolerate', type: 'number', help: 'number of stores that may be lost at once (1)' },
+    {
+      name: 'electorate',
+      type: 'text',
+      help: 'the set of voters: fixed, or follows the registries (fixed)',
+    },
   ],
 };
 
-/** The checks of the settings; each message is shown behind the setting's name. */
+/** Schema of the settings; each message is printed after the setting's name. */
 export const settingsSchema = v.strictObject({
   ...commonSettingsSchema,
   data: v.pipe(v.string('a folder'), v.minLength(1, 'a folder')),
--- a/packages/store/src/start-store.ts
+++ b/packages/store/src/start-store.ts
@@ -1,6 +1,6 @@
 /**
  * Composition root of a store: wires the state machine of the replicated-store package to channels, the disk and the
- * administration server, and stops them in order. It decides nothing itself.
+ * admin HTTP server, and stops them in order.
  */
 
 import type { Address, NodeId, ZoneName } from '@switchwheel/types';
@@ -31,37 +31,40 @@
   newStoreState,
   storeTransition,
 } from '@switchwheel/replicated-store';
-import { readDisk } from './disk-rows.js';
+import { readDiskContents } from './disk-rows.js';
 import { type StoreOnlyEffect, runStoreEffect } from './store-effects.js';
 import { isStoreReady, storeMetrics } from './store-metrics.js';
 
-/** What a store needs to know of its place. */
+/** Identity, addresses and limits of a store. */
 export interface StoreSettings {
   readonly node: NodeId;
   readonly zone: ZoneName;
+  /** Address at which other processes of the cluster connect. */
   readonly listen: Address;
+  /** Registries to contact first. */
   readonly seeds: readonly Address[];
+  /** Path of the data folder, for the log. */
   readonly data: string;
+  /** Address of the admin HTTP server; none is started if undefined. */
   readonly admin?: Address;
-  /** How many replicas are kept, and how many may be lost at once. */
+  /** Number of replicas, and number of them that may be lost at once. */
   readonly replication?: ReplicationSettings;
-  /** How often the state machine gets a tick, in milliseconds. */
-  readonly tickMs?: number;
-  /** How long a stop may wait until lease and replica are with other stores, in milliseconds. */
+  /** Interval between ticks of the state machine; the event loop's default if undefined. */
+  readonly tickIntervalMs?: number;
+  /** Maximum time that a stop waits for the handover of the lease and of the replica to other stores. */
   readonly graceMs?: number;
-  /** Whether a fleet may be bootstrapped on this store. */
+  /** Whether a cluster may be bootstrapped on this store; true by default. */
   readonly mayBootstrap?: boolean;
 }
 
-/** A store that runs in this process. */
+/** A store running in this process. */
 export interface RunningStore extends RunningProgram {
-  /** Its metrics as scrapers take them, for a program that shows them beside its own. */
+  /** Renders the store's metrics in Prometheus' text format, labelled `program="store"`, for an embedding program. */
   readonly metrics: () => string;
 }
 
-/** How long the last frames have to leave before the channels close. */
-const lastFramesMs = 100;
-/** How long a stop waits for the disk to close. */
+/** Time for the last frames to be sent before the channels close. */
+const flushDelayMs = 100;
 const diskCloseTimeoutMs = 1000;
 
 const memberOf = (settings: StoreSettings): Member => ({
@@ -77,11 +80,11 @@
 
 interface RunningStateMachine {
   readonly loop: EventLoop<StoreState, StoreEvent>;
-  /** Settled once the state machine has nothing left to do before the process ends. */
+  /** Resolves once the state machine has finished its stop. */
   readonly stopCompleted: Promise<void>;
 }
 
-const runStateMachine = (
+const startStateMachine = (
   settings: StoreSettings,
   member: Member,
   channels: ChannelPool,
@@ -107,12 +110,12 @@
       runStoreEffect({ disk, dispatch: loop.dispatch, onStopCompleted }, effect);
     },
     isEventLoopEffect,
-    settings.tickMs,
+    settings.tickIntervalMs,
   );
   return { loop, stopCompleted };
 };
 
-/** Starts a store on an open data folder; resolves once it listens and has read its disk. */
+/** Starts a store on an open data folder; resolves once it listens and has read the folder. */
 export const startStore = async (
   settings: StoreSettings,
   log: Logger,
@@ -121,13 +124,13 @@
   const member = memberOf(settings);
   const { node, address, incarnation } = member;
   const channels = new ChannelPool({ node, address, incarnation });
-  const { loop, stopCompleted } = runStateMachine(settings, member, channels, log, disk);
+  const { loop, stopCompleted } = startStateMachine(settings, member, channels, log, disk);
 
-  let worstLoopLagMs = 0;
+  let maxLoopLagMs = 0;
   const metrics = (): readonly MetricSample[] => {
-    worstLoopLagMs = Math.max(worstLoopLagMs, loop.takeMaxLagMs());
+    maxLoopLagMs = Math.max(maxLoopLagMs, loop.takeMaxLagMs());
     const { protocolErrorCount } = channels;
-    return storeMetrics(loop.stateMachine.state(), now(), { worstLoopLagMs, protocolErrorCount });
+    return storeMetrics(loop.stateMachine.state(), now(), { maxLoopLagMs, protocolErrorCount });
   };
   const isReady = (): boolean => isStoreReady(loop.stateMachine.state(), now());
   const admin =
@@ -135,7 +138,7 @@
       ? undefined
       : await startHttpServer(createAdminApp(isReady, metrics), settings.admin);
   await channels.listen();
-  const contents = readDisk(disk);
+  const contents = readDiskContents(disk);
   loop.dispatch((at) => ({ kind: 'diskRead', now: at, contents }));
   log.write(
     'info',
@@ -156,7 +159,7 @@
         ...(graceMs === undefined ? {} : { graceMs }),
       }));
       await stopCompleted;
-      await delay(lastFramesMs);
+      await delay(flushDelayMs);
       loop.stop();
       admin?.stopAccepting();
       channels.close();
--- a/packages/store/src/store-effects.ts
+++ b/packages/store/src/store-effects.ts
@@ -1,6 +1,6 @@
 /**
- * What a store's state machine asks of its process beyond frames and log lines: writes to the disk, compiling a
- * configuration, and the end of a stop. Each outcome comes back as an event.
+ * Runs the effects of a store's state machine other than frames and log lines: disk writes, compilation of a
+ * configuration, and completion of a stop. The outcome of each write and compilation is dispatched as an event.
  */
 
 import { type Hash, type Timestamp, toGeneration } from '@switchwheel/types';
@@ -8,17 +8,17 @@
 import { type Disk, runTimeSliced } from '@switchwheel/runtime';
 import { buildConfiguration } from '@switchwheel/configuration';
 import type { DiskWrite, StoreEffect, StoreEvent } from '@switchwheel/replicated-store';
-import { rowsOf } from './disk-rows.js';
+import { rowChangesFor } from './disk-rows.js';
 
-/** The effects that the event loop doesn't run itself. */
+/** Effects that the event loop doesn't run itself. */
 export type StoreOnlyEffect = Exclude<StoreEffect, ProcessEffect>;
 
-/** What the effects of a store need. */
+/** Dependencies of a store's effects. */
 export interface StoreEffectContext {
   readonly disk: Disk;
-  /** Hands the outcome of an effect to the state machine, with the time at which it is handled. */
+  /** Passes an event to the state machine; `eventAt` gets the time at which the event is handled. */
   readonly dispatch: (eventAt: (now: Timestamp) => StoreEvent) => void;
-  /** Called once the state machine has nothing left to do before the process ends. */
+  /** Called once the state machine has finished its stop. */
   readonly onStopCompleted: () => void;
 }
 
@@ -26,7 +26,7 @@
   { disk, dispatch }: StoreEffectContext,
   write: DiskWrite,
 ): Promise<void> => {
-  const result = await disk.write(rowsOf(write));
+  const result = await disk.write(rowChangesFor(write));
   dispatch((now) =>
     result.isOk
       ? { kind: 'writeSynced', now, writeId: write.id }
@@ -40,7 +40,7 @@
   );
 };
 
-/** Compiles with the nodes' own code, in slices, so that heartbeats and leases are not held up. */
+/** Compiles as the nodes do, in time slices, so that heartbeats and lease renewals are not delayed. */
 const compileConfiguration = async (
   { dispatch }: StoreEffectContext,
   hash: Hash,
@@ -55,7 +55,7 @@
   }));
 };
 
-/** Runs one effect; the outcome is dispatched later. */
+/** Starts one effect; its outcome is dispatched later. */
 export const runStoreEffect = (context: StoreEffectContext, effect: StoreOnlyEffect): void => {
   switch (effect.kind) {
     case 'writeToDisk':
--- a/packages/store/src/stored-data.test.ts
+++ b/packages/store/src/stored-data.test.ts
@@ -1,4 +1,4 @@
-/** Data folders that the sources of 0ee98b4 wrote stay readable: by the disk, by the store's rows, and by its machine. */
+/** Guards compatibility: a store must load data folders that version 0ee98b4 wrote, and keep their format. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -18,8 +18,8 @@
   newStoreState,
   storeTransition,
 } from '@switchwheel/replicated-store';
-import { rowsOf, readDisk } from './disk-rows.js';
-import { openData } from './data-folder.js';
+import { rowChangesFor, readDiskContents } from './disk-rows.js';
+import { openDataFolder } from './data-folder.js';
 import { startStore } from './start-store.js';
 import { loadedFacts } from './testing/loaded-state.js';
 import {
@@ -30,7 +30,7 @@
   withDisk,
 } from './testing/stored-fixture.js';
 
-type WholeRecord = Extract<DiskContents, { readonly status: 'complete' }>;
+type CompleteContents = Extract<DiskContents, { readonly status: 'complete' }>;
 
 const anyPort: Address = toAddress('127.0.0.1:0');
 
@@ -40,13 +40,13 @@
   return Object.fromEntries(read.value.map(({ key, text }) => [key, text]));
 };
 
-const recordOn = (disk: Disk): WholeRecord => {
-  const found = readDisk(disk);
-  assert.ok(found.status === 'complete', JSON.stringify(found));
-  return found;
+const completeContentsOn = (disk: Disk): CompleteContents => {
+  const contents = readDiskContents(disk);
+  assert.ok(contents.status === 'complete', JSON.stringify(contents));
+  return contents;
 };
 
-/** A store that has just started and knows nothing. */
+/** State of a store before it has read its disk. */
 const startedStore = (): StoreState =>
   newStoreState(
     {
@@ -61,7 +61,7 @@
   );
 
 for (const name of fixtureStores) {
-  void test(`every row in the data folder of the ${name} is read as it was`, () =>
+  void test(`every row in the data folder of the ${name} is read as recorded`, () =>
     withDataFolder(name, (folder) =>
       withDisk(folder, (disk) => {
         assert.equal(disk.quarantineReason, undefined);
@@ -69,14 +69,14 @@
       }),
     ));
 
-  void test(`the store's machine loads the data folder of the ${name} without a fault`, () =>
+  void test(`the store's state machine loads the data folder of the ${name} without damage`, () =>
     withDataFolder(name, (folder) =>
       withDisk(folder, (disk) => {
-        const found = readDisk(disk);
+        const contents = readDiskContents(disk);
         const loaded = storeTransition(startedStore(), {
           kind: 'diskRead',
           now: toTimestamp(1),
-          contents: found,
+          contents,
         });
         assert.equal(loaded.state.phase, 'member');
         assert.equal(loaded.state.diskDamage, '');
@@ -85,14 +85,14 @@
       }),
     ));
 
-  void test(`the chunks of the ${name}'s configuration fit their hashes`, () =>
+  void test(`the chunks of the ${name}'s configuration match their hashes`, () =>
     withDataFolder(name, (folder) =>
       withDisk(folder, (disk) => {
-        const found = readDisk(disk);
+        const contents = readDiskContents(disk);
         const { control } = storeTransition(startedStore(), {
           kind: 'diskRead',
           now: toTimestamp(1),
-          contents: found,
+          contents,
         }).state;
         assert.ok(control.configuration !== undefined);
         assert.equal(
@@ -103,32 +103,36 @@
       }),
     ));
 
-  void test(`what is written again over the data folder of the ${name} has the rows that it had`, () =>
+  void test(`rewriting the data folder of the ${name} yields the same rows`, () =>
     withDataFolder(name, async (folder) => {
       await withDisk(folder, async (disk) => {
-        const { metadata, logPosition: stamp, entries } = recordOn(disk);
-        const written = await disk.write(
-          rowsOf({
+        const { metadata, logPosition, entries } = completeContentsOn(disk);
+        const result = await disk.write(
+          rowChangesFor({
             id: 1,
             metadata,
-            logPosition: stamp,
+            logPosition,
             entries,
             deletedKeys: [],
             wipesFirst: true,
           }),
         );
-        assert.ok(written.isOk);
+        assert.ok(result.isOk);
       });
       await withDisk(folder, (disk) => {
         assert.deepEqual(rowsOn(disk), recordedRows());
       });
     }));
 
-  void test(`a store program starts on the data folder of the ${name} and has all of it`, () =>
+  void test(`a store started on the data folder of the ${name} loads all of its entries`, () =>
     withDataFolder(name, async (folder) => {
-      // A store that fails while it starts keeps its sockets, and the test's process would never end.
+      // Checked first, as a store that fails during its start keeps its sockets open, and the test would not end.
       await withDisk(folder, (disk) => {
-        const read = { kind: 'diskRead', now: toTimestamp(1), contents: readDisk(disk) } as const;
+        const read = {
+          kind: 'diskRead',
+          now: toTimestamp(1),
+          contents: readDiskContents(disk),
+        } as const;
         assert.equal(storeTransition(startedStore(), read).state.phase, 'member');
       });
       const running = await startStore(
@@ -141,7 +145,7 @@
           graceMs: 0,
         },
         createLogger('store', toNodeId('c1-store'), 'error'),
-        openData(folder),
+        openDataFolder(folder),
       );
       try {
         assert.match(running.metrics(), /entries\{[^}]*\} 46\n/);
--- a/packages/store/src/testing/loaded-state.ts
+++ b/packages/store/src/testing/loaded-state.ts
@@ -1,6 +1,6 @@
 /**
- * What a store has loaded from its disk, under names of its own: a fixture that was recorded with it stays valid
- * when a type or field of the code is renamed. For tests only.
+ * The state that a store has loaded from its disk as JSON, with key names independent of the code: recorded fixtures
+ * stay valid when a type or field is renamed. For tests only.
  */
 
 import {
@@ -28,70 +28,72 @@
 ): Readonly<Record<string, P>> =>
   Object.fromEntries([...rows].map(([key, row]) => [String(key), project(row)]));
 
-const offerFacts = (one: ConfigManifest): object => ({
-  generation: one.generation,
-  contentHash: one.hash,
-  chunkHashes: one.pieces,
+const manifestFacts = (manifest: ConfigManifest): object => ({
+  generation: manifest.generation,
+  contentHash: manifest.hash,
+  chunkHashes: manifest.pieces,
 });
 
-const placeFacts = (
-  one: { readonly generation: Generation; readonly hash: Hash } | undefined,
+const versionFacts = (
+  version: { readonly generation: Generation; readonly hash: Hash } | undefined,
 ): object | null =>
-  one === undefined ? null : { generation: one.generation, contentHash: one.hash };
+  version === undefined ? null : { generation: version.generation, contentHash: version.hash };
 
-const healthFacts = (one: Health): object => ({
-  component: one.name,
-  isHealthy: one.healthy,
-  explanation: one.text,
-  components: one.parts.map(healthFacts),
+const healthFacts = (health: Health): object => ({
+  component: health.name,
+  isHealthy: health.healthy,
+  explanation: health.text,
+  components: health.parts.map(healthFacts),
 });
 
-const reportFacts = (one: NodeStatus): object => ({
-  generation: one.generation,
-  contentHash: one.hash ?? null,
-  applyPhase: one.phase,
+const statusFacts = (status: NodeStatus): object => ({
+  generation: status.generation,
+  contentHash: status.hash ?? null,
+  applyPhase: status.phase,
   failure:
-    one.failed === undefined ? null : { ...placeFacts(one.failed), explanation: one.failed.text },
-  health: healthFacts(one.health),
-  isReady: one.ready,
+    status.failed === undefined
+      ? null
+      : { ...versionFacts(status.failed), explanation: status.failed.text },
+  health: healthFacts(status.health),
+  isReady: status.ready,
 });
 
-const nodeFacts = (one: NodeRecord): object => ({
-  nodeRole: one.role,
-  processIncarnation: one.incarnation,
-  isOnline: one.online,
-  lastReport: reportFacts(one.reported),
-  assignedContent: placeFacts(one.assigned),
-  desiredContent: placeFacts(one.desired),
-  failedContentHash: one.failed ?? null,
+const nodeFacts = (node: NodeRecord): object => ({
+  nodeRole: node.role,
+  processIncarnation: node.incarnation,
+  isOnline: node.online,
+  lastReport: statusFacts(node.reported),
+  assignedContent: versionFacts(node.assigned),
+  desiredContent: versionFacts(node.desired),
+  failedContentHash: node.failed ?? null,
 });
 
-const rolloutFacts = (one: Rollout): object => ({
-  generation: one.generation,
-  contentHash: one.hash,
-  rolloutStatus: one.status,
-  currentWave: one.wave,
-  waveCount: one.waves,
-  waveShares: one.policy.waves,
-  waveGateMs: one.policy.gateMs,
-  failureThreshold: one.policy.threshold,
-  verificationMs: one.policy.verifyMs,
-  hadFailures: one.troubled,
-  revision: one.rev,
+const rolloutFacts = (rollout: Rollout): object => ({
+  generation: rollout.generation,
+  contentHash: rollout.hash,
+  rolloutStatus: rollout.status,
+  currentWave: rollout.wave,
+  waveCount: rollout.waves,
+  waveShares: rollout.policy.waves,
+  waveGateMs: rollout.policy.gateMs,
+  failureThreshold: rollout.policy.threshold,
+  verificationMs: rollout.policy.verifyMs,
+  hadFailures: rollout.troubled,
+  revision: rollout.rev,
 });
 
-const rolloutTargetFacts = (one: RolloutTarget): object => ({
-  targetNode: one.node,
-  generation: one.generation,
-  inWave: one.wave,
-  targetStatus: one.status,
-  explanation: one.text,
-  revision: one.rev,
+const rolloutTargetFacts = (target: RolloutTarget): object => ({
+  targetNode: target.node,
+  generation: target.generation,
+  inWave: target.wave,
+  targetStatus: target.status,
+  explanation: target.text,
+  revision: target.rev,
 });
 
-const purgeFacts = (one: Purge): object => ({
-  purgeNumber: one.seq,
-  purged: one.aims.map((target) => {
+const purgeFacts = (purge: Purge): object => ({
+  purgeNumber: purge.seq,
+  purged: purge.aims.map((target) => {
     switch (target.by) {
       case 'object':
         return `object ${target.host ?? '(any host)'} ${target.path}`;
@@ -103,35 +105,35 @@
   }),
 });
 
-const canaryFacts = (one: CanaryResult): object => ({
-  ofService: one.service,
-  ofRelease: one.release,
-  result: one.state,
-  requestsSpent: one.spent,
-  badResponses: one.bad,
-  goodResponses: one.good,
-  serviceRequests: one.seen,
+const canaryFacts = (canary: CanaryResult): object => ({
+  ofService: canary.service,
+  ofRelease: canary.release,
+  result: canary.state,
+  requestsSpent: canary.spent,
+  badResponses: canary.bad,
+  goodResponses: canary.good,
+  serviceRequests: canary.seen,
 });
 
-const releaseOrderFacts = (one: ReleaseRollout): object => ({
-  ofService: one.service,
-  settledRelease: one.settled ?? null,
-  priorRelease: one.prior ?? null,
-  targetRelease: one.target ?? null,
-  orderPhase: one.phase,
-  loadProbe: one.probe,
-  trafficShare: one.share,
-  trafficShareByClass: one.shares.map(({ group, share }) => [group, share]),
-  termMs: one.spanMs,
-  elapsedMs: one.spentMs,
-  movedAtMs: one.movedMs,
-  probedAtMs: one.probedMs,
-  orderNumber: one.order,
-  stateNumber: one.serial,
-  requestsInAll: one.total,
-  requestsToTarget: one.spent,
-  explanation: one.text,
-  earlierOrders: one.earlier.map((earlier) => [
+const releaseRolloutFacts = (rollout: ReleaseRollout): object => ({
+  ofService: rollout.service,
+  settledRelease: rollout.settled ?? null,
+  priorRelease: rollout.prior ?? null,
+  targetRelease: rollout.target ?? null,
+  orderPhase: rollout.phase,
+  loadProbe: rollout.probe,
+  trafficShare: rollout.share,
+  trafficShareByClass: rollout.shares.map(({ group, share }) => [group, share]),
+  termMs: rollout.spanMs,
+  elapsedMs: rollout.spentMs,
+  movedAtMs: rollout.movedMs,
+  probedAtMs: rollout.probedMs,
+  orderNumber: rollout.order,
+  stateNumber: rollout.serial,
+  requestsInAll: rollout.total,
+  requestsToTarget: rollout.spent,
+  explanation: rollout.text,
+  earlierOrders: rollout.earlier.map((earlier) => [
     earlier.target,
     earlier.spanMs,
     earlier.order,
@@ -139,15 +141,15 @@
   ]),
 });
 
-const originFacts = (one: OriginInstance): object => ({
-  ofService: one.service,
-  instanceId: one.instance,
-  listensAt: one.address,
-  ofRelease: one.release,
-  slotCount: one.slots,
-  lifecycle: one.state,
-  inZone: one.area ?? null,
-  silentForMs: one.age,
+const originFacts = (origin: OriginInstance): object => ({
+  ofService: origin.service,
+  instanceId: origin.instance,
+  listensAt: origin.address,
+  ofRelease: origin.release,
+  slotCount: origin.slots,
+  lifecycle: origin.state,
+  inZone: origin.area ?? null,
+  silentForMs: origin.age,
 });
 
 const metadataFacts = (state: StoreState): object | null => {
@@ -163,7 +165,7 @@
   };
 };
 
-/** What the configuration in force compiles to, or its faults. */
+/** Summary of the compiled configuration in force, or its issues. */
 const compiledFacts = (state: StoreState): object | null => {
   const offer = state.control.configuration?.offer;
   if (offer === undefined) return null;
@@ -189,7 +191,7 @@
   };
 };
 
-/** All that a store knows after it has read its disk, as plain JSON. */
+/** State of a store after it has read its disk, as plain JSON. */
 export const loadedFacts = (state: StoreState): object => {
   const { control } = state;
   return {
@@ -200,16 +202,20 @@
     inForce:
       control.configuration === undefined
         ? null
-        : { ...offerFacts(control.configuration.offer), byCommand: control.configuration.call },
+        : { ...manifestFacts(control.configuration.offer), byCommand: control.configuration.call },
     compiledConfiguration: compiledFacts(state),
     nodes: asObject(control.nodes, nodeFacts),
     rollouts: asObject(control.rollouts, rolloutFacts),
     rolloutTargets: asObject(control.targets, rolloutTargetFacts),
     purges: control.purges.map(purgeFacts),
     canaries: asObject(control.canaryResults, canaryFacts),
-    releaseOrders: asObject(control.releases, releaseOrderFacts),
+    releaseOrders: asObject(control.releases, releaseRolloutFacts),
     origins: asObject(control.origins, originFacts),
-    commandResults: asObject(control.commandOutcomes, (one) => [one.status, one.body, one.seq]),
+    commandResults: asObject(control.commandOutcomes, (outcome) => [
+      outcome.status,
+      outcome.body,
+      outcome.seq,
+    ]),
     contentHashByGeneration: asObject(control.hashByGeneration, (hash) => hash),
     chunks: asObject(control.chunks, (text) => text),
   };
--- a/packages/store/src/testing/stored-fixture.ts
+++ b/packages/store/src/testing/stored-fixture.ts
@@ -1,4 +1,4 @@
-/** Access to the data folders in packages/store/fixtures, which earlier sources have written. For tests only. */
+/** Access to the data folders in `fixtures/`, which an earlier version wrote. For tests only. */
 
 import { mkdtempSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -10,37 +10,37 @@
 const fixtures = fileURLToPath(new URL('../../fixtures/stored-0ee98b4/', import.meta.url));
 
 const tableFile = 'table.lmdb';
-const headKey = '!head';
-const entryForm = v.strictObject({ epoch: v.number(), seq: v.number(), value: v.unknown() });
-const rowsForm = v.record(v.string(), v.unknown());
+const headerKey = '!head';
+const entrySchema = v.strictObject({ epoch: v.number(), seq: v.number(), value: v.unknown() });
+const rowsSchema = v.record(v.string(), v.unknown());
 
-/** The stores of the fixture by what they were when they last wrote. */
+/** Stores of the fixture, by their role when the data were copied. */
 export const fixtureStores = ['primary', 'backup'] as const;
-/** One of the stores of the fixture. */
+/** Store of the fixture. */
 export type FixtureStore = (typeof fixtureStores)[number];
 
 const readJson = (name: string): unknown => JSON.parse(readFileSync(join(fixtures, name), 'utf8'));
 
-/** The text of a row on the disk, from what the fixture tells of it. */
+/** Text of a row on the disk, rebuilt from its record in the fixture. */
 const rowText = (key: string, recorded: unknown): string => {
-  if (key === headKey) return JSON.stringify(recorded);
-  const { epoch, seq, value } = v.parse(entryForm, recorded);
+  if (key === headerKey) return JSON.stringify(recorded);
+  const { epoch, seq, value } = v.parse(entrySchema, recorded);
   return `${epoch} ${seq} ${JSON.stringify(value)}`;
 };
 
-/** The text of every row by its key, as the earlier sources read it; both stores have the same rows. */
+/** Text of every row by its key, as the earlier version read it; both stores have the same rows. */
 export const recordedRows = (): Readonly<Record<string, string>> =>
   Object.fromEntries(
-    Object.entries(v.parse(rowsForm, readJson('rows.json'))).map(([key, recorded]) => [
+    Object.entries(v.parse(rowsSchema, readJson('rows.json'))).map(([key, recorded]) => [
       key,
       rowText(key, recorded),
     ]),
   );
 
-/** What the earlier sources loaded from the rows. */
+/** State that the earlier version loaded from the rows, in the form of `loadedFacts`. */
 export const recordedFacts = (): unknown => readJson('loaded.json');
 
-/** Works in a new folder that is gone afterwards. */
+/** Runs `work` in a new temporary folder, and deletes the folder afterwards. */
 export const withTemporaryFolder = async (
   work: (folder: string) => Promise<void>,
 ): Promise<void> => {
@@ -52,18 +52,18 @@
   }
 };
 
-/** Works on a copy of a store's data folder, as opening a folder writes to it. */
+/** Runs `work` on a copy of a store's data folder, since opening a data folder writes to it. */
 export const withDataFolder = (
   store: FixtureStore,
   work: (folder: string) => Promise<void>,
 ): Promise<void> =>
   withTemporaryFolder((folder) => {
-    // The bytes alone: a copied file would keep the mode of a read-only checkout.
+    // Copies the contents only: `copyFileSync` would also copy the mode, which may be read-only.
     writeFileSync(join(folder, tableFile), readFileSync(join(fixtures, store, tableFile)));
     return work(folder);
   });
 
-/** Opens a data folder for some work, and closes it in any case. */
+/** Runs `work` on an open data folder, and closes the folder afterwards, also after an error. */
 export const withDisk = async (
   folder: string,
   work: (disk: Disk) => Promise<void> | void,
