--- a/packages/registry/src/http/app.ts
+++ b/packages/registry/src/http/app.ts
@@ -1,9 +1,9 @@
-/** The registry's HTTP interface, for operators, origins and whoever monitors the machine. */
+/** HTTP interface of the registry, for operators, origins and monitoring. */
 
 import Koa from 'koa';
 import { type RouteContext, handleRequest } from './routes.js';
 
-/** Makes the HTTP application; it is silent, as every answer bears its error. */
+/** Creates the HTTP application. Koa's error log is off, since each response contains its error. */
 export const createRegistryApp = (registry: RouteContext): Koa => {
   const app = new Koa();
   app.silent = true;
--- a/packages/registry/src/http/parse-request.ts
+++ b/packages/registry/src/http/parse-request.ts
@@ -1,7 +1,4 @@
-/**
- * Reading requests. Each function answers a request that can't be read by itself and then gives
- * undefined: its caller has nothing more to do.
- */
+/** Parses requests. Each reader of a request responds to an invalid one with an error itself, and returns undefined. */
 
 import { randomUUID } from 'node:crypto';
 import type Koa from 'koa';
@@ -17,12 +14,12 @@
 import { readBody } from '@switchwheel/runtime';
 import { respondWithError } from './respond.js';
 
-const maxFormBytes = 4 * 1024 * 1024;
+const maxBodyBytes = 4 * 1024 * 1024;
 
-/** A fresh id for a command that came without one. */
+/** Returns a random id for a command that was sent without one. */
 export const newCommandId = (): CommandId => toCommandId(randomUUID());
 
-/** Reads a JSON body of at most so many bytes. */
+/** Reads a JSON body of at most `maxBytes`. */
 export const readJson = async (ctx: Koa.Context, maxBytes: number): Promise<unknown> => {
   const body = await readBody(ctx.req, maxBytes);
   if (body.isErr) {
@@ -40,12 +37,12 @@
   }
 };
 
-/** Reads a JSON body by a schema. */
+/** Reads a JSON body and validates it with a schema. */
 export const readRequestBody = async <T>(
   ctx: Koa.Context,
   schema: v.GenericSchema<unknown, T>,
 ): Promise<T | undefined> => {
-  const raw = await readJson(ctx, maxFormBytes);
+  const raw = await readJson(ctx, maxBodyBytes);
   if (raw === undefined) return undefined;
   const issues: ValidationIssue[] = [];
   const parsed = parseCollecting(schema, raw, '', issues);
@@ -54,7 +51,7 @@
   return parsed;
 };
 
-/** The command id of the query, or a fresh one. */
+/** Command id from the query parameter `id`, or a random one if it is absent. */
 export const commandIdOf = (ctx: Koa.Context): CommandId | undefined => {
   const raw = ctx.query['id'];
   if (raw === undefined) return newCommandId();
@@ -63,7 +60,7 @@
   return undefined;
 };
 
-/** The generation that must be in force by the query, in an object as it may be left out. */
+/** Generation from the query parameter `base`, which is optional and therefore wrapped in an object. */
 export const baseGenerationOf = (
   ctx: Koa.Context,
 ): { readonly baseGeneration: Generation | undefined } | undefined => {
--- a/packages/registry/src/http/request-schemas.ts
+++ b/packages/registry/src/http/request-schemas.ts
@@ -1,10 +1,10 @@
-/** Schemas of the bodies that the registry's HTTP interface takes. Their members keep their names. */
+/** Schemas of request bodies of the registry's HTTP interface. The names of their members are a public interface. */
 
 import * as v from 'valibot';
 import * as g from '@switchwheel/types';
 import { purgeTarget } from '@switchwheel/transport';
 
-/** An origin's announcement of itself. */
+/** Registration of an origin instance; the origin renews it periodically. */
 export const originAnnouncement = v.strictObject({
   service: g.serviceName,
   instance: g.instanceId,
@@ -19,7 +19,7 @@
   state: v.optional(v.picklist(['up', 'leaving', 'gone'], 'up, leaving or gone'), 'up'),
 });
 
-/** A command to purge cached objects. */
+/** Command to purge cached objects. */
 export const purgeRequest = v.strictObject({
   id: v.optional(g.commandId),
   aims: v.pipe(
@@ -29,7 +29,7 @@
   ),
 });
 
-/** A command to start a cluster, on all live stores and registries if none are named. */
+/** Command to bootstrap a cluster; on all live stores and registries if none are named. */
 export const bootstrapRequest = v.strictObject({
   id: v.optional(g.commandId),
   fleet: g.fleetId,
@@ -37,14 +37,14 @@
   voters: v.optional(v.array(g.nodeId), []),
 });
 
-/** A command to add or remove one voter. */
+/** Command to add or remove one voter. */
 export const electorateRequest = v.strictObject({
   id: v.optional(g.commandId),
   add: v.optional(g.nodeId),
   remove: v.optional(g.nodeId),
 });
 
-/** A command to roll a service out to a release; `spanMs` is how long the rollout may take. */
+/** Command to roll a service out to a release; `spanMs` is the maximum duration of the rollout. */
 export const rolloutRequest = v.strictObject({
   id: v.optional(g.commandId),
   service: g.serviceName,
--- a/packages/registry/src/http/respond.ts
+++ b/packages/registry/src/http/respond.ts
@@ -1,11 +1,11 @@
-/** The two forms of the registry's HTTP answers: its own errors, and results of the state machine. */
+/** HTTP responses of the registry: errors of the HTTP layer, and results of the state machine. */
 
 import type Koa from 'koa';
 import { type ErrorKind, errorResponseFor } from '@switchwheel/types';
 import type { ValidationIssue } from '@switchwheel/configuration';
 import type { RegistryResponse } from '../registry-port.js';
 
-/** Answers with an error of a kind, and with all that is wrong with the request if that is known. */
+/** Responds with an error of a kind and, if given, the validation issues of the request. */
 export const respondWithError = (
   ctx: Koa.Context,
   kind: ErrorKind,
@@ -18,7 +18,7 @@
   ctx.body = { kind, text, ...(issues === undefined ? {} : { faults: issues }) };
 };
 
-/** Passes the state machine's answer on. */
+/** Responds with a result of the state machine. */
 export const respondWithResult = (ctx: Koa.Context, { status, body }: RegistryResponse): void => {
   ctx.status = status;
   if (status === 503) ctx.set('retry-after', '1');
--- a/packages/registry/src/http/routes.ts
+++ b/packages/registry/src/http/routes.ts
@@ -1,6 +1,6 @@
 /**
- * The registry's HTTP routes: one handler each, which reads the request, submits it and passes the
- * answer on. What a request does is the state machine's business.
+ * HTTP routes of the registry. Each handler parses the request, submits it to the state machine and
+ * sends the response.
  */
 
 import type Koa from 'koa';
@@ -24,15 +24,15 @@
 } from './request-schemas.js';
 import { respondWithError, respondWithResult } from './respond.js';
 
-/** What the handlers need of the registry. */
+/** Dependencies of the handlers. */
 export interface RouteContext extends Pick<RegistryPort, 'submit' | 'isReady' | 'renderMetrics'> {
-  /** The largest configuration that is taken, in bytes. */
+  /** Maximum size of an uploaded configuration. */
   readonly maxConfigurationBytes: number;
 }
 
 type Handler = (ctx: Koa.Context, registry: RouteContext) => void | Promise<void>;
 
-/** The views of the store that may be read by name. */
+/** Views of the store that can be read at `/v1/NAME`. */
 const viewNames: ReadonlySet<string> = new Set([
   'description',
   'rollouts',
@@ -85,30 +85,30 @@
   };
 
 const postPurge: Handler = async (ctx, { submit }) => {
-  const form = await readRequestBody(ctx, purgeRequest);
-  const id = form?.id ?? commandIdOf(ctx);
-  if (form !== undefined && id !== undefined)
-    respondWithResult(ctx, await submit({ verb: 'purge', id, targets: form.aims }));
+  const command = await readRequestBody(ctx, purgeRequest);
+  const id = command?.id ?? commandIdOf(ctx);
+  if (command !== undefined && id !== undefined)
+    respondWithResult(ctx, await submit({ verb: 'purge', id, targets: command.aims }));
 };
 
 const postRollout: Handler = async (ctx, { submit }) => {
-  const form = await readRequestBody(ctx, rolloutRequest);
-  if (form === undefined) return;
-  const { id = newCommandId(), service, target, spanMs } = form;
+  const command = await readRequestBody(ctx, rolloutRequest);
+  if (command === undefined) return;
+  const { id = newCommandId(), service, target, spanMs } = command;
   respondWithResult(ctx, await submit({ verb: 'release', id, service, target, spanMs }));
 };
 
 const postFleet: Handler = async (ctx, { submit }) => {
-  const form = await readRequestBody(ctx, bootstrapRequest);
-  if (form === undefined) return;
-  const { id = newCommandId(), fleet, stores, voters } = form;
+  const command = await readRequestBody(ctx, bootstrapRequest);
+  if (command === undefined) return;
+  const { id = newCommandId(), fleet, stores, voters } = command;
   respondWithResult(ctx, await submit({ verb: 'bootstrap', id, fleet, stores, voters }));
 };
 
 const postElectorate: Handler = async (ctx, { submit }) => {
-  const form = await readRequestBody(ctx, electorateRequest);
-  if (form === undefined) return;
-  const { id = newCommandId(), add, remove } = form;
+  const command = await readRequestBody(ctx, electorateRequest);
+  if (command === undefined) return;
+  const { id = newCommandId(), add, remove } = command;
   respondWithResult(ctx, await submit({ verb: 'electorate', id, add, remove }));
 };
 
@@ -145,7 +145,7 @@
 const notFound = (ctx: Koa.Context): void =>
   respondWithError(ctx, 'absent', `nothing answers ${ctx.method} ${ctx.path}`);
 
-/** The handler of a path with a name in it; undefined if there is none. */
+/** Returns the handler of a path with a parameter or of a view; undefined if there is none. */
 const namedHandler = (ctx: Koa.Context): Handler | undefined => {
   const [, version, family, name] = ctx.path.split('/');
   if (version !== 'v1' || ctx.method !== 'GET' || family === undefined) return undefined;
@@ -154,7 +154,7 @@
   return name === undefined && viewNames.has(family) ? viewHandler(family) : undefined;
 };
 
-/** Answers one request. */
+/** Handles one request; responds with 404 if no route matches. */
 export const handleRequest = async (ctx: Koa.Context, registry: RouteContext): Promise<void> => {
   const handler = routes.get(`${ctx.method} ${ctx.path}`) ?? namedHandler(ctx) ?? notFound;
   await handler(ctx, registry);
--- a/packages/registry/src/index.ts
+++ b/packages/registry/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * The registry as a program: sockets, timers and HTTP around the state machine of `membership`. It
- * holds no state of its own beside requests that wait for their answers.
+ * The registry program: sockets, timers and HTTP around the state machine of `membership`. Its only
+ * own state is the pending requests.
  */
 
 export { program, settingsSchema } from './settings.js';
--- a/packages/registry/src/main.ts
+++ b/packages/registry/src/main.ts
@@ -1,4 +1,4 @@
-/** The `registry` program. */
+/** The `registry` program: reads its settings and runs a registry until a shutdown signal. */
 
 import { createLogger, handleShutdownSignals, readSettingsOrExit } from '@switchwheel/runtime';
 import { createRegistryApp } from './http/app.js';
--- a/packages/registry/src/outside/http-forms.test.ts
+++ b/packages/registry/src/outside/http-forms.test.ts
@@ -1,3 +1,5 @@
+/** Guards the responses of the registry's HTTP interface, recorded in `fixtures/`. */
+
 import { test } from 'node:test';
 import { toAddress } from '@switchwheel/types';
 import {
@@ -19,33 +21,33 @@
 
 const matchSnapshot = snapshotsFor(import.meta.dirname);
 
-/** Answers of the registry's own machine, as its HTTP listener passes them on. */
-const passedOn = { status: 200, body: '{"kind":"accepted"}' };
+/** Response of the registry's state machine. */
+const acceptedResponse = { status: 200, body: '{"kind":"accepted"}' };
 const mebibyte = 1024 * 1024;
 
 const responsesOf = async (
   requests: readonly HttpRequest[],
-  answer = passedOn,
-  ready = true,
+  response = acceptedResponse,
+  isReady = true,
 ): Promise<string> => {
   const app = createRegistryApp({
-    submit: () => Promise.resolve(answer),
+    submit: () => Promise.resolve(response),
     maxConfigurationBytes: mebibyte,
-    isReady: () => ready,
+    isReady: () => isReady,
     renderMetrics: () => 'switchwheel_example 1\n',
   });
   const listener = await startHttpServer(app, toAddress('127.0.0.1:0'));
   try {
     const texts: string[] = [];
-    for (const asked of requests)
-      texts.push(responseText(asked, await httpExchange(listener.port(), asked)));
+    for (const request of requests)
+      texts.push(responseText(request, await httpExchange(listener.port(), request)));
     return texts.join('\n');
   } finally {
     listener.stopAccepting();
   }
 };
 
-const sent = (method: string, path: string, body: unknown): HttpRequest => ({
+const jsonRequest = (method: string, path: string, body: unknown): HttpRequest => ({
   method,
   path,
   headers: { 'content-type': 'application/json' },
@@ -60,22 +62,22 @@
   services: [{ name: 'clips' }],
   routes: [{ name: 'clip', prefix: '/clips/', service: 'clips', class: 'play' }],
 };
-const wrongDescription = { ...description, services: [], odd: 1 };
+const invalidDescription = { ...description, services: [], odd: 1 };
 const views = ['description', 'rollouts', 'nodes', 'purges', 'verdicts', 'releases', 'store'];
 const accepted: readonly HttpRequest[] = [
   get('/live'),
   get('/ready'),
   get('/metrics'),
-  sent('POST', '/v1/origins', { ...origin, release: 'r1', state: 'leaving' }),
-  sent('PUT', '/v1/description?id=c1&base=4', description),
-  sent('POST', '/v1/check', description),
-  sent('POST', '/v1/purges', {
+  jsonRequest('POST', '/v1/origins', { ...origin, release: 'r1', state: 'leaving' }),
+  jsonRequest('PUT', '/v1/description?id=c1&base=4', description),
+  jsonRequest('POST', '/v1/check', description),
+  jsonRequest('POST', '/v1/purges', {
     id: 'c1',
     aims: [{ by: 'all' }, { by: 'tag', tag: 't' }, { by: 'object', path: '/a', host: 'h' }],
   }),
-  sent('POST', '/v1/releases', { service: 'clips', target: 'r2', spanMs: 1000 }),
-  sent('POST', '/v1/fleet', { fleet: 'f1', stores: ['s1'], voters: ['r1'] }),
-  sent('POST', '/v1/electorate', { add: 'r4' }),
+  jsonRequest('POST', '/v1/releases', { service: 'clips', target: 'r2', spanMs: 1000 }),
+  jsonRequest('POST', '/v1/fleet', { fleet: 'f1', stores: ['s1'], voters: ['r1'] }),
+  jsonRequest('POST', '/v1/electorate', { add: 'r4' }),
   get('/v1/fleet'),
   get('/v1/calls/c1'),
   get('/v1/releases/clips'),
@@ -85,38 +87,38 @@
   get('/'),
   get('/v1/other'),
   get('/v1/nodes/n1'),
-  sent('POST', '/v1/description', description),
-  sent('PUT', '/v1/description?id=not%20an%20id', description),
-  sent('PUT', '/v1/description?base=x', description),
-  sent('PUT', '/v1/description', wrongDescription),
-  sent('POST', '/v1/check', wrongDescription),
-  sent('POST', '/v1/origins', { ...origin, slots: 0, odd: 1 }),
-  sent('POST', '/v1/origins', 'text'),
-  sent('POST', '/v1/purges', { aims: [] }),
-  sent('POST', '/v1/purges?id=not%20an%20id', { aims: [{ by: 'all' }] }),
-  sent('POST', '/v1/purges', { aims: [{ by: 'odd' }] }),
-  sent('POST', '/v1/releases', { service: 'clips', target: 'r2', spanMs: 1 }),
-  sent('POST', '/v1/fleet', {}),
-  sent('POST', '/v1/electorate', { add: 4 }),
+  jsonRequest('POST', '/v1/description', description),
+  jsonRequest('PUT', '/v1/description?id=not%20an%20id', description),
+  jsonRequest('PUT', '/v1/description?base=x', description),
+  jsonRequest('PUT', '/v1/description', invalidDescription),
+  jsonRequest('POST', '/v1/check', invalidDescription),
+  jsonRequest('POST', '/v1/origins', { ...origin, slots: 0, odd: 1 }),
+  jsonRequest('POST', '/v1/origins', 'text'),
+  jsonRequest('POST', '/v1/purges', { aims: [] }),
+  jsonRequest('POST', '/v1/purges?id=not%20an%20id', { aims: [{ by: 'all' }] }),
+  jsonRequest('POST', '/v1/purges', { aims: [{ by: 'odd' }] }),
+  jsonRequest('POST', '/v1/releases', { service: 'clips', target: 'r2', spanMs: 1 }),
+  jsonRequest('POST', '/v1/fleet', {}),
+  jsonRequest('POST', '/v1/electorate', { add: 4 }),
 ];
 
-void test('the HTTP paths of a registry answer as before', async () => {
+void test('the registry responds to valid requests in the recorded form', async () => {
   matchSnapshot('http-accepted', await responsesOf(accepted));
 });
 
-void test('requests that a registry refuses by itself are refused as before', async () => {
+void test('the registry rejects invalid requests in the recorded form', async () => {
   matchSnapshot('http-refused', await responsesOf(refused));
 });
 
-void test('failures of the fleet are passed on with their status, and 503 with a time', async () => {
+void test('the registry passes on failures with their status, and 503 with a retry-after header', async () => {
   const texts: string[] = [];
   for (const status of [404, 409, 422, 500, 503, 504])
     texts.push(await responsesOf([get('/v1/fleet')], { status, body: '{"kind":"why"}' }));
-  texts.push(await responsesOf([get('/ready')], passedOn, false));
+  texts.push(await responsesOf([get('/ready')], acceptedResponse, false));
   matchSnapshot('http-failures', texts.join('\n'));
 });
 
-void test('the bodies that a registry takes keep their members and checks', () => {
+void test('request bodies of the registry have the recorded members and checks', () => {
   const bodies: readonly (readonly [string, unknown])[] = [
     ['POST /v1/origins', originAnnouncement],
     ['POST /v1/purges', purgeRequest],
--- a/packages/registry/src/pending-requests.ts
+++ b/packages/registry/src/pending-requests.ts
@@ -1,18 +1,17 @@
-/** Matches requests with the answers that the state machine gives later. */
+/** Matches requests with the responses that the state machine gives later. */
 
 import type { RegistryResponse } from './registry-port.js';
 
-/** Requests that wait for their answers, by correlation id. */
+/** Requests without a response yet, by correlation id. */
 export class PendingRequests {
   readonly #resolvers = new Map<number, (response: RegistryResponse) => void>();
   #lastId = 0;
 
-  /** How many requests have no answer yet. */
   get size(): number {
     return this.#resolvers.size;
   }
 
-  /** Sends a request under a fresh correlation id; settles with its answer. */
+  /** Sends a request with a new correlation id; resolves with its response. */
   send(request: (correlationId: number) => void): Promise<RegistryResponse> {
     return new Promise((resolve) => {
       this.#lastId += 1;
@@ -22,7 +21,7 @@
     });
   }
 
-  /** Settles a request; an answer that nobody waits for is dropped. */
+  /** Resolves a request; a response without a pending request is ignored. */
   resolve(correlationId: number, response: RegistryResponse): void {
     this.#resolvers.get(correlationId)?.(response);
     this.#resolvers.delete(correlationId);
--- a/packages/registry/src/registry-metrics.ts
+++ b/packages/registry/src/registry-metrics.ts
@@ -1,13 +1,14 @@
-/** A registry's metrics. Their names are part of the interface to operators and keep their form. */
+/** Metrics of a registry. Their names are a public interface. */
 
 import { totalViolations } from '@switchwheel/types';
 import type { RegistryState } from '@switchwheel/membership';
 import { formatMetrics, metricSample, now } from '@switchwheel/runtime';
 
-/** What the metrics say beside the state. */
+/** Measurements of the process that are not part of the registry's state. */
 export interface ProcessReadings {
+  /** Longest delay of the event loop since the start. */
   readonly maxLoopLagMs: number;
-  /** Channels that were closed for a frame that is none of this fleet's. */
+  /** Number of channels closed because of a protocol violation by the peer. */
   readonly protocolErrorCount: number;
 }
 
--- a/packages/registry/src/registry-port.ts
+++ b/packages/registry/src/registry-port.ts
@@ -1,25 +1,25 @@
 /**
- * What a running registry offers to an HTTP interface: the seam between the registry's state machine
- * and the forms in which operators and origins speak to it.
+ * Interface between a running registry and its HTTP interfaces (the registry's own, or another
+ * program's).
  */
 
 import type { ExternalRequest, RegistryState } from '@switchwheel/membership';
 
-/** The answer to a request: an HTTP status and a JSON text. */
+/** Response to a request: an HTTP status and a JSON text. */
 export interface RegistryResponse {
   readonly status: number;
   readonly body: string;
 }
 
-/** Hands a request to the registry's state machine; settles with its answer and never rejects. */
+/** Submits a request to the registry's state machine; resolves with its response and never rejects. */
 export type SubmitRequest = (request: ExternalRequest) => Promise<RegistryResponse>;
 
-/** A running registry, as its HTTP interface sees it. */
+/** Running registry, as used by an HTTP interface. */
 export interface RegistryPort {
   readonly submit: SubmitRequest;
-  /** Whether it is in contact with a majority of the voters and not stopping. */
+  /** Whether the registry is in contact with a majority of the voters and is not stopping. */
   readonly isReady: () => boolean;
-  /** The metrics in Prometheus' text format. */
+  /** Renders the metrics in Prometheus' text format. */
   readonly renderMetrics: () => string;
   readonly state: () => RegistryState;
 }
--- a/packages/registry/src/run-forms.test.ts
+++ b/packages/registry/src/run-forms.test.ts
@@ -1,3 +1,5 @@
+/** Guards the metrics and responses of a running registry that has no cluster yet. */
+
 import { test } from 'node:test';
 import { toZoneName, toNodeId } from '@switchwheel/types';
 import {
@@ -15,7 +17,7 @@
 
 const matchSnapshot = snapshotsFor(import.meta.dirname);
 
-void test('a registry without a fleet keeps its responses, its metrics and its view of the fleet', async () => {
+void test('a registry without a cluster has the recorded responses, metrics and view of the cluster', async () => {
   const door = await freeAddress();
   const registry = await startRegistry(
     {
@@ -28,8 +30,8 @@
     { write: () => undefined },
     (port) => createRegistryApp({ ...port, maxConfigurationBytes: 1024 * 1024 }),
   );
-  const exchange = (asked: HttpRequest): ReturnType<typeof httpExchange> =>
-    httpExchange(portOf(door), asked);
+  const exchange = (request: HttpRequest): ReturnType<typeof httpExchange> =>
+    httpExchange(portOf(door), request);
   try {
     const metrics = await exchange({ method: 'GET', path: '/metrics' });
     matchMetrics(matchSnapshot, 'metrics', metrics.body);
@@ -43,7 +45,7 @@
       { method: 'POST', path: '/v1/electorate', body: '{"add":"r4"}' },
     ];
     const texts: string[] = [];
-    for (const asked of requests) texts.push(responseText(asked, await exchange(asked)));
+    for (const request of requests) texts.push(responseText(request, await exchange(request)));
     matchSnapshot('http-alone', texts.join('\n'));
   } finally {
     await registry.stop();
--- a/packages/registry/src/settings.ts
+++ b/packages/registry/src/settings.ts
@@ -1,4 +1,4 @@
-/** The settings of the `registry` program. Their names are part of the operators' interface. */
+/** Settings of the `registry` program and its help text. The names of the settings are a public interface. */
 
 import * as v from 'valibot';
 import { address } from '@switchwheel/types';
@@ -8,18 +8,23 @@
   commonSettingDefinitions,
 } from '@switchwheel/runtime';
 
-/** The program's name and settings, for its help text. */
+/** Name and settings of the program, for its help text. */
 export const program: ProgramDefinition = {
   name: 'registry',
-  description: 'The registry of switchwheel: one on every core machine.',
+  description:
+    'A switchwheel registry, which connects nodes, origins and operators to the stores. One runs on each core machine.',
   settings: [
     ...commonSettingDefinitions,
-    { name: 'door', type: 'text', help: 'IP:port for operators and origins' },
-    { name: 'limit', type: 'number', help: 'MiB that a description may weigh (64)' },
+    { name: 'door', type: 'text', help: 'IP:port of the HTTP listener for operators and origins' },
+    {
+      name: 'limit',
+      type: 'number',
+      help: 'maximum size of an uploaded configuration in MiB (64)',
+    },
   ],
 };
 
-/** The schema of the settings; `limit` is in mebibytes. */
+/** Schema of the settings; each message is printed after the setting's name. `limit` is in mebibytes. */
 export const settingsSchema = v.strictObject({
   ...commonSettingsSchema,
   door: address,
--- a/packages/registry/src/start-registry.ts
+++ b/packages/registry/src/start-registry.ts
@@ -1,6 +1,6 @@
 /**
- * The composition root of a registry: it wires the state machine to the channels of other processes,
- * the clock and an HTTP listener, and stops them. It decides nothing.
+ * Composition root of a registry: wires the state machine of the membership package to channels, the
+ * clock and an HTTP listener, and stops them in order.
  */
 
 import type Koa from 'koa';
@@ -31,34 +31,35 @@
 import type { RegistryPort } from './registry-port.js';
 
 const httpLimits = { headersTimeoutMs: 5000, requestTimeoutMs: 30_000, maxHeaderBytes: 16 * 1024 };
-/** How long a stop waits for requests that have no answer yet. */
+/** Maximum time that a stop waits for pending requests. */
 const drainTimeoutMs = 4000;
 const drainPollMs = 20;
 
-/** Where a registry runs and whom it knows at its start. */
+/** Identity and addresses of a registry. */
 export interface RegistrySettings {
   readonly node: NodeId;
   readonly area: ZoneName;
-  /** Where other processes of the fleet reach it. */
+  /** Address at which other processes of the cluster connect. */
   readonly listen: Address;
-  /** Other registries that it tries first. */
+  /** Registries to contact first. */
   readonly seeds: readonly Address[];
-  /** Where operators and origins reach it over HTTP. */
+  /** Address of the HTTP listener for operators and origins. */
   readonly door: Address;
 }
 
-/** What a registry may be started with besides. */
+/** Optional behaviour of a registry. */
 export interface RegistryOptions {
-  /** The cluster to propose while there is none. */
+  /** Cluster to propose for the bootstrap while there is none. */
   readonly proposal?: ClusterProposal | undefined;
-  /** Whether nodes that run nothing may start on what disks are proven to hold; false by default. */
+  /** Whether nodes without a configuration may start on content that the disks are proven to hold; false by default. */
   readonly offersDiskHints?: boolean;
+  /** Interval between ticks of the state machine; the event loop's default if undefined. */
   readonly tickIntervalMs?: number;
 }
 
-/** A registry that runs in this process. */
+/** A registry running in this process. */
 export interface RunningRegistry extends RunningProgram {
-  /** Announces to the primary that this registry's vote ends; all else goes on until the stop. */
+  /** Announces the stop, so that the vote is handed over. The registry runs on until `stop`, but is no longer ready. */
   readonly leave: () => void;
 }
 
@@ -74,8 +75,8 @@
   incarnation: newIncarnation(),
 });
 
-/** Starts the event loop; answers to requests settle `pending`. */
-const startLoop = (
+/** Starts the event loop, which resolves `pending` requests with the responses of the state machine. */
+const startRegistryLoop = (
   member: Member,
   channels: ChannelPool,
   pending: PendingRequests,
@@ -93,7 +94,7 @@
     tickIntervalMs,
   );
 
-/** Starts a registry; `createApp` makes its HTTP interface. Rejects if an address can't be bound. */
+/** Starts a registry with the HTTP interface made by `createApp`. Rejects if an address can't be bound. */
 export const startRegistry = async (
   settings: RegistrySettings,
   log: Logger,
@@ -104,7 +105,7 @@
   const { node, address, incarnation } = member;
   const channels = new ChannelPool({ node, address, incarnation });
   const pending = new PendingRequests();
-  const loop = startLoop(member, channels, pending, log, settings.seeds, options);
+  const loop = startRegistryLoop(member, channels, pending, log, settings.seeds, options);
   const { state } = loop.stateMachine;
 
   let maxLoopLagMs = 0;
--- a/packages/registry/src/upload-configuration.ts
+++ b/packages/registry/src/upload-configuration.ts
@@ -1,6 +1,6 @@
 /**
- * The upload of a whole configuration: it is compiled here as the nodes compile it, so that none is
- * accepted that a node can't apply, and goes on to the store in chunks.
+ * Upload of a configuration: it is compiled here as the nodes compile it, so that a configuration
+ * that nodes can't apply is rejected, and is then submitted to the store in chunks.
  */
 
 import { type CommandId, type Generation, type Hash, noGeneration } from '@switchwheel/types';
@@ -13,16 +13,16 @@
 import { runTimeSliced } from '@switchwheel/runtime';
 import type { SubmitRequest } from './registry-port.js';
 
-/** Under which id and generation an operator uploads a configuration. */
+/** Command id and generations of an upload. */
 export interface ConfigurationUpload {
   readonly id: CommandId;
-  /** The generation that must be in force for the upload to be applied; any if undefined. */
+  /** Generation that must be in force for the upload to be applied; any if undefined. */
   readonly baseGeneration?: Generation | undefined;
-  /** The generation that the operator gives it, of which the highest holds; the next one if undefined. */
+  /** Generation assigned by the operator, of which the highest is in force; the next one if undefined. */
   readonly requestedGeneration?: Generation | undefined;
 }
 
-/** What an upload came to; `answered` bears the answer of the store or of this registry. */
+/** Outcome of an upload; `answered` has the response of the store or of this registry. */
 export type UploadResult =
   | { readonly outcome: 'refused'; readonly issues: readonly ValidationIssue[] }
   | { readonly outcome: 'valid'; readonly hash: Hash; readonly routeCount: number }
@@ -39,7 +39,7 @@
     hash,
   );
 
-/** Checks a parsed configuration and, unless that is all that is asked for, submits it. */
+/** Validates a parsed configuration and, in the mode `apply`, submits it. */
 export const uploadConfiguration = async (
   raw: unknown,
   submit: SubmitRequest,
