--- a/packages/registry/src/start-registry.ts
+++ b/packages/registry/src/start-registry.ts
@@ -59,7 +59,7 @@
 
 /** A registry running in this process. */
 export interface RunningRegistry extends RunningProgram {
-  /** Announces the stop, so that the vote is handed over. The registry runs on until `stop`, but is no longer ready. */
+  /** Announces the stop, so that the vote is handed over; until `stop`, the registry is not ready and rejects commands. */
   readonly leave: () => void;
 }
 
