--- a/eslint.config.js
+++ b/eslint.config.js
@@ -2,12 +2,12 @@
 import jsdoc from 'eslint-plugin-jsdoc';
 import tseslint from 'typescript-eslint';
 
-/** Longest function in lines, blank lines and comments not counted. */
+/** Maximum length of a function in lines, without blank lines and comments. */
 const maxFunctionLines = 60;
-/** Most independent paths through one function (McCabe); an exhaustive switch counts as one. */
+/** Maximum cyclomatic complexity of a function; a switch counts as one path (variant `modified`). */
 const maxComplexity = 20;
 
-/** Exports whose purpose, units and errors a reader must find beside the code. */
+/** Exports that need a doc comment. */
 const documentedExports = {
   publicOnly: true,
   require: {
@@ -78,7 +78,7 @@
   },
   {
     files: ['**/*.test.ts'],
-    // Assertions read optional members in a row, and each `?.` counts as a path.
+    // Tests use many optional chains in assertions, and the rule counts each `?.` as a path.
     rules: { complexity: 'off' },
   },
 );
--- a/scripts/list-tests.js
+++ b/scripts/list-tests.js
@@ -1,28 +1,29 @@
 /**
- * Lists the test files that `npm test` runs, one a line. Files that KNOWN-RED.txt names are passed over and told on
- * standard error, each with its cause and issue. A line of KNOWN-RED.txt is `FILE: CAUSE (issue N)`, FILE the source
- * of a test that holds nothing else.
+ * Prints the paths of the test files that `npm test` runs, one per line. Files listed in KNOWN-RED.txt are skipped and
+ * printed to standard error with their cause. A line of KNOWN-RED.txt is `FILE: CAUSE (issue N)`, where FILE is the
+ * source of a test file that contains only the failing test.
  */
 import { existsSync, readFileSync, readdirSync } from 'node:fs';
 
 const knownRedFile = 'KNOWN-RED.txt';
-const maxKnownRed = 3;
+const maxKnownRedTests = 3;
 
-/** Names of all files under a folder whose path fits. */
-const filesUnder = (folder, fits) =>
+/** Lists the paths of all files under a folder that match a predicate. */
+const filesUnder = (folder, matches) =>
   readdirSync(folder, { recursive: true })
     .map((name) => `${folder}/${name}`)
-    .filter((path) => !path.includes('node_modules') && fits(path));
+    .filter((path) => !path.includes('node_modules') && matches(path));
 
 const isBuiltTest = (path) => path.includes('/dist/') && path.endsWith('.test.js');
 const sourceOf = (path) => path.replace('/dist/', '/src/').replace(/\.js$/, '.ts');
 
-const knownRed = existsSync(knownRedFile)
+const knownRedLines = existsSync(knownRedFile)
   ? readFileSync(knownRedFile, 'utf8')
       .split('\n')
       .filter((line) => line.trim() !== '')
   : [];
-if (knownRed.length > maxKnownRed) throw new Error(`${knownRedFile} has over ${maxKnownRed} lines`);
+if (knownRedLines.length > maxKnownRedTests)
+  throw new Error(`${knownRedFile} lists more than ${maxKnownRedTests} tests`);
 
 const tests = [
   ...filesUnder('packages', isBuiltTest),
@@ -31,9 +32,9 @@
   ...filesUnder('scripts', (path) => path.endsWith('.test.js')),
 ].sort();
 
-const isKnownRed = (path) => knownRed.some((line) => line.startsWith(`${sourceOf(path)}: `));
-for (const line of knownRed) process.stderr.write(`known red, passed over: ${line}\n`);
-const passedOver = tests.filter(isKnownRed);
-if (passedOver.length !== knownRed.length)
-  throw new Error(`${knownRedFile} names a test that is not there`);
+const isKnownRed = (path) => knownRedLines.some((line) => line.startsWith(`${sourceOf(path)}: `));
+for (const line of knownRedLines) process.stderr.write(`known failure, skipped: ${line}\n`);
+const skippedTests = tests.filter(isKnownRed);
+if (skippedTests.length !== knownRedLines.length)
+  throw new Error(`${knownRedFile} lists a test file that does not exist`);
 process.stdout.write(`${tests.filter((path) => !isKnownRed(path)).join('\n')}\n`);
