--- a/packages/registry/src/settings.ts
+++ b/packages/registry/src/settings.ts
@@ -30,10 +30,10 @@
   door: address,
   limit: v.optional(
     v.pipe(
-      v.number('a number'),
-      v.integer('a whole number'),
-      v.minValue(1, 'at least 1'),
-      v.maxValue(1024, 'at most 1024'),
+      v.number('must be a number'),
+      v.integer('must be an integer'),
+      v.minValue(1, 'must be at least 1'),
+      v.maxValue(1024, 'must be at most 1024'),
     ),
     64,
   ),
--- a/packages/store/src/settings.ts
+++ b/packages/store/src/settings.ts
@@ -34,25 +34,28 @@
 /** Schema of the settings; each message is printed after the setting's name. */
 export const settingsSchema = v.strictObject({
   ...commonSettingsSchema,
-  data: v.pipe(v.string('a folder'), v.minLength(1, 'a folder')),
+  data: v.pipe(
+    v.string('must be the path of a folder'),
+    v.minLength(1, 'must be the path of a folder'),
+  ),
   admin: address,
   copies: v.optional(
     v.pipe(
-      v.number('a number'),
-      v.integer('a whole number'),
-      v.minValue(1, 'at least 1'),
-      v.maxValue(15, 'at most 15'),
+      v.number('must be a number'),
+      v.integer('must be an integer'),
+      v.minValue(1, 'must be at least 1'),
+      v.maxValue(15, 'must be at most 15'),
     ),
     2,
   ),
   tolerate: v.optional(
     v.pipe(
-      v.number('a number'),
-      v.integer('a whole number'),
-      v.minValue(0, 'at least 0'),
-      v.maxValue(14, 'at most 14'),
+      v.number('must be a number'),
+      v.integer('must be an integer'),
+      v.minValue(0, 'must be at least 0'),
+      v.maxValue(14, 'must be at most 14'),
     ),
     1,
   ),
-  electorate: v.optional(v.picklist(['fixed', 'follows'], 'fixed or follows'), 'fixed'),
+  electorate: v.optional(v.picklist(['fixed', 'follows'], 'must be fixed or follows'), 'fixed'),
 });
