--- a/packages/simulator/src/digest/fleet.ts
+++ b/packages/simulator/src/digest/fleet.ts
@@ -68,8 +68,8 @@
   );
   for (const run of origin.executions) digest.add(run.requestId, run.at, run.isUnsafe);
   for (const request of origin.attempts) digest.add(request.request, request.at);
-  digest.add(...origin.arrivals);
-  digest.add(...origin.contactTimes);
+  digest.add(...origin.arrivalTimes);
+  digest.add(...origin.receiveTimes);
   digest.add(...origin.failureTimes);
 };
 
@@ -91,14 +91,14 @@
   digest.add(
     request.isFlood,
     request.wasEdgeUnreachable,
-    request.owedForMs,
+    request.serviceAvailableForMs,
     request.hasSecondReply,
-    request.hasLeft,
+    request.hasDisconnected,
   );
   digest.add(request.answeredAt);
   if (result === undefined) return;
   digest.add(resultNumber(result.kind), result.status, result.revision, result.object);
-  digest.add(result.request, result.createdAt, result.source, result.retryMs);
+  digest.add(result.request, result.createdAt, result.source, result.retryAfterMs);
 };
 
 /** Adds what operators, origins and callers wrote down, and where the random numbers have got to. */
--- a/packages/simulator/src/fault/caller-faults.ts
+++ b/packages/simulator/src/fault/caller-faults.ts
@@ -27,7 +27,7 @@
       context.callers.floodedUntil.set(`/${service}/${kind}/`, world.eventQueue.now + 8000);
       for (let at = 0; at < 900; at += 1)
         world.eventQueue.schedule(at * 2.5, () => {
-          context.callers.send({ kind, service, flood: true });
+          context.callers.send({ kind, service, isFlood: true });
         });
     },
   },
--- a/packages/simulator/src/fault/process-actions.ts
+++ b/packages/simulator/src/fault/process-actions.ts
@@ -65,7 +65,7 @@
   recordLossCoverage(context, target);
   context.log(`freeze ${target.node} for ${Math.round(durationMs)}`);
   target.freeze();
-  context.world.eventQueue.schedule(durationMs, () => target.wake());
+  context.world.eventQueue.schedule(durationMs, () => target.resume());
 };
 
 /** A planned stop: a warning, then the platform's hard stop six seconds later. */
--- a/packages/simulator/src/fault/registry-replacement.ts
+++ b/packages/simulator/src/fault/registry-replacement.ts
@@ -41,7 +41,7 @@
     );
     let isSettled = false;
     const retry = (): void => this.#change(change, onAccepted, retries + 1);
-    registry?.call(
+    registry?.handleRequest(
       {
         verb: 'electorate',
         id,
@@ -66,7 +66,7 @@
     const { world } = this.#context;
     world.coverage.record('a voter was replaced');
     this.#context.log(`${this.#departing.node} is gone for good`);
-    world.dropRegistry(this.#departing);
+    world.removeRegistry(this.#departing);
   }
 }
 
--- a/packages/simulator/src/history/checker.ts
+++ b/packages/simulator/src/history/checker.ts
@@ -254,7 +254,7 @@
   new HistoryCheck(operations).run();
 
 /** The points that a history never put to the test. */
-export const untestedPoints = (
+export const unmetHistoryGoals = (
   counts: ReadonlyMap<HistoryCoverageGoal, number>,
 ): readonly HistoryCoverageGoal[] =>
   historyCoverageGoals.filter((one) => (counts.get(one) ?? 0) === 0);
--- a/packages/simulator/src/history/operators.ts
+++ b/packages/simulator/src/history/operators.ts
@@ -107,11 +107,14 @@
       startedAt: this.#world.eventQueue.now,
       endedAt: undefined,
     });
-    registry.call({ verb: 'view', id: this.#nextRequestId(), viewName: 'description' }, (reply) => {
-      if (reply.status === 200)
-        open.end({ outcome: 'acknowledged', version: parseVersion(reply.body) });
-      else open.end({ outcome: 'unknown' });
-    });
+    registry.handleRequest(
+      { verb: 'view', id: this.#nextRequestId(), viewName: 'description' },
+      (reply) => {
+        if (reply.status === 200)
+          open.end({ outcome: 'acknowledged', version: parseVersion(reply.body) });
+        else open.end({ outcome: 'unknown' });
+      },
+    );
   }
 
   #nextNumber(): number {
@@ -160,7 +163,7 @@
       });
       const id = this.#nextRequestId();
       const asked = toGeneration(number);
-      registry.call(
+      registry.handleRequest(
         {
           verb: 'apply',
           id,
@@ -194,7 +197,7 @@
         startedAt: this.#world.eventQueue.now,
         endedAt: undefined,
       });
-      registry.call(
+      registry.handleRequest(
         {
           verb: 'release',
           id: this.#nextRequestId(),
--- a/packages/simulator/src/processes/caller-result.ts
+++ b/packages/simulator/src/processes/caller-result.ts
@@ -20,7 +20,7 @@
   /** When its origin made it. */
   readonly createdAt: number;
   readonly source: string;
-  readonly retryMs: number;
+  readonly retryAfterMs: number;
 }
 
 /** A request as it goes through the simulation. */
@@ -35,7 +35,7 @@
 export const failedResult = (
   kind: 'broken' | ErrorKind,
   text: string,
-  retryMs = 0,
+  retryAfterMs = 0,
 ): CallerResult => ({
   kind,
   text,
@@ -45,7 +45,7 @@
   request: '',
   createdAt: 0,
   source: '',
-  retryMs,
+  retryAfterMs,
 });
 
 /** A whole result; what its bytes say of themselves is read from them. */
@@ -60,7 +60,7 @@
     request: read?.request ?? '',
     createdAt: read?.createdAt ?? 0,
     source: from,
-    retryMs: 0,
+    retryAfterMs: 0,
   };
 };
 
--- a/packages/simulator/src/processes/callers.ts
+++ b/packages/simulator/src/processes/callers.ts
@@ -18,12 +18,12 @@
   /** Whether its edge was out of reach of the fleet as it was sent. */
   readonly wasEdgeUnreachable: boolean;
   /** For how long a result was owed by then. */
-  owedForMs: number;
+  serviceAvailableForMs: number;
   answeredAt: number | undefined;
   result: CallerResult | undefined;
   /** Whether another reply came after the first. */
   hasSecondReply: boolean;
-  hasLeft: boolean;
+  hasDisconnected: boolean;
 }
 
 /** What a request is to be; whatever is left out is drawn. */
@@ -32,7 +32,7 @@
   readonly kind?: 'read' | 'plain' | 'act' | 'long';
   readonly service?: string;
   readonly object?: number;
-  readonly flood?: boolean;
+  readonly isFlood?: boolean;
 }
 
 /** Callers of a simulated fleet: sent by the platform to edges that report ready. */
@@ -43,7 +43,7 @@
   #isSending = true;
   requestsPerSecond: number;
   /** How many leave before their result, and how often one that was refused asks again at once. */
-  leaveProbability = 0;
+  disconnectProbability = 0;
   maxImmediateRetries = 0;
   /** Kinds of requests that come in floods, and until when: only their own class suffers from it. */
   readonly floodedUntil = new Map<string, number>();
@@ -94,15 +94,15 @@
       edgeIncarnation: edge.incarnationNumber,
       sentAt: world.eventQueue.now,
       isFlood:
-        options.flood === true ||
+        options.isFlood === true ||
         retryCount > 0 ||
         world.eventQueue.now < (this.floodedUntil.get(`/${service}/${family}/`) ?? 0),
       wasEdgeUnreachable: world.isUnreachable(edge),
-      owedForMs: 0,
+      serviceAvailableForMs: 0,
       answeredAt: undefined,
       result: undefined,
       hasSecondReply: false,
-      hasLeft: false,
+      hasDisconnected: false,
     };
     this.requests.push(request);
     this.onSent(request);
@@ -130,10 +130,10 @@
         });
       },
     );
-    if (!world.random.happens(this.leaveProbability)) return;
+    if (!world.random.happens(this.disconnectProbability)) return;
     world.eventQueue.schedule(world.random.uniform(1, 200), () => {
       if (request.result !== undefined) return;
-      request.hasLeft = true;
+      request.hasDisconnected = true;
       world.coverage.record('R2: a caller left before its result');
       leave();
     });
--- a/packages/simulator/src/processes/origin.ts
+++ b/packages/simulator/src/processes/origin.ts
@@ -42,14 +42,14 @@
   readonly release: Release;
   readonly slots: number;
   readonly executions: Execution[] = [];
-  readonly arrivals: number[] = [];
+  readonly arrivalTimes: number[] = [];
   readonly attempts: { readonly request: string; readonly at: number }[] = [];
   /** Everything it was sent: requests and health checks. */
-  readonly contactTimes: number[] = [];
+  readonly receiveTimes: number[] = [];
   usedSlots = 0;
   overflowCount = 0;
   isAlive = true;
-  diedAt = -Infinity;
+  crashedAt = -Infinity;
   state: 'up' | 'leaving' | 'gone' = 'up';
   /** When a registry first confirmed to know that it is leaving or gone. */
   departureKnownAt: number | undefined;
@@ -96,7 +96,7 @@
 
   crash(): void {
     this.isAlive = false;
-    this.diedAt = this.context.eventQueue.now;
+    this.crashedAt = this.context.eventQueue.now;
   }
 
   /** Whether nothing ails it. */
@@ -163,12 +163,12 @@
       slots: this.slots,
       state,
     };
-    registry.call({ verb: 'announce', origin }, heard);
+    registry.handleRequest({ verb: 'announce', origin }, heard);
   }
 
   /** A health check came. */
   answerProbe(instance: InstanceId): boolean {
-    this.contactTimes.push(this.context.eventQueue.now);
+    this.receiveTimes.push(this.context.eventQueue.now);
     return instance === this.instance && this.state === 'up';
   }
 
@@ -191,14 +191,14 @@
         response.onEnd();
       });
     };
-    this.contactTimes.push(eventQueue.now);
+    this.receiveTimes.push(eventQueue.now);
     if (request.instance !== this.instance) {
       unrun();
       return;
     }
     const id = fieldValue(request.fields, 'x-request-id') ?? '';
     const unsafe = request.method !== 'GET';
-    this.arrivals.push(eventQueue.now);
+    this.arrivalTimes.push(eventQueue.now);
     this.attempts.push({ request: id, at: eventQueue.now });
     if (this.usedSlots >= this.slots) {
       this.overflowCount += 1;
--- a/packages/simulator/src/processes/proxy.ts
+++ b/packages/simulator/src/processes/proxy.ts
@@ -98,7 +98,7 @@
     return this.state?.nodeAgent.isStopping === true;
   }
 
-  override wake(): void {
+  override resume(): void {
     const { state, clock } = this;
     const past = [...(state?.activeLeaders ?? [])].some(([service, name]) => {
       const candidate = state?.nodeAgent.candidates.get(service);
@@ -110,7 +110,7 @@
     });
     if (this.isFrozen && past)
       this.context.coverage.record('a keeper woke past its lease with legs open');
-    super.wake();
+    super.resume();
   }
 
   /** Counts of what happened in this incarnation: those of the edge, then of the shield. */
@@ -136,7 +136,7 @@
     const first = newProxyState(member, this.#seeds(), {
       seed: Math.floor(this.context.random.next() * 4294967296),
     });
-    const store = this.makeStore<ProxyState, ProxyEvent, ProxyEffect>(
+    const store = this.createStateMachine<ProxyState, ProxyEvent, ProxyEffect>(
       proxyTransition,
       first,
       (effect) => this.#runEffect(effect),
@@ -201,8 +201,8 @@
     this.#dispatchNow(make);
   }
 
-  override peerEnded(address: Address): void {
-    super.peerEnded(address);
+  override peerDisconnected(address: Address): void {
+    super.peerDisconnected(address);
     for (const channel of this.#channels.get(address) ?? []) channel.remoteProcessEnded();
   }
 
--- a/packages/simulator/src/processes/registry.ts
+++ b/packages/simulator/src/processes/registry.ts
@@ -68,7 +68,7 @@
       undefined,
       this.#startsFromDisks,
     );
-    this.#store = this.makeStore<RegistryState, RegistryEvent, RegistryEffect>(
+    this.#store = this.createStateMachine<RegistryState, RegistryEvent, RegistryEffect>(
       registryTransition,
       first,
       (effect) => {
@@ -95,7 +95,7 @@
   }
 
   /** A call from outside; no answer ever comes if the process dies first. */
-  call(call: ExternalRequest, onReply: (told: RegistryReply) => void): void {
+  handleRequest(handleRequest: ExternalRequest, onReply: (told: RegistryReply) => void): void {
     this.execute(() => {
       this.#lastRequest += 1;
       this.#pendingReplies.set(this.#lastRequest, onReply);
@@ -103,7 +103,7 @@
         kind: 'requestReceived',
         now: this.clock,
         correlationId: this.#lastRequest,
-        request: call,
+        request: handleRequest,
       });
     });
   }
--- a/packages/simulator/src/processes/store.ts
+++ b/packages/simulator/src/processes/store.ts
@@ -65,7 +65,7 @@
       { seed: Math.floor(this.context.random.next() * 4294967296) },
       this.#replication,
     );
-    this.#store = this.makeStore<StoreState, StoreEvent, StoreEffect>(
+    this.#store = this.createStateMachine<StoreState, StoreEvent, StoreEffect>(
       storeTransition,
       first,
       (effect) => this.#runEffect(effect),
@@ -76,11 +76,11 @@
     );
   }
 
-  override wake(): void {
+  override resume(): void {
     const { state, clock } = this;
     if (this.isFrozen && state?.isServing === true && !holdsLease(state.candidate, clock))
       this.context.coverage.record('a primary woke past its lease');
-    super.wake();
+    super.resume();
   }
 
   protected onEnd(): void {
--- a/packages/simulator/src/rules/coverage.ts
+++ b/packages/simulator/src/rules/coverage.ts
@@ -70,5 +70,5 @@
 };
 
 /** Those that never came about. */
-export const missingGoals = (counts: ReadonlyMap<CoverageGoal, number>): readonly CoverageGoal[] =>
+export const unmetGoals = (counts: ReadonlyMap<CoverageGoal, number>): readonly CoverageGoal[] =>
   coverageGoals.filter((one) => (counts.get(one) ?? 0) === 0);
--- a/packages/simulator/src/rules/origin-rules.ts
+++ b/packages/simulator/src/rules/origin-rules.ts
@@ -35,7 +35,7 @@
   for (const origin of world.origins) {
     const departureKnownAt = origin.departureKnownAt;
     if (departureKnownAt === undefined) continue;
-    const late = origin.arrivals.filter((at) => at > departureKnownAt + propagationLimitMs);
+    const late = origin.arrivalTimes.filter((at) => at > departureKnownAt + propagationLimitMs);
     if (late.length > 0)
       violations.add(
         'R6',
@@ -46,7 +46,7 @@
     const own = world.origins.filter((one) => one.service === service.name);
     if (service.perSecond !== undefined) {
       const most = maxCountWithin(
-        own.flatMap((one) => one.contactTimes),
+        own.flatMap((one) => one.receiveTimes),
         rateWindowMs,
       );
       if (most > service.perSecond * rateWindowSeconds)
@@ -107,12 +107,12 @@
   for (const release of badReleases) {
     const own = world.origins.filter((one) => one.release === release);
     const service = own[0]?.service;
-    const first = Math.min(...own.flatMap((one) => one.arrivals));
+    const first = Math.min(...own.flatMap((one) => one.arrivalTimes));
     const all = world.origins
       .filter((one) => one.service === service)
-      .flatMap((one) => one.arrivals)
+      .flatMap((one) => one.arrivalTimes)
       .filter((at) => at >= first).length;
-    const got = own.reduce((sum, one) => sum + one.arrivals.length, 0);
+    const got = own.reduce((sum, one) => sum + one.arrivalTimes.length, 0);
     if (got > all / 10 + 55)
       violations.add('R10', `the bad release ${release} got ${got} of ${all} requests`);
     const bad = own.flatMap((one) => one.failureTimes).sort((left, right) => left - right)[
@@ -120,7 +120,7 @@
     ];
     if (
       bad !== undefined &&
-      own.some((one) => one.arrivals.some((at) => at > bad + badReleaseLimitMs))
+      own.some((one) => one.arrivalTimes.some((at) => at > bad + badReleaseLimitMs))
     )
       violations.add('R10', `${release} got requests more than 5 s after its fiftieth bad answer`);
   }
--- a/packages/simulator/src/rules/request-rules.ts
+++ b/packages/simulator/src/rules/request-rules.ts
@@ -104,9 +104,13 @@
 export const checkUnanswered = ({ world, callers, violations }: FinishedRun): void => {
   const { now } = world.eventQueue;
   for (const request of callers.requests) {
-    if (request.result !== undefined || request.hasLeft || now - request.sentAt < maxRequestMs)
+    if (
+      request.result !== undefined ||
+      request.hasDisconnected ||
+      now - request.sentAt < maxRequestMs
+    )
       continue;
-    const ending = request.edge.endOf(request.edgeIncarnation);
+    const ending = request.edge.terminationOf(request.edgeIncarnation);
     if (ending === 'planned')
       violations.add(
         'R11',
--- a/packages/simulator/src/rules/rule-checker.test.ts
+++ b/packages/simulator/src/rules/rule-checker.test.ts
@@ -78,7 +78,7 @@
   const origin = originOf(run);
   origin.leave('leaving');
   run.world.runFor(2500);
-  origin.arrivals.push(run.world.eventQueue.now);
+  origin.arrivalTimes.push(run.world.eventQueue.now);
 });
 bites('R7', (run) => {
   const [path, edge] = ['/clips/read/1', run.world.edges[0]];
@@ -101,7 +101,7 @@
       request: '',
       createdAt: run.world.eventQueue.now,
       source: 'edge',
-      retryMs: 0,
+      retryAfterMs: 0,
     },
     answeredAt: run.world.eventQueue.now,
   });
@@ -111,12 +111,12 @@
     for (const request of [`x${at}`, `x${at}`]) originOf(run).attempts.push({ request, at: 3000 });
 });
 bites('R9', (run) => {
-  for (let at = 0; at < 500; at += 1) originOf(run, acts).contactTimes.push(3000);
+  for (let at = 0; at < 500; at += 1) originOf(run, acts).receiveTimes.push(3000);
 });
 bites('R10', (run) => {
   const origin = run.world.addOrigin(clips, 8, 'r9');
   run.ruleChecker.badReleases.add(toRelease('r9'));
-  for (let at = 0; at < 300; at += 1) origin.arrivals.push(3100);
+  for (let at = 0; at < 300; at += 1) origin.arrivalTimes.push(3100);
 });
 bites('lost write', (run) => {
   const write = run.world.apply(9);
--- a/packages/simulator/src/rules/rule-checker.ts
+++ b/packages/simulator/src/rules/rule-checker.ts
@@ -39,7 +39,7 @@
     world.afterEvent = (process) => this.checkProcess(process);
     world.isUnreachable = (proxy) => reachability.unreachable.has(proxy);
     callers.onSent = (request) => {
-      request.owedForMs = this.#sampledRules.owedForMs(request);
+      request.serviceAvailableForMs = this.#sampledRules.owedForMs(request);
     };
     callers.onReply = (request) => this.#sampledRules.checkReply(request);
     this.#sampleFromNowOn();
--- a/packages/simulator/src/rules/sampled-rules.ts
+++ b/packages/simulator/src/rules/sampled-rules.ts
@@ -163,16 +163,19 @@
     const world = this.#world;
     if (
       result === undefined ||
-      request.hasLeft ||
+      request.hasDisconnected ||
       result.kind === 'result' ||
-      request.owedForMs < minOwedMs ||
+      request.serviceAvailableForMs < minOwedMs ||
       request.isFlood
     )
       return;
     // What failed in this very moment, between two samples, counts.
     this.reachability.sample();
     this.#obligations.sample();
-    if (this.owedForMs(request) >= request.owedForMs + world.eventQueue.now - request.sentAt - 1) {
+    if (
+      this.owedForMs(request) >=
+      request.serviceAvailableForMs + world.eventQueue.now - request.sentAt - 1
+    ) {
       this.#violations.add(
         'owed',
         `${request.id} ${request.path} at ${request.edge.node} was told ${result.kind} (${result.text}) after ${Math.round(world.eventQueue.now - request.sentAt)} ms with nothing amiss on its way`,
--- a/packages/simulator/src/rules/service-obligations.ts
+++ b/packages/simulator/src/rules/service-obligations.ts
@@ -30,7 +30,7 @@
         origins.every((one) => one.state === 'up' && one.isHealthy) &&
         !world.origins.some(
           (one) =>
-            one.service === name && !one.isAlive && world.eventQueue.now - one.diedAt < 11_000,
+            one.service === name && !one.isAlive && world.eventQueue.now - one.crashedAt < 11_000,
         );
       const keepers = world.shields.filter(
         (one) =>
--- a/packages/simulator/src/run/bounded-state.test.ts
+++ b/packages/simulator/src/run/bounded-state.test.ts
@@ -92,7 +92,7 @@
     },
     services: [{ name: clips, origins: 1, slots: 4, perSecond: undefined }],
   });
-  world.form();
+  world.bootstrap();
   return world;
 };
 
--- a/packages/simulator/src/run/calm.test.ts
+++ b/packages/simulator/src/run/calm.test.ts
@@ -19,7 +19,7 @@
   });
   const callers = new SimulatedCallers(world, 60);
   const rules = new RuleChecker(world, callers);
-  world.form();
+  world.bootstrap();
   callers.start();
   world.runFor(14_000);
   world.apply(2);
--- a/packages/simulator/src/run/concurrent-rollouts.test.ts
+++ b/packages/simulator/src/run/concurrent-rollouts.test.ts
@@ -39,7 +39,7 @@
   const order: Order = { number: toGeneration(number), told: undefined };
   const id = toCommandId(`order-${number}`);
   const { hash, chunkHashes: pieces, chunks: texts } = bundleOf(run, mark);
-  registry.call(
+  registry.handleRequest(
     {
       verb: 'apply',
       id,
--- a/packages/simulator/src/run/failures.test.ts
+++ b/packages/simulator/src/run/failures.test.ts
@@ -38,7 +38,7 @@
       origin.truncationProbability = 0.1;
       origin.wrongInstanceProbability = 0.1;
     }
-    run.callers.leaveProbability = 0.2;
+    run.callers.disconnectProbability = 0.2;
     run.callers.start();
     run.world.runFor(8000);
     assert.deepEqual(finishRun(run), []);
@@ -63,7 +63,7 @@
         run.world.eventQueue.schedule(500, () => keeper.start());
       } else if (turn % 3 === 1) {
         keeper.freeze();
-        run.world.eventQueue.schedule(2500, () => keeper.wake());
+        run.world.eventQueue.schedule(2500, () => keeper.resume());
       } else {
         run.faults.isolate(run.faults.processesOnMachineOf(keeper), 'both');
         run.world.eventQueue.schedule(1500, () => run.world.network.heal());
@@ -281,7 +281,7 @@
     assert.ok(edge !== undefined && shield !== undefined);
     run.faults.isolate([edge], seed % 2 === 0 ? 'in' : 'both');
     shield.freeze();
-    run.world.eventQueue.schedule(2600, () => shield.wake());
+    run.world.eventQueue.schedule(2600, () => shield.resume());
     for (let at = 0; at < 20; at += 1)
       for (const service of [clips, acts]) run.world.purge(...purgeOf(`/${service}/read/${at}`));
     // The cut-off edge is asked all the same, as by a client that was sent there before.
@@ -351,9 +351,9 @@
   keeper?.kill();
   run.world.runFor(7000);
   assert.deepEqual(finishRun(run), []);
-  const arrivals = run.world.origins.flatMap((one) => one.arrivals).length;
+  const arrivals = run.world.origins.flatMap((one) => one.arrivalTimes).length;
   assert.ok(
-    run.world.origins.flatMap((one) => one.contactTimes).length > arrivals,
+    run.world.origins.flatMap((one) => one.receiveTimes).length > arrivals,
     'health checks were sent too',
   );
   assert.ok(arrivals > 80 * 8, `${arrivals} requests let through: the ceiling is used`);
@@ -379,22 +379,22 @@
       )?.state;
     assert.equal(verdict('r2'), 'bad');
     assert.equal(verdict('r3'), 'good');
-    assert.ok(good.arrivals.length > 50);
+    assert.ok(good.arrivalTimes.length > 50);
     // A release that goes bad after it earned its traffic is judged as well.
     good.failureProbability = 0.7;
     run.world.runFor(12_000);
     assert.equal(verdict('r3'), 'bad');
     const fiftieth = good.failureTimes[49];
-    assert.ok(fiftieth === undefined || good.arrivals.every((at) => at <= fiftieth + 5000));
+    assert.ok(fiftieth === undefined || good.arrivalTimes.every((at) => at <= fiftieth + 5000));
     for (const actor of run.world.allProcesses) {
       actor.kill();
       run.world.eventQueue.schedule(200, () => actor.start());
     }
     run.world.runFor(10_000);
     assert.equal(verdict('r2'), 'bad');
-    const before = bad.arrivals.length;
+    const before = bad.arrivalTimes.length;
     run.world.runFor(4000);
-    assert.equal(bad.arrivals.length, before);
+    assert.equal(bad.arrivalTimes.length, before);
     assert.deepEqual(finishRun(run), []);
   }
 });
@@ -456,7 +456,7 @@
       ]) {
         let status = 0;
         for (let turn = 0; turn < 5 && status !== 200; turn += 1) {
-          fresh.call(
+          fresh.handleRequest(
             {
               verb: 'electorate',
               id: toCommandId(`swap-${at}-${change.add ?? 'x'}-${turn}`),
@@ -472,7 +472,7 @@
         assert.equal(status, 200);
         run.world.runFor(600);
       }
-      run.world.dropRegistry(gone);
+      run.world.removeRegistry(gone);
       run.world.runFor(1200);
     }
     const seats =
@@ -550,7 +550,7 @@
   run.callers.floodedUntil.set('/clips/plain/', Infinity);
   for (let at = 0; at < 6000; at += 1)
     run.world.eventQueue.schedule(at * 0.66, () => {
-      run.callers.send({ kind: 'plain', service: 'clips', flood: true });
+      run.callers.send({ kind: 'plain', service: 'clips', isFlood: true });
     });
   run.world.runFor(7000);
   const acting = run.callers.requests.filter(
@@ -588,7 +588,7 @@
   for (const origin of run.world.origins) origin.workMs = 60;
   for (let at = 0; at < 300; at += 1)
     run.world.eventQueue.schedule(at * 20, () => {
-      run.callers.send({ kind: 'plain', service: 'clips', object: 4, flood: true });
+      run.callers.send({ kind: 'plain', service: 'clips', object: 4, isFlood: true });
     });
   run.world.runFor(8000);
   assert.deepEqual(finishRun(run), []);
@@ -618,7 +618,7 @@
     for (let at = 0; at < 20; at += 1)
       for (const service of [clips, acts]) run.world.purge(...purgeOf(`/${service}/read/${at}`));
     sleeper?.freeze();
-    run.world.eventQueue.schedule(4500, () => sleeper?.wake());
+    run.world.eventQueue.schedule(4500, () => sleeper?.resume());
     run.world.runFor(2000);
     for (const origin of run.world.origins) origin.extraLatencyMs = 0;
     run.world.runFor(6000);
--- a/packages/simulator/src/run/fixture.ts
+++ b/packages/simulator/src/run/fixture.ts
@@ -37,7 +37,7 @@
   });
   const callers = new SimulatedCallers(world, perSecond);
   const rules = new RuleChecker(world, callers);
-  world.form();
+  world.bootstrap();
   return { world, callers, ruleChecker: rules, faults: new FaultContext(world, rules, callers) };
 };
 
--- a/packages/simulator/src/run/large-configuration.test.ts
+++ b/packages/simulator/src/run/large-configuration.test.ts
@@ -83,7 +83,7 @@
   bundle: ChunkedConfiguration,
 ): RegistryReply | undefined =>
   settled(world, 15_000, (done) => {
-    registry.call(
+    registry.handleRequest(
       { verb: 'apply', id: toCommandId(id), baseGeneration: undefined, ...bundle },
       done,
     );
@@ -95,7 +95,7 @@
   id: string,
 ): RegistryReply | undefined =>
   settled(world, 25_000, (done) => {
-    registry.call({ verb: 'view', id: toCommandId(id), viewName: 'description' }, done);
+    registry.handleRequest({ verb: 'view', id: toCommandId(id), viewName: 'description' }, done);
   });
 
 const assertEqualDescription = (told: RegistryReply | undefined, description: object): void => {
@@ -113,7 +113,7 @@
 for (const { routes, pathLength, least } of sizes) {
   void test(`${routes} routes of ${pathLength} signs are applied, read back equal from each registry, and get to a new store, in frames of bounded size`, (context) => {
     const world = new WeighingWorld(layout);
-    world.form();
+    world.bootstrap();
     const description = descriptionOf(routes, pathLength);
     const bundle = bundleOf(description);
     const bytes = [...bundle.chunks.values()].reduce((sum, one) => sum + one.length, 0);
@@ -144,7 +144,7 @@
     );
     const gone = world.stores.find((one) => one !== world.primary());
     assert.ok(gone !== undefined);
-    world.dropStore(gone);
+    world.removeStore(gone);
     const fresh = world.addStore('store-9', 9);
     assert.ok(
       world.runUntil(8000, () => inSync().includes(fresh.node)),
@@ -156,7 +156,7 @@
 
 void test('a description is read back while others are put in force 20 times a second: what is read was in force meanwhile', () => {
   const world = new World(layout);
-  world.form();
+  world.bootstrap();
   const large = [0, 1].map((at) => bundleOf({ ...descriptionOf(2000 + at, 40) }));
   let serial = 0;
   let working = true;
@@ -165,7 +165,7 @@
     serial += 1;
     const bundle = large[serial % 2];
     if (bundle !== undefined)
-      world.registries[0]?.call(
+      world.registries[0]?.handleRequest(
         {
           verb: 'apply',
           id: toCommandId(`change-${serial}`),
--- a/packages/simulator/src/run/network-partition.test.ts
+++ b/packages/simulator/src/run/network-partition.test.ts
@@ -57,7 +57,7 @@
 }
 
 const reset = (one: SimulatedProcess, other: SimulatedProcess): void => {
-  if (one.isAlive) one.execute(() => one.peerEnded(other.address));
+  if (one.isAlive) one.execute(() => one.peerDisconnected(other.address));
 };
 const cutWays: readonly Cut[] = [
   { name: 'silent', link: (run, from, to) => run.world.network.cut(from.node, to.node) },
@@ -113,7 +113,7 @@
   serial += 1;
   const id = toCommandId(`cut-off-${serial}`);
   const asked: Asked = { at: run.world.eventQueue.now, verb, told: undefined };
-  registry.call(
+  registry.handleRequest(
     verb === 'view'
       ? { verb, id, viewName: 'description' }
       : { verb, id, targets: [{ by: 'tag', tag: `none-${serial}` }] },
--- a/packages/simulator/src/run/operators.test.ts
+++ b/packages/simulator/src/run/operators.test.ts
@@ -39,7 +39,7 @@
 ): { answer: RegistryReply | undefined } => {
   const box: { answer: RegistryReply | undefined } = { answer: undefined };
   const { hash, chunkHashes, chunks } = bundleOf(run, mark);
-  registry.call(
+  registry.handleRequest(
     {
       verb: 'apply',
       id: freshCall(),
@@ -80,7 +80,7 @@
 const orderRelease = (run: Fixture, target: Release, first = 0): RegistryReply => {
   for (let turn = 0; turn < 8; turn += 1) {
     let answer: RegistryReply | undefined;
-    registryAt(run, first + turn).call(
+    registryAt(run, first + turn).handleRequest(
       { verb: 'release', id: freshCall(), service: clips, target, spanMs: releaseSpan },
       (told) => {
         answer = told;
@@ -264,7 +264,7 @@
   const { service, instance, address, release, slots } = origin;
   const announce = (state: 'leaving' | 'gone', at: number): number => {
     let status = 0;
-    registryAt(run, at).call(
+    registryAt(run, at).handleRequest(
       { verb: 'announce', origin: { service, instance, address, release, slots, state } },
       (told) => {
         status = told.status;
--- a/packages/simulator/src/run/origin-departure.test.ts
+++ b/packages/simulator/src/run/origin-departure.test.ts
@@ -27,7 +27,7 @@
   done: (told: RegistryReply) => void,
 ): void => {
   const { service, instance, address, release, slots } = origin;
-  registry.call(
+  registry.handleRequest(
     { verb: 'announce', origin: { service, instance, address, release, slots, state } },
     done,
   );
--- a/packages/simulator/src/run/random-faults.test.ts
+++ b/packages/simulator/src/run/random-faults.test.ts
@@ -6,9 +6,9 @@
 import {
   type HistoryCoverageGoal,
   historyCoverageGoals,
-  untestedPoints,
+  unmetHistoryGoals,
 } from '../history/checker.js';
-import { type CoverageGoal, addCounts, missingGoals } from '../rules/coverage.js';
+import { type CoverageGoal, addCounts, unmetGoals } from '../rules/coverage.js';
 import { seedRange } from './fixture.js';
 import { runRandomFaults } from './random-faults.js';
 
@@ -95,11 +95,11 @@
 void test('the storms of orders put every point of the history to the test', (t) => {
   for (const point of historyCoverageGoals)
     t.diagnostic(`${historyTried.get(point) ?? 0}  ${point}`);
-  assert.deepEqual(untestedPoints(historyTried), []);
+  assert.deepEqual(unmetHistoryGoals(historyTried), []);
 });
 
 void test('the storms before put every rule to the test', () => {
-  assert.deepEqual(missingGoals(tried), []);
+  assert.deepEqual(unmetGoals(tried), []);
 });
 
 void test('one seed is one run', () => {
--- a/packages/simulator/src/run/random-faults.ts
+++ b/packages/simulator/src/run/random-faults.ts
@@ -50,7 +50,7 @@
   world.network.conditions = goodConditions;
   for (const store of world.stores) store.disk.recover();
   for (const process of world.allProcesses) {
-    process.wake();
+    process.resume();
     process.start();
   }
   for (const proxy of world.proxies) proxy.failsToCompile = false;
@@ -122,7 +122,7 @@
   callers.stop();
   world.runFor(6000);
   const failed = requests.filter(
-    (request) => request?.hasLeft !== true && request?.result?.kind !== 'result',
+    (request) => request?.hasDisconnected !== true && request?.result?.kind !== 'result',
   );
   const violations: string[] = [];
   if (unready.length > 0)
@@ -144,8 +144,8 @@
   const context = new FaultContext(world, ruleChecker, callers);
   context.trace = options.trace;
   options.observe?.(world, callers);
-  world.form();
-  callers.leaveProbability = 0.03;
+  world.bootstrap();
+  callers.disconnectProbability = 0.03;
   callers.start();
   const candidates = candidatesOf(options.namePrefixes);
   if (candidates.some((fault) => numberedCommandFaults.includes(fault))) {
--- a/packages/simulator/src/run/releases.test.ts
+++ b/packages/simulator/src/run/releases.test.ts
@@ -45,7 +45,7 @@
   for (let turn = 0; turn < 5 && !got(); turn += 1) {
     run.world.registries
       .find((one) => one.isAlive)
-      ?.call({ verb: 'release', id: toCommandId(id), service, target, spanMs }, (one) => {
+      ?.handleRequest({ verb: 'release', id: toCommandId(id), service, target, spanMs }, (one) => {
         answer = one;
       });
     run.world.runUntil(5000, got);
@@ -57,7 +57,7 @@
   let answer: Answer | undefined;
   run.world.registries
     .find((one) => one.isAlive)
-    ?.call({ verb: 'view', id: toCommandId(id), viewName: what }, (one) => {
+    ?.handleRequest({ verb: 'view', id: toCommandId(id), viewName: what }, (one) => {
       answer = one;
     });
   run.world.runUntil(3000, () => answer !== undefined);
--- a/packages/simulator/src/run/replication.test.ts
+++ b/packages/simulator/src/run/replication.test.ts
@@ -163,7 +163,7 @@
     const store = run.world.stores[gone];
     assert.ok(store !== undefined);
     allOff(run);
-    run.world.dropStore(store);
+    run.world.removeStore(store);
     allOn(run);
     assert.ok(
       run.world.runUntil(15_000, () => run.world.primary()?.hasResultOf(write.id) === true),
@@ -192,7 +192,7 @@
     const run = fleet(seed);
     const write = confirmed(run, 100);
     for (const [at, old] of [...run.world.stores].entries()) {
-      run.world.dropStore(old);
+      run.world.removeStore(old);
       const fresh = run.world.addStore(`store-${at + 11}`, at + 11);
       assert.ok(
         run.world.runUntil(
@@ -222,7 +222,7 @@
     run.world.runFor(2500);
     assert.ok(run.world.primary() !== frozen);
     const after = confirmed(run, 101);
-    frozen.wake();
+    frozen.resume();
     run.world.runFor(3000);
     assert.ok(caught.reply?.status !== 200 || run.world.primary()?.hasResultOf(caught.id) === true);
     keptAll(run, [before, after], 3, `seed ${seed}`);
@@ -360,7 +360,7 @@
         if (what === 'pair') powerOff(run, two, true);
       } else if (what === 'freeze') {
         one.freeze();
-        run.world.eventQueue.schedule(run.world.random.uniform(300, 4000), () => one.wake());
+        run.world.eventQueue.schedule(run.world.random.uniform(300, 4000), () => one.resume());
       } else if (what === 'cut') {
         run.faults.isolate(run.faults.processesOnMachineOf(one), 'both');
         run.world.eventQueue.schedule(run.world.random.uniform(300, 4000), () =>
@@ -402,7 +402,7 @@
         run.world.runUntil(4000, () => seats(run).includes(fresh.node)),
         `${fresh.node} has a seat`,
       );
-      run.world.dropRegistry(gone);
+      run.world.removeRegistry(gone);
       assert.ok(
         run.world.runUntil(
           4000,
@@ -472,7 +472,7 @@
       away.freeze();
       run.world.runFor(1200);
       assert.deepEqual(seats(run), before);
-      away.wake();
+      away.resume();
       run.world.runFor(1500);
       assert.deepEqual(seats(run), before);
     }
--- a/packages/simulator/src/run/request-deadlines.test.ts
+++ b/packages/simulator/src/run/request-deadlines.test.ts
@@ -16,7 +16,7 @@
   const list: CallerRequest[] = [];
   for (let at = 0; at < span; at += 10) {
     run.world.eventQueue.schedule(at, () => {
-      const asked = run.callers.send({ edge, service: 'clips', flood: true });
+      const asked = run.callers.send({ edge, service: 'clips', isFlood: true });
       if (asked !== undefined) list.push(asked);
     });
   }
@@ -41,7 +41,7 @@
   const mute = list.filter(
     (one) =>
       (one.result?.kind === 'rejected' || one.result?.kind === 'unready') &&
-      one.result.retryMs <= 0,
+      one.result.retryAfterMs <= 0,
   );
   assert.deepEqual(
     mute.slice(0, 3).map((one) => one.result),
@@ -89,7 +89,7 @@
   for (const origin of run.world.origins) origin.extraLatencyMs = 300;
   for (let at = 0; at < 1500; at += 1)
     run.world.eventQueue.schedule(at * 2, () => {
-      run.callers.send({ service: 'clips', kind: 'plain', flood: true });
+      run.callers.send({ service: 'clips', kind: 'plain', isFlood: true });
     });
   run.world.runFor(7000);
   const list = run.callers.requests.filter((one) => one.isFlood && one.result?.kind === 'rejected');
@@ -112,7 +112,7 @@
     run.callers.floodedUntil.set(`/clips/${kind}/`, Infinity);
   for (let at = 0; at < 1500; at += 1)
     run.world.eventQueue.schedule(at * 2, () => {
-      run.callers.send({ service: 'clips', kind: 'act', flood: true });
+      run.callers.send({ service: 'clips', kind: 'act', isFlood: true });
     });
   run.world.runFor(7000);
   const list = run.callers.requests.filter((one) => one.isFlood && one.result?.kind === 'rejected');
@@ -161,7 +161,7 @@
   assert.ok(edge !== undefined);
   for (let at = 0; at < 300; at += 1)
     run.world.eventQueue.schedule(at * 10, () => {
-      run.callers.send({ edge, service: 'acts', flood: true });
+      run.callers.send({ edge, service: 'acts', isFlood: true });
     });
   run.world.eventQueue.schedule(500, () => edge.stop(() => undefined));
   run.world.runFor(7000);
@@ -181,11 +181,17 @@
   const edge = run.world.edges[0];
   assert.ok(edge !== undefined);
   for (const origin of run.world.origins) origin.extraChunkMs = 900;
-  const asked = run.callers.send({ edge, service: 'clips', kind: 'long', object: 4, flood: true });
+  const asked = run.callers.send({
+    edge,
+    service: 'clips',
+    kind: 'long',
+    object: 4,
+    isFlood: true,
+  });
   run.world.runFor(1000);
   edge.stop(() => undefined);
   run.world.runFor(9000);
-  assert.equal(edge.endOf(asked?.edgeIncarnation ?? 0), 'planned');
+  assert.equal(edge.terminationOf(asked?.edgeIncarnation ?? 0), 'planned');
   assert.ok(
     asked?.result?.kind === 'broken' || asked?.result?.kind === 'unknown',
     JSON.stringify(asked?.result),
@@ -199,7 +205,7 @@
   const edge = run.world.edges[0];
   for (const origin of run.world.origins) origin.extraLatencyMs = 1000;
   for (let at = 0; at < 200; at += 1)
-    run.callers.send({ edge, service: 'clips', kind: 'read', object: 7, flood: true });
+    run.callers.send({ edge, service: 'clips', kind: 'read', object: 7, isFlood: true });
   run.world.runFor(4000);
   const list = run.callers.requests.filter((one) => one.isFlood && one.result?.kind === 'rejected');
   toldAtOnce(list, 30, 100);
--- a/packages/simulator/src/run/second-loss.test.ts
+++ b/packages/simulator/src/run/second-loss.test.ts
@@ -52,7 +52,7 @@
         ...(domains === undefined ? {} : { failureDomains: domains }),
       },
     });
-    this.world.form();
+    this.world.bootstrap();
     for (const [at, store] of this.world.stores.entries()) {
       const registry = this.world.registries[at];
       assert.ok(registry !== undefined);
@@ -124,8 +124,8 @@
   /** A machine is gone for good, without notice. */
   drop(machine: Machine): void {
     this.machines.splice(this.machines.indexOf(machine), 1);
-    this.world.dropRegistry(machine.registry);
-    this.world.dropStore(machine.store);
+    this.world.removeRegistry(machine.registry);
+    this.world.removeStore(machine.store);
   }
 
   /** A machine is asked to stop, ends by itself and goes for good; says how long that took. */
@@ -151,7 +151,7 @@
   /** A machine comes back as it is left by its loss. */
   restore(machine: Machine, loss: Loss): void {
     for (const actor of [machine.store, machine.registry])
-      if (loss === 'frozen') actor.wake();
+      if (loss === 'frozen') actor.resume();
       else actor.start();
   }
 }
--- a/packages/simulator/src/run/steady-traffic.test.ts
+++ b/packages/simulator/src/run/steady-traffic.test.ts
@@ -59,7 +59,7 @@
       perSecond: undefined,
     })),
   });
-  world.form();
+  world.bootstrap();
   world.runFor(settleMs);
   return world;
 };
--- a/packages/simulator/src/world/process.ts
+++ b/packages/simulator/src/world/process.ts
@@ -110,7 +110,7 @@
   }
 
   /** How one of its incarnations came to its end. */
-  endOf(incarnationNumber: number): 'alive' | 'killed' | 'planned' {
+  terminationOf(incarnationNumber: number): 'alive' | 'killed' | 'planned' {
     return this.#endings.get(incarnationNumber) ?? 'alive';
   }
 
@@ -125,7 +125,7 @@
     for (const other of this.context.processes.values()) {
       if (other !== this && other.isAlive)
         this.context.network.sendDatagram(this.node, other.node, () =>
-          other.execute(() => other.peerEnded(this.address)),
+          other.execute(() => other.peerDisconnected(this.address)),
         );
     }
   }
@@ -135,7 +135,7 @@
   }
 
   /** Wakes: all that came meanwhile is acted on at once, in its order. */
-  wake(): void {
+  resume(): void {
     if (!this.#isFrozen) return;
     this.#isFrozen = false;
     for (const act of this.#heldWork.splice(0)) if (this.#isAlive) act();
@@ -182,7 +182,7 @@
     if (other === undefined) return;
     this.context.frameObserver?.frameSent(this, other, frame);
     if (this.context.network.isRefused(this.node, other.node)) {
-      this.schedule(1, () => this.peerEnded(to));
+      this.schedule(1, () => this.peerDisconnected(to));
       return;
     }
     const from = this.peer;
@@ -202,7 +202,7 @@
     });
   }
 
-  peerEnded(address: Address): void {
+  peerDisconnected(address: Address): void {
     this.dispatch((now) => ({ kind: 'peerDisconnected', now, address }));
   }
 
@@ -215,7 +215,7 @@
   protected abstract onEnd(): void;
   abstract dispatch(make: (now: Timestamp) => ProcessEvent): void;
 
-  protected makeStore<S, E, F>(
+  protected createStateMachine<S, E, F>(
     reduce: (state: S, event: E) => Transition<S, F>,
     first: S,
     run: (effect: F) => void,
--- a/packages/simulator/src/world/world.ts
+++ b/packages/simulator/src/world/world.ts
@@ -205,14 +205,14 @@
   }
 
   /** A store is gone for good, with its disk. */
-  dropStore(store: SimulatedStore): void {
+  removeStore(store: SimulatedStore): void {
     store.kill();
     this.stores.splice(this.stores.indexOf(store), 1);
     this.processes.delete(store.address);
   }
 
   /** A registry is gone for good: nothing names it any more. */
-  dropRegistry(registry: SimulatedRegistry): void {
+  removeRegistry(registry: SimulatedRegistry): void {
     registry.kill();
     this.registries.splice(this.registries.indexOf(registry), 1);
     this.processes.delete(registry.address);
@@ -273,7 +273,7 @@
   }
 
   /** Starts every process and origin, founds the fleet and applies a first configuration. */
-  form(): void {
+  bootstrap(): void {
     for (const actor of this.allProcesses)
       this.eventQueue.schedule(this.random.uniform(0, 100), () => actor.start());
     for (const service of this.layout.services)
@@ -292,7 +292,7 @@
     if (!met) throw new Error('the core did not find itself');
     let founded = false;
     const found = (): void => {
-      this.registries[0]?.call(
+      this.registries[0]?.handleRequest(
         {
           verb: 'bootstrap',
           id: toCommandId('found'),
@@ -418,7 +418,7 @@
         startedAt: this.eventQueue.now,
         endedAt: undefined,
       });
-      registry.call(
+      registry.handleRequest(
         {
           verb: 'apply',
           id: write.id,
@@ -461,7 +461,7 @@
         startedAt: this.eventQueue.now,
         endedAt: undefined,
       });
-      registry.call({ verb: 'purge', id: write.id, targets: aims }, (reply) => {
+      registry.handleRequest({ verb: 'purge', id: write.id, targets: aims }, (reply) => {
         const number = reply.status === 200 ? (numberField(reply.body, 'purge') ?? 0) : undefined;
         open.end({ outcome: outcomeOfStatus(reply.status), number });
         done(reply);
