--- a/packages/configuration/src/compiled/compile.ts
+++ b/packages/configuration/src/compiled/compile.ts
@@ -1,6 +1,6 @@
 /**
- * Compiling a configuration from its chunks: all is checked, and routes are indexed for matching.
- * The work is a generator that yields every few routes, so that a caller can spread it over time.
+ * Compiler of configurations: validates the chunks of a document and indexes its routes. It is a
+ * generator that yields every `routesPerSlice` routes, so that callers can spread the work.
  */
 
 import { type Result, err, ok } from 'true-myth/result';
@@ -27,11 +27,10 @@
 
 const routesPerSlice = 100;
 const maxIssues = 200;
-/** A configuration with a larger part of new chunks is compiled anew. */
-const maxPatchedPart = 1 / 4;
+/** Maximum fraction of new chunks for which an earlier configuration is patched instead of compiling all. */
+const maxPatchedFraction = 1 / 4;
 
-/** Which configuration a compilation is of. */
-interface Identity {
+interface ConfigurationIdentity {
   readonly generation: Generation;
   readonly hash: Hash;
 }
@@ -40,7 +39,7 @@
 
 const isArray = (raw: unknown): raw is readonly unknown[] => Array.isArray(raw);
 
-/** Compiles the routes of one chunk; `firstIndex` is the index of its first route in the document. */
+/** Compiles the routes of one chunk; `firstIndex` is the position of its first route in the document. */
 function* compileChunk(
   state: CompilationState,
   declared: DeclaredNames | undefined,
@@ -63,7 +62,6 @@
   return { routes, count };
 }
 
-/** The classes whose routes go to each service. */
 const classNamesByService = (
   routesByChunk: ReadonlyMap<string, ChunkRoutes>,
 ): ReadonlyMap<ServiceName, ReadonlySet<ServiceClassName>> => {
@@ -87,7 +85,7 @@
 const toCompiledConfiguration = (
   state: CompilationState,
   { header, headerText, services, classes, routesByChunk }: CompiledParts,
-  { generation, hash }: Identity,
+  { generation, hash }: ConfigurationIdentity,
 ): CompiledConfiguration => {
   const namesByService = classNamesByService(routesByChunk);
   checkClassShares(namesByService, classes, state.issues);
@@ -117,19 +115,19 @@
 };
 
 /**
- * Compiles on top of a configuration that differs in a few chunks. Undefined if that can't be done,
- * or if there is an issue: then compiling anew reports all of them with their places.
+ * Patches an earlier configuration that differs in a few chunks. Returns undefined if that is not
+ * possible or if there are issues; a full compilation then reports them with their positions.
  */
 function* patchConfiguration(
   before: CompiledConfiguration,
   texts: readonly string[],
-  identity: Identity,
+  identity: ConfigurationIdentity,
 ): Compilation<CompiledConfiguration | undefined> {
   const [headerText, ...chunks] = texts;
   const kept = new Set(chunks);
   if (headerText !== before.headerText || kept.size !== chunks.length) return undefined;
   const added = chunks.filter((text) => !before.routesByChunk.has(text));
-  if (added.length > chunks.length * maxPatchedPart) return undefined;
+  if (added.length > chunks.length * maxPatchedFraction) return undefined;
   const state = newCompilation(before);
   for (const [text, routes] of before.routesByChunk)
     if (!kept.has(text)) for (const route of routes) removeRoute(state, route);
@@ -141,10 +139,10 @@
   return state.issues.length > 0 ? undefined : compiled;
 }
 
-/** Checks and compiles a whole configuration; reports all that is wrong with it, up to a limit. */
+/** Validates and compiles a whole configuration; stops after `maxIssues` issues. */
 function* compileConfiguration(
   texts: readonly string[],
-  identity: Identity,
+  identity: ConfigurationIdentity,
 ): Compilation<Result<CompiledConfiguration, readonly ValidationIssue[]>> {
   const [headerText = '', ...chunks] = texts;
   const state = newCompilation(undefined);
@@ -174,8 +172,8 @@
 }
 
 /**
- * Compiles a configuration from the texts of its chunks, the header first; on top of an earlier one
- * if they share most chunks. A text that is no JSON is an issue like any other.
+ * Compiles a configuration from the texts of its chunks, the header first. Patches the configuration
+ * `before` if most chunks are the same. Text that is not JSON is reported as an issue.
  */
 export function* buildConfiguration(
   texts: readonly string[],
@@ -195,7 +193,7 @@
   }
 }
 
-/** Runs time-sliced work to its end in one go. */
+/** Runs time-sliced work to completion without pausing. */
 export const runToCompletion = <T>(work: Generator<undefined, T>): T => {
   for (;;) {
     const next = work.next();
--- a/packages/configuration/src/compiled/compiled-configuration.ts
+++ b/packages/configuration/src/compiled/compiled-configuration.ts
@@ -1,7 +1,4 @@
-/**
- * The form of a compiled configuration, which nodes run: immutable, and complete where the document
- * leaves things out.
- */
+/** Compiled form of a configuration, which nodes run: immutable, with defaults filled in. */
 
 import type {
   ServiceClassName,
@@ -19,27 +16,27 @@
   Service,
 } from '../document/schema.js';
 
-/** A route ready to be matched, with the defaults filled in. */
+/** A compiled route, with defaults filled in. */
 export interface CompiledRoute {
   readonly name: RouteName;
-  /** The first of its services with a weight above 0. */
+  /** First of its services with a weight above 0. */
   readonly service: ServiceName;
-  /** All of its services with their weights; one for a route that is not split. */
+  /** All of its services with their weights; a single one for a route that is not split. */
   readonly weightedServices: readonly WeightedService[];
   readonly className: ServiceClassName;
   readonly methods: ReadonlySet<string>;
   readonly isIdempotent: boolean;
   readonly timeoutMs: number;
-  /** Within which time a response is worth most. */
+  /** Latency target of a response, in milliseconds. */
   readonly latencyTargetMs: number | undefined;
-  /** The largest number of origins that one request may be sent to. */
+  /** Maximum number of origins that one request may be sent to. */
   readonly maxOrigins: number | undefined;
-  /** 0 is the highest: it goes first when not everything can be served. */
+  /** Priority under overload; 0 is the highest. */
   readonly priority: number;
   readonly cache: Route['cache'];
 }
 
-/** Routes by host and then by path or prefix; an empty host stands for all. */
+/** Routes by host and then by path or prefix; an empty host matches any. */
 export type RouteIndex = ReadonlyMap<string, ReadonlyMap<string, readonly CompiledRoute[]>>;
 
 /** A route with its place in the index. */
@@ -47,24 +44,24 @@
   readonly route: CompiledRoute;
   readonly host: string;
   readonly path: string;
-  /** Whether its path is exact, or a prefix. */
+  /** Whether the path must match exactly; otherwise it is a prefix. */
   readonly isExact: boolean;
 }
 
-/** The routes of one chunk. */
+/** Routes of one chunk with their places in the index, so that a patch can remove them. */
 export type ChunkRoutes = readonly IndexedRoute[];
 
-/** A whole configuration, compiled. */
+/** A configuration as nodes run it: routes indexed for matching, and classes and services by name. */
 export interface CompiledConfiguration {
   readonly generation: Generation;
   readonly hash: Hash;
   readonly header: ConfigurationHeader;
   readonly headerText: string;
-  /** The routes of each chunk, by its text: the next configuration takes over what it shares. */
+  /** Routes of each chunk, by the chunk's text, which the next configuration reuses for chunks in common. */
   readonly routesByChunk: ReadonlyMap<string, ChunkRoutes>;
   readonly classes: ReadonlyMap<ServiceClassName, ServiceClass>;
   readonly services: ReadonlyMap<ServiceName, Service>;
-  /** The classes whose routes go to each service: only they have a share of its slots. */
+  /** Classes whose routes go to each service; only they have a share of its slots. */
   readonly classesByService: ReadonlyMap<ServiceName, ReadonlyMap<ServiceClassName, ServiceClass>>;
   readonly routesByName: ReadonlyMap<RouteName, CompiledRoute>;
   readonly exactRoutes: RouteIndex;
--- a/packages/configuration/src/compiled/match-route.ts
+++ b/packages/configuration/src/compiled/match-route.ts
@@ -1,17 +1,17 @@
-/** Finding the route of a request, and the service of a route. */
+/** Matching of requests to routes, and the choice of a route's service. */
 
 import type { ServiceName } from '@switchwheel/types';
 import type { CompiledConfiguration, CompiledRoute } from './compiled-configuration.js';
 
-/** What a request matches. */
+/** Result of matching a request. */
 export type RouteMatch =
   | { readonly outcome: 'matched'; readonly route: CompiledRoute }
   | { readonly outcome: 'methodNotAllowed'; readonly methods: readonly string[] }
   | { readonly outcome: 'notFound' };
 
 /**
- * The routes of one host for a path, the most specific first. The lists are those of the index, not copies: this runs
- * for each request.
+ * Lists of one host's routes for a path, the most specific first. They are not copied from the index, as this runs for
+ * each request.
  */
 const candidatesOf = (
   configuration: CompiledConfiguration,
@@ -21,15 +21,15 @@
   const candidates = [configuration.exactRoutes.get(host)?.get(path) ?? []];
   const prefixRoutes = configuration.prefixRoutes.get(host);
   if (prefixRoutes === undefined) return candidates;
-  let cut = path.lastIndexOf('/');
-  while (cut >= 0) {
-    candidates.push(prefixRoutes.get(path.slice(0, cut + 1)) ?? []);
-    cut = cut === 0 ? -1 : path.lastIndexOf('/', cut - 1);
+  let slashIndex = path.lastIndexOf('/');
+  while (slashIndex >= 0) {
+    candidates.push(prefixRoutes.get(path.slice(0, slashIndex + 1)) ?? []);
+    slashIndex = slashIndex === 0 ? -1 : path.lastIndexOf('/', slashIndex - 1);
   }
   return candidates;
 };
 
-/** Finds the route of a request: an exact path first, then the longest prefix; a named host before any. */
+/** Finds the route of a request: the request's host before any host, then an exact path before the longest prefix. */
 export const matchRoute = (
   configuration: CompiledConfiguration,
   method: string,
@@ -37,8 +37,8 @@
   path: string,
 ): RouteMatch => {
   const otherMethods = new Set<string>();
-  for (const name of [host, '']) {
-    for (const routes of candidatesOf(configuration, name, path)) {
+  for (const hostName of [host, '']) {
+    for (const routes of candidatesOf(configuration, hostName, path)) {
       for (const route of routes) {
         if (route.methods.has(method)) return { outcome: 'matched', route };
         for (const other of route.methods) otherMethods.add(other);
@@ -50,15 +50,15 @@
     : { outcome: 'notFound' };
 };
 
-/** The service that a request goes to: `fraction`, from 0 up to 1, falls into the weights. */
+/** Picks the service of a request by weight; `fraction` is a random number in [0, 1). */
 export const pickService = (route: CompiledRoute, fraction: number): ServiceName => {
   const { weightedServices } = route;
   if (weightedServices.length === 1) return route.service;
-  let left = fraction * weightedServices.reduce((sum, { weight }) => sum + weight, 0);
+  let remaining = fraction * weightedServices.reduce((sum, { weight }) => sum + weight, 0);
   for (const { service, weight } of weightedServices) {
     if (weight <= 0) continue;
-    left -= weight;
-    if (left < 0) return service;
+    remaining -= weight;
+    if (remaining < 0) return service;
   }
   return weightedServices.findLast(({ weight }) => weight > 0)?.service ?? route.service;
 };
--- a/packages/configuration/src/compiled/patch.test.ts
+++ b/packages/configuration/src/compiled/patch.test.ts
@@ -1,3 +1,5 @@
+/** Guards against a patched configuration that differs from one compiled in full. */
+
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import * as fc from 'fast-check';
@@ -6,115 +8,119 @@
 import { buildConfiguration, runToCompletion } from './compile.js';
 import type { CompiledConfiguration } from './compiled-configuration.js';
 
-interface Row {
+interface RouteSpec {
   readonly name: string;
   readonly path: string;
   readonly method: string;
   readonly service: string;
 }
 
-const describe = (rows: readonly Row[]): object => ({
+const toDocument = (routes: readonly RouteSpec[]): object => ({
   format: 1,
   classes: [
-    { name: 'one', share: 0.5 },
-    { name: 'two', share: 0.4 },
+    { name: 'reads', share: 0.5 },
+    { name: 'writes', share: 0.4 },
   ],
   services: [{ name: 'shop' }, { name: 'depot' }],
-  routes: rows.map(({ name, path, method, service }) => ({
+  routes: routes.map(({ name, path, method, service }) => ({
     name,
     ...(path.endsWith('/') ? { prefix: path } : { path }),
     host: `h${path.length % 3}`,
     methods: [method],
     service,
-    class: method === 'GET' ? 'one' : 'two',
+    class: method === 'GET' ? 'reads' : 'writes',
   })),
 });
 
-const made = (
-  rows: readonly Row[],
+const compile = (
+  routes: readonly RouteSpec[],
   before?: CompiledConfiguration,
 ): ReturnType<typeof buildConfiguration> extends Generator<undefined, infer T> ? T : never => {
-  const bundle = runToCompletion(splitIntoChunks(describe(rows))).unwrapOrElse((faults) => {
-    throw new Error(JSON.stringify(faults));
+  const chunked = runToCompletion(splitIntoChunks(toDocument(routes))).unwrapOrElse((issues) => {
+    throw new Error(JSON.stringify(issues));
   });
   return runToCompletion(
     buildConfiguration(
-      bundle.chunkHashes.map((hash) => bundle.chunks.get(hash) ?? ''),
+      chunked.chunkHashes.map((hash) => chunked.chunks.get(hash) ?? ''),
       noGeneration,
-      bundle.hash,
+      chunked.hash,
       before,
     ),
   );
 };
 
-const base: readonly Row[] = Array.from({ length: 1500 }, (_, at) => ({
-  name: `r${at}`,
-  path: at % 3 === 0 ? `/p/${at}/` : `/x/${at}`,
-  method: at % 5 === 0 ? 'POST' : 'GET',
-  service: at % 2 === 0 ? 'shop' : 'depot',
+const baseRoutes: readonly RouteSpec[] = Array.from({ length: 1500 }, (_, index) => ({
+  name: `r${index}`,
+  path: index % 3 === 0 ? `/p/${index}/` : `/x/${index}`,
+  method: index % 5 === 0 ? 'POST' : 'GET',
+  service: index % 2 === 0 ? 'shop' : 'depot',
 }));
 
-const edit = fc.record({
-  at: fc.integer({ min: 0, max: 1499 }),
-  what: fc.constantFrom('drop', 'move', 'add', 'clash', 'twice'),
+const anyEdit = fc.record({
+  index: fc.integer({ min: 0, max: 1499 }),
+  kind: fc.constantFrom('remove', 'move', 'add', 'conflict', 'duplicateName'),
 });
-const edited = (
-  rows: readonly Row[],
-  edits: readonly { readonly at: number; readonly what: string }[],
-): readonly Row[] =>
-  edits.reduce((list, { at, what }, turn) => {
-    const one = list[at % list.length];
-    if (one === undefined) return list;
-    switch (what) {
-      case 'drop':
-        return list.filter((row) => row !== one);
+const applyEdits = (
+  routes: readonly RouteSpec[],
+  edits: readonly { readonly index: number; readonly kind: string }[],
+): readonly RouteSpec[] =>
+  edits.reduce((list, { index, kind }, editIndex) => {
+    const edited = list[index % list.length];
+    if (edited === undefined) return list;
+    switch (kind) {
+      case 'remove':
+        return list.filter((route) => route !== edited);
       case 'move':
-        return list.map((row) =>
-          row === one ? { ...row, path: `/moved/${at}/${turn}`, service: 'shop' } : row,
+        return list.map((route) =>
+          route === edited
+            ? { ...route, path: `/moved/${index}/${editIndex}`, service: 'shop' }
+            : route,
         );
       case 'add':
         return [
-          ...list.slice(0, at),
+          ...list.slice(0, index),
           {
-            name: `new-${at}-${turn}`,
-            path: `/new/${at}/${turn}/`,
+            name: `new-${index}-${editIndex}`,
+            path: `/new/${index}/${editIndex}/`,
             method: 'GET',
             service: 'depot',
           },
-          ...list.slice(at),
+          ...list.slice(index),
         ];
-      case 'clash':
-        return turn % 4 === 0 ? [...list, { ...one, name: `clash-${turn}` }] : list;
+      case 'conflict':
+        return editIndex % 4 === 0 ? [...list, { ...edited, name: `conflict-${editIndex}` }] : list;
       default:
-        return turn % 4 === 0 ? [...list, { ...one, path: `/twice/${turn}` }] : list;
+        return editIndex % 4 === 0
+          ? [...list, { ...edited, path: `/duplicate/${editIndex}` }]
+          : list;
     }
-  }, rows);
+  }, routes);
 
-void test('a configuration compiled on top of another equals the one compiled anew, and has the same issues', () => {
-  const first = made(base);
+void test('a patched configuration equals one compiled in full and has the same issues', () => {
+  const first = compile(baseRoutes);
   assert.ok(first.isOk);
-  let patched = 0;
+  let patchedCount = 0;
   fc.assert(
     fc.property(
-      fc.array(fc.array(edit, { minLength: 1, maxLength: 4 }), { minLength: 1, maxLength: 3 }),
+      fc.array(fc.array(anyEdit, { minLength: 1, maxLength: 4 }), { minLength: 1, maxLength: 3 }),
       (rounds) => {
-        let rows = base;
+        let routes = baseRoutes;
         let before = first.value;
         for (const edits of rounds) {
-          rows = edited(rows, edits);
-          const [alone, onTop] = [made(rows), made(rows, before)];
-          if (alone.isErr || onTop.isErr) {
+          routes = applyEdits(routes, edits);
+          const [full, patched] = [compile(routes), compile(routes, before)];
+          if (full.isErr || patched.isErr) {
             assert.deepEqual(
-              onTop.isErr ? onTop.error : undefined,
-              alone.isErr ? alone.error : undefined,
+              patched.isErr ? patched.error : undefined,
+              full.isErr ? full.error : undefined,
             );
             return;
           }
-          const shared = [...onTop.value.routesByChunk.values()].filter((one) =>
-            [...before.routesByChunk.values()].includes(one),
+          const sharedChunks = [...patched.value.routesByChunk.values()].filter((chunk) =>
+            [...before.routesByChunk.values()].includes(chunk),
           ).length;
-          if (shared > 0) patched += 1;
-          for (const part of [
+          if (sharedChunks > 0) patchedCount += 1;
+          for (const field of [
             'routesByName',
             'exactRoutes',
             'prefixRoutes',
@@ -123,14 +129,14 @@
             'services',
             'classes',
           ] as const)
-            assert.deepEqual(onTop.value[part], alone.value[part], part);
-          before = onTop.value;
+            assert.deepEqual(patched.value[field], full.value[field], field);
+          before = patched.value;
         }
-        // The configuration that was built upon is unchanged.
-        assert.deepEqual(first.value.routesByName.size, base.length);
+        // Patching does not change the earlier configuration.
+        assert.deepEqual(first.value.routesByName.size, baseRoutes.length);
       },
     ),
     { seed: 11, numRuns: 30 },
   );
-  assert.ok(patched > 10, `${patched} configurations were compiled on top of others`);
+  assert.ok(patchedCount > 10, `${patchedCount} configurations were patched`);
 });
--- a/packages/configuration/src/compiled/route-index.ts
+++ b/packages/configuration/src/compiled/route-index.ts
@@ -1,7 +1,6 @@
 /**
- * The routes of a configuration while it is compiled: they are checked, and indexed by host and
- * path. An index may begin as a copy of an earlier configuration's; what the two share is copied
- * only when it changes.
+ * Validates the routes of a configuration and indexes them by host and path. The index may start from
+ * an earlier configuration's, whose tables are copied only for hosts that change.
  */
 
 import type { RouteName } from '@switchwheel/types';
@@ -13,19 +12,19 @@
   IndexedRoute,
 } from './compiled-configuration.js';
 
-/** The services and classes that a route may name. */
+/** Services and classes that a route may refer to. */
 export type DeclaredNames = Pick<CompiledConfiguration, 'services' | 'classes'>;
 
 interface RouteIndexBuilder {
   readonly routesByHost: Map<string, ReadonlyMap<string, readonly CompiledRoute[]>>;
-  /** The hosts whose routes are copies of this builder's own and may change. */
+  /** Tables of hosts that this builder has copied and may change. */
   readonly copiedHosts: Map<string, Map<string, readonly CompiledRoute[]>>;
 }
 
-/** A compilation under way. */
+/** Mutable state of a compilation. */
 export interface CompilationState {
   readonly issues: ValidationIssue[];
-  /** The index in the document at which each route's name was first seen. */
+  /** Position in the document at which each route's name was first seen. */
   readonly indexByName: Map<string, number>;
   readonly methodSets: Map<string, ReadonlySet<string>>;
   readonly routesByName: Map<RouteName, CompiledRoute>;
@@ -35,7 +34,7 @@
 
 const idempotentMethods: ReadonlySet<string> = new Set(['GET', 'HEAD', 'OPTIONS']);
 
-/** Begins a compilation, on top of an earlier configuration's routes if there is one. */
+/** Starts a compilation, with the routes of an earlier configuration if there is one. */
 export const newCompilation = (before: CompiledConfiguration | undefined): CompilationState => ({
   issues: [],
   methodSets: new Map(),
@@ -45,7 +44,7 @@
   prefixRoutes: { routesByHost: new Map(before?.prefixRoutes), copiedHosts: new Map() },
 });
 
-/** Tens of thousands of routes share few sets of methods: each set is made once. */
+/** Returns one shared set per list of methods, as many routes have the same methods. */
 const internMethods = (
   state: CompilationState,
   methods: readonly string[],
@@ -92,7 +91,7 @@
   return copy;
 };
 
-/** Takes a route out of the index. */
+/** Removes a route from the index. */
 export const removeRoute = (state: CompilationState, indexed: IndexedRoute): void => {
   const { route, host, path, isExact } = indexed;
   const builder = isExact ? state.exactRoutes : state.prefixRoutes;
@@ -108,25 +107,29 @@
   state.indexByName.delete(route.name);
 };
 
-/** Two routes clash that match the same host and path by a method in common. */
-const reportClashes = (
+/** Reports other routes of the same host and path that have a method in common with a route. */
+const reportConflicts = (
   state: CompilationState,
   route: CompiledRoute,
   others: readonly CompiledRoute[],
   target: string,
-  at: string,
+  position: string,
 ): void => {
   for (const other of others) {
     const shared = [...route.methods].filter((name) => other.methods.has(name));
     if (shared.length === 0) continue;
     const text = `the route ${route.name} clashes with ${other.name}: both match ${shared.join(', ')} ${target}`;
-    state.issues.push(validationIssue(at, text));
+    state.issues.push(validationIssue(position, text));
   }
 };
 
-const addRoute = (state: CompilationState, route: Route, at: string): IndexedRoute | undefined => {
+const addRoute = (
+  state: CompilationState,
+  route: Route,
+  position: string,
+): IndexedRoute | undefined => {
   if ((route.path === undefined) === (route.prefix === undefined)) {
-    state.issues.push(validationIssue(at, 'a route has either a path or a prefix'));
+    state.issues.push(validationIssue(position, 'a route has either a path or a prefix'));
     return undefined;
   }
   const path = route.path ?? route.prefix ?? '';
@@ -137,11 +140,11 @@
   const services = weightedServicesOf(route);
   const first = services.find((service) => service.weight > 0) ?? services[0];
   if (first === undefined || (route.service !== undefined && route.split !== undefined)) {
-    state.issues.push(validationIssue(at, 'a route has either a service or a split'));
+    state.issues.push(validationIssue(position, 'a route has either a service or a split'));
     return undefined;
   }
   const compiled = compileRoute(state, route, first, services);
-  reportClashes(state, compiled, others, `${host}${path}`, at);
+  reportConflicts(state, compiled, others, `${host}${path}`, position);
   routesByPath.set(path, [...others, compiled]);
   state.routesByName.set(compiled.name, compiled);
   return { route: compiled, host, path, isExact };
@@ -161,31 +164,34 @@
   state: CompilationState,
   { services, classes }: DeclaredNames,
   route: Route,
-  at: string,
+  position: string,
 ): void => {
   for (const { service } of weightedServicesOf(route))
     if (!services.has(service))
-      state.issues.push(validationIssue(`${at}.service`, `no service is named ${service}`));
+      state.issues.push(validationIssue(`${position}.service`, `no service is named ${service}`));
   if (!classes.has(route.class))
-    state.issues.push(validationIssue(`${at}.class`, `no class is named ${route.class}`));
+    state.issues.push(validationIssue(`${position}.class`, `no class is named ${route.class}`));
 };
 
-/** Checks a route and adds it; undefined if it can't be indexed. Without declared names they go unchecked. */
+/**
+ * Validates a route and adds it to the index; undefined if it can't be indexed. The names that it
+ * refers to are not checked if `declared` is undefined.
+ */
 export const checkAndAddRoute = (
   state: CompilationState,
   declared: DeclaredNames | undefined,
   route: Route,
   index: number,
 ): IndexedRoute | undefined => {
-  const at = `routes.${index}`;
+  const position = `routes.${index}`;
   checkName(state, route, index);
-  if (declared !== undefined) checkReferences(state, declared, route, at);
+  if (declared !== undefined) checkReferences(state, declared, route, position);
   const writes = route.methods.some((name) => name !== 'GET' && name !== 'HEAD');
   if (route.cache !== undefined && writes)
-    state.issues.push(validationIssue(`${at}.cache`, 'only GET and HEAD results are kept'));
+    state.issues.push(validationIssue(`${position}.cache`, 'only GET and HEAD results are kept'));
   if (route.repeatable === true && route.methods.includes('PATCH'))
     state.issues.push(
-      validationIssue(`${at}.repeatable`, 'a route with PATCH is never repeatable'),
+      validationIssue(`${position}.repeatable`, 'a route with PATCH is never repeatable'),
     );
-  return addRoute(state, route, at);
+  return addRoute(state, route, position);
 };
--- a/packages/configuration/src/control-state/control-state.ts
+++ b/packages/configuration/src/control-state/control-state.ts
@@ -1,10 +1,10 @@
 /**
- * The control state and its rows in the replicated table. The schemas and keys are the stored form:
- * a new version must read what an older one wrote, so their members keep their names.
+ * The control state and its rows in the replicated table. Schemas and keys are the stored form: a
+ * new version must read rows of older ones, so fields and keys keep their names.
  */
 
 import * as v from 'valibot';
-import * as g from '@switchwheel/types';
+import * as types from '@switchwheel/types';
 import {
   type ConfigManifest,
   type OriginInstance,
@@ -21,75 +21,75 @@
 import { rolloutPolicy } from '../document/schema.js';
 import { type ReleaseRollout, releaseRollout } from '../release/release-rollout.js';
 
-const configVersion = v.object({ generation: g.generation, hash: g.hash });
-/** A generation with the hash of what it holds. */
+const configVersion = v.object({ generation: types.generation, hash: types.hash });
+/** A generation of the configuration with its content hash. */
 export type ConfigVersion = v.InferOutput<typeof configVersion>;
 
-const storedConfiguration = v.object({ offer: configManifest, call: g.commandId });
+const storedConfiguration = v.object({ offer: configManifest, call: types.commandId });
 /** The configuration in force, and the command that applied it. */
 export type StoredConfiguration = v.InferOutput<typeof storedConfiguration>;
 
 const nodeRecord = v.object({
   role: v.string(),
-  incarnation: g.incarnation,
+  incarnation: types.incarnation,
   online: v.boolean(),
   reported: nodeStatus,
   assigned: v.optional(configVersion),
   desired: v.optional(configVersion),
-  failed: v.optional(g.hash),
+  failed: v.optional(types.hash),
 });
-/** What is stored of a node: what it reports, and what it is to run. */
+/** Stored record of a node: its last report, and the versions assigned to it and desired of it. */
 export type NodeRecord = v.InferOutput<typeof nodeRecord>;
 
 const rollout = v.object({
-  generation: g.generation,
-  hash: g.hash,
+  generation: types.generation,
+  hash: types.hash,
   status: v.picklist(['pending', 'running', 'completed', 'failed', 'superseded']),
   wave: v.number(),
   waves: v.number(),
   policy: rolloutPolicy,
   troubled: v.boolean(),
-  rev: g.seq,
+  rev: types.seq,
 });
-/** One rollout of a generation. */
+/** Rollout of a generation to the nodes. */
 export type Rollout = v.InferOutput<typeof rollout>;
 
 const rolloutTarget = v.object({
-  node: g.nodeId,
-  generation: g.generation,
+  node: types.nodeId,
+  generation: types.generation,
   wave: v.number(),
   status: v.picklist(['pending', 'in_progress', 'verifying', 'succeeded', 'failed', 'skipped']),
   text: v.string(),
-  rev: g.seq,
+  rev: types.seq,
 });
-/** One node in a rollout. */
+/** State of one node in a rollout. */
 export type RolloutTarget = v.InferOutput<typeof rolloutTarget>;
 
-const generationRecord = v.object({ hash: g.hash });
+const generationRecord = v.object({ hash: types.hash });
 
-const commandOutcome = v.object({ status: v.number(), body: v.string(), seq: g.seq });
-/** The answer that an operator's command got, kept so that sending it twice is safe. */
+const commandOutcome = v.object({ status: v.number(), body: v.string(), seq: types.seq });
+/** Reply to an operator's command, kept so that a repeated command gets the same reply. */
 export type CommandOutcome = v.InferOutput<typeof commandOutcome>;
 
-/** The control state, as the replicated table holds it. */
+/** The control state, built from the rows of the replicated table. */
 export interface ControlState {
   readonly configuration: StoredConfiguration | undefined;
-  readonly nodes: ReadonlyMap<g.NodeId, NodeRecord>;
-  readonly rollouts: ReadonlyMap<g.Generation, Rollout>;
+  readonly nodes: ReadonlyMap<types.NodeId, NodeRecord>;
+  readonly rollouts: ReadonlyMap<types.Generation, Rollout>;
   readonly targets: ReadonlyMap<string, RolloutTarget>;
   readonly purges: readonly Purge[];
   readonly canaryResults: ReadonlyMap<string, CanaryResult>;
-  /** The release that each service is settled on, and its last rollout. */
-  readonly releases: ReadonlyMap<g.ServiceName, ReleaseRollout>;
-  /** The origins that were live when the primary last stored them. */
-  readonly origins: ReadonlyMap<g.InstanceId, OriginInstance>;
-  readonly commandOutcomes: ReadonlyMap<g.CommandId, CommandOutcome>;
-  /** The content of each of the newest generations: no two contents ever share a generation. */
-  readonly hashByGeneration: ReadonlyMap<g.Generation, g.Hash>;
-  readonly chunks: ReadonlyMap<g.Hash, string>;
+  /** Settled release and last rollout of each service. */
+  readonly releases: ReadonlyMap<types.ServiceName, ReleaseRollout>;
+  /** Origins that were live when the primary last stored them. */
+  readonly origins: ReadonlyMap<types.InstanceId, OriginInstance>;
+  readonly commandOutcomes: ReadonlyMap<types.CommandId, CommandOutcome>;
+  /** Content hash of each of the newest generations, so that a generation is never used for two contents. */
+  readonly hashByGeneration: ReadonlyMap<types.Generation, types.Hash>;
+  readonly chunks: ReadonlyMap<types.Hash, string>;
 }
 
-/** The state of an empty table. */
+/** Control state of an empty table. */
 export const emptyControlState: ControlState = {
   configuration: undefined,
   nodes: new Map(),
@@ -104,39 +104,39 @@
   chunks: new Map(),
 };
 
-/** How many batches of purges are kept for caches that reconnect; one that missed more starts empty. */
+/** Maximum number of purge batches kept for caches that reconnect; a cache that missed more starts empty. */
 export const maxKeptPurges = 256;
-/** How many characters all kept batches of purges may have: they go to a registry in one frame. */
+/** Maximum total length of the kept purge batches as JSON; they are sent to a registry in one frame. */
 const maxKeptPurgeCharacters = 2 * 1024 * 1024;
-/** How many outcomes of commands are kept. */
+/** Maximum number of command outcomes kept. */
 export const maxKeptOutcomes = 512;
-/** Of how many generations the content's hash is kept. */
+/** Maximum number of generations whose content hash is kept. */
 export const maxKeptGenerations = 1024;
 
 const padNumber = (raw: number): string => String(raw).padStart(16, '0');
-/** The keys of the table's rows. Numbers are padded so that rows sort by them. */
+/** Keys of the table's rows. Numbers are zero-padded so that rows sort by them. */
 export const controlKeys = {
   configuration: 'description',
-  node: (node: g.NodeId): string => `node/${node}`,
-  rollout: (generation: g.Generation): string => `rollout/${padNumber(generation)}`,
-  target: (generation: g.Generation, node: g.NodeId): string =>
+  node: (node: types.NodeId): string => `node/${node}`,
+  rollout: (generation: types.Generation): string => `rollout/${padNumber(generation)}`,
+  target: (generation: types.Generation, node: types.NodeId): string =>
     `target/${padNumber(generation)}/${node}`,
-  purge: (seq: g.Seq): string => `purge/${padNumber(seq)}`,
-  canaryResult: (service: g.ServiceName, release: g.Release): string =>
+  purge: (seq: types.Seq): string => `purge/${padNumber(seq)}`,
+  canaryResult: (service: types.ServiceName, release: types.Release): string =>
     `verdict/${service}/${release}`,
-  release: (service: g.ServiceName): string => `release/${service}`,
-  origin: (instance: g.InstanceId): string => `origin/${instance}`,
-  commandOutcome: (id: g.CommandId): string => `call/${id}`,
-  generation: (generation: g.Generation): string => `number/${padNumber(generation)}`,
-  chunk: (hash: g.Hash): string => `piece/${hash}`,
+  release: (service: types.ServiceName): string => `release/${service}`,
+  origin: (instance: types.InstanceId): string => `origin/${instance}`,
+  commandOutcome: (id: types.CommandId): string => `call/${id}`,
+  generation: (generation: types.Generation): string => `number/${padNumber(generation)}`,
+  chunk: (hash: types.Hash): string => `piece/${hash}`,
 } as const;
 
-/** Writes a row. */
+/** Builds the mutation that writes a row. */
 export const putRecord = (key: string, value: object): TableMutation => ({
   key,
   data: JSON.stringify(value),
 });
-/** Deletes a row. */
+/** Builds the mutation that deletes a row. */
 export const deleteRecord = (key: string): TableMutation => ({ key, data: null });
 
 const parse = <T>(schema: v.GenericSchema<unknown, T>, data: string): T =>
@@ -148,14 +148,16 @@
   data: string | null,
   schema: v.GenericSchema<unknown, T>,
 ): ReadonlyMap<K, T> =>
-  data === null ? g.withoutEntry(table, key) : g.withEntry(table, key, parse(schema, data));
+  data === null ? types.withoutEntry(table, key) : types.withEntry(table, key, parse(schema, data));
 
 const withPurge = (list: readonly Purge[], seq: number, data: string | null): readonly Purge[] => {
   const rest = list.filter((batch) => batch.seq !== seq);
-  return data === null ? rest : [...rest, parse(purge, data)].sort((one, two) => one.seq - two.seq);
+  return data === null
+    ? rest
+    : [...rest, parse(purge, data)].sort((left, right) => left.seq - right.seq);
 };
 
-/** How a row of one kind changes the state: by the name after the key's prefix, and its data or null. */
+/** Applies a row of one kind: `name` is the part of the key after its prefix, and null data deletes the row. */
 type ApplyRow = (
   control: ControlState,
   name: string,
@@ -164,43 +166,45 @@
 ) => ControlState;
 
 const applyNode: ApplyRow = (control, name, data) =>
-  g.isNodeId(name)
+  types.isNodeId(name)
     ? { ...control, nodes: withRecord(control.nodes, name, data, nodeRecord) }
     : control;
 
 const applyOrigin: ApplyRow = (control, name, data) =>
-  g.isInstanceId(name)
+  types.isInstanceId(name)
     ? { ...control, origins: withRecord(control.origins, name, data, originInstance) }
     : control;
 
 const applyRelease: ApplyRow = (control, name, data) =>
-  g.isServiceName(name)
+  types.isServiceName(name)
     ? { ...control, releases: withRecord(control.releases, name, data, releaseRollout) }
     : control;
 
 const applyOutcome: ApplyRow = (control, name, data) => {
-  if (!g.isCommandId(name)) return control;
+  if (!types.isCommandId(name)) return control;
   const commandOutcomes = withRecord(control.commandOutcomes, name, data, commandOutcome);
   return { ...control, commandOutcomes };
 };
 
 const applyGeneration: ApplyRow = (control, name, data) => {
-  const generation = g.toGeneration(Number(name));
+  const generation = types.toGeneration(Number(name));
   const hashByGeneration =
     data === null
-      ? g.withoutEntry(control.hashByGeneration, generation)
-      : g.withEntry(control.hashByGeneration, generation, parse(generationRecord, data).hash);
+      ? types.withoutEntry(control.hashByGeneration, generation)
+      : types.withEntry(control.hashByGeneration, generation, parse(generationRecord, data).hash);
   return { ...control, hashByGeneration };
 };
 
 const applyChunk: ApplyRow = (control, name, data) => {
-  if (!g.isHash(name)) return control;
+  if (!types.isHash(name)) return control;
   const chunks =
-    data === null ? g.withoutEntry(control.chunks, name) : g.withEntry(control.chunks, name, data);
+    data === null
+      ? types.withoutEntry(control.chunks, name)
+      : types.withEntry(control.chunks, name, data);
   return { ...control, chunks };
 };
 
-/** Rows by the part of the key before its first slash. */
+/** Row kinds by the part of the key before its first slash. */
 const rowKinds: ReadonlyMap<string, ApplyRow> = new Map<string, ApplyRow>([
   [
     'description',
@@ -214,7 +218,7 @@
     'rollout',
     (control, name, data) => ({
       ...control,
-      rollouts: withRecord(control.rollouts, g.toGeneration(Number(name)), data, rollout),
+      rollouts: withRecord(control.rollouts, types.toGeneration(Number(name)), data, rollout),
     }),
   ],
   [
@@ -245,35 +249,37 @@
   ['piece', applyChunk],
 ]);
 
-/** Applies one change of the replicated table: the only way the control state changes. Unknown rows are ignored. */
+/** Applies a mutation of the replicated table. The control state changes in no other way. Unknown rows are ignored. */
 export const applyPut = (control: ControlState, { key, data }: TableMutation): ControlState => {
   const slash = key.indexOf('/');
   const apply = rowKinds.get(slash < 0 ? key : key.slice(0, slash));
   return apply === undefined ? control : apply(control, key.slice(slash + 1), data, key);
 };
 
-/** Applies several changes in order. */
+/** Applies several mutations in order. */
 export const applyPuts = (control: ControlState, puts: readonly TableMutation[]): ControlState =>
   puts.reduce(applyPut, control);
-/** The number of the latest batch of purges; 0 if there is none. */
-export const latestPurge = (control: ControlState): g.Seq => control.purges.at(-1)?.seq ?? g.noSeq;
-/** The number of the oldest batch that is kept; a cache that has not even that one starts empty. */
-export const oldestKeptPurge = (control: ControlState): g.Seq => control.purges[0]?.seq ?? g.noSeq;
-/** The version that a manifest is of. */
+/** Number of the latest purge batch; 0 if there is none. */
+export const latestPurge = (control: ControlState): types.Seq =>
+  control.purges.at(-1)?.seq ?? types.noSeq;
+/** Number of the oldest kept purge batch; 0 if there is none. A cache that missed an older one starts empty. */
+export const oldestKeptPurge = (control: ControlState): types.Seq =>
+  control.purges[0]?.seq ?? types.noSeq;
+/** Version of the configuration that a manifest describes. */
 export const configVersionOf = ({ generation, hash }: ConfigManifest): ConfigVersion => ({
   generation,
   hash,
 });
 /** Whether two versions are equal, or both undefined. */
 export const isSameVersion = (
-  one: ConfigVersion | undefined,
-  two: ConfigVersion | undefined,
-): boolean => one?.generation === two?.generation && one?.hash === two?.hash;
+  first: ConfigVersion | undefined,
+  second: ConfigVersion | undefined,
+): boolean => first?.generation === second?.generation && first?.hash === second?.hash;
 export type { NodeStatus };
 
 const encodedLength = (batch: Purge): number => JSON.stringify(batch).length;
 
-/** The oldest batches that have to go for a new one: by their number, and by their length. */
+/** Oldest purge batches to delete when one is added, so that the limits on number and length hold. */
 export const purgesToDrop = (kept: readonly Purge[], added: Purge): readonly Purge[] => {
   let characters = encodedLength(added);
   let count = 1;
--- a/packages/configuration/src/control-state/stored-rows.test.ts
+++ b/packages/configuration/src/control-state/stored-rows.test.ts
@@ -1,6 +1,6 @@
 /**
- * Holds the form of each family of stored rows word for word. The fixture has one row of each with every optional
- * part present; a difference from it is a change of the data on the disks of fleets that run.
+ * Guards against changes of the stored form of rows, which running clusters have on disk. The fixture holds one row of
+ * each kind with all optional fields.
  */
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
@@ -15,27 +15,27 @@
   putRecord,
 } from './control-state.js';
 
-const rowForm = v.strictObject({
+const rowSchema = v.strictObject({
   key: v.string(),
   value: v.unknown(),
-  /** Paths of parts that a stored row may lack. */
+  /** Paths of optional fields. */
   optional: v.array(v.string()),
-  /** The texts that a part may have, by its path. */
+  /** Allowed texts of enumerated fields, by path. */
   enumerations: v.record(v.string(), v.array(v.string())),
 });
-type StoredRow = v.InferOutput<typeof rowForm>;
+type StoredRow = v.InferOutput<typeof rowSchema>;
 
 const rows = v.parse(
-  v.array(rowForm),
+  v.array(rowSchema),
   JSON.parse(readFileSync(new URL('../../fixtures/stored-rows.json', import.meta.url), 'utf8')),
 );
 
-const members = v.record(v.string(), v.unknown());
+const objectSchema = v.record(v.string(), v.unknown());
 
 const load = (key: string, value: unknown): ControlState =>
   applyPut(emptyControlState, { key, data: JSON.stringify(value) });
 
-/** The rows that a control state writes, by key: chunks are texts of their own. */
+/** Parsed rows of a control state, by key. */
 const rowsOf = (control: ControlState): Readonly<Record<string, unknown>> => {
   const puts = [
     ...(control.configuration === undefined
@@ -65,43 +65,43 @@
   return Object.fromEntries(puts.map(({ key, data }) => [key, JSON.parse(data ?? 'null')]));
 };
 
-/** A copy of a value in which the member at a path was changed by a function. */
-const withMember = (
+/** Copies a value and applies a function to the object that holds the field at a path. */
+const withChangedField = (
   value: unknown,
   [name = '', ...rest]: readonly string[],
-  change: (holder: Readonly<Record<string, unknown>>, name: string) => object,
+  change: (parent: Readonly<Record<string, unknown>>, name: string) => object,
 ): unknown => {
   if (Array.isArray(value))
     return value.map((item: unknown, index) =>
-      String(index) === name ? withMember(item, rest, change) : item,
+      String(index) === name ? withChangedField(item, rest, change) : item,
     );
-  const holder = v.parse(members, value);
+  const parent = v.parse(objectSchema, value);
   return rest.length === 0
-    ? change(holder, name)
-    : { ...holder, [name]: withMember(holder[name], rest, change) };
+    ? change(parent, name)
+    : { ...parent, [name]: withChangedField(parent[name], rest, change) };
 };
 
-const withoutPart = (value: unknown, path: string): unknown =>
-  withMember(value, path.split('.'), (holder, name) =>
-    Object.fromEntries(Object.entries(holder).filter(([key]) => key !== name)),
+const withoutField = (value: unknown, path: string): unknown =>
+  withChangedField(value, path.split('.'), (parent, name) =>
+    Object.fromEntries(Object.entries(parent).filter(([key]) => key !== name)),
   );
 
 const withText = (value: unknown, path: string, text: string): unknown =>
-  withMember(value, path.split('.'), (holder, name) => ({ ...holder, [name]: text }));
+  withChangedField(value, path.split('.'), (parent, name) => ({ ...parent, [name]: text }));
 
-/** The paths of all members of a value, at any depth. */
+/** Paths of all fields of a value, at any depth. */
 const pathsIn = (value: unknown): readonly string[] => {
   if (typeof value !== 'object' || value === null) return [];
-  return Object.entries(value).flatMap(([name, part]: [string, unknown]) => [
+  return Object.entries(value).flatMap(([name, field]: [string, unknown]) => [
     ...(Array.isArray(value) ? [] : [name]),
-    ...pathsIn(part).map((path) => `${name}.${path}`),
+    ...pathsIn(field).map((path) => `${name}.${path}`),
   ]);
 };
 
-/** Chunks of a configuration are stored as texts and parsed when it is compiled. */
-const isParsed = (row: StoredRow): boolean => !row.key.startsWith('piece/');
+/** Whether a row is validated when it is loaded; chunks are stored as text. */
+const isValidated = (row: StoredRow): boolean => !row.key.startsWith('piece/');
 
-void test('rows of all families are loaded and written again as they were', () => {
+void test('rows of all kinds are written back unchanged after loading', () => {
   const control = applyPuts(
     emptyControlState,
     rows.map(({ key, value }) => ({ key, data: JSON.stringify(value) })),
@@ -109,13 +109,13 @@
   assert.deepEqual(rowsOf(control), Object.fromEntries(rows.map(({ key, value }) => [key, value])));
 });
 
-for (const row of rows.filter(isParsed)) {
-  void test(`the row ${row.key} needs each of its parts that is not optional`, () => {
+for (const row of rows.filter(isValidated)) {
+  void test(`the row ${row.key} is rejected if a required field is missing`, () => {
     const paths = pathsIn(row.value);
     assert.ok(row.optional.every((path) => paths.includes(path)));
     const accepted = paths.filter((path) => {
       try {
-        load(row.key, withoutPart(row.value, path));
+        load(row.key, withoutField(row.value, path));
         return true;
       } catch {
         return false;
@@ -125,7 +125,7 @@
   });
 
   for (const [path, texts] of Object.entries(row.enumerations))
-    void test(`the part ${path} of the row ${row.key} takes ${texts.join(', ')} and nothing else`, () => {
+    void test(`the field ${path} of the row ${row.key} accepts only ${texts.join(', ')}`, () => {
       for (const text of texts) {
         const value = withText(row.value, path, text);
         assert.deepEqual(rowsOf(load(row.key, value)), { [row.key]: value });
--- a/packages/configuration/src/document/checks.ts
+++ b/packages/configuration/src/document/checks.ts
@@ -1,4 +1,4 @@
-/** Checks of a document beyond its schema: names, lending between classes, shares and the rollout policy. */
+/** Validation of a document beyond its schema: unique names, borrowing between classes, shares, rollout policy. */
 
 import type { ServiceClassName, ServiceName } from '@switchwheel/types';
 import type { ConfigurationHeader, RolloutPolicy, ServiceClass } from './schema.js';
@@ -6,14 +6,14 @@
 
 type ClassTable = ReadonlyMap<ServiceClassName, ServiceClass>;
 
-/** How long the gates of all waves may take together. */
+/** Maximum total gate time of all waves. */
 const maxGatesMs = 500;
-/** Sums of decimal shares may be over 1 by this much. */
+/** Tolerance for rounding errors in sums of decimal shares. */
 const shareTolerance = 1e-9;
 
 const checkUniqueNames = (
   list: readonly { readonly name: string }[],
-  at: string,
+  listPath: string,
   issues: ValidationIssue[],
 ): void => {
   const firstIndex = new Map<string, number>();
@@ -23,12 +23,12 @@
       firstIndex.set(name, index);
       continue;
     }
-    const text = `the name ${name} is also that of ${at}.${first}`;
-    issues.push(validationIssue(`${at}.${index}.name`, text));
+    const text = `the name ${name} is also that of ${listPath}.${first}`;
+    issues.push(validationIssue(`${listPath}.${index}.name`, text));
   }
 };
 
-/** A path of lending from one class to another; undefined if there is none. */
+/** Chain of `lendsTo` entries from one class to another; undefined if there is none. */
 const lendingPath = (
   classes: ClassTable,
   from: ServiceClassName,
@@ -45,13 +45,13 @@
   return undefined;
 };
 
-/** In a cycle of lending, a class would wait for slower ones for longer than it promises. */
+/** Rejects cycles of `lendsTo` in which a class may wait for a slower one longer than its latency target. */
 const checkLendingCycles = (
   classes: ClassTable,
-  order: readonly ServiceClass[],
+  declaredClasses: readonly ServiceClass[],
   issues: ValidationIssue[],
 ): void => {
-  for (const [index, { name, latencyMs }] of order.entries()) {
+  for (const [index, { name, latencyMs }] of declaredClasses.entries()) {
     if (latencyMs === undefined) continue;
     const cycle = lendingPath(classes, name, name, new Set());
     const slower = cycle?.find(
@@ -76,9 +76,10 @@
   issues: ValidationIssue[],
 ): void => {
   for (const [index, borrower] of lendsTo.entries()) {
-    const at = `classes.${classIndex}.lendsTo.${index}`;
-    if (!classes.has(borrower)) issues.push(validationIssue(at, `no class is named ${borrower}`));
-    else if (borrower === name) issues.push(validationIssue(at, 'a class does not lend to itself'));
+    const path = `classes.${classIndex}.lendsTo.${index}`;
+    if (!classes.has(borrower)) issues.push(validationIssue(path, `no class is named ${borrower}`));
+    else if (borrower === name)
+      issues.push(validationIssue(path, 'a class does not lend to itself'));
   }
 };
 
@@ -93,7 +94,7 @@
     );
 };
 
-/** Checks that the parts of a header fit together. */
+/** Validates a header beyond its schema; adds the issues to the list. */
 export const checkHeader = (header: ConfigurationHeader, issues: ValidationIssue[]): void => {
   checkUniqueNames(header.classes, 'classes', issues);
   checkUniqueNames(header.services, 'services', issues);
@@ -104,7 +105,7 @@
   checkRolloutPolicy(header.rollout, issues);
 };
 
-/** Checks that the shares of the classes at each service are not more than the whole. */
+/** Validates that the shares of the classes at each service add up to at most 1. */
 export const checkClassShares = (
   classNamesByService: ReadonlyMap<ServiceName, ReadonlySet<ServiceClassName>>,
   classes: ClassTable,
--- a/packages/configuration/src/document/chunks.ts
+++ b/packages/configuration/src/document/chunks.ts
@@ -1,7 +1,7 @@
 /**
- * A configuration document as chunks: it is cut by content, so that a small change changes few of
- * them, and each chunk is named by its hash. Chunks are stored and sent; compiling them is not done
- * here. The cut and the hashes must not change: stores and nodes of all versions compute them alike.
+ * Splits a configuration document into chunks. Boundaries depend on the content, so that a small
+ * change affects few chunks, and each chunk is identified by its hash. Boundaries and hashes must
+ * not change: stores and nodes of different versions must compute the same ones.
  */
 
 import { createHash } from 'node:crypto';
@@ -9,22 +9,22 @@
 import { type Hash, toHash } from '@switchwheel/types';
 import { type ValidationIssue, validationIssue } from './validation-issue.js';
 
-/** The most characters of routes in one chunk, but for a single larger route. */
+/** Number of characters after which a chunk ends. */
 const maxChunkCharacters = 48 * 1024;
-/** One route in so many ends a chunk, whatever its size: by its name, so that cuts stay where they are. */
+/** Average number of routes after which a chunk ends, by a hash of the route's name. */
 const routesPerChunk = 128;
 const routesPerSlice = 100;
 
-/** The SHA-256 of a text, in hexadecimal. */
+/** SHA-256 of a text, in hexadecimal. */
 export const contentHash = (text: string): Hash =>
   toHash(createHash('sha256').update(text).digest('hex'));
 
 /** A document in chunks: the header first, then lists of routes. */
 export interface ChunkedConfiguration {
-  /** The hash of the whole. */
+  /** Hash of the whole configuration. */
   readonly hash: Hash;
   readonly chunks: ReadonlyMap<Hash, string>;
-  /** The hashes of the chunks, in order. */
+  /** Hashes of the chunks in document order. */
   readonly chunkHashes: readonly Hash[];
 }
 
@@ -32,29 +32,29 @@
   typeof raw === 'object' && raw !== null && !Array.isArray(raw);
 const isArray = (raw: unknown): raw is readonly unknown[] => Array.isArray(raw);
 
-/** Sorts the keys of all objects, so that equal documents have equal hashes. */
+/** Sorts the keys of all objects at any depth, so that equal documents have equal hashes. */
 const withSortedKeys = (raw: unknown): unknown => {
   if (isArray(raw)) return raw.map(withSortedKeys);
   if (!isObject(raw)) return raw;
   return Object.fromEntries(
     Object.entries(raw)
-      .sort(([one], [two]) => (one < two ? -1 : 1))
+      .sort(([left], [right]) => (left < right ? -1 : 1))
       .map(([key, value]) => [key, withSortedKeys(value)]),
   );
 };
 
-/** The hash of a whole configuration, by those of its chunks. */
+/** Hash of a whole configuration, computed from the hashes of its chunks. */
 export const configurationHash = (chunkHashes: readonly Hash[]): Hash =>
   contentHash(chunkHashes.join('\n'));
 
 const routeNameOf = (raw: unknown): string =>
   isObject(raw) && 'name' in raw && typeof raw.name === 'string' ? raw.name : '';
 
-/** Whether a chunk ends after a route, by its name alone. */
+/** Whether a chunk ends after a route; depends only on the route's name. */
 const endsChunk = (route: unknown): boolean =>
   createHash('sha1').update(routeNameOf(route)).digest().readUInt16BE(0) % routesPerChunk === 0;
 
-/** Cuts a parsed document into chunks; yields every few routes, to be spread over time. */
+/** Splits a parsed document into chunks; yields every `routesPerSlice` routes so that callers can spread the work. */
 export function* splitIntoChunks(
   raw: unknown,
 ): Generator<undefined, Result<ChunkedConfiguration, readonly ValidationIssue[]>> {
@@ -88,8 +88,8 @@
 }
 
 /**
- * The text of the document that chunks make: the first is an object, each other a list of routes.
- * Nothing is parsed, so this takes little time however large the document is.
+ * Joins chunks to the text of the document: the first chunk is an object, each other one a list of
+ * routes. Does not parse them, so that large documents take little time.
  */
 export const joinChunks = (texts: readonly string[]): string => {
   const [head = '{}', ...lists] = texts.map((text) => text.trim());
--- a/packages/configuration/src/document/configuration-schemas.test.ts
+++ b/packages/configuration/src/document/configuration-schemas.test.ts
@@ -1,6 +1,6 @@
 /**
- * Holds the form of configurations and of stored release orders word for word: operators write the first, and both
- * are on the disks of stores.
+ * Guards against changes of the schemas of configurations, which operators write and stores keep on disk, and of stored
+ * release rollouts.
  */
 import assert from 'node:assert/strict';
 import { readFileSync } from 'node:fs';
@@ -13,7 +13,7 @@
   readFileSync(new URL('../../fixtures/configuration-schemas.json', import.meta.url), 'utf8'),
 );
 
-void test('configurations and release orders have the form that disks and operators know', () => {
+void test('the schemas of configurations and stored release rollouts are unchanged', () => {
   const outlines = outlineSchemas({
     configurationHead: schemas.configurationHeader,
     serviceClass: schemas.serviceClass,
--- a/packages/configuration/src/document/schema.ts
+++ b/packages/configuration/src/document/schema.ts
@@ -1,10 +1,10 @@
 /**
- * Schemas of the operators' document. Its members are named by the users' pages and keep their names;
- * code that runs a configuration uses the compiled form.
+ * Schemas of the operators' document. Its field names are part of the user documentation and do not
+ * change; nodes run the compiled form.
  */
 
 import * as v from 'valibot';
-import * as g from '@switchwheel/types';
+import * as types from '@switchwheel/types';
 
 const integerBetween = (low: number, high: number): v.GenericSchema<number> =>
   v.pipe(
@@ -27,22 +27,22 @@
   'a method',
 );
 
-/** Kept for the operators' tools; the fleet does not read it. */
+/** Free text for the operators' tools; ignored by all nodes. */
 const note = v.optional(v.pipe(v.string(), v.maxLength(65_536, 'at most 65536 signs')));
 
-/** A class of service: what it promises, its share, and who may borrow from it. */
+/** A class of service: its latency target, its share of a service's slots, and the classes that may borrow from it. */
 export const serviceClass = v.strictObject({
-  name: g.serviceClassName,
+  name: types.serviceClassName,
   latencyMs: v.optional(integerBetween(1, 600_000)),
   share: v.pipe(v.number('a number'), v.minValue(0, 'at least 0'), v.maxValue(1, 'at most 1')),
-  lendsTo: v.optional(v.array(g.serviceClassName), []),
+  lendsTo: v.optional(v.array(types.serviceClassName), []),
 });
-/** A class of service. */
+/** A class of service as parsed from the document, with defaults filled in. */
 export type ServiceClass = v.InferOutput<typeof serviceClass>;
 
-/** A service: what stands behind routes. */
+/** A service: the origins that routes send requests to, with their limits and health probe. */
 export const service = v.strictObject({
-  name: g.serviceName,
+  name: types.serviceName,
   perSecond: v.optional(
     v.pipe(
       v.number('a number'),
@@ -50,7 +50,7 @@
       v.maxValue(1_000_000, 'at most 1000000'),
     ),
   ),
-  /** Connections that one origin takes from all callers together. */
+  /** Maximum number of connections to one origin, from all nodes together. */
   connections: v.optional(integerBetween(1, 1_000_000)),
   probe: v.optional(
     v.strictObject({
@@ -63,10 +63,10 @@
   hedgeMs: v.optional(integerBetween(5, 60_000)),
   note,
 });
-/** A service. */
+/** A service as parsed from the document, with defaults filled in. */
 export type Service = v.InferOutput<typeof service>;
 
-/** How responses of a route may be cached. */
+/** Cache policy for the responses of a route. */
 export const cachePolicy = v.strictObject({
   lifetimeMs: v.optional(integerBetween(0, 31_536_000_000)),
   vary: v.optional(v.array(headerName), []),
@@ -75,13 +75,13 @@
 
 /** One service of a split route. */
 export interface WeightedService {
-  readonly service: g.ServiceName;
+  readonly service: types.ServiceName;
   readonly weight: number;
 }
 const trafficSplit: v.GenericSchema<unknown, readonly WeightedService[]> = v.pipe(
   v.array(
     v.strictObject({
-      service: g.serviceName,
+      service: types.serviceName,
       weight: v.pipe(
         v.number('a number'),
         v.minValue(0, 'at least 0'),
@@ -90,12 +90,12 @@
     }),
   ),
   v.minLength(1, 'at least one service'),
-  v.check((list) => list.some((one) => one.weight > 0), 'the weights add up to 0'),
+  v.check((list) => list.some((entry) => entry.weight > 0), 'the weights add up to 0'),
 );
 
-/** A route: which requests go to which service, in which class. */
+/** A route: the requests that it matches, and the service and class that they go to. */
 export const route = v.strictObject({
-  name: g.routeName,
+  name: types.routeName,
   host: v.optional(
     v.pipe(v.string(), v.regex(/^[a-z0-9.-]+(?::\d+)?$/, 'a host name in lower case')),
   ),
@@ -105,25 +105,25 @@
     'GET',
     'HEAD',
   ]),
-  service: v.optional(g.serviceName),
-  /** In place of one service: several, each with its part of the requests. */
+  service: v.optional(types.serviceName),
+  /** Services with their weights, in place of a single `service`. */
   split: v.optional(trafficSplit),
-  class: g.serviceClassName,
+  class: types.serviceClassName,
   repeatable: v.optional(v.boolean()),
   timeoutMs: v.optional(integerBetween(10, 600_000), 10_000),
-  /** Within which time a response is worth most. */
+  /** Latency target of a response. */
   goalMs: v.optional(integerBetween(1, 600_000)),
-  /** The largest number of origins that one request may be sent to. */
+  /** Maximum number of origins that one request may be sent to. */
   origins: v.optional(integerBetween(1, 16)),
-  /** 0 goes first when not everything can be served. */
+  /** Priority under overload; 0 is the highest. */
   rank: v.optional(integerBetween(0, 1000)),
   cache: v.optional(cachePolicy),
   note,
 });
-/** A route of the document. */
+/** A route as parsed from the document, with defaults filled in. */
 export type Route = v.InferOutput<typeof route>;
 
-/** How a generation is rolled out: the share of nodes that each wave reaches, and the gate between waves. */
+/** Rollout policy of a generation: the share of nodes that each wave reaches, and the gate time between waves. */
 export const rolloutPolicy = v.strictObject({
   waves: v.optional(
     v.pipe(
@@ -137,20 +137,20 @@
   threshold: v.optional(v.pipe(v.number(), v.minValue(0), v.maxValue(1)), 0.2),
   verifyMs: v.optional(integerBetween(0, 600_000), 10_000),
 });
-/** How a generation is rolled out. */
+/** Rollout policy of a generation. */
 export type RolloutPolicy = v.InferOutput<typeof rolloutPolicy>;
 
-/** What clients may send, and how long they may take. */
+/** Limits on the size and duration of clients' requests. */
 export const clientLimits = v.strictObject({
   headerBytes: v.optional(integerBetween(512, 1_048_576), 16_384),
   bodyBytes: v.optional(integerBetween(0, 1_073_741_824), 1_048_576),
   headerMs: v.optional(integerBetween(100, 600_000), 5000),
   idleMs: v.optional(integerBetween(100, 3_600_000), 10_000),
 });
-/** Limits of clients' requests. */
+/** Limits on clients' requests. */
 export type ClientLimits = v.InferOutput<typeof clientLimits>;
 
-/** All of a document but its routes. */
+/** The document without its routes. */
 export const configurationHeader = v.strictObject({
   format: v.literal(1, 'the format is 1'),
   classes: v.array(serviceClass),
@@ -159,5 +159,5 @@
   limits: v.optional(clientLimits, {}),
   note,
 });
-/** All of a document but its routes. */
+/** The document without its routes. */
 export type ConfigurationHeader = v.InferOutput<typeof configurationHeader>;
--- a/packages/configuration/src/index.ts
+++ b/packages/configuration/src/index.ts
@@ -1,7 +1,7 @@
 /**
- * Configurations: the operators' document, its checks and chunks, its compiled form, the control
- * state in which it is stored, and the rules by which generations and releases are rolled out.
- * Everything here is pure; storing, sending and applying are other packages' work.
+ * Configurations: the operators' document, its validation and chunks, its compiled form, the
+ * control state that stores it, and the rollout of configuration generations and of releases.
+ * All functions are pure; storing, sending and applying belong to other packages.
  */
 
 export * from './document/schema.js';
--- a/packages/configuration/src/release/canary-analysis.ts
+++ b/packages/configuration/src/release/canary-analysis.ts
@@ -1,6 +1,6 @@
 /**
- * Whether a release on its canary is bad: its responses, as edges count them, are compared with
- * those of the release that the service is settled on, class by class and in all.
+ * Canary analysis: compares the responses of a release with those of the settled release, for each
+ * class of service and over all classes, and decides whether the release is bad.
  */
 
 import { type Release, type Timestamp, subtractMs } from '@switchwheel/types';
@@ -16,14 +16,13 @@
 } from './canary-counts.js';
 import type { ReleaseSettings } from './settings.js';
 
-/** The spans over which responses are compared, as a failure may begin at any time. */
+/** Lengths of the windows that are compared; short ones detect a failure that begins late. */
 const windowsMs = [600, 1500, 4000, 8000] as const;
-/** With fewer responses than this in a window, the baseline is all that the settled release ever gave. */
+/** With fewer responses in a window, the baseline is all responses of the settled release. */
 const minBaselineResponses = 10;
-/** Origins in their slow start may have this many times the usual part of slow responses. */
+/** Factor by which the rate of slow responses may be higher while origins are in their slow start. */
 const slowStartAllowance = 1.5;
 
-/** What a comparison goes by. */
 interface Comparison {
   /** Whether the release's origins may still be in their slow start. */
   readonly inSlowStart: boolean;
@@ -31,28 +30,28 @@
 }
 
 const responseCount = ({ good, bad }: ReleaseCounts): number => good + bad;
-const fraction = (part: number, whole: number): number => (whole === 0 ? 0 : part / whole);
+const fraction = (part: number, total: number): number => (total === 0 ? 0 : part / total);
 const meanLatencyMs = (counts: ReleaseCounts): number =>
   fraction(counts.sumMs, responseCount(counts));
 
 /**
- * Whether a part of a release's responses, those that failed or were slow, is too large: above the
- * limit and well above the baseline's rate, or, of many responses, far above it.
+ * Whether failed (or slow) responses are too many: their rate is over the limit and well above the
+ * baseline's, or there are many of them and their rate is far above the baseline's.
  */
 const isElevated = (
-  part: number,
-  whole: number,
+  failures: number,
+  total: number,
   baselineRate: number,
   maxRate: number,
   { minFailures, maxFailureRate }: ReleaseSettings,
 ): boolean => {
-  const rate = fraction(part, whole);
-  if (part >= minFailures && rate > maxRate && rate > 2 * baselineRate + 0.1) return true;
+  const rate = fraction(failures, total);
+  if (failures >= minFailures && rate > maxRate && rate > 2 * baselineRate + 0.1) return true;
   if (maxRate > maxFailureRate) return false;
-  return part >= 4 * minFailures && rate > 4 * baselineRate + 0.08;
+  return failures >= 4 * minFailures && rate > 4 * baselineRate + 0.08;
 };
 
-/** Why a release's failed or slow responses are too many; undefined if they are not. */
+/** Reason for rejecting a release by its failed or slow responses; undefined if there is none. */
 const elevatedRateReason = (
   canary: ReleaseCounts,
   baseline: ReleaseCounts,
@@ -71,7 +70,7 @@
   return undefined;
 };
 
-/** Whether a release's mean latency is too high; few samples, and a slow start, need a clearer difference. */
+/** Whether a release's mean latency is too high. The limit is wider with few samples and during a slow start. */
 const isSlower = (
   canary: ReleaseCounts,
   baseline: ReleaseCounts,
@@ -87,7 +86,7 @@
   return ratio > maxLatencyRatio * (responseCount(canary) >= 4 * minLatencySamples ? 1 : 1.5);
 };
 
-/** Why a release is bad for one class of service; undefined if it is not. */
+/** Reason for rejecting a release by one class of service; undefined if there is none. */
 const classFailureReason = (
   canary: ReleaseCounts,
   baseline: ReleaseCounts,
@@ -100,13 +99,12 @@
     : undefined;
 };
 
-/** Counts of the two releases that are compared. */
 interface ComparedReleases {
   readonly target: Release;
   readonly prior: Release | undefined;
 }
 
-/** Why a release is bad by the counts of one window, with all counts as the fallback of the baseline. */
+/** Reason for rejecting a release by one window; a baseline with too few responses falls back to all counts. */
 const failureReasonWithin = (
   window: CountsByRelease,
   all: CountsByRelease,
@@ -115,22 +113,22 @@
 ): string | undefined => {
   const canary = window.get(target) ?? new Map<string, ReleaseCounts>();
   const recent = prior === undefined ? undefined : window.get(prior);
-  const ever = prior === undefined ? undefined : all.get(prior);
-  // Once all traffic has moved, the settled release has no recent responses any more.
+  const total = prior === undefined ? undefined : all.get(prior);
+  // After all traffic has shifted, the settled release has no recent responses.
   const hasEnough = (counts: ReleaseCounts): boolean =>
     responseCount(counts) >= minBaselineResponses;
   for (const [className, counts] of canary) {
     const recentCounts = recent?.get(className) ?? zeroCounts;
-    const baseline = hasEnough(recentCounts) ? recentCounts : (ever?.get(className) ?? zeroCounts);
+    const baseline = hasEnough(recentCounts) ? recentCounts : (total?.get(className) ?? zeroCounts);
     const reason = classFailureReason(counts, baseline, comparison);
     if (reason !== undefined) return `${className}: ${reason}`;
   }
   const recentSum = sumOfClasses(recent);
-  const baseline = hasEnough(recentSum) ? recentSum : sumOfClasses(ever);
+  const baseline = hasEnough(recentSum) ? recentSum : sumOfClasses(total);
   return elevatedRateReason(sumOfClasses(canary), baseline, comparison);
 };
 
-/** Why a release is bad, by what edges have reported so far; undefined if it is not known to be. */
+/** Reason for rejecting the target release by all counts so far; undefined if there is none. */
 export const releaseFailureReason = (
   watch: RolloutWatch,
   target: Release,
--- a/packages/configuration/src/release/canary-counts.ts
+++ b/packages/configuration/src/release/canary-counts.ts
@@ -1,6 +1,6 @@
 /**
- * What edges count for a release rollout, as one primary has it: cumulative counts by release and
- * class, from which those of any recent span are found. Judging them is not done here.
+ * Requests and responses that edges count for a release rollout, as one primary knows them:
+ * cumulative counts by release and class, from which the counts of a recent window are computed.
  */
 
 import {
@@ -15,7 +15,7 @@
 } from '@switchwheel/types';
 import type { FrameOf, ReleaseCountsRow } from '@switchwheel/transport';
 
-/** Counts of one release and class, over edges: requests sent, and responses by their outcome. */
+/** Counts of one release and class of service: requests sent, and responses by outcome. */
 export interface ReleaseCounts {
   readonly sent: number;
   readonly good: number;
@@ -23,7 +23,7 @@
   readonly slow: number;
   readonly sumMs: number;
 }
-/** No counts. */
+/** Counts that are all 0. */
 export const zeroCounts: ReleaseCounts = { sent: 0, good: 0, bad: 0, slow: 0, sumMs: 0 };
 
 /** The reports of one incarnation of an edge, the oldest first. */
@@ -40,40 +40,39 @@
   readonly rows: readonly ReleaseCountsRow[];
 }
 
-/** One rollout as this primary sees it: when it began, by its own clock, and what edges report. */
+/** A rollout as one primary observes it: its start by this primary's clock, and the edges' reports. */
 export interface RolloutWatch {
-  /** The number of the rollout. */
   readonly rolloutNumber: Seq;
   readonly startedAt: Timestamp;
-  /** When this primary began to watch. */
+  /** Time at which this primary began to collect reports. */
   readonly watchedSince: Timestamp;
   readonly edges: ReadonlyMap<string, EdgeReports>;
 }
 
-/** How long an edge counts as live after its last report. */
+/** Time after its last report for which an edge counts as live. */
 const edgeTimeoutMs = 1000;
 const reportRetentionMs = 9000;
 
-/** Begins to watch a rollout that began so long ago. */
+/** Begins to collect reports for a rollout that started `elapsedMs` ago. */
 export const newRolloutWatch = (
   rolloutNumber: Seq,
-  spentMs: number,
+  elapsedMs: number,
   now: Timestamp,
 ): RolloutWatch => ({
   rolloutNumber,
-  startedAt: toTimestamp(now - spentMs),
+  startedAt: toTimestamp(now - elapsedMs),
   watchedSince: now,
   edges: new Map(),
 });
 
-/** How long a rollout has lasted, in milliseconds. */
+/** Time since the start of a rollout, in milliseconds. */
 export const elapsedAt = (watch: RolloutWatch, now: Timestamp): number => now - watch.startedAt;
 
 const edgeKey = (node: NodeId, incarnation: Incarnation): string => `${node} ${incarnation}`;
 const totalSentOf = (rows: readonly ReleaseCountsRow[]): number =>
   rows.reduce((sum, row) => sum + row.sent, 0);
 
-/** Takes an edge's report in. Its counts are cumulative, so a lost report is made up for by the next. */
+/** Records an edge's report. Counts are cumulative, so the next report makes up for a lost one. */
 export const recordCounts = (
   watch: RolloutWatch,
   frame: FrameOf<'tally'>,
@@ -83,7 +82,7 @@
   const key = edgeKey(frame.node, frame.incarnation);
   const known = watch.edges.get(key);
   const earlier = known?.recentReports ?? [];
-  // Frames of one edge may overtake each other.
+  // Frames of one edge may arrive out of order.
   if (totalSentOf(frame.rows) < totalSentOf(earlier.at(-1)?.rows ?? [])) return watch;
   const report: CountReport = { receivedAt: now, rows: frame.rows };
   const firstKept = earlier.findLastIndex(
@@ -103,7 +102,7 @@
   };
 };
 
-/** Whether all live edges act on a state, at least, and have no requests in flight at old origins. */
+/** Whether all live edges have the state `serial` or a newer one and no requests in flight at old origins. */
 export const isDrained = (watch: RolloutWatch, serial: Seq, now: Timestamp): boolean => {
   const live = filterEntries(watch.edges, (edge) => now - edge.receivedAt < edgeTimeoutMs);
   return (
@@ -115,12 +114,12 @@
 /** Counts by release and class. */
 export type CountsByRelease = ReadonlyMap<Release, ReadonlyMap<string, ReleaseCounts>>;
 
-const addCounts = (one: ReleaseCounts, two: ReleaseCounts, sign: 1 | -1): ReleaseCounts => ({
-  sent: one.sent + sign * two.sent,
-  good: one.good + sign * two.good,
-  bad: one.bad + sign * two.bad,
-  slow: one.slow + sign * two.slow,
-  sumMs: one.sumMs + sign * two.sumMs,
+const addCounts = (sum: ReleaseCounts, added: ReleaseCounts, sign: 1 | -1): ReleaseCounts => ({
+  sent: sum.sent + sign * added.sent,
+  good: sum.good + sign * added.good,
+  bad: sum.bad + sign * added.bad,
+  slow: sum.slow + sign * added.slow,
+  sumMs: sum.sumMs + sign * added.sumMs,
 });
 
 const addRows = (
@@ -135,14 +134,14 @@
   }
 };
 
-/** All that was counted since the rollout began, as far as this primary knows. */
+/** Counts since the start of the rollout, from the edges that have reported to this primary. */
 export const allCounts = (watch: RolloutWatch): CountsByRelease => {
   const sums = new Map<Release, Map<string, ReleaseCounts>>();
   for (const edge of watch.edges.values()) addRows(sums, edge.recentReports.at(-1)?.rows ?? [], 1);
   return sums;
 };
 
-/** What was counted since a time; an edge that is new to this primary counts from its first report. */
+/** Counts since a point in time; those of an edge that reported first after it start at its first report. */
 export const countsSince = (watch: RolloutWatch, from: Timestamp): CountsByRelease => {
   const sums = new Map<Release, Map<string, ReleaseCounts>>();
   for (const edge of watch.edges.values()) {
@@ -156,12 +155,12 @@
   return sums;
 };
 
-/** The counts of all classes together. */
+/** Sum of the counts of all classes. */
 export const sumOfClasses = (
   groups: ReadonlyMap<string, ReleaseCounts> | undefined,
 ): ReleaseCounts =>
   [...(groups?.values() ?? [])].reduce((sum, counts) => addCounts(sum, counts, 1), zeroCounts);
 
-/** The requests of all releases and classes together. */
+/** Number of requests sent to all releases by all classes. */
 export const totalSentIn = (sums: CountsByRelease): number =>
   [...sums.values()].reduce((sum, groups) => sum + sumOfClasses(groups).sent, 0);
--- a/packages/configuration/src/release/canary-share.ts
+++ b/packages/configuration/src/release/canary-share.ts
@@ -1,6 +1,7 @@
 /**
- * How much traffic a release on its canary gets: enough to be judged in time, and never more than the
- * rule allows a bad release to have, with a reserve for what is in flight and for the shift.
+ * Canary traffic: computes shares that give the analysis enough responses before the deadline, and
+ * keep the requests that a bad release may receive within the allowance, with a reserve for
+ * requests in flight and for the shift.
  */
 
 import { type Release, type Timestamp, subtractMs } from '@switchwheel/types';
@@ -18,15 +19,15 @@
 import type { ReleaseRollout } from './release-rollout.js';
 import type { ReleaseSettings } from './settings.js';
 
-/** What is known of a rollout at one point in time. */
+/** Progress and counts of a rollout at one point in time. */
 export interface RolloutView {
   readonly now: Timestamp;
   readonly elapsedMs: number;
-  /** The service's requests since the rollout began. */
+  /** Requests of the service since the rollout began. */
   readonly totalRequests: number;
-  /** Those of them that went to the target. */
+  /** Requests sent to the target release since the rollout began. */
   readonly canaryRequests: number;
-  /** The service's request rate. */
+  /** Request rate of the service. */
   readonly requestsPerSecond: number;
   readonly counts: CountsByRelease;
   readonly hasLiveOrigins: (release: Release | undefined) => boolean;
@@ -34,29 +35,32 @@
   readonly settings: ReleaseSettings;
 }
 
-/** Over which time the request rate is measured. */
+/** Window over which the request rate is measured. */
 export const rateWindowMs = 1500;
-/** Shares that differ by a smaller part are left as they are. */
+/** Relative difference of shares below which the stored shares are kept. */
 const minShareChange = 0.35;
-/** The parts of the allowance that the canary and the load probe may use; the rest is for requests in flight. */
-export const canaryBudget = { pct: 0.85, slack: 0.7 };
-/** The same for the load probe. */
-export const probeBudget = { pct: 0.95, slack: 0.9 };
-/** For how many seconds of full traffic budget is reserved: as long as it takes to see that a release fails once all traffic has shifted. */
+/** Fractions of the allowance that the canary may use; the rest is reserved for requests in flight. */
+export const canaryBudget = { shareFactor: 0.85, allowanceFactor: 0.7 };
+/** Fractions of the allowance that the load probe may use. */
+export const probeBudget = { shareFactor: 0.95, allowanceFactor: 0.9 };
+/** Seconds of full traffic reserved for detecting a failure after all traffic has shifted. */
 const shiftReserveSeconds = 1;
-/** With few requests a failure may stay unseen: then budget is reserved for the whole shift, if this many requests are left for the canary. */
+/**
+ * Minimum canary budget, in requests, for reserving all requests of the shift, as with little traffic a
+ * failure may not be detected before the shift ends. Otherwise only `shiftReserveSeconds` are reserved.
+ */
 const minCanaryBudget = 30;
 
 const clamp = (low: number, raw: number, high: number): number =>
   Math.min(high, Math.max(low, raw));
-/** A share with three decimals. */
+/** Rounds a share to three decimals. */
 export const roundShare = (raw: number): number => Math.round(raw * 1000) / 1000;
 
-/** How long after its start a rollout shifts all traffic, in milliseconds. */
+/** Time after the start of a rollout at which all traffic shifts, in milliseconds. */
 export const shiftStartMs = (rollout: ReleaseRollout, settings: ReleaseSettings): number =>
   Math.max(rollout.spanMs - settings.shiftLeadMs, rollout.spanMs / 2);
 
-/** Looks at a rollout by what edges have reported so far. */
+/** Builds the view of a rollout from the counts that edges have reported so far. */
 export const viewRollout = (
   rollout: ReleaseRollout,
   watch: RolloutWatch,
@@ -65,60 +69,61 @@
   settings: ReleaseSettings,
 ): RolloutView => {
   const all = allCounts(watch);
-  const spentMs = Math.max(rollout.spentMs, elapsedAt(watch, now));
-  // A new primary does not know all edges yet: what was written holds until they report more.
+  const elapsedMs = Math.max(rollout.spentMs, elapsedAt(watch, now));
+  // A new primary may not have reports of all edges yet: the stored counts are the minimum.
   const total = Math.max(rollout.total, totalSentIn(all));
   const target = rollout.target === undefined ? undefined : all.get(rollout.target);
-  const used = Math.max(rollout.spent, sumOfClasses(target).sent);
-  const window = Math.min(rateWindowMs, Math.max(250, now - watch.watchedSince));
-  const recent = totalSentIn(
+  const canaryRequests = Math.max(rollout.spent, sumOfClasses(target).sent);
+  const windowMs = Math.min(rateWindowMs, Math.max(250, now - watch.watchedSince));
+  const recentRequests = totalSentIn(
     countsSince(
       watch,
       watch.watchedSince > now - rateWindowMs ? watch.watchedSince : subtractMs(now, rateWindowMs),
     ),
   );
-  const perS = Math.max(recent / window, total / Math.max(1000, spentMs)) * 1000;
-  const stands = (release: Release | undefined): boolean =>
+  const requestsPerSecond =
+    Math.max(recentRequests / windowMs, total / Math.max(1000, elapsedMs)) * 1000;
+  const hasLiveOrigins = (release: Release | undefined): boolean =>
     release !== undefined && (liveOrigins.get(release) ?? 0) > 0;
   return {
     now,
-    elapsedMs: spentMs,
+    elapsedMs,
     totalRequests: total,
-    canaryRequests: used,
-    requestsPerSecond: perS,
+    canaryRequests,
+    requestsPerSecond,
     counts: all,
-    hasLiveOrigins: stands,
+    hasLiveOrigins,
     watch,
     settings,
   };
 };
 
-/** How many requests the canary may still have, of a part of what the rule allows for the requests so far. */
-export const remainingAllowance = (view: RolloutView, part: typeof canaryBudget): number =>
-  part.pct * view.settings.canaryFraction * view.totalRequests +
-  part.slack * view.settings.canaryAllowance -
+/** Number of requests that the canary may still receive within a budget, given the requests so far. */
+export const remainingAllowance = (view: RolloutView, budget: typeof canaryBudget): number =>
+  budget.shareFactor * view.settings.canaryFraction * view.totalRequests +
+  budget.allowanceFactor * view.settings.canaryAllowance -
   view.canaryRequests;
 
-/** The largest share that any class sends to the target. */
+/** Largest share that any class sends to the target. */
 export const currentShare = (rollout: ReleaseRollout): number =>
   Math.max(rollout.share, ...rollout.shares.map(({ share }) => share));
 
-/** How many requests the canary may have in all, by what the rule is likely to allow by the deadline, less the shift's. */
+/** Total number of requests that the canary may receive: the allowance expected at the deadline less the shift's reserve. */
 export const canaryRequestBudget = (rollout: ReleaseRollout, view: RolloutView): number => {
   const { canaryFraction, canaryAllowance } = view.settings;
-  const atTerm =
+  const requestsAtDeadline =
     view.totalRequests +
     (view.requestsPerSecond * Math.max(0, rollout.spanMs - view.elapsedMs)) / 1000;
-  const allowed = probeBudget.pct * (canaryFraction * atTerm + canaryAllowance);
-  const unseen =
+  const allowed = probeBudget.shareFactor * (canaryFraction * requestsAtDeadline + canaryAllowance);
+  const withoutShift =
     allowed -
     (view.requestsPerSecond * (rollout.spanMs - shiftStartMs(rollout, view.settings))) / 1000;
-  return unseen >= minCanaryBudget
-    ? unseen
+  return withoutShift >= minCanaryBudget
+    ? withoutShift
     : allowed - shiftReserveSeconds * view.requestsPerSecond;
 };
 
-/** The request rate that the canary needs to be judged in time. */
+/** Request rate per second that gives the canary enough requests before the shift. */
 const wantedCanaryRate = (rollout: ReleaseRollout, view: RolloutView): number =>
   (1000 *
     clamp(
@@ -128,60 +133,65 @@
     )) /
   shiftStartMs(rollout, view.settings);
 
-/** The part of a rollout that says how much traffic the target gets. */
+/** Share of the traffic that the target gets: the default, and those of classes that differ from it. */
 export type CanaryShares = Pick<ReleaseRollout, 'share' | 'shares'>;
-/** No traffic to the target. */
+/** Shares that send no traffic to the target. */
 export const noCanaryShare: CanaryShares = { share: 0, shares: [] };
 
-/** The canary's share, and that of each class which needs another one to get its part of the responses. */
+/** Computes the canary's share, and a share of its own for each class that needs another one to get enough responses. */
 export const canaryShares = (rollout: ReleaseRollout, view: RolloutView): CanaryShares => {
   const { minCanaryShare, maxCanaryShare } = view.settings;
   const wanted = wantedCanaryRate(rollout, view);
   const groups = new Map<string, ReleaseCounts>();
   for (const rows of view.counts.values()) {
-    for (const [group, one] of rows)
-      groups.set(group, { ...zeroCounts, sent: (groups.get(group)?.sent ?? 0) + one.sent });
+    for (const [group, counts] of rows)
+      groups.set(group, { ...zeroCounts, sent: (groups.get(group)?.sent ?? 0) + counts.sent });
   }
-  const sum = [...groups.values()].reduce((many, one) => many + one.sent, 0);
+  const totalSent = [...groups.values()].reduce((sum, counts) => sum + counts.sent, 0);
   const share =
     view.requestsPerSecond === 0
       ? maxCanaryShare
       : roundShare(clamp(minCanaryShare, wanted / view.requestsPerSecond, maxCanaryShare));
-  const shares = [...groups].flatMap(([group, one]) => {
-    const perS = sum === 0 ? 0 : (view.requestsPerSecond * one.sent) / sum;
-    const own =
-      perS === 0
+  const shares = [...groups].flatMap(([group, counts]) => {
+    const requestsPerSecond =
+      totalSent === 0 ? 0 : (view.requestsPerSecond * counts.sent) / totalSent;
+    const groupShare =
+      requestsPerSecond === 0
         ? share
-        : roundShare(clamp(minCanaryShare, wanted / groups.size / perS, maxCanaryShare));
-    return own === share ? [] : [{ group, share: own }];
+        : roundShare(
+            clamp(minCanaryShare, wanted / groups.size / requestsPerSecond, maxCanaryShare),
+          );
+    return groupShare === share ? [] : [{ group, share: groupShare }];
   });
   return { share, shares };
 };
 
-const differsNotably = (one: number, two: number): boolean =>
-  Math.abs(one - two) > minShareChange * Math.max(one, two);
-const classShare = (one: CanaryShares, group: string): number =>
-  one.shares.find((row) => row.group === group)?.share ?? one.share;
-/** Whether shares differ by enough to be written. */
-export const sharesDiffer = (one: CanaryShares, two: CanaryShares): boolean =>
-  differsNotably(one.share, two.share) ||
-  [...one.shares, ...two.shares].some(({ group }) =>
-    differsNotably(classShare(one, group), classShare(two, group)),
+const differsNotably = (first: number, second: number): boolean =>
+  Math.abs(first - second) > minShareChange * Math.max(first, second);
+const classShare = (canary: CanaryShares, group: string): number =>
+  canary.shares.find((row) => row.group === group)?.share ?? canary.share;
+/** Whether new shares differ enough from the stored ones to be written. */
+export const sharesDiffer = (stored: CanaryShares, next: CanaryShares): boolean =>
+  differsNotably(stored.share, next.share) ||
+  [...stored.shares, ...next.shares].some(({ group }) =>
+    differsNotably(classShare(stored, group), classShare(next, group)),
   );
 
-/** The largest share that a load probe may have; it leaves what the rest of the canary needs. */
+/** Largest share for a load probe that leaves enough budget for the rest of the canary. */
 export const affordableProbeShare = (rollout: ReleaseRollout, view: RolloutView): number => {
   const { minCanaryShare, loadProbeMs, propagationMs } = view.settings;
-  const cost = (view.requestsPerSecond * (loadProbeMs + propagationMs)) / 1000;
-  if (cost === 0) return view.settings.loadProbeShare;
-  const trialRate = Math.max(
+  const probeRequests = (view.requestsPerSecond * (loadProbeMs + propagationMs)) / 1000;
+  if (probeRequests === 0) return view.settings.loadProbeShare;
+  const canaryRate = Math.max(
     wantedCanaryRate(rollout, view),
     minCanaryShare * view.requestsPerSecond,
   );
-  const left = Math.max(0, shiftStartMs(rollout, view.settings) - view.elapsedMs) / 1000;
-  const whole = canaryRequestBudget(rollout, view) - view.canaryRequests - trialRate * left;
+  const remainingSeconds =
+    Math.max(0, shiftStartMs(rollout, view.settings) - view.elapsedMs) / 1000;
+  const remainingBudget =
+    canaryRequestBudget(rollout, view) - view.canaryRequests - canaryRate * remainingSeconds;
   return Math.min(
     view.settings.loadProbeShare,
-    Math.min(remainingAllowance(view, probeBudget), whole) / cost,
+    Math.min(remainingAllowance(view, probeBudget), remainingBudget) / probeRequests,
   );
 };
--- a/packages/configuration/src/release/pick-release.ts
+++ b/packages/configuration/src/release/pick-release.ts
@@ -1,9 +1,9 @@
-/** Which release a request goes to while a rollout of its service is under way. */
+/** Choice of the release for a request while a rollout of its service is in progress. */
 
 import type { Release } from '@switchwheel/types';
 import type { RolloutState } from '@switchwheel/transport';
 
-/** The share of a class's requests that go to the release on its canary. */
+/** Share of a class's requests that go to the canary release. */
 export const canaryShareOf = (state: RolloutState, className: string): number =>
   state.shares.find((row) => row.group === className)?.share ?? state.share;
 
@@ -26,10 +26,10 @@
 };
 
 /**
- * The release for the next request, of those that have live origins: the preferred one, else the
- * settled one, else any that is not on its canary, else the one on its canary. Nothing goes to a bad
- * one. `fraction` is a random number from 0 up to 1; `isFresh` tells whether the state is new enough
- * for a canary, as an old share may have been withdrawn long ago.
+ * Picks the release for a request among those with live origins: the preferred one, else the settled
+ * one, else any but the target, else the target. A bad release never gets requests. `fraction` is a
+ * random number in [0, 1). Without `isFresh` the state is too old for a canary, whose share may have
+ * been withdrawn since.
  */
 export const pickRelease = (
   state: RolloutState | undefined,
--- a/packages/configuration/src/release/release-rollout.test.ts
+++ b/packages/configuration/src/release/release-rollout.test.ts
@@ -1,6 +1,6 @@
 /**
- * Release rollouts as a whole, played against simulated edges: good releases become good in time, bad
- * ones are found with little exposure; and how requests for rollouts are answered.
+ * Guards against good releases that do not settle in time, bad ones that get too many requests, and
+ * repeated rollout requests that start a second rollout.
  */
 
 import assert from 'node:assert/strict';
@@ -13,8 +13,8 @@
   newRelease,
   oldRelease,
   openedRollout,
-  playRollout,
   service,
+  simulateRollout,
 } from '../testing/rollout-simulation.js';
 import { pickRelease } from './pick-release.js';
 import {
@@ -25,146 +25,184 @@
 } from './release-rollout.js';
 import { releaseSettings } from './settings.js';
 
-const good: Behaviour = { kind: 'good', share: 0, load: 1, late: 0, pace: 1 };
-const bads: readonly Behaviour[] = [
-  { ...good, kind: 'errors', share: 0.3 },
-  { ...good, kind: 'errors', share: 0.6 },
-  { ...good, kind: 'slow', share: 0.4 },
-  { ...good, kind: 'slow', share: 1, pace: 0.7 },
-  { ...good, kind: 'load', share: 0.3, load: 0.15 },
-  { ...good, kind: 'load', share: 0.5, load: 0.6 },
-  { ...good, kind: 'class', share: 0.3 },
-  { ...good, kind: 'class', share: 0.6 },
-  { ...good, kind: 'late', share: 0.3, late: 0.4 },
-  { ...good, kind: 'late', share: 0.5, late: 0.7 },
+const good: Behaviour = {
+  kind: 'good',
+  badFraction: 0,
+  load: 1,
+  failsAfter: 0,
+  latencyFactor: 1,
+};
+const badBehaviours: readonly Behaviour[] = [
+  { ...good, kind: 'errors', badFraction: 0.3 },
+  { ...good, kind: 'errors', badFraction: 0.6 },
+  { ...good, kind: 'slow', badFraction: 0.4 },
+  { ...good, kind: 'slow', badFraction: 1, latencyFactor: 0.7 },
+  { ...good, kind: 'load', badFraction: 0.3, load: 0.15 },
+  { ...good, kind: 'load', badFraction: 0.5, load: 0.6 },
+  { ...good, kind: 'class', badFraction: 0.3 },
+  { ...good, kind: 'class', badFraction: 0.6 },
+  { ...good, kind: 'late', badFraction: 0.3, failsAfter: 0.4 },
+  { ...good, kind: 'late', badFraction: 0.5, failsAfter: 0.7 },
 ];
 const seeds = [1, 2, 3];
-/** With few requests and a short span one class in five gives too few answers to judge it by. */
-const spansOf = (perS: number): readonly number[] =>
-  perS < 100 ? [12_000, 16_000] : [8000, 12_000, 16_000];
+/** At a low rate the short span gives the class with a fifth of the requests too few responses. */
+const spansOf = (requestsPerSecond: number): readonly number[] =>
+  requestsPerSecond < 100 ? [12_000, 16_000] : [8000, 12_000, 16_000];
 
 const assertBad = (scenario: Scenario): void => {
-  const done = playRollout(scenario);
-  const what = JSON.stringify({ ...scenario, ...done });
-  assert.ok(done.exposed <= 0.1 * done.total + 50, `exposure: ${what}`);
-  assert.ok(done.after50 <= 5000, `late: ${what}`);
-  assert.equal(done.order.phase, 'bad', what);
-  assert.equal(done.order.settled, oldRelease, what);
-  assert.ok(done.judgedMs <= scenario.spanMs - 400, `term: ${what}`);
+  const outcome = simulateRollout(scenario);
+  const details = JSON.stringify({ ...scenario, ...outcome });
+  assert.ok(
+    outcome.canaryRequests <= 0.1 * outcome.totalRequests + 50,
+    `too many requests to the bad release: ${details}`,
+  );
+  assert.ok(
+    outcome.lastRequestAfter50Ms <= 5000,
+    `requests too long after 50 bad responses: ${details}`,
+  );
+  assert.equal(outcome.rollout.phase, 'bad', details);
+  assert.equal(outcome.rollout.settled, oldRelease, details);
+  assert.ok(
+    outcome.decidedMs <= scenario.spanMs - 400,
+    `decided too close to the deadline: ${details}`,
+  );
 };
 const assertGood = (scenario: Scenario): void => {
-  const done = playRollout(scenario);
-  const what = JSON.stringify({ ...scenario, ...done });
-  assert.equal(done.order.phase, 'good', what);
-  assert.equal(done.order.settled, newRelease, what);
-  assert.ok(done.judgedMs <= scenario.spanMs - 400, `term: ${what}`);
-  assert.equal(done.cutOff, 0, `cut off: ${what}`);
-  assert.ok(done.writes < 40, `writes: ${what}`);
+  const outcome = simulateRollout(scenario);
+  const details = JSON.stringify({ ...scenario, ...outcome });
+  assert.equal(outcome.rollout.phase, 'good', details);
+  assert.equal(outcome.rollout.settled, newRelease, details);
+  assert.ok(
+    outcome.decidedMs <= scenario.spanMs - 400,
+    `decided too close to the deadline: ${details}`,
+  );
+  assert.equal(outcome.interruptedRequests, 0, `requests in flight at old origins: ${details}`);
+  assert.ok(outcome.writes < 40, `too many writes: ${details}`);
 };
 
-for (const perS of [60, 250, 800]) {
-  void test(`a good release becomes good in time at ${perS} requests a second`, () => {
+for (const requestsPerSecond of [60, 250, 800]) {
+  void test(`a good release is accepted before the deadline at ${requestsPerSecond} requests per second`, () => {
     for (const seed of seeds)
-      for (const spanMs of spansOf(perS))
-        for (const pace of [0.7, 1, 1.4])
-          assertGood({ seed, perS, spanMs, release: { ...good, pace } });
+      for (const spanMs of spansOf(requestsPerSecond))
+        for (const latencyFactor of [0.7, 1, 1.4])
+          assertGood({ seed, requestsPerSecond, spanMs, release: { ...good, latencyFactor } });
   });
-  void test(`each kind of bad release is judged bad, with little exposure, at ${perS} requests a second`, () => {
+  void test(`each kind of bad release is rejected after few requests to it at ${requestsPerSecond} requests per second`, () => {
     for (const seed of seeds)
-      for (const spanMs of spansOf(perS))
-        for (const release of bads) assertBad({ seed, perS, spanMs, release });
+      for (const spanMs of spansOf(requestsPerSecond))
+        for (const release of badBehaviours)
+          assertBad({ seed, requestsPerSecond, spanMs, release });
   });
 }
 
-void test('a primary that changes midway goes on from the record', () => {
+void test('a new primary continues a rollout from the stored record', () => {
   for (const seed of seeds) {
-    for (const lossAt of [1000, 5000, 8000, 12_000]) {
-      assertGood({ seed, perS: 250, spanMs: 16_000, release: good, lossAt });
-      for (const release of bads) assertBad({ seed, perS: 250, spanMs: 16_000, release, lossAt });
+    for (const primaryLossAt of [1000, 5000, 8000, 12_000]) {
+      assertGood({
+        seed,
+        requestsPerSecond: 250,
+        spanMs: 16_000,
+        release: good,
+        primaryLossAt,
+      });
+      for (const release of badBehaviours)
+        assertBad({ seed, requestsPerSecond: 250, spanMs: 16_000, release, primaryLossAt });
     }
   }
 });
 
-void test('edges that restart midway lose nothing that matters', () => {
+void test('a restart of edges during the rollout does not change its result', () => {
   for (const seed of seeds) {
-    assertGood({ seed, perS: 250, spanMs: 16_000, release: good, edgeLossAt: 7000 });
-    for (const release of bads)
-      assertBad({ seed, perS: 250, spanMs: 16_000, release, edgeLossAt: 7000 });
+    assertGood({
+      seed,
+      requestsPerSecond: 250,
+      spanMs: 16_000,
+      release: good,
+      edgeLossAt: 7000,
+    });
+    for (const release of badBehaviours)
+      assertBad({ seed, requestsPerSecond: 250, spanMs: 16_000, release, edgeLossAt: 7000 });
   }
 });
 
-void test('a primary lost as all traffic moves stops nothing early', () => {
+void test('the loss of the primary during the shift interrupts no requests at old origins', () => {
   for (const seed of seeds) {
-    for (const lossAt of [14_005, 14_100, 14_400]) {
-      const done = playRollout({ seed, perS: 250, spanMs: 16_000, release: good, lossAt });
-      assert.equal(done.order.phase, 'good');
-      assert.equal(done.cutOff, 0);
-      // One that is lost later is made good by its successor past the term: no old origin is stopped for that.
-      assert.ok(done.judgedMs <= (lossAt < 14_200 ? 16_000 : 16_400));
+    for (const primaryLossAt of [14_005, 14_100, 14_400]) {
+      const outcome = simulateRollout({
+        seed,
+        requestsPerSecond: 250,
+        spanMs: 16_000,
+        release: good,
+        primaryLossAt,
+      });
+      assert.equal(outcome.rollout.phase, 'good');
+      assert.equal(outcome.interruptedRequests, 0);
+      // After a later loss the new primary accepts the release past the deadline, with old origins still live.
+      assert.ok(outcome.decidedMs <= (primaryLossAt < 14_200 ? 16_000 : 16_400));
     }
   }
 });
 
-void test('a fault that both releases share is not held against the new one', () => {
+void test('a fault that affects both releases does not make the new one bad', () => {
   for (const seed of seeds)
-    for (const perS of [60, 250, 800])
-      assertGood({ seed, perS, spanMs: 16_000, release: good, trouble: 0.15 });
+    for (const requestsPerSecond of [60, 250, 800])
+      assertGood({ seed, requestsPerSecond, spanMs: 16_000, release: good, faultRate: 0.15 });
 });
 
-void test('with low traffic the fixed allowance is enough', () => {
+void test('at low traffic a bad release stays within the fixed allowance', () => {
   for (const seed of seeds) {
-    for (const perS of [1, 5, 15]) {
-      assertGood({ seed, perS, spanMs: 16_000, release: good });
-      for (const release of bads) {
-        const done = playRollout({ seed, perS, spanMs: 16_000, release });
+    for (const requestsPerSecond of [1, 5, 15]) {
+      assertGood({ seed, requestsPerSecond, spanMs: 16_000, release: good });
+      for (const release of badBehaviours) {
+        const outcome = simulateRollout({ seed, requestsPerSecond, spanMs: 16_000, release });
         assert.ok(
-          done.exposed <= 0.1 * done.total + 50,
-          JSON.stringify({ perS, release, ...done }),
+          outcome.canaryRequests <= 0.1 * outcome.totalRequests + 50,
+          JSON.stringify({ requestsPerSecond, release, ...outcome }),
         );
       }
     }
   }
 });
 
-void test('nothing is sent to a bad release, and all to one that has shifted and has live origins', () => {
-  const release = fc.constantFrom('r1', 'r2', 'r3').map(toRelease);
-  const phase = fc.constantFrom('none', 'trial', 'moving', 'good', 'bad');
-  const unit = fc.double({ min: 0, max: 1, noNaN: true });
+void test('a bad release gets no requests, and a shifted one with live origins gets all', () => {
+  const anyRelease = fc.constantFrom('r1', 'r2', 'r3').map(toRelease);
+  const anyPhase = fc.constantFrom('none', 'trial', 'moving', 'good', 'bad');
+  const anyFraction = fc.double({ min: 0, max: 1, noNaN: true });
   fc.assert(
     fc.property(
-      fc.option(release, { nil: undefined }),
-      release,
-      phase,
-      unit,
-      unit,
-      fc.uniqueArray(release),
+      fc.option(anyRelease, { nil: undefined }),
+      anyRelease,
+      anyPhase,
+      anyFraction,
+      anyFraction,
+      fc.uniqueArray(anyRelease),
       fc.boolean(),
-      (settled, target, is, share, chance, all, isFresh) => {
+      (settled, target, phase, share, fraction, releases, isFresh) => {
         const state = {
           ...releaseStateOf(settledRollout(service, settled), 0),
           target,
-          phase: is,
+          phase,
           share,
         };
-        const standing = new Set(all);
-        const chosen = pickRelease(state, standing, 'a', chance, isFresh);
-        const barred = is === 'bad' && settled !== target ? target : undefined;
-        const open = all.filter((one) => one !== barred);
-        assert.equal(chosen === undefined, open.length === 0);
-        if (chosen === undefined) return;
-        assert.ok(open.includes(chosen));
-        if ((is === 'moving' || is === 'good') && standing.has(target))
-          assert.equal(chosen, target);
-        if (is === 'trial' && settled !== undefined && standing.has(settled) && chance >= share)
-          assert.equal(chosen, settled);
-        if (is === 'trial' && open.some((one) => one !== target) && !isFresh)
-          assert.ok(chosen !== target || settled === target);
+        const live = new Set(releases);
+        const picked = pickRelease(state, live, 'a', fraction, isFresh);
+        const excluded = phase === 'bad' && settled !== target ? target : undefined;
+        const allowed = releases.filter((release) => release !== excluded);
+        assert.equal(picked === undefined, allowed.length === 0);
+        if (picked === undefined) return;
+        assert.ok(allowed.includes(picked));
+        if ((phase === 'moving' || phase === 'good') && live.has(target))
+          assert.equal(picked, target);
+        if (phase === 'trial' && settled !== undefined && live.has(settled) && fraction >= share)
+          assert.equal(picked, settled);
+        if (phase === 'trial' && allowed.some((release) => release !== target) && !isFresh)
+          assert.ok(picked !== target || settled === target);
       },
     ),
   );
 });
 
-void test('a repeated request changes nothing, another one conflicts while a rollout is in progress', () => {
+void test('a repeated rollout request changes nothing, and a different one conflicts while a rollout is in progress', () => {
   const first = openedRollout(
     requestReleaseRollout(settledRollout(service, oldRelease), oldRelease, newRelease, 16_000, 0),
   );
@@ -181,7 +219,7 @@
     requestReleaseRollout(bad, oldRelease, newRelease, 16_000, 4000).kind,
     'alreadyAccepted',
   );
-  // Its term is over, but who did not hear the answer may still send it again.
+  // The span is over, but a client that did not receive the response may still repeat its request.
   assert.equal(
     requestReleaseRollout(bad, oldRelease, newRelease, 16_000, 17_000).kind,
     'alreadyAccepted',
@@ -202,7 +240,7 @@
   );
 });
 
-void test('requests of earlier rollouts are recognised for a bounded time, by target and span', () => {
+void test('repeated requests of earlier rollouts are recognised for a bounded time, by target and span', () => {
   const r3 = toRelease('r3');
   const first = openedRollout(
     requestReleaseRollout(settledRollout(service, oldRelease), oldRelease, newRelease, 16_000, 0),
@@ -216,25 +254,26 @@
   assert.equal(
     requestReleaseRollout(second, newRelease, newRelease, 12_000, 1000).kind,
     'conflict',
-    'another span is another order',
+    'another span makes another request',
   );
-  const moved: ReleaseRollout = { ...second, phase: 'good', settled: r3, spentMs: 16_000 };
-  assert.deepEqual(requestReleaseRollout(moved, r3, newRelease, 16_000, 30_000), {
+  const settledOnR3: ReleaseRollout = { ...second, phase: 'good', settled: r3, spentMs: 16_000 };
+  assert.deepEqual(requestReleaseRollout(settledOnR3, r3, newRelease, 16_000, 30_000), {
     kind: 'alreadyAccepted',
     rolloutNumber: first.order,
   });
-  assert.equal(requestReleaseRollout(moved, r3, newRelease, 12_000, 30_000).kind, 'opened');
+  assert.equal(requestReleaseRollout(settledOnR3, r3, newRelease, 12_000, 30_000).kind, 'opened');
   assert.equal(
-    requestReleaseRollout(moved, r3, newRelease, 16_000, releaseSettings.duplicateWindowMs).kind,
+    requestReleaseRollout(settledOnR3, r3, newRelease, 16_000, releaseSettings.duplicateWindowMs)
+      .kind,
     'opened',
   );
 });
 
-void test('of many rollouts of a service a bounded number is kept', () => {
+void test('a bounded number of earlier rollouts is kept per service', () => {
   let known = settledRollout(service, oldRelease);
-  for (let at = 0; at < 100; at += 1) {
+  for (let index = 0; index < 100; index += 1) {
     const next = openedRollout(
-      requestReleaseRollout(known, oldRelease, toRelease(`v${at}`), 1000, 1),
+      requestReleaseRollout(known, oldRelease, toRelease(`v${index}`), 1000, 1),
     );
     known = { ...next, phase: 'good' };
   }
--- a/packages/configuration/src/release/release-rollout.ts
+++ b/packages/configuration/src/release/release-rollout.ts
@@ -1,61 +1,62 @@
 /**
- * The stored record of a service's release rollout, and how a request for one is answered. The schema
- * is the stored form: a new version must read what an older one wrote, so members keep their names.
- * How a rollout goes on is `rollout-controller.ts`'s part.
+ * Stored record of a service's release rollout, and the decision on a rollout request. The schema is
+ * the stored form: a new version must read records of older ones, so fields keep their names.
+ * `rollout-controller.ts` advances a rollout.
  */
 
 import * as v from 'valibot';
-import * as g from '@switchwheel/types';
+import * as types from '@switchwheel/types';
 import { type RolloutState, rolloutPhase } from '@switchwheel/transport';
 import { releaseSettings } from './settings.js';
 
 const count = v.pipe(v.number(), v.integer(), v.minValue(0));
 
-/** A rollout that was accepted before the current one. */
+/** A rollout that was accepted before the current one; identifies repeated requests for it. */
 const earlierRollout = v.object({
-  target: g.release,
+  target: types.release,
   spanMs: v.number(),
-  order: g.seq,
-  /** How long ago it was accepted when the current one was opened. */
+  order: types.seq,
+  /** Time between its acceptance and the start of the current rollout. */
   ageMs: v.number(),
 });
 type EarlierRollout = v.InferOutput<typeof earlierRollout>;
-/** How many earlier rollouts are kept of a service. */
+/** Maximum number of earlier rollouts kept per service. */
 const maxKeptEarlier = 16;
 
-/** What is stored of a service's releases: the settled one, and the last rollout of another. */
+/** Schema of the stored record of a service's releases: the settled release and the latest rollout. */
 export const releaseRollout = v.object({
-  service: g.serviceName,
-  settled: v.optional(g.release),
-  /** The settled release when the rollout began: a failed one goes back to it. */
-  prior: v.optional(g.release),
-  target: v.optional(g.release),
+  service: types.serviceName,
+  settled: v.optional(types.release),
+  /** Settled release when the rollout began; a failed rollout returns to it. */
+  prior: v.optional(types.release),
+  target: v.optional(types.release),
   phase: rolloutPhase,
   probe: v.picklist(['due', 'on', 'done']),
   share: v.number(),
   shares: v.array(v.object({ group: v.string(), share: v.number() })),
   spanMs: v.number(),
-  /** How much of the span was over when this was written, and when the shift and the load probe began in it. */
+  /** Time since the start of the rollout when this record was written. */
   spentMs: v.number(),
+  /** Times since the start of the rollout at which the shift and the load probe began. */
   movedMs: v.number(),
   probedMs: v.number(),
-  order: g.seq,
-  serial: g.seq,
-  /** Requests of the service since the rollout began, and those of them that the target got, as last written. */
+  order: types.seq,
+  serial: types.seq,
+  /** Requests of the service since the rollout began, and those of them sent to the target, as last written. */
   total: count,
   spent: count,
-  /** Why it was judged as it was. */
+  /** Reason for the result. */
   text: v.string(),
-  /** Rollouts before this one whose requests may be sent again by callers that did not get the answer. */
+  /** Earlier rollouts whose requests may be repeated by clients that did not receive the response. */
   earlier: v.optional(v.array(earlierRollout), []),
 });
-/** A service's release rollout as it is stored; times are in milliseconds of its span. */
+/** Stored record of a service's release rollout; times are in milliseconds since its start. */
 export type ReleaseRollout = v.InferOutput<typeof releaseRollout>;
 
-/** A service on its settled release, without a rollout. */
+/** Record of a service on its settled release that has no rollout. */
 export const settledRollout = (
-  service: g.ServiceName,
-  settled: g.Release | undefined,
+  service: types.ServiceName,
+  settled: types.Release | undefined,
 ): ReleaseRollout => ({
   service,
   settled,
@@ -69,86 +70,90 @@
   spentMs: 0,
   movedMs: 0,
   probedMs: 0,
-  order: g.noSeq,
-  serial: g.nextSeq(g.noSeq),
+  order: types.noSeq,
+  serial: types.nextSeq(types.noSeq),
   total: 0,
   spent: 0,
   text: '',
   earlier: [],
 });
 
-/** Whether a rollout is not judged yet. */
+/** Whether a rollout has no result yet. */
 export const isInProgress = ({ phase }: ReleaseRollout): boolean =>
   phase === 'trial' || phase === 'moving';
 
-/** Whether edges still have to count for a rollout: until its deadline, even if it is judged. */
-export const needsCounts = (rollout: ReleaseRollout, spentMs: number): boolean => {
-  const isJudged = rollout.phase === 'good' || rollout.phase === 'bad';
-  return isInProgress(rollout) || (isJudged && spentMs < rollout.spanMs);
+/** Whether edges must still report counts for a rollout: until its deadline, even once it has a result. */
+export const needsCounts = (rollout: ReleaseRollout, elapsedMs: number): boolean => {
+  const hasResult = rollout.phase === 'good' || rollout.phase === 'bad';
+  return isInProgress(rollout) || (hasResult && elapsedMs < rollout.spanMs);
 };
 
-/** What edges get of a service's rollout. */
-export const releaseStateOf = (rollout: ReleaseRollout, spentMs: number): RolloutState => ({
+/** State of a service's rollout as it is sent to edges. */
+export const releaseStateOf = (rollout: ReleaseRollout, elapsedMs: number): RolloutState => ({
   service: rollout.service,
   ...(rollout.settled === undefined ? {} : { settled: rollout.settled }),
   ...(rollout.target === undefined ? {} : { target: rollout.target }),
   phase: rollout.phase,
   share: rollout.share,
   shares: rollout.shares,
-  leftMs: g.toDurationMs(Math.max(0, rollout.spanMs - spentMs)),
+  leftMs: types.toDurationMs(Math.max(0, rollout.spanMs - elapsedMs)),
   order: rollout.order,
   serial: rollout.serial,
 });
 
-/** The answer to a request for a rollout. */
+/** Decision on a rollout request. */
 export type RolloutRequestResult =
   | { readonly kind: 'opened'; readonly rollout: ReleaseRollout }
-  | { readonly kind: 'alreadyAccepted'; readonly rolloutNumber: g.Seq }
-  | { readonly kind: 'conflict'; readonly target: g.Release | undefined };
+  | { readonly kind: 'alreadyAccepted'; readonly rolloutNumber: types.Seq }
+  | { readonly kind: 'conflict'; readonly target: types.Release | undefined };
 
 const initialCanaryShare = 0.02;
 
-/** Whether a request is that of the current rollout, sent again. */
+/** Whether a request repeats the one that started the current rollout. */
 const isSameRequest = (
   known: ReleaseRollout,
-  target: g.Release,
-  spentMs: number,
-  repeatMs: number,
+  target: types.Release,
+  elapsedMs: number,
+  duplicateWindowMs: number,
 ): boolean =>
   known.target === target &&
-  (isInProgress(known) || known.phase === 'good' || spentMs < Math.max(known.spanMs, repeatMs));
+  (isInProgress(known) ||
+    known.phase === 'good' ||
+    elapsedMs < Math.max(known.spanMs, duplicateWindowMs));
 
-/** The rollouts whose requests may still be sent again, the current one among them, as another is opened. */
+/** Rollouts, the current one included, whose requests may still be repeated when the next one starts. */
 const earlierRolloutsOf = (
   known: ReleaseRollout,
-  spentMs: number,
-  repeatMs: number,
+  elapsedMs: number,
+  duplicateWindowMs: number,
 ): readonly EarlierRollout[] => {
   const { target, spanMs, order } = known;
   const current = target === undefined ? [] : [{ target, spanMs, order, ageMs: 0 }];
   return [...known.earlier, ...current]
-    .map((earlier) => ({ ...earlier, ageMs: earlier.ageMs + spentMs }))
-    .filter(({ ageMs }) => ageMs < repeatMs)
+    .map((earlier) => ({ ...earlier, ageMs: earlier.ageMs + elapsedMs }))
+    .filter(({ ageMs }) => ageMs < duplicateWindowMs)
     .slice(-maxKeptEarlier);
 };
 
 /**
- * Answers a request for a rollout. One that was accepted before is acknowledged and not begun again,
- * also when another was accepted since; a new one conflicts with one in progress.
+ * Decides on a rollout request. A repeated request is acknowledged and starts nothing, even if other
+ * rollouts were accepted in between; a new one conflicts with a rollout in progress.
  */
 export const requestReleaseRollout = (
   known: ReleaseRollout,
-  settled: g.Release | undefined,
-  target: g.Release,
+  settled: types.Release | undefined,
+  target: types.Release,
   spanMs: number,
-  spentMs: number,
-  repeatMs: number = releaseSettings.duplicateWindowMs,
+  elapsedMs: number,
+  duplicateWindowMs: number = releaseSettings.duplicateWindowMs,
 ): RolloutRequestResult => {
-  if (isSameRequest(known, target, spentMs, repeatMs))
+  if (isSameRequest(known, target, elapsedMs, duplicateWindowMs))
     return { kind: 'alreadyAccepted', rolloutNumber: known.order };
   const repeated = known.earlier.find(
     (earlier) =>
-      earlier.target === target && earlier.spanMs === spanMs && earlier.ageMs + spentMs < repeatMs,
+      earlier.target === target &&
+      earlier.spanMs === spanMs &&
+      earlier.ageMs + elapsedMs < duplicateWindowMs,
   );
   if (repeated !== undefined) return { kind: 'alreadyAccepted', rolloutNumber: repeated.order };
   if (isInProgress(known)) return { kind: 'conflict', target: known.target };
@@ -161,9 +166,9 @@
       phase: settled === target ? 'good' : 'trial',
       share: settled === target ? 0 : initialCanaryShare,
       spanMs,
-      order: g.nextSeq(known.order),
-      serial: g.nextSeq(known.serial),
-      earlier: [...earlierRolloutsOf(known, spentMs, repeatMs)],
+      order: types.nextSeq(known.order),
+      serial: types.nextSeq(known.serial),
+      earlier: [...earlierRolloutsOf(known, elapsedMs, duplicateWindowMs)],
     },
   };
 };
--- a/packages/configuration/src/release/rollout-controller.ts
+++ b/packages/configuration/src/release/rollout-controller.ts
@@ -1,7 +1,7 @@
 /**
- * The phases of a release rollout: a canary, a load probe in it, the shift of all traffic, and a
- * verdict that is good or bad. How much traffic the canary gets is `canary-share.ts`'s part, and
- * whether a release fails that of `canary-analysis.ts`.
+ * State machine of a release rollout: canary, load probe during the canary, shift of all traffic,
+ * and the result `good` or `bad`. `canary-share.ts` computes the canary's traffic, and
+ * `canary-analysis.ts` decides whether a release fails.
  */
 
 import { type Release, type Timestamp, nextSeq } from '@switchwheel/types';
@@ -26,17 +26,16 @@
 import { type ReleaseRollout, isInProgress } from './release-rollout.js';
 import type { ReleaseSettings } from './settings.js';
 
-/** How often progress is written while nothing else changes. */
+/** Interval between writes of the progress while nothing else changes. */
 const writeIntervalMs = 1000;
-/** How long before its deadline a rollout is judged at the latest. */
+/** Minimum time between the decision and the rollout's deadline. */
 const deadlineMarginMs = 500;
 const minGoodResponses = 8;
 const minProbeShare = 0.08;
 const preferredProbeShare = 0.3;
-/** Below this rate a canary pauses when its budget is used up; above it the least share is needed for a judgement. */
+/** Below this request rate a canary pauses once its budget is used up; above it, it keeps the minimum share. */
 const lowTrafficPerSecond = 100;
 
-/** The rollout with its progress so far. */
 const withProgress = (rollout: ReleaseRollout, view: RolloutView): ReleaseRollout => ({
   ...rollout,
   spentMs: view.elapsedMs,
@@ -57,17 +56,19 @@
 const markFailed = (rollout: ReleaseRollout, view: RolloutView, text: string): ReleaseRollout =>
   withChange(rollout, view, { ...noCanaryShare, phase: 'bad', settled: rollout.prior, text });
 
-/** Starts the load probe if it is due, or gives it up at the last moment if the budget is too small. */
+/** Starts the load probe if it is due, or skips it if the budget is still too small when time runs out. */
 const startLoadProbe = (rollout: ReleaseRollout, view: RolloutView): ReleaseRollout | undefined => {
   const { slowStartMs, loadProbeMs } = view.settings;
   if (rollout.probe !== 'due' || view.elapsedMs < Math.min(slowStartMs, 0.4 * rollout.spanMs))
     return undefined;
-  const last = view.elapsedMs >= shiftStartMs(rollout, view.settings) - loadProbeMs - rateWindowMs;
-  const seen = sumOfClasses(
+  const isLastChance =
+    view.elapsedMs >= shiftStartMs(rollout, view.settings) - loadProbeMs - rateWindowMs;
+  const canaryCounts = sumOfClasses(
     rollout.target === undefined ? undefined : view.counts.get(rollout.target),
   );
   const share = roundShare(affordableProbeShare(rollout, view));
-  if (!last && (share < preferredProbeShare || seen.good < minGoodResponses)) return undefined;
+  if (!isLastChance && (share < preferredProbeShare || canaryCounts.good < minGoodResponses))
+    return undefined;
   if (share < minProbeShare || share <= currentShare(rollout))
     return withChange(rollout, view, { probe: 'done' });
   return withChange(rollout, view, { probe: 'on', probedMs: view.elapsedMs, share, shares: [] });
@@ -75,17 +76,18 @@
 
 const advanceCanary = (rollout: ReleaseRollout, view: RolloutView): ReleaseRollout => {
   const { settings, elapsedMs } = view;
-  const stands = view.hasLiveOrigins(rollout.target);
-  if (elapsedMs >= shiftStartMs(rollout, settings) && stands)
+  const hasOrigins = view.hasLiveOrigins(rollout.target);
+  if (elapsedMs >= shiftStartMs(rollout, settings) && hasOrigins)
     return withChange(rollout, view, { ...noCanaryShare, phase: 'moving', movedMs: elapsedMs });
-  if (elapsedMs >= rollout.spanMs - deadlineMarginMs && !stands)
+  if (elapsedMs >= rollout.spanMs - deadlineMarginMs && !hasOrigins)
     return markFailed(rollout, view, 'no origin of it stands');
+  // Requests that still reach the canary until a smaller share has arrived at all edges.
   const margin = (currentShare(rollout) * view.requestsPerSecond * settings.propagationMs) / 1000;
   if (rollout.probe === 'on') {
-    const over =
+    const isProbeOver =
       elapsedMs - rollout.probedMs >= settings.loadProbeMs ||
       remainingAllowance(view, probeBudget) <= margin;
-    return over
+    return isProbeOver
       ? withChange(rollout, view, { probe: 'done', ...canaryShares(rollout, view) })
       : rollout;
   }
@@ -95,8 +97,8 @@
       canaryRequestBudget(rollout, view) <= view.canaryRequests)
   )
     return currentShare(rollout) === 0 ? rollout : withChange(rollout, view, noCanaryShare);
-  const probed = stands ? startLoadProbe(rollout, view) : undefined;
-  if (probed !== undefined) return probed;
+  const withProbe = hasOrigins ? startLoadProbe(rollout, view) : undefined;
+  if (withProbe !== undefined) return withProbe;
   if (elapsedMs - rollout.spentMs < writeIntervalMs) return rollout;
   const shares = canaryShares(rollout, view);
   return sharesDiffer(rollout, shares) ? withChange(rollout, view, shares) : rollout;
@@ -104,15 +106,19 @@
 
 const advanceShift = (rollout: ReleaseRollout, view: RolloutView): ReleaseRollout => {
   const { minShiftMs, maxShiftMs } = view.settings;
-  // A new primary waits until edges have its own state: its predecessor may have reached none.
-  const here = Math.min(view.elapsedMs - rollout.movedMs, view.now - view.watch.watchedSince);
-  const late = view.elapsedMs >= rollout.spanMs - deadlineMarginMs;
-  const done = here >= minShiftMs && (isDrained(view.watch, rollout.serial, view.now) || late);
-  if (!done && here < maxShiftMs) return rollout;
+  // A new primary counts from its own start: its predecessor may not have sent the shift to any edge.
+  const shiftMs = Math.min(view.elapsedMs - rollout.movedMs, view.now - view.watch.watchedSince);
+  const isLate = view.elapsedMs >= rollout.spanMs - deadlineMarginMs;
+  const isDone =
+    shiftMs >= minShiftMs && (isDrained(view.watch, rollout.serial, view.now) || isLate);
+  if (!isDone && shiftMs < maxShiftMs) return rollout;
   return withChange(rollout, view, { phase: 'good', settled: rollout.target });
 };
 
-/** The rollout after time has passed and edges have reported; the same object if nothing changes. */
+/**
+ * Advances a rollout by the time that has passed and the counts that edges have reported. Returns
+ * the same object if nothing changes.
+ */
 export const advanceReleaseRollout = (
   rollout: ReleaseRollout,
   watch: RolloutWatch,
@@ -130,7 +136,7 @@
     return rollout;
   const view = viewRollout(rollout, watch, liveOrigins, now, settings);
   if (rollout.phase === 'good') {
-    // A good release is taken back only until the deadline, and only while the prior one has origins.
+    // A good release can be rolled back only before the deadline and while the prior one has live origins.
     if (
       view.elapsedMs >= rollout.spanMs ||
       rollout.prior === target ||
--- a/packages/configuration/src/release/settings.ts
+++ b/packages/configuration/src/release/settings.ts
@@ -1,39 +1,38 @@
-/** The limits and times of release rollouts. They are not operators' settings, but for the first two. */
+/** Limits and times of release rollouts. Deployments can set only the first two. */
 
-/** What a release rollout is held to; shares and rates are fractions of 1. */
+/** Limits and times of release rollouts; shares and rates are fractions of 1. */
 export interface ReleaseSettings {
-  /** The share of a service's requests that a bad release may have had by the deadline. */
+  /** Share of a service's requests that a bad release may have received by the deadline. */
   readonly canaryFraction: number;
-  /** How many requests it may have had beside that share. */
+  /** Number of requests that a bad release may have received beyond `canaryFraction`. */
   readonly canaryAllowance: number;
   readonly minCanaryShare: number;
-  /** How many requests a canary needs to be judged. */
+  /** Number of requests that the canary needs for its analysis. */
   readonly minCanaryRequests: number;
   readonly maxCanaryShare: number;
-  /** How long the slow start of new origins may last. */
+  /** Maximum duration of the slow start of new origins. */
   readonly slowStartMs: number;
-  /** The largest share of the load probe. */
+  /** Maximum share of the load probe. */
   readonly loadProbeShare: number;
-  /** How long the load probe lasts. */
   readonly loadProbeMs: number;
-  /** How long a change of the state takes to reach all edges, and its effect to be reported. */
+  /** Time for a state change to reach all edges and for its effect to be reported. */
   readonly propagationMs: number;
-  /** How long before the deadline all traffic shifts. */
+  /** Time before the deadline at which all traffic shifts. */
   readonly shiftLeadMs: number;
   readonly minShiftMs: number;
-  /** After this time a shift ends even if old origins still have requests in flight. */
+  /** Time after which a shift ends even if old origins still have requests in flight. */
   readonly maxShiftMs: number;
-  /** Fewer failed, or slow, responses are no reason against a release. */
+  /** Number of failed, or slow, responses below which a release is not rejected for them. */
   readonly minFailures: number;
   readonly maxFailureRate: number;
   readonly minLatencySamples: number;
-  /** How many times the baseline's mean latency a release may have. */
+  /** Maximum ratio of a release's mean latency to the baseline's. */
   readonly maxLatencyRatio: number;
-  /** For how long a repeated request is taken as the accepted one, sent again. */
+  /** Time for which a repeated request counts as a duplicate of the accepted one. */
   readonly duplicateWindowMs: number;
 }
 
-/** The settings that hold unless a deployment names others. */
+/** Default settings. */
 export const releaseSettings: ReleaseSettings = {
   canaryFraction: 0.1,
   canaryAllowance: 50,
--- a/packages/configuration/src/rollout/planner.ts
+++ b/packages/configuration/src/rollout/planner.ts
@@ -1,6 +1,6 @@
 /**
- * The planner: when a configuration is stored, it assigns it to every node, supersedes an older
- * rollout and starts a new one. It is the only creator of rollouts; `progress.ts` moves them on.
+ * Rollout planner: when a configuration is stored, assigns it to every node, supersedes an older
+ * rollout and starts a new one. Only the planner creates rollouts; `progress.ts` advances them.
  */
 
 import { type NodeId, nextSeq, noSeq } from '@switchwheel/types';
@@ -18,21 +18,21 @@
 } from '../control-state/control-state.js';
 import type { RolloutPolicy } from '../document/schema.js';
 
-/** Sums of decimal shares are compared with this tolerance. */
+/** Tolerance for rounding errors in comparisons of decimal shares. */
 const shareTolerance = 1e-9;
 
 const isActive = ({ status }: Rollout): boolean => status === 'pending' || status === 'running';
 
-/** The rollout that is not ended, of the newest generation if there are several. */
+/** The active rollout, that of the newest generation if there are several. */
 export const activeRollout = (control: ControlState): Rollout | undefined =>
   [...control.rollouts.values()]
     .filter(isActive)
-    .sort((one, two) => two.generation - one.generation)[0];
+    .sort((left, right) => right.generation - left.generation)[0];
 
-/** The wave of a node: nodes are ordered by name, the shares are the policy's. */
+/** Wave of the target at an index among a rollout's targets, which are sorted by node name. */
 const waveOf = (index: number, total: number, { waves }: RolloutPolicy): number => {
-  const part = (index + 1) / total;
-  const wave = waves.findIndex((share) => part <= share + shareTolerance);
+  const reachedShare = (index + 1) / total;
+  const wave = waves.findIndex((share) => reachedShare <= share + shareTolerance);
   return wave < 0 ? waves.length - 1 : wave;
 };
 
@@ -52,51 +52,51 @@
     rev: noSeq,
   } satisfies RolloutTarget);
 
-/** Assigns a version to all nodes that run configurations, and lists those that are to run another one so far. */
+/** Assigns a version to all nodes that run configurations, and lists the nodes whose desired version differs. */
 const assign = (
   control: ControlState,
-  goal: ConfigVersion,
-): { readonly puts: readonly TableMutation[]; readonly behind: readonly NodeId[] } => {
+  version: ConfigVersion,
+): { readonly puts: readonly TableMutation[]; readonly outdatedNodes: readonly NodeId[] } => {
   const puts: TableMutation[] = [];
-  const behind: NodeId[] = [];
-  const byName = [...control.nodes].sort(([one], [two]) => (one < two ? -1 : 1));
+  const outdatedNodes: NodeId[] = [];
+  const byName = [...control.nodes].sort(([left], [right]) => (left < right ? -1 : 1));
   for (const [node, record] of byName) {
     if (!runsConfiguration(record)) continue;
-    // A node without a desired version is new: it gets its configuration at once.
-    const next: NodeRecord = { ...record, assigned: goal, desired: record.desired ?? goal };
-    if (!isSameVersion(record.assigned, goal) || record.desired === undefined)
+    // A new node has no desired version yet and gets the configuration without a rollout.
+    const next: NodeRecord = { ...record, assigned: version, desired: record.desired ?? version };
+    if (!isSameVersion(record.assigned, version) || record.desired === undefined)
       puts.push(putRecord(controlKeys.node(node), next));
-    if (!isSameVersion(next.desired, goal)) behind.push(node);
+    if (!isSameVersion(next.desired, version)) outdatedNodes.push(node);
   }
-  return { puts, behind };
+  return { puts, outdatedNodes };
 };
 
-const supersede = (control: ControlState, goal: ConfigVersion): readonly TableMutation[] => {
+const supersede = (control: ControlState, version: ConfigVersion): readonly TableMutation[] => {
   const running = activeRollout(control);
-  if (running === undefined || running.generation >= goal.generation) return [];
+  if (running === undefined || running.generation >= version.generation) return [];
   const superseded = { ...running, status: 'superseded', rev: nextSeq(running.rev) };
   return [putRecord(controlKeys.rollout(running.generation), superseded)];
 };
 
-/** Nodes that came while the rollout is active join its current wave. */
+/** Adds nodes that joined during a rollout to its current wave. */
 const joinRollout = (
   control: ControlState,
   { generation, wave }: Rollout,
-  behind: readonly NodeId[],
+  outdatedNodes: readonly NodeId[],
 ): readonly TableMutation[] =>
-  behind
+  outdatedNodes
     .filter((node) => !control.targets.has(controlKeys.target(generation, node)))
     .map((node) => newTarget(node, generation, wave));
 
 const startRollout = (
-  goal: ConfigVersion,
+  version: ConfigVersion,
   policy: RolloutPolicy,
   before: Rollout | undefined,
-  behind: readonly NodeId[],
+  outdatedNodes: readonly NodeId[],
 ): readonly TableMutation[] => {
-  const { generation } = goal;
+  const { generation } = version;
   const rollout: Rollout = {
-    ...goal,
+    ...version,
     status: 'running',
     wave: 0,
     waves: policy.waves.length,
@@ -104,24 +104,24 @@
     troubled: before?.troubled ?? false,
     rev: noSeq,
   };
-  const targets = behind.map((node, index) =>
-    newTarget(node, generation, waveOf(index, behind.length, policy)),
+  const targets = outdatedNodes.map((node, index) =>
+    newTarget(node, generation, waveOf(index, outdatedNodes.length, policy)),
   );
   return [putRecord(controlKeys.rollout(generation), rollout), ...targets];
 };
 
-/** What to write for the stored configuration: assignments, and a rollout if nodes have to change. */
+/** Mutations for the stored configuration: assignments, and a rollout if nodes have to change. */
 export const planRollout = (
   control: ControlState,
   policy: RolloutPolicy,
 ): readonly TableMutation[] => {
   if (control.configuration === undefined) return [];
-  const goal = configVersionOf(control.configuration.offer);
-  const { puts, behind } = assign(control, goal);
-  const superseding = supersede(control, goal);
-  const known = control.rollouts.get(goal.generation);
-  if (known !== undefined && (behind.length === 0 || isActive(known)))
-    return [...puts, ...superseding, ...joinRollout(control, known, behind)];
-  if (behind.length === 0) return [...puts, ...superseding];
-  return [...puts, ...superseding, ...startRollout(goal, policy, known, behind)];
+  const version = configVersionOf(control.configuration.offer);
+  const { puts, outdatedNodes } = assign(control, version);
+  const superseding = supersede(control, version);
+  const known = control.rollouts.get(version.generation);
+  if (known !== undefined && (outdatedNodes.length === 0 || isActive(known)))
+    return [...puts, ...superseding, ...joinRollout(control, known, outdatedNodes)];
+  if (outdatedNodes.length === 0) return [...puts, ...superseding];
+  return [...puts, ...superseding, ...startRollout(version, policy, known, outdatedNodes)];
 };
--- a/packages/configuration/src/rollout/progress.ts
+++ b/packages/configuration/src/rollout/progress.ts
@@ -1,6 +1,6 @@
 /**
- * The progress of a rollout: targets move by what their nodes report and by time, waves follow each
- * other, and all that changes is written. Starting a rollout is `planner.ts`'s part.
+ * Progress of a rollout: targets change their status by their nodes' reports and by timeouts, waves
+ * start one after another, and every change is written. `planner.ts` creates rollouts.
  */
 
 import { type Timestamp, nextSeq } from '@switchwheel/types';
@@ -16,9 +16,9 @@
 } from '../control-state/control-state.js';
 import { activeRollout } from './planner.js';
 
-/** How long a started target may take before it counts as failed. */
+/** Time after its start within which a target must report the configuration as applied. */
 export const applyTimeoutMs = 5000;
-/** How long a pending target whose node is offline is waited for before it is skipped. */
+/** Time after which a pending target whose node is offline is skipped. */
 export const offlineGraceMs = 10_000;
 
 interface StatusAt {
@@ -26,7 +26,7 @@
   readonly at: Timestamp;
 }
 
-/** When each target was first seen in its status, by its key: only a cache. */
+/** Time since which each target has its status, by the target's key; kept in memory only. */
 export type StatusSince = ReadonlyMap<string, StatusAt>;
 
 const isFinished = ({ status }: RolloutTarget): boolean =>
@@ -38,14 +38,14 @@
 const hasApplied = ({ reported }: NodeRecord, { generation, hash }: Rollout): boolean =>
   reported.phase === 'applied' && reported.generation === generation && reported.hash === hash;
 
-/** The text of a node's failure to apply the configuration of a rollout, if it reports one. */
+/** Error text of a node that reports that it could not apply the configuration of a rollout. */
 const reportedFailure = (
   { reported: { failed } }: NodeRecord,
   { generation, hash }: Rollout,
 ): string | undefined =>
   failed?.hash === hash && failed.generation === generation ? failed.text : undefined;
 
-/** A target's next status and its text, by its node's report and how long it has had its status. */
+/** Next status of a target and its text, by its node's report and the age of its current status. */
 const nextTargetStatus = (
   target: RolloutTarget,
   record: NodeRecord | undefined,
@@ -57,7 +57,7 @@
       ? ['skipped', 'not known any more']
       : [target.status, target.text];
   const { reported } = record;
-  const runs = hasApplied(record, rollout);
+  const isApplied = hasApplied(record, rollout);
   const failure = reportedFailure(record, rollout);
   switch (target.status) {
     case 'pending':
@@ -67,18 +67,18 @@
         ? ['in_progress', 'offered']
         : ['pending', 'waits for its wave'];
     case 'in_progress':
-      if (runs) return ['verifying', 'health wait'];
+      if (isApplied) return ['verifying', 'health wait'];
       if (failure !== undefined) return ['failed', failure];
       return ageMs > applyTimeoutMs
         ? ['failed', 'no report in time']
         : ['in_progress', reported.phase === 'applying' ? 'applying' : 'offered'];
     case 'verifying':
-      if (!runs) return ['failed', 'no longer reports this generation'];
+      if (!isApplied) return ['failed', 'no longer reports this generation'];
       if (!reported.health.healthy) return ['failed', `unfit: ${reported.health.text}`];
       return ageMs >= rollout.policy.verifyMs ? ['succeeded', ''] : ['verifying', 'health wait'];
     case 'failed':
-      // A failure stays, but a node that only reported too late is verified after all.
-      return runs && reported.health.healthy && target.text === 'no report in time'
+      // A failure is final, except that a node that applied the configuration after the timeout is verified.
+      return isApplied && reported.health.healthy && target.text === 'no report in time'
         ? ['verifying', 'applied late']
         : ['failed', target.text];
     case 'skipped':
@@ -88,11 +88,11 @@
   }
 };
 
-/** What a tick writes, and what the next tick needs. */
+/** Result of a tick: mutations to write, and the times that the next tick needs. */
 export interface RolloutProgress {
   readonly puts: readonly TableMutation[];
   readonly statusSince: StatusSince;
-  /** When the active rollout was first seen; undefined without one. */
+  /** Time at which this primary first saw the active rollout; undefined if there is none. */
   readonly openedAt: Timestamp | undefined;
 }
 
@@ -102,7 +102,7 @@
   readonly puts: readonly TableMutation[];
 }
 
-/** What a node's record becomes when its target starts or fails. */
+/** Changes of a node's record when its target starts or fails. */
 const nodePuts = (
   record: NodeRecord | undefined,
   target: RolloutTarget,
@@ -110,9 +110,9 @@
 ): readonly TableMutation[] => {
   if (record === undefined) return [];
   const key = controlKeys.node(target.node);
-  const goal = { generation, hash };
-  if (target.status === 'in_progress' && !isSameVersion(record.desired, goal))
-    return [putRecord(key, { ...record, desired: goal })];
+  const version = { generation, hash };
+  if (target.status === 'in_progress' && !isSameVersion(record.desired, version))
+    return [putRecord(key, { ...record, desired: version })];
   if (target.status === 'failed' && record.failed !== hash)
     return [putRecord(key, { ...record, failed: hash })];
   return [];
@@ -122,11 +122,11 @@
   control: ControlState,
   rollout: Rollout,
   [key, target]: readonly [string, RolloutTarget],
-  seen: StatusSince,
+  statusSince: StatusSince,
   now: Timestamp,
 ): TargetProgress => {
-  const mark = seen.get(key);
-  const since = mark?.status === target.status ? mark.at : now;
+  const known = statusSince.get(key);
+  const since = known?.status === target.status ? known.at : now;
   const record = control.nodes.get(target.node);
   const [status, text] = nextTargetStatus(target, record, rollout, now - since);
   if (status === target.status) return { target, since, puts: [] };
@@ -136,8 +136,9 @@
 };
 
 /**
- * The rollout after its targets have moved. The failure threshold only marks it and never holds it
- * back; a gate opens when its time is over, whatever its wave reports.
+ * Advances the rollout after its targets. Exceeding the failure threshold only marks the rollout and
+ * does not stop it; the next wave starts at the latest when the gate time is over, whatever the nodes
+ * report.
  */
 const progressRollout = (
   rollout: Rollout,
@@ -145,11 +146,11 @@
   ageMs: number,
 ): Rollout => {
   const startedTargets = targets.filter((target) => target.wave <= rollout.wave);
-  const isGateOver = ageMs >= (rollout.wave + 1) * rollout.policy.gateMs;
+  const isGateTimeOver = ageMs >= (rollout.wave + 1) * rollout.policy.gateMs;
   const isLastWave = rollout.wave >= rollout.waves - 1;
   const failed = targets.filter((target) => target.status === 'failed').length;
   const troubled = targets.length > 0 && failed / targets.length > rollout.policy.threshold;
-  const startsWave = !isLastWave && (startedTargets.every(isSettled) || isGateOver);
+  const startsWave = !isLastWave && (startedTargets.every(isSettled) || isGateTimeOver);
   const wave = startsWave ? rollout.wave + 1 : rollout.wave;
   const isEnded = isLastWave && targets.every(isFinished);
   const endStatus = troubled ? 'failed' : 'completed';
@@ -157,26 +158,26 @@
 };
 
 /**
- * Moves the active rollout on. Nothing is kept between ticks but the times since when targets have
- * their statuses: a new primary begins them anew.
+ * Advances the active rollout. The only state between ticks is the time since which the rollout is
+ * known and each target has its status; a new primary restarts these times.
  */
 export const tickRollout = (
   control: ControlState,
-  seen: StatusSince,
-  opened: Timestamp | undefined,
+  statusSince: StatusSince,
+  openedAt: Timestamp | undefined,
   now: Timestamp,
 ): RolloutProgress => {
   const rollout = activeRollout(control);
   if (rollout === undefined) return { puts: [], statusSince: new Map(), openedAt: undefined };
-  const since = opened ?? now;
+  const since = openedAt ?? now;
   const puts: TableMutation[] = [];
-  const nextSeen = new Map<string, StatusAt>();
+  const nextStatusSince = new Map<string, StatusAt>();
   const targets: RolloutTarget[] = [];
   for (const entry of control.targets) {
     const [key, { generation }] = entry;
     if (generation !== rollout.generation) continue;
-    const progress = progressTarget(control, rollout, entry, seen, now);
-    nextSeen.set(key, { status: progress.target.status, at: progress.since });
+    const progress = progressTarget(control, rollout, entry, statusSince, now);
+    nextStatusSince.set(key, { status: progress.target.status, at: progress.since });
     targets.push(progress.target);
     puts.push(...progress.puts);
   }
@@ -192,5 +193,5 @@
         rev: nextSeq(rollout.rev),
       }),
     );
-  return { puts, statusSince: nextSeen, openedAt: since };
+  return { puts, statusSince: nextStatusSince, openedAt: since };
 };
--- a/packages/configuration/src/testing/rollout-simulation.ts
+++ b/packages/configuration/src/testing/rollout-simulation.ts
@@ -1,6 +1,6 @@
 /**
- * A release rollout played against simulated edges, origins and a primary, in virtual time and with a
- * seeded random state: one scenario has one outcome.
+ * Simulates a release rollout with edges, origins and a primary, in virtual time and with a seeded
+ * random state: a scenario always has the same outcome.
  */
 
 import * as v from 'valibot';
@@ -36,48 +36,51 @@
 import { advanceReleaseRollout } from '../release/rollout-controller.js';
 import { releaseSettings } from '../release/settings.js';
 
-/** The service that is rolled out. */
+/** Service under test. */
 export const service: ServiceName = v.parse(serviceName, 'shop');
-/** The release that it is settled on. */
+/** Release that the service is settled on. */
 export const oldRelease: Release = toRelease('r1');
-/** The release that it is rolled out to. */
+/** Target release of the rollout. */
 export const newRelease: Release = toRelease('r2');
 
-/** How a new release answers. */
+/** Behaviour of the origins of the new release. */
 export interface Behaviour {
   readonly kind: 'good' | 'errors' | 'slow' | 'load' | 'class' | 'late';
-  readonly share: number;
-  /** The part of the service's usual load beyond which responses fail. */
+  /** Fraction of the affected responses that fail or are slow. */
+  readonly badFraction: number;
+  /** Fraction of the service's usual load above which responses fail. */
   readonly load: number;
-  /** The part of the span after which responses fail. */
-  readonly late: number;
-  /** The new origins are this much slower or faster than the old ones, beside their slow start. */
-  readonly pace: number;
+  /** Fraction of the rollout's span after which responses fail. */
+  readonly failsAfter: number;
+  /** Latency relative to the old origins, apart from the slow start. */
+  readonly latencyFactor: number;
 }
 
-/** What is played. */
+/** Input of a simulation. */
 export interface Scenario {
   readonly seed: number;
-  readonly perS: number;
+  readonly requestsPerSecond: number;
   readonly spanMs: number;
   readonly release: Behaviour;
-  /** The primary is lost then, and another goes on from the record after a while. */
-  readonly lossAt?: number;
+  /** Time at which the primary is lost; another one continues from the stored record 1200 ms later. */
+  readonly primaryLossAt?: number;
   readonly edgeLossAt?: number;
-  /** A fault that both releases share for some seconds: this part of their responses fails. */
-  readonly trouble?: number;
+  /** Fraction of both releases' responses that fail during a fault that lasts from 5 to 9 s. */
+  readonly faultRate?: number;
 }
 
-/** What a scenario came to. */
+/** Result of a simulation. */
 export interface Outcome {
-  readonly order: ReleaseRollout;
-  readonly total: number;
-  readonly exposed: number;
-  readonly judgedMs: number;
-  /** Requests in flight at old origins when the release was judged good. */
-  readonly cutOff: number;
-  /** The latest that a request was sent to the target after its 50th bad response, in milliseconds. */
-  readonly after50: number;
+  readonly rollout: ReleaseRollout;
+  readonly totalRequests: number;
+  /** Requests sent to the target before the deadline. */
+  readonly canaryRequests: number;
+  /** Time at which the release became good or bad; NaN if it did not. */
+  readonly decidedMs: number;
+  /** Requests in flight at old origins when the release became good. */
+  readonly interruptedRequests: number;
+  /** Time from the target's 50th bad response to the last request sent to it, in milliseconds. */
+  readonly lastRequestAfter50Ms: number;
   readonly writes: number;
 }
 
@@ -93,19 +96,21 @@
   incarnation: number;
   state: RolloutState;
   heardAt: number;
-  /** When the rollout began by this edge's clock. */
-  since: number;
+  /** Start of the rollout by this edge's clock. */
+  startedAt: number;
   rows: Map<string, ClassCounts>;
   inFlightOld: number;
 }
 
 const edgeCount = 10;
-const usualMs = 80;
+/** Mean latency of the old origins. */
+const meanMs = 80;
 const stepMs = 5;
 
-/** The rollout that a request opened; fails if it opened none. */
+/** Rollout that a request started; throws if it started none. */
 export const openedRollout = (result: RolloutRequestResult): ReleaseRollout => {
-  if (result.kind !== 'opened') throw new Error(`not opened: ${result.kind}`);
+  if (result.kind !== 'opened')
+    throw new Error(`rollout request was expected to start a rollout, got ${result.kind}`);
   return result.rollout;
 };
 
@@ -125,13 +130,13 @@
   #watch: RolloutWatch | undefined;
   #isWriting = false;
   #writes = 0;
-  #judgedMs = NaN;
-  #cutOff = 0;
-  #total = 0;
-  #exposed = 0;
+  #decidedMs = NaN;
+  #interruptedRequests = 0;
+  #totalRequests = 0;
+  #canaryRequests = 0;
   #badResponses = 0;
-  #badAt = NaN;
-  #after50 = 0;
+  #badResponse50At = NaN;
+  #lastRequestAfter50Ms = 0;
   #inFlightNew = 0;
   #inFlightOld = 0;
 
@@ -147,7 +152,7 @@
       incarnation: 1,
       state: releaseStateOf(settled, 0),
       heardAt: 0,
-      since: 0,
+      startedAt: 0,
       rows: new Map(),
       inFlightOld: 0,
     }));
@@ -160,10 +165,10 @@
   }
 
   #schedule(at: number, run: () => void): void {
-    const turn = Math.ceil(at / stepMs);
-    const list = this.#queue.get(turn);
-    if (list === undefined) this.#queue.set(turn, [run]);
-    else list.push(run);
+    const step = Math.ceil(at / stepMs);
+    const scheduled = this.#queue.get(step);
+    if (scheduled === undefined) this.#queue.set(step, [run]);
+    else scheduled.push(run);
   }
 
   #receiveState(edge: SimulatedEdge, state: RolloutState): void {
@@ -171,7 +176,7 @@
     if (state.serial <= edge.state.serial) return;
     if (state.order !== edge.state.order) {
       edge.rows = new Map();
-      edge.since = this.#now - (this.#scenario.spanMs - state.leftMs);
+      edge.startedAt = this.#now - (this.#scenario.spanMs - state.leftMs);
     }
     edge.state = state;
   }
@@ -203,27 +208,28 @@
 
   #finishWrite(next: ReleaseRollout, watchedSince: number): void {
     this.#isWriting = false;
-    // A primary that was lost meanwhile wrote nothing.
+    // The write of a primary that has been lost meanwhile does not take effect.
     if (this.#watch?.watchedSince !== watchedSince) return;
-    if (next.phase === 'good' && this.#stored.phase !== 'good') this.#cutOff = this.#inFlightOld;
+    if (next.phase === 'good' && this.#stored.phase !== 'good')
+      this.#interruptedRequests = this.#inFlightOld;
     if (next.phase !== this.#stored.phase && (next.phase === 'good' || next.phase === 'bad'))
-      this.#judgedMs = this.#now;
+      this.#decidedMs = this.#now;
     this.#stored = next;
     this.#writes += 1;
     this.#pushState(150);
   }
 
   #isFailing(className: string): boolean {
-    const { release, perS, spanMs } = this.#scenario;
+    const { release, requestsPerSecond, spanMs } = this.#scenario;
     switch (release.kind) {
       case 'errors':
         return true;
       case 'load':
-        return this.#inFlightNew > Math.max(2, (release.load * perS * usualMs) / 1000);
+        return this.#inFlightNew > Math.max(2, (release.load * requestsPerSecond * meanMs) / 1000);
       case 'class':
         return className === 'b';
       case 'late':
-        return this.#now > release.late * spanMs;
+        return this.#now > release.failsAfter * spanMs;
       default:
         return false;
     }
@@ -237,17 +243,18 @@
     const jitter = 0.5 + this.#random();
     const isFailing = this.#isFailing(className);
     const hasFault = sentAt > 5000 && sentAt < 9000;
-    const faultRate = hasFault ? (this.#scenario.trouble ?? 0) : 0;
-    const failureRate = Math.max(faultRate, isNew && isFailing ? behaviour.share : 0.004);
+    const faultRate = hasFault ? (this.#scenario.faultRate ?? 0) : 0;
+    const failureRate = Math.max(faultRate, isNew && isFailing ? behaviour.badFraction : 0.004);
     const isBad = this.#random() < failureRate;
-    const isSlowed = isNew && behaviour.kind === 'slow' && this.#random() < behaviour.share;
+    const isSlowed = isNew && behaviour.kind === 'slow' && this.#random() < behaviour.badFraction;
     const slowdown = isSlowed ? 8 : 1;
-    const tookMs = usualMs * jitter * slowStart * slowdown * (isNew ? behaviour.pace : 1);
+    const latencyMs =
+      meanMs * jitter * slowStart * slowdown * (isNew ? behaviour.latencyFactor : 1);
     if (isNew) this.#inFlightNew += 1;
     else this.#inFlightOld += 1;
     edge.inFlightOld += isNew ? 0 : 1;
     const { incarnation } = edge;
-    this.#schedule(sentAt + tookMs, () => {
+    this.#schedule(sentAt + latencyMs, () => {
       this.#endRequest(isNew, isBad || isSlowed);
       if (edge.incarnation !== incarnation) return;
       edge.inFlightOld -= isNew ? 0 : 1;
@@ -260,16 +267,16 @@
     else this.#inFlightOld -= 1;
     if (!isNew || !isBad) return;
     this.#badResponses += 1;
-    if (this.#badResponses === 50) this.#badAt = this.#now;
+    if (this.#badResponses === 50) this.#badResponse50At = this.#now;
   }
 
   #count(row: ClassCounts | undefined, isBad: boolean, sentAt: number): void {
     if (row === undefined) return;
-    const tookMs = this.#now - sentAt;
+    const latencyMs = this.#now - sentAt;
     if (isBad) row.bad += 1;
     else row.good += 1;
-    if (tookMs > usualMs * 4) row.slow += 1;
-    row.sumMs += tookMs;
+    if (latencyMs > meanMs * 4) row.slow += 1;
+    row.sumMs += latencyMs;
   }
 
   #request(edge: SimulatedEdge): void {
@@ -283,10 +290,11 @@
     row.sent += 1;
     edge.rows.set(key, row);
     if (this.#now < this.#scenario.spanMs) {
-      this.#total += 1;
-      if (release === newRelease) this.#exposed += 1;
+      this.#totalRequests += 1;
+      if (release === newRelease) this.#canaryRequests += 1;
     }
-    if (release === newRelease && this.#now > this.#badAt) this.#after50 = this.#now - this.#badAt;
+    if (release === newRelease && this.#now > this.#badResponse50At)
+      this.#lastRequestAfter50Ms = this.#now - this.#badResponse50At;
     this.#respond(edge, release, className);
   }
 
@@ -301,7 +309,7 @@
       serial: edge.state.serial,
       rows: [...edge.rows].map(rowOf),
       inFlightOld: edge.inFlightOld,
-      spentMs: toDurationMs(Math.max(0, this.#now - edge.since)),
+      spentMs: toDurationMs(Math.max(0, this.#now - edge.startedAt)),
     };
     this.#schedule(this.#now + 5 + this.#random() * 30, () => {
       if (this.#watch === undefined) return;
@@ -311,23 +319,23 @@
   }
 
   #losePrimary(): void {
-    const { lossAt } = this.#scenario;
-    if (lossAt === undefined) return;
-    if (this.#now === lossAt) this.#watch = undefined;
-    if (this.#now !== lossAt + 1200) return;
+    const { primaryLossAt } = this.#scenario;
+    if (primaryLossAt === undefined) return;
+    if (this.#now === primaryLossAt) this.#watch = undefined;
+    if (this.#now !== primaryLossAt + 1200) return;
     this.#isWriting = false;
     const { order, spentMs } = this.#stored;
     this.#watch = newRolloutWatch(order, spentMs, toTimestamp(this.#now));
   }
 
-  #loseEdges(): void {
+  #restartEdges(): void {
     if (this.#now !== this.#scenario.edgeLossAt) return;
     for (const edge of this.#edges.slice(0, 3))
       Object.assign(edge, {
         incarnation: 2,
         rows: new Map(),
         inFlightOld: 0,
-        since: this.#now,
+        startedAt: this.#now,
         state: releaseStateOf(settledRollout(service, oldRelease), 0),
       });
   }
@@ -336,7 +344,7 @@
     for (const run of this.#queue.get(this.#now / stepMs) ?? []) run();
     this.#queue.delete(this.#now / stepMs);
     this.#losePrimary();
-    this.#loseEdges();
+    this.#restartEdges();
     if (this.#watch !== undefined && this.#now % 50 === 0) this.#advance();
     if (this.#watch !== undefined && this.#now % 250 === 0) this.#pushState(250);
     this.#edges.forEach((edge, index) => {
@@ -345,11 +353,11 @@
   }
 
   run(): Outcome {
-    const { perS, spanMs } = this.#scenario;
+    const { requestsPerSecond, spanMs } = this.#scenario;
     let dueRequests = 0;
     for (this.#now = 0; this.#now < spanMs + 1000; this.#now += stepMs) {
       this.#step();
-      dueRequests += (perS * stepMs) / 1000;
+      dueRequests += (requestsPerSecond * stepMs) / 1000;
       while (dueRequests >= 1) {
         dueRequests -= 1;
         const edge = this.#edges[Math.floor(this.#random() * edgeCount)];
@@ -357,12 +365,12 @@
       }
     }
     return {
-      order: this.#stored,
-      total: this.#total,
-      exposed: this.#exposed,
-      judgedMs: this.#judgedMs,
-      cutOff: this.#cutOff,
-      after50: this.#after50,
+      rollout: this.#stored,
+      totalRequests: this.#totalRequests,
+      canaryRequests: this.#canaryRequests,
+      decidedMs: this.#decidedMs,
+      interruptedRequests: this.#interruptedRequests,
+      lastRequestAfter50Ms: this.#lastRequestAfter50Ms,
       writes: this.#writes,
     };
   }
@@ -373,5 +381,6 @@
   return { release: toRelease(release), group, ...row };
 };
 
-/** Plays a scenario to its end. */
-export const playRollout = (scenario: Scenario): Outcome => new RolloutSimulation(scenario).run();
+/** Runs a scenario to its end. */
+export const simulateRollout = (scenario: Scenario): Outcome =>
+  new RolloutSimulation(scenario).run();
--- a/packages/simulator/src/guard/list.ts
+++ b/packages/simulator/src/guard/list.ts
@@ -200,8 +200,8 @@
     name: 'an order that was judged bad is known again after its term',
     rule: 'order',
     file: releaseOrder,
-    from: 'spentMs < Math.max(known.spanMs, repeatMs)',
-    to: 'spentMs < known.spanMs',
+    from: 'elapsedMs < Math.max(known.spanMs, duplicateWindowMs)',
+    to: 'elapsedMs < known.spanMs',
   },
   {
     name: 'a call is answered once',
