--- a/packages/membership/src/index.ts
+++ b/packages/membership/src/index.ts
@@ -1,7 +1,7 @@
 /**
- * Membership of the fleet: sessions of nodes at their registry, announcements of origins, and the
- * registry itself as a pure state machine. Sockets, timers and HTTP are the `registry` package's;
- * leases and votes follow the rules of `election`.
+ * Fleet membership: sessions of nodes with their registry, announcements of origins, and the registry
+ * as a pure state machine. The `registry` package adds sockets, timers and HTTP; the `election`
+ * package decides on leases and votes.
  */
 
 export * from './origins/origins.js';
--- a/packages/membership/src/origins/origins.ts
+++ b/packages/membership/src/origins/origins.ts
@@ -1,6 +1,6 @@
 /**
- * What a process knows of origins: announcements, by any way they come, are merged so that all
- * processes come to the same view. Who may be sent requests is decided here; who is picked is not.
+ * Table of known origins: merges announcements, whatever process relayed them, so that all processes
+ * converge to the same view, and decides which origins are live. Load balancing is not done here.
  */
 
 import {
@@ -14,42 +14,42 @@
 } from '@switchwheel/types';
 import type { OriginInstance } from '@switchwheel/transport';
 
-/** An origin with the time it was last heard, by this process's clock. */
+/** An origin with the time of its last announcement, by this process's clock. */
 export interface KnownOrigin extends Omit<OriginInstance, 'age'> {
   readonly lastHeardAt: Timestamp;
 }
 /** Origins by their instance ids. */
 export type OriginTable = ReadonlyMap<InstanceId, KnownOrigin>;
 
-/** How long an origin may be silent before no more requests are sent to it. */
+/** Time without an announcement after which an origin gets no more requests. */
 export const originTimeoutMs = 10_000;
 /**
- * How long a silent origin is remembered. No frame or request is under way for so long, so no late
- * announcement makes an origin that left count as live again.
+ * Time for which a silent origin is kept. Longer than any frame or request can be delayed, so that a
+ * late announcement can't make an origin that left count as live again.
  */
 export const originRetentionMs = 60_000;
-/** Older records of unknown origins are ignored: peers do not teach each other what they just forgot. */
+/** Age above which records of unknown origins are ignored, so that peers don't reintroduce expired origins. */
 const maxRelearnAgeMs = originRetentionMs - 5000;
-/** Below this an origin's time is left as it is, so that a table that says the same is the same object. */
+/** Minimum advance of an origin's time for an update, so that unchanged tables keep their identity. */
 const minRefreshMs = 200;
 const departureRanks: ReadonlyMap<OriginInstance['state'], number> = new Map([
   ['up', 0],
   ['leaving', 1],
   ['gone', 2],
 ]);
-/** How far an origin is on its way out: 0 for up, 1 for leaving, 2 for gone. */
+/** Progress of an origin's departure: 0 for up, 1 for leaving, 2 for gone. */
 export const departureRank = (state: OriginInstance['state']): number =>
   departureRanks.get(state) ?? 0;
 
-const isSameOrigin = (one: KnownOrigin, two: KnownOrigin): boolean =>
-  one.service === two.service &&
-  one.address === two.address &&
-  one.release === two.release &&
-  one.slots === two.slots &&
-  one.state === two.state &&
-  one.area === two.area;
+const isSameOrigin = (left: KnownOrigin, right: KnownOrigin): boolean =>
+  left.service === right.service &&
+  left.address === right.address &&
+  left.release === right.release &&
+  left.slots === right.slots &&
+  left.state === right.state &&
+  left.area === right.area;
 
-/** An address belongs to one instance: whoever had it before is gone. */
+/** Marks former instances at an announced address as gone: an address belongs to one instance. */
 const endFormerOwners = (origins: OriginTable, announced: KnownOrigin): OriginTable => {
   let result = origins;
   if (announced.state === 'up') {
@@ -64,7 +64,7 @@
   return result;
 };
 
-/** What is known after an announcement: the newer of both, but never less far on its way out. */
+/** Merges a known origin with an announcement: the newer one wins, but the departure never goes back. */
 const mergeOrigin = (known: KnownOrigin, announced: KnownOrigin): KnownOrigin => {
   const knownSeq = known.calls ?? noSeq;
   const announcedSeq = announced.calls ?? noSeq;
@@ -79,39 +79,45 @@
   return { ...latest, state, lastHeardAt };
 };
 
-/** Merges an announcement. Leaving and gone are final for an instance, whoever says otherwise. */
+/**
+ * Merges an announcement into the table. An instance that is leaving or gone never becomes up again.
+ * `hasChanged` is true if anything but the origin's time has changed.
+ */
 export const learnOrigin = (
   origins: OriginTable,
   announced: KnownOrigin,
-): { readonly origins: OriginTable; readonly news: boolean } => {
+): { readonly origins: OriginTable; readonly hasChanged: boolean } => {
   const { instance } = announced;
   const known = origins.get(instance);
   if (known === undefined) {
     const rest = endFormerOwners(origins, announced);
-    return { origins: withEntry(rest, instance, announced), news: true };
+    return { origins: withEntry(rest, instance, announced), hasChanged: true };
   }
   const merged = mergeOrigin(known, announced);
-  const news = !isSameOrigin(merged, known);
+  const hasChanged = !isSameOrigin(merged, known);
   const isRefreshed = merged.lastHeardAt - known.lastHeardAt > minRefreshMs;
-  return { origins: news || isRefreshed ? withEntry(origins, instance, merged) : origins, news };
+  return {
+    origins: hasChanged || isRefreshed ? withEntry(origins, instance, merged) : origins,
+    hasChanged,
+  };
 };
 
-/** Merges the records of a frame, whose ages count back from now. */
+/** Merges the records of a frame, whose ages are relative to `now`. */
 export const learnOrigins = (
   origins: OriginTable,
   records: readonly OriginInstance[],
   now: Timestamp,
-): { readonly origins: OriginTable; readonly news: boolean } => {
-  let result = { origins, news: false };
+): { readonly origins: OriginTable; readonly hasChanged: boolean } => {
+  let result = { origins, hasChanged: false };
   for (const { age, ...record } of records) {
     if (age > maxRelearnAgeMs && !result.origins.has(record.instance)) continue;
     const next = learnOrigin(result.origins, { ...record, lastHeardAt: subtractMs(now, age) });
-    result = { origins: next.origins, news: result.news || next.news };
+    result = { origins: next.origins, hasChanged: result.hasChanged || next.hasChanged };
   }
   return result;
 };
 
-/** An origin as frames bear it, with its age in place of a time. */
+/** Converts an origin to its record in frames, with an age in place of a time. */
 export const originRecord = (
   { lastHeardAt, ...origin }: KnownOrigin,
   now: Timestamp,
@@ -119,14 +125,14 @@
   ...origin,
   age: elapsedMs(lastHeardAt, now),
 });
-/** All origins as frames bear them. */
+/** Converts all origins to their records in frames. */
 export const originRecords = (origins: OriginTable, now: Timestamp): OriginInstance[] =>
   [...origins.values()].map((origin) => originRecord(origin, now));
 
-/** The table without origins that have been silent for too long to be remembered. */
+/** Removes origins that have been silent for longer than the retention time. */
 export const forgetOrigins = (origins: OriginTable, now: Timestamp): OriginTable =>
   filterEntries(origins, (origin) => now - origin.lastHeardAt < originRetentionMs);
 
-/** Whether requests may be sent to an origin at all. */
+/** Whether requests may be sent to an origin. */
 export const isLiveOrigin = (origin: KnownOrigin, now: Timestamp): boolean =>
   origin.state === 'up' && now - origin.lastHeardAt < originTimeoutMs;
--- a/packages/membership/src/registry/chunk-exchange.ts
+++ b/packages/membership/src/registry/chunk-exchange.ts
@@ -1,6 +1,6 @@
 /**
- * Configuration chunks on their way between nodes, this registry and the store. Chunks are
- * immutable and named by their hashes, so any copy serves.
+ * Exchange of configuration chunks between nodes, this registry and the store. Chunks are immutable
+ * and identified by their hashes, so that any copy can be sent.
  */
 
 import {
@@ -21,7 +21,7 @@
 
 const resendIntervalMs = 400;
 
-/** A node lacks chunks: those known here are sent, the others requested from the store. */
+/** Handles a node's request for chunks: sends the known ones and requests the others from a store. */
 export const onNodeChunkRequest = (
   state: RegistryState,
   from: Peer,
@@ -52,7 +52,7 @@
   return transition({ ...state, chunkWaiters, chunkRequestedAt }, ...effects);
 };
 
-/** The store lacks chunks of a configuration: one that is uploaded here, or the one in force. */
+/** Handles a store's request for chunks of a pending upload or of the configuration in force. */
 export const onStoreChunkRequest = (
   state: RegistryState,
   frame: FrameOf<'piece-request'>,
@@ -68,7 +68,7 @@
   return transition(state, ...effects);
 };
 
-/** A chunk came: it goes on to the nodes that wait for it, and to the reads. */
+/** Handles a received chunk: forwards it to the nodes that wait for it, and continues pending reads. */
 export const onChunk = (
   state: RegistryState,
   frame: FrameOf<'piece'>,
--- a/packages/membership/src/registry/cluster-bootstrap.ts
+++ b/packages/membership/src/registry/cluster-bootstrap.ts
@@ -1,6 +1,6 @@
 /**
- * The start of a new cluster: an operator's request names its stores and voters, or the first
- * registries propose one by themselves; each store that agrees records the cluster on its disk.
+ * Bootstrap of a new cluster: an operator's request names its stores and voters, or registries propose
+ * the one in their settings. Each store that agrees records the cluster on its disk.
  */
 
 import {
@@ -17,10 +17,10 @@
 import { isAlive } from './queries.js';
 import type { RegistryState, RegistryTransition } from './state.js';
 
-/** How long stores may take to agree. */
+/** Time within which all stores must agree. */
 const bootstrapTimeoutMs = 3000;
 const proposeIntervalMs = 300;
-/** How long after its start a registry proposes a cluster: later, a store may be back with an empty disk. */
+/** Time after its start for which a registry proposes a cluster; later, a store may have lost its disk and return empty. */
 const proposeWindowMs = 30_000;
 
 type BootstrapRequest = Extract<ExternalRequest, { verb: 'bootstrap' }>;
@@ -33,7 +33,7 @@
 const isChosen = (names: readonly NodeId[], { node }: Member): boolean =>
   names.length === 0 || names.includes(node);
 
-/** The live stores and registries that a request names; all of them if it names none. */
+/** Live stores and registries that a request names; all of them if it names none. */
 const participantsOf = (
   state: RegistryState,
   request: BootstrapRequest,
@@ -52,7 +52,7 @@
 const missingOf = (names: readonly NodeId[], members: readonly Member[]): readonly NodeId[] =>
   names.filter((name) => !members.some((member) => member.node === name));
 
-/** Why a bootstrap is refused; undefined if it may begin. */
+/** Reason for refusing a bootstrap; undefined if it may start. */
 const bootstrapRefusal = (
   state: RegistryState,
   request: BootstrapRequest,
@@ -70,12 +70,12 @@
   return undefined;
 };
 
-const addressed = ({ node, address }: Member): Pick<Member, 'node' | 'address'> => ({
+const withAddress = ({ node, address }: Member): Pick<Member, 'node' | 'address'> => ({
   node,
   address,
 });
 
-/** Begins a bootstrap on an operator's request: the stores are asked to agree. */
+/** Starts a bootstrap requested by an operator: sends the cluster to its stores. */
 export const startBootstrap = (
   state: RegistryState,
   correlationId: number,
@@ -90,10 +90,10 @@
     kind: 'bootstrap',
     id: request.id,
     fleet: request.fleet,
-    stores: stores.map(addressed),
+    stores: stores.map(withAddress),
     electorate: {
       serial: noSeq,
-      members: voters.map(addressed).sort((one, two) => (one.node < two.node ? -1 : 1)),
+      members: voters.map(withAddress).sort((left, right) => (left.node < right.node ? -1 : 1)),
     },
   };
   const bootstraps = withEntry(state.bootstraps, request.id, {
@@ -106,7 +106,7 @@
   return transition({ ...state, bootstraps }, ...stores.map((store) => send(store.address, frame)));
 };
 
-/** A store agreed to a bootstrap, or refused it. */
+/** Handles a store's reply to a bootstrap, which agrees or refuses. */
 export const onBootstrapped = (
   state: RegistryState,
   frame: FrameOf<'bootstrapped'>,
@@ -129,7 +129,7 @@
   });
 };
 
-/** Ends bootstraps whose stores did not all agree in time. */
+/** Times out bootstraps whose stores have not all agreed. */
 export const expireBootstraps = (state: RegistryState, now: Timestamp): RegistryTransition => {
   let bootstraps = state.bootstraps;
   const effects: RegistryEffect[] = [];
@@ -147,7 +147,7 @@
   return transition(bootstraps === state.bootstraps ? state : { ...state, bootstraps }, ...effects);
 };
 
-/** Proposes this registry's configured cluster to its stores until one stands. */
+/** Proposes the cluster in this registry's settings to its stores, until the registry belongs to a fleet. */
 export const proposeCluster = (state: RegistryState, now: Timestamp): RegistryTransition => {
   const { proposal } = state;
   if (
--- a/packages/membership/src/registry/config-offers.ts
+++ b/packages/membership/src/registry/config-offers.ts
@@ -1,6 +1,6 @@
 /**
- * Which configuration a node is to run, and when it is offered: desired is compared with reported
- * at every message, and an offer is repeated until the node reports that it runs it.
+ * Configuration offers: compares the configuration desired of a node with the one that it reports, and
+ * repeats the offer until the node reports that it runs it.
  */
 
 import {
@@ -16,12 +16,12 @@
 import { servableFeedAgeMs } from './queries.js';
 import type { KnownSession, RegistryState } from './state.js';
 
-/** The pause before a configuration that a node could not apply is offered again; it doubles each time. */
+/** Delay before a configuration that a node could not apply is offered again; it doubles each time. */
 const firstRetryDelayMs = 1000;
 const maxRetryDelayMs = 15_000;
 const maxRetryDoublings = 10;
 const resendIntervalMs = 400;
-/** How long a rollout may hold the newest configuration back from a live node, whatever its row names. */
+/** Maximum time for which a rollout withholds the newest configuration from a node. */
 const maxRolloutHoldMs = 800;
 
 const offerFromHint = (
@@ -31,7 +31,10 @@
 ): ConfigManifest | undefined =>
   session.report.phase === 'none' ? provenHint(state, now)?.offer : undefined;
 
-/** What a node is to run; undefined while the primary's feed is too old to go by, unless a disk hint is proven. */
+/**
+ * Configuration that a node should run; undefined if there is none to offer. While the primary's feed
+ * is too old, only a node without a configuration gets one, from a proven disk hint.
+ */
 const desiredOffer = (
   state: RegistryState,
   session: KnownSession,
@@ -41,12 +44,12 @@
   const { current, currentSince, desired, offers } = state.feed;
   const row = desired.get(session.member.node);
   const isHeldBack = row !== undefined && now - currentSince < maxRolloutHoldMs;
-  // A node that runs nothing yet gets the newest at once.
+  // A node without a configuration gets the newest one at once.
   const offer = isHeldBack && session.report.phase !== 'none' ? offers.get(row.hash) : current;
   return offer !== undefined && offer.generation >= session.report.generation ? offer : undefined;
 };
 
-/** The newest confirmed generation: a node that runs an older one may not refuse an unknown route. */
+/** Newest confirmed generation; a node that runs an older one must not reject requests for unknown routes. */
 export const newestGeneration = (state: RegistryState): Generation =>
   state.feed.current?.generation ?? noGeneration;
 
@@ -58,18 +61,18 @@
 const hasFailed = ({ report }: KnownSession, offer: ConfigManifest): boolean =>
   report.failed?.hash === offer.hash && report.failed.generation === offer.generation;
 
-/** A state with the offer that goes to a node with the next message, if one is due. */
-export interface Reconciled {
+/** Result of a comparison: the new state, and the offer to send to the node if one is due. */
+export interface Reconciliation {
   readonly state: RegistryState;
   readonly offer: ConfigManifest | undefined;
 }
 
-/** Compares what a node is to run with what it reports, and notes the offer that is sent. */
+/** Compares the desired configuration of a node with the reported one, and records the offer if one is due. */
 export const reconcile = (
   state: RegistryState,
   session: KnownSession,
   now: Timestamp,
-): Reconciled => {
+): Reconciliation => {
   const { node } = session.member;
   const offer = desiredOffer(state, session, now);
   if (offer === undefined) return { state, offer: undefined };
@@ -82,12 +85,12 @@
   const delayMs = failed
     ? Math.min(
         maxRetryDelayMs,
-        firstRetryDelayMs * 2 ** Math.min(maxRetryDoublings, sent?.tries ?? 0),
+        firstRetryDelayMs * 2 ** Math.min(maxRetryDoublings, sent?.failures ?? 0),
       )
     : resendIntervalMs;
   const isRepeated = sent !== undefined && sent.hash === offer.hash;
-  if (isRepeated && now < addMs(sent.at, delayMs)) return { state, offer: undefined };
-  const tries = isRepeated && failed ? sent.tries + 1 : 0;
-  const offersSent = withEntry(state.offersSent, node, { hash: offer.hash, at: now, tries });
+  if (isRepeated && now < addMs(sent.sentAt, delayMs)) return { state, offer: undefined };
+  const failures = isRepeated && failed ? sent.failures + 1 : 0;
+  const offersSent = withEntry(state.offersSent, node, { hash: offer.hash, sentAt: now, failures });
   return { state: { ...state, offersSent }, offer };
 };
--- a/packages/membership/src/registry/configuration-read.ts
+++ b/packages/membership/src/registry/configuration-read.ts
@@ -1,7 +1,7 @@
 /**
- * Reading the configuration back. The primary names the manifest in force, which makes the read
- * linearizable; its chunks are immutable and named by their hashes, so they come from this
- * registry's cache or, a bounded batch of frames at a time, from the store.
+ * Reads of the whole configuration. The primary returns the manifest in force, which makes the read
+ * linearizable. Chunks are immutable and identified by their hashes, so they come from this registry's
+ * cache or, in bounded batches, from the store.
  */
 
 import * as v from 'valibot';
@@ -24,24 +24,24 @@
   RegistryTransition,
 } from './state.js';
 
-/** The store's view that names the configuration in force. */
+/** Name of the store's view that returns the manifest of the configuration in force. */
 const configurationView = 'description';
-/** How long a read may take in all once the primary has named the manifest. */
+/** Timeout of a read from its receipt, once the manifest is known. */
 const readTimeoutMs = 20_000;
 const maxChunksPerRequest = 64;
 
-/** The store's answer to the view; its other members are passed on as they are. */
-const viewedOffer = v.looseObject({ offer: v.nullable(configManifest) });
+/** Schema of the store's reply to the view; its other fields are passed on unchanged. */
+const manifestReply = v.looseObject({ offer: v.nullable(configManifest) });
 
 /** Whether a pending command is a read of the whole configuration. */
 export const readsConfiguration = (command: Pick<PendingCommand, 'verb' | 'body'>): boolean =>
   command.verb === 'view' && command.body === configurationView;
 
-/** Joins the configuration's text to the other members without parsing it again. */
+/** Adds the configuration's text to the other fields without parsing it. */
 const replyBody = (replyFields: object, configuration: string): string =>
   `${JSON.stringify(replyFields).slice(0, -1)},"description":${configuration}}`;
 
-/** Requests the next chunks that are missing, or answers the read if there are none. */
+/** Requests the next missing chunks, or replies to the read if there are none. */
 const advanceRead = (
   state: RegistryState,
   id: CommandId,
@@ -71,16 +71,16 @@
   );
 };
 
-/** The primary named the manifest in force: its chunks are collected. */
-export const onOfferNamed = (
+/** Handles the primary's reply with the manifest in force: starts to collect its chunks. */
+export const onManifestReply = (
   state: RegistryState,
   command: PendingCommand,
   result: FrameOf<'called'>,
   now: Timestamp,
 ): RegistryTransition => {
-  const named = v.safeParse(viewedOffer, JSON.parse(result.body));
-  if (!named.success) return transition(state);
-  const { offer, ...otherFields } = named.output;
+  const parsed = v.safeParse(manifestReply, JSON.parse(result.body));
+  if (!parsed.success) return transition(state);
+  const { offer, ...otherFields } = parsed.output;
   if (offer === null)
     return transition(
       { ...state, pendingCommands: withoutEntry(state.pendingCommands, result.id) },
@@ -91,7 +91,7 @@
   return advanceRead(state, result.id, extended, { offer, replyFields }, now);
 };
 
-/** A chunk came: the reads that waited for it go on. */
+/** Continues the reads that wait for a chunk which has been received. */
 export const advanceReads = (
   state: RegistryState,
   hash: Hash,
@@ -119,7 +119,7 @@
   return transition(next, ...effects);
 };
 
-/** The chunks that pending reads still need: they are kept when another configuration comes into force. */
+/** Chunks of pending reads; they are kept when another configuration comes into force. */
 export const chunksOfReads = (state: RegistryState): readonly Hash[] =>
   [...state.pendingCommands.values()].flatMap(
     (command) => command.configurationRead?.offer.pieces ?? [],
--- a/packages/membership/src/registry/departures.ts
+++ b/packages/membership/src/registry/departures.ts
@@ -1,6 +1,6 @@
 /**
- * Announcements of origins. That an origin leaves or is gone is answered as done only once a
- * majority of the voting registries has acknowledged it: it then survives the loss of this one.
+ * Announcements of origins. A departure (leaving or gone) is confirmed to the origin only after a
+ * majority of the voting registries has acknowledged it, so that it survives the loss of this one.
  */
 
 import {
@@ -21,27 +21,27 @@
 
 type AnnouncedOrigin = Extract<ExternalRequest, { verb: 'announce' }>['origin'];
 
-/** How long a majority may take to acknowledge a departure. */
+/** Time within which a majority must acknowledge a departure. */
 const confirmTimeoutMs = 700;
 const resendIntervalMs = 150;
-/** How often an origin is to announce itself. */
+/** Interval at which origins should announce themselves. */
 const announceIntervalMs = 2000;
 const retryAfterMs = 300;
 
 const announcedReply = (correlationId: number): RegistryEffect =>
   reply(correlationId, 200, { kind: 'announced', againMs: announceIntervalMs });
 
-/** Whether enough registries know of a departure for it to survive the loss of this one. */
+/** Whether a majority of the voters, this registry included, knows of a departure. */
 const isDurable = (state: RegistryState, departure: Departure): boolean => {
   const { electorate } = state;
   if (electorate === undefined) return true;
-  const knowing = electorate.members.filter(
+  const informed = electorate.members.filter(
     (voter) => voter.node === state.member.node || departure.acknowledgedBy.has(voter.node),
   );
-  return knowing.length >= quorumSize(electorate.members.length);
+  return informed.length >= quorumSize(electorate.members.length);
 };
 
-/** The departure, to every voter that has not acknowledged it. */
+/** Frames with a departure to every voter that has not acknowledged it. */
 const departureFrames = (
   state: RegistryState,
   instance: InstanceId,
@@ -56,7 +56,7 @@
     .map(({ address }) => send(address, { kind: 'departure', origin: originRecord(origin, now) }));
 };
 
-/** Answers all who wait for a departure once it is durable. */
+/** Stores a departure; marks it as confirmed and replies to its waiters if it has become durable. */
 const replyIfDurable = (
   state: RegistryState,
   instance: InstanceId,
@@ -74,7 +74,7 @@
   );
 };
 
-/** Notes who waits for a departure, and begins to spread it if it is new. */
+/** Adds a waiter to a departure, and sends the departure to the other voters if it is new. */
 const recordDeparture = (
   state: RegistryState,
   correlationId: number,
@@ -103,7 +103,7 @@
   );
 };
 
-/** An origin announces itself, that it leaves, or that it is gone. */
+/** Handles the announcement of an origin that is up, leaving or gone. */
 export const onAnnouncement = (
   state: RegistryState,
   correlationId: number,
@@ -131,13 +131,13 @@
   }
   const learned = learnOrigin(state.origins, { ...origin, lastHeardAt: now });
   const next = { ...state, origins: learned.origins };
-  const messages = learned.news ? broadcast(next, now) : [];
+  const messages = learned.hasChanged ? broadcast(next, now) : [];
   return origin.state === 'up'
     ? transition(next, ...messages, announcedReply(correlationId))
     : prependEffects(messages, recordDeparture(next, correlationId, origin, now));
 };
 
-/** Another registry spreads a departure: it is taken in and acknowledged. */
+/** Handles a departure sent by another registry: records and acknowledges it. */
 export const onDeparture = (
   state: RegistryState,
   from: Peer,
@@ -155,18 +155,18 @@
   return transition(
     next,
     acknowledgement,
-    ...(learned.news ? sendMemberList(next, broadcastTargets(next, now), now) : []),
+    ...(learned.hasChanged ? sendMemberList(next, broadcastTargets(next, now), now) : []),
   );
 };
 
-/** A voter has a departure: those who wait are answered once a majority has it. */
+/** Handles a voter's acknowledgement of a departure; replies to the waiters once a majority has it. */
 export const onDepartureAck = (
   state: RegistryState,
   frame: FrameOf<'departure-ack'>,
 ): RegistryTransition => {
   const departure = state.departures.get(frame.instance);
   if (departure === undefined || departure.isConfirmed) return transition(state);
-  // The acknowledgement of an earlier state, such as leaving before gone, counts for nothing.
+  // Ignores the acknowledgement of an earlier state, such as leaving before gone.
   if (departureRank(frame.state) < departureRank(departure.state)) return transition(state);
   return replyIfDurable(state, frame.instance, {
     ...departure,
@@ -181,7 +181,7 @@
     retryAfterMs,
   });
 
-/** Sends one departure again if it is due, and ends what waits for it for too long. */
+/** Resends a departure if it is due, and replies with an error to waiters that timed out. */
 const tickDeparture = (
   state: RegistryState,
   instance: InstanceId,
@@ -203,7 +203,7 @@
   );
 };
 
-/** Lets time pass over departures; those of origins that are forgotten are forgotten too. */
+/** Handles a tick: resends departures, times out waiters, and drops departures of expired origins. */
 export const tickDepartures = (state: RegistryState, now: Timestamp): RegistryTransition => {
   let next: RegistryTransition = transition(state);
   for (const [instance, departure] of state.departures) {
--- a/packages/membership/src/registry/disk-hints.test.ts
+++ b/packages/membership/src/registry/disk-hints.test.ts
@@ -1,4 +1,4 @@
-/** When a registry offers nodes that run nothing what disks hold, before there is a primary. */
+/** Guards against offers from disk hints that may be older than a confirmed configuration, and against missing ones. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -27,15 +27,15 @@
 
 const peers = [memberAt('registry', 'r2', 7003), memberAt('registry', 'r3', 7004)];
 const stores = [store, memberAt('store', 's2', 7005), memberAt('store', 's3', 7006)];
-const inSyncSet = stores.slice(0, 2).map((one) => one.node);
-const born = toTimestamp(1000);
+const inSyncSet = stores.slice(0, 2).map((member) => member.node);
+const startedAt = toTimestamp(1000);
 
-/** What a store's disk holds: the epoch of its metadata and a generation; none if it has no description. */
+/** Hint of a store with the epoch of its metadata; without a generation, its disk has no configuration. */
 const hint = (
   from: Member,
   epoch: number,
   generation: number | undefined,
-  set = inSyncSet,
+  hintedSet = inSyncSet,
 ): FrameOf<'hint'> => ({
   kind: 'hint',
   node: from.node,
@@ -45,11 +45,11 @@
   metadata: {
     fleet,
     epoch: toEpoch(epoch),
-    inSyncSet: set,
+    inSyncSet: hintedSet,
     stores: [],
     electorate: {
       serial: noSeq,
-      members: [registry, ...peers].map((one) => ({ node: one.node, address: one.address })),
+      members: [registry, ...peers].map((voter) => ({ node: voter.node, address: voter.address })),
     },
   },
   ...(generation === undefined
@@ -64,34 +64,39 @@
   origins: [],
 });
 
-const hear = (state: RegistryState, from: Member, frame: Frame, now: Timestamp): RegistryState =>
+const receive = (state: RegistryState, from: Member, frame: Frame, now: Timestamp): RegistryState =>
   registryTransition(state, { kind: 'frameReceived', now, from: peerOf(from), frame }).state;
 
-/** A registry that heard some peers, which say that they heard it just now. */
-const inTouchWith = (count: number, eager = true): RegistryState =>
+/** State of a registry that has two-way contact with some peers. */
+const inContactWith = (count: number, offersDiskHints = true): RegistryState =>
   peers.slice(0, count).reduce(
     (state, peer) => {
-      const word: FrameOf<'gossip'> = {
+      const gossip: FrameOf<'gossip'> = {
         kind: 'gossip',
         from: peer,
         full: true,
-        at: born,
+        at: startedAt,
         sessions: [],
         origins: [],
         holders: [],
         memories: [],
         recovering: true,
-        heard: [{ node: registry.node, incarnation: registry.incarnation, at: born }],
+        heard: [{ node: registry.node, incarnation: registry.incarnation, at: startedAt }],
       };
-      return hear(state, peer, word, born);
+      return receive(state, peer, gossip, startedAt);
     },
-    newRegistryState(registry, [], born, { seed: 1 }, undefined, eager),
+    newRegistryState(registry, [], startedAt, { seed: 1 }, undefined, offersDiskHints),
   );
 
-const withHints = (state: RegistryState, ...words: readonly FrameOf<'hint'>[]): RegistryState =>
-  words.reduce((next, word) => hear(next, store, word, born), state);
+const withHints = (state: RegistryState, ...hints: readonly FrameOf<'hint'>[]): RegistryState =>
+  hints.reduce((next, frame) => receive(next, store, frame, startedAt), state);
 
-const offered = (state: RegistryState, generation: number, now: Timestamp): number | undefined => {
+/** Generation that a node which reports `generation` is offered; undefined if there is no offer. */
+const offeredTo = (
+  state: RegistryState,
+  generation: number,
+  now: Timestamp,
+): number | undefined => {
   const report = statusOf({
     generation: toGeneration(generation),
     phase: generation === 0 ? 'none' : 'applied',
@@ -105,38 +110,71 @@
     frame,
   });
   const generations = repliesToEdge(done).map((reply) => reply.offer?.generation);
-  return generations.find((one) => one !== undefined);
+  return generations.find((offeredGeneration) => offeredGeneration !== undefined);
 };
 
-const [first, second, spare] = stores;
-assert.ok(first !== undefined && second !== undefined && spare !== undefined);
-const soon = toTimestamp(1400);
+const [first, second, third] = stores;
+assert.ok(first !== undefined && second !== undefined && third !== undefined);
+const afterDelay = toTimestamp(1400);
 
-void test('after a full loss a node that runs nothing is offered the newest confirmed configuration before there is a primary', () => {
-  const told = withHints(inTouchWith(1), hint(first, 3, 8), hint(second, 3, 7), hint(spare, 2, 9));
-  assert.equal(offered(told, 0, toTimestamp(1100)), undefined, 'it listens first');
-  assert.equal(offered(told, 0, soon), 7, 'what each store in sync holds; not what one alone does');
-  assert.equal(offered(told, 4, soon), undefined, 'one that runs something waits for the primary');
+void test('without a primary, a node without a configuration is offered the newest confirmed one from disk hints', () => {
+  const hinted = withHints(
+    inContactWith(1),
+    hint(first, 3, 8),
+    hint(second, 3, 7),
+    hint(third, 2, 9),
+  );
+  assert.equal(
+    offeredTo(hinted, 0, toTimestamp(1100)),
+    undefined,
+    'no offer before the hint delay is over',
+  );
+  assert.equal(
+    offeredTo(hinted, 0, afterDelay),
+    7,
+    'the lowest generation of the in-sync stores is offered',
+  );
+  assert.equal(
+    offeredTo(hinted, 4, afterDelay),
+    undefined,
+    'no offer to a node that has a configuration',
+  );
   assert.equal(
-    offered(withHints(told, { ...hint(first, 3, 2), at: toTimestamp(0) }), 0, soon),
+    offeredTo(withHints(hinted, { ...hint(first, 3, 2), at: toTimestamp(0) }), 0, afterDelay),
     7,
-    'a word that was overtaken changes nothing',
+    'a hint that arrives out of order is ignored',
   );
-  const plain = withHints(inTouchWith(1, false), hint(first, 3, 8), hint(second, 3, 7));
-  assert.equal(offered(plain, 0, soon), undefined, 'only where the setting says so');
+  const withoutSetting = withHints(inContactWith(1, false), hint(first, 3, 8), hint(second, 3, 7));
+  assert.equal(offeredTo(withoutSetting, 0, afterDelay), undefined, 'no offer without the setting');
 });
 
 void test('no disk hint is offered while a newer configuration may have been confirmed', () => {
-  const whole = [hint(first, 3, 8), hint(second, 3, 7)];
-  assert.equal(offered(withHints(inTouchWith(0), ...whole), 0, soon), undefined, 'no majority');
-  const one = withHints(inTouchWith(2), hint(first, 3, 8), hint(spare, 2, 9));
-  assert.equal(offered(one, 0, soon), undefined, 'a store in sync is silent');
-  const empty = withHints(inTouchWith(2), hint(first, 3, 8), hint(second, 3, undefined));
-  assert.equal(offered(empty, 0, soon), undefined, 'a disk has no description');
-  const later = withHints(inTouchWith(2), ...whole, hint(spare, 4, 9, [spare.node, first.node]));
-  assert.equal(offered(later, 0, soon), 8, 'the newest in-sync set counts');
-  const unheard = withHints(inTouchWith(2), ...whole, hint(spare, 4, 9, [spare.node, edge.node]));
-  assert.equal(offered(unheard, 0, soon), undefined, 'a later in-sync set that did not speak');
-  const old = withHints(inTouchWith(2), ...whole);
-  assert.equal(offered(old, 0, toTimestamp(2100)), undefined, 'words that are old');
+  const complete = [hint(first, 3, 8), hint(second, 3, 7)];
+  assert.equal(
+    offeredTo(withHints(inContactWith(0), ...complete), 0, afterDelay),
+    undefined,
+    'no contact with a majority',
+  );
+  const incomplete = withHints(inContactWith(2), hint(first, 3, 8), hint(third, 2, 9));
+  assert.equal(offeredTo(incomplete, 0, afterDelay), undefined, 'no hint of one in-sync store');
+  const empty = withHints(inContactWith(2), hint(first, 3, 8), hint(second, 3, undefined));
+  assert.equal(offeredTo(empty, 0, afterDelay), undefined, 'an in-sync store has no configuration');
+  const newerSet = withHints(
+    inContactWith(2),
+    ...complete,
+    hint(third, 4, 9, [third.node, first.node]),
+  );
+  assert.equal(offeredTo(newerSet, 0, afterDelay), 8, 'the newest in-sync set is used');
+  const newerIncomplete = withHints(
+    inContactWith(2),
+    ...complete,
+    hint(third, 4, 9, [third.node, edge.node]),
+  );
+  assert.equal(
+    offeredTo(newerIncomplete, 0, afterDelay),
+    undefined,
+    'no hint of one store of the newest in-sync set',
+  );
+  const outdated = withHints(inContactWith(2), ...complete);
+  assert.equal(offeredTo(outdated, 0, toTimestamp(2100)), undefined, 'hints that are too old');
 });
--- a/packages/membership/src/registry/disk-hints.ts
+++ b/packages/membership/src/registry/disk-hints.ts
@@ -1,6 +1,6 @@
 /**
- * Disk hints: what stores report of their disks while they hear no primary. Nodes that run nothing
- * may start on them, but only where no newer configuration can have been confirmed.
+ * Disk hints: reports of stores about the configuration on their disks while there is no primary.
+ * Nodes without a configuration may start with it, if no newer one can have been confirmed.
  */
 
 import { type Timestamp, withEntry } from '@switchwheel/types';
@@ -8,15 +8,15 @@
 import { hasMajorityContact, feedAgeMs } from './queries.js';
 import type { RegistryState, StoreHint } from './state.js';
 
-/** How long after its start a registry listens for hints before it offers one. */
+/** Time after its start for which a registry only collects hints. */
 const hintDelayMs = 250;
-/** How old a store's hint may be to count. */
+/** Maximum age of a usable hint. */
 const maxHintAgeMs = 1000;
 
-/** A hint that names a configuration, and the store that has it. */
+/** A hint of a store that has a configuration. */
 export type ProvenHint = FrameOf<'hint'> & { readonly offer: ConfigManifest };
 
-/** Keeps the newest hint of each store. */
+/** Records a hint if it is the newest one of its store. */
 export const learnHint = (
   state: RegistryState,
   hint: FrameOf<'hint'>,
@@ -24,11 +24,11 @@
 ): RegistryState => {
   if (state.fleet !== undefined && state.fleet !== hint.metadata.fleet) return state;
   const known = state.diskHints.get(hint.node)?.frame;
-  const isOvertaken =
+  const isOutdated =
     known !== undefined &&
     (hint.incarnation < known.incarnation ||
       (hint.incarnation === known.incarnation && hint.at < known.at));
-  if (isOvertaken) return state;
+  if (isOutdated) return state;
   const diskHints = withEntry(state.diskHints, hint.node, { frame: hint, heardAt: now });
   return { ...state, diskHints };
 };
@@ -38,19 +38,19 @@
 
 const newestMetadata = (hints: readonly StoreHint[]): ClusterMetadata | undefined =>
   hints
-    .map((one) => one.frame.metadata)
+    .map((hint) => hint.frame.metadata)
     .reduce<ClusterMetadata | undefined>(
-      (best, one) => (best === undefined || one.epoch > best.epoch ? one : best),
+      (newest, next) => (newest === undefined || next.epoch > newest.epoch ? next : newest),
       undefined,
     );
 
 const hasOffer = (hint: FrameOf<'hint'>): hint is ProvenHint => hint.offer !== undefined;
 
 /**
- * The hint that is proven to be no older than what was confirmed: this registry is in contact with
- * a majority, and every member of the newest in-sync set has sent one. What was confirmed is on the
- * disk of each of them, so the lowest of their generations is no older, and whichever is elected
- * has it.
+ * Hint whose configuration is at least as new as every confirmed one; undefined if that can't be
+ * proven. Requires contact with a majority and a hint of every member of the newest in-sync set: each
+ * of them has all confirmed writes on disk, so the lowest of their generations is new enough, and
+ * every store that can be elected has it.
  */
 export const provenHint = (state: RegistryState, now: Timestamp): ProvenHint | undefined => {
   if (
@@ -67,9 +67,9 @@
     known !== undefined && known.serial > metadata.electorate.serial ? known : metadata.electorate;
   if (!hasMajorityContact({ ...state, electorate }, now)) return undefined;
   const inSync = hints
-    .map((one) => one.frame)
-    .filter((one) => metadata.inSyncSet.includes(one.node));
-  const offering = inSync.filter(hasOffer);
-  if (offering.length < metadata.inSyncSet.length) return undefined;
-  return offering.reduce((low, one) => (one.offer.generation < low.offer.generation ? one : low));
+    .map((hint) => hint.frame)
+    .filter((frame) => metadata.inSyncSet.includes(frame.node));
+  const offers = inSync.filter(hasOffer);
+  if (offers.length < metadata.inSyncSet.length) return undefined;
+  return offers.reduce((low, hint) => (hint.offer.generation < low.offer.generation ? hint : low));
 };
--- a/packages/membership/src/registry/event.ts
+++ b/packages/membership/src/registry/event.ts
@@ -1,6 +1,5 @@
 /**
- * What happens to a registry, and what it wants done: its events, its effects, and the requests that
- * come from outside the fleet.
+ * Events and effects of the registry's state machine, and the requests of operators and origins.
  */
 
 import type {
@@ -57,7 +56,7 @@
     }
   | { readonly verb: 'fleet' };
 
-/** What a registry reacts to. */
+/** An event that a registry handles. */
 export type RegistryEvent =
   | ProcessEvent
   | {
@@ -68,7 +67,7 @@
     }
   | { readonly kind: 'stopRequested'; readonly now: Timestamp };
 
-/** What a registry wants done: beside those of any process, answers to requests. */
+/** An effect of a registry: one of any process, or the reply to a request. */
 export type RegistryEffect =
   | ProcessEffect
   | {
@@ -78,14 +77,14 @@
       readonly body: string;
     };
 
-/** Answers a request with a JSON object. */
+/** Builds a reply whose body is a JSON object. */
 export const reply = (correlationId: number, status: number, body: object): RegistryEffect => ({
   kind: 'reply',
   correlationId,
   status,
   body: JSON.stringify(body),
 });
-/** Answers a request with a body that is JSON already. */
+/** Builds a reply whose body is already encoded as JSON. */
 export const replyText = (correlationId: number, status: number, body: string): RegistryEffect => ({
   kind: 'reply',
   correlationId,
--- a/packages/membership/src/registry/external-requests.ts
+++ b/packages/membership/src/registry/external-requests.ts
@@ -1,6 +1,6 @@
 /**
- * Requests of operators and origins at this registry: each goes to the part that answers it, and
- * what only the primary can answer is put into the form that the store takes.
+ * Requests of operators and origins at this registry: dispatches them to their handlers, and encodes
+ * those that only the primary can answer as commands for the store.
  */
 
 import { type Timestamp, transition } from '@switchwheel/types';
@@ -12,7 +12,7 @@
 import { type ForwardedCommand, forwardToPrimary } from './operator-commands.js';
 import type { RegistryState, RegistryTransition } from './state.js';
 
-/** How long an uploaded configuration may take, its chunks included. */
+/** Timeout of the upload of a configuration, its chunks included. */
 const applyTimeoutMs = 8000;
 const writeTimeoutMs = 4000;
 const readTimeoutMs = 2500;
@@ -23,7 +23,7 @@
   { verb: 'apply' | 'purge' | 'release' | 'outcome' | 'view' }
 >;
 
-/** A request in the form that the store takes; the members of `body` are the store's contract. */
+/** Encodes a request as a command for the store; the fields of `body` are part of the store's protocol. */
 const commandOf = (request: ForwardedRequest): Omit<ForwardedCommand, 'id' | 'correlationId'> => {
   switch (request.verb) {
     case 'apply':
@@ -59,13 +59,13 @@
   }
 };
 
-/** The registry that is to get a vote; undefined if none of that name was met. */
+/** Member to add as a voter; undefined if none is to be added or none of that name is known. */
 const voterToAdd = (state: RegistryState, { add }: ElectorateRequest): Member | undefined => {
   if (add === undefined) return undefined;
   return add === state.member.node ? state.member : state.sessions.get(add)?.member;
 };
 
-/** Adds or removes one voter: the electorates before and after then have a majority in common. */
+/** Adds or removes a single voter, so that majorities of the electorates before and after overlap. */
 const changeElectorate = (
   state: RegistryState,
   correlationId: number,
@@ -106,7 +106,7 @@
   );
 };
 
-/** Takes a request from outside; its answer bears the correlation id. */
+/** Handles a request of an operator or an origin; the reply carries its correlation id. */
 export const onExternalRequest = (
   state: RegistryState,
   correlationId: number,
--- a/packages/membership/src/registry/fleet-view-forms.test.ts
+++ b/packages/membership/src/registry/fleet-view-forms.test.ts
@@ -1,3 +1,5 @@
+/** Guards against renamed or missing fields of the operators' fleet view. */
+
 import { test } from 'node:test';
 import {
   primaryLease,
@@ -23,7 +25,7 @@
 const matchSnapshot = snapshotsFor(import.meta.dirname);
 const now = toTimestamp(5000);
 const hash = toHash('a'.repeat(64));
-const place = { generation: toGeneration(4), hash };
+const version = { generation: toGeneration(4), hash };
 
 const member = (role: Member['role'], node: string): Member => ({
   node: toNodeId(node),
@@ -35,19 +37,19 @@
   incarnation: toIncarnation(1),
 });
 
-void test('what a registry shows of the fleet keeps its keys', () => {
+void test('the fleet view of a registry keeps its fields', () => {
   const edge = member('edge', 'e1');
-  const fresh = newRegistryState(member('registry', 'r1'), [], now, { seed: 1 });
+  const initialState = newRegistryState(member('registry', 'r1'), [], now, { seed: 1 });
   const session = {
     member: edge,
     report: {
-      ...place,
+      ...version,
       phase: 'failed' as const,
-      failed: { ...place, text: 'why' },
+      failed: { ...version, text: 'why' },
       health: { name: 'node', healthy: true, text: '', parts: [] },
       ready: true,
     },
-    registry: fresh.member.node,
+    registry: initialState.member.node,
     seq: toSeq(1),
     open: true,
     lastHeardAt: now,
@@ -73,7 +75,7 @@
     leaseEndsAt: now,
   };
   const holder = { duty: primaryLease, epoch: toEpoch(2), node: edge.node, address: edge.address };
-  const verdict = {
+  const canaryResult = {
     service: origin.service,
     release: origin.release,
     state: 'trial' as const,
@@ -85,17 +87,17 @@
   const members = [{ node: edge.node, address: edge.address }];
   const view = fleetView(
     {
-      ...fresh,
+      ...initialState,
       electorate: { serial: toSeq(1), members },
-      voter: { ...fresh.voter, grants: new Map([[primaryLease, grant]]) },
+      voter: { ...initialState.voter, grants: new Map([[primaryLease, grant]]) },
       sessions: new Map([[edge.node, session]]),
       origins: new Map([[instance, origin]]),
       holders: new Map([[primaryLease, holder]]),
       feed: {
-        ...fresh.feed,
+        ...initialState.feed,
         asOf: now,
-        desired: new Map([[edge.node, place]]),
-        canaryResults: [verdict],
+        desired: new Map([[edge.node, version]]),
+        canaryResults: [canaryResult],
       },
     },
     now,
--- a/packages/membership/src/registry/fleet-view.ts
+++ b/packages/membership/src/registry/fleet-view.ts
@@ -1,6 +1,6 @@
 /**
- * The fleet as one registry knows it, for operators. The members of the answer are named in
- * `docs/`: they are part of the HTTP interface and keep their names.
+ * View of the fleet for operators, as this registry knows it. Its fields are part of the HTTP API and
+ * keep their names.
  */
 
 import type { Timestamp } from '@switchwheel/types';
@@ -49,7 +49,7 @@
   health: session.report.health,
 });
 
-/** What this registry knows of the fleet by itself, without a read at the store. */
+/** Builds the view from this registry's own state, without a read from the store. */
 export const fleetView = (state: RegistryState, now: Timestamp): object => {
   const { feed } = state;
   return {
--- a/packages/membership/src/registry/gossip.ts
+++ b/packages/membership/src/registry/gossip.ts
@@ -1,7 +1,7 @@
 /**
- * Gossip between registries: sessions, origins and lease holders spread from peer to peer, and each
- * gossip shows which gossip of the receiver its sender has, which proves contact in both directions.
- * Sending on a timer is `tick.ts`'s part; building the frame is `messages.ts`'s.
+ * Gossip between registries: exchanges sessions, origins and lease holders. Each frame echoes the
+ * newest gossip that its sender has from the receiver, which proves contact in both directions.
+ * `tick.ts` sends gossip periodically; `messages.ts` builds the frames.
  */
 
 import {
@@ -21,10 +21,10 @@
 import { emptyReport } from './queries.js';
 import type { KnownSession, PeerContact, RegistryState, RegistryTransition } from './state.js';
 
-/** By how much a peer's report of a registry that was not met yet is taken as older than it says. */
+/** Age added to a peer's report of a registry that has not been heard directly. */
 const indirectSessionPenaltyMs = 1000;
 
-/** The gossip of this registry's own incarnation that a peer shows to have. */
+/** Echo of this registry's gossip in a peer's frame; undefined if there is none of this incarnation. */
 const echoOf = (
   state: RegistryState,
   gossip: FrameOf<'gossip'>,
@@ -33,7 +33,7 @@
     (echo) => echo.node === state.member.node && echo.incarnation === state.member.incarnation,
   );
 
-/** The contact that a gossip proves; undefined if it is older than the newest one of the peer. */
+/** Contact with the sender as proven by a gossip frame; undefined if a newer frame of the peer is known. */
 const contactOf = (
   state: RegistryState,
   gossip: FrameOf<'gossip'>,
@@ -53,8 +53,8 @@
   };
 };
 
-/** A peer that restarted needs this registry's memory of its grants: it gets it at once. */
-const answerRecovering = (
+/** Replies at once to a peer that recovers its grants after a restart and needs this registry's records of them. */
+const replyToRecovering = (
   state: RegistryState,
   gossip: FrameOf<'gossip'>,
   now: Timestamp,
@@ -63,7 +63,7 @@
     ? [send(gossip.from.address, gossipFrame(state, now))]
     : [];
 
-/** Notes the sender's own session and contact. */
+/** Records the sender's session and contact. */
 const withSender = (
   state: RegistryState,
   gossip: FrameOf<'gossip'>,
@@ -86,8 +86,8 @@
   };
 };
 
-/** Registries speak for themselves: a peer's report only counts for one that was not met yet. */
-const withUnmetRegistry = (
+/** Records a registry that only peers have reported; registries heard directly report themselves. */
+const withReportedRegistry = (
   state: RegistryState,
   { age, ...session }: SessionRecord,
   now: Timestamp,
@@ -105,23 +105,23 @@
   state: RegistryState,
   sessions: readonly SessionRecord[],
   now: Timestamp,
-): { readonly state: RegistryState; readonly news: boolean } => {
-  let result = { state, news: false };
+): { readonly state: RegistryState; readonly hasChanged: boolean } => {
+  let result = { state, hasChanged: false };
   for (const session of sessions) {
     if (session.member.role === 'registry') {
-      result = { ...result, state: withUnmetRegistry(result.state, session, now) };
+      result = { ...result, state: withReportedRegistry(result.state, session, now) };
       continue;
     }
     const { age, ...record } = session;
     const learned = learnSession(result.state, { ...record, lastHeardAt: subtractMs(now, age) });
-    result = { state: learned.state, news: result.news || learned.news };
+    result = { state: learned.state, hasChanged: result.hasChanged || learned.hasChanged };
   }
   return result;
 };
 
 /**
- * Takes in a peer's gossip. What is new here goes on to the nodes only: other registries hear it
- * from the one it began with.
+ * Applies a peer's gossip. Changes are forwarded to nodes only: other registries get them from the
+ * registry where they originated.
  */
 export const onGossip = (
   state: RegistryState,
@@ -131,24 +131,25 @@
   const { node } = gossip.from;
   if (node === state.member.node) return transition(state);
   const contact = contactOf(state, gossip, now);
-  // An overtaken gossip holds nothing that its sender did not send since.
+  // An outdated frame holds nothing that the newer one does not.
   if (contact === undefined) return transition(state);
   const hasMoved = state.sessions.get(node)?.member.address !== gossip.from.address;
   const learned = learnSessions(withSender(state, gossip, contact, now), gossip.sessions, now);
   const origins = learnOrigins(learned.state.origins, gossip.origins, now);
   const holders = gossip.holders.reduce(learnHolder, learned.state.holders);
-  const memory = {
+  const grantReport = {
     from: node,
     isRecovering: gossip.recovering,
     records: gossip.memories,
     lastGossipHeard: echoOf(state, gossip),
   };
-  const voter = recoverGrants(learned.state.voter, memory, now);
+  const voter = recoverGrants(learned.state.voter, grantReport, now);
   const next = { ...learned.state, origins: origins.origins, holders, voter };
-  const hasNews = hasMoved || learned.news || origins.news || holders !== learned.state.holders;
+  const hasChanges =
+    hasMoved || learned.hasChanged || origins.hasChanged || holders !== learned.state.holders;
   return transition(
     next,
-    ...answerRecovering(next, gossip, now),
-    ...(hasNews ? sendMemberList(next, broadcastTargets(next, now), now) : []),
+    ...replyToRecovering(next, gossip, now),
+    ...(hasChanges ? sendMemberList(next, broadcastTargets(next, now), now) : []),
   );
 };
--- a/packages/membership/src/registry/messages.ts
+++ b/packages/membership/src/registry/messages.ts
@@ -1,6 +1,6 @@
 /**
- * The frames that carry what a registry knows of the fleet, to its nodes (member lists) and to other
- * registries (gossip), and who gets them when there is news.
+ * Frames with a registry's view of the fleet, to nodes (member lists) and to other registries
+ * (gossip), and the addresses that get them after a change.
  */
 
 import { type Address, type Timestamp, elapsedMs } from '@switchwheel/types';
@@ -10,7 +10,7 @@
 import { feedAgeMs, isAlive, liveMembers, peerAddresses } from './queries.js';
 import type { KnownSession, RegistryState } from './state.js';
 
-/** How long a session that fell silent is still gossiped. */
+/** Time without a heartbeat after which a session is no longer included in gossip. */
 const sessionGossipMs = 30_000;
 
 const sessionRecord = (session: KnownSession, now: Timestamp): SessionRecord => ({
@@ -27,7 +27,7 @@
   return feedAge === undefined ? {} : { feedAge };
 };
 
-/** All that this registry knows, for another registry. */
+/** Builds the gossip frame with this registry's whole view of the fleet. */
 export const gossipFrame = (state: RegistryState, now: Timestamp): FrameOf<'gossip'> => ({
   kind: 'gossip',
   from: state.member,
@@ -48,7 +48,7 @@
   ...feedAgeField(state, now),
 });
 
-/** The whole fleet, for a node. */
+/** Builds the member list for nodes. */
 export const memberListFrame = (state: RegistryState, now: Timestamp): FrameOf<'member-list'> => ({
   kind: 'member-list',
   members: liveMembers(state, now),
@@ -56,7 +56,7 @@
   holders: [...state.holders.values()],
 });
 
-/** The nodes that get news at once: those with a session here, and every shield. */
+/** Addresses of the nodes that are notified of changes at once: those with a session here, and all shields. */
 export const broadcastTargets = (state: RegistryState, now: Timestamp): readonly Address[] =>
   [...state.sessions.values()]
     .filter(
@@ -77,7 +77,7 @@
   return addresses.map((address) => send(address, frame));
 };
 
-/** Sends what changed here to nodes and to all other registries. */
+/** Sends this registry's view of the fleet to nodes and to all other registries, after a change. */
 export const broadcast = (state: RegistryState, now: Timestamp): readonly ProcessEffect[] => {
   const gossip = gossipFrame(state, now);
   return [
--- a/packages/membership/src/registry/newest-offer.test.ts
+++ b/packages/membership/src/registry/newest-offer.test.ts
@@ -1,7 +1,6 @@
 /**
- * What a registry sends nodes of the newest confirmed configuration while the primary's row for a node
- * still names an older one: the rollout may be late, but neither a refusal of an unknown route nor an
- * offer may go by the old row for long.
+ * Guards against nodes that keep an older configuration, or don't know that there is a newer one, while the primary's
+ * row for them is outdated.
  */
 
 import assert from 'node:assert/strict';
@@ -21,8 +20,8 @@
 import { type RegistryState, newRegistryState } from './state.js';
 import { registryTransition } from './transition.js';
 
-/** Well under the time within which a confirmed configuration has to be in force. */
-const longestHold = 1000;
+/** Upper bound for the time for which a rollout may withhold a confirmed configuration. */
+const maxHoldMs = 1000;
 
 const offer = (generation: number): ConfigManifest => ({
   generation: toGeneration(generation),
@@ -30,7 +29,7 @@
   pieces: [],
 });
 
-/** A feed with the newest configuration, and a row for the edge that names an older one. */
+/** Feed with generation 5 as current, and a row for the edge with generation 4. */
 const feed = (at: number, serial: number): FrameOf<'feed'> =>
   feedOf(serial, {
     at: toTimestamp(at),
@@ -45,16 +44,16 @@
     report: statusOf({ generation: offer(4).generation, hash: offer(4).hash }),
   });
 
-/** A registry and the answers that the edge gets from it. */
-class Conversation {
+/** A registry, with the replies that the edge gets from it. */
+class RegistrySession {
   state: RegistryState = newRegistryState(registry, [], toTimestamp(900), { seed: 1 });
   readonly replies: FrameOf<'heartbeat-reply'>[] = [];
 
-  receive(by: Member, frame: FrameOf<'heartbeat'> | FrameOf<'feed'>, now: number): void {
+  receive(sender: Member, frame: FrameOf<'heartbeat'> | FrameOf<'feed'>, now: number): void {
     const done = registryTransition(this.state, {
       kind: 'frameReceived',
       now: toTimestamp(now),
-      from: peerOf(by),
+      from: peerOf(sender),
       frame,
     });
     this.state = done.state;
@@ -62,23 +61,27 @@
   }
 }
 
-void test('a node gets the newest confirmed generation, whatever its row names', () => {
-  const conversation = new Conversation();
-  conversation.receive(store, feed(1000, 1), 1000);
-  conversation.receive(edge, heartbeat(1, 1010), 1010);
-  assert.equal(conversation.replies.at(-1)?.newest, 5);
+void test('heartbeat replies hold the newest confirmed generation even if the desired one is older', () => {
+  const session = new RegistrySession();
+  session.receive(store, feed(1000, 1), 1000);
+  session.receive(edge, heartbeat(1, 1010), 1010);
+  assert.equal(session.replies.at(-1)?.newest, 5);
 });
 
-void test('an outdated row holds the newest configuration back for a bounded time only', () => {
-  const conversation = new Conversation();
-  conversation.receive(store, feed(1000, 1), 1000);
-  for (let at = 1010, seq = 1; at <= 1000 + longestHold; at += 100, seq += 1) {
-    conversation.receive(store, feed(at, 1), at);
-    conversation.receive(edge, heartbeat(seq, at), at);
+void test('an outdated desired row withholds the newest configuration for a bounded time only', () => {
+  const session = new RegistrySession();
+  session.receive(store, feed(1000, 1), 1000);
+  for (let at = 1010, seq = 1; at <= 1000 + maxHoldMs; at += 100, seq += 1) {
+    session.receive(store, feed(at, 1), at);
+    session.receive(edge, heartbeat(seq, at), at);
   }
-  assert.equal(conversation.replies[0]?.offer?.generation, undefined, 'the roll-out has its time');
-  const offered = conversation.replies.flatMap((one) =>
-    one.offer === undefined ? [] : [one.offer],
+  assert.equal(
+    session.replies[0]?.offer?.generation,
+    undefined,
+    'no offer while the rollout withholds it',
   );
-  assert.deepEqual([...new Set(offered.map((one) => one.generation))], [5]);
+  const offered = session.replies.flatMap((reply) =>
+    reply.offer === undefined ? [] : [reply.offer],
+  );
+  assert.deepEqual([...new Set(offered.map((manifest) => manifest.generation))], [5]);
 });
--- a/packages/membership/src/registry/node-sessions.ts
+++ b/packages/membership/src/registry/node-sessions.ts
@@ -1,6 +1,6 @@
 /**
- * Sessions of nodes at this registry: a heartbeat keeps a session alive and is answered with all
- * that the node lacks; what the primary changes is pushed to every node with a session here.
+ * Sessions of nodes at this registry: a heartbeat keeps a session alive, and its reply holds everything
+ * that the node lacks. Changes of the primary's feed are pushed to every node with a session here.
  */
 
 import { maxLeaseMs } from '@switchwheel/election';
@@ -28,7 +28,7 @@
 import { releaseRecords, unknownReleases } from './release-records.js';
 import type { KnownSession, RegistryState, RegistryTransition } from './state.js';
 
-/** How long after its start, in lease times, a voter would have seen a renewal of every lease that is held. */
+/** Time after its start, in lease durations, by which a voter has seen a renewal of every held lease. */
 const vacancyWaitLeases = 1.2;
 
 const isNewer = (known: KnownSession | undefined, session: KnownSession): boolean =>
@@ -36,24 +36,27 @@
   session.member.incarnation > known.member.incarnation ||
   (session.member.incarnation === known.member.incarnation && session.seq > known.seq);
 
-/** Takes a session in, whoever reports it, if it is newer by the node's own sequence. */
+/**
+ * Records a session if it is newer by the node's own sequence number, whatever process reported it.
+ * `hasChanged` is true if other processes have to be notified.
+ */
 export const learnSession = (
   state: RegistryState,
   session: KnownSession,
-): { readonly state: RegistryState; readonly news: boolean } => {
+): { readonly state: RegistryState; readonly hasChanged: boolean } => {
   const { node } = session.member;
   const known = state.sessions.get(node);
-  if (!isNewer(known, session)) return { state, news: false };
-  const news =
+  if (!isNewer(known, session)) return { state, hasChanged: false };
+  const hasChanged =
     known === undefined ||
     known.open !== session.open ||
     known.member.incarnation !== session.member.incarnation ||
     known.member.address !== session.member.address ||
     known.member.door !== session.member.door;
-  return { state: { ...state, sessions: withEntry(state.sessions, node, session) }, news };
+  return { state: { ...state, sessions: withEntry(state.sessions, node, session) }, hasChanged };
 };
 
-/** Leases that are over as far as this voter knows: it would have seen their renewals. */
+/** Leases without a valid grant of this voter; empty until the voter would have seen every renewal. */
 export const vacantLeases = (state: RegistryState, now: Timestamp): LeaseName[] => {
   if (now < addMs(state.voter.startedAt, vacancyWaitLeases * maxLeaseMs)) return [];
   const leases = new Set([...state.voter.grants.keys(), ...state.holders.keys()]);
@@ -63,17 +66,17 @@
 };
 
 interface ReplyContent {
-  /** The time that the node's heartbeat bears; the clock's origin in a push. */
+  /** Send time of the node's heartbeat, by the node's clock; the clock's origin in a push. */
   readonly echoedAt: Timestamp;
-  /** The latest purge that the node has. */
-  readonly purged: number;
+  /** Number of the latest purge batch that the node has. */
+  readonly latestPurge: number;
   readonly offer: ConfigManifest | undefined;
   readonly releases: RolloutState[];
 }
 
 const heartbeatReply = (
   state: RegistryState,
-  { echoedAt, purged, offer, releases }: ReplyContent,
+  { echoedAt, latestPurge, offer, releases }: ReplyContent,
   now: Timestamp,
 ): FrameOf<'heartbeat-reply'> => {
   const age = servableFeedAgeMs(state, now);
@@ -87,7 +90,7 @@
     ...(offer === undefined ? {} : { offer }),
     newest: newestGeneration(state),
     newestAge: elapsedMs(state.feed.currentSince, now),
-    purges: state.feed.purges.filter((purge) => purge.seq > purged),
+    purges: state.feed.purges.filter((purge) => purge.seq > latestPurge),
     floor: state.feed.oldestPurge,
     top: state.feed.latestPurge,
     verdicts: [...state.feed.canaryResults],
@@ -98,7 +101,7 @@
   };
 };
 
-/** Takes a node's heartbeat in, answers it, and spreads what it changes. */
+/** Handles a node's heartbeat: updates its session, replies, and notifies others of changes. */
 export const onHeartbeat = (
   state: RegistryState,
   from: Peer,
@@ -122,7 +125,7 @@
   const reconciled = reconcile(base, session, now);
   const content: ReplyContent = {
     echoedAt: heartbeat.at,
-    purged: heartbeat.purged,
+    latestPurge: heartbeat.purged,
     offer: reconciled.offer,
     releases: unknownReleases(releaseRecords(reconciled.state, now), heartbeat.releases),
   };
@@ -134,7 +137,7 @@
     reconciled.state,
     send(from.address, heartbeatReply(reconciled.state, content, now)),
     ...(isFirstHere ? [send(from.address, memberListFrame(reconciled.state, now))] : []),
-    ...(learned.news || hasNewHolders ? broadcast(reconciled.state, now) : []),
+    ...(learned.hasChanged || hasNewHolders ? broadcast(reconciled.state, now) : []),
   );
 };
 
@@ -144,10 +147,10 @@
   session.member.role !== 'store' &&
   session.open;
 
-/** Pushes news of the primary to every node with a session here; `purged` is the latest purge that they have. */
+/** Pushes the feed's changes to every node with a session here; `latestPurge` is the last purge batch already sent. */
 export const pushToNodes = (
   state: RegistryState,
-  purged: number,
+  latestPurge: number,
   now: Timestamp,
 ): RegistryTransition => {
   let next: RegistryTransition = transition(state);
@@ -155,10 +158,10 @@
   for (const session of state.sessions.values()) {
     if (!getsPushes(state, session)) continue;
     const reconciled = reconcile(next.state, session, now);
-    // The echoed time is none of the node's own, so a push renews no session and proves no freshness.
+    // Echoes no heartbeat, so that a push neither renews the session nor proves a fresh feed.
     const content: ReplyContent = {
       echoedAt: clockOrigin,
-      purged,
+      latestPurge,
       offer: reconciled.offer,
       releases: unknownReleases(records, session.releasesDigest),
     };
--- a/packages/membership/src/registry/operator-commands.ts
+++ b/packages/membership/src/registry/operator-commands.ts
@@ -1,7 +1,7 @@
 /**
- * Commands and reads that only the store's primary can answer: each is forwarded until an answer
- * comes, and ended when its time is over or this registry is cut off from the primary. A command
- * that never left certainly did not run; of one that left, the outcome may be unknown.
+ * Commands and reads that only the store's primary can answer: forwards each until the reply arrives,
+ * and ends it when it times out or this registry is disconnected from the primary. A command that was
+ * never forwarded has not run; the outcome of one that was forwarded may be unknown.
  */
 
 import {
@@ -14,25 +14,27 @@
 } from '@switchwheel/types';
 import { type FrameOf, send } from '@switchwheel/transport';
 import { expireBootstraps } from './cluster-bootstrap.js';
-import { onOfferNamed, readsConfiguration } from './configuration-read.js';
+import { onManifestReply, readsConfiguration } from './configuration-read.js';
 import { type RegistryEffect, reply, replyText } from './event.js';
 import { hasMajorityContact, onlyPeersHearPrimary, primaryHolder } from './queries.js';
 import type { PendingCommand, RegistryState, RegistryTransition } from './state.js';
 
 const resendIntervalMs = 400;
 const maxPendingCommands = 256;
-/** How long a command waits for a primary that peers hear and this registry does not, or for a majority. */
+/** Time without contact to a majority, or to a primary that peers hear, after which a command is ended. */
 const contactTimeoutMs = 900;
-/** Above this age a command needs fresher contact, though a primary on this machine may still have its lease. */
-const doubtfulAfterMs = 600;
+/**
+ * Age above which a command requires contact with the majority within `contactTimeoutMs`, even if a
+ * primary on the same machine still holds its lease.
+ */
+const strictContactAfterMs = 600;
 
-/** A command or read for the primary, as an external request makes it. */
+/** A command or read for the primary, as built from an external request. */
 export interface ForwardedCommand
   extends
     Pick<PendingCommand, 'verb' | 'body' | 'timeoutMs'>,
     Partial<Pick<PendingCommand, 'baseGeneration' | 'chunks'>> {
   readonly id: CommandId;
-  /** Where the answer goes. */
   readonly correlationId: number;
 }
 
@@ -48,22 +50,22 @@
   verb === 'ask' || verb === 'view';
 
 /**
- * Whether this registry is cut off from the primary for as long as a command has to know it: it has
- * no contact with the majority, or the primary is silent here while peers hear it. While nobody
- * hears one, a new primary is being elected, and the command waits for it.
+ * Whether a command must be ended because this registry is disconnected: it has no contact with the
+ * majority, or does not hear the primary while peers do. While no registry hears a primary, a new one
+ * is being elected, and the command waits for it.
  */
-const isCutOff = (state: RegistryState, command: PendingCommand, now: Timestamp): boolean => {
+const isDisconnected = (state: RegistryState, command: PendingCommand, now: Timestamp): boolean => {
   if (!hasMajorityContact(state, now)) return true;
-  const isDoubtful = now - command.receivedAt > doubtfulAfterMs;
-  if (isDoubtful && !hasMajorityContact(state, now, contactTimeoutMs)) return true;
+  const needsFreshContact = now - command.receivedAt > strictContactAfterMs;
+  if (needsFreshContact && !hasMajorityContact(state, now, contactTimeoutMs)) return true;
   const primaryHeardAt = Math.max(command.receivedAt, state.feed.asOf ?? -Infinity);
   if (now - primaryHeardAt <= contactTimeoutMs) return false;
-  // A registry that restarted while it is cut off does not even know the electorate.
+  // A registry that restarted while disconnected does not know the electorate.
   if (state.electorate === undefined) return true;
   return !hasMajorityContact(state, now, contactTimeoutMs) || onlyPeersHearPrimary(state);
 };
 
-/** All who wait for the answer to a command. */
+/** Correlation ids of all requests that wait for a command's reply. */
 const correlationIdsOf = (command: PendingCommand): readonly number[] => [
   command.correlationId,
   ...command.duplicates,
@@ -84,22 +86,22 @@
     text: 'the outcome is not known; ask again with this id',
   });
 
-const endWithoutAnswer = (id: CommandId, command: PendingCommand): readonly RegistryEffect[] => {
+const endWithoutReply = (id: CommandId, command: PendingCommand): readonly RegistryEffect[] => {
   const didNotRun = command.forwardedAt === undefined || isRead(command);
-  const answer = didNotRun ? notForwarded : outcomeUnknown;
-  return correlationIdsOf(command).map((correlationId) => answer(correlationId, id));
+  const replyTo = didNotRun ? notForwarded : outcomeUnknown;
+  return correlationIdsOf(command).map((correlationId) => replyTo(correlationId, id));
 };
 
-/** Forwards what waits to the primary, and ends what took too long. */
+/** Forwards pending commands to the primary, and ends those that timed out or can't be forwarded. */
 const tickCommands = (state: RegistryState, now: Timestamp): RegistryTransition => {
   let pendingCommands = state.pendingCommands;
   const effects: RegistryEffect[] = [];
-  // The known holder may be outdated: commands leave once this incarnation has heard a primary.
+  // The known holder may be outdated: commands are forwarded once this incarnation has heard a primary.
   const primary = state.feed.asOf === undefined ? undefined : primaryHolder(state);
   for (const [id, command] of state.pendingCommands) {
-    if (now - command.receivedAt > command.timeoutMs || isCutOff(state, command, now)) {
+    if (now - command.receivedAt > command.timeoutMs || isDisconnected(state, command, now)) {
       pendingCommands = withoutEntry(pendingCommands, id);
-      effects.push(...endWithoutAnswer(id, command));
+      effects.push(...endWithoutReply(id, command));
       continue;
     }
     const isDue = now - (command.forwardedAt ?? -Infinity) > resendIntervalMs;
@@ -113,13 +115,13 @@
   );
 };
 
-/** Lets time pass for all requests that wait for a store: commands, then bootstraps. */
+/** Handles a tick for all requests that wait for stores: commands, then bootstraps. */
 export const tickPendingCommands = (state: RegistryState, now: Timestamp): RegistryTransition => {
   const done = tickCommands(state, now);
   return prependEffects(done.effects, expireBootstraps(done.state, now));
 };
 
-/** A repeated command waits for the one answer; a read, or other content under the same id, is refused. */
+/** Adds a repeated command to the pending one; rejects a repeated read, or other content with the same id. */
 const joinPendingCommand = (
   state: RegistryState,
   pending: PendingCommand,
@@ -142,7 +144,7 @@
   });
 };
 
-/** Why nothing is forwarded at all now; undefined if commands are taken. */
+/** Body of the reply if no commands are accepted now; undefined if they are. */
 const forwardRefusal = (
   state: RegistryState,
   id: CommandId,
@@ -162,7 +164,7 @@
   return undefined;
 };
 
-/** Takes a command or read in and forwards it at once if a primary is known. */
+/** Accepts a command or read, and forwards it at once if a primary is known. */
 export const forwardToPrimary = (
   state: RegistryState,
   command: ForwardedCommand,
@@ -186,7 +188,7 @@
   return tickPendingCommands(next, now);
 };
 
-/** The primary answered a command: all who wait for it hear so, unless its read goes on. */
+/** Handles the primary's reply to a command: replies to all waiting requests, unless a read needs chunks first. */
 export const onCommandResult = (
   state: RegistryState,
   result: FrameOf<'called'>,
@@ -195,7 +197,7 @@
   const command = state.pendingCommands.get(result.id);
   if (command === undefined) return transition(state);
   if (result.status === 200 && readsConfiguration(command))
-    return onOfferNamed(state, command, result, now);
+    return onManifestReply(state, command, result, now);
   return transition(
     { ...state, pendingCommands: withoutEntry(state.pendingCommands, result.id) },
     ...correlationIdsOf(command).map((correlationId) =>
--- a/packages/membership/src/registry/primary-feed.ts
+++ b/packages/membership/src/registry/primary-feed.ts
@@ -1,6 +1,6 @@
 /**
- * This registry as a subscriber of the store's primary: it reports its sessions, and takes in the
- * feed of desired configurations, purges and rollouts that its nodes are to have.
+ * This registry as a subscriber of the store's primary: reports its sessions, and receives the feed of
+ * desired configurations, purges and rollouts for its nodes.
  */
 
 import {
@@ -23,7 +23,7 @@
 const generationOf = (manifest: ConfigManifest | undefined): ConfigManifest['generation'] =>
   manifest?.generation ?? noGeneration;
 
-/** The feed after a frame; a frame without desired rows leaves those of the frame before. */
+/** Merges a frame into the feed; a frame without desired rows keeps the known ones. */
 const mergeFeed = (feed: Feed, frame: FrameOf<'feed'>, now: Timestamp): Feed => {
   const known = new Set(feed.purges.map((purge) => purge.seq));
   const added = frame.purges.filter((purge) => !known.has(purge.seq));
@@ -53,7 +53,7 @@
   };
 };
 
-/** Drops chunks that no offer and no read under way needs, once another configuration is current. */
+/** Chunks to keep: once another configuration is current, only those of its manifest, of offers and of pending reads. */
 const keptChunks = (state: RegistryState, feed: Feed): RegistryState['chunks'] => {
   if (feed.current?.hash === state.feed.current?.hash) return state.chunks;
   const manifests = [
@@ -67,15 +67,15 @@
   return filterEntries(state.chunks, (_, hash) => needed.has(hash));
 };
 
-/** Whether nodes have to hear of a feed at once. */
-const hasNews = (before: Feed, after: Feed): boolean =>
+/** Whether a feed has changes that are pushed to nodes at once. */
+const hasChanges = (before: Feed, after: Feed): boolean =>
   after.latestSerial !== before.latestSerial ||
   after.latestPurge !== before.latestPurge ||
   after.epoch !== before.epoch ||
   after.current?.generation !== before.current?.generation;
 
-/** A primary whose configuration is older than its predecessor's has lost a confirmed command. */
-const checkConfirmed = (state: RegistryState, before: Feed): RegistryTransition =>
+/** Reports a violation if the current generation went back: the new primary has lost a confirmed command. */
+const checkGenerationKept = (state: RegistryState, before: Feed): RegistryTransition =>
   generationOf(state.feed.current) >= generationOf(before.current)
     ? transition(state)
     : transition(
@@ -84,8 +84,8 @@
       );
 
 /**
- * Takes in the primary's feed and pushes what is new to the nodes. Frames of an older epoch, and
- * overtaken ones of this epoch, change nothing.
+ * Applies the primary's feed and pushes changes to the nodes. Ignores frames of an older epoch, and
+ * frames of the same epoch that arrive after a newer one.
  */
 export const onFeed = (
   state: RegistryState,
@@ -113,19 +113,19 @@
     electorate: voter.electorate ?? state.electorate,
     chunks: keptChunks(state, feed),
   };
-  const checked = checkConfirmed(next, before);
-  if (!hasNews(before, feed)) return checked;
+  const checked = checkGenerationKept(next, before);
+  if (!hasChanges(before, feed)) return checked;
   return prependEffects(checked.effects, pushToNodes(checked.state, before.latestPurge, now));
 };
 
-/** How far the primary may rely on this registry's vote. */
+/** Readiness of this registry's voter, as reported to the primary. */
 const voterReadiness = (state: RegistryState, now: Timestamp): FrameOf<'subscribe'>['voter'] => {
   if (state.isStopping) return 'leaving';
   const abstains = now < abstentionEnd(state.voter);
   return state.voter.isRecovering || abstains ? 'recovering' : 'ready';
 };
 
-/** Renews the subscription at the primary: which nodes have their session here, and their reports. */
+/** Renews the subscription at the primary, with the nodes that have a session here and their reports. */
 export const subscribe = (state: RegistryState, now: Timestamp): RegistryTransition => {
   const primary = primaryHolder(state);
   if (primary === undefined) return transition(state);
--- a/packages/membership/src/registry/queries.ts
+++ b/packages/membership/src/registry/queries.ts
@@ -1,6 +1,6 @@
 /**
- * Questions about a registry's state that several of its parts ask: who is alive, whether the
- * majority is in contact, how fresh the primary's feed is. Nothing here changes the state.
+ * Queries of a registry's state: live members, contact with the majority, and the age of the
+ * primary's feed.
  */
 
 import {
@@ -15,20 +15,20 @@
 import { quorumSize } from '@switchwheel/election';
 import type { KnownSession, RegistryState } from './state.js';
 
-/** How long a session stays alive without a heartbeat. */
+/** Time without a heartbeat after which a session is no longer alive. */
 export const sessionTimeoutMs = 1500;
-/** How old the primary's feed, or a peer's echo, may be to count as contact. */
+/** Maximum age of the primary's feed, or of a peer's echo, to count as contact. */
 export const freshnessLimitMs = 1200;
-/** How long another registry that fell silent still gets gossip. */
+/** Time for which a silent registry still gets gossip. */
 const peerRetentionMs = 60_000;
-/** By how much a peer's feed must be newer: a dead primary falls silent for all at once. */
-const silenceMarginMs = 500;
+/** Lead by which a peer's feed must be newer; the feeds of all registries end together when the primary fails. */
+const feedLeadMs = 500;
 
-/** Whether a session is open and its node was heard in time. */
+/** Whether a session is open and its node has sent a heartbeat in time. */
 export const isAlive = (session: KnownSession, now: Timestamp): boolean =>
   session.open && now - session.lastHeardAt < sessionTimeoutMs;
 
-/** The status of a node that runs no configuration. */
+/** Status of a node that runs no configuration. */
 export const emptyReport = (ready: boolean): NodeStatus => ({
   generation: noGeneration,
   phase: 'none',
@@ -36,7 +36,7 @@
   health: { name: 'process', healthy: true, text: '', parts: [] },
 });
 
-/** Every live node, this registry and its peers among them. */
+/** All live members of the fleet, including this registry and its peers. */
 export const liveMembers = (state: RegistryState, now: Timestamp): Member[] => [
   state.member,
   ...[...state.sessions.values()]
@@ -44,24 +44,24 @@
     .map((session) => session.member),
 ];
 
-/** The other registries: those met, those with a vote, and the seeds. */
+/** Addresses of the other registries: those with a session, the voters, and the seeds. */
 export const peerAddresses = (state: RegistryState, now: Timestamp): readonly Address[] => {
-  const met = [...state.sessions.values()]
+  const known = [...state.sessions.values()]
     .filter(
       (session) =>
         session.member.role === 'registry' && now - session.lastHeardAt < peerRetentionMs,
     )
     .map((session) => session.member.address);
   const voters = state.electorate?.members.map((voter) => voter.address) ?? [];
-  return [...new Set([...met, ...voters, ...state.seeds])].filter(
+  return [...new Set([...known, ...voters, ...state.seeds])].filter(
     (address) => address !== state.member.address,
   );
 };
 
 /**
- * Whether this registry and a majority of the electorate hear each other: each of them showed that
- * it has a gossip of this registry that is younger than the limit. A link that is cut in one
- * direction is no contact. True while no electorate is known.
+ * Whether this registry has two-way contact with a majority of the electorate: each of them has echoed
+ * a gossip of this registry that is younger than the limit, so a link that is down in one direction
+ * does not count. True while no electorate is known.
  */
 export const hasMajorityContact = (
   state: RegistryState,
@@ -78,19 +78,19 @@
   return inContact.length >= quorumSize(electorate.members.length);
 };
 
-/** Whether a peer hears a primary that this registry does not hear any more. */
+/** Whether a peer has a newer feed of the primary than this registry, by more than `feedLeadMs`. */
 export const onlyPeersHearPrimary = (state: RegistryState): boolean => {
   const own = state.feed.asOf ?? -Infinity;
   return [...state.peers.values()].some(
-    (peer) => peer.primaryAsOf !== undefined && peer.primaryAsOf > own + silenceMarginMs,
+    (peer) => peer.primaryAsOf !== undefined && peer.primaryAsOf > own + feedLeadMs,
   );
 };
 
-/** The store that holds the primary's lease, as far as this registry knows. */
+/** Store that holds the primary's lease, as far as this registry knows. */
 export const primaryHolder = (state: RegistryState): LeaseHolder | undefined =>
   state.holders.get(primaryLease);
 
-/** The age of the primary's feed; undefined if there is none or it is too old to count. */
+/** Age of the primary's feed; undefined if there is none or it is older than `freshnessLimitMs`. */
 export const feedAgeMs = (state: RegistryState, now: Timestamp): DurationMs | undefined => {
   const { asOf } = state.feed;
   if (asOf === undefined) return undefined;
@@ -98,6 +98,6 @@
   return age < freshnessLimitMs ? toDurationMs(age) : undefined;
 };
 
-/** The age of the feed where it may be passed on to nodes: only in contact with the majority. */
+/** Age of the feed if it may be passed on to nodes; undefined also without contact with the majority. */
 export const servableFeedAgeMs = (state: RegistryState, now: Timestamp): DurationMs | undefined =>
   hasMajorityContact(state, now) ? feedAgeMs(state, now) : undefined;
--- a/packages/membership/src/registry/release-records.ts
+++ b/packages/membership/src/registry/release-records.ts
@@ -1,6 +1,6 @@
 /**
- * The states of release rollouts as nodes get them: with the time that is left by now, and only
- * those that a node does not know yet, which it shows by a digest of its records.
+ * Release records for nodes: updates the remaining times, and selects the records that a node lacks
+ * by the digest in its heartbeat.
  */
 
 import { type Timestamp, toDurationMs } from '@switchwheel/types';
@@ -8,19 +8,19 @@
 import { isSettled, releasesDigest } from '../releases/releases-digest.js';
 import type { RegistryState } from './state.js';
 
-/** All records, as of one point in time, and their digest. */
+/** All records at one point in time, with their digest. */
 export interface ReleaseRecords {
   readonly releases: readonly RolloutState[];
   readonly digest: string;
 }
 
-// A digest holds for a feed's records until the time of one of them is over.
+// The digest of a feed's records is valid until the remaining time of one of them ends.
 const digestCache = new WeakMap<
   readonly RolloutState[],
   { readonly digest: string; readonly until: number }
 >();
 
-/** The records of the primary's feed with the time that is left by now. */
+/** Records of the primary's feed with their remaining times as of `now`. */
 export const releaseRecords = (state: RegistryState, now: Timestamp): ReleaseRecords => {
   const { releases: received, releasesReceivedAt } = state.feed;
   const releases = received.map((record) => ({
@@ -35,7 +35,7 @@
   return { releases, digest };
 };
 
-/** The records that a node lacks: all, or only the unsettled ones if its digest is the same. */
+/** Records to send to a node: all, or only the unsettled ones if its digest is equal. */
 export const unknownReleases = (
   records: ReleaseRecords,
   knownDigest: string | undefined,
--- a/packages/membership/src/registry/releases.test.ts
+++ b/packages/membership/src/registry/releases.test.ts
@@ -1,4 +1,4 @@
-/** Which release records a registry sends to a node: only those that the node does not know. */
+/** Guards against release records that a node lacks and does not get, and against sending known ones again. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -36,18 +36,18 @@
   serial: toSeq(1),
   ...change,
 });
-const moving = record('clips', {
+const inCanary = record('clips', {
   target: toRelease('r2'),
   phase: 'trial',
   leftMs: toDurationMs(5000),
   order: toSeq(1),
   serial: toSeq(2),
 });
-const good: RolloutState = { ...moving, phase: 'good', serial: toSeq(3) };
+const good: RolloutState = { ...inCanary, phase: 'good', serial: toSeq(3) };
 
 const feed = (releases: RolloutState[], serial = 1, top = 0): FrameOf<'feed'> =>
   feedOf(serial, { releases, top: toSeq(top) });
-/** A feed of a write that does not touch what nodes are to run. */
+/** Feed of a write that does not change desired configurations. */
 const feedWithoutDesired = (releases: RolloutState[], serial: number): FrameOf<'feed'> => {
   const { desired, ...rest } = feed(releases, serial);
   return desired === undefined ? feed(releases, serial) : rest;
@@ -57,101 +57,113 @@
 
 interface Received {
   readonly state: RegistryState;
-  /** The services whose records the edge was sent, or undefined if nothing was sent to it. */
+  /** Services whose records were sent to the edge; undefined if no frame was sent to it. */
   readonly services: readonly string[] | undefined;
 }
-const act = (
+const receive = (
   state: RegistryState,
-  by: Member,
+  sender: Member,
   frame: FrameOf<'heartbeat'> | FrameOf<'feed'>,
   now: number,
 ): Received => {
   const done = registryTransition(state, {
     kind: 'frameReceived',
     now: toTimestamp(now),
-    from: peerOf(by),
+    from: peerOf(sender),
     frame,
   });
   const services = repliesToEdge(done)
     .at(-1)
-    ?.releases.map((one) => one.service);
+    ?.releases.map((release) => release.service);
   return { state: done.state, services };
 };
-const fresh = (releases: RolloutState[]): RegistryState =>
-  act(newRegistryState(registry, [], toTimestamp(900), { seed: 1 }), store, feed(releases), 1000)
-    .state;
+const stateWith = (releases: RolloutState[]): RegistryState =>
+  receive(
+    newRegistryState(registry, [], toTimestamp(900), { seed: 1 }),
+    store,
+    feed(releases),
+    1000,
+  ).state;
 
-void test('a node that knows the settled records is not sent them again; one that does not is sent all', () => {
+void test('settled records are sent only to nodes whose digest differs', () => {
   const all = [record('clips'), record('acts')];
-  const state = fresh(all);
+  const state = stateWith(all);
   assert.deepEqual(
-    act(state, edge, heartbeat(1), 1010).services,
+    receive(state, edge, heartbeat(1), 1010).services,
     ['clips', 'acts'],
-    'one that tells no digest',
+    'no digest in the heartbeat',
   );
   assert.deepEqual(
-    act(state, edge, heartbeat(1, releasesDigest([record('clips')])), 1010).services,
+    receive(state, edge, heartbeat(1, releasesDigest([record('clips')])), 1010).services,
     ['clips', 'acts'],
-    'one that lacks a record',
+    'digest without one record',
   );
   assert.deepEqual(
-    act(state, edge, heartbeat(1, releasesDigest([...all].reverse())), 1010).services,
+    receive(state, edge, heartbeat(1, releasesDigest([...all].reverse())), 1010).services,
     [],
-    'one that has them, in any order',
+    'digest of all records in another order',
   );
 });
 
-void test('an unsettled record is sent each time, and once more when its time is over', () => {
-  const state = fresh([moving, record('acts')]);
-  const known = releasesDigest([moving, record('acts')]);
-  assert.deepEqual(act(state, edge, heartbeat(1, known), 1010).services, ['clips'], 'a trial');
-  const judged = fresh([good, record('acts')]);
-  const knows = releasesDigest([good, record('acts')]);
+void test('an unsettled record is sent with every reply, and all records once its span has ended', () => {
+  const state = stateWith([inCanary, record('acts')]);
+  const known = releasesDigest([inCanary, record('acts')]);
+  assert.deepEqual(
+    receive(state, edge, heartbeat(1, known), 1010).services,
+    ['clips'],
+    'in the canary phase',
+  );
+  const decided = stateWith([good, record('acts')]);
+  const knownDecided = releasesDigest([good, record('acts')]);
   assert.deepEqual(
-    act(judged, edge, heartbeat(1, knows), 1010).services,
+    receive(decided, edge, heartbeat(1, knownDecided), 1010).services,
     ['clips'],
-    'judged, its span not over',
+    'good before the end of its span',
   );
   assert.deepEqual(
-    act(judged, edge, heartbeat(1, knows), 6500).services,
+    receive(decided, edge, heartbeat(1, knownDecided), 6500).services,
     ['clips', 'acts'],
-    'over, and the node does not know',
+    'after its span, with a digest from before',
   );
-  const over = releasesDigest([{ ...good, leftMs: toDurationMs(0) }, record('acts')]);
+  const knownEnded = releasesDigest([{ ...good, leftMs: toDurationMs(0) }, record('acts')]);
   assert.deepEqual(
-    act(judged, edge, heartbeat(1, over), 6500).services,
+    receive(decided, edge, heartbeat(1, knownEnded), 6500).services,
     [],
-    'over, and the node knows',
+    'after its span, with a current digest',
   );
 });
 
-void test('a push has no records that the node knows, and all once one has changed', () => {
+void test('a push holds no known records, and all records after one has changed', () => {
   const known = releasesDigest([record('clips'), record('acts')]);
-  const state = act(
-    fresh([record('clips'), record('acts')]),
+  const state = receive(
+    stateWith([record('clips'), record('acts')]),
     edge,
     heartbeat(1, known),
     1010,
   ).state;
-  const purged = act(state, store, feed([record('clips'), record('acts')], 2, 1), 1020);
-  assert.deepEqual(purged.services, [], 'a purge');
-  const changed = act(
+  const purged = receive(state, store, feed([record('clips'), record('acts')], 2, 1), 1020);
+  assert.deepEqual(purged.services, [], 'push of a purge');
+  const changed = receive(
     purged.state,
     store,
     feed([record('clips', { settled: toRelease('r2'), serial: toSeq(2) }), record('acts')], 3, 1),
     1030,
   );
-  assert.deepEqual(changed.services, ['clips', 'acts'], 'a record that changed');
+  assert.deepEqual(changed.services, ['clips', 'acts'], 'push of a changed record');
 });
 
-void test('a write that leaves the desired state alone is pushed too, and an overtaken one is ignored', () => {
+void test('a feed without desired rows is pushed too, and one that arrives out of order is ignored', () => {
   const known = releasesDigest([record('clips')]);
-  const state = act(fresh([record('clips')]), edge, heartbeat(1, known), 1010).state;
+  const state = receive(stateWith([record('clips')]), edge, heartbeat(1, known), 1010).state;
   const next = record('clips', { settled: toRelease('r2'), serial: toSeq(2) });
-  const changed = act(state, store, feedWithoutDesired([next], 5), 1020);
+  const changed = receive(state, store, feedWithoutDesired([next], 5), 1020);
   assert.deepEqual(changed.services, ['clips']);
-  assert.equal(changed.state.feed.desiredSerial, 1, 'the desired state is as of the first write');
-  const late = act(changed.state, store, feedWithoutDesired([record('clips')], 4), 1030);
+  assert.equal(
+    changed.state.feed.desiredSerial,
+    1,
+    'the desired rows are those of the first write',
+  );
+  const late = receive(changed.state, store, feedWithoutDesired([record('clips')], 4), 1030);
   assert.equal(late.services, undefined);
   assert.equal(late.state.feed.releases[0]?.settled, 'r2');
 });
--- a/packages/membership/src/registry/retention.ts
+++ b/packages/membership/src/registry/retention.ts
@@ -1,18 +1,18 @@
 /**
- * Keeps a registry's memory bounded: nodes and origins that are gone, and requests that were never
- * answered, are forgotten, so that memory depends on the fleet as it is and not on the uptime.
+ * Expiry of a registry's state: removes nodes and origins that are gone and chunk requests without an
+ * answer, so that memory depends on the size of the fleet and not on the uptime.
  */
 
 import { type Timestamp, filterEntries } from '@switchwheel/types';
 import { forgetOrigins } from '../origins/origins.js';
 import type { RegistryState } from './state.js';
 
-/** How long a session that ended is remembered. */
+/** Time after its last heartbeat for which a session is kept. */
 const sessionRetentionMs = 600_000;
-/** How long a chunk is waited for: a node that still lacks it requests it again. */
+/** Time after which a chunk request is dropped; a node that still lacks the chunk requests it again. */
 const chunkRequestRetentionMs = 5000;
 
-/** The state without whatever has expired. */
+/** Removes all expired entries. */
 export const forgetExpired = (state: RegistryState, now: Timestamp): RegistryState => {
   const sessions = filterEntries(
     state.sessions,
--- a/packages/membership/src/registry/state.ts
+++ b/packages/membership/src/registry/state.ts
@@ -1,6 +1,6 @@
 /**
- * The state of a registry: what it learned of the fleet, and what it has under way. Only
- * `transition.ts` and its parts make new states.
+ * State of a registry: its view of the fleet, and its operations in progress. Only `transition.ts`
+ * and the event handlers that it calls create new states.
  */
 
 import {
@@ -40,27 +40,27 @@
 import type { OriginTable } from '../origins/origins.js';
 import type { RegistryEffect } from './event.js';
 
-/** A session as this registry knows it: its own, or another registry's by gossip. */
+/** A node's session, with this registry or, as reported by gossip, with another one. */
 export interface KnownSession {
   readonly member: Member;
   readonly report: NodeStatus;
   readonly registry: NodeId;
   readonly seq: Seq;
   readonly lastHeardAt: Timestamp;
-  /** Whether the node has not ended it. */
+  /** False once the node has ended the session. */
   readonly open: boolean;
-  /** The digest of the release records that the node knows; only known of own sessions. */
+  /** Digest of the release records that the node has; only known of sessions with this registry. */
   readonly releasesDigest?: string | undefined;
 }
 
-/** What the store's primary sent last: what nodes are to run and to have. */
+/** State received from the store's primary: desired configurations, purges, canary results and releases. */
 export interface Feed {
   readonly epoch: Epoch;
-  /** The write as of which `desired` and `offers` are complete. */
+  /** Serial of the write up to which `desired` and `offers` are complete. */
   readonly desiredSerial: Seq;
-  /** The latest write that the primary sent a frame for. */
+  /** Serial of the latest write that the primary has sent. */
   readonly latestSerial: Seq;
-  /** As of when the primary is known to have confirmed nothing newer; undefined before its first answer. */
+  /** Time as of which this feed holds all confirmed writes; undefined before the primary's first reply. */
   readonly asOf: Timestamp | undefined;
   readonly desired: ReadonlyMap<
     NodeId,
@@ -68,17 +68,17 @@
   >;
   readonly offers: ReadonlyMap<Hash, ConfigManifest>;
   readonly current: ConfigManifest | undefined;
-  /** When `current` came to be known here. */
+  /** Time at which `current` was received. */
   readonly currentSince: Timestamp;
   readonly purges: readonly Purge[];
   readonly oldestPurge: Seq;
   readonly latestPurge: Seq;
   readonly canaryResults: readonly CanaryResult[];
   readonly releases: readonly RolloutState[];
-  /** When `releases` came: their remaining times run from there. */
+  /** Time at which `releases` were received; their remaining times are relative to it. */
   readonly releasesReceivedAt: Timestamp;
 }
-/** The feed before the primary's first frame. */
+/** Feed before the primary's first frame. */
 export const emptyFeed: Feed = {
   epoch: noEpoch,
   desiredSerial: noSeq,
@@ -96,34 +96,35 @@
   releasesReceivedAt: clockOrigin,
 };
 
-/** A command or read that waits for the primary's answer. */
+/** A command or read that waits for the primary's reply. */
 export interface PendingCommand {
   readonly correlationId: number;
-  /** The same command, sent again while it is pending: correlation ids that get the one answer too. */
+  /** Correlation ids of repetitions received while the command is pending; they get the same reply. */
   readonly duplicates: readonly number[];
   readonly receivedAt: Timestamp;
   readonly timeoutMs: number;
-  /** When it was last sent to a primary; undefined if it never was. */
+  /** Time at which it was last sent to a primary; undefined if it never was. */
   readonly forwardedAt: Timestamp | undefined;
   readonly verb: 'apply' | 'purge' | 'ask' | 'view' | 'electorate' | 'release';
   readonly body: string;
-  /** The generation that must be in force for an upload to be applied. */
+  /** Generation that must be in force for an upload to be applied. */
   readonly baseGeneration: Generation | undefined;
-  /** The chunks of an uploaded configuration, until the store has them. */
+  /** Chunks of an uploaded configuration, until the store has them. */
   readonly chunks: ReadonlyMap<Hash, string>;
-  /** How far a read of the configuration is, once the primary has named it. */
+  /** Progress of a read of the configuration, once its manifest is known. */
   readonly configurationRead?: ConfigurationRead | undefined;
 }
 
-/** A read of the configuration whose manifest is known: which chunks were requested and have not come yet. */
+/** A read of the configuration whose manifest is known. */
 export interface ConfigurationRead {
   readonly offer: ConfigManifest;
-  /** The members of the answer beside the configuration itself. */
+  /** Fields of the response other than the configuration itself. */
   readonly replyFields: object;
+  /** Chunks that were requested and have not been received yet. */
   readonly awaitedChunks: ReadonlySet<Hash>;
 }
 
-/** An origin's departure that was announced here, until a majority of voters has acknowledged it. */
+/** An origin's departure that was announced to this registry, and its acknowledgements by other voters. */
 export interface Departure {
   readonly state: OriginInstance['state'];
   readonly isConfirmed: boolean;
@@ -132,7 +133,7 @@
   readonly waiters: readonly { readonly correlationId: number; readonly since: Timestamp }[];
 }
 
-/** A bootstrap in progress, with the stores that agreed so far. */
+/** A bootstrap in progress, with the stores that have agreed so far. */
 export interface BootstrapInProgress {
   readonly correlationId: number;
   readonly startedAt: Timestamp;
@@ -141,36 +142,36 @@
   readonly agreedStores: ReadonlySet<NodeId>;
 }
 
-/** A cluster that its first registries propose by themselves: all of them the same, from the same settings. */
+/** A cluster that registries propose without an operator's request; the same on all of them, from their settings. */
 export interface ClusterProposal {
   readonly fleet: FleetId;
   readonly stores: readonly { readonly node: NodeId; readonly address: Address }[];
   readonly electorate: Electorate;
 }
 
-/** What this registry knows of its contact with another one. */
+/** Contact of this registry with another one. */
 export interface PeerContact {
   readonly incarnation: Incarnation;
-  /** When the newest gossip of the peer was sent, by the peer's clock. */
+  /** Time at which the peer sent its newest gossip, by the peer's clock. */
   readonly gossipSentAt: Timestamp;
-  /** When this registry sent the newest gossip that the peer is known to have. */
+  /** Time at which this registry sent the newest gossip that the peer has echoed. */
   readonly gossipEchoedAt: Timestamp | undefined;
-  /** As of when the peer has the primary's feed. */
+  /** Time as of which the peer's feed of the primary is complete. */
   readonly primaryAsOf: Timestamp | undefined;
 }
 
-/** A store's report of its disk. */
+/** A store's disk hint, with the time at which it was received. */
 export interface StoreHint {
   readonly frame: FrameOf<'hint'>;
   readonly heardAt: Timestamp;
 }
 
-/** All state of a registry; immutable. */
+/** State of a registry; immutable. */
 export interface RegistryState {
   readonly member: Member;
   readonly proposal: ClusterProposal | undefined;
   readonly proposedAt: Timestamp;
-  /** Whether a node that runs nothing is offered what disks are proven to hold, while there is no primary. */
+  /** Whether nodes without a configuration are offered one from proven disk hints while there is no primary. */
   readonly offersDiskHints: boolean;
   readonly diskHints: ReadonlyMap<NodeId, StoreHint>;
   readonly seeds: readonly Address[];
@@ -183,33 +184,33 @@
   readonly electorate: Electorate | undefined;
   readonly fleet: FleetId | undefined;
   readonly chunks: ReadonlyMap<Hash, string>;
-  /** Nodes that wait for a chunk. */
+  /** Addresses of the nodes that wait for each chunk. */
   readonly chunkWaiters: ReadonlyMap<Hash, ReadonlySet<Address>>;
   readonly chunkRequestedAt: ReadonlyMap<Hash, Timestamp>;
-  /** The offer that each node was last sent; `tries` counts those it could not apply. */
+  /** Last offer to each node; `failures` counts how often in a row the node could not apply it. */
   readonly offersSent: ReadonlyMap<
     NodeId,
-    { readonly hash: Hash; readonly at: Timestamp; readonly tries: number }
+    { readonly hash: Hash; readonly sentAt: Timestamp; readonly failures: number }
   >;
   readonly pendingCommands: ReadonlyMap<CommandId, PendingCommand>;
   readonly bootstraps: ReadonlyMap<CommandId, BootstrapInProgress>;
   readonly departures: ReadonlyMap<InstanceId, Departure>;
   readonly gossipedAt: Timestamp;
   readonly subscribedAt: Timestamp;
-  /** When the nodes with a session here last got the member list. */
+  /** Time of the last periodic member list to the nodes with a session at this registry. */
   readonly memberListSentAt: Timestamp;
   /** Leases that were vacant at the last tick. */
   readonly vacantLeases: ReadonlySet<LeaseName>;
   readonly isStopping: boolean;
-  /** How often each invariant was broken here. */
+  /** Number of violations of each invariant. */
   readonly violations: Violations;
   readonly randomState: RandomState;
 }
 
-/** A state with the effects of the event that led to it. */
+/** A new state, with the effects to run. */
 export type RegistryTransition = Transition<RegistryState, RegistryEffect>;
 
-/** The state of a registry that has just started. */
+/** Creates the state of a registry that has just started. */
 export const newRegistryState = (
   member: Member,
   seeds: readonly Address[],
--- a/packages/membership/src/registry/tick.ts
+++ b/packages/membership/src/registry/tick.ts
@@ -1,6 +1,7 @@
 /**
- * What a registry does as time passes: it subscribes, gossips, proposes a cluster, sends member
- * lists, and resends or ends what waits. The order of the parts is the order of their effects.
+ * Periodic work of a registry: renews its subscription, gossips, proposes a cluster, sends member
+ * lists, and resends or times out pending operations. The order of the tasks is the order of their
+ * effects.
  */
 
 import { type Timestamp, prependEffects, transition } from '@switchwheel/types';
@@ -18,13 +19,13 @@
 
 const gossipIntervalMs = 300;
 const subscribeIntervalMs = 250;
-/** How often nodes get the member list without news: an origin that nobody reports counts as silent. */
+/** Interval between periodic member lists, which also keep nodes' origins from timing out. */
 const memberListIntervalMs = 1000;
 
 const subscribeIfDue = (state: RegistryState, now: Timestamp): RegistryTransition =>
   now - state.subscribedAt >= subscribeIntervalMs ? subscribe(state, now) : transition(state);
 
-/** Whether the voter's abstention has just ended: peers are asked at once for what they remember. */
+/** Whether the voter's abstention ended after the last gossip: then peers are asked at once for their grant records. */
 const abstentionHasEnded = (state: RegistryState, now: Timestamp): boolean =>
   state.voter.isRecovering &&
   now >= abstentionEnd(state.voter) &&
@@ -40,7 +41,7 @@
   );
 };
 
-/** Nodes that may take a lease over hear at once that it is vacant. */
+/** Pushes newly vacant leases to the nodes at once, so that candidates can take them over. */
 const announceVacantLeases = (state: RegistryState, now: Timestamp): RegistryTransition => {
   const vacant = new Set(vacantLeases(state, now));
   const hasNewlyVacant = [...vacant].some((lease) => !state.vacantLeases.has(lease));
@@ -61,7 +62,7 @@
   return transition({ ...state, memberListSentAt: now }, ...sendMemberList(state, addresses, now));
 };
 
-const parts: readonly ((state: RegistryState, now: Timestamp) => RegistryTransition)[] = [
+const tasks: readonly ((state: RegistryState, now: Timestamp) => RegistryTransition)[] = [
   subscribeIfDue,
   gossipIfDue,
   announceVacantLeases,
@@ -71,9 +72,9 @@
   tickPendingCommands,
 ];
 
-/** Lets time pass: every periodic part in turn. */
+/** Handles a tick: runs every periodic task in order. */
 export const onTick = (state: RegistryState, now: Timestamp): RegistryTransition =>
-  parts.reduce<RegistryTransition>(
-    (done, part) => prependEffects(done.effects, part(done.state, now)),
+  tasks.reduce<RegistryTransition>(
+    (done, task) => prependEffects(done.effects, task(done.state, now)),
     transition(state),
   );
--- a/packages/membership/src/registry/transition.ts
+++ b/packages/membership/src/registry/transition.ts
@@ -1,6 +1,6 @@
 /**
- * The registry as a state machine: one function takes every event to the part that handles it. The
- * parts are pure: what is to be done outside comes back as effects.
+ * The registry as a state machine: dispatches every event to its handler. Handlers are pure and
+ * return effects.
  */
 
 import { type Timestamp, transition } from '@switchwheel/types';
@@ -22,25 +22,25 @@
 import { onTick } from './tick.js';
 import { onVoteRequest } from './voting.js';
 
-/** A store's disk hint also lists origins: they are used only while no primary is heard of. */
+/** Records a store's disk hint. The origins that it lists are merged only while there is no primary. */
 const onHint = (
   state: RegistryState,
   hint: FrameOf<'hint'>,
   now: Timestamp,
 ): RegistryTransition => {
-  const hinted = learnHint(state, hint, now);
+  const withHint = learnHint(state, hint, now);
   if (
     !state.offersDiskHints ||
     feedAgeMs(state, now) !== undefined ||
     !hasMajorityContact(state, now) ||
     (state.fleet !== undefined && state.fleet !== hint.metadata.fleet)
   )
-    return transition(hinted);
-  const learned = learnOrigins(hinted.origins, hint.origins, now);
-  const next = { ...hinted, origins: learned.origins };
+    return transition(withHint);
+  const learned = learnOrigins(withHint.origins, hint.origins, now);
+  const next = { ...withHint, origins: learned.origins };
   return transition(
     next,
-    ...(learned.news ? sendMemberList(next, broadcastTargets(next, now), now) : []),
+    ...(learned.hasChanged ? sendMemberList(next, broadcastTargets(next, now), now) : []),
   );
 };
 
@@ -83,7 +83,7 @@
   }
 };
 
-/** The registry's state after an event, and the effects to run. */
+/** Handles an event: returns the registry's next state and the effects to run. */
 export const registryTransition = (
   state: RegistryState,
   event: RegistryEvent,
--- a/packages/membership/src/registry/voting.ts
+++ b/packages/membership/src/registry/voting.ts
@@ -1,6 +1,6 @@
 /**
- * This registry as a voter for leases: it answers candidates and takes a renewal as the statement
- * of the lease's holder. The voter's own rules are the election package's.
+ * This registry as a voter for leases: replies to vote requests, and learns lease holders from
+ * granted renewals. The election package implements the voting rules.
  */
 
 import { type Timestamp, transition } from '@switchwheel/types';
@@ -10,26 +10,26 @@
 import { broadcast } from './messages.js';
 import type { RegistryState, RegistryTransition } from './state.js';
 
-/** Answers a candidate, and spreads the holder that a granted renewal names. */
+/** Handles a candidate's vote request: replies, and broadcasts a new holder that a granted renewal names. */
 export const onVoteRequest = (
   state: RegistryState,
   from: Peer,
   request: FrameOf<'vote-request'>,
   now: Timestamp,
 ): RegistryTransition => {
-  const [voter, ballot] = handleVoteRequest(state.voter, request, now);
-  const voted: RegistryState = {
+  const [voter, vote] = handleVoteRequest(state.voter, request, now);
+  const withVote: RegistryState = {
     ...state,
     voter,
     fleet: voter.fleet ?? state.fleet,
     electorate: voter.electorate ?? state.electorate,
   };
-  const answer = send(from.address, ballot);
+  const voteReply = send(from.address, vote);
   // Only a candidate that won the lease renews it, so a renewal names the holder.
-  const isHolder = request.renew && !request.stepDown && ballot.granted;
-  if (!isHolder || request.held === undefined) return transition(voted, answer);
-  const holders = learnHolder(voted.holders, request.held);
-  if (holders === voted.holders) return transition(voted, answer);
-  const next = { ...voted, holders };
-  return transition(next, answer, ...broadcast(next, now));
+  const isHolder = request.renew && !request.stepDown && vote.granted;
+  if (!isHolder || request.held === undefined) return transition(withVote, voteReply);
+  const holders = learnHolder(withVote.holders, request.held);
+  if (holders === withVote.holders) return transition(withVote, voteReply);
+  const next = { ...withVote, holders };
+  return transition(next, voteReply, ...broadcast(next, now));
 };
--- a/packages/membership/src/session/node-session.ts
+++ b/packages/membership/src/session/node-session.ts
@@ -1,7 +1,7 @@
 /**
- * A node's side of its session with a registry: heartbeats, the choice of a registry that follows
- * the primary, and what the node learns of the fleet. What a node does with a configuration or a
- * lease is the node agent's part.
+ * A node's side of its session with a registry: heartbeats, failover to a registry with a fresh feed
+ * of the primary, and the fleet state that the node receives. The node agent handles configurations
+ * and leases.
  */
 
 import {
@@ -36,16 +36,17 @@
 } from '@switchwheel/transport';
 import { type OriginTable, forgetOrigins, learnOrigins } from '../origins/origins.js';
 
-/** How often a node sends a heartbeat to its registry. */
+/** Interval between a node's heartbeats to its registry. */
 export const heartbeatIntervalMs = 250;
-/** How long a registry may be silent before the node connects to another. */
+/** Time without a reply after which a node switches to another registry. */
 export const registryTimeoutMs = 700;
-/** How long a registry's feed may be stale before the node connects to another, and how long it stays at least. */
+/** Time with a stale feed after which a node switches to another registry; also the minimum time between such switches. */
 const staleTimeoutMs = 500;
+/** Time without a reply of any registry after which the node counts as disconnected. */
 const sessionTimeoutMs = 1200;
-/** How often a node whose registry's feed is stale probes other registries. */
+/** Interval between probes of other registries while the feed of the node's own is stale. */
 const probeIntervalMs = 250;
-/** How many registries are probed at a time. */
+/** Number of registries per probe. */
 const probeWidth = 3;
 
 type SessionTransition = Transition<NodeSession, ProcessEffect>;
@@ -54,21 +55,21 @@
   readonly address: Address;
   readonly connectedAt: Timestamp;
   readonly lastHeardAt: Timestamp | undefined;
-  /** Since when the registry has had no fresh feed of the primary; undefined while it has. */
+  /** Time since which the registry has no fresh feed of the primary; undefined while it has one. */
   readonly staleSince: Timestamp | undefined;
 }
 
-/** A node's side of its session, and what it learned of the fleet through it. */
+/** A node's side of its session, with the fleet state that it has received. */
 export interface NodeSession {
   readonly member: Member;
   readonly seeds: readonly Address[];
   readonly registryLink: RegistryLink | undefined;
   readonly heartbeatSentAt: Timestamp;
-  /** When other registries were last probed. */
+  /** Time of the last probe of other registries. */
   readonly probedAt: Timestamp;
-  /** Which of the other registries is probed next. */
+  /** Index, among the other registries, of the next one to probe. */
   readonly nextProbeIndex: number;
-  /** When any registry was last heard: a session outlives the change of its registry. */
+  /** Time of the last reply of any registry: a session continues when the registry changes. */
   readonly registryHeardAt: Timestamp;
   readonly seq: Seq;
   readonly members: readonly Member[];
@@ -79,7 +80,7 @@
   readonly randomState: RandomState;
 }
 
-/** A session that has not chosen a registry yet. */
+/** Creates a session that has not chosen a registry yet. */
 export const newNodeSession = (
   member: Member,
   seeds: readonly Address[],
@@ -101,21 +102,21 @@
   randomState,
 });
 
-/** The registries that this node knows: those of the fleet, and the seeds while it knows none. */
+/** Addresses of all registries that this node knows: those in the member list, then the seeds. */
 export const knownRegistries = (nodeSession: NodeSession): readonly Address[] => {
   const known = nodeSession.members
-    .filter((one) => one.role === 'registry')
-    .map((one) => one.address);
+    .filter((member) => member.role === 'registry')
+    .map((member) => member.address);
   return [...new Set([...known, ...nodeSession.seeds])];
 };
 
 const switchRegistry = (nodeSession: NodeSession, now: Timestamp): NodeSession => {
   const others = knownRegistries(nodeSession).filter(
-    (one) => one !== nodeSession.registryLink?.address,
+    (address) => address !== nodeSession.registryLink?.address,
   );
-  const pool = others.length > 0 ? others : knownRegistries(nodeSession);
+  const candidates = others.length > 0 ? others : knownRegistries(nodeSession);
   const [fraction, randomState] = nextRandom(nodeSession.randomState);
-  const address = pool[Math.floor(fraction * pool.length)];
+  const address = candidates[Math.floor(fraction * candidates.length)];
   return {
     ...nodeSession,
     randomState,
@@ -129,28 +130,28 @@
 const isSilent = (registryLink: RegistryLink, now: Timestamp): boolean =>
   now - (registryLink.lastHeardAt ?? registryLink.connectedAt) > registryTimeoutMs;
 
-/** Whether this registry's feed has been stale for too long, and there is another registry. */
+/** Whether the registry's feed has been stale for too long and there is another registry to switch to. */
 const isStale = (nodeSession: NodeSession, registryLink: RegistryLink, now: Timestamp): boolean =>
   registryLink.staleSince !== undefined &&
   now - registryLink.staleSince > staleTimeoutMs &&
   now - registryLink.connectedAt >= staleTimeoutMs &&
-  knownRegistries(nodeSession).some((one) => one !== registryLink.address);
+  knownRegistries(nodeSession).some((address) => address !== registryLink.address);
 
-/** Whether any registry answered in time. */
+/** Whether any registry has replied within the session timeout. */
 export const isConnected = (nodeSession: NodeSession, now: Timestamp): boolean =>
   nodeSession.registryHeardAt > clockOrigin && now - nodeSession.registryHeardAt < sessionTimeoutMs;
 
-/** The highest epoch in which this node knows a lease to have been held. */
+/** Highest epoch of a lease that this node knows of. */
 export const highestEpoch = (nodeSession: NodeSession, lease: LeaseName): Epoch =>
   nodeSession.holders.get(lease)?.epoch ?? noEpoch;
 
-/** What a node reports in a heartbeat. */
+/** State of a node that it reports in its heartbeats. */
 export interface HeartbeatContent {
   readonly report: NodeStatus;
   readonly heldLeases: readonly LeaseHolder[];
   readonly latestPurge: Seq;
   readonly isLeaving: boolean;
-  /** The digest of the release records that it knows; undefined to be sent all. */
+  /** Digest of the release records that the node has; undefined to request all. */
   readonly releasesDigest?: string | undefined;
 }
 
@@ -177,7 +178,7 @@
   );
 };
 
-/** Sends a heartbeat to this node's registry now. */
+/** Sends a heartbeat to this node's registry; does nothing while it has none. */
 export const sendHeartbeat = (
   nodeSession: NodeSession,
   content: HeartbeatContent,
@@ -192,7 +193,7 @@
         now,
       );
 
-/** Whether this node's registry has a fresh feed of the primary, by its last answer. */
+/** Whether this node's registry has a fresh feed of the primary, by its last reply. */
 const followsPrimary = (nodeSession: NodeSession, now: Timestamp): boolean => {
   const link = nodeSession.registryLink;
   return (
@@ -203,8 +204,8 @@
 };
 
 /**
- * Sends heartbeats to some other registries too while the feed of this node's own is stale: a
- * registry that is dead, cut off or without a majority then costs one round trip to the others.
+ * Sends heartbeats to other registries too while the feed of this node's own is stale, so that failover
+ * from a registry that is down, partitioned or without a majority takes one round trip.
  */
 const probeOtherRegistries = (
   nodeSession: NodeSession,
@@ -214,7 +215,7 @@
   if (followsPrimary(nodeSession, now) || now - nodeSession.probedAt < probeIntervalMs)
     return transition(nodeSession);
   const others = knownRegistries(nodeSession).filter(
-    (one) => one !== nodeSession.registryLink?.address,
+    (address) => address !== nodeSession.registryLink?.address,
   );
   const width = Math.min(probeWidth, others.length);
   const probed = Array.from(
@@ -234,7 +235,7 @@
   return next;
 };
 
-/** Lets time pass: sends heartbeats, and looks for a registry with a fresh feed while its own has none. */
+/** Handles a tick: sends due heartbeats, and probes other registries while the own one has no fresh feed. */
 export const tickSession = (
   nodeSession: NodeSession,
   content: HeartbeatContent,
@@ -244,7 +245,7 @@
   return prependEffects(ticked.effects, probeOtherRegistries(ticked.state, content, now));
 };
 
-/** Sends a heartbeat when it is due; switches registries when this one is silent or stale. */
+/** Sends a heartbeat when it is due; switches registries when the current one is silent or stale. */
 const tickOwnRegistry = (
   nodeSession: NodeSession,
   content: HeartbeatContent,
@@ -260,10 +261,10 @@
               nodeSession.registryLink.address,
             ]),
           ];
-    const moved = switchRegistry(nodeSession, now);
-    return prependEffects(warnings, sendHeartbeat(moved, content, now));
+    const switched = switchRegistry(nodeSession, now);
+    return prependEffects(warnings, sendHeartbeat(switched, content, now));
   }
-  // The session outlives the switch: the next registry continues it.
+  // The next registry continues the session.
   if (isStale(nodeSession, nodeSession.registryLink, now))
     return sendHeartbeat(switchRegistry(nodeSession, now), content, now);
   return now - nodeSession.heartbeatSentAt >= heartbeatIntervalMs
@@ -271,7 +272,7 @@
     : transition(nodeSession);
 };
 
-/** A channel ended: if it was the registry's, the node switches to another at once. */
+/** Handles the end of a connection: switches registries at once if it was the current registry's. */
 export const onRegistryLost = (
   nodeSession: NodeSession,
   address: Address,
@@ -279,7 +280,7 @@
 ): NodeSession =>
   nodeSession.registryLink?.address === address ? switchRegistry(nodeSession, now) : nodeSession;
 
-/** Takes in who holds a lease, if its epoch is newer than the known one. */
+/** Records a lease holder if its epoch is newer than the known one. */
 export const learnHolder = (
   holders: ReadonlyMap<LeaseName, LeaseHolder>,
   holder: LeaseHolder,
@@ -290,7 +291,7 @@
     : withEntry(holders, holder.duty, holder);
 };
 
-/** Takes in a registry's member list; members count only from this node's own registry. */
+/** Applies a registry's member list; members are taken only from this node's own registry. */
 export const applyMemberList = (
   nodeSession: NodeSession,
   from: Peer,
@@ -307,8 +308,8 @@
 };
 
 /**
- * The link that an answer belongs to: that of this node's own registry, or of a probed one if its
- * feed is fresh and that of the own registry is not.
+ * Link that a reply belongs to: that of this node's own registry, or a new one to a probed registry
+ * whose feed is fresh while that of the own one is not.
  */
 const linkFor = (
   nodeSession: NodeSession,
@@ -318,7 +319,7 @@
 ): RegistryLink | undefined => {
   const link = nodeSession.registryLink;
   if (link?.address === from.address) return link;
-  // A push answers no heartbeat; it may come from a registry that this node left.
+  // A push (without an echoed time) may come from a registry that this node has left.
   const isBetter =
     reply.age !== undefined && reply.at > clockOrigin && !followsPrimary(nodeSession, now);
   return isBetter
@@ -326,7 +327,7 @@
     : undefined;
 };
 
-/** Takes in a registry's answer to a heartbeat, or a push. */
+/** Applies a registry's heartbeat reply or push. */
 export const applyHeartbeatReply = (
   nodeSession: NodeSession,
   from: Peer,
--- a/packages/membership/src/testing/registry-fixtures.ts
+++ b/packages/membership/src/testing/registry-fixtures.ts
@@ -1,4 +1,4 @@
-/** Members and frames for tests of a registry's state machine. */
+/** Fixtures for tests of a registry's state machine: members and frames. */
 
 import {
   type FleetId,
@@ -16,7 +16,7 @@
 import type { FrameOf, Member, NodeStatus, Peer } from '@switchwheel/transport';
 import type { RegistryTransition } from '../registry/state.js';
 
-/** A member in its first incarnation; its address is told apart by the port. */
+/** Builds a member in its first incarnation, with an address that differs by port. */
 export const memberAt = (role: Member['role'], node: string, port: number): Member => ({
   node: toNodeId(node),
   role,
@@ -25,35 +25,35 @@
   incarnation: toIncarnation(1),
 });
 
-/** The registry under test. */
+/** Registry under test. */
 export const registry: Member = memberAt('registry', 'r1', 7000);
-/** A node with a session at it. */
+/** Node with a session at the registry. */
 export const edge: Member = memberAt('edge', 'e1', 7001);
-/** The store that holds the primary's lease. */
+/** Store that holds the primary's lease. */
 export const store: Member = memberAt('store', 's1', 7002);
-/** The fleet of all of them. */
+/** Fleet that all members belong to. */
 export const fleet: FleetId = toFleetId('f1');
 
-/** The sender of a frame. */
+/** Converts a member to the sender of a frame. */
 export const peerOf = ({ node, address, incarnation }: Member): Peer => ({
   node,
   address,
   incarnation,
 });
 
-/** A healthy node's status, of generation 1 unless it is changed. */
-export const statusOf = (change: Partial<NodeStatus> = {}): NodeStatus => ({
+/** Builds a healthy node's status, with generation 1 by default. */
+export const statusOf = (overrides: Partial<NodeStatus> = {}): NodeStatus => ({
   generation: toGeneration(1),
   phase: 'applied',
   ready: true,
   health: { name: 'proxy', healthy: true, text: '', parts: [] },
-  ...change,
+  ...overrides,
 });
 
-/** A heartbeat of the edge, at time 1 of its clock unless it is changed. */
+/** Builds a heartbeat of the edge, sent at time 1 of its clock by default. */
 export const heartbeatOf = (
   seq: number,
-  change: Partial<FrameOf<'heartbeat'>> = {},
+  overrides: Partial<FrameOf<'heartbeat'>> = {},
 ): FrameOf<'heartbeat'> => ({
   kind: 'heartbeat',
   member: edge,
@@ -63,11 +63,14 @@
   held: [],
   purged: noSeq,
   report: statusOf(),
-  ...change,
+  ...overrides,
 });
 
-/** A feed of the primary without any content unless it is changed. */
-export const feedOf = (serial: number, change: Partial<FrameOf<'feed'>> = {}): FrameOf<'feed'> => ({
+/** Builds a feed of the primary, empty by default. */
+export const feedOf = (
+  serial: number,
+  overrides: Partial<FrameOf<'feed'>> = {},
+): FrameOf<'feed'> => ({
   kind: 'feed',
   at: toTimestamp(1),
   epoch: toEpoch(1),
@@ -80,10 +83,10 @@
   top: noSeq,
   verdicts: [],
   releases: [],
-  ...change,
+  ...overrides,
 });
 
-/** The answers and pushes that go to the edge. */
+/** Heartbeat replies and pushes to the edge among the effects of a transition. */
 export const repliesToEdge = ({
   effects,
 }: RegistryTransition): readonly FrameOf<'heartbeat-reply'>[] =>
--- a/packages/simulator/src/guard/list.ts
+++ b/packages/simulator/src/guard/list.ts
@@ -375,7 +375,7 @@
     name: 'a departure is told once a majority has it',
     rule: 'R6',
     file: departures,
-    from: 'return knowing.length >= quorumSize(electorate.members.length);',
+    from: 'return informed.length >= quorumSize(electorate.members.length);',
     to: 'return true;',
   },
   {
