--- a/packages/types/src/failure/failure-forms.test.ts
+++ b/packages/types/src/failure/failure-forms.test.ts
@@ -1,4 +1,4 @@
-/** Holds the error kinds word for word, as they are part of the protocol. */
+/** Guards against accidental changes of error kinds, which are part of the wire protocol. */
 
 import { test } from 'node:test';
 import { snapshotsFor } from '../testing/index.js';
@@ -6,7 +6,7 @@
 
 const matchSnapshot = snapshotsFor(import.meta.dirname);
 
-void test('each error kind keeps its name, status and retry-after', () => {
+void test('error kinds keep their name, status and retry-after', () => {
   const lines = errorKinds.map((kind) => {
     const { status, didNotRun, retryAfter } = errorResponseFor(kind);
     const ran = didNotRun ? 'has not run' : 'may have run';
--- a/packages/types/src/failure/failure.ts
+++ b/packages/types/src/failure/failure.ts
@@ -1,51 +1,49 @@
 /**
- * The closed list of error kinds: what each means, its HTTP status, and whether the request is known
- * not to have run. The kinds' names are part of the protocol between processes and of HTTP bodies.
- * Texts of single failures are made where they occur.
+ * Error kinds with their meaning, their HTTP status, and whether the origin or service is known not to
+ * have processed the request. The names are part of the wire protocol and of HTTP bodies.
  */
 
-/** What went wrong, as named on the wire; {@link errorResponseFor} gives each kind's response. */
+/** All error kinds; {@link errorResponseFor} returns the response to each. */
 export const errorKinds = [
-  /** Load was shed, or no attempt could be started in time: not run, worth a retry. 503. */
+  /** Load was shed, or no attempt could be started in time: not run, may be retried. 503. */
   'rejected',
-  /** An attempt was sent and its outcome is not known: the request may have run. 502. */
+  /** An attempt was sent and its outcome is unknown: the request may have run. 502. */
   'unknown',
-  /** The request could not be read, e.g. invalid HTTP or JSON: not run. 400. */
+  /** The request could not be parsed, e.g. invalid HTTP or JSON: not run. 400. */
   'malformed',
-  /** The request's body or header exceeds its limit: not run. 413. */
+  /** The body or the header fields of the request exceed their limit: not run. 413. */
   'oversized',
   /** The deadline passed before a response arrived: the request may have run. 504. */
   'slow',
   /** The connection to the origin or service leader failed mid-request: it may have run. 502. */
   'lost',
-  /** The caller is not allowed to make the request: not run. 403. */
+  /** The client is not authorized to make the request: not run. 403. */
   'denied',
-  /** The request was read but its content violates a rule, e.g. of the configuration: not run. 422. */
+  /** The request was parsed but fails validation, e.g. of a configuration: not run. 422. */
   'invalid',
-  /** The request is based on a state that has been superseded, e.g. an older generation: not run. 409. */
+  /** The request is based on a superseded state, e.g. an older generation: not run. 409. */
   'stale',
-  /** Nothing is known under that path, route or name: not run. 404. */
+  /** The path, route or name does not exist: not run. 404. */
   'absent',
-  /** The process cannot serve yet, e.g. it has no configuration: not run, worth a retry. 503. */
+  /** The process cannot serve yet, e.g. it has no configuration: not run, may be retried. 503. */
   'unready',
-  /** Stored data failed a check: not run. 500. */
+  /** Stored data failed an integrity check: not run. 500. */
   'damaged',
-  /** A peer sent bytes that are no frame of this protocol: nothing of them is used. 400. */
+  /** A peer sent bytes that are not a frame of this protocol: they are discarded. 400. */
   'foreign',
-  /** The program itself failed: the request may have run. 500. */
+  /** Internal error: the request may have run. 500. */
   'broken',
 ] as const;
 
-/** One of {@link errorKinds}. */
+/** Name of an error kind, as on the wire. */
 export type ErrorKind = (typeof errorKinds)[number];
 
-/** How a failure is answered to a client or an operator. */
+/** HTTP response to a failure, for a client or an operator. */
 export interface ErrorResponse {
-  /** The HTTP status. */
   readonly status: number;
-  /** Whether the request is known not to have run; if not, it may or may not have run. */
+  /** Whether the request is known not to have run; if false, it may or may not have. */
   readonly didNotRun: boolean;
-  /** Seconds after which a retry makes sense; absent if it makes none. */
+  /** Seconds after which the client may retry; absent if a retry is not advised. */
   readonly retryAfter?: number;
 }
 
@@ -66,14 +64,14 @@
   broken: { status: 500, didNotRun: false },
 };
 
-/** The response that a kind of error turns into. */
+/** Returns the response to an error kind. */
 export const errorResponseFor = (kind: ErrorKind): ErrorResponse => responses[kind];
 
-/** One thing that went wrong: its kind, and a sentence for whoever reads it. */
+/** Failed operation: its error kind, and a message for clients, operators or the log. */
 export interface Failure {
   readonly kind: ErrorKind;
   readonly text: string;
 }
 
-/** Makes a {@link Failure}. */
+/** Creates a {@link Failure}. */
 export const failure = (kind: ErrorKind, text: string): Failure => ({ kind, text });
--- a/packages/types/src/id/brand.ts
+++ b/packages/types/src/id/brand.ts
@@ -1,10 +1,9 @@
 /**
- * Branded primitives: strings and numbers that the compiler keeps apart by what they stand for.
- * Which values a brand admits is decided where the brand is declared (`name.ts`, `ordinal.ts`,
- * `timestamp.ts`).
+ * Branded primitives: strings and numbers that the compiler does not let be mixed up. The valid values
+ * of each brand are defined beside it, in `name.ts`, `ordinal.ts` and `timestamp.ts`.
  */
 
 declare const brand: unique symbol;
 
-/** A primitive of type `T` that only the guard of the brand `N` may produce. */
+/** Primitive of type `T` that has passed the type guard of the brand `N`. */
 export type Brand<T, N extends string> = T & { readonly [brand]: N };
--- a/packages/types/src/id/name.ts
+++ b/packages/types/src/id/name.ts
@@ -1,7 +1,7 @@
 /**
- * Names and ids as branded strings. Each has a guard (`isX`), a valibot schema for input from outside
- * (`x`), and for the values that a program makes itself a checked conversion (`toX`), which throws a
- * TypeError: a bad value there is a mistake of the program.
+ * Names and ids as branded strings. Each has a type guard (`isX`), a valibot schema for untrusted input
+ * (`x`), and a checked conversion for values that the program itself produces (`toX`), which throws a
+ * TypeError because an invalid value there is a bug.
  */
 
 import * as v from 'valibot';
@@ -29,15 +29,15 @@
     .every((octet) => Number(octet) <= maxOctet);
 };
 
-/** What belongs to one branded string type. */
+/** Type guard, schema and conversion of one branded string type. */
 interface BrandedString<T extends string> {
   readonly is: (raw: unknown) => raw is T;
   readonly schema: v.CustomSchema<T, v.ErrorMessage<v.CustomIssue> | undefined>;
-  /** Throws a TypeError for a value that the guard refuses. */
+  /** Throws a TypeError if the guard rejects the value. */
   readonly from: (raw: string) => T;
 }
 
-/** Derives guard, schema and conversion of a branded string from the rule that its values satisfy. */
+/** Derives guard, schema and conversion of a branded string from a validity check. */
 const brandedString = <T extends string>(
   isValid: (text: string) => boolean,
   schemaMessage: string,
@@ -49,12 +49,12 @@
     schema: v.custom<T>(is, schemaMessage),
     from: (raw) => {
       if (is(raw)) return raw;
-      throw new TypeError(`not ${noun}: ${raw}`);
+      throw new TypeError(`expected ${noun}, got ${raw}`);
     },
   };
 };
 
-/** The name of a node: one process of the fleet. At most 64 characters. */
+/** Name of a node, i.e. of one process in the fleet; at most 64 characters. */
 export type NodeId = Brand<string, 'NodeId'>;
 const nodeIdBrand = brandedString<NodeId>(
   isShortName,
@@ -68,12 +68,12 @@
 /** Converts a string to a {@link NodeId}; throws a TypeError if it is not valid. */
 export const toNodeId = nodeIdBrand.from;
 
-/** The name of a zone of machines (`area` in the settings). At most 64 characters. */
+/** Name of an availability zone (`area` in settings and on the wire); at most 64 characters. */
 export type ZoneName = Brand<string, 'ZoneName'>;
 const zoneNameBrand = brandedString<ZoneName>(
   isShortName,
   'an area name: letters, digits, dot, dash, at most 64',
-  'an area name',
+  'a zone name',
 );
 /** Whether a value is a valid {@link ZoneName}. */
 export const isZoneName = zoneNameBrand.is;
@@ -82,7 +82,7 @@
 /** Converts a string to a {@link ZoneName}; throws a TypeError if it is not valid. */
 export const toZoneName = zoneNameBrand.from;
 
-/** The name of a service that origins stand behind. At most 64 characters. */
+/** Name of a service, i.e. of a group of interchangeable origins; at most 64 characters. */
 export type ServiceName = Brand<string, 'ServiceName'>;
 const serviceNameBrand = brandedString<ServiceName>(
   isShortName,
@@ -96,7 +96,7 @@
 /** Converts a string to a {@link ServiceName}; throws a TypeError if it is not valid. */
 export const toServiceName = serviceNameBrand.from;
 
-/** The name of a service class. At most 64 characters. */
+/** Name of a service class, which gets a share of a service's capacity; at most 64 characters. */
 export type ServiceClassName = Brand<string, 'ServiceClassName'>;
 const serviceClassNameBrand = brandedString<ServiceClassName>(
   isShortName,
@@ -110,7 +110,7 @@
 /** Converts a string to a {@link ServiceClassName}; throws a TypeError if it is not valid. */
 export const toServiceClassName = serviceClassNameBrand.from;
 
-/** The name of a route. At most 64 characters. */
+/** Name of a route of the configuration; at most 64 characters. */
 export type RouteName = Brand<string, 'RouteName'>;
 const routeNameBrand = brandedString<RouteName>(
   isShortName,
@@ -122,7 +122,7 @@
 /** Schema of a {@link RouteName}. */
 export const routeName = routeNameBrand.schema;
 
-/** The id that one run of an origin gives itself. At most 128 characters. */
+/** Id of one run of an origin, chosen by the origin itself; at most 128 characters. */
 export type InstanceId = Brand<string, 'InstanceId'>;
 const instanceIdBrand = brandedString<InstanceId>(
   isIdentifier,
@@ -136,7 +136,7 @@
 /** Converts a string to a {@link InstanceId}; throws a TypeError if it is not valid. */
 export const toInstanceId = instanceIdBrand.from;
 
-/** The id of a fleet, made once when the fleet is bootstrapped. */
+/** Id of a fleet, generated once when the fleet is bootstrapped. */
 export type FleetId = Brand<string, 'FleetId'>;
 const fleetIdBrand = brandedString<FleetId>(
   isIdentifier,
@@ -150,20 +150,20 @@
 /** Converts a string to a {@link FleetId}; throws a TypeError if it is not valid. */
 export const toFleetId = fleetIdBrand.from;
 
-/** The name of a lease that one node holds at a time: `primary` or `keeper:<service>`, as on the wire. */
+/** Name of a lease, which one node holds at a time: `primary` or `keeper:<service>`. */
 export type LeaseName = Brand<string, 'LeaseName'>;
-const leaseNameBrand = brandedString<LeaseName>(isIdentifier, 'a duty', 'a duty');
+const leaseNameBrand = brandedString<LeaseName>(isIdentifier, 'a lease name', 'a lease name');
 /** Whether a value is a valid {@link LeaseName}. */
 export const isLeaseName = leaseNameBrand.is;
 /** Schema of a {@link LeaseName}. */
 export const leaseName = leaseNameBrand.schema;
 
-/** The idempotency key of an operator's command: a repeated command has the effect of one. */
+/** Idempotency key of an operator's command: a command that is sent again takes effect only once. */
 export type CommandId = Brand<string, 'CommandId'>;
 const commandIdBrand = brandedString<CommandId>(
   isIdentifier,
   'a call id of at most 128 plain signs',
-  'a call id',
+  'a command id',
 );
 /** Whether a value is a valid {@link CommandId}. */
 export const isCommandId = commandIdBrand.is;
@@ -172,7 +172,7 @@
 /** Converts a string to a {@link CommandId}; throws a TypeError if it is not valid. */
 export const toCommandId = commandIdBrand.from;
 
-/** A version of an origin's program, as the origin names it. */
+/** Version of an origin's software, as the origin reports it. */
 export type Release = Brand<string, 'Release'>;
 const releaseBrand = brandedString<Release>(
   isIdentifier,
@@ -186,9 +186,9 @@
 /** Converts a string to a {@link Release}; throws a TypeError if it is not valid. */
 export const toRelease = releaseBrand.from;
 
-/** The id of one client request on its way through the fleet. */
+/** Id of a client request, the same on every node that handles it. */
 export type RequestId = Brand<string, 'RequestId'>;
-const requestIdBrand = brandedString<RequestId>(isIdentifier, 'an ask id', 'an ask id');
+const requestIdBrand = brandedString<RequestId>(isIdentifier, 'a request id', 'a request id');
 /** Whether a value is a valid {@link RequestId}. */
 export const isRequestId = requestIdBrand.is;
 /** Schema of a {@link RequestId}. */
@@ -196,7 +196,7 @@
 /** Converts a string to a {@link RequestId}; throws a TypeError if it is not valid. */
 export const toRequestId = requestIdBrand.from;
 
-/** A SHA-256 digest: 64 lower-case hexadecimal digits. */
+/** SHA-256 digest as 64 lower-case hexadecimal digits. */
 export type Hash = Brand<string, 'Hash'>;
 const hashBrand = brandedString<Hash>(isSha256Hex, 'a SHA-256 in hex', 'a hash');
 /** Whether a value is a valid {@link Hash}. */
@@ -206,7 +206,7 @@
 /** Converts a string to a {@link Hash}; throws a TypeError if it is not valid. */
 export const toHash = hashBrand.from;
 
-/** An IP address and a port, such as `10.0.0.1:7000` or `[::1]:7000`. */
+/** IP address and port, such as `10.0.0.1:7000` or `[::1]:7000`. */
 export type Address = Brand<string, 'Address'>;
 const addressBrand = brandedString<Address>(
   isIpAndPort,
@@ -220,9 +220,9 @@
 /** Converts a string to a {@link Address}; throws a TypeError if it is not valid. */
 export const toAddress = addressBrand.from;
 
-/** The lease of the store that accepts writes. */
+/** Name of the lease that the primary store holds. */
 export const primaryLease: LeaseName = leaseNameBrand.from('primary');
 
-/** The lease of the shield that leads a service. */
+/** Name of the lease that a service's leader, one of the shields, holds. */
 export const serviceLeaseOf = (service: ServiceName): LeaseName =>
   leaseNameBrand.from(`keeper:${service}`);
--- a/packages/types/src/id/ordinal.ts
+++ b/packages/types/src/id/ordinal.ts
@@ -1,17 +1,17 @@
 /**
- * Ordinal numbers as branded whole numbers from 0: generations, epochs, sequence numbers and
- * incarnations. Each has a guard (`isX`), a valibot schema (`x`) and a checked conversion (`toX`),
- * which throws a RangeError.
+ * Generations, epochs, sequence numbers and incarnations as branded non-negative integers. Each has a
+ * type guard (`isX`), a valibot schema for untrusted input (`x`) and a checked conversion (`toX`), which
+ * throws a RangeError.
  */
 
 import * as v from 'valibot';
 import type { Brand } from './brand.js';
 
-/** What belongs to one branded number type. */
+/** Type guard, schema and conversion of one branded number type. */
 interface BrandedOrdinal<T extends number> {
   readonly is: (raw: unknown) => raw is T;
   readonly schema: v.CustomSchema<T, v.ErrorMessage<v.CustomIssue> | undefined>;
-  /** Throws a RangeError for a value that the guard refuses. */
+  /** Throws a RangeError if the guard rejects the value. */
   readonly from: (raw: number) => T;
 }
 
@@ -23,12 +23,12 @@
     schema: v.custom<T>(is, `${noun}: a whole number from 0`),
     from: (raw) => {
       if (is(raw)) return raw;
-      throw new RangeError(`not ${noun}: ${String(raw)}`);
+      throw new RangeError(`expected ${noun}, got ${String(raw)}`);
     },
   };
 };
 
-/** The number of an accepted configuration; it only grows. */
+/** Number of an accepted configuration; each new one is higher. */
 export type Generation = Brand<number, 'Generation'>;
 const generationBrand = brandedOrdinal<Generation>('a generation');
 /** Whether a value is a valid {@link Generation}. */
@@ -37,12 +37,12 @@
 export const generation = generationBrand.schema;
 /** Converts a number to a {@link Generation}; throws a RangeError if it is not valid. */
 export const toGeneration = generationBrand.from;
-/** Before the first configuration. */
+/** Generation of a node that has no configuration yet. */
 export const noGeneration: Generation = toGeneration(0);
-/** The generation that follows. */
+/** Generation after `current`. */
 export const nextGeneration = (current: Generation): Generation => toGeneration(current + 1);
 
-/** The number of one term of a lease; it only grows. */
+/** Number of a lease's term; each new holder has a higher one. */
 export type Epoch = Brand<number, 'Epoch'>;
 const epochBrand = brandedOrdinal<Epoch>('an epoch');
 /** Whether a value is a valid {@link Epoch}. */
@@ -51,12 +51,12 @@
 export const epoch = epochBrand.schema;
 /** Converts a number to a {@link Epoch}; throws a RangeError if it is not valid. */
 export const toEpoch = epochBrand.from;
-/** Before the first term. */
+/** Epoch of a lease that was never granted. */
 export const noEpoch: Epoch = toEpoch(0);
-/** The epoch that follows. */
+/** Epoch after `current`. */
 export const nextEpoch = (current: Epoch): Epoch => toEpoch(current + 1);
 
-/** The position of a write, a purge or a message in its order. */
+/** Sequence number of a write, a purge or a message. */
 export type Seq = Brand<number, 'Seq'>;
 const seqBrand = brandedOrdinal<Seq>('a sequence number');
 /** Whether a value is a valid {@link Seq}. */
@@ -65,12 +65,12 @@
 export const seq = seqBrand.schema;
 /** Converts a number to a {@link Seq}; throws a RangeError if it is not valid. */
 export const toSeq = seqBrand.from;
-/** Before the first entry. */
+/** Sequence number before the first entry. */
 export const noSeq: Seq = toSeq(0);
-/** The sequence number that follows. */
+/** Sequence number after `current`. */
 export const nextSeq = (current: Seq): Seq => toSeq(current + 1);
 
-/** The number of one run of a process; a later run has a higher one. */
+/** Number of one run of a process; a later run has a higher one. */
 export type Incarnation = Brand<number, 'Incarnation'>;
 const incarnationBrand = brandedOrdinal<Incarnation>('an incarnation');
 /** Whether a value is a valid {@link Incarnation}. */
--- a/packages/types/src/index.ts
+++ b/packages/types/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * What every other package stands on: branded ids and numbers, timestamps, failures, the state machine
- * of pure reducers, and small pure helpers. Depends on no other package, reads no clock and does no I/O.
+ * Types and pure helpers that all packages share: branded ids and numbers, timestamps, error kinds, and
+ * state machines with pure reducers. Depends on no other package, reads no clock and does no I/O.
  */
 
 export * from './id/brand.js';
--- a/packages/types/src/invariant/violations.ts
+++ b/packages/types/src/invariant/violations.ts
@@ -1,28 +1,28 @@
 /**
- * Invariants that programs check on themselves while they run. A violation is a defect of the program,
- * never of its surroundings: it is logged, counted in a metric, and fails every test that runs the program.
+ * Invariants that programs check at run time. A violation is always a bug of the program, never caused by
+ * its environment: it is logged, counted in a metric, and fails every test that runs the program.
  */
 
 import { increment } from '../table/counter.js';
 
-/** The invariants, by the names that logs carry. */
+/** Name of an invariant, as log lines carry it. */
 export type Invariant =
-  /** The table of a store in sync holds each chunk of the configuration in force. */
+  /** The table of a store in the in-sync set holds every chunk of the configuration in force. */
   | 'description-whole'
-  /** A change that is about to be put in force still has each chunk that it was found to have. */
+  /** All chunks of an accepted configuration are still available when it is about to take effect. */
   | 'order-keeps-pieces'
-  /** No primary reports to a registry a configuration older than one that it reported as confirmed. */
+  /** The current configuration that primaries report to a registry is never older than before. */
   | 'confirmed-kept'
-  /** Within one incarnation a node applies no configuration older than the one that it runs. */
+  /** Within one incarnation, a node never applies a configuration older than its current one. */
   | 'generation-rises';
 
-/** How often each invariant was violated in this process. */
+/** Number of violations of each invariant in this process. */
 export type Violations = ReadonlyMap<Invariant, number>;
 
-/** No violations yet. */
+/** Counts of a process that has just started. */
 export const noViolations: Violations = new Map();
 
-/** Adds newly detected violations to the counts. */
+/** Returns the counts with newly detected violations added. */
 export const countViolations = (
   violations: Violations,
   detected: readonly Invariant[],
@@ -33,6 +33,6 @@
   return counts;
 };
 
-/** The number of violations of all invariants together. */
+/** Returns the number of violations of all invariants together. */
 export const totalViolations = (violations: Violations): number =>
   [...violations.values()].reduce((sum, count) => sum + count, 0);
--- a/packages/types/src/random/random-state.ts
+++ b/packages/types/src/random/random-state.ts
@@ -1,11 +1,11 @@
-/** A seeded random source as data (mulberry32), so that reducers stay pure and runs repeat. */
+/** Seeded random source (mulberry32) with explicit state, so that reducers stay pure and runs are reproducible. */
 
-/** The state of a random source; every draw yields the next state. */
+/** State of a random source; each draw returns the next state. */
 export interface RandomState {
   readonly seed: number;
 }
 
-/** Draws once: a number from 0 (inclusive) to 1 (exclusive), and the state after the draw. */
+/** Draws a number from 0 (inclusive) to 1 (exclusive) and returns it with the next state. */
 export const nextRandom = (state: RandomState): readonly [number, RandomState] => {
   const seed = (state.seed + 0x6d2b79f5) >>> 0;
   let mix = Math.imul(seed ^ (seed >>> 15), seed | 1);
--- a/packages/types/src/state-machine/state-machine.ts
+++ b/packages/types/src/state-machine/state-machine.ts
@@ -1,17 +1,17 @@
-/** Runs a pure reducer: owns its state, serializes its events and hands its effects to a runner. */
+/** Runs a pure reducer: holds its state, processes events one at a time and passes effects to a runner. */
 
 import type { Transition } from './transition.js';
 
-/** Owns one state, which changes only by events through the reducer. */
+/** State that changes only when the reducer processes an event. */
 export interface StateMachine<S, E> {
   readonly state: () => S;
   readonly dispatch: (event: E) => void;
 }
 
 /**
- * Creates a state machine. Events that are dispatched while an effect runs are queued until all
- * effects of the current event have run; an error of the reducer or the runner reaches the caller of
- * the outermost `dispatch`.
+ * Creates a state machine. Events dispatched while an effect runs are queued until all effects of the
+ * current event have run. An exception of the reducer or the runner propagates to the caller of the
+ * outermost `dispatch`.
  */
 export const createStateMachine = <S, E, F>(
   reduce: (state: S, event: E) => Transition<S, F>,
@@ -26,8 +26,8 @@
     if (isDispatching) return;
     isDispatching = true;
     try {
-      for (let head = queue.shift(); head !== undefined; head = queue.shift()) {
-        const next = reduce(state, head);
+      for (let queued = queue.shift(); queued !== undefined; queued = queue.shift()) {
+        const next = reduce(state, queued);
         state = next.state;
         for (const effect of next.effects) runEffect(effect, dispatch);
       }
--- a/packages/types/src/state-machine/transition.ts
+++ b/packages/types/src/state-machine/transition.ts
@@ -1,18 +1,18 @@
-/** The result type of the pure reducers: a new state, and effects as data for a runner to carry out. */
+/** Result of a pure reducer: a new state, and effects as data for a runner to execute. */
 
-/** What a reducer returns: the state after an event, and the effects in the order of their execution. */
+/** State after an event, and the effects of the event in the order of their execution. */
 export interface Transition<S, F> {
   readonly state: S;
   readonly effects: readonly F[];
 }
 
-/** A transition to a state with the given effects. */
+/** Creates a transition to a state with the given effects. */
 export const transition = <S, F>(state: S, ...effects: readonly F[]): Transition<S, F> => ({
   state,
   effects,
 });
 
-/** A transition whose effects are preceded by those of an earlier one. */
+/** Returns a transition with the effects of an earlier one put before its own. */
 export const prependEffects = <S, F>(
   earlierEffects: readonly F[],
   next: Transition<S, F>,
--- a/packages/types/src/table/format-columns.ts
+++ b/packages/types/src/table/format-columns.ts
@@ -1,8 +1,8 @@
-/** Plain-text tables for terminals. */
+/** Plain-text tables for the terminal. */
 
 const columnSeparator = '  ';
 
-/** Formats rows of cells as text, each column as wide as its widest cell; one line per row. */
+/** Formats rows as lines of text, with each column as wide as its widest cell. */
 export const formatColumns = (rows: readonly (readonly string[])[]): string => {
   const widths = (rows[0] ?? []).map((_, column) =>
     Math.max(...rows.map((row) => row[column]?.length ?? 0)),
--- a/packages/types/src/table/immutable-map.ts
+++ b/packages/types/src/table/immutable-map.ts
@@ -1,13 +1,13 @@
-/** Copy-on-write operations for the `ReadonlyMap`s of reducer states. */
+/** Copy-on-write operations on the `ReadonlyMap`s of reducer states. */
 
-/** A copy of a map with one entry set. */
+/** Returns a copy of a map with one entry set. */
 export const withEntry = <K, V>(map: ReadonlyMap<K, V>, key: K, value: V): ReadonlyMap<K, V> => {
   const copy = new Map(map);
   copy.set(key, value);
   return copy;
 };
 
-/** A copy of a map without one entry; the map itself if it has no such entry. */
+/** Returns a copy of a map without one entry, or the same map if it has no such entry. */
 export const withoutEntry = <K, V>(map: ReadonlyMap<K, V>, key: K): ReadonlyMap<K, V> => {
   if (!map.has(key)) return map;
   const copy = new Map(map);
@@ -15,7 +15,7 @@
   return copy;
 };
 
-/** A copy of a map with only the entries that `keep` accepts; the map itself if it accepts all. */
+/** Returns a copy of a map with the entries that `keep` accepts, or the same map if it accepts all. */
 export const filterEntries = <K, V>(
   map: ReadonlyMap<K, V>,
   keep: (value: V, key: K) => boolean,
--- a/packages/types/src/testing/command.ts
+++ b/packages/types/src/testing/command.ts
@@ -1,17 +1,17 @@
-/** Runs programs in processes of their own, for tests of command lines. */
+/** Runs programs in child processes, for tests of command lines. */
 
 import { execFile, spawn } from 'node:child_process';
 import { once } from 'node:events';
 import { readFileSync } from 'node:fs';
 
-/** One run of a program. */
+/** Arguments and environment variables of one run of a program. */
 export interface CommandLine {
   readonly args: readonly string[];
   readonly env?: Readonly<Record<string, string>>;
 }
 
-const concurrency = 3;
-/** A program that takes longer is ended, so that a test can't hang on it. */
+const maxConcurrentRuns = 3;
+/** Time after which a program is killed, so that a test can't hang on it. */
 const timeoutMs = 20_000;
 
 const runOnce = (script: string, name: string, { args, env }: CommandLine): Promise<string> =>
@@ -35,28 +35,28 @@
     child.stdin?.end();
   });
 
-/** Runs a program with each command line, a few at once; gives exit code and output of each, in order. */
+/** Runs a program with each command line, several at once; returns exit codes and outputs in order. */
 export const runCommands = async (
   script: string,
   name: string,
   lines: readonly CommandLine[],
 ): Promise<string> => {
-  // Fails here, and not as an exit code, where the script is missing.
+  // Throws if the script is missing, which would otherwise only show as an exit code.
   readFileSync(script);
   const outputs: string[] = [];
-  for (let from = 0; from < lines.length; from += concurrency) {
-    const batch = lines.slice(from, from + concurrency);
+  for (let from = 0; from < lines.length; from += maxConcurrentRuns) {
+    const batch = lines.slice(from, from + maxConcurrentRuns);
     outputs.push(...(await Promise.all(batch.map((line) => runOnce(script, name, line)))));
   }
   return outputs.join('\n\n');
 };
 
-/** A program that runs until it is stopped. */
+/** Program that runs until it is stopped. */
 export interface RunningProgram {
   readonly stop: () => Promise<void>;
 }
 
-/** Starts a program; settles once its standard error holds a text, and fails if it ends before. */
+/** Starts a program; resolves once its standard error contains `startedText`, rejects if it exits before. */
 export const startProgram = async (
   script: string,
   { args, env }: CommandLine,
@@ -67,19 +67,21 @@
     stdio: ['ignore', 'ignore', 'pipe'],
     timeout: timeoutMs,
   });
-  const ended = once(child, 'exit');
+  const exited = once(child, 'exit');
   await new Promise<void>((resolve, reject) => {
     let logged = '';
     child.stderr.on('data', (chunk: Buffer) => {
       logged += chunk.toString('utf8');
       if (logged.includes(startedText)) resolve();
     });
-    child.once('exit', () => reject(new Error(`the program ended: ${logged}`)));
+    child.once('exit', () =>
+      reject(new Error(`program exited before it had started, standard error: ${logged}`)),
+    );
   });
   return {
     stop: async () => {
       child.kill('SIGKILL');
-      await ended;
+      await exited;
     },
   };
 };
--- a/packages/types/src/testing/http.ts
+++ b/packages/types/src/testing/http.ts
@@ -1,10 +1,10 @@
-/** HTTP over the loopback interface, for tests that hold responses word for word. */
+/** HTTP over the loopback interface, for tests that compare responses with snapshots. */
 
 import { request } from 'node:http';
 import { createServer } from 'node:net';
 import { type Address, toAddress } from '../id/name.js';
 
-/** One request to a listener on the loopback interface. */
+/** Request to a server on the loopback interface. */
 export interface HttpRequest {
   readonly method: string;
   readonly path: string;
@@ -12,29 +12,29 @@
   readonly body?: string;
 }
 
-/** The response to it. */
+/** Response to an {@link HttpRequest}. */
 export interface HttpResponse {
   readonly status: number;
-  /** Header lines in the order and case they came in. */
+  /** Header lines in the order received, names in lower case. */
   readonly headerLines: readonly string[];
   readonly body: string;
 }
 
-/** Headers that say nothing of the outer form or change with each response. */
+/** Header fields that vary between responses or are set by Node.js, and are left out of snapshots. */
 const ignoredHeaders: ReadonlySet<string> = new Set(['date', 'keep-alive', 'transfer-encoding']);
 
-const headerLinesOf = (raw: readonly string[]): readonly string[] =>
-  raw.flatMap((name, at) =>
-    at % 2 === 0 && !ignoredHeaders.has(name.toLowerCase())
-      ? [`${name.toLowerCase()}: ${raw[at + 1] ?? ''}`]
+const headerLinesOf = (rawHeaders: readonly string[]): readonly string[] =>
+  rawHeaders.flatMap((name, index) =>
+    index % 2 === 0 && !ignoredHeaders.has(name.toLowerCase())
+      ? [`${name.toLowerCase()}: ${rawHeaders[index + 1] ?? ''}`]
       : [],
   );
 
-/** Sends a request to a port of 127.0.0.1 and reads the whole response. */
-export const httpExchange = (port: number, asked: HttpRequest): Promise<HttpResponse> =>
+/** Sends a request to a port of 127.0.0.1 and resolves with the whole response. */
+export const httpExchange = (port: number, httpRequest: HttpRequest): Promise<HttpResponse> =>
   new Promise((resolve, reject) => {
-    const { method, path, headers, body } = asked;
-    const sent = request(
+    const { method, path, headers, body } = httpRequest;
+    const clientRequest = request(
       { host: '127.0.0.1', port, method, path, agent: false, headers: { ...headers } },
       (response) => {
         const chunks: Buffer[] = [];
@@ -49,20 +49,20 @@
         );
       },
     );
-    sent.once('error', reject);
-    sent.end(body);
+    clientRequest.once('error', reject);
+    clientRequest.end(body);
   });
 
-/** A request line with the response to it, for a snapshot. */
-export const responseText = (asked: HttpRequest, response: HttpResponse): string =>
+/** Formats a request line and the response to it for a snapshot. */
+export const responseText = (httpRequest: HttpRequest, response: HttpResponse): string =>
   [
-    `${asked.method} ${asked.path}${asked.body === undefined ? '' : ` ${asked.body.slice(0, 400)}`}`,
+    `${httpRequest.method} ${httpRequest.path}${httpRequest.body === undefined ? '' : ` ${httpRequest.body.slice(0, 400)}`}`,
     `-> ${response.status}`,
     ...response.headerLines.toSorted().map((line) => `   ${line}`),
     ...(response.body === '' ? [] : [`   ${response.body.trimEnd()}`]),
   ].join('\n');
 
-/** An address of the loopback interface at whose port nothing listens now. */
+/** Returns an address of the loopback interface with a port that is currently free. */
 export const freeAddress = (): Promise<Address> =>
   new Promise((resolve) => {
     const server = createServer();
@@ -73,6 +73,6 @@
     });
   });
 
-/** The port of an address. */
+/** Returns the port of an address. */
 export const portOf = (address: string): number =>
   Number(address.slice(address.lastIndexOf(':') + 1));
--- a/packages/types/src/testing/index.ts
+++ b/packages/types/src/testing/index.ts
@@ -1,4 +1,4 @@
-/** Support for tests that hold outer forms against committed snapshots; no program imports it. */
+/** Support for tests that compare external interfaces with committed snapshots; not imported by programs. */
 
 export * from './schema-outline.js';
 export { type CommandLine, type RunningProgram, runCommands, startProgram } from './command.js';
--- a/packages/types/src/testing/json-shape.ts
+++ b/packages/types/src/testing/json-shape.ts
@@ -1,4 +1,4 @@
-/** Outlines of JSON values, for tests that hold the form of a body and not its content. */
+/** Outlines of JSON values, for tests that check the structure of a body but not its content. */
 
 const typeName = (value: unknown): string => (value === null ? 'null' : typeof value);
 
@@ -14,8 +14,8 @@
   return [`${path}: ${typeName(value)}`];
 };
 
-/** The keys and value types of a JSON value, one a line, in the order in which they stand. */
+/** Lists the keys and value types of a JSON value, one per line, in document order. */
 export const jsonShape = (value: unknown): string => {
-  const asSent: unknown = JSON.parse(JSON.stringify(value));
-  return [...new Set(linesOf(asSent, ''))].join('\n');
+  const parsed: unknown = JSON.parse(JSON.stringify(value));
+  return [...new Set(linesOf(parsed, ''))].join('\n');
 };
--- a/packages/types/src/testing/metrics.ts
+++ b/packages/types/src/testing/metrics.ts
@@ -1,4 +1,4 @@
-/** Holds the names, labels and help of metrics against snapshots. */
+/** Compares the names, labels and help texts of metrics with snapshots. */
 
 import type { MatchSnapshot } from './snapshot.js';
 
@@ -6,8 +6,8 @@
 const withoutValue = (line: string): string => line.replace(/ [^ ]*$/, '');
 
 /**
- * Holds metrics as they are printed: names and labels in one snapshot, help and type lines in another, so that new help
- * leaves the first alone. Values change from run to run and are left out.
+ * Compares formatted metrics with two snapshots: names and labels in one, help and type lines in the other.
+ * Values vary between runs and are left out.
  */
 export const matchMetrics = (matchSnapshot: MatchSnapshot, name: string, text: string): void => {
   const lines = text.trimEnd().split('\n');
--- a/packages/types/src/testing/schema-lines.ts
+++ b/packages/types/src/testing/schema-lines.ts
@@ -1,6 +1,6 @@
-/** Schemas as lines of text with their messages, for tests that hold what an operator or a client is shown. */
+/** Schemas as lines of text with their messages, for snapshots of what operators and clients see. */
 
-/** Reads a member of a schema object, whose type depends on the kind of schema. */
+/** Returns a member of a schema object, whose type depends on the kind of schema. */
 const memberOf = (raw: unknown, name: string): unknown =>
   typeof raw === 'object' && raw !== null ? Reflect.get(raw, name) : undefined;
 const listOf = (raw: unknown, name: string): readonly unknown[] => {
@@ -29,8 +29,8 @@
   const type = memberOf(schema, 'type');
   if (wrappers.has(type)) {
     const fallback = memberOf(schema, 'default');
-    const given = fallback === undefined ? '' : `, default ${textOf(fallback)}`;
-    return linesOf(memberOf(schema, 'wrapped'), path, `${String(type)}${given}`);
+    const defaultText = fallback === undefined ? '' : `, default ${textOf(fallback)}`;
+    return linesOf(memberOf(schema, 'wrapped'), path, `${String(type)}${defaultText}`);
   }
   const [, ...checks] = listOf(schema, 'pipe');
   const message = memberOf(schema, 'message');
@@ -51,9 +51,11 @@
     choices.length > 0 && !areSchemas ? `${head} of ${JSON.stringify(choices)}` : head,
     ...members.flatMap(([name, member]) => linesOf(member, `${path}.${name}`, 'required')),
     ...(areSchemas
-      ? choices.flatMap((choice, at) => linesOf(choice, `${path}<${at}>`, 'alternative'))
+      ? choices.flatMap((choice, index) => linesOf(choice, `${path}<${index}>`, 'alternative'))
       : []),
-    ...listOf(schema, 'items').flatMap((item, at) => linesOf(item, `${path}[${at}]`, 'required')),
+    ...listOf(schema, 'items').flatMap((item, index) =>
+      linesOf(item, `${path}[${index}]`, 'required'),
+    ),
     ...['item', 'key', 'value'].flatMap((part) => {
       const inner = memberOf(schema, part);
       return isSchema(inner) ? linesOf(inner, `${path}.{${part}}`, 'each') : [];
@@ -61,6 +63,6 @@
   ];
 };
 
-/** A valibot schema as lines: path, type, whether it is required, default and checks with their messages. */
+/** Formats a valibot schema as lines with path, type, presence, default, and checks with their messages. */
 export const schemaLines = (schema: unknown, name: string): string =>
   linesOf(schema, name, 'required').join('\n');
--- a/packages/types/src/testing/schema-outline.test.ts
+++ b/packages/types/src/testing/schema-outline.test.ts
@@ -1,4 +1,4 @@
-/** Outlines of schemas. */
+/** Guards against outlines that miss a part of a schema, so that a changed protocol would go unnoticed. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -64,7 +64,7 @@
   assert.deepEqual(outlineSchema(schema), { type: 'custom', accepts: ['empty text', 'letter'] });
 });
 
-void test('an outline of a recursive schema names the level at which it begins again', () => {
+void test('an outline of a recursive schema gives the number of levels up to its start', () => {
   assert.deepEqual(outlineSchema(tree), {
     type: 'object',
     entries: { children: { type: 'array', item: { type: 'lazy', levelsUp: 2 } } },
--- a/packages/types/src/testing/schema-outline.ts
+++ b/packages/types/src/testing/schema-outline.ts
@@ -1,17 +1,17 @@
 /**
- * Outlines of valibot schemas as plain JSON, for tests that hold stored and transmitted forms word for word.
+ * Outlines of valibot schemas as plain JSON, for tests that compare storage and wire formats with a fixture.
  *
- * An outline has every key, literal, option, bound and default of a schema, and none of its messages. A custom schema
- * has no parts to look at, so its outline lists which of a fixed set of samples it accepts.
+ * An outline has every key, literal, option, bound and default of a schema, but none of its messages. A custom
+ * schema cannot be inspected, so its outline lists which of a fixed set of samples it accepts.
  */
 
 import * as v from 'valibot';
 
-/** A schema, or a part of one, as it is written to JSON. */
+/** JSON form of a schema or of a part of one. */
 export type Outline =
   string | number | boolean | null | readonly Outline[] | { readonly [name: string]: Outline };
 
-/** What custom schemas are tried on, by the name that an outline gives it. */
+/** Values that custom schemas are tested with, by their names in outlines. */
 const samples: ReadonlyMap<string, unknown> = new Map<string, unknown>([
   ['zero', 0],
   ['one', 1],
@@ -40,8 +40,8 @@
   ['bytes', new Uint8Array([1])],
 ]);
 
-/** The members of a schema or an action that are part of its form. */
-const formMembers = [
+/** Members of schemas and actions that outlines include. */
+const outlinedMembers = [
   'key',
   'literal',
   'options',
@@ -65,13 +65,13 @@
 const isSchemaOrAction = (raw: unknown): raw is Members & { readonly type: string } =>
   isMembers(raw) && typeof raw['kind'] === 'string' && typeof raw['type'] === 'string';
 
-/** Names the samples that a schema accepts. */
+/** Returns the names of the samples that a schema accepts. */
 const acceptedSamples = (schema: v.GenericSchema): readonly string[] =>
   [...samples].filter(([, sample]) => v.is(schema, sample)).map(([name]) => name);
 
-/** A recursive schema names how many levels up it begins again; any other is outlined in place. */
+/** Outlines a lazy schema: one of its own ancestors as the number of levels up, any other in place. */
 const outlineLazy = (getter: unknown, ancestors: Ancestors): Outline => {
-  if (typeof getter !== 'function') throw new TypeError('a lazy schema without a getter');
+  if (typeof getter !== 'function') throw new TypeError('lazy schema has no getter function');
   const target: unknown = Reflect.apply(getter, undefined, []);
   const level = ancestors.findIndex((ancestor) => ancestor === target);
   return level < 0
@@ -81,7 +81,7 @@
 
 const outlineMembers = (part: Members, ancestors: Ancestors): Readonly<Record<string, Outline>> =>
   Object.fromEntries(
-    formMembers
+    outlinedMembers
       .filter((name) => part[name] !== undefined)
       .map((name) => [name, outlinePart(part[name], ancestors)]),
   );
@@ -106,17 +106,19 @@
   if (typeof part === 'function') return 'function';
   if (Array.isArray(part)) return part.map((item: unknown) => outlinePart(item, ancestors));
   if (isSchemaOrAction(part)) return outlineNode(part, ancestors);
-  if (!isMembers(part)) throw new TypeError(`no outline of a ${typeof part}`);
+  if (!isMembers(part)) throw new TypeError(`cannot outline a schema part of type ${typeof part}`);
   return Object.fromEntries(
     Object.entries(part).map(([name, value]) => [name, outlinePart(value, ancestors)]),
   );
 };
 
-/** Outlines a schema. */
+/** Returns the outline of a schema. */
 export const outlineSchema = (schema: v.GenericSchema): Outline => outlinePart(schema, []);
 
-/** Outlines schemas by their names. */
+/** Returns the outlines of schemas by name. */
 export const outlineSchemas = (
   schemas: Readonly<Record<string, v.GenericSchema>>,
 ): Readonly<Record<string, Outline>> =>
-  Object.fromEntries(Object.entries(schemas).map(([name, one]) => [name, outlineSchema(one)]));
+  Object.fromEntries(
+    Object.entries(schemas).map(([name, schema]) => [name, outlineSchema(schema)]),
+  );
--- a/packages/types/src/testing/snapshot.ts
+++ b/packages/types/src/testing/snapshot.ts
@@ -1,19 +1,19 @@
-/** Text snapshots in a package's `fixtures/` folder. */
+/** Text snapshots in the `fixtures/` folder of a package. */
 
 import assert from 'node:assert/strict';
 import { existsSync, mkdirSync, readFileSync, writeFileSync } from 'node:fs';
 import { dirname, join } from 'node:path';
 
-/** Asserts that a text is what the committed snapshot of that name holds. */
+/** Asserts that a text equals the committed snapshot of that name. */
 export type MatchSnapshot = (name: string, actual: string) => void;
 
-/** When this variable is `1`, snapshots are written instead of compared. */
+/** Environment variable that, if set to `1`, makes snapshots be written before they are compared. */
 const updateVariable = 'UPDATE_SNAPSHOTS';
 
 const packageFolderOf = (folder: string): string =>
   existsSync(join(folder, 'package.json')) ? folder : packageFolderOf(dirname(folder));
 
-/** The snapshots of the package that a test file belongs to; they are text files in its `fixtures/` folder. */
+/** Returns the function that compares with the snapshots of the package that a test file belongs to. */
 export const snapshotsFor = (testFolder: string): MatchSnapshot => {
   const folder = join(packageFolderOf(testFolder), 'fixtures');
   return (name, actual) => {
@@ -23,7 +23,10 @@
       mkdirSync(folder, { recursive: true });
       writeFileSync(file, text);
     }
-    assert.ok(existsSync(file), `no snapshot ${file}`);
-    assert.equal(text, readFileSync(file, 'utf8'), `the outer form ${name} changed`);
+    assert.ok(
+      existsSync(file),
+      `snapshot ${file} does not exist: set UPDATE_SNAPSHOTS=1 to write it`,
+    );
+    assert.equal(text, readFileSync(file, 'utf8'), `output differs from the snapshot ${name}`);
   };
 };
