--- a/packages/transport/src/channel/address.ts
+++ b/packages/transport/src/channel/address.ts
@@ -1,4 +1,4 @@
-/** Addresses as sockets take them. */
+/** Conversion of addresses to the form that sockets accept. */
 
 import type { Address } from '@switchwheel/types';
 
--- a/packages/transport/src/channel/channel-pool.ts
+++ b/packages/transport/src/channel/channel-pool.ts
@@ -1,7 +1,7 @@
 /**
- * All channels of a process: listens for others, connects where no channel exists, and queues a few
- * frames until a connection is up. Frames that can't be sent are dropped; whoever needs a reply repeats
- * the request.
+ * All channels of a process: accepts connections, connects on demand, and queues a bounded number of
+ * frames until a connection is established. Delivery is not guaranteed: frames that can't be sent are
+ * dropped, and a sender that needs a reply retries.
  */
 
 import { createConnection, createServer, type Server, type Socket } from 'node:net';
@@ -15,48 +15,49 @@
 
 interface PoolEvents {
   frame: (from: Peer, frame: Frame, channel: Channel) => void;
-  /** The channel with an address is closed; what was sent last may not have arrived. */
+  /** The channel to an address was closed; the frames sent last may be lost. */
   disconnected: (address: Address) => void;
-  /** Something went wrong that operators should see in the log. */
+  /** Server error or protocol violation that operators should see in the log. */
   failure: (message: string) => void;
-  /** Another process opened a data channel. */
+  /** A peer opened a data channel. */
   dataChannel: (channel: Channel, peer: Peer) => void;
 }
 
-/** A channel that has so many bytes to send is given no more frames. */
+/** Maximum backlog of a channel; further frames are dropped while it is reached. */
 const maxBacklogBytes = 32 * 1024 * 1024;
+/** Maximum number of frames that wait for a connection; further ones are dropped. */
 const maxQueuedFrames = 256;
 const helloTimeoutMs = 1000;
 
-/** Edges send each other nothing but objects. */
+/** Channels between edges carry only object frames, and have their own keepalive interval. */
 const channelKindFor = (frame: Frame): ChannelKind =>
   isObjectFrame(frame) ? 'objects' : 'control';
 
-/** A frame that waits until its channel is up, and since when (`performance.now()`). */
+/** Frame that waits for its channel to be established; `sentAt` is a `performance.now()` reading. */
 interface QueuedFrame {
   readonly frame: Frame;
   readonly sentAt: number;
 }
 
-/** A channel that this process opened. */
+/** Channel that this process opened. */
 interface OutboundConnection {
   readonly channel: Channel;
   isUp: boolean;
   readonly queue: QueuedFrame[];
 }
 
-const sendUnlessBackedUp = (channel: Channel, frame: Frame): void => {
+const sendUnlessBacklogged = (channel: Channel, frame: Frame): void => {
   if (channel.backlogBytes < maxBacklogBytes) channel.send(frame);
 };
 
-/** See the module's comment. */
+/** All inbound and outbound channels of a process, by the address of the peer. */
 export class ChannelPool extends EventEmitter<PoolEvents> {
   readonly #self: Peer;
   readonly #outbound = new Map<Address, OutboundConnection>();
   readonly #inbound = new Map<Address, Channel>();
   readonly #channels = new Set<Channel>();
   readonly #server: Server;
-  /** Channels that were closed because the other side violated the protocol. */
+  /** Number of channels closed because the peer violated the protocol. */
   protocolErrorCount = 0;
 
   constructor(self: Peer) {
@@ -66,7 +67,7 @@
     this.#server.on('error', (error) => this.emit('failure', error.message));
   }
 
-  /** Listens at this process's own address; rejects if the address can't be bound. */
+  /** Listens on this process's address; rejects if it can't be bound. */
   listen(): Promise<void> {
     return new Promise((resolve, reject) => {
       this.#server.once('error', reject);
@@ -77,22 +78,22 @@
     });
   }
 
-  /** Sends a frame on the existing channel with an address, or connects to it. */
+  /** Sends a frame on the existing channel to an address, or connects first. */
   send(to: Address, frame: Frame): void {
     const inbound = this.#inbound.get(to);
     const outbound =
       this.#outbound.get(to) ??
       (inbound === undefined ? this.#connect(to, channelKindFor(frame)) : undefined);
     if (outbound === undefined) {
-      if (inbound !== undefined) sendUnlessBackedUp(inbound, frame);
+      if (inbound !== undefined) sendUnlessBacklogged(inbound, frame);
       return;
     }
-    if (outbound.isUp) sendUnlessBackedUp(outbound.channel, frame);
+    if (outbound.isUp) sendUnlessBacklogged(outbound.channel, frame);
     else if (outbound.queue.length < maxQueuedFrames)
       outbound.queue.push({ frame, sentAt: performance.now() });
   }
 
-  /** Opens a data channel; its frames and its end are left to the caller. */
+  /** Opens a data channel; the caller handles its frames and its closing. */
   openDataChannel(to: Address): Channel {
     const channel = new Channel(createConnection(splitAddress(to)), this.#self, 'data');
     this.#channels.add(channel);
@@ -103,13 +104,13 @@
   /** Stops listening and closes all channels. */
   close(): void {
     this.#server.close();
-    for (const channel of this.#channels) channel.terminate('stopping');
+    for (const channel of this.#channels) channel.terminate('process is shutting down');
   }
 
   #connect(to: Address, channelKind: ChannelKind): OutboundConnection {
     const socket = createConnection(splitAddress(to));
     socket.setTimeout(helloTimeoutMs, () => {
-      if (!connection.isUp) channel.terminate('no hello in time');
+      if (!connection.isUp) channel.terminate('handshake timeout: no hello received');
     });
     const channel = new Channel(socket, this.#self, channelKind);
     const connection: OutboundConnection = { channel, isUp: false, queue: [] };
@@ -129,7 +130,7 @@
   #accept(socket: Socket): void {
     const channel = new Channel(socket, this.#self, 'control');
     const helloTimer = setTimeout(() => {
-      if (channel.peer === undefined) channel.terminate('no hello in time');
+      if (channel.peer === undefined) channel.terminate('handshake timeout: no hello received');
     }, helloTimeoutMs);
     this.#track(channel);
     channel.on('closed', () => clearTimeout(helloTimer));
@@ -161,8 +162,11 @@
       this.#channels.delete(channel);
       if (!reason.startsWith(protocolErrorPrefix)) return;
       this.protocolErrorCount += 1;
-      const peerName = channel.peer?.node ?? 'an unknown peer';
-      this.emit('failure', `channel closed by protocol error, peer ${peerName}: ${reason}`);
+      const peerName = channel.peer?.node ?? 'unknown (no hello received)';
+      this.emit(
+        'failure',
+        `channel closed after a protocol violation by peer ${peerName}: ${reason}`,
+      );
     });
   }
 }
--- a/packages/transport/src/channel/channel.test.ts
+++ b/packages/transport/src/channel/channel.test.ts
@@ -1,4 +1,4 @@
-/** Channels over real sockets on the loopback interface. */
+/** Guards against accepted corrupt or stale frames, and against channels that stay open to a dead peer. */
 
 import assert from 'node:assert/strict';
 import { type Socket, createConnection, createServer } from 'node:net';
@@ -25,7 +25,7 @@
   incarnation: toIncarnation(1),
 });
 
-/** Both ends of one connection. */
+/** Both ends of a connection. */
 interface SocketPair {
   readonly near: Socket;
   readonly far: Socket;
@@ -53,13 +53,13 @@
   };
 };
 
-/** The reason with which a channel closes. */
+/** Resolves with the reason for the closing of a channel. */
 const closeReason = (channel: Channel): Promise<string> =>
   new Promise((resolve) => {
     channel.on('closed', resolve);
   });
 
-void test('after a hello each way, frames arrive in order', async () => {
+void test('frames arrive in order after both sides have sent their hello', async () => {
   const { near, far, close } = await socketPair();
   const sender = new Channel(near, peerNamed('one'), 'control');
   const receiver = new Channel(far, peerNamed('two'), 'control');
@@ -79,7 +79,7 @@
   close();
 });
 
-void test('corrupt frames, unknown frames and other protocol versions close the channel with the reason', async () => {
+void test('corrupt frames, unknown frames and other protocol versions close the channel with a reason', async () => {
   const coder = new Encoder({ useRecords: false });
   const hello = {
     switchwheel: 'hello',
@@ -91,7 +91,7 @@
   corrupt[9] = (corrupt[9] ?? 0) ^ 1;
   const cases: readonly (readonly [readonly Uint8Array[], RegExp])[] = [
     [[Buffer.from('GET / HTTP/1.1\r\n\r\n')], /foreign/],
-    [[encodeFrame(coder.encode({ ...hello, protocol: 99 }))], /protocol 99, this program speaks 3/],
+    [[encodeFrame(coder.encode({ ...hello, protocol: 99 }))], /protocol 99, this program uses 3/],
     [[encodeFrame(coder.encode(hello)), corrupt], /checksum/],
     [
       [
@@ -110,15 +110,18 @@
   }
 });
 
-void test('a channel whose other side stays silent is closed', async () => {
+void test('a channel is closed when nothing arrives within the keepalive timeout', async () => {
   const { near, far, close } = await socketPair();
-  // The other side reads and sends nothing, not even a hello.
+  // The peer reads but sends nothing, not even a hello.
   near.resume();
-  assert.equal(await closeReason(new Channel(far, peerNamed('two'), 'control')), 'silent');
+  assert.equal(
+    await closeReason(new Channel(far, peerNamed('two'), 'control')),
+    'keepalive timeout: nothing received from the peer',
+  );
   close();
 });
 
-void test('a frame that was in transit for too long is dropped, later frames are not', async () => {
+void test('a frame that was in transit for too long is dropped, and later frames are delivered', async () => {
   const { near, far, close } = await socketPair();
   const sender = new Channel(near, peerNamed('one'), 'control');
   const receiver = new Channel(far, peerNamed('two'), 'control');
--- a/packages/transport/src/channel/channel.ts
+++ b/packages/transport/src/channel/channel.ts
@@ -1,8 +1,8 @@
 /**
- * One channel between two processes over a TCP connection: a hello each way, then frames and
- * keepalives, each with the time at which it was sent. The channel ends itself when the other side
- * stays silent, sends something that is no frame, or is only heard too late. Which channels a process
- * has is decided by `channel-pool`.
+ * Channel between two processes over a TCP connection. Each side sends a hello, then frames and keepalives
+ * with their send time. A channel closes itself if nothing arrives within the keepalive timeout, if the
+ * peer violates the protocol, or if frames keep arriving too late. `channel-pool` manages the channels of
+ * a process.
  */
 
 import type { Socket } from 'node:net';
@@ -19,31 +19,31 @@
 import { type ChannelKind, decodeHello, encodeHello } from './hello.js';
 import type { Peer } from './process-event.js';
 
-/** How often each side of a channel sends a keepalive, in milliseconds. */
+/** Interval at which each side of a channel sends keepalives. */
 export const keepaliveIntervalMs = 500;
-/** For how long the other side may be silent before the channel is closed, in milliseconds. */
+/** Time without any frame or keepalive after which a channel is closed. */
 export const keepaliveTimeoutMs = 2000;
 /**
- * The interval on channels between edges that share objects. It is longer because an edge goes on
- * without a peer that does not reply at once.
+ * Keepalive interval on channels between edges that share cached objects. It is longer because an edge does not
+ * depend on such a peer: without a quick reply it fetches the object itself.
  */
 export const objectKeepaliveIntervalMs = 4000;
 const objectKeepaliveTimeoutMs = 3 * objectKeepaliveIntervalMs;
 
-/** What a keepalive carries beside its send time. */
+/** Body of a keepalive, which consists of its send time only. */
 const emptyBody = new Uint8Array();
 
-/** The reason of closing that begins with this was a violation of the protocol by the other side. */
+/** Prefix of the close reasons that are protocol violations by the peer. */
 export const protocolErrorPrefix = 'foreign';
 
 interface ChannelEvents {
-  /** The other side's hello was accepted. */
+  /** The peer's hello was accepted. */
   up: (peer: Peer, channelKind: ChannelKind) => void;
   frame: (frame: Frame) => void;
   closed: (reason: string) => void;
 }
 
-/** See the module's comment. */
+/** Channel over one TCP socket; emits the received frames and, once, the reason for its closing. */
 export class Channel extends EventEmitter<ChannelEvents> {
   readonly #socket: Socket;
   readonly #decoder = new FrameDecoder();
@@ -53,14 +53,14 @@
   #isClosed = false;
   #lastReceivedAt = performance.now();
   #lastCheckedAt = performance.now();
-  /** Since when every frame that arrived was too old; undefined while they are not. */
+  /** Time since which all frames arrived too late; undefined if the last one was on time. */
   #lateSince: number | undefined;
   #kind: ChannelKind;
   #keepaliveTimer: NodeJS.Timeout | undefined;
-  /** Frames that were dropped as too old. */
+  /** Number of received frames that were dropped because they were too old. */
   expiredFrameCount = 0;
 
-  /** Sends the hello of this process; `kind` is replaced by what the other side's hello names. */
+  /** Sends the hello of this process. `kind` applies until the peer's hello specifies another one. */
   constructor(socket: Socket, self: Peer, kind: ChannelKind) {
     super();
     this.#socket = socket;
@@ -75,31 +75,31 @@
     socket.on('close', () => this.#onSocketClosed());
   }
 
-  /** The process at the other end; undefined until its hello has arrived. */
+  /** Process at the other end; undefined until its hello has been accepted. */
   get peer(): Peer | undefined {
     return this.#peer;
   }
 
-  /** How many bytes are waiting to be sent. */
+  /** Number of bytes that wait to be sent. */
   get backlogBytes(): number {
     return this.#socket.writableLength;
   }
 
-  /** Sends a frame, stamped with `sentAt` (`performance.now()`); false if the channel is closed. */
+  /** Sends a frame with its send time (`performance.now()`); returns false if the channel is closed. */
   send(frame: Frame, sentAt = performance.now()): boolean {
     if (this.#isClosed || this.#socket.destroyed) return false;
     this.#socket.write(encodeFrame(prependSendTime(serializeFrame(frame), sentAt)));
     return true;
   }
 
-  /** Closes the channel at once; `closed` is emitted with the reason. */
+  /** Closes the channel immediately; `closed` is emitted with the reason. */
   terminate(reason: string): void {
     this.#closeReason = reason;
     this.#socket.destroy();
   }
 
-  #terminateForProtocolError(text: string): void {
-    this.terminate(`${protocolErrorPrefix}: ${text}`);
+  #terminateForProtocolError(detail: string): void {
+    this.terminate(`${protocolErrorPrefix}: ${detail}`);
   }
 
   #onSocketClosed(): void {
@@ -126,14 +126,15 @@
     return this.#kind === 'objects' ? objectKeepaliveTimeoutMs : keepaliveTimeoutMs;
   }
 
-  /** Sends a keepalive; closes a channel whose other side is silent, as after a network partition. */
+  /** Sends a keepalive, or closes the channel if nothing has arrived, e.g. because of a network partition. */
   #checkKeepalive(): void {
     const now = performance.now();
-    // A process that was itself suspended has received nothing meanwhile: that silence is its own.
+    // The check itself is late: this process was suspended, so the silence says nothing about the peer.
     if (now - this.#lastCheckedAt > 2 * this.#keepaliveIntervalMs) this.#lastReceivedAt = now;
     this.#lastCheckedAt = now;
     if (this.#socket.connecting) return;
-    if (now - this.#lastReceivedAt > this.#keepaliveTimeoutMs) this.terminate('silent');
+    if (now - this.#lastReceivedAt > this.#keepaliveTimeoutMs)
+      this.terminate('keepalive timeout: nothing received from the peer');
     else if (!this.#socket.destroyed && this.#peer !== undefined)
       this.#socket.write(encodeFrame(prependSendTime(emptyBody, now)));
   }
@@ -152,11 +153,11 @@
     }
   }
 
-  /** Receives a frame or a keepalive; drops a frame that is too old, if its kind expires. */
+  /** Handles a frame or a keepalive; drops a frame that is too old if its kind expires. */
   #receiveTimestamped(bytes: Uint8Array): void {
     const timestamped = splitSendTime(bytes);
     if (timestamped === undefined) {
-      this.#terminateForProtocolError('no time of sending');
+      this.#terminateForProtocolError('frame without a valid send time');
       return;
     }
     const now = performance.now();
@@ -172,11 +173,11 @@
     else this.emit('frame', frame.value);
   }
 
-  /** Closes a control channel on which all is late: a new one has no backlog, and measures the clocks anew. */
+  /** Closes a control channel whose frames keep arriving late: a new one has no backlog and a fresh clock offset. */
   #trackLateness(isLate: boolean, now: number): void {
     this.#lateSince = isLate ? (this.#lateSince ?? now) : undefined;
     if (this.#kind === 'control' && now - (this.#lateSince ?? now) > keepaliveTimeoutMs)
-      this.terminate('late');
+      this.terminate('all frames arrived too late for longer than the keepalive timeout');
   }
 
   #receiveHello(body: Uint8Array): void {
--- a/packages/transport/src/channel/frame-age.ts
+++ b/packages/transport/src/channel/frame-age.ts
@@ -1,22 +1,22 @@
 /**
- * The age of frames as they arrive. The monotonic clocks of the two sides start anywhere, so the
- * receiver takes the smallest difference between them that it measured for a frame without delay; what
- * a frame exceeds it by is its age.
+ * Age of received frames. The monotonic clocks of the two processes are not synchronized, so the receiver
+ * takes the smallest difference between receive time and send time as the clock offset; the excess of a
+ * frame over that offset is its age.
  */
 
 import type { Frame } from '../frame/frame.js';
 
-/** How old a frame may be when it is received, in milliseconds: the sender of an older one has moved on. */
+/** Maximum age of a received frame; the sender of an older one has timed out or sent a newer one. */
 export const frameLifetimeMs = 1500;
-/** By how much two monotonic clocks may drift apart, in milliseconds for each millisecond. */
+/** Maximum drift between two monotonic clocks, in milliseconds per millisecond. */
 const maxClockDrift = 0.001;
 
-/** Estimates the difference between the clocks of a channel's two sides. */
+/** Estimates the offset between the clocks of the two sides of a channel. */
 export class FrameAgeEstimator {
   #clockOffsetMs = Infinity;
   #measuredAt = 0;
 
-  /** By how many milliseconds a frame took longer than the fastest one; both times in milliseconds. */
+  /** Returns by how many milliseconds a frame was slower than the fastest one; times are in milliseconds. */
   measure(sentAt: number, receivedAt: number): number {
     const driftedOffsetMs = this.#clockOffsetMs + maxClockDrift * (receivedAt - this.#measuredAt);
     this.#clockOffsetMs = Math.min(driftedOffsetMs, receivedAt - sentAt);
@@ -26,15 +26,15 @@
 }
 
 /**
- * Whether a frame loses its value with time. Chunks are addressed by their hash, and entries of a
- * resync are bulk data under an epoch: over a slow link they are late and still right.
+ * Whether a frame becomes invalid with age. Chunks, which are addressed by hash, and resync entries, which
+ * carry their epoch, do not: they are bulk data that may be slow on a slow link.
  */
 export const expiresWithAge = (frame: Frame): boolean =>
   frame.kind !== 'piece' && frame.kind !== 'resync-entries';
 
 const sendTimeBytes = 8;
 
-/** Puts the time of sending, as a big-endian double, before a frame's bytes. */
+/** Prepends the send time to a frame's bytes as a big-endian double. */
 export const prependSendTime = (body: Uint8Array, sentAt: number): Buffer => {
   const out = Buffer.allocUnsafe(sendTimeBytes + body.length);
   out.writeDoubleBE(sentAt, 0);
@@ -42,13 +42,13 @@
   return out;
 };
 
-/** A frame's bytes with the time of their sending. */
+/** Bytes of a frame, and its send time by the sender's clock in milliseconds. */
 export interface TimestampedFrame {
   readonly sentAt: number;
   readonly body: Uint8Array;
 }
 
-/** Separates a frame's bytes from the time of sending; undefined if there is no valid time. */
+/** Splits the send time from a frame's bytes; returns undefined if it is missing or not finite. */
 export const splitSendTime = (bytes: Uint8Array): TimestampedFrame | undefined => {
   if (bytes.length < sendTimeBytes) return undefined;
   const sentAt = Buffer.from(bytes.buffer, bytes.byteOffset, sendTimeBytes).readDoubleBE(0);
--- a/packages/transport/src/channel/frame-decoder.ts
+++ b/packages/transport/src/channel/frame-decoder.ts
@@ -1,49 +1,50 @@
-/** Framing on a byte stream: each frame has its length and a CRC-32 checksum before it, both big-endian. */
+/** Framing of a byte stream: each frame is preceded by its length and its CRC-32 checksum, both big-endian. */
 
 import { crc32 } from 'node:zlib';
 import { type Result, ok, err } from 'true-myth/result';
 import { type Failure, failure } from '@switchwheel/types';
 
-/** The largest body of a frame, in bytes. */
+/** Maximum size of a frame's body. */
 export const maxFrameBytes = 8 * 1024 * 1024;
 const checksumOffset = 4;
 const headerBytes = 8;
 
-/** Puts the header before a frame's body. */
+/** Prepends the header to a frame's body. */
 export const encodeFrame = (body: Uint8Array): Buffer => {
-  const out = Buffer.allocUnsafe(headerBytes + body.length);
-  out.writeUInt32BE(body.length, 0);
-  out.writeUInt32BE(crc32(body), checksumOffset);
-  out.set(body, headerBytes);
-  return out;
+  const encoded = Buffer.allocUnsafe(headerBytes + body.length);
+  encoded.writeUInt32BE(body.length, 0);
+  encoded.writeUInt32BE(crc32(body), checksumOffset);
+  encoded.set(body, headerBytes);
+  return encoded;
 };
 
-/** Cuts a stream of bytes into frames. */
+/** Splits a byte stream into the bodies of its frames. */
 export class FrameDecoder {
   readonly #chunks: Buffer[] = [];
   #bufferedBytes = 0;
 
-  /** Adds bytes and returns the bodies of the frames that are complete; fails if the stream is corrupt. */
+  /** Adds bytes and returns the bodies of the frames that are now complete; fails if the stream is corrupt. */
   feed(bytes: Buffer): Result<readonly Uint8Array[], Failure> {
     this.#chunks.push(bytes);
     this.#bufferedBytes += bytes.length;
     const bodies: Uint8Array[] = [];
     while (this.#bufferedBytes >= headerBytes) {
       const length = this.#peek(headerBytes).readUInt32BE(0);
-      if (length > maxFrameBytes) return err(failure('foreign', `a frame of ${length} bytes`));
+      if (length > maxFrameBytes)
+        return err(failure('foreign', `frame of ${length} bytes exceeds the maximum size`));
       const frameBytes = headerBytes + length;
       if (this.#bufferedBytes < frameBytes) break;
       const frame = this.#peek(frameBytes);
       const body = frame.subarray(headerBytes, frameBytes);
       if (crc32(body) !== frame.readUInt32BE(checksumOffset))
-        return err(failure('foreign', 'checksum'));
+        return err(failure('foreign', 'frame checksum mismatch'));
       this.#consume(frameBytes);
       bodies.push(body);
     }
     return ok(bodies);
   }
 
-  /** A buffer that begins with the next `size` bytes, which must have arrived. */
+  /** Returns a buffer that starts with the next `size` bytes, which must have been received. */
   #peek(size: number): Buffer {
     const first = this.#chunks[0] ?? Buffer.alloc(0);
     if (first.length >= size) return first;
--- a/packages/transport/src/channel/hello-form.test.ts
+++ b/packages/transport/src/channel/hello-form.test.ts
@@ -1,4 +1,4 @@
-/** Holds the bytes with which a channel begins: a process of another version has to understand them. */
+/** Guards against accidental changes of the hello, which processes of other versions must be able to decode. */
 
 import assert from 'node:assert/strict';
 import { once } from 'node:events';
@@ -11,10 +11,10 @@
 import type { ChannelKind } from './hello.js';
 import { FrameDecoder } from './frame-decoder.js';
 
-const lanes: readonly ChannelKind[] = ['control', 'data', 'objects'];
+const channelKinds: readonly ChannelKind[] = ['control', 'data', 'objects'];
 const coder = new Encoder({ useRecords: false, mapsAsObjects: true });
 
-/** Reads the first frame that arrives at a socket, as it was encoded. */
+/** Decodes the first frame that arrives at a socket. */
 const firstFrame = async (socket: Socket): Promise<unknown> => {
   const decoder = new FrameDecoder();
   for await (const bytes of socket) {
@@ -22,11 +22,11 @@
     const [first] = frames.unwrapOr([]);
     if (first !== undefined) return coder.decode(first);
   }
-  throw new Error('the channel closed before a frame came');
+  throw new Error('channel closed before a frame arrived');
 };
 
-/** The hello of a new channel on a lane. */
-const helloOn = async (lane: ChannelKind): Promise<unknown> => {
+/** Returns the hello that a new channel of a kind sends. */
+const receiveHello = async (channelKind: ChannelKind): Promise<unknown> => {
   const server = createServer();
   server.listen(0, '127.0.0.1');
   await once(server, 'listening');
@@ -36,12 +36,12 @@
   const sender = createConnection(bound.port, '127.0.0.1');
   const receiver = await accepted;
   try {
-    const me = {
+    const self = {
       node: toNodeId('store-1'),
       address: toAddress('127.0.0.1:1'),
       incarnation: toIncarnation(7),
     };
-    new Channel(sender, me, lane);
+    new Channel(sender, self, channelKind);
     return await firstFrame(receiver);
   } finally {
     sender.destroy();
@@ -50,17 +50,17 @@
   }
 };
 
-for (const lane of lanes)
-  void test(`a channel on the lane ${lane} begins with the hello that peers expect`, async () => {
+for (const channelKind of channelKinds)
+  void test(`a channel of kind ${channelKind} starts with the hello that peers expect`, async () => {
     const { at, ...hello } = v.parse(
       v.looseObject({ at: v.pipe(v.number(), v.finite()) }),
-      await helloOn(lane),
+      await receiveHello(channelKind),
     );
     assert.ok(at >= 0);
     assert.deepEqual(hello, {
       switchwheel: 'hello',
       protocol: 3,
-      lane,
+      lane: channelKind,
       node: 'store-1',
       address: '127.0.0.1:1',
       incarnation: 7,
--- a/packages/transport/src/channel/hello.ts
+++ b/packages/transport/src/channel/hello.ts
@@ -1,4 +1,4 @@
-/** The hello with which each side of a channel begins, and the check of the other side's hello. */
+/** Handshake of a channel: encoding of this side's hello, and validation of the peer's. */
 
 import * as v from 'valibot';
 import { Encoder } from 'cbor-x';
@@ -6,7 +6,7 @@
 import { type Failure, address, failure, incarnation, nodeId } from '@switchwheel/types';
 import type { Peer } from './process-event.js';
 
-/** The version of the frames; a peer of another one is refused with both versions named. */
+/** Version of the wire protocol; a peer with another version is rejected. */
 export const protocolVersion = 3;
 
 const helloSchema = v.object({
@@ -16,21 +16,21 @@
   node: nodeId,
   address,
   incarnation,
-  /** The sender's monotonic clock; absent in the hello of an older protocol, which is refused by its version. */
+  /** Reading of the sender's monotonic clock; optional so that older versions get the version error. */
   at: v.optional(v.number()),
 });
-/** The first message of either side of a channel. */
+/** First message of each side of a channel. */
 export type Hello = v.InferOutput<typeof helloSchema>;
 
 /**
- * What a channel is for: control frames between any processes, requests from an edge to a service
- * leader, or cached objects between edges.
+ * Purpose of a channel: `control` for frames between any processes, `data` for requests from an edge to a
+ * service leader, `objects` for cached objects between edges.
  */
 export type ChannelKind = Hello['lane'];
 
 const cbor = new Encoder({ useRecords: false, mapsAsObjects: true });
 
-/** Encodes the hello of this side; `sentAt` is in milliseconds of the sender's monotonic clock. */
+/** Encodes the hello of this side; `sentAt` is a `performance.now()` reading. */
 export const encodeHello = (self: Peer, channelKind: ChannelKind, sentAt: number): Uint8Array => {
   const hello: Hello = {
     switchwheel: 'hello',
@@ -42,17 +42,19 @@
   return cbor.encode(hello);
 };
 
-/** Decodes the other side's hello; a `foreign` failure if it is none, or of another version. */
+/** Decodes the peer's hello; fails as `foreign` if it is invalid or has another protocol version. */
 export const decodeHello = (body: Uint8Array): Result<Hello, Failure> => {
   let raw: unknown;
   try {
     raw = cbor.decode(body);
   } catch {
-    return err(failure('foreign', 'no hello'));
+    return err(failure('foreign', 'first frame is not valid CBOR'));
   }
   const parsed = v.safeParse(helloSchema, raw);
-  if (!parsed.success) return err(failure('foreign', 'no hello'));
+  if (!parsed.success) return err(failure('foreign', 'first frame is not a valid hello'));
   const { protocol } = parsed.output;
   if (protocol === protocolVersion) return ok(parsed.output);
-  return err(failure('foreign', `protocol ${protocol}, this program speaks ${protocolVersion}`));
+  return err(
+    failure('foreign', `peer uses protocol ${protocol}, this program uses ${protocolVersion}`),
+  );
 };
--- a/packages/transport/src/channel/process-event.ts
+++ b/packages/transport/src/channel/process-event.ts
@@ -1,21 +1,21 @@
 /**
- * The events and effects that the state machines of all processes share: time, frames and lost
- * connections come in; frames and log lines go out. `runtime/run/event-loop` binds them to the real
- * clock and network, the simulator to virtual ones.
+ * Events and effects that the state machines of all processes share. Events are ticks, received frames and
+ * lost connections; effects are frames to send and log lines. `runtime/run/event-loop` connects them to
+ * the real clock and network, the simulator to virtual ones.
  */
 
 import type { Address, Incarnation, NodeId, Timestamp } from '@switchwheel/types';
 import type { Frame } from '../frame/frame.js';
 
-/** The process at the other end of a channel. */
+/** Process at the other end of a channel. */
 export interface Peer {
   readonly node: NodeId;
-  /** Where it listens for channels. */
+  /** Address at which it listens for channels. */
   readonly address: Address;
   readonly incarnation: Incarnation;
 }
 
-/** What reaches a process from outside, each with the time at which it is handled. */
+/** Event from outside a process, with the time at which it is handled. */
 export type ProcessEvent =
   | { readonly kind: 'tick'; readonly now: Timestamp }
   | {
@@ -29,7 +29,7 @@
 type LogLevel = 'info' | 'warn' | 'error';
 type LogField = readonly [name: string, value: string | number | boolean];
 
-/** What every process may have done on its behalf. */
+/** Effect that the event loop of every process can execute. */
 export type ProcessEffect =
   | { readonly kind: 'send'; readonly to: Address; readonly frame: Frame }
   | {
@@ -39,10 +39,10 @@
       readonly fields?: ReadonlyMap<string, string | number | boolean>;
     };
 
-/** The effect that sends a frame. */
+/** Creates the effect that sends a frame. */
 export const send = (to: Address, frame: Frame): ProcessEffect => ({ kind: 'send', to, frame });
 
-/** The effect that writes a log line. */
+/** Creates the effect that writes a log line. */
 export const log = (
   level: LogLevel,
   message: string,
--- a/packages/transport/src/frame/edge-edge.ts
+++ b/packages/transport/src/frame/edge-edge.ts
@@ -1,31 +1,31 @@
-/** Frames by which edges of a zone share the objects that they cache. */
+/** Frames with which the edges of a zone share cached objects. */
 
 import * as v from 'valibot';
 import * as types from '@switchwheel/types';
 import { headerFields } from './edge-shield.js';
 import { bytes, kind } from './schema-parts.js';
 
-/** Numbers the requests of one edge's incarnation. */
+/** Number of a request, unique within an incarnation of the requesting edge. */
 const requestNumber = v.pipe(v.number(), v.integer(), v.minValue(1));
 
-/** See the module's comment. */
+/** Schemas of the request for an object and of the replies to it. */
 export const edgeEdgeFrames = [
   /** Requests an object from the edge that owns it. */
   v.object({
     kind: kind('object-request'),
     id: requestNumber,
-    /** The id of the client's request: the origin echoes it, so an owner that fetches can tell responses apart. */
+    /** Id of the client's request, which the owner sends to the origin if it has to fetch the object. */
     callerId: v.string(),
     generation: types.generation,
     route: types.routeName,
     host: v.string(),
     target: v.string(),
-    /** The request's header fields on which the object may depend. */
+    /** Header fields of the request that may select a variant of the object. */
     fields: headerFields,
     /** Time left until the request's deadline. */
     left: types.durationMs,
   }),
-  /** The object, with its age and the last purge that it is known to have outlived. */
+  /** Cached object with its age, and the last purge that is known not to have removed it. */
   v.object({
     kind: kind('object'),
     id: requestNumber,
@@ -34,7 +34,7 @@
     fields: headerFields,
     body: bytes,
   }),
-  /** The state of a request whose object is not there yet: it is being fetched, or the requesting edge must fetch it. */
+  /** Reply without the object: the owner is fetching it, or the requesting edge must fetch it itself. */
   v.object({
     kind: kind('object-status'),
     id: requestNumber,
--- a/packages/transport/src/frame/edge-shield.ts
+++ b/packages/transport/src/frame/edge-shield.ts
@@ -1,15 +1,15 @@
-/** Frames of the data channel between an edge and a service leader: forwarded requests and their responses. */
+/** Frames on data channels between edges and service leaders: forwarded requests and their responses. */
 
 import * as v from 'valibot';
 import * as types from '@switchwheel/types';
 import { bytes, kind } from './schema-parts.js';
 
-/** Header fields in their order, names in lower case. */
+/** Header fields in order, as pairs of lower-case name and value. */
 export const headerFields = v.array(v.tuple([v.string(), v.string()]));
-/** See {@link headerFields}. */
+/** Value of {@link headerFields}. */
 export type HeaderFields = v.InferOutput<typeof headerFields>;
 
-/** A client's request that an edge forwards to a service leader. */
+/** Client request that an edge forwards to a service leader. */
 export const forwardedRequest = v.object({
   kind: kind('ask'),
   id: types.requestId,
@@ -26,22 +26,22 @@
   /** Whether the request is idempotent. */
   repeatable: v.boolean(),
   storable: v.boolean(),
-  /** Whether an earlier attempt of it may have run: then it is never answered as rejected. */
+  /** Whether an earlier attempt may have run; the request is then never reported as `rejected`. */
   again: v.boolean(),
-  /** Whether an earlier attempt of it is known to have begun: this one counts as a retry. */
+  /** Whether an earlier attempt is known to have started, so that this one counts as a retry. */
   extra: v.boolean(),
-  /** Time left until its deadline. */
+  /** Time left until the deadline of the request. */
   left: types.durationMs,
-  /** The last purge that the edge knows of: the response must not be older. */
+  /** Last purge that the edge knows of: the response must not predate it. */
   purged: types.seq,
 });
-/** See {@link forwardedRequest}. */
+/** Value of {@link forwardedRequest}. */
 export type ForwardedRequest = v.InferOutput<typeof forwardedRequest>;
 
-/** See the module's comment. */
+/** Schemas of the forwarded request, the parts of its response, and flow control. */
 export const edgeShieldFrames = [
   forwardedRequest,
-  /** The head of a response. */
+  /** Status and header fields of a response. */
   v.object({
     kind: kind('result'),
     id: types.requestId,
@@ -55,24 +55,25 @@
     purged: types.seq,
     streamed: v.boolean(),
   }),
-  /** The first attempt is being sent to an origin. */
+  /** Notifies the edge that the first attempt is being sent to an origin. */
   v.object({ kind: kind('begun'), id: types.requestId }),
-  /** A part of a response's body. */
+  /** Part of a response's body. */
   v.object({ kind: kind('chunk'), id: types.requestId, bytes }),
-  /** The end of a response, with the digest and length of its whole body. */
+  /** End of a response, with the digest and length of its whole body. */
   v.object({ kind: kind('done'), id: types.requestId, digest: v.string(), length: v.number() }),
+  /** Reports that the request failed, in place of a response. */
   v.object({
     kind: kind('reject'),
     id: types.requestId,
     errorKind: v.picklist(types.errorKinds),
     text: v.string(),
-    /** Milliseconds after which a retry makes sense. */
+    /** Milliseconds after which the request may be retried. */
     retryAfter: v.number(),
-    /** Whether this leader gives the service up, so that the edge is to try its next leader. */
+    /** Whether this leader is giving up the service, so that the edge should try the next leader. */
     moved: v.boolean(),
   }),
-  /** The edge cancels the request. */
+  /** Cancels the request. */
   v.object({ kind: kind('quit'), id: types.requestId }),
-  /** Flow control: so many more bytes of the body may be sent. */
+  /** Flow control: allows the leader to send this many more bytes of the body. */
   v.object({ kind: kind('credit'), id: types.requestId, bytes: v.number() }),
 ] as const;
--- a/packages/transport/src/frame/frame-schemas.test.ts
+++ b/packages/transport/src/frame/frame-schemas.test.ts
@@ -1,6 +1,6 @@
 /**
- * Holds the form of every frame word for word. Processes of two versions talk to each other during an upgrade, so a
- * difference from the fixture is a change of the protocol and not only of names in the code.
+ * Guards against accidental protocol changes: processes of two versions talk to each other during an upgrade, so
+ * every difference from the fixture is a change of the wire protocol.
  */
 
 import assert from 'node:assert/strict';
@@ -49,11 +49,11 @@
     tallyRow: rollout.releaseCounts,
   });
 
-void test('every frame and every part that frames share has the form that peers expect', () => {
+void test('all frames and the records in them match the committed wire format', () => {
   assert.deepEqual({ frames: outlineFrames(), parts: outlineParts() }, fixture);
 });
 
-void test('no two frames have the same kind', () => {
+void test('each frame has a unique kind', () => {
   assert.equal(
     new Set(frameSchemas.map((frame) => frame.entries.kind.literal)).size,
     frameSchemas.length,
--- a/packages/transport/src/frame/frame.ts
+++ b/packages/transport/src/frame/frame.ts
@@ -1,4 +1,4 @@
-/** All frames as one union, and their encoding as CBOR. Framing on the stream is `channel/frame-decoder`. */
+/** Union of all frames, and their encoding as CBOR. Framing on the byte stream is in `channel/frame-decoder`. */
 
 import * as v from 'valibot';
 import { Encoder } from 'cbor-x';
@@ -14,7 +14,7 @@
 import { storeRegistryFrames } from './store-registry.js';
 import { storeStoreFrames } from './store-store.js';
 
-/** The schemas of all frames. Their keys and literals are the protocol: see `frame-schemas.test.ts`. */
+/** Schemas of all frames. Their keys and literals are the wire protocol, which `frame-schemas.test.ts` checks. */
 export const frameSchemas = [
   ...nodeRegistryFrames,
   ...registryRegistryFrames,
@@ -29,15 +29,15 @@
 
 const frame = v.variant('kind', frameSchemas);
 
-/** Any message between two processes. */
+/** Message between two processes. */
 export type Frame = v.InferOutput<typeof frame>;
-/** The frames of one kind. */
+/** Frame of the kind `K`. */
 export type FrameOf<K extends Frame['kind']> = Extract<Frame, { kind: K }>;
 
-/** Frames by which edges share objects. */
+/** Frame with which edges share cached objects. */
 export type ObjectFrame = FrameOf<'object-request'> | FrameOf<'object'> | FrameOf<'object-status'>;
 
-/** Whether a frame is one by which edges share objects. */
+/** Whether a frame is one with which edges share cached objects. */
 export const isObjectFrame = (candidate: Frame): candidate is ObjectFrame =>
   candidate.kind === 'object-request' ||
   candidate.kind === 'object' ||
@@ -47,19 +47,19 @@
 
 let lastSerialized: { readonly frame: Frame; readonly bytes: Uint8Array } | undefined;
 
-/** Encodes a frame as CBOR. The last result is kept, as a broadcast sends one frame to several peers in a row. */
+/** Encodes a frame as CBOR. Caches the last result, because a broadcast sends the same frame to several peers. */
 export const serializeFrame = (value: Frame): Uint8Array => {
   if (lastSerialized?.frame !== value) lastSerialized = { frame: value, bytes: cbor.encode(value) };
   return lastSerialized.bytes;
 };
 
-/** Decodes and validates a frame; a `foreign` failure names the first thing that is wrong. */
+/** Decodes and validates a frame; fails as `foreign` with the first validation error. */
 export const deserializeFrame = (bytes: Uint8Array): Result<Frame, Failure> => {
   let raw: unknown;
   try {
     raw = cbor.decode(bytes);
   } catch {
-    return err(failure('foreign', 'not cbor'));
+    return err(failure('foreign', 'frame is not valid CBOR'));
   }
   const parsed = v.safeParse(frame, raw);
   if (parsed.success) return ok(parsed.output);
--- a/packages/transport/src/frame/lease.ts
+++ b/packages/transport/src/frame/lease.ts
@@ -1,14 +1,15 @@
-/** Frames between candidates and voters, and between a leaving lease holder and its successor. */
+/** Frames of lease elections: between candidates and voters, and from a leaving holder to its successor. */
 
 import * as v from 'valibot';
 import * as types from '@switchwheel/types';
 import { electorate, leaseHolder } from '../record/lease.js';
 import { kind } from './schema-parts.js';
 
-/** See the module's comment. */
+/** Schemas of the handover, the vote request and the vote. */
 export const leaseFrames = [
-  /** A leaving holder asks its successor to stand for the lease at once. */
+  /** Asks the successor of a leaving holder to become a candidate for the lease immediately. */
   v.object({ kind: kind('handover'), duty: types.leaseName, epoch: types.epoch }),
+  /** Asks a voter to grant, renew or release a lease. */
   v.object({
     kind: kind('vote-request'),
     fleet: types.fleetId,
@@ -18,17 +19,18 @@
     node: types.nodeId,
     at: types.timestamp,
     lease: types.durationMs,
-    /** Asks what the vote would be and changes nothing. */
+    /** Whether the voter is only asked how it would vote, without a change of its state. */
     preVote: v.boolean(),
     renew: v.boolean(),
     inSyncSet: v.array(types.nodeId),
     held: v.optional(leaseHolder),
     stepDown: v.boolean(),
-    /** With `stepDown`: the epoch was never won, and never will be. */
+    /** With `stepDown`: the candidate did not win the epoch and never will. */
     abandoned: v.optional(v.boolean()),
-    /** The incarnation of the voter that gave the newest vote in this epoch: a renewal that echoes it proves the win. */
+    /** In a renewal: incarnation of the voter when it last voted for this candidate in this epoch. */
     voterLife: v.optional(types.incarnation),
   }),
+  /** Reply to a vote request. */
   v.object({
     kind: kind('vote'),
     duty: types.leaseName,
@@ -36,15 +38,15 @@
     voter: types.nodeId,
     /** The voter's incarnation. */
     life: types.incarnation,
-    /** Echo of the request's time. */
+    /** Time `at` of the vote request. */
     at: types.timestamp,
     preVote: v.boolean(),
     granted: v.boolean(),
     recovering: v.boolean(),
-    /** The highest epoch that the voter granted of this lease. */
+    /** Highest epoch of this lease that the voter has granted. */
     highest: types.epoch,
     electorate: v.optional(electorate),
-    /** With a refusal: for how long the lease in the way may still last. */
+    /** With a refusal: time until the conflicting lease expires at the latest. */
     left: v.optional(types.durationMs),
   }),
 ] as const;
--- a/packages/transport/src/frame/node-registry.ts
+++ b/packages/transport/src/frame/node-registry.ts
@@ -1,4 +1,4 @@
-/** Frames between a node and the registry that keeps its session, in both directions. */
+/** Frames between a node and the registry that holds its session. */
 
 import * as v from 'valibot';
 import * as types from '@switchwheel/types';
@@ -9,32 +9,33 @@
 import { canaryResult, rolloutState } from '../record/rollout.js';
 import { kind } from './schema-parts.js';
 
-/** See the module's comment. */
+/** Schemas of the heartbeat, its reply and the member list. */
 export const nodeRegistryFrames = [
-  /** A node's heartbeat: who it is, how it does, what it holds and knows. */
+  /** Heartbeat of a node, with its identity, status, leases and last applied purge. */
   v.object({
     kind: kind('heartbeat'),
     member,
     seq: types.seq,
     at: types.timestamp,
     report: nodeStatus,
-    /** Whether the node is leaving: its session ends. */
+    /** Whether the node is leaving, which closes its session. */
     bye: v.boolean(),
     held: v.array(leaseHolder),
     purged: types.seq,
-    /** A digest of the rollout states that the node knows: decided ones are sent only if it differs. */
+    /** Digest of the rollout states that the node knows; decided ones are sent only if it differs. */
     releases: v.optional(v.string()),
   }),
+  /** Reply to a heartbeat, with the desired configuration and the changes that the node needs to know. */
   v.object({
     kind: kind('heartbeat-reply'),
     at: types.timestamp,
     registry: types.nodeId,
     incarnation: types.incarnation,
-    /** How old this registry's feed from the primary is; absent if it has no valid one. */
+    /** Age of this registry's feed from the primary; absent if it has no valid feed. */
     age: v.optional(types.durationMs),
     epoch: types.epoch,
     offer: v.optional(configManifest),
-    /** The newest confirmed generation, and how long ago this registry first received it. */
+    /** Newest confirmed generation, and the time since this registry first received it. */
     newest: types.generation,
     newestAge: types.durationMs,
     purges: v.array(purge),
@@ -42,12 +43,12 @@
     top: types.seq,
     verdicts: v.array(canaryResult),
     releases: v.array(rolloutState),
-    /** Leases that this registry, as a voter, knows to be over. */
+    /** Leases that have ended according to this registry as a voter. */
     vacant: v.array(types.leaseName),
     electorate: v.optional(electorate),
     fleet: v.optional(types.fleetId),
   }),
-  /** The nodes, origins and lease holders of the fleet. */
+  /** Nodes, origins and lease holders of the fleet. */
   v.object({
     kind: kind('member-list'),
     members: v.array(member),
--- a/packages/transport/src/frame/registry-registry.ts
+++ b/packages/transport/src/frame/registry-registry.ts
@@ -1,4 +1,4 @@
-/** Frames between registries: gossip, and origins that leave. */
+/** Frames between registries: gossip, and departures of origins. */
 
 import * as v from 'valibot';
 import * as types from '@switchwheel/types';
@@ -7,9 +7,9 @@
 import { originInstance } from '../record/origin.js';
 import { kind } from './schema-parts.js';
 
-/** See the module's comment. */
+/** Schemas of the departure, its acknowledgement and the gossip message. */
 export const registryRegistryFrames = [
-  /** An origin leaves or is gone: a registry notifies its peers, and each acknowledges. */
+  /** Notifies the other registries that an origin is leaving or has left; each acknowledges it. */
   v.object({ kind: kind('departure'), origin: originInstance }),
   v.object({
     kind: kind('departure-ack'),
@@ -17,6 +17,7 @@
     instance: types.instanceId,
     state: originInstance.entries.state,
   }),
+  /** Sessions, origins, lease holders and lease grants that a registry knows. */
   v.object({
     kind: kind('gossip'),
     from: member,
@@ -27,11 +28,11 @@
     memories: v.array(leaseGrantRecord),
     recovering: v.boolean(),
     at: types.timestamp,
-    /** The newest gossip that the sender has from each registry, by that registry's own clock. */
+    /** Time of the newest gossip received from each registry, by the clock of that registry. */
     heard: v.array(
       v.object({ node: types.nodeId, incarnation: types.incarnation, at: types.timestamp }),
     ),
-    /** How old the sender's feed from the primary is; absent if it has no valid one. */
+    /** Age of the sender's feed from the primary; absent if it has no valid feed. */
     feedAge: v.optional(types.durationMs),
   }),
 ] as const;
--- a/packages/transport/src/frame/rollout.ts
+++ b/packages/transport/src/frame/rollout.ts
@@ -1,13 +1,13 @@
-/** Frames about canaries and rollouts, between edges or service leaders and the primary store. */
+/** Frames on canaries and rollouts, between edges or service leaders and the primary store. */
 
 import * as v from 'valibot';
 import * as types from '@switchwheel/types';
 import { canaryResult, releaseCounts } from '../record/rollout.js';
 import { count, kind } from './schema-parts.js';
 
-/** See the module's comment. */
+/** Schemas of the canary report, its reply and the request counts of an edge. */
 export const rolloutFrames = [
-  /** A service leader reports a canary's counts, and reserves further requests. */
+  /** Reports a canary's counts to the primary and reserves further requests, from a service leader. */
   v.object({
     kind: kind('trial'),
     service: types.serviceName,
@@ -20,21 +20,21 @@
     at: types.timestamp,
     node: types.nodeId,
   }),
-  /** The stored result after such a report. */
+  /** Canary result that the primary stored after such a report. */
   v.object({ kind: kind('tried'), verdict: canaryResult, at: types.timestamp }),
-  /** Cumulative counts of an edge's incarnation since it received the rollout; sent while one is under way. */
+  /** Counts of an edge's incarnation since it received the rollout; sent while a rollout is in progress. */
   v.object({
     kind: kind('tally'),
     node: types.nodeId,
     incarnation: types.incarnation,
     service: types.serviceName,
-    /** The rollout request that is counted for, and the state that the edge acts on. */
+    /** Number of the rollout request, and serial of the rollout state that the edge applies. */
     order: types.seq,
     serial: types.seq,
     rows: v.array(releaseCounts),
     /** Requests in flight to origins of releases other than the target. */
     inFlightOld: count,
-    /** How much of the rollout's time has passed by this edge's own clock, so that a new primary continues in time. */
+    /** Time since the start of the rollout by the edge's clock, from which a new primary continues. */
     spentMs: types.durationMs,
   }),
 ] as const;
--- a/packages/transport/src/frame/store-registry.ts
+++ b/packages/transport/src/frame/store-registry.ts
@@ -1,6 +1,6 @@
 /**
- * Frames between stores and registries: the founding of a fleet, the feed of the primary to its
- * subscribers, hints of stores without a primary, and operators' commands.
+ * Frames between stores and registries: bootstrap of a fleet, the primary's feed to registries, disk hints
+ * of stores without a primary, and operators' commands.
  */
 
 import * as v from 'valibot';
@@ -13,8 +13,9 @@
 import { canaryResult, rolloutState } from '../record/rollout.js';
 import { kind } from './schema-parts.js';
 
-/** See the module's comment. */
+/** Schemas of the frames for bootstrap, feed, disk hints and operators' commands. */
 export const storeRegistryFrames = [
+  /** Makes a store without data a member of a new fleet. */
   v.object({
     kind: kind('bootstrap'),
     id: types.commandId,
@@ -22,6 +23,7 @@
     stores: v.array(v.object({ node: types.nodeId, address: types.address })),
     electorate,
   }),
+  /** Reply to a bootstrap, with the reason if it failed. */
   v.object({
     kind: kind('bootstrapped'),
     id: types.commandId,
@@ -29,11 +31,11 @@
     ok: v.boolean(),
     text: v.string(),
   }),
-  /** A registry subscribes to the primary's feed, and reports the nodes whose sessions it keeps. */
+  /** Subscribes a registry to the primary's feed and reports the nodes whose sessions it holds. */
   v.object({
     kind: kind('subscribe'),
     registry: member,
-    /** Whether its vote may be relied on: it remembers what it granted and is past its abstention. */
+    /** State as a voter: `ready` once it has recovered its grants and its abstention is over. */
     voter: v.picklist(['ready', 'recovering', 'leaving']),
     at: types.timestamp,
     epoch: types.epoch,
@@ -49,7 +51,7 @@
       }),
     ),
   }),
-  /** What the primary has decided, for a registry that subscribed. */
+  /** State of the primary that a subscribed registry needs: configurations, purges, canaries and rollouts. */
   v.object({
     kind: kind('feed'),
     at: types.timestamp,
@@ -75,19 +77,19 @@
     electorate: v.optional(electorate),
     fleet: types.fleetId,
   }),
-  /** What a store has on its disk, while it receives nothing from a primary. */
+  /** Disk hint: metadata and configuration on the disk of a store that receives nothing from a primary. */
   v.object({
     kind: kind('hint'),
     node: types.nodeId,
     address: types.address,
     incarnation: types.incarnation,
-    /** When the store sent it, by its own clock. */
+    /** Send time by the store's clock. */
     at: types.timestamp,
     metadata: clusterMetadata,
     offer: v.optional(configManifest),
     origins: v.array(originInstance),
   }),
-  /** An operator's command or query, forwarded to the primary. */
+  /** Operator's command or query, forwarded to the primary. */
   v.object({
     kind: kind('call'),
     id: types.commandId,
@@ -95,6 +97,6 @@
     body: v.string(),
     base: v.optional(types.generation),
   }),
-  /** The primary's reply to it: an HTTP status and a JSON body. */
+  /** Primary's reply to a command or query: an HTTP status and a JSON body. */
   v.object({ kind: kind('called'), id: types.commandId, status: v.number(), body: v.string() }),
 ] as const;
--- a/packages/transport/src/frame/store-store.ts
+++ b/packages/transport/src/frame/store-store.ts
@@ -1,13 +1,13 @@
-/** Frames between stores: replication of writes by the primary, and resync of a replica. */
+/** Frames between stores: replication of writes, and resync of a replica. */
 
 import * as v from 'valibot';
 import * as types from '@switchwheel/types';
 import { clusterMetadata, logPosition, tableMutation } from '../record/replication.js';
 import { kind } from './schema-parts.js';
 
-/** See the module's comment. */
+/** Schemas of the frames for replication, replica status and resync. */
 export const storeStoreFrames = [
-  /** A write of the primary: mutations at a position, valid only right after the prior position. */
+  /** Write of the primary: mutations at a log position, which apply only directly after the prior position. */
   v.object({
     kind: kind('replicate'),
     metadata: clusterMetadata,
@@ -15,16 +15,18 @@
     prior: logPosition,
     puts: v.array(tableMutation),
   }),
+  /** Acknowledgement of a write by a replica, with the reason if it failed. */
   v.object({
     kind: kind('replicated'),
     node: types.nodeId,
     epoch: types.epoch,
     seq: types.seq,
-    /** The epoch of the metadata that is on the disk with the write. */
+    /** Epoch of the cluster metadata that is stored on the replica's disk with the write. */
     metadataEpoch: types.epoch,
     ok: v.boolean(),
     text: v.string(),
   }),
+  /** Periodic status of a store for the other stores. */
   v.object({
     kind: kind('replica-status'),
     node: types.nodeId,
@@ -32,12 +34,12 @@
     stamp: logPosition,
     primary: v.boolean(),
     full: v.boolean(),
-    /** Set once this store was asked to stop: another store is to replace it as a replica. */
+    /** Whether this store is shutting down, so that another store should replace it as a replica. */
     leaving: v.optional(v.boolean()),
     digests: v.array(v.string()),
     at: types.timestamp,
   }),
-  /** The keys and positions of one range of the primary's table, for a replica whose digest differs. */
+  /** Keys and log positions of a range of the primary's table, for a replica whose digest differs. */
   v.object({
     kind: kind('range-listing'),
     epoch: types.epoch,
@@ -45,17 +47,19 @@
     range: v.number(),
     keys: v.array(v.object({ key: v.string(), stamp: logPosition })),
   }),
+  /** Requests the entries that the replica lacks or has at another log position. */
   v.object({
     kind: kind('fetch-entries'),
     node: types.nodeId,
     epoch: types.epoch,
     keys: v.array(v.string()),
   }),
+  /** Entries that the replica requested, and the end of the resync. */
   v.object({
     kind: kind('resync-entries'),
     epoch: types.epoch,
     metadata: clusterMetadata,
-    /** The position that the replica has from now on, if its digests are these. */
+    /** Log position that the replica takes over if its digests equal these. */
     settled: v.optional(v.object({ stamp: logPosition, digests: v.array(v.string()) })),
     entries: v.array(v.object({ key: v.string(), stamp: logPosition, data: v.string() })),
   }),
--- a/packages/transport/src/index.ts
+++ b/packages/transport/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * The protocol between processes: the frames, with the records that they carry, and the TCP channels
- * that carry them. What a frame means to its receiver is decided in the package of that receiver.
+ * Wire protocol between processes: frames, the records in them, and the TCP channels that carry them. Frames
+ * are handled in the packages of the processes that receive them.
  */
 
 export * from './record/configuration.js';
--- a/packages/transport/src/record/lease.ts
+++ b/packages/transport/src/record/lease.ts
@@ -1,9 +1,9 @@
-/** What processes tell each other about leases. */
+/** Records on leases and voters. */
 
 import * as v from 'valibot';
 import * as types from '@switchwheel/types';
 
-/** Who holds a lease, as the holder announced after its election. */
+/** Holder of a lease, as announced by itself after its election. */
 export const leaseHolder = v.object({
   duty: types.leaseName,
   epoch: types.epoch,
@@ -11,23 +11,23 @@
   address: types.address,
   door: v.optional(types.address),
 });
-/** See {@link leaseHolder}. */
+/** Value of {@link leaseHolder}. */
 export type LeaseHolder = v.InferOutput<typeof leaseHolder>;
 
-/** The voters that may grant leases; changed by one member at a time, each change with a higher serial. */
+/** Voters that may grant leases. Each change adds or removes one member and has a higher serial. */
 export const electorate = v.object({
   serial: types.seq,
   members: v.array(v.object({ node: types.nodeId, address: types.address })),
 });
-/** See {@link electorate}. */
+/** Value of {@link electorate}. */
 export type Electorate = v.InferOutput<typeof electorate>;
 
-/** What a voter granted last of a lease, as its peers remember it for a restarted voter. */
+/** Last grant of a lease by a voter, which its peers store so that it can recover after a restart. */
 export const leaseGrantRecord = v.object({
   duty: types.leaseName,
   epoch: types.epoch,
   node: types.nodeId,
   inSyncSet: v.array(types.nodeId),
 });
-/** See {@link leaseGrantRecord}. */
+/** Value of {@link leaseGrantRecord}. */
 export type LeaseGrantRecord = v.InferOutput<typeof leaseGrantRecord>;
--- a/packages/transport/src/record/node.ts
+++ b/packages/transport/src/record/node.ts
@@ -1,9 +1,9 @@
-/** What processes tell each other about nodes: who they are, how they do, which registry serves them. */
+/** Records on nodes: identity, status and session. */
 
 import * as v from 'valibot';
 import * as types from '@switchwheel/types';
 
-/** The health of a node or of a part of it, with its own parts below it. */
+/** Health of a node or of one of its parts, with the health of the parts below it. */
 export interface Health {
   readonly name: string;
   readonly healthy: boolean;
@@ -18,10 +18,10 @@
   parts: v.array(v.lazy(() => health)),
 });
 
-/** The program that a node runs. */
+/** Role of a node, which decides the program that it runs. */
 export const role = v.picklist(['edge', 'shield', 'registry', 'store']);
 
-/** Which configuration a node runs, how far it is with applying one, and how healthy it is. */
+/** Configuration that a node runs, progress of applying a new one, and health. */
 export const nodeStatus = v.object({
   generation: types.generation,
   hash: v.optional(types.hash),
@@ -32,36 +32,36 @@
   health,
   ready: v.boolean(),
 });
-/** See {@link nodeStatus}. */
+/** Value of {@link nodeStatus}. */
 export type NodeStatus = v.InferOutput<typeof nodeStatus>;
 
-/** A node of the fleet: its name, role, zone and addresses. */
+/** Node of the fleet: its name, role, zone and addresses. */
 export const member = v.object({
   node: types.nodeId,
   role,
-  /** The zone of its machine. */
+  /** Zone of its machine. */
   area: types.zoneName,
-  /** Where other processes connect to it. */
+  /** Address for channels from other processes. */
   address: types.address,
-  /** Where clients, origins or operators connect to it over HTTP. */
+  /** HTTP address for clients, origins or operators. */
   door: v.optional(types.address),
-  /** Where operators' tools read its metrics and state. */
+  /** HTTP address of its metrics and state, for operators' tools. */
   admin: v.optional(types.address),
   incarnation: types.incarnation,
 });
-/** See {@link member}. */
+/** Value of {@link member}. */
 export type Member = v.InferOutput<typeof member>;
 
-/** A node's session as the registry that keeps it reports it. */
+/** Session of a node, as reported by the registry that holds it. */
 export const sessionRecord = v.object({
   member,
   report: nodeStatus,
   registry: types.nodeId,
-  /** Grows with each heartbeat of the node. */
+  /** Sequence number of the node's last heartbeat. */
   seq: types.seq,
   /** Time since the node's last heartbeat. */
   age: types.durationMs,
   open: v.boolean(),
 });
-/** See {@link sessionRecord}. */
+/** Value of {@link sessionRecord}. */
 export type SessionRecord = v.InferOutput<typeof sessionRecord>;
--- a/packages/transport/src/record/replication.ts
+++ b/packages/transport/src/record/replication.ts
@@ -1,20 +1,20 @@
-/** What stores tell each other about the replicated table. */
+/** Records on the replicated table of the stores. */
 
 import * as v from 'valibot';
 import * as types from '@switchwheel/types';
 import { electorate } from './lease.js';
 
-/** One change of the replicated table: sets a key's data, or deletes the key if the data is null. */
+/** Change of the replicated table: sets the data of a key, or deletes the key if the data is null. */
 export const tableMutation = v.object({ key: v.string(), data: v.nullable(v.string()) });
-/** See {@link tableMutation}. */
+/** Value of {@link tableMutation}. */
 export type TableMutation = v.InferOutput<typeof tableMutation>;
 
-/** A position in the order of all writes: by epoch, then by sequence number within it. */
+/** Position of a write in the log, ordered by epoch and then by sequence number. */
 export const logPosition = v.object({ epoch: types.epoch, seq: types.seq });
-/** See {@link logPosition}. */
+/** Value of {@link logPosition}. */
 export type LogPosition = v.InferOutput<typeof logPosition>;
 
-/** A store's own record of its cluster: who may become primary, and who votes. */
+/** Cluster membership that each store persists: the stores, their in-sync set, and the electorate. */
 export const clusterMetadata = v.object({
   fleet: types.fleetId,
   epoch: types.epoch,
@@ -22,5 +22,5 @@
   stores: v.array(v.object({ node: types.nodeId, address: types.address })),
   electorate,
 });
-/** See {@link clusterMetadata}. */
+/** Value of {@link clusterMetadata}. */
 export type ClusterMetadata = v.InferOutput<typeof clusterMetadata>;
