--- a/packages/runtime/src/settings/settings-definition.ts
+++ b/packages/runtime/src/settings/settings-definition.ts
@@ -1,11 +1,11 @@
-/** What a setting is: its name, type and help. Which settings a program has is up to the program. */
+/** Definition of settings, and the settings that all programs have. */
 
 import * as v from 'valibot';
 import * as types from '@switchwheel/types';
 
 const maxSeeds = 3;
 
-/** The schema entries of the settings that all programs of a fleet share. */
+/** Schema entries of the settings that all programs have. */
 export const commonSettingsSchema = {
   node: types.nodeId,
   area: types.zoneName,
@@ -17,27 +17,27 @@
   ),
 };
 
-/** How a setting is given on the command line, as `--name`. */
+/** Setting with its command-line flag `--name`. */
 export interface SettingDefinition {
   readonly name: string;
   readonly type: 'text' | 'list' | 'number';
   readonly help: string;
 }
 
-/** The flags of the settings in {@link commonSettingsSchema}. */
+/** Flags of the settings in {@link commonSettingsSchema}. */
 export const commonSettingDefinitions: readonly SettingDefinition[] = [
-  { name: 'node', type: 'text', help: 'the name of this node, its own in the fleet' },
-  { name: 'area', type: 'text', help: 'the area this machine stands in' },
-  { name: 'listen', type: 'text', help: 'IP:port for the other processes' },
+  { name: 'node', type: 'text', help: 'name of this node, unique in the fleet' },
+  { name: 'area', type: 'text', help: 'zone that this machine is in' },
+  { name: 'listen', type: 'text', help: 'IP:port to listen on for other processes' },
   {
     name: 'seeds',
     type: 'list',
-    help: 'IP:port of up to three registries, to find the fleet; repeat the flag or part by commas',
+    help: 'IP:port of up to three registries to connect to first; repeat the flag or separate by commas',
   },
-  { name: 'log', type: 'text', help: 'debug, info, warn or error (info)' },
+  { name: 'log', type: 'text', help: 'log level: debug, info, warn or error (info)' },
 ];
 
-/** A program and its settings, as its help shows them. */
+/** Program and its settings, as shown by its help. */
 export interface ProgramDefinition {
   readonly name: string;
   readonly description: string;
--- a/packages/runtime/src/settings/settings-forms.test.ts
+++ b/packages/runtime/src/settings/settings-forms.test.ts
@@ -1,4 +1,4 @@
-/** Holds the settings that all programs share, and what is printed about wrong ones, word for word. */
+/** Guards against accidental changes of the settings that all programs have, and of their error messages. */
 
 import { writeFileSync, mkdtempSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -26,7 +26,7 @@
   return settings.isOk ? JSON.stringify(settings.value) : settings.error.join('\n');
 };
 
-void test('the settings that all programs share keep their names, types and checks', () => {
+void test('the settings that all programs have keep their names, types, help and validation', () => {
   const settings = commonSettingDefinitions.map(
     (setting) => `--${setting.name} ${setting.type}: ${setting.help}`,
   );
@@ -36,35 +36,38 @@
   );
 });
 
-void test('settings from file and flags are read, and wrong ones reported, as before', () => {
+void test('settings are read from file and flags, and invalid ones are reported as in the snapshot', () => {
   const folder = mkdtempSync(join(tmpdir(), 'settings-'));
-  const place = ['--node', 'n1', '--area', 'a', '--seeds', '127.0.0.1:2,127.0.0.1:3'];
-  const right = [...place, '--listen', '127.0.0.1:1'];
+  const withoutListen = ['--node', 'n1', '--area', 'a', '--seeds', '127.0.0.1:2,127.0.0.1:3'];
+  const valid = [...withoutListen, '--listen', '127.0.0.1:1'];
   try {
-    const write = (name: string, text: string): string => {
+    const writeFile = (name: string, text: string): string => {
       const file = join(folder, name);
       writeFileSync(file, text);
       return file;
     };
-    const whole = { node: 'n2', area: 'b', listen: '127.0.0.1:4', seeds: [], many: 5 };
+    const validSettings = { node: 'n2', area: 'b', listen: '127.0.0.1:4', seeds: [], many: 5 };
     const cases: readonly (readonly [string, readonly string[]])[] = [
-      ['flags', right],
-      ['flags with a number and the log level', [...right, '--many', '7', '--log', 'debug']],
-      ['a repeated list', [...right, '--seeds', '127.0.0.1:9']],
+      ['flags', valid],
+      ['flags with a number and the log level', [...valid, '--many', '7', '--log', 'debug']],
+      ['a repeated list', [...valid, '--seeds', '127.0.0.1:9']],
       ['nothing', []],
-      ['a flag nobody knows', [...right, '--odd', '1']],
-      ['a word', [...right, 'word']],
-      ['a wrong log level', [...right, '--log', 'loud']],
-      ['a wrong number', [...right, '--many', 'x']],
-      ['four seeds', [...right, '--seeds', '127.0.0.1:4,127.0.0.1:5']],
-      ['a wrong address', [...place, '--listen', 'here']],
-      ['a file', ['--boot', write('right.json', JSON.stringify(whole))]],
-      ['flags before a file', ['--boot', write('right.json', JSON.stringify(whole)), ...right]],
+      ['a flag nobody knows', [...valid, '--odd', '1']],
+      ['a word', [...valid, 'word']],
+      ['a wrong log level', [...valid, '--log', 'loud']],
+      ['a wrong number', [...valid, '--many', 'x']],
+      ['four seeds', [...valid, '--seeds', '127.0.0.1:4,127.0.0.1:5']],
+      ['a wrong address', [...withoutListen, '--listen', 'here']],
+      ['a file', ['--boot', writeFile('right.json', JSON.stringify(validSettings))]],
+      [
+        'flags before a file',
+        ['--boot', writeFile('right.json', JSON.stringify(validSettings)), ...valid],
+      ],
       ['a file that is missing', ['--boot', join(folder, 'none.json')]],
-      ['a file that is a list', ['--boot', write('list.json', '[]')]],
+      ['a file that is a list', ['--boot', writeFile('list.json', '[]')]],
       [
         'a setting nobody knows',
-        ['--boot', write('odd.json', JSON.stringify({ ...whole, odd: 1 }))],
+        ['--boot', writeFile('odd.json', JSON.stringify({ ...validSettings, odd: 1 }))],
       ],
     ];
     const outcomes = cases.map(([name, argv]) => `${name}:\n${outcome(argv)}`);
--- a/packages/runtime/src/settings/settings.ts
+++ b/packages/runtime/src/settings/settings.ts
@@ -1,4 +1,4 @@
-/** Reads a program's settings from flags and a file; a flag overrides the file. */
+/** Reads the settings of a program from flags and a JSON file; flags override the file. */
 
 import { readFileSync } from 'node:fs';
 import meow from 'meow';
@@ -7,13 +7,13 @@
 import type { ProgramDefinition, SettingDefinition } from './settings-definition.js';
 
 const programVersion = '0.1.0';
-const wrongSettingsExitCode = 2;
+const invalidSettingsExitCode = 2;
 
-/** The flag that names the file of settings; it is not itself a setting. */
+/** Flag for the path of the settings file; not a setting itself. */
 const fileFlag: SettingDefinition = {
   name: 'boot',
   type: 'text',
-  help: 'a JSON file with these settings; flags go before it',
+  help: 'JSON file with these settings; flags override it',
 };
 
 type RawSettings = ReadonlyMap<string, unknown>;
@@ -35,7 +35,7 @@
       : err(`boot: ${file} does not hold a JSON object`);
   } catch (error) {
     return err(
-      `boot: ${file} is not JSON: ${error instanceof Error ? error.message : 'unreadable'}`,
+      `boot: ${file} is not JSON: ${error instanceof Error ? error.message : 'unknown error'}`,
     );
   }
 };
@@ -52,7 +52,7 @@
 ${rows.join('\n')}
 
   Exit codes
-    0  stopped as asked    1  broke down    2  settings are wrong
+    0  stopped on request    1  internal error    2  invalid settings
 `;
 };
 
@@ -66,13 +66,13 @@
   return raw;
 };
 
-/** What a command line holds: flags by name, and words that are no flag. */
+/** Parsed command line: flags by name, and positional arguments. */
 interface CommandLine {
   readonly flags: RawSettings;
-  readonly words: readonly string[];
+  readonly positionals: readonly string[];
 }
 
-/** Parses a command line; `--help` and `--version` print and end the process. */
+/** Parses a command line; `--help` and `--version` print their text and exit the process. */
 const parseCommandLine = (program: ProgramDefinition, argv: readonly string[]): CommandLine => {
   const flags = Object.fromEntries(
     [...program.settings, fileFlag].map((setting) => [
@@ -89,34 +89,37 @@
     description: program.description,
     version: programVersion,
   });
-  return { flags: new Map<string, unknown>(Object.entries(parsed.flags)), words: parsed.input };
+  return {
+    flags: new Map<string, unknown>(Object.entries(parsed.flags)),
+    positionals: parsed.input,
+  };
 };
 
 const commandLineErrors = (
   program: ProgramDefinition,
-  { flags, words }: CommandLine,
+  { flags, positionals }: CommandLine,
 ): readonly string[] => {
   const knownNames = new Set([...program.settings, fileFlag].map((setting) => setting.name));
   return [
-    ...words.map((word) => `${word}: not a flag`),
+    ...positionals.map((argument) => `${argument}: not a flag`),
     ...[...flags.keys()]
       .filter((name) => !knownNames.has(name))
       .map((name) => `${name}: no such setting`),
   ];
 };
 
-/** The settings that are given as flags. */
-const settingsOfFlags = (program: ProgramDefinition, flags: RawSettings): RawSettings => {
-  const given = new Map<string, unknown>();
+/** Returns the settings that are given as flags. */
+const settingsFromFlags = (program: ProgramDefinition, flags: RawSettings): RawSettings => {
+  const settings = new Map<string, unknown>();
   for (const setting of program.settings) {
     const raw = flags.get(setting.name);
     if (raw === undefined || (Array.isArray(raw) && raw.length === 0)) continue;
-    given.set(setting.name, flagValue(setting, raw));
+    settings.set(setting.name, flagValue(setting, raw));
   }
-  return given;
+  return settings;
 };
 
-/** Reads settings from file and flags; fails with one line for each thing that is wrong. */
+/** Reads settings from the file and the flags; fails with one line per error. */
 export const readSettings = <T>(
   program: ProgramDefinition,
   schema: v.GenericSchema<unknown, T>,
@@ -131,7 +134,7 @@
   const errors = [...commandLineErrors(program, commandLine), ...(file.isErr ? [file.error] : [])];
   const settings = new Map([
     ...(file.isOk ? file.value : []),
-    ...settingsOfFlags(program, commandLine.flags),
+    ...settingsFromFlags(program, commandLine.flags),
   ]);
   const parsed = v.safeParse(schema, Object.fromEntries(settings));
   if (parsed.success && errors.length === 0) return ok(parsed.output);
@@ -141,7 +144,7 @@
   return err([...new Set([...errors, ...issues])]);
 };
 
-/** Reads settings; if any is wrong, prints one line for each to standard error and exits with code 2. */
+/** Reads settings; on errors prints one line for each to standard error and exits with code 2. */
 export const readSettingsOrExit = <T>(
   program: ProgramDefinition,
   schema: v.GenericSchema<unknown, T>,
@@ -150,5 +153,5 @@
   process.title = program.name;
   if (settings.isOk) return settings.value;
   for (const line of settings.error) process.stderr.write(`${program.name}: ${line}\n`);
-  process.exit(wrongSettingsExitCode);
+  process.exit(invalidSettingsExitCode);
 };
