--- a/packages/runtime/src/disk/commit-failure.ts
+++ b/packages/runtime/src/disk/commit-failure.ts
@@ -1,15 +1,19 @@
-/** How lmdb reports a commit that failed: on promises of its own beside the write's, with the cause on one of them. */
+/**
+ * Failed lmdb commits. Besides the promise of the write, lmdb rejects internal promises, and reports the cause only
+ * through one of these.
+ */
 
+/** Maximum time to wait for the cause of a failed commit. */
 const causeTimeoutMs = 200;
 
-/** An error of the library that carries the promise of its cause. */
+/** Error of lmdb; `commitError` is a promise that is rejected with the cause. */
 type CommitFailure = Error & { readonly commitError: unknown };
 
-/** Whether a rejection is the library's report of a commit that failed. */
+/** Whether the reason of a rejection is lmdb's error for a failed commit. */
 export const isCommitFailure = (error: unknown): error is CommitFailure =>
   error instanceof Error && 'commitError' in error;
 
-/** Why a commit failed; the given error itself if it is no such report or its cause stays unknown. */
+/** Resolves with the cause of a failed commit, or with `error` itself if there is none or it is not reported in time. */
 export const commitFailureCause = async (error: unknown): Promise<unknown> => {
   if (!isCommitFailure(error) || !(error.commitError instanceof Promise)) return error;
   const cause = error.commitError.then(
--- a/packages/runtime/src/disk/disk.test.ts
+++ b/packages/runtime/src/disk/disk.test.ts
@@ -1,4 +1,4 @@
-/** The data folder on a real disk: atomicity, checksums, damaged files, a full disk, bounded growth. */
+/** Guards against lost or damaged rows, crashes on a damaged file or a full disk, and unbounded growth of the file. */
 
 import assert from 'node:assert/strict';
 import { spawnSync } from 'node:child_process';
@@ -8,22 +8,21 @@
 import { test } from 'node:test';
 import { Disk, type StoredRow } from './disk.js';
 
-const inTemporaryFolder = async (work: (folder: string) => Promise<void>): Promise<void> => {
+const inTemporaryFolder = async (run: (folder: string) => Promise<void>): Promise<void> => {
   const folder = mkdtempSync(join(tmpdir(), 'disk-'));
   try {
-    await work(folder);
+    await run(folder);
   } finally {
     rmSync(folder, { recursive: true, force: true });
   }
 };
 
-const keysOn = (disk: Disk): readonly string[] =>
+const keysOf = (disk: Disk): readonly string[] =>
   disk
     .read()
     .unwrapOr([])
     .map((row) => row.key);
 
-/** Writes two rows. */
 const writeTwoRows = async (folder: string): Promise<void> => {
   const disk = new Disk(folder);
   const written = await disk.write({
@@ -38,56 +37,59 @@
   await disk.close();
 };
 
-void test('changes are read back, and a change that clears leaves only its own rows', () =>
+void test('written rows are read back, and a change with clearFirst leaves only its own rows', () =>
   inTemporaryFolder(async (folder) => {
     await writeTwoRows(folder);
     const disk = new Disk(folder);
-    assert.deepEqual(keysOn(disk), ['one', 'two']);
+    assert.deepEqual(keysOf(disk), ['one', 'two']);
     await disk.write({
       puts: [{ key: 'three', text: 'third' }],
       deletes: ['one'],
       clearFirst: false,
     });
-    assert.deepEqual(keysOn(disk), ['three', 'two']);
+    assert.deepEqual(keysOf(disk), ['three', 'two']);
     await disk.write({ puts: [{ key: 'four', text: 'fourth' }], deletes: [], clearFirst: true });
     assert.deepEqual(disk.read().unwrapOr([]), [{ key: 'four', text: 'fourth' }]);
     await disk.close();
   }));
 
-void test('a row that does not match its checksum makes reading fail with the row named', () =>
+void test('reading fails with the key of a row that does not match its checksum', () =>
   inTemporaryFolder(async (folder) => {
     await writeTwoRows(folder);
     const file = join(folder, 'table.lmdb');
     const bytes = readFileSync(file);
     for (
-      let at = bytes.indexOf('secondsecond');
-      at >= 0;
-      at = bytes.indexOf('secondsecond', at + 1)
+      let offset = bytes.indexOf('secondsecond');
+      offset >= 0;
+      offset = bytes.indexOf('secondsecond', offset + 1)
     )
-      bytes[at] = 0x53;
+      bytes[offset] = 0x53;
     writeFileSync(file, bytes);
     const disk = new Disk(folder);
     const read = disk.read();
-    assert.ok(read.isErr && read.error.includes('two does not fit its checksum'));
+    assert.ok(read.isErr && read.error.includes('two does not match its checksum'));
     await disk.close();
   }));
 
-void test('a file without the magic number is set aside, and so is one that ended the process three times', () =>
+void test('a file without the magic number, or whose reading ended the process three times, is quarantined', () =>
   inTemporaryFolder(async (folder) => {
     await writeTwoRows(folder);
     writeFileSync(join(folder, 'table.lmdb'), Buffer.alloc(8192, 7));
-    const first = new Disk(folder);
-    assert.equal(first.quarantineReason, 'the file does not begin as it must');
-    assert.deepEqual(first.read().unwrapOr([]), []);
-    await first.close();
+    const withoutMagic = new Disk(folder);
+    assert.equal(
+      withoutMagic.quarantineReason,
+      'the file does not start with the header of an lmdb file',
+    );
+    assert.deepEqual(withoutMagic.read().unwrapOr([]), []);
+    await withoutMagic.close();
     await writeTwoRows(folder);
     writeFileSync(join(folder, 'opening'), '3');
-    const second = new Disk(folder);
-    assert.equal(second.quarantineReason, 'the process ended 3 times while reading it');
-    await second.close();
+    const crashing = new Disk(folder);
+    assert.equal(crashing.quarantineReason, 'the process ended 3 times while reading the file');
+    await crashing.close();
   }));
 
-/** A program that writes until its data file may not grow any more, and counts rejections that nobody handled. */
+/** Program that writes until its data file reaches the size limit, and counts unexpected unhandled rejections. */
 const fillDiskScript = (folder: string): string => `
 import { Disk } from ${JSON.stringify(join(import.meta.dirname, 'disk.js'))};
 import { isCommitFailure } from ${JSON.stringify(join(import.meta.dirname, 'commit-failure.js'))};
@@ -96,8 +98,8 @@
 const disk = new Disk(${JSON.stringify(folder)});
 disk.read();
 const outcomes = [];
-for (let at = 0; at < 12; at += 1) {
-  const write = (name) => disk.write({ clearFirst: false, deletes: [], puts: [{ key: name + at, text: 'x'.repeat(20000) }] });
+for (let round = 0; round < 12; round += 1) {
+  const write = (name) => disk.write({ clearFirst: false, deletes: [], puts: [{ key: name + round, text: 'x'.repeat(20000) }] });
   for (const result of await Promise.all([write('a'), write('b')])) outcomes.push(result.isOk ? 'ok' : result.error.text);
 }
 await new Promise((done) => { setImmediate(done); });
@@ -105,7 +107,7 @@
 process.exit(0);
 `;
 
-void test('a full disk fails each write with the reason and ends nothing', () =>
+void test('on a full disk each write fails with the reason, and the process keeps running', () =>
   inTemporaryFolder((folder) => {
     const run = spawnSync(
       'bash',
@@ -126,7 +128,7 @@
         'outcomes' in last &&
         Array.isArray(last.outcomes),
     );
-    assert.equal(last.unexpected, 0, "no rejection but the library's own, which programs let be");
+    assert.equal(last.unexpected, 0, 'unhandled rejections other than those of lmdb');
     const outcomes = last.outcomes.map(String);
     assert.ok(outcomes.includes('ok') && outcomes.at(-1) !== 'ok', outcomes.join(', '));
     assert.ok(
@@ -141,34 +143,39 @@
     const file = join(folder, 'table.lmdb');
     const disk = new Disk(folder);
     const rows = (round: number): readonly StoredRow[] =>
-      Array.from({ length: 100 }, (_, at) => ({
-        key: `piece/${round}/${at}`,
+      Array.from({ length: 100 }, (_, index) => ({
+        key: `piece/${round}/${index}`,
         text: 'x'.repeat(40 * 1024),
       }));
-    const sizes: number[] = [];
+    const fileSizes: number[] = [];
     for (let round = 0; round < 150; round += 1) {
-      const drops = round === 0 ? [] : rows(round - 1).map((row) => row.key);
-      const sets = round % 2 === 0 ? rows(round) : [];
-      assert.ok((await disk.write({ puts: sets, deletes: drops, clearFirst: false })).isOk);
+      const deletes = round === 0 ? [] : rows(round - 1).map((row) => row.key);
+      const puts = round % 2 === 0 ? rows(round) : [];
+      assert.ok((await disk.write({ puts, deletes, clearFirst: false })).isOk);
       for (let change = 0; change < 10; change += 1) {
         const serial = round * 10 + change;
-        const small = { key: `purge/${serial}`, text: 'y'.repeat(200) };
-        const old = [`purge/${serial - 256}`];
-        assert.ok((await disk.write({ puts: [small], deletes: old, clearFirst: false })).isOk);
+        const smallRow = { key: `purge/${serial}`, text: 'y'.repeat(200) };
+        const expiredKeys = [`purge/${serial - 256}`];
+        assert.ok(
+          (await disk.write({ puts: [smallRow], deletes: expiredKeys, clearFirst: false })).isOk,
+        );
       }
-      sizes.push(statSync(file).size);
+      fileSizes.push(statSync(file).size);
     }
     await disk.close();
-    const [early, late] = [sizes[30] ?? 0, sizes.at(-1) ?? 0];
-    assert.ok(late <= early, `${early} bytes after 31 states, ${late} after 150`);
-    assert.ok(late < 32 * 1024 * 1024, `${late} bytes`);
+    const [earlyBytes, finalBytes] = [fileSizes[30] ?? 0, fileSizes.at(-1) ?? 0];
+    assert.ok(
+      finalBytes <= earlyBytes,
+      `${earlyBytes} bytes after 31 states, ${finalBytes} after 150`,
+    );
+    assert.ok(finalBytes < 32 * 1024 * 1024, `${finalBytes} bytes`);
   }));
 
-void test('of the files set aside as damaged only the last one is kept', () =>
+void test('only the last quarantined file is kept', () =>
   inTemporaryFolder(async (folder) => {
     const file = join(folder, 'table.lmdb');
-    for (let turn = 0; turn < 4; turn += 1) {
-      writeFileSync(file, `no data file ${turn}`);
+    for (let round = 0; round < 4; round += 1) {
+      writeFileSync(file, `no data file ${round}`);
       const disk = new Disk(folder);
       assert.ok(disk.quarantineReason !== undefined);
       await disk.close();
--- a/packages/runtime/src/disk/disk.ts
+++ b/packages/runtime/src/disk/disk.ts
@@ -1,6 +1,6 @@
 /**
- * The data folder of a program: rows in one lmdb file, each with a checksum. It is read whole at the
- * start and only written after that; what the rows mean is up to the program.
+ * Data folder of a program: rows in one lmdb file, each with a checksum. It is read in full at startup and
+ * only written afterwards. The program defines the content of the rows.
  */
 
 import { createHash } from 'node:crypto';
@@ -9,7 +9,7 @@
 import { type RootDatabase, open } from 'lmdb';
 import { type Result, err, ok } from 'true-myth/result';
 import { commitFailureCause } from './commit-failure.js';
-import { prepareForReading, readingFinished } from './quarantine.js';
+import { markReadingFinished, prepareForReading } from './quarantine.js';
 
 const dataFileName = 'table.lmdb';
 const markerFileName = 'opening';
@@ -17,23 +17,23 @@
 const maxReaders = 4;
 const checksumDigits = 32;
 
-/** One row of the data folder. */
+/** Row of the data folder. */
 export interface StoredRow {
   readonly key: string;
   readonly text: string;
 }
 
-/** One atomic change: clears first if asked to, then deletes, then puts. */
+/** Atomic change of the rows: first clears all of them if requested, then deletes, then puts. */
 export interface StorageChange {
   readonly puts: readonly StoredRow[];
   readonly deletes: readonly string[];
   readonly clearFirst: boolean;
 }
 
-/** Why a change could not be written. */
+/** Reason why a change could not be written. */
 export interface WriteFailure {
   readonly text: string;
-  /** Whether the disk or the database has no space left. */
+  /** Whether the disk is full or the database has reached its maximum size. */
   readonly isDiskFull: boolean;
 }
 
@@ -47,7 +47,7 @@
   open<string, string>({
     path: file,
     encoding: 'string',
-    // Overlapping sync would acknowledge a commit before it is durable.
+    // With overlapping sync, a write would be confirmed before it is durable.
     overlappingSync: false,
     noMemInit: false,
     mapSize: maxDatabaseBytes,
@@ -56,15 +56,15 @@
     maxReaders,
   });
 
-/** See the module's comment. */
+/** Data folder, opened for one process. */
 export class Disk {
   readonly #database: RootDatabase<string, string>;
   readonly #markerFile: string;
 
-  /** Why the data file that was there was set aside as damaged; undefined if it was not. */
+  /** Reason why the existing data file was quarantined as damaged; undefined if it was not. */
   readonly quarantineReason: string | undefined;
 
-  /** Opens or creates the data folder; throws if it can't be used. */
+  /** Opens the data folder, or creates it; throws if it is not accessible. */
   constructor(folder: string) {
     mkdirSync(folder, { recursive: true });
     const dataFile = join(folder, dataFileName);
@@ -73,7 +73,7 @@
     this.#database = openDatabase(dataFile);
   }
 
-  /** Reads all rows; fails with the reason if any of them does not match its checksum. */
+  /** Reads all rows; fails if the file can't be read or a row does not match its checksum. */
   read(): Result<readonly StoredRow[], string> {
     const rows: StoredRow[] = [];
     try {
@@ -81,17 +81,19 @@
         const separatorIndex = value.indexOf(' ');
         const text = value.slice(separatorIndex + 1);
         if (separatorIndex < 0 || checksum(key, text) !== value.slice(0, separatorIndex))
-          return err(`the entry ${key} does not fit its checksum`);
+          return err(`row ${key} does not match its checksum`);
         rows.push({ key, text });
       }
     } catch (error) {
-      return err(error instanceof Error ? error.message : 'unreadable');
+      return err(
+        error instanceof Error ? error.message : 'unknown error while reading the data file',
+      );
     }
-    readingFinished(this.#markerFile);
+    markReadingFinished(this.#markerFile);
     return ok(rows);
   }
 
-  /** Writes a change; settles once it is durable, or has failed and changed nothing. */
+  /** Writes a change; resolves once it is durable, or once it has failed without any effect. */
   async write(change: StorageChange): Promise<Result<true, WriteFailure>> {
     try {
       await this.#database.transaction(() => {
@@ -104,12 +106,13 @@
       return ok(true);
     } catch (error) {
       const cause = await commitFailureCause(error);
-      const text = cause instanceof Error ? cause.message : 'unwritable';
+      const text =
+        cause instanceof Error ? cause.message : 'unknown error while writing the data file';
       return err({ text, isDiskFull: isOutOfSpace(text) });
     }
   }
 
-  /** Closes the data file; settles when writes under way have ended. */
+  /** Closes the data file; resolves after pending writes have finished. */
   async close(): Promise<void> {
     await this.#database.close();
   }
--- a/packages/runtime/src/disk/quarantine.ts
+++ b/packages/runtime/src/disk/quarantine.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps a damaged data file from ending the process at every start. lmdb maps its file into memory, so a
- * file that is damaged in the wrong place crashes the process while it is read. Starts that have not
- * finished reading are counted in a marker file; after some of them the data file is set aside.
+ * Quarantine of damaged data files. lmdb maps its file into memory, so reading a damaged file may crash the
+ * process. A marker file counts the starts that did not finish reading; after a few of them the data file is
+ * renamed, so that the process can start without it.
  */
 
 import {
@@ -15,9 +15,10 @@
   writeFileSync,
 } from 'node:fs';
 
+/** Number of unfinished reads in a row after which a data file is quarantined. */
 const maxUnfinishedReads = 3;
 
-/** The magic number of lmdb in the first page of its file. */
+/** Magic number in the first page of an lmdb file. */
 const lmdbMagic = 0xbeefc0de;
 const lmdbMagicOffset = 24;
 const lmdbMagicBytes = 4;
@@ -30,42 +31,41 @@
   return bytesRead === head.length && head.readUInt32LE(lmdbMagicOffset) === lmdbMagic;
 };
 
-const damageOf = (file: string, unfinishedReads: number): string | undefined => {
+const quarantineReasonOf = (file: string, unfinishedReads: number): string | undefined => {
   if (!existsSync(file)) return undefined;
-  if (!hasLmdbMagic(file)) return 'the file does not begin as it must';
+  if (!hasLmdbMagic(file)) return 'the file does not start with the header of an lmdb file';
   if (unfinishedReads < maxUnfinishedReads) return undefined;
-  return `the process ended ${unfinishedReads} times while reading it`;
+  return `the process ended ${unfinishedReads} times while reading the file`;
 };
 
-/** A full disk takes no count, and must not keep a process from starting: reading needs no space. */
+/** Writes the marker file; errors are ignored, as a full disk must not prevent a start, which only reads. */
 const writeCount = (markerFile: string, count: number): void => {
   try {
     writeFileSync(markerFile, String(count), { flush: true });
   } catch {
-    // The start goes on without a count.
+    // This start is not counted.
   }
 };
 
 /**
- * Prepares a data file for reading: sets it aside if it is damaged, and counts this start until
- * {@link readingFinished}. Returns why the file was set aside, if it was. Throws if files can't be
- * accessed.
+ * Prepares a data file for reading: quarantines it if it is damaged, and counts this start as unfinished until
+ * {@link markReadingFinished}. Returns the reason for a quarantine, if any. Throws if a file is not accessible.
  */
 export const prepareForReading = (dataFile: string, markerFile: string): string | undefined => {
   const unfinishedReads = existsSync(markerFile)
     ? Number(readFileSync(markerFile, 'utf8')) || 0
     : 0;
-  const damage = damageOf(dataFile, unfinishedReads);
-  if (damage !== undefined) {
-    // Only the last one is kept for inspection: more of them would fill the disk.
+  const reason = quarantineReasonOf(dataFile, unfinishedReads);
+  if (reason !== undefined) {
+    // Replaces an earlier quarantined file, so that these do not fill the disk.
     renameSync(dataFile, `${dataFile}.damaged`);
     rmSync(`${dataFile}-lock`, { force: true });
   }
-  writeCount(markerFile, damage === undefined ? unfinishedReads + 1 : 1);
-  return damage;
+  writeCount(markerFile, reason === undefined ? unfinishedReads + 1 : 1);
+  return reason;
 };
 
-/** Ends the count of this start: the data file has been read. */
-export const readingFinished = (markerFile: string): void => {
+/** Removes the marker file, because the data file has been read. */
+export const markReadingFinished = (markerFile: string): void => {
   rmSync(markerFile, { force: true });
 };
--- a/packages/runtime/src/http/admin-forms.test.ts
+++ b/packages/runtime/src/http/admin-forms.test.ts
@@ -1,4 +1,4 @@
-/** Holds the administration paths' responses word for word. */
+/** Guards against accidental changes of the administration endpoints, which the platform and operators use. */
 
 import { test } from 'node:test';
 import { toAddress } from '@switchwheel/types';
@@ -13,28 +13,28 @@
   withLabel(metricSample('example_total', 2.5), 'what', 'a "quoted" value'),
 ];
 
-/** The responses of an app at every path of interest, as text. */
+/** Formats the responses of an app to requests for known and unknown paths, and to an oversized one. */
 const responsesOf = async (
   title: string,
   app: ReturnType<typeof createAdminApp>,
 ): Promise<string> => {
-  const listener = await startHttpServer(app, toAddress('127.0.0.1:0'));
+  const server = await startHttpServer(app, toAddress('127.0.0.1:0'));
   try {
     const responses: string[] = [title];
     for (const path of ['/live', '/ready', '/metrics', '/state', '/other']) {
       const request = { method: 'GET', path };
-      responses.push(responseText(request, await httpExchange(listener.port(), request)));
+      responses.push(responseText(request, await httpExchange(server.port(), request)));
     }
     const oversized = { method: 'GET', path: '/live', headers: { 'x-long': 'x'.repeat(20_000) } };
-    responses.push(responseText(oversized, await httpExchange(listener.port(), oversized)));
+    responses.push(responseText(oversized, await httpExchange(server.port(), oversized)));
     return responses.join('\n');
   } finally {
-    listener.stopAccepting();
+    server.stopAccepting();
   }
 };
 
-void test('the administration paths answer as before', async () => {
-  const full = await responsesOf(
+void test('the administration endpoints respond as in the snapshot', async () => {
+  const withState = await responsesOf(
     'ready, with a state',
     createAdminApp(
       () => true,
@@ -42,9 +42,9 @@
       () => ({ node: 'n1' }),
     ),
   );
-  const bare = await responsesOf(
+  const withoutState = await responsesOf(
     'not ready, without a state',
     createAdminApp(() => false, samples),
   );
-  matchSnapshot('admin-paths', `${full}\n\n${bare}`);
+  matchSnapshot('admin-paths', `${withState}\n\n${withoutState}`);
 });
--- a/packages/runtime/src/http/admin.ts
+++ b/packages/runtime/src/http/admin.ts
@@ -1,4 +1,4 @@
-/** The HTTP paths for operators and the platform: liveness, readiness, metrics and the state of a process. */
+/** Administration endpoints for operators and the platform: liveness, readiness, metrics and process state. */
 
 import Koa from 'koa';
 import { type MetricSample, formatMetrics, metricsContentType } from './metrics.js';
@@ -7,7 +7,7 @@
 const notReadyStatus = 503;
 const notFoundStatus = 404;
 
-/** The app that serves `/live`, `/ready`, `/metrics` and, if there is a `state`, `/state`. */
+/** Creates the app that serves `/live`, `/ready`, `/metrics` and, if `state` is given, `/state`. */
 export const createAdminApp = (
   isReady: () => boolean,
   samples: () => readonly MetricSample[],
--- a/packages/runtime/src/http/http-server.ts
+++ b/packages/runtime/src/http/http-server.ts
@@ -1,18 +1,18 @@
-/** HTTP servers for callers outside the fleet, with bounds on time and size. */
+/** HTTP servers for clients outside the fleet, with limits on the duration and size of requests. */
 
 import { type Server, createServer } from 'node:http';
 import type Koa from 'koa';
 import type { Address } from '@switchwheel/types';
 import { splitAddress } from '@switchwheel/transport';
 
-/** What a client may take: times in milliseconds until headers and the whole request have arrived. */
+/** Limits on a request: times until the header and the whole request have arrived, and size of the header. */
 export interface HttpServerLimits {
   readonly headersTimeoutMs: number;
   readonly requestTimeoutMs: number;
   readonly maxHeaderBytes: number;
 }
 
-/** Limits for small requests. */
+/** Limits for servers that only receive small requests. */
 export const defaultHttpServerLimits: HttpServerLimits = {
   headersTimeoutMs: 5000,
   requestTimeoutMs: 15_000,
@@ -23,12 +23,12 @@
 const keepAliveTimeoutMs = 10_000;
 const listenBacklog = 1024;
 
-/** A server that listens. */
+/** HTTP server that is listening. */
 export interface HttpServer {
   readonly server: Server;
-  /** The port that it is bound to; 0 once it is closed. */
+  /** Port that it is bound to; 0 once it is closed. */
   readonly port: () => number;
-  /** Accepts no new connections and closes idle ones; requests in flight are served to their end. */
+  /** Stops accepting connections and closes idle ones; requests in flight are completed. */
   readonly stopAccepting: () => void;
 }
 
@@ -75,18 +75,18 @@
 };
 
 /**
- * Starts a server; rejects if the address can't be bound. Slow, oversized and ambiguous requests are
- * answered with their 4xx and a closed connection before the app sees them.
+ * Starts a server; rejects if the address can't be bound. Slow, oversized and malformed requests get a 4xx
+ * response and a closed connection without reaching the app.
  */
 export const startHttpServer = (
   app: Koa,
-  at: Address,
+  address: Address,
   limits: HttpServerLimits = defaultHttpServerLimits,
 ): Promise<HttpServer> => {
   const server = createLimitedServer(app, limits);
   return new Promise((resolve, reject) => {
     server.once('error', reject);
-    server.listen({ ...splitAddress(at), backlog: listenBacklog }, () => {
+    server.listen({ ...splitAddress(address), backlog: listenBacklog }, () => {
       server.off('error', reject);
       resolve({
         server,
--- a/packages/runtime/src/http/metrics.ts
+++ b/packages/runtime/src/http/metrics.ts
@@ -1,15 +1,15 @@
-/** Metrics in the text format of Prometheus, version 0.0.4. */
+/** Metrics in the Prometheus text format, version 0.0.4. */
 
 const metricPrefix = 'switchwheel_';
 
-/** One sample of a metric; its name is without the common prefix. */
+/** Sample of a metric, with its name without the common prefix. */
 export interface MetricSample {
   readonly name: string;
   readonly labels: ReadonlyMap<string, string>;
   readonly value: number;
 }
 
-/** The media type of formatted metrics. */
+/** Media type of formatted metrics. */
 export const metricsContentType = 'text/plain; version=0.0.4';
 
 const formatSample = (sample: MetricSample): string => {
@@ -20,18 +20,18 @@
   return `${metricPrefix}${sample.name}${labelSet} ${sample.value}`;
 };
 
-/** Formats samples for scrapers, one a line. */
+/** Formats samples, one per line. */
 export const formatMetrics = (samples: readonly MetricSample[]): string =>
   `${samples.map(formatSample).join('\n')}\n`;
 
-/** A sample without labels. */
+/** Creates a sample without labels. */
 export const metricSample = (name: string, value: number): MetricSample => ({
   name,
   labels: new Map(),
   value,
 });
 
-/** A sample with one more label, e.g. to tell programs apart that share a process. */
+/** Returns a sample with a label added, e.g. to distinguish programs that share a process. */
 export const withLabel = (sample: MetricSample, name: string, value: string): MetricSample => ({
   ...sample,
   labels: new Map([...sample.labels, [name, value]]),
--- a/packages/runtime/src/http/request-body.ts
+++ b/packages/runtime/src/http/request-body.ts
@@ -1,4 +1,4 @@
-/** Request bodies of bounded size. */
+/** Reading of request bodies with a size limit. */
 
 import type { IncomingMessage } from 'node:http';
 import { type Result, err, ok } from 'true-myth/result';
@@ -6,7 +6,7 @@
 
 /**
  * Reads a whole body of at most `maxBytes`. Fails as `oversized` as soon as the declared or received
- * length exceeds that, and as `malformed` if the client breaks off.
+ * length exceeds the limit, and as `malformed` if the client aborts the request.
  */
 export const readBody = async (
   request: IncomingMessage,
--- a/packages/runtime/src/index.ts
+++ b/packages/runtime/src/index.ts
@@ -1,7 +1,7 @@
 /**
- * What every program needs beside its state machine: settings, logs, the event loop that binds the
- * machine to clock and network, HTTP servers, metrics, a data folder, and an orderly shutdown. Knows
- * nothing of what the programs do.
+ * Runtime of all programs: settings, logs, the event loop that connects a state machine to clock and
+ * network, HTTP servers, metrics, the data folder, and graceful shutdown. Contains no logic of a
+ * particular program.
  */
 
 export * from './settings/settings.js';
--- a/packages/runtime/src/log/logger.ts
+++ b/packages/runtime/src/log/logger.ts
@@ -1,4 +1,4 @@
-/** Structured logs: one JSON object a line, on standard error. */
+/** Structured logging to standard error, as one JSON object per line. */
 
 import { type ConsolaInstance, LogLevels, createConsola } from 'consola';
 
@@ -9,9 +9,9 @@
   ['error', LogLevels.error],
 ]);
 
-/** Writes log lines. */
+/** Log of one node. */
 export interface Logger {
-  /** Writes a message with typed fields; lines below the configured level are dropped. */
+  /** Writes a log line with a message and fields, unless `level` is below the configured one. */
   readonly write: (
     level: 'info' | 'warn' | 'error',
     message: string,
@@ -19,7 +19,7 @@
   ) => void;
 }
 
-/** Makes the logger of one node; an unknown level counts as `info`. */
+/** Creates the logger of a node; an unknown level is treated as `info`. */
 export const createLogger = (program: string, node: string, level: string): Logger => {
   const consola: ConsolaInstance = createConsola({
     level: consolaLevels.get(level) ?? LogLevels.info,
--- a/packages/runtime/src/run/clock.ts
+++ b/packages/runtime/src/run/clock.ts
@@ -1,4 +1,4 @@
-/** The impure sources of a process: its clock, its incarnation and its randomness. */
+/** Non-deterministic inputs of a process: its clock, its incarnation and its random seed. */
 
 import { randomBytes } from 'node:crypto';
 import {
@@ -9,12 +9,12 @@
   toTimestamp,
 } from '@switchwheel/types';
 
-/** The monotonic clock, which runs on while the process is suspended. */
+/** Reads the monotonic clock, which continues while the process is suspended. */
 export const now = (): Timestamp => toTimestamp(Number(process.hrtime.bigint() / 1000n) / 1000);
 
-/** A number for this run of the process, above that of every earlier run (by the wall clock). */
+/** Returns a number for this run of the process, higher than those of earlier runs unless the wall clock was set back. */
 export const newIncarnation = (): Incarnation =>
   toIncarnation(Date.now() * 1000 + (randomBytes(2).readUInt16BE(0) % 1000));
 
-/** A random source with a seed from the operating system. */
+/** Returns a random source with a seed from the operating system. */
 export const newRandomState = (): RandomState => ({ seed: randomBytes(4).readUInt32BE(0) });
--- a/packages/runtime/src/run/event-loop.ts
+++ b/packages/runtime/src/run/event-loop.ts
@@ -1,6 +1,7 @@
 /**
- * Binds a process's state machine to the real clock and network: ticks, frames and lost connections go
- * in; frames and log lines go out. Effects of the process's own kinds are left to its runner.
+ * Connects the state machine of a process to the real clock and network: dispatches ticks, received frames
+ * and lost connections, and sends frames and writes log lines. All other effects are passed to a function
+ * of the process.
  */
 
 import {
@@ -13,21 +14,21 @@
 import type { Logger } from '../log/logger.js';
 import { now } from './clock.js';
 
-/** How often a machine gets a tick, in milliseconds. */
+/** Default interval between the ticks of a state machine. */
 export const tickIntervalMs = 25;
 
-/** A machine that runs on the real clock and network. */
+/** State machine that runs on the real clock and network. */
 export interface EventLoop<S, E> {
   readonly stateMachine: StateMachine<S, E>;
-  /** Dispatches the event that `make` builds with the current time. */
-  readonly dispatch: (make: (now: Timestamp) => E) => void;
-  /** Ends the ticks; frames are still handled until the channels are closed. */
+  /** Dispatches the event that `createEvent` returns for the current time. */
+  readonly dispatch: (createEvent: (now: Timestamp) => E) => void;
+  /** Stops the ticks; frames are still handled until the channels are closed. */
   readonly stop: () => void;
-  /** The longest time in milliseconds that ticks were late by since the last call. */
+  /** Returns the maximum delay of a tick since the last call, in milliseconds. */
   readonly takeMaxLagMs: () => number;
 }
 
-/** A repeated call that knows how late it was. */
+/** Timer that measures the delay of its ticks. */
 interface Ticker {
   readonly stop: () => void;
   readonly takeMaxLagMs: () => number;
@@ -53,16 +54,16 @@
 };
 
 /**
- * Starts a machine.
+ * Starts a state machine.
  *
- * @param reduce the reducer of the process
- * @param initialState its state before the first event
- * @param channels carries frames to and from other processes
- * @param log gets the machine's log lines and the channels' faults
- * @param runEffect carries out effects of the process's own kinds
- * @param isShared tells the effects of all processes from those of its own kinds
- * @param intervalMs how often the machine gets a tick
- * @param afterTick is called after each tick
+ * @param reduce reducer of the process
+ * @param initialState state before the first event
+ * @param channels channels to other processes
+ * @param log receives the log lines of the state machine and the failures of the channels
+ * @param runEffect executes the effects that are specific to the process
+ * @param isShared decides whether an effect is common to all processes, see {@link isProcessEffect}
+ * @param intervalMs interval between ticks
+ * @param afterTick called after each tick
  */
 export const startEventLoop = <S, E, F>(
   reduce: (state: S, event: E | ProcessEvent) => Transition<S, F | ProcessEffect>,
@@ -84,8 +85,8 @@
     initialState,
     runAnyEffect,
   );
-  const dispatch = (make: (now: Timestamp) => E | ProcessEvent): void =>
-    stateMachine.dispatch(make(now()));
+  const dispatch = (createEvent: (now: Timestamp) => E | ProcessEvent): void =>
+    stateMachine.dispatch(createEvent(now()));
   channels.on('frame', (from, frame) =>
     dispatch((receivedAt) => ({ kind: 'frameReceived', now: receivedAt, from, frame })),
   );
@@ -100,6 +101,6 @@
   return { stateMachine, dispatch, stop: ticker.stop, takeMaxLagMs: ticker.takeMaxLagMs };
 };
 
-/** Whether an effect is one that the event loop carries out for every process. */
+/** Whether an effect is one that the event loop of every process executes. */
 export const isProcessEffect = (effect: { readonly kind: string }): effect is ProcessEffect =>
   effect.kind === 'send' || effect.kind === 'log';
--- a/packages/runtime/src/run/running-program.ts
+++ b/packages/runtime/src/run/running-program.ts
@@ -1,12 +1,12 @@
-/** What is common to programs that run inside this process. */
+/** Interface of programs that run in this process, and a timer. */
 
-/** A program that runs in this process. */
+/** Program that runs in this process. */
 export interface RunningProgram {
-  /** Stops it in order; settles when everything of it has ended. */
+  /** Stops the program gracefully; resolves when it has stopped completely. */
   readonly stop: () => Promise<void>;
 }
 
-/** Settles after a time in milliseconds. */
+/** Resolves after a time in milliseconds. */
 export const delay = (ms: number): Promise<void> =>
   new Promise((resolve) => {
     setTimeout(resolve, ms);
--- a/packages/runtime/src/run/shutdown.ts
+++ b/packages/runtime/src/run/shutdown.ts
@@ -1,9 +1,9 @@
-/** Orderly shutdown on signals, and the end of the process on an unexpected error. */
+/** Graceful shutdown on signals, and exit of the process on an unexpected error. */
 
 import { commitFailureCause, isCommitFailure } from '../disk/commit-failure.js';
 import type { Logger } from '../log/logger.js';
 
-/** How long a shutdown may take, in milliseconds: the platform kills the process after six seconds. */
+/** Maximum duration of a shutdown; shorter than the 6 s after which the platform kills the process. */
 export const shutdownTimeoutMs = 5000;
 
 const exitOnUnexpectedErrors = (log: Logger): void => {
@@ -12,7 +12,7 @@
     process.exit(1);
   });
   process.on('unhandledRejection', (reason) => {
-    // Whoever wrote was told that the commit failed; the library rejects promises of its own as well.
+    // The writer is notified of a failed commit; lmdb also rejects internal promises, which are ignored here.
     if (isCommitFailure(reason)) {
       void commitFailureCause(reason);
       return;
@@ -24,8 +24,8 @@
 };
 
 /**
- * On SIGTERM or SIGINT calls `stop` once and exits with 0 when it settles, or with 1 if that takes
- * longer than `timeoutMs`. SIGHUP ends nothing: settings are read at the next start.
+ * Installs the signal handlers of a program. SIGTERM or SIGINT calls `stop` once; the process exits with 0
+ * when it resolves, or with 1 after `timeoutMs`. SIGHUP has no effect, as settings are only read at startup.
  */
 export const handleShutdownSignals = (
   log: Logger,
@@ -38,7 +38,7 @@
     isShuttingDown = true;
     log.write('info', 'shutting down', new Map([['signal', signal]]));
     const timer = setTimeout(() => {
-      log.write('error', 'shutdown timed out');
+      log.write('error', 'shutdown timed out, exiting with code 1');
       process.exit(1);
     }, timeoutMs);
     void stop().then(() => {
@@ -48,7 +48,9 @@
     });
   };
   process.on('SIGTERM', () => shutDown('SIGTERM'));
-  process.on('SIGHUP', () => log.write('info', 'settings changed, read at the next start'));
+  process.on('SIGHUP', () =>
+    log.write('info', 'SIGHUP ignored: settings are only read at startup'),
+  );
   process.on('SIGINT', () => shutDown('SIGINT'));
   exitOnUnexpectedErrors(log);
 };
--- a/packages/runtime/src/run/time-slicing.ts
+++ b/packages/runtime/src/run/time-slicing.ts
@@ -1,9 +1,9 @@
-/** Long computations as generators, run in slices between other work of the process. */
+/** Time slicing of long computations, so that they do not block the event loop. */
 
-/** For how long one slice may block the event loop, in milliseconds. */
+/** Maximum time for which a slice blocks the event loop. */
 const sliceMs = 12;
 
-/** Runs a generator to its end, yielding to the event loop after each slice; rejects if it throws. */
+/** Runs a generator to completion in slices; resolves with its return value and rejects if it throws. */
 export const runTimeSliced = <T>(work: Generator<undefined, T>): Promise<T> =>
   new Promise((resolve, reject) => {
     const runSlice = (): void => {
@@ -18,7 +18,11 @@
           if (performance.now() > sliceEnd) break;
         }
       } catch (error) {
-        reject(error instanceof Error ? error : new Error('slice'));
+        reject(
+          error instanceof Error
+            ? error
+            : new Error('time-sliced computation threw a value that is not an Error'),
+        );
         return;
       }
       setImmediate(runSlice);
