--- a/packages/transport/src/frame/edge-edge.ts
+++ b/packages/transport/src/frame/edge-edge.ts
@@ -25,7 +25,7 @@
     /** Time left until the request's deadline. */
     left: types.durationMs,
   }),
-  /** Cached object with its age, and the last purge that is known not to have removed it. */
+  /** Cached object with its age, and the last purge that the owner had applied. */
   v.object({
     kind: kind('object'),
     id: requestNumber,
--- a/packages/transport/src/frame/edge-shield.ts
+++ b/packages/transport/src/frame/edge-shield.ts
@@ -17,6 +17,7 @@
   generation: types.generation,
   route: types.routeName,
   group: types.serviceClassName,
+  /** Epoch of the leader's lease, as the edge knows it. */
   epoch: types.epoch,
   method: v.string(),
   host: v.string(),
@@ -25,6 +26,7 @@
   body: bytes,
   /** Whether the request is idempotent. */
   repeatable: v.boolean(),
+  /** Whether the response may be cached. */
   storable: v.boolean(),
   /** Whether an earlier attempt may have run; the request is then never reported as `rejected`. */
   again: v.boolean(),
@@ -52,6 +54,7 @@
     instance: v.optional(types.instanceId),
     release: v.optional(types.release),
     from: v.picklist(['origin', 'cache']),
+    /** Last purge that the leader had applied when it fetched the response. */
     purged: types.seq,
     streamed: v.boolean(),
   }),
--- a/packages/transport/src/frame/lease.ts
+++ b/packages/transport/src/frame/lease.ts
@@ -17,12 +17,16 @@
     duty: types.leaseName,
     epoch: types.epoch,
     node: types.nodeId,
+    /** Send time by the candidate's clock. */
     at: types.timestamp,
+    /** Requested duration of the lease. */
     lease: types.durationMs,
     /** Whether the voter is only asked how it would vote, without a change of its state. */
     preVote: v.boolean(),
+    /** Whether the candidate holds the lease in this epoch, and renews it or steps down. */
     renew: v.boolean(),
     inSyncSet: v.array(types.nodeId),
+    /** Announcement of the candidate as the holder, which the voter passes on if the lease is held. */
     held: v.optional(leaseHolder),
     stepDown: v.boolean(),
     /** With `stepDown`: the candidate did not win the epoch and never will. */
@@ -42,6 +46,7 @@
     at: types.timestamp,
     preVote: v.boolean(),
     granted: v.boolean(),
+    /** Whether the voter has restarted and not yet recovered its grants. */
     recovering: v.boolean(),
     /** Highest epoch of this lease that the voter has granted. */
     highest: types.epoch,
--- a/packages/transport/src/frame/node-registry.ts
+++ b/packages/transport/src/frame/node-registry.ts
@@ -16,11 +16,14 @@
     kind: kind('heartbeat'),
     member,
     seq: types.seq,
+    /** Send time by the node's clock. */
     at: types.timestamp,
     report: nodeStatus,
     /** Whether the node is leaving, which closes its session. */
     bye: v.boolean(),
+    /** Leases that the node holds. */
     held: v.array(leaseHolder),
+    /** Last purge that the node has applied. */
     purged: types.seq,
     /** Digest of the rollout states that the node knows; decided ones are sent only if it differs. */
     releases: v.optional(v.string()),
@@ -28,16 +31,19 @@
   /** Reply to a heartbeat, with the desired configuration and the changes that the node needs to know. */
   v.object({
     kind: kind('heartbeat-reply'),
+    /** Time `at` of the heartbeat; 0 if the registry sends this frame unasked. */
     at: types.timestamp,
     registry: types.nodeId,
     incarnation: types.incarnation,
     /** Age of this registry's feed from the primary; absent if it has no valid feed. */
     age: v.optional(types.durationMs),
     epoch: types.epoch,
+    /** Configuration that the node should apply. */
     offer: v.optional(configManifest),
     /** Newest confirmed generation, and the time since this registry first received it. */
     newest: types.generation,
     newestAge: types.durationMs,
+    /** Purges that the node has not applied; those before `floor` are no longer stored, `top` is the newest one. */
     purges: v.array(purge),
     floor: types.seq,
     top: types.seq,
--- a/packages/transport/src/frame/registry-registry.ts
+++ b/packages/transport/src/frame/registry-registry.ts
@@ -25,8 +25,11 @@
     sessions: v.array(sessionRecord),
     origins: v.array(originInstance),
     holders: v.array(leaseHolder),
+    /** Lease grants of the sender as a voter, from which a restarted voter recovers. */
     memories: v.array(leaseGrantRecord),
+    /** Whether the sender has itself restarted and not yet recovered its grants. */
     recovering: v.boolean(),
+    /** Send time by the sender's clock. */
     at: types.timestamp,
     /** Time of the newest gossip received from each registry, by the clock of that registry. */
     heard: v.array(
--- a/packages/transport/src/frame/rollout.ts
+++ b/packages/transport/src/frame/rollout.ts
@@ -12,9 +12,11 @@
     kind: kind('trial'),
     service: types.serviceName,
     release: types.release,
+    /** Requests reserved for the canary so far, including those that this report reserves. */
     spent: v.number(),
     bad: v.number(),
     good: v.number(),
+    /** Requests of the service since the canary began. */
     seen: v.number(),
     state: v.picklist(['trial', 'good', 'bad']),
     at: types.timestamp,
--- a/packages/transport/src/frame/store-registry.ts
+++ b/packages/transport/src/frame/store-registry.ts
@@ -37,9 +37,12 @@
     registry: member,
     /** State as a voter: `ready` once it has recovered its grants and its abstention is over. */
     voter: v.picklist(['ready', 'recovering', 'leaving']),
+    /** Send time by the registry's clock. */
     at: types.timestamp,
     epoch: types.epoch,
+    /** Serial of the last feed with desired configurations that the registry received. */
     serial: types.seq,
+    /** Last purge that the registry received. */
     purged: types.seq,
     reports: v.array(
       v.object({
@@ -54,21 +57,26 @@
   /** State of the primary that a subscribed registry needs: configurations, purges, canaries and rollouts. */
   v.object({
     kind: kind('feed'),
+    /** Time `at` of the subscription; 0 if the feed is sent because of a write. */
     at: types.timestamp,
     epoch: types.epoch,
+    /** Sequence number of the primary's last write. */
     serial: types.seq,
+    /** Configuration that each node should run; absent if the registry already has these rows. */
     desired: v.optional(
       v.array(
         v.object({
           node: types.nodeId,
           generation: types.generation,
           hash: types.hash,
+          /** Configuration that the node failed to apply. */
           failed: v.optional(types.hash),
         }),
       ),
     ),
     offers: v.array(configManifest),
     current: v.optional(configManifest),
+    /** Purges that the registry lacks; those before `floor` are no longer stored, `top` is the newest one. */
     purges: v.array(purge),
     floor: types.seq,
     top: types.seq,
@@ -95,6 +103,7 @@
     id: types.commandId,
     verb: v.picklist(['apply', 'purge', 'ask', 'view', 'electorate', 'release']),
     body: v.string(),
+    /** Generation on which a submitted configuration is based; it is rejected if another one is in force. */
     base: v.optional(types.generation),
   }),
   /** Primary's reply to a command or query: an HTTP status and a JSON body. */
--- a/packages/transport/src/frame/store-store.ts
+++ b/packages/transport/src/frame/store-store.ts
@@ -5,7 +5,7 @@
 import { clusterMetadata, logPosition, tableMutation } from '../record/replication.js';
 import { kind } from './schema-parts.js';
 
-/** Schemas of the frames for replication, replica status and resync. */
+/** Schemas of the frames for replication, replica status and resync; `stamp` is a log position. */
 export const storeStoreFrames = [
   /** Write of the primary: mutations at a log position, which apply only directly after the prior position. */
   v.object({
@@ -33,9 +33,11 @@
     metadata: v.optional(clusterMetadata),
     stamp: logPosition,
     primary: v.boolean(),
+    /** Whether the store can't write because its disk is full or does not respond. */
     full: v.boolean(),
     /** Whether this store is shutting down, so that another store should replace it as a replica. */
     leaving: v.optional(v.boolean()),
+    /** Digest of each range of the table; empty unless the store needs a resync. */
     digests: v.array(v.string()),
     at: types.timestamp,
   }),
--- a/packages/transport/src/record/rollout.ts
+++ b/packages/transport/src/record/rollout.ts
@@ -27,7 +27,9 @@
 /** State of a service's rollout, by which edges pick the release for a request. */
 export const rolloutState = v.object({
   service: types.serviceName,
+  /** Release that receives the requests that the target does not. */
   settled: v.optional(types.release),
+  /** Release that is rolled out. */
   target: v.optional(types.release),
   phase: rolloutPhase,
   /** Share of an edge's requests that the target receives as a canary. */
--- a/packages/types/src/testing/command.ts
+++ b/packages/types/src/testing/command.ts
@@ -44,8 +44,8 @@
   // Throws if the script is missing, which would otherwise only show as an exit code.
   readFileSync(script);
   const outputs: string[] = [];
-  for (let from = 0; from < lines.length; from += maxConcurrentRuns) {
-    const batch = lines.slice(from, from + maxConcurrentRuns);
+  for (let start = 0; start < lines.length; start += maxConcurrentRuns) {
+    const batch = lines.slice(start, start + maxConcurrentRuns);
     outputs.push(...(await Promise.all(batch.map((line) => runOnce(script, name, line)))));
   }
   return outputs.join('\n\n');
--- a/packages/types/src/testing/metrics.ts
+++ b/packages/types/src/testing/metrics.ts
@@ -5,10 +5,7 @@
 const isComment = (line: string): boolean => line.startsWith('#');
 const withoutValue = (line: string): string => line.replace(/ [^ ]*$/, '');
 
-/**
- * Compares formatted metrics with two snapshots: names and labels in one, help and type lines in the other.
- * Values vary between runs and are left out.
- */
+/** Compares formatted metrics, without their values, with a snapshot of names and labels and one of help lines. */
 export const matchMetrics = (matchSnapshot: MatchSnapshot, name: string, text: string): void => {
   const lines = text.trimEnd().split('\n');
   const comments = lines.filter(isComment);
--- a/packages/types/src/testing/schema-outline.ts
+++ b/packages/types/src/testing/schema-outline.ts
@@ -112,7 +112,7 @@
   );
 };
 
-/** Returns the outline of a schema. */
+/** Outlines a schema; throws a TypeError for parts that are neither JSON values, functions nor schemas. */
 export const outlineSchema = (schema: v.GenericSchema): Outline => outlinePart(schema, []);
 
 /** Returns the outlines of schemas by name. */
