--- a/packages/runtime/src/disk/commit-failure.ts
+++ b/packages/runtime/src/disk/commit-failure.ts
@@ -13,7 +13,7 @@
 export const isCommitFailure = (error: unknown): error is CommitFailure =>
   error instanceof Error && 'commitError' in error;
 
-/** Resolves with the cause of a failed commit, or with `error` itself if there is none or it is not reported in time. */
+/** Resolves with the cause of a failed commit, or with `error` itself if no cause is reported in time. */
 export const commitFailureCause = async (error: unknown): Promise<unknown> => {
   if (!isCommitFailure(error) || !(error.commitError instanceof Promise)) return error;
   const cause = error.commitError.then(
--- a/packages/runtime/src/run/clock.ts
+++ b/packages/runtime/src/run/clock.ts
@@ -12,7 +12,7 @@
 /** Reads the monotonic clock, which continues while the process is suspended. */
 export const now = (): Timestamp => toTimestamp(Number(process.hrtime.bigint() / 1000n) / 1000);
 
-/** Returns a number for this run of the process, higher than those of earlier runs unless the wall clock was set back. */
+/** Returns a number that is higher than in earlier runs of the process, unless the wall clock was set back. */
 export const newIncarnation = (): Incarnation =>
   toIncarnation(Date.now() * 1000 + (randomBytes(2).readUInt16BE(0) % 1000));
 
--- a/packages/runtime/src/run/event-loop.ts
+++ b/packages/runtime/src/run/event-loop.ts
@@ -61,7 +61,7 @@
  * @param channels channels to other processes
  * @param log receives the log lines of the state machine and the failures of the channels
  * @param runEffect executes the effects that are specific to the process
- * @param isShared decides whether an effect is common to all processes, see {@link isProcessEffect}
+ * @param isCommonEffect decides whether the event loop executes an effect itself, see {@link isProcessEffect}
  * @param intervalMs interval between ticks
  * @param afterTick called after each tick
  */
@@ -71,12 +71,12 @@
   channels: ChannelPool,
   log: Logger,
   runEffect: (effect: F, dispatch: EventLoop<S, E | ProcessEvent>['dispatch']) => void,
-  isShared: (effect: F | ProcessEffect) => effect is ProcessEffect,
+  isCommonEffect: (effect: F | ProcessEffect) => effect is ProcessEffect,
   intervalMs = tickIntervalMs,
   afterTick: () => void = () => undefined,
 ): EventLoop<S, E | ProcessEvent> => {
   const runAnyEffect = (effect: F | ProcessEffect): void => {
-    if (!isShared(effect)) runEffect(effect, dispatch);
+    if (!isCommonEffect(effect)) runEffect(effect, dispatch);
     else if (effect.kind === 'send') channels.send(effect.to, effect.frame);
     else log.write(effect.level, effect.message, effect.fields);
   };
