--- a/packages/proxy-core/src/node-agent/heartbeat-reply.ts
+++ b/packages/proxy-core/src/node-agent/heartbeat-reply.ts
@@ -1,6 +1,6 @@
 /**
- * What a node learns from the replies to its heartbeats: members, purges, rollout states, canary
- * results, vacant leases, and the configuration that it should run.
+ * Handling of heartbeat replies: members, purges, rollout states, canary results, vacant leases and
+ * the offered configuration.
  */
 
 import {
@@ -19,37 +19,48 @@
 
 type HeartbeatReply = FrameOf<'heartbeat-reply'>;
 
-/** Applies the purges that follow the last one; where some are lost, the whole cache is flushed. */
+/**
+ * Applies the purges after the last applied one. If some are missing, the cache is flushed when the
+ * registry no longer has them or this node has applied none yet; otherwise the next reply is
+ * awaited.
+ */
 const applyPurges = (state: NodeAgent, { top, floor, purges }: HeartbeatReply): AgentTransition => {
   if (top <= state.lastPurgeSeq) return transition(state);
-  const fresh = purges
+  const newPurges = purges
     .filter((purge) => purge.seq > state.lastPurgeSeq)
     .sort((left, right) => left.seq - right.seq);
   const isComplete =
-    fresh[0]?.seq === state.lastPurgeSeq + 1 && fresh.length === top - state.lastPurgeSeq;
+    newPurges[0]?.seq === state.lastPurgeSeq + 1 && newPurges.length === top - state.lastPurgeSeq;
   const next = { ...state, lastPurgeSeq: top };
   if (isComplete)
-    return transition(next, { kind: 'purgeCache', purges: fresh, flush: false, lastPurgeSeq: top });
+    return transition(next, {
+      kind: 'purgeCache',
+      purges: newPurges,
+      flush: false,
+      lastPurgeSeq: top,
+    });
   const hasMissedPurges = state.lastPurgeSeq + 1 < floor;
   if (hasMissedPurges || state.lastPurgeSeq === 0)
     return transition(next, { kind: 'purgeCache', purges: [], flush: true, lastPurgeSeq: top });
   return transition(state);
 };
 
-/** Only the newest state of each service counts, whichever registry it comes from. */
+/** Merges rollout states by service; the highest serial wins, whichever registry sent it. */
 const mergeReleaseStates = (
   known: NodeAgent['releaseStates'],
   received: readonly RolloutState[],
 ): NodeAgent['releaseStates'] => {
-  const fresh = received.filter(
+  const newerStates = received.filter(
     (rollout) => rollout.serial >= (known.get(rollout.service)?.serial ?? 0),
   );
-  return fresh.length === 0
+  return newerStates.length === 0
     ? known
-    : new Map([...known, ...fresh.map((rollout) => [rollout.service, rollout] as const)]);
+    : new Map([...known, ...newerStates.map((rollout) => [rollout.service, rollout] as const)]);
 };
 
-/** Notes as of when all purges are applied here: only this node's own registry can say that. */
+/**
+ * Records the time up to which all purges are applied; only the node's own registry can confirm it.
+ */
 const updatePurgesCurrent = (
   state: NodeAgent,
   reply: HeartbeatReply,
@@ -70,7 +81,7 @@
   now: Timestamp,
 ): NodeAgent => {
   const nodeSession = applyHeartbeatReply(state.nodeSession, from, reply, now);
-  // Without an age the registry has no fresh contact with the primary.
+  // A reply without an age comes from a registry without recent contact to the primary.
   const isFromPrimary = reply.age !== undefined;
   return {
     ...applyVacantLeases({ ...state, nodeSession }, reply, now),
@@ -86,7 +97,7 @@
   };
 };
 
-/** Takes in the reply to a heartbeat. */
+/** Handles the reply to a heartbeat. */
 export const onHeartbeatReply = (
   before: NodeAgent,
   from: Peer,
--- a/packages/replicated-store/src/commands/chunk-requests.ts
+++ b/packages/replicated-store/src/commands/chunk-requests.ts
@@ -1,5 +1,5 @@
 /**
- * Registries' requests for chunks of the configuration in force.
+ * Requests of registries for chunks of the configuration in force.
  */
 
 import { type Hash, transition } from '@switchwheel/types';
@@ -8,7 +8,7 @@
 import type { StoreState } from '../state/state.js';
 import type { StoreTransition } from '../state/transition.js';
 
-/** Log lines for chunks that were requested and are not in the table. */
+/** Logs requested chunks that are not in the table. */
 const logMissedChunks = (
   state: StoreState,
   from: Peer,
@@ -24,21 +24,21 @@
     ),
   );
 
-/** A registry requests chunks of the configuration in force. */
+/** Sends requested chunks to a registry; counts and logs those that are not in the table. */
 export const onChunkRequest = (
   state: StoreState,
   from: Peer,
   request: FrameOf<'piece-request'>,
 ): StoreTransition => {
-  const sent = request.hashes.flatMap((hash): readonly StoreEffect[] => {
+  const replies = request.hashes.flatMap((hash): readonly StoreEffect[] => {
     const data = state.control.chunks.get(hash);
     return data === undefined ? [] : [send(from.address, { kind: 'piece', hash, data })];
   });
   const missed = request.hashes.filter((hash) => !state.control.chunks.has(hash));
-  if (missed.length === 0) return transition(state, ...sent);
+  if (missed.length === 0) return transition(state, ...replies);
   return transition(
     { ...state, missedChunkRequests: state.missedChunkRequests + missed.length },
-    ...sent,
+    ...replies,
     ...logMissedChunks(state, from, missed),
   );
 };
--- a/packages/replicated-store/src/log-write/acknowledgements.ts
+++ b/packages/replicated-store/src/log-write/acknowledgements.ts
@@ -1,5 +1,5 @@
 /**
- * What the acknowledgements of backups say of these backups.
+ * Updates of a peer's status from its acknowledgements and refusals of writes.
  */
 
 import type { NodeId, Timestamp } from '@switchwheel/types';
@@ -7,28 +7,28 @@
 import type { PeerStatus } from '../state/peers.js';
 import type { StoreState } from '../state/state.js';
 
-/** Notes how far a store has come by its acknowledgement. */
-export const noteAcknowledgement = (
+/** Records the log position that a store acknowledged. */
+export const recordAcknowledgement = (
   state: StoreState,
   acknowledgement: FrameOf<'replicated'>,
   now: Timestamp,
 ): StoreState => {
   const peer = state.peers.get(acknowledgement.node);
   if (peer === undefined) return state;
-  const row: PeerStatus = {
+  const updatedPeer: PeerStatus = {
     ...peer,
     logPosition: { epoch: acknowledgement.epoch, seq: acknowledgement.seq },
     isDiskFull: false,
     heardAt: now,
     progressAt: now,
   };
-  return { ...state, peers: new Map([...state.peers, [acknowledgement.node, row]]) };
+  return { ...state, peers: new Map([...state.peers, [acknowledgement.node, updatedPeer]]) };
 };
 
-/** A backup that refused a write is no candidate for the next set before it speaks again. */
-export const noteRefusal = (state: StoreState, node: NodeId): StoreState => {
+/** Excludes a backup that refused a write from the next in-sync set until it sends another status. */
+export const recordRefusal = (state: StoreState, node: NodeId): StoreState => {
   const peer = state.peers.get(node);
   if (peer === undefined) return state;
-  const row: PeerStatus = { ...peer, isDiskFull: true };
-  return { ...state, peers: new Map([...state.peers, [node, row]]) };
+  const updatedPeer: PeerStatus = { ...peer, isDiskFull: true };
+  return { ...state, peers: new Map([...state.peers, [node, updatedPeer]]) };
 };
--- a/packages/replicated-store/src/registries/feed.ts
+++ b/packages/replicated-store/src/registries/feed.ts
@@ -1,26 +1,26 @@
 /**
- * The feed to registries: the desired state of nodes and what else they lack, sent on subscription and after
- * each committed write.
+ * Feed to registries: the desired state of nodes, purges, canary results and release rollouts, sent on each
+ * subscription and after each committed write.
  */
 
 import { type Timestamp, clockOrigin, noSeq } from '@switchwheel/types';
 import { type ConfigManifest, type FrameOf, send } from '@switchwheel/transport';
 import { heldEpoch } from '@switchwheel/election';
 import { latestPurge, oldestKeptPurge, releaseStateOf } from '@switchwheel/configuration';
-import { elapsedOf } from '../releases/release-progress.js';
+import { rolloutElapsedMs } from '../releases/release-progress.js';
 import type { StoreEffect } from '../state/events.js';
 import type { Subscriber } from '../state/peers.js';
 import type { StoreState } from '../state/state.js';
 
-/** How long a registry may be silent and still gets the feed after a commit. */
+/** Silence after which a registry is no longer sent the feed after commits. */
 const subscriberTimeoutMs = 3000;
 
-const offersOf = (state: StoreState): readonly ConfigManifest[] => {
-  const stored = state.control.configuration?.offer;
-  return stored === undefined ? [] : [stored];
+const storedManifests = (state: StoreState): readonly ConfigManifest[] => {
+  const manifest = state.control.configuration?.offer;
+  return manifest === undefined ? [] : [manifest];
 };
 
-/** A feed for one registry: all of the desired state if it lacks any, and the purges that it lacks. */
+/** Feed for one registry: the whole desired state if it is outdated there, and the purges that it lacks. */
 const feedFrame = (
   state: StoreState,
   subscriber: Subscriber,
@@ -30,7 +30,7 @@
   const { metadata } = state;
   if (metadata === undefined) return undefined;
   const isBehind = subscriber.serial === noSeq || subscriber.serial < state.lastNodeChangeSeq;
-  const rows = [...state.control.nodes].flatMap(([node, row]) => {
+  const desiredStates = [...state.control.nodes].flatMap(([node, row]) => {
     if (row.desired === undefined) return [];
     return [{ node, ...row.desired, ...(row.failed === undefined ? {} : { failed: row.failed }) }];
   });
@@ -42,20 +42,20 @@
     serial: state.logPosition.seq,
     fleet: metadata.fleet,
     electorate: metadata.electorate,
-    ...(isBehind ? { desired: rows } : {}),
-    offers: isBehind ? [...offersOf(state)] : [],
+    ...(isBehind ? { desired: desiredStates } : {}),
+    offers: isBehind ? [...storedManifests(state)] : [],
     ...(isBehind && current !== undefined ? { current } : {}),
     purges: state.control.purges.filter((purge) => purge.seq > subscriber.latestPurge),
     floor: oldestKeptPurge(state.control),
     top: latestPurge(state.control),
     verdicts: [...state.control.canaryResults.values()],
     releases: [...state.control.releases.values()].map((rollout) =>
-      releaseStateOf(rollout, elapsedOf(state, rollout, now)),
+      releaseStateOf(rollout, rolloutElapsedMs(state, rollout, now)),
     ),
   };
 };
 
-/** Sends the feed to one registry; `at` is the time by its clock at which it subscribed. */
+/** Sends the feed to one registry; `at` is the time of its subscription by its own clock. */
 export const feedSubscriber = (
   state: StoreState,
   subscriber: Subscriber,
@@ -66,7 +66,7 @@
   return frame === undefined ? [] : [send(subscriber.address, frame)];
 };
 
-/** Sends the feed to every registry that is in touch; the time that it bears renews nothing there. */
+/** Sends the feed to every live subscriber. Its `at` is the clock origin, so it does not renew a subscription. */
 export const feedSubscribers = (state: StoreState, now: Timestamp): readonly StoreEffect[] =>
   [...state.subscribers.values()]
     .filter((subscriber) => now - subscriber.heardAt < subscriberTimeoutMs)
--- a/packages/replicated-store/src/registries/heartbeat.ts
+++ b/packages/replicated-store/src/registries/heartbeat.ts
@@ -1,5 +1,5 @@
 /**
- * What a store reports of itself to its registry.
+ * Status that a store reports to its registry with heartbeats.
  */
 
 import { type Timestamp, noGeneration, noSeq } from '@switchwheel/types';
@@ -8,7 +8,7 @@
 import { isInSync, isPrimary } from '../leadership/candidacy.js';
 import type { StoreState } from '../state/state.js';
 
-const ownReport = (state: StoreState, now: Timestamp): NodeStatus => ({
+const ownStatus = (state: StoreState, now: Timestamp): NodeStatus => ({
   generation: state.control.configuration?.offer.generation ?? noGeneration,
   phase: 'none',
   ready: state.phase === 'member' && (isPrimary(state, now) || isInSync(state)),
@@ -32,13 +32,13 @@
   },
 });
 
-/** The content of a heartbeat; the last one before the end says that the store leaves. */
+/** Content of a heartbeat; the last one before the process ends announces that the store is leaving. */
 export const heartbeatContent = (
   state: StoreState,
   now: Timestamp,
   isLast: boolean,
 ): HeartbeatContent => ({
-  report: ownReport(state, now),
+  report: ownStatus(state, now),
   heldLeases: [],
   latestPurge: noSeq,
   isLeaving: isLast,
--- a/packages/replicated-store/src/state/invariants.ts
+++ b/packages/replicated-store/src/state/invariants.ts
@@ -1,14 +1,14 @@
-/** The invariants of a store: what must hold after each event, and what becomes of a violation. */
+/** Invariants of a store, checked after each event. Violations are counted and logged. */
 
 import { type Invariant, type Transition, countViolations, transition } from '@switchwheel/types';
 import { log } from '@switchwheel/transport';
-import { lackingChunks } from '../commands/chunk-repair.js';
+import { chunksMissingFromTable } from '../commands/chunk-repair.js';
 import { isInSync } from '../leadership/candidacy.js';
 import type { StoreEffect } from './events.js';
 import type { StoreState } from './state.js';
 
 /** Counts violations and logs them. */
-export const noteViolations = (
+export const recordViolations = (
   state: StoreState,
   violated: readonly Invariant[],
 ): Transition<StoreState, StoreEffect> =>
@@ -21,17 +21,20 @@
         ),
       );
 
-/** Whether what the invariants speak of is another than before. */
+/** Whether an event changed a part of the state that the invariants cover. */
 const mayAffectInvariants = (before: StoreState, after: StoreState): boolean =>
   before.control.configuration !== after.control.configuration ||
   before.control.chunks !== after.control.chunks ||
   isInSync(before) !== isInSync(after);
 
-/** Checks a store after an event that changed its table or its place in the in-sync set. */
+/** Checks the invariants after an event that changed the configuration, its chunks or the in-sync membership. */
 export const checkInvariants = (
   before: StoreState,
   after: StoreState,
 ): Transition<StoreState, StoreEffect> => {
   if (!mayAffectInvariants(before, after) || !isInSync(after)) return transition(after);
-  return noteViolations(after, lackingChunks(after).length > 0 ? ['description-whole'] : []);
+  return recordViolations(
+    after,
+    chunksMissingFromTable(after).length > 0 ? ['description-whole'] : [],
+  );
 };
