--- a/packages/transport/src/frame/store-registry.ts
+++ b/packages/transport/src/frame/store-registry.ts
@@ -1,6 +1,6 @@
 /**
- * Frames between stores and registries: the founding of a fleet, the feed of the primary to its
- * subscribers, hints of stores without a primary, and operators' commands.
+ * Frames between stores and registries: bootstrap of a fleet, the primary's feed to registries, disk hints
+ * of stores without a primary, and operators' commands.
  */
 
 import * as v from 'valibot';
@@ -13,8 +13,9 @@
 import { canaryResult, rolloutState } from '../record/rollout.js';
 import { kind } from './schema-parts.js';
 
-/** See the module's comment. */
+/** Schemas of the frames for bootstrap, feed, disk hints and operators' commands. */
 export const storeRegistryFrames = [
+  /** Makes a store without data a member of a new fleet. */
   v.object({
     kind: kind('bootstrap'),
     id: types.commandId,
@@ -22,6 +23,7 @@
     stores: v.array(v.object({ node: types.nodeId, address: types.address })),
     electorate,
   }),
+  /** Reply to a bootstrap, with the reason if it failed. */
   v.object({
     kind: kind('bootstrapped'),
     id: types.commandId,
@@ -29,15 +31,18 @@
     ok: v.boolean(),
     text: v.string(),
   }),
-  /** A registry subscribes to the primary's feed, and reports the nodes whose sessions it keeps. */
+  /** Subscribes a registry to the primary's feed and reports the nodes whose sessions it holds. */
   v.object({
     kind: kind('subscribe'),
     registry: member,
-    /** Whether its vote may be relied on: it remembers what it granted and is past its abstention. */
+    /** State as a voter: `ready` once it has recovered its grants and its abstention is over. */
     voter: v.picklist(['ready', 'recovering', 'leaving']),
+    /** Send time by the registry's clock. */
     at: types.timestamp,
     epoch: types.epoch,
+    /** Serial of the last feed with desired configurations that the registry received. */
     serial: types.seq,
+    /** Last purge that the registry received. */
     purged: types.seq,
     reports: v.array(
       v.object({
@@ -49,24 +54,29 @@
       }),
     ),
   }),
-  /** What the primary has decided, for a registry that subscribed. */
+  /** State of the primary that a subscribed registry needs: configurations, purges, canaries and rollouts. */
   v.object({
     kind: kind('feed'),
+    /** Time `at` of the subscription; 0 if the feed is sent because of a write. */
     at: types.timestamp,
     epoch: types.epoch,
+    /** Sequence number of the primary's last write. */
     serial: types.seq,
+    /** Configuration that each node should run; absent if the registry already has these rows. */
     desired: v.optional(
       v.array(
         v.object({
           node: types.nodeId,
           generation: types.generation,
           hash: types.hash,
+          /** Configuration that the node failed to apply. */
           failed: v.optional(types.hash),
         }),
       ),
     ),
     offers: v.array(configManifest),
     current: v.optional(configManifest),
+    /** Purges that the registry lacks; those before `floor` are no longer stored, `top` is the newest one. */
     purges: v.array(purge),
     floor: types.seq,
     top: types.seq,
@@ -75,26 +85,27 @@
     electorate: v.optional(electorate),
     fleet: types.fleetId,
   }),
-  /** What a store has on its disk, while it receives nothing from a primary. */
+  /** Disk hint: metadata and configuration on the disk of a store that receives nothing from a primary. */
   v.object({
     kind: kind('hint'),
     node: types.nodeId,
     address: types.address,
     incarnation: types.incarnation,
-    /** When the store sent it, by its own clock. */
+    /** Send time by the store's clock. */
     at: types.timestamp,
     metadata: clusterMetadata,
     offer: v.optional(configManifest),
     origins: v.array(originInstance),
   }),
-  /** An operator's command or query, forwarded to the primary. */
+  /** Operator's command or query, forwarded to the primary. */
   v.object({
     kind: kind('call'),
     id: types.commandId,
     verb: v.picklist(['apply', 'purge', 'ask', 'view', 'electorate', 'release']),
     body: v.string(),
+    /** Generation on which a submitted configuration is based; it is rejected if another one is in force. */
     base: v.optional(types.generation),
   }),
-  /** The primary's reply to it: an HTTP status and a JSON body. */
+  /** Primary's reply to a command or query: an HTTP status and a JSON body. */
   v.object({ kind: kind('called'), id: types.commandId, status: v.number(), body: v.string() }),
 ] as const;
