--- a/packages/proxy/src/direct-edge/client-connections.ts
+++ b/packages/proxy/src/direct-edge/client-connections.ts
@@ -8,7 +8,7 @@
 import type { Socket } from 'node:net';
 
 /** How much longer than announced an idle connection is kept: a request that is on its way still arrives. */
-const keepAliveMarginMs = 1000;
+const keepAliveGraceMs = 1000;
 
 /** One request of a connection, from its head to when its response is handed to the operating system. */
 interface Exchange {
@@ -113,7 +113,7 @@
     }
     if (exchanges.length > 0) return;
     if (this.#isClosing) socket.end();
-    else if (!connection.isClosing) socket.setTimeout(exchange.keepAliveMs + keepAliveMarginMs);
+    else if (!connection.isClosing) socket.setTimeout(exchange.keepAliveMs + keepAliveGraceMs);
   }
 
   #rejectInOrder(connection: Connection): void {
--- a/packages/proxy/src/direct-edge/client-listener.ts
+++ b/packages/proxy/src/direct-edge/client-listener.ts
@@ -30,7 +30,7 @@
 };
 
 /** What a listener asks of its edge. */
-export interface ListenerState {
+export interface ClientListenerOptions {
   /** Whether clients are told to come back on another connection. */
   readonly isClosing: () => boolean;
 }
@@ -52,7 +52,7 @@
   /** Requests that were read and have no response yet. */
   openRequests = 0;
 
-  constructor(router: EdgeRouter, headerNames: HeaderNames, { isClosing }: ListenerState) {
+  constructor(router: EdgeRouter, headerNames: HeaderNames, { isClosing }: ClientListenerOptions) {
     this.#router = router;
     this.#headerNames = headerNames;
     this.#writer = new ResponseWriter(headerNames, this.#connections, isClosing);
--- a/packages/proxy/src/direct-edge/drain.ts
+++ b/packages/proxy/src/direct-edge/drain.ts
@@ -5,12 +5,12 @@
 import type { ClientListener } from './client-listener.js';
 
 /** How long the platform needs to see that an edge is stopping. */
-const drainNoticeMs = 2600;
+const shutdownNoticeMs = 2600;
 /** How long before the end of a stop requests still in progress are aborted, and their clients told so. */
-const abortReserveMs = 300;
+const abortLeadTimeMs = 300;
 const pollIntervalMs = 10;
 /** How long replies to aborted requests get to leave. */
-const abortedReplyMs = 50;
+const abortedReplyFlushMs = 50;
 
 /**
  * Serves on until the platform has had time to notice, then accepts no connections and waits for the requests in
@@ -23,16 +23,16 @@
   log: Logger,
 ): Promise<void> => {
   const startedAt = now();
-  await delay(Math.min(drainNoticeMs, timeoutMs / 2));
+  await delay(Math.min(shutdownNoticeMs, timeoutMs / 2));
   listener.stopAccepting();
   while (
     (listener.openRequests > 0 || router.openRequests > 0) &&
-    now() - startedAt < timeoutMs - abortReserveMs
+    now() - startedAt < timeoutMs - abortLeadTimeMs
   )
     await delay(pollIntervalMs);
   if (router.openRequests > 0) {
     log.write('warn', 'requests aborted by shutdown', new Map([['count', router.abortAll()]]));
-    await delay(abortedReplyMs);
+    await delay(abortedReplyFlushMs);
   }
   // In one turn with the last look at what is open: nothing can have been read in between.
   listener.closeAllConnections();
--- a/packages/proxy/src/direct-edge/edge-ticker.ts
+++ b/packages/proxy/src/direct-edge/edge-ticker.ts
@@ -19,12 +19,12 @@
 /** Runs after each tick of the node agent. */
 export class EdgeTicker {
   readonly #options: EdgeTickerOptions;
-  #last: NodeAgent | undefined;
-  #reportedAt: Timestamp;
+  #lastNodeAgent: NodeAgent | undefined;
+  #lastReportedAt: Timestamp;
 
   constructor(options: EdgeTickerOptions) {
     this.#options = options;
-    this.#reportedAt = options.now();
+    this.#lastReportedAt = options.now();
   }
 
   /** Updates the router's view of the fleet if it has changed, ticks the router, and reports if it is time. */
@@ -32,25 +32,25 @@
     const { now, nodeAgent, router } = this.#options;
     const current = nodeAgent();
     if (this.#hasFleetChanged(current)) router.updateFleet(current);
-    this.#last = current;
+    this.#lastNodeAgent = current;
     router.tick(now());
     this.#report(current);
   }
 
   #hasFleetChanged({ nodeSession, releaseStates }: NodeAgent): boolean {
-    const last = this.#last;
+    const lastNodeAgent = this.#lastNodeAgent;
     return (
-      nodeSession.origins !== last?.nodeSession.origins ||
-      nodeSession.members !== last.nodeSession.members ||
-      releaseStates !== last.releaseStates
+      nodeSession.origins !== lastNodeAgent?.nodeSession.origins ||
+      nodeSession.members !== lastNodeAgent.nodeSession.members ||
+      releaseStates !== lastNodeAgent.releaseStates
     );
   }
 
   #report(current: NodeAgent): void {
     const { now, router, channels } = this.#options;
     const primary = current.nodeSession.holders.get(primaryLease);
-    if (primary === undefined || now() - this.#reportedAt < reportIntervalMs) return;
-    this.#reportedAt = now();
+    if (primary === undefined || now() - this.#lastReportedAt < reportIntervalMs) return;
+    this.#lastReportedAt = now();
     for (const report of router.rolloutReports(current)) channels.send(primary.address, report);
   }
 }
--- a/packages/proxy/src/direct-edge/origin-connections.ts
+++ b/packages/proxy/src/direct-edge/origin-connections.ts
@@ -18,8 +18,8 @@
 
   /** The agent that keeps the connections to an instance. */
   agentFor(instance: InstanceId): Agent {
-    const known = this.#agents.get(instance);
-    if (known !== undefined) return known;
+    const existing = this.#agents.get(instance);
+    if (existing !== undefined) return existing;
     const agent = new KeepAliveAgent({
       keepAlive: true,
       maxFreeSockets: maxIdleConnections,
--- a/packages/proxy/src/direct-edge/origin-exchange.ts
+++ b/packages/proxy/src/direct-edge/origin-exchange.ts
@@ -21,7 +21,7 @@
 /** The least status of a final response; lower ones are interim responses or none at all. */
 const minFinalStatus = 200;
 const maxBodyBytes = 64 * 1024 * 1024;
-const misdirectedRequest = 421;
+const misdirectedRequestStatus = 421;
 const emptyBody = Buffer.alloc(0);
 
 /** What an exchange is made of. */
@@ -59,8 +59,8 @@
       if (!this.#mayHaveReachedOrigin) this.#fail('the connection did not open');
     }, connectTimeoutMs);
     this.#request.on('socket', (socket: Socket) => this.#onSocket(socket));
-    this.#request.on('error', (error) => this.#onBroken(error.message));
-    this.#request.on('close', () => this.#onBroken('the connection closed'));
+    this.#request.on('error', (error) => this.#onConnectionFailure(error.message));
+    this.#request.on('close', () => this.#onConnectionFailure('the connection closed'));
     this.#request.on('response', (response) => this.#onResponse(response));
     this.#request.end(attempt.body.length > 0 ? attempt.body : undefined);
   }
@@ -89,24 +89,24 @@
   };
 
   /** What happens behind a complete response does not spoil it. */
-  #onBroken(text: string): void {
+  #onConnectionFailure(text: string): void {
     if (this.#response?.complete !== true) this.#fail(text);
   }
 
   #onResponse(response: IncomingMessage): void {
     this.#response = response;
     const fields = headerFieldsOf(response);
-    const fault = this.#headFault(response.statusCode ?? 0, fields);
-    if (fault === undefined) {
+    const failureReason = this.#headFailureReason(response.statusCode ?? 0, fields);
+    if (failureReason === undefined) {
       this.#readBody(response, fields);
       return;
     }
-    this.#fail(fault);
+    this.#fail(failureReason);
     response.socket.destroy();
   }
 
   /** Why a response can't be one to this request, by its status and fields. */
-  #headFault(status: number, fields: HeaderFields): string | undefined {
+  #headFailureReason(status: number, fields: HeaderFields): string | undefined {
     const { attempt, headerNames } = this.#options;
     const { requestId, originProof } = headerNames;
     if (fieldValue(fields, requestId) !== attempt.id) return 'an answer to another request';
@@ -143,7 +143,7 @@
   }
 
   #succeed(response: IncomingMessage, fields: HeaderFields, chunks: readonly Buffer[]): void {
-    if (this.#wasReset && endsWithConnection(response)) {
+    if (this.#wasReset && isDelimitedByClose(response)) {
       this.#fail('the connection was reset');
       return;
     }
@@ -162,7 +162,7 @@
       fields,
       body: chunks.length === 1 ? (chunks[0] ?? emptyBody) : Buffer.concat(chunks),
       isUnprocessed:
-        statusCode === misdirectedRequest || fieldValue(fields, unprocessed) !== undefined,
+        statusCode === misdirectedRequestStatus || fieldValue(fields, unprocessed) !== undefined,
     };
   }
 
@@ -196,5 +196,5 @@
 const isReset = (socket: Socket): boolean => socket.remoteAddress === undefined;
 
 /** Whether only the end of its connection shows where a response ends. */
-const endsWithConnection = ({ headers }: IncomingMessage): boolean =>
+const isDelimitedByClose = ({ headers }: IncomingMessage): boolean =>
   headers['content-length'] === undefined && headers['transfer-encoding'] === undefined;
--- a/packages/proxy/src/direct-edge/readiness.ts
+++ b/packages/proxy/src/direct-edge/readiness.ts
@@ -8,7 +8,7 @@
  * serves on.
  */
 export class Readiness {
-  #hasSettled = false;
+  #hasInitialized = false;
   #isStopping = false;
 
   /** Whether the edge is ending its work. */
@@ -17,16 +17,16 @@
   }
 
   /** From now on the edge is not ready. */
-  beginStop(): void {
+  beginShutdown(): void {
     this.#isStopping = true;
   }
 
   /** Whether the edge is ready, by the state of its node agent. */
   isReady({ compiledConfiguration, failedUpdate, nodeSession }: NodeAgent): boolean {
-    this.#hasSettled ||=
+    this.#hasInitialized ||=
       compiledConfiguration !== undefined &&
       failedUpdate === undefined &&
       nodeSession.members.length > 0;
-    return this.#hasSettled && failedUpdate === undefined && !this.#isStopping;
+    return this.#hasInitialized && failedUpdate === undefined && !this.#isStopping;
   }
 }
--- a/packages/proxy/src/direct-edge/response-writer.ts
+++ b/packages/proxy/src/direct-edge/response-writer.ts
@@ -9,8 +9,8 @@
 import type { ClientConnections } from './client-connections.js';
 
 const emptyBody = Buffer.alloc(0);
-const nothingReplaced: readonly string[] = [];
-const lengthReplaced: readonly string[] = ['content-length'];
+const noReplacedFields: readonly string[] = [];
+const replacedContentLength: readonly string[] = ['content-length'];
 const minRetryAfterSeconds = 0.001;
 
 /** An error response that the edge makes itself. */
@@ -48,7 +48,7 @@
         break;
       case 'response': {
         const { status, fields, body } = reply.response;
-        this.#send(response, request, status, fields, body, nothingReplaced);
+        this.#send(response, request, status, fields, body, noReplacedFields);
         break;
       }
     }
@@ -78,18 +78,18 @@
   /** RFC 9110, sections 13 and 14: If-None-Match, If-Range and a single byte range. */
   #sendCached(response: ServerResponse, request: IncomingRequest, entry: CacheEntry): void {
     if (isNotModified(request, entry)) {
-      this.#send(response, request, 304, entry.fields, emptyBody, lengthReplaced);
+      this.#send(response, request, 304, entry.fields, emptyBody, replacedContentLength);
       return;
     }
     const range = requestedRange(request, entry);
     if (range === undefined) {
-      this.#send(response, request, entry.status, entry.fields, entry.body, nothingReplaced);
+      this.#send(response, request, entry.status, entry.fields, entry.body, noReplacedFields);
       return;
     }
     const size = entry.body.length;
     if (range === 'unsatisfiable') {
       const fields: HeaderFields = [...entry.fields, ['content-range', `bytes */${size}`]];
-      this.#send(response, request, 416, fields, emptyBody, lengthReplaced);
+      this.#send(response, request, 416, fields, emptyBody, replacedContentLength);
       return;
     }
     const { start, end } = range;
@@ -98,7 +98,7 @@
       ['content-range', `bytes ${start}-${end}/${size}`],
     ];
     const body = entry.body.subarray(start, end + 1);
-    this.#send(response, request, 206, fields, body, nothingReplaced);
+    this.#send(response, request, 206, fields, body, noReplacedFields);
   }
 
   #send(
@@ -107,14 +107,14 @@
     status: number,
     fields: HeaderFields,
     body: Buffer,
-    replaced: readonly string[],
+    replacedFields: readonly string[],
   ): void {
     const { requestId } = this.#headerNames;
     const head: string[] = [];
     for (const [name, value] of forwardableFields(fields, [
       requestId,
       'content-length',
-      ...replaced,
+      ...replacedFields,
     ]))
       head.push(name, value);
     if (request.id !== '') head.push(requestId, request.id);
--- a/packages/proxy/src/direct-edge/start-edge.ts
+++ b/packages/proxy/src/direct-edge/start-edge.ts
@@ -187,7 +187,7 @@
 
 const stopEdge = async (parts: EdgeParts, statusServer: Server): Promise<void> => {
   const { settings, log, channels, listener, loop, readiness, router } = parts;
-  readiness.beginStop();
+  readiness.beginShutdown();
   loop.dispatch((at) => ({ kind: 'stopRequested', now: at }));
   await drainRequests(listener, router, settings.stopTimeoutMs, log);
   statusServer.close();
--- a/packages/proxy/src/proxy/drain.ts
+++ b/packages/proxy/src/proxy/drain.ts
@@ -11,7 +11,7 @@
 
 const pollIntervalMs = 20;
 /** How long replies to aborted requests get to leave. */
-const abortedReplyMs = 100;
+const abortedReplyFlushMs = 100;
 
 /** What is drained. */
 export interface ProxyDrainOptions {
@@ -60,5 +60,5 @@
       ['shield', shieldHandler.inbound.size],
     ]),
   );
-  await delay(abortedReplyMs);
+  await delay(abortedReplyFlushMs);
 };
--- a/packages/proxy/src/proxy/proxy-metrics.ts
+++ b/packages/proxy/src/proxy/proxy-metrics.ts
@@ -48,8 +48,8 @@
   side: string,
   counts: ReadonlyMap<string, number>,
 ): readonly MetricSample[] =>
-  [...counts].map(([what, value]) => ({
+  [...counts].map(([counterName, value]) => ({
     name: `${side}_total`,
-    labels: new Map([['what', what]]),
+    labels: new Map([['what', counterName]]),
     value,
   }));
--- a/packages/proxy/src/proxy/start-proxy.ts
+++ b/packages/proxy/src/proxy/start-proxy.ts
@@ -34,13 +34,13 @@
 import { proxyView } from '../admin/proxy-view.js';
 import { compileConfiguration } from '../node-agent/compile-configuration.js';
 import type { ProxySettings } from '../settings/settings.js';
-import { StreamingOriginClient, probeOrigin } from '../shield/origin-client.js';
+import { StreamingOriginClient, checkOriginHealth } from '../shield/origin-client.js';
 import { handleClientRequest } from '../shielded-edge/client-handler.js';
 import { drainProxy } from './drain.js';
 import { dataChannelsOf } from './open-data-channel.js';
 import { proxyMetrics } from './proxy-metrics.js';
 
-type OwnEffect = Exclude<ProxyEffect, ProcessEffect>;
+type HandledEffect = Exclude<ProxyEffect, ProcessEffect>;
 type ProxyLoop = EventLoop<ProxyState, ProxyEvent>;
 
 /** The parts of a running proxy. */
@@ -91,7 +91,7 @@
   const cache = new Cache(settings.cache * 1024 * 1024);
   const cacheLookup = new CacheLookup(cache);
   const origins = new StreamingOriginClient();
-  const loop: ProxyLoop = runEventLoop<ProxyState, ProxyEvent, OwnEffect>(
+  const loop: ProxyLoop = runEventLoop<ProxyState, ProxyEvent, HandledEffect>(
     proxyTransition,
     newProxyState(member, settings.seeds, newRandomState()),
     channels,
@@ -146,7 +146,7 @@
   });
 };
 
-const runEffect = (parts: ProxyParts, effect: OwnEffect): void => {
+const runEffect = (parts: ProxyParts, effect: HandledEffect): void => {
   const { cache, edgeHandler, loop, origins, shieldHandler } = parts;
   switch (effect.kind) {
     case 'compileConfiguration':
@@ -182,11 +182,11 @@
 };
 
 const checkHealth = (
-  { address, path, service, instance }: Extract<OwnEffect, { kind: 'checkHealth' }>,
+  { address, path, service, instance }: Extract<HandledEffect, { kind: 'checkHealth' }>,
   loop: ProxyLoop,
 ): void => {
   const startedAt = now();
-  void probeOrigin(`http://${address}${path}`, service, instance).then((isHealthy) =>
+  void checkOriginHealth(`http://${address}${path}`, service, instance).then((isHealthy) =>
     loop.dispatch((at) => ({
       kind: 'healthChecked',
       now: at,
--- a/packages/proxy/src/shield/header-forms.test.ts
+++ b/packages/proxy/src/shield/header-forms.test.ts
@@ -4,7 +4,7 @@
 import { toAddress, toInstanceId, toServiceName } from '@switchwheel/types';
 import { snapshotsFor } from '@switchwheel/types/testing';
 import { defaultHeaderNames } from '@switchwheel/routing';
-import { StreamingOriginClient, probeOrigin } from './origin-client.js';
+import { StreamingOriginClient, checkOriginHealth } from './origin-client.js';
 import { startRecordingOrigin } from './recording-origin.test-support.js';
 
 const matchSnapshot = snapshotsFor(import.meta.dirname);
@@ -43,7 +43,7 @@
         );
       });
     }
-    await probeOrigin(`http://${origin.address}/health`, service, instance);
+    await checkOriginHealth(`http://${origin.address}/health`, service, instance);
     const requests = origin.requests.join('\n').replaceAll(origin.address, 'ORIGIN');
     matchSnapshot('origin-requests', requests);
   } finally {
--- a/packages/proxy/src/shield/origin-client.ts
+++ b/packages/proxy/src/shield/origin-client.ts
@@ -102,8 +102,8 @@
   /** A request that is not idempotent gets a connection of its own: a refusal to open it is then certain. */
   #agentFor({ instance, isIdempotent }: AttemptRequest): Agent {
     if (!isIdempotent) return new Agent({ keepAlive: false });
-    const known = this.#agents.get(instance);
-    if (known !== undefined) return known;
+    const existing = this.#agents.get(instance);
+    if (existing !== undefined) return existing;
     const agent = new Agent(keepAliveAgentOptions);
     this.#agents.set(instance, agent);
     return agent;
@@ -144,15 +144,15 @@
   handlers.head(message.statusCode ?? 0, headerFieldsOf(message));
   for await (const part of stream) {
     const chunk: Buffer = Buffer.isBuffer(part) ? part : Buffer.from(String(part));
-    await new Promise<void>((more) => {
-      handlers.chunk(chunk, more);
+    await new Promise<void>((resume) => {
+      handlers.chunk(chunk, resume);
     });
   }
   handlers.ended();
 };
 
 /** A health check: whether an origin says that it is healthy and that it is the instance that was meant. */
-export const probeOrigin = async (
+export const checkOriginHealth = async (
   url: string,
   service: string,
   instance: string,
--- a/packages/proxy/src/shielded-edge/client-handler.ts
+++ b/packages/proxy/src/shielded-edge/client-handler.ts
@@ -55,9 +55,9 @@
   ctx.body = stream;
   if (length !== undefined) ctx.length = length;
   return {
-    write: (bytes, more) => {
-      if (stream.write(bytes)) more();
-      else stream.once('drain', more);
+    write: (bytes, onWritable) => {
+      if (stream.write(bytes)) onWritable();
+      else stream.once('drain', onWritable);
     },
     end: () => stream.end(),
     abort: (reason) => stream.destroy(new Error(reason)),
--- a/packages/routing/src/endpoint/endpoint-table.ts
+++ b/packages/routing/src/endpoint/endpoint-table.ts
@@ -84,12 +84,12 @@
     for (const origin of origins.values()) {
       if (!isLiveOrigin(origin, now)) continue;
       live.add(origin.instance);
-      const known = this.#endpoints.get(origin.instance);
-      if (known === undefined) this.#add(origin);
+      const endpoint = this.#endpoints.get(origin.instance);
+      if (endpoint === undefined) this.#add(origin);
       else {
-        known.address = origin.address;
-        known.slots = origin.slots;
-        known.warmingUpUntil = warmUpEnd(origin);
+        endpoint.address = origin.address;
+        endpoint.slots = origin.slots;
+        endpoint.warmingUpUntil = warmUpEnd(origin);
       }
     }
     const gone = [...this.#endpoints.keys()].filter((instance) => !live.has(instance));
@@ -115,7 +115,7 @@
     const untried = available.filter(({ instance }) => !triedInstances.has(instance));
     const candidates = untried.filter(({ ejectedUntil }) => ejectedUntil <= now);
     // When all are ejected, or tried, the one whose ejection ends first is better than none.
-    if (candidates.length === 0) return firstToReturn(untried.length > 0 ? untried : available);
+    if (candidates.length === 0) return soonestAvailable(untried.length > 0 ? untried : available);
     return this.#pickOfTwo(candidates, policy, now);
   }
 
@@ -231,7 +231,7 @@
 const warmUpEnd = ({ coldMs, lastHeardAt }: Origin): Timestamp =>
   coldMs === undefined || coldMs <= 0 ? clockOrigin : addMs(lastHeardAt, coldMs);
 
-const firstToReturn = (endpoints: readonly EndpointStats[]): EndpointStats | undefined =>
+const soonestAvailable = (endpoints: readonly EndpointStats[]): EndpointStats | undefined =>
   endpoints.reduce<EndpointStats | undefined>(
     (best, endpoint) =>
       best === undefined || endpoint.ejectedUntil < best.ejectedUntil ? endpoint : best,
--- a/packages/routing/src/object-sharing/object-owners.ts
+++ b/packages/routing/src/object-sharing/object-owners.ts
@@ -33,13 +33,13 @@
   }
 
   /** The owner of an object among the edges that may be asked; undefined if none may. */
-  ownerOf(object: string, mayAsk: (address: Address) => boolean): Address | undefined {
+  ownerOf(object: string, isAvailable: (address: Address) => boolean): Address | undefined {
     const objectHash = fnv1a(object);
     let owner: Address | undefined;
     let highestWeight = -1;
     for (const { address, hash } of this.#edges) {
       const weight = mixHashes(objectHash, hash);
-      if (weight <= highestWeight || !mayAsk(address)) continue;
+      if (weight <= highestWeight || !isAvailable(address)) continue;
       owner = address;
       highestWeight = weight;
     }
--- a/packages/routing/src/object-sharing/object-sharing.ts
+++ b/packages/routing/src/object-sharing/object-sharing.ts
@@ -25,7 +25,7 @@
 /** How long an owner may take to fetch an object once it has replied that it does. */
 const ownerFetchTimeoutMs = 3000;
 /** How long an owner that did not reply is passed over. */
-const silentOwnerBackoffMs = 1000;
+const unresponsiveOwnerBackoffMs = 1000;
 /** The largest number of pending queries; beyond it requests go to origins. */
 const maxPendingQueries = 256;
 
@@ -69,7 +69,7 @@
 
 interface PendingQuery {
   readonly owner: Address;
-  readonly askedAt: Timestamp;
+  readonly requestedAt: Timestamp;
   readonly onOutcome: (outcome: ObjectOutcome) => void;
   deadline: Timestamp;
   isFetching: boolean;
@@ -120,7 +120,7 @@
     this.#lastQueryId += 1;
     this.#pending.set(this.#lastQueryId, {
       owner,
-      askedAt: now,
+      requestedAt: now,
       onOutcome,
       deadline: addMs(now, ownerReplyTimeoutMs),
       isFetching: false,
@@ -138,7 +138,7 @@
     if (query?.owner !== from) return;
     if (frame.kind === 'object') {
       const { purged, fields } = frame;
-      const createdAt = subtractMs(query.askedAt, frame.age);
+      const createdAt = subtractMs(query.requestedAt, frame.age);
       const object = { createdAt, purged, fields, body: Buffer.from(frame.body) };
       this.#finish(frame.id, query, { isFound: true, object });
     } else if (frame.state === 'refused')
@@ -155,7 +155,8 @@
       if (until <= now) this.#backoffUntil.delete(address);
     for (const [id, query] of this.#pending) {
       if (now < query.deadline) continue;
-      if (!query.isFetching) this.#backoffUntil.set(query.owner, addMs(now, silentOwnerBackoffMs));
+      if (!query.isFetching)
+        this.#backoffUntil.set(query.owner, addMs(now, unresponsiveOwnerBackoffMs));
       // The reply may have been lost, not the request.
       this.#finish(id, query, { isFound: false, mayHaveFetched: true });
     }
--- a/packages/routing/src/quota/quota-share.ts
+++ b/packages/routing/src/quota/quota-share.ts
@@ -19,23 +19,23 @@
   newTokenBucket,
   refill,
   takeToken,
-  waitForTokenMs,
+  nextTokenDelayMs,
 } from '../token-bucket/token-bucket.js';
 
 /** How long an edge that is no longer seen still counts: its share may be in use. */
-const edgeMemoryMs = 30_000;
+const edgeCountWindowMs = 30_000;
 /** How long a service counts as scarce after this edge's share of its rate ran out. */
-const scarcityMs = 5000;
+const scarcityDurationMs = 5000;
 /** Fetches a second below which an edge can't fill a cache by itself. */
-const minCacheFillRate = 5;
+const minCacheFillPerSecond = 5;
 
 /** What of the allowed extra attempts is used: by the ratio to requests, and by the slack. The rest is a margin. */
-const usedExtraAttemptRatio = 0.75;
-const usedExtraAttemptSlack = 0.4;
+const extraAttemptRatioUtilization = 0.75;
+const extraAttemptSlackUtilization = 0.4;
 /** What of a service's rate, of the allowed overage and of its connections is used. */
-const usedServiceRate = 0.97;
-const usedOverage = 0.8;
-const usedConnections = 0.9;
+const serviceRateUtilization = 0.97;
+const overageUtilization = 0.8;
+const connectionUtilization = 0.9;
 
 /** How many edges share the limits: the most that were seen in a while. */
 export class EdgeCount {
@@ -48,7 +48,7 @@
     const earlier =
       previous?.count === count
         ? this.#observations.slice(0, -1)
-        : this.#observations.filter(({ at }) => at > subtractMs(now, edgeMemoryMs));
+        : this.#observations.filter(({ at }) => at > subtractMs(now, edgeCountWindowMs));
     this.#observations = [...earlier, latest];
   }
 
@@ -76,7 +76,7 @@
   recordRequest(service: ServiceName, now: Timestamp): void {
     const rate = this.#extraAttemptRate();
     const bucket = refill(this.#extraAttemptBucket(service, now), rate, now);
-    const earned = usedExtraAttemptRatio * this.#limits.extraAttemptRatio;
+    const earned = extraAttemptRatioUtilization * this.#limits.extraAttemptRatio;
     this.#extraAttemptBuckets.set(service, addTokens(bucket, rate, earned));
   }
 
@@ -97,8 +97,8 @@
     const remaining = takeToken(bucket, rate, now);
     this.#serviceBuckets.set(service.name, remaining ?? refill(bucket, rate, now));
     if (remaining !== undefined) return 0;
-    this.#scarceUntil.set(service.name, addMs(now, scarcityMs));
-    return Math.max(1, waitForTokenMs(bucket, rate, now));
+    this.#scarceUntil.set(service.name, addMs(now, scarcityDurationMs));
+    return Math.max(1, nextTokenDelayMs(bucket, rate, now));
   }
 
   /**
@@ -107,14 +107,14 @@
    */
   isScarce(service: Service, now: Timestamp): boolean {
     if (service.perSecond === undefined) return false;
-    if (this.#serviceRate(service.perSecond).tokensPerSecond < minCacheFillRate) return true;
+    if (this.#serviceRate(service.perSecond).tokensPerSecond < minCacheFillPerSecond) return true;
     return (this.#scarceUntil.get(service.name) ?? clockOrigin) > now;
   }
 
   /** How many connections this edge may have to one endpoint of a service. */
   maxConnectionsPerEndpoint({ connections }: Service): number {
     if (connections === undefined) return Infinity;
-    return Math.max(1, Math.floor((connections * usedConnections) / this.#edgeCount.count));
+    return Math.max(1, Math.floor((connections * connectionUtilization) / this.#edgeCount.count));
   }
 
   #extraAttemptBucket(service: ServiceName, now: Timestamp): TokenBucket {
@@ -123,7 +123,7 @@
 
   #extraAttemptRate(): RefillRate {
     const { extraAttemptSlack, extraAttemptWindowMs } = this.#limits;
-    const share = (usedExtraAttemptSlack * extraAttemptSlack) / this.#edgeCount.count;
+    const share = (extraAttemptSlackUtilization * extraAttemptSlack) / this.#edgeCount.count;
     return {
       tokensPerSecond: (share * 1000) / extraAttemptWindowMs,
       capacity: Math.max(1, share),
@@ -134,10 +134,10 @@
     const { rateLimitWindowMs, rateLimitOverageFactor } = this.#limits;
     const edgeCount = this.#edgeCount.count;
     const windowSeconds = rateLimitWindowMs / 1000;
-    const overage = (rateLimitOverageFactor - usedServiceRate) * perSecond * windowSeconds;
+    const overage = (rateLimitOverageFactor - serviceRateUtilization) * perSecond * windowSeconds;
     return {
-      tokensPerSecond: (usedServiceRate * perSecond) / edgeCount,
-      capacity: Math.max(1, (usedOverage * overage) / edgeCount),
+      tokensPerSecond: (serviceRateUtilization * perSecond) / edgeCount,
+      capacity: Math.max(1, (overageUtilization * overage) / edgeCount),
     };
   }
 }
--- a/packages/routing/src/rollout/rollout-counters.ts
+++ b/packages/routing/src/rollout/rollout-counters.ts
@@ -39,7 +39,7 @@
 }
 
 /** An attempt this many times as long as is typical is slow. */
-const slowFactor = 4;
+const slowAttemptFactor = 4;
 
 /** The counts of all rollouts. They change in place, as each request changes them. */
 export class RolloutCounters {
@@ -48,7 +48,7 @@
   readonly #inFlight = new Map<string, number>();
 
   /** Begins to count for rollouts that are new. */
-  noteRollouts(rollouts: Iterable<RolloutState>, now: Timestamp): void {
+  trackRollouts(rollouts: Iterable<RolloutState>, now: Timestamp): void {
     for (const { service, target, order } of rollouts) {
       if (target === undefined || this.#rollouts.get(service)?.rolloutSeq === order) continue;
       this.#rollouts.set(service, {
@@ -80,7 +80,7 @@
     this.#inFlight.set(key, Math.max(0, (this.#inFlight.get(key) ?? 0) - 1));
     const counts = this.#countsOf(service, release, className);
     if (counts === undefined) return;
-    const isSlow = durationMs > slowFactor * typicalMs;
+    const isSlow = durationMs > slowAttemptFactor * typicalMs;
     // One that was cancelled before it was slow says nothing of its release.
     if (outcome === 'cancelled' && !isSlow) return;
     if (outcome === 'failed') counts.bad += 1;
@@ -114,8 +114,8 @@
     const rollout = this.#rollouts.get(service);
     if (rollout === undefined) return undefined;
     const key = `${release} ${className}`;
-    const known = rollout.countsByRelease.get(key);
-    if (known !== undefined) return known;
+    const existing = rollout.countsByRelease.get(key);
+    if (existing !== undefined) return existing;
     const counts: OutcomeCounts = {
       release,
       group: className,
--- a/packages/routing/src/router/active-request.ts
+++ b/packages/routing/src/router/active-request.ts
@@ -48,7 +48,7 @@
   state: RequestState;
   /** When a hedge is due. */
   hedgeAt: Timestamp | undefined;
-  isClientGone: boolean;
+  isClientDisconnected: boolean;
 }
 
 /** When this edge gives a request up: a little before its client does, or at the route's timeout. */
--- a/packages/routing/src/router/coalesced-fetches.ts
+++ b/packages/routing/src/router/coalesced-fetches.ts
@@ -46,7 +46,7 @@
   }
 
   /** The fetch that a request may join, if there is one. */
-  find(key: string, now: Timestamp): CoalescedFetch | undefined {
+  findJoinable(key: string, now: Timestamp): CoalescedFetch | undefined {
     const fetch = this.#fetches.get(key);
     if (fetch === undefined || fetch.purgeEpoch !== this.#purgeEpoch) return undefined;
     return elapsedMs(fetch.startedAt, now) < this.#maxAgeMs ? fetch : undefined;
@@ -68,9 +68,9 @@
 /** Waits for a fetch; gives what to call when the client leaves. */
 export const joinFetch = (
   fetch: CoalescedFetch,
-  joining: Pick<Waiter, 'request' | 'reply' | 'deadline' | 'isForPeer'>,
+  waiterOptions: Pick<Waiter, 'request' | 'reply' | 'deadline' | 'isForPeer'>,
 ): (() => void) => {
-  const waiter: Waiter = { ...joining, isDone: false, cancel: undefined };
+  const waiter: Waiter = { ...waiterOptions, isDone: false, cancel: undefined };
   fetch.waiters.push(waiter);
   return () => {
     waiter.isDone = true;
--- a/packages/routing/src/router/edge-router.ts
+++ b/packages/routing/src/router/edge-router.ts
@@ -65,8 +65,8 @@
   /** Whether another edge asks: that edge counts its own clients, and no edge is asked in turn. */
   readonly isForPeer: boolean;
 }
-const fromClient: AcceptOptions = { isForPeer: false };
-const fromPeer: AcceptOptions = { isForPeer: true };
+const clientAcceptOptions: AcceptOptions = { isForPeer: false };
+const peerAcceptOptions: AcceptOptions = { isForPeer: true };
 
 /** A request that has a route and can't be served from the cache. */
 interface AcceptedRequest extends Pick<
@@ -80,14 +80,14 @@
 const notReadyRetryMs = 300;
 const overloadRetryMs = 300;
 /** When a client is to come back to an edge whose configuration is being replaced. */
-const overdueRetryMs = 200;
+const configurationOverdueRetryMs = 200;
 /** When a client is to come back that met a stopping edge: another one serves it. */
-const stoppedRetryMs = 100;
+const stoppingRetryMs = 100;
 
 /** How many origins a request may reach where its route says nothing. */
-const defaultAttempts = { idempotent: 3, other: 2 };
+const defaultMaxAttempts = { idempotent: 3, other: 2 };
 /** An owner tries once: retries are the asking edge's. */
-const attemptsForPeer = 1;
+const maxAttemptsForPeer = 1;
 
 const doNothing = (): void => undefined;
 
@@ -135,7 +135,7 @@
       counts,
       peers: options.peers,
       linkBytesPerSecond: options.linkBytesPerSecond ?? Infinity,
-      serveForPeer: (request, reply) => this.#accept(request, reply, fromPeer),
+      serveForPeer: (request, reply) => this.#accept(request, reply, peerAcceptOptions),
     });
     this.#context = context;
     this.#originClient = originClient;
@@ -159,7 +159,7 @@
       peerObjects,
       selector,
       counts,
-      acceptAgain: (waiter) => this.#accept(waiter.request, waiter.reply, waiter),
+      resubmit: (waiter) => this.#accept(waiter.request, waiter.reply, waiter),
     });
   }
 
@@ -180,13 +180,14 @@
     const edges = members.filter((member) => member.role === 'edge');
     this.#edgeCount.record(edges.length, now);
     this.#peerObjects.updateEdges(edges);
-    this.#rolloutCounters.noteRollouts(nodeAgent.releaseStates.values(), now);
-    for (const instance of this.endpoints.update(origins, now)) this.#originClient.closeIdleConnections(instance);
+    this.#rolloutCounters.trackRollouts(nodeAgent.releaseStates.values(), now);
+    for (const instance of this.endpoints.update(origins, now))
+      this.#originClient.closeIdleConnections(instance);
   }
 
   /** Serves a client's request, read with its whole body; gives what to call when the client leaves. */
   serve(request: IncomingRequest, reply: ReplyCallback): () => void {
-    return this.#accept(request, reply, fromClient);
+    return this.#accept(request, reply, clientAcceptOptions);
   }
 
   /** Handles a frame of another edge. */
@@ -204,7 +205,7 @@
   rolloutReports(nodeAgent: NodeAgent): readonly FrameOf<'tally'>[] {
     const { node, incarnation } = nodeAgent.nodeSession.member;
     return [...nodeAgent.releaseStates.values()].flatMap((rollout) => {
-      if (!isCounted(rollout)) return [];
+      if (!isRolloutReported(rollout)) return [];
       const report = this.#rolloutCounters.report(rollout, this.#context.now());
       return report === undefined ? [] : [{ kind: 'tally' as const, node, incarnation, ...report }];
     });
@@ -223,12 +224,12 @@
     const now = this.#context.now();
     const nodeAgent = this.#context.nodeAgent();
     if (this.#isStopped)
-      return this.#refuse(reply, 'rejected', 'this node is stopping', stoppedRetryMs);
+      return this.#refuse(reply, 'rejected', 'this node is stopping', stoppingRetryMs);
     if (nodeAgent.compiledConfiguration === undefined)
       return this.#refuse(reply, 'unready', 'this node is not ready', notReadyRetryMs);
     if (isConfigurationOverdue(nodeAgent, now, this.#options.limits.maxApplyMs)) {
       const text = 'a newer description is on its way here';
-      return this.#refuse(reply, 'unready', text, overdueRetryMs);
+      return this.#refuse(reply, 'unready', text, configurationOverdueRetryMs);
     }
     const { path } = splitTarget(request.target);
     const { method, host } = request;
@@ -253,9 +254,11 @@
     const cacheable = this.#responseCache.cacheable(route, request);
     if (cacheable !== undefined && this.#replyFromCache(cacheable, reply, now)) return doNothing;
     // The response to a HEAD request has no body: it can be neither cached nor shared as the object.
-    const fetched = request.method === 'GET' ? cacheable : undefined;
+    const coalescable = request.method === 'GET' ? cacheable : undefined;
     const fetch =
-      fetched === undefined ? undefined : this.#fetches.find(fetched.coalescingKey, now);
+      coalescable === undefined
+        ? undefined
+        : this.#fetches.findJoinable(coalescable.coalescingKey, now);
     if (fetch !== undefined) {
       increment(this.counts, 'joined');
       return joinFetch(fetch, { request, reply, deadline, isForPeer });
@@ -263,7 +266,7 @@
     if (this.#runner.openRequests >= this.#options.maxActiveRequests)
       return this.#refuse(reply, 'rejected', 'too many requests are under way', overloadRetryMs);
     return this.#start(
-      { request, route, service, cacheable: fetched, reply, deadline, isForPeer },
+      { request, route, service, cacheable: coalescable, reply, deadline, isForPeer },
       now,
     );
   }
@@ -293,10 +296,10 @@
       attemptStarts: new Map(),
       state: newRequestState(route.isIdempotent, maxAttemptsOf(route, isForPeer), deadline),
       hedgeAt: undefined,
-      isClientGone: false,
+      isClientDisconnected: false,
     };
     this.#runner.start(active, isForPeer, now);
-    return () => this.#runner.onClientGone(active);
+    return () => this.#runner.onClientDisconnected(active);
   }
 
   /** Replies with a failure at once; there is nothing to cancel then. */
@@ -312,12 +315,13 @@
 }
 
 /** Whether a rollout is in progress, or was so recently that late counts still matter. */
-const isCounted = ({ phase, leftMs }: RolloutState): boolean =>
+const isRolloutReported = ({ phase, leftMs }: RolloutState): boolean =>
   phase !== 'none' && (phase === 'trial' || phase === 'moving' || leftMs > 0);
 
 const maxAttemptsOf = (route: CompiledRoute, isForPeer: boolean): number => {
-  if (isForPeer) return attemptsForPeer;
+  if (isForPeer) return maxAttemptsForPeer;
   return (
-    route.maxOrigins ?? (route.isIdempotent ? defaultAttempts.idempotent : defaultAttempts.other)
+    route.maxOrigins ??
+    (route.isIdempotent ? defaultMaxAttempts.idempotent : defaultMaxAttempts.other)
   );
 };
--- a/packages/routing/src/router/endpoint-selector.ts
+++ b/packages/routing/src/router/endpoint-selector.ts
@@ -18,7 +18,7 @@
 import type { ActiveRequest } from './active-request.js';
 import type { RouterContext } from './ports.js';
 
-const serviceGoneRetryMs = 120;
+const unknownServiceRetryMs = 120;
 const noEndpointRetryMs = 250;
 /** What is added to the wait for a token, so that a client does not come back just before there is one. */
 const rateLimitRetryMarginMs = 20;
@@ -27,7 +27,7 @@
 const crossZoneCostFactor = 1.3;
 const latencyExponent = 3;
 /** The fraction by which an extra attempt draws its release: such an attempt never goes to a canary. */
-const extraAttemptFraction = 1;
+const extraAttemptReleaseFraction = 1;
 
 /** What a selector stands on; the table, the quota and the counters are the router's own. */
 export interface EndpointSelectorOptions {
@@ -53,7 +53,8 @@
   pick(active: ActiveRequest, isExtra: boolean, now: Timestamp): RequestEvent {
     const { context, endpoints, quota, counts } = this.#options;
     const service = context.nodeAgent().compiledConfiguration?.services.get(active.service);
-    if (service === undefined) return unavailable(now, 'the service is gone', serviceGoneRetryMs);
+    if (service === undefined)
+      return unavailable(now, 'the service is gone', unknownServiceRetryMs);
     const release = this.#pickRelease(active, isExtra, now);
     if (release === null) return unavailable(now, 'no origin of a sound release stands');
     const { triedInstances } = active.state;
@@ -94,7 +95,7 @@
     const rollout = releaseStates.get(active.service);
     if (releases.size <= 1 && rollout === undefined) return undefined;
     const isFresh = elapsedMs(releaseStatesAt, now) < canaryFreshnessMs;
-    const fraction = isExtra ? extraAttemptFraction : random.next();
+    const fraction = isExtra ? extraAttemptReleaseFraction : random.next();
     return (
       pickRelease(rollout, releases, active.route.className, fraction, isFresh) ??
       (releases.size === 0 ? undefined : null)
--- a/packages/routing/src/router/request-runner.ts
+++ b/packages/routing/src/router/request-runner.ts
@@ -47,7 +47,7 @@
   readonly selector: EndpointSelector;
   readonly counts: Map<string, number>;
   /** Accepts a request once more whose fetch brought nothing to share; gives what to call when its client leaves. */
-  readonly acceptAgain: (waiter: Waiter) => () => void;
+  readonly resubmit: (waiter: Waiter) => () => void;
 }
 
 /** The requests in progress at one edge. */
@@ -77,9 +77,9 @@
   /** Begins a request: at the edge that owns its object, or else at an origin. */
   start(active: ActiveRequest, isForPeer: boolean, now: Timestamp): void {
     this.#activeRequests.set(active.id, active);
-    const isAtOwner =
+    const isRequestedFromOwner =
       !isForPeer && this.#options.peerObjects.requestFromOwner(active, now, this.#onOwnerOutcome);
-    if (!isAtOwner) this.#begin(active, now);
+    if (!isRequestedFromOwner) this.#startAtOrigin(active, now);
   }
 
   /** Ends what is past its deadline, and hedges what is late. */
@@ -102,15 +102,15 @@
   }
 
   /** The client of a request has left. */
-  onClientGone(active: ActiveRequest): void {
-    active.isClientGone = true;
+  onClientDisconnected(active: ActiveRequest): void {
+    active.isClientDisconnected = true;
     // Others may wait for what can be cached: it goes on without its client.
     if (active.cacheable === undefined)
       this.#dispatch(active, { kind: 'clientDisconnected', now: this.#options.context.now() });
   }
 
   /** Sends a request to an origin for the first time. */
-  #begin(active: ActiveRequest, now: Timestamp): void {
+  #startAtOrigin(active: ActiveRequest, now: Timestamp): void {
     active.hedgeAt = addMs(now, this.#hedgeDelayMs(active.service, active.route));
     this.#dispatch(active, { kind: 'started', now });
   }
@@ -128,7 +128,7 @@
     if (active.state.phase === 'finished') return;
     const now = this.#options.context.now();
     if (!outcome.isFound) {
-      this.#beginAfterOwner(active, outcome.mayHaveFetched, now);
+      this.#startWithoutOwner(active, outcome.mayHaveFetched, now);
       return;
     }
     const { object } = outcome;
@@ -137,35 +137,35 @@
         ? undefined
         : this.#options.responseCache.storeShared(active.cacheable, object, now);
     if (entry === undefined) {
-      this.#beginAfterOwner(active, false, now);
+      this.#startWithoutOwner(active, false, now);
       return;
     }
     increment(this.#options.counts, 'owner_told');
-    this.#finishEarly(active, { kind: 'cached', entry, purgeSeq: object.purged });
+    this.#finishWithoutAttempt(active, { kind: 'cached', entry, purgeSeq: object.purged });
   };
 
   /** Goes on without the owner; what it may have sent to an origin counts as the request's first attempt. */
-  #beginAfterOwner(active: ActiveRequest, mayHaveFetched: boolean, now: Timestamp): void {
+  #startWithoutOwner(active: ActiveRequest, mayHaveFetched: boolean, now: Timestamp): void {
     increment(this.#options.counts, 'owner_silent');
     if (!mayHaveFetched) {
-      this.#begin(active, now);
+      this.#startAtOrigin(active, now);
       return;
     }
     const { maxAttempts } = active.state;
     if (maxAttempts > 1 && this.#options.quota.takeExtraAttempt(active.service, now)) {
       active.state = { ...active.state, maxAttempts: maxAttempts - 1 };
-      this.#begin(active, now);
+      this.#startAtOrigin(active, now);
       return;
     }
     increment(this.#options.counts, 'budget');
-    this.#finishEarly(
+    this.#finishWithoutAttempt(
       active,
       failureReply('lost', 'the object could not be fetched', ownerRetryMs),
     );
   }
 
   /** Ends a request that was never sent to an origin from here. */
-  #finishEarly(active: ActiveRequest, reply: ClientReply): void {
+  #finishWithoutAttempt(active: ActiveRequest, reply: ClientReply): void {
     active.state = { ...active.state, phase: 'finished' };
     this.#activeRequests.delete(active.id);
     this.#finish(active, reply);
@@ -174,12 +174,12 @@
   /** Applies an event to a request, and those that its effects raise in turn. */
   #dispatch(active: ActiveRequest, event: RequestEvent): void {
     const queue: RequestEvent[] = [event];
-    for (let head = queue.shift(); head !== undefined; head = queue.shift()) {
-      const { state, effects } = requestTransition(active.state, head);
+    for (let nextEvent = queue.shift(); nextEvent !== undefined; nextEvent = queue.shift()) {
+      const { state, effects } = requestTransition(active.state, nextEvent);
       active.state = state;
       for (const effect of effects) {
-        const raised = this.#runEffect(active, effect, head.now);
-        if (raised !== undefined) queue.push(raised);
+        const followUpEvent = this.#runEffect(active, effect, nextEvent.now);
+        if (followUpEvent !== undefined) queue.push(followUpEvent);
       }
     }
     if (active.state.phase === 'finished') this.#activeRequests.delete(active.id);
@@ -219,15 +219,15 @@
 
   /** Replies to the client; those who waited for the fetch share a cached reply, or else go on by themselves. */
   #finish(active: ActiveRequest, reply: ClientReply): void {
-    const { counts, fetches, acceptAgain } = this.#options;
+    const { counts, fetches, resubmit } = this.#options;
     const { cacheable, fetch } = active;
     if (cacheable !== undefined) fetches.end(cacheable.coalescingKey, fetch);
-    if (!active.isClientGone) sendReply(counts, active.reply, reply);
+    if (!active.isClientDisconnected) sendReply(counts, active.reply, reply);
     for (const waiter of fetch?.waiters ?? []) {
       if (waiter.isDone) continue;
       waiter.isDone = true;
       if (reply.kind === 'cached') sendReply(counts, waiter.reply, reply);
-      else waiter.cancel = acceptAgain(waiter);
+      else waiter.cancel = resubmit(waiter);
     }
   }
 
--- a/packages/routing/src/token-bucket/token-bucket.ts
+++ b/packages/routing/src/token-bucket/token-bucket.ts
@@ -15,7 +15,7 @@
 }
 
 /** How long to wait for a token of a bucket that never refills. */
-const noRefillWaitMs = 1000;
+const noRefillDelayMs = 1000;
 
 /** A new bucket is empty: a process that restarts has no claim from before. */
 export const newTokenBucket = (now: Timestamp = clockOrigin): TokenBucket => ({
@@ -49,8 +49,8 @@
 };
 
 /** In how many milliseconds there will be a token. */
-export const waitForTokenMs = (bucket: TokenBucket, rate: RefillRate, now: Timestamp): number => {
+export const nextTokenDelayMs = (bucket: TokenBucket, rate: RefillRate, now: Timestamp): number => {
   const { tokens } = refill(bucket, rate, now);
   if (tokens >= 1) return 0;
-  return rate.tokensPerSecond <= 0 ? noRefillWaitMs : ((1 - tokens) / rate.tokensPerSecond) * 1000;
+  return rate.tokensPerSecond <= 0 ? noRefillDelayMs : ((1 - tokens) / rate.tokensPerSecond) * 1000;
 };
