--- a/packages/replicated-store/src/commands/decide-rollout.ts
+++ b/packages/replicated-store/src/commands/decide-rollout.ts
@@ -10,7 +10,7 @@
   configurationHeader as headerSchema,
   controlKeys,
   planRollout,
-  policy as policySchema,
+  rolloutPolicy as policySchema,
   tickRollout,
 } from '@switchwheel/configuration';
 import { type Decision, noChange } from './decision.js';
@@ -60,11 +60,11 @@
   control: ControlState,
   now: Timestamp,
 ): Decision => {
-  const result = tickRollout(control, state.targetStatusSeen, state.rolloutOpenedAt, now);
+  const result = tickRollout(control, state.targetStatusSince, state.rolloutOpenedAt, now);
   return {
     ...noChange,
     puts: onlyCurrentRevisions(control, result.puts),
-    seen: result.seen,
-    opened: result.opened,
+    targetStatusSince: result.statusSince,
+    rolloutOpenedAt: result.openedAt,
   };
 };
--- a/packages/replicated-store/src/commands/decision.ts
+++ b/packages/replicated-store/src/commands/decision.ts
@@ -22,8 +22,8 @@
   readonly immediateReplies: readonly CommandReply[];
   readonly electorate?: Electorate;
   /** With an advanced rollout: since when each target has had its status, and when the rollout was opened. */
-  readonly seen?: StoreState['targetStatusSeen'];
-  readonly opened?: StoreState['rolloutOpenedAt'];
+  readonly targetStatusSince?: StoreState['targetStatusSince'];
+  readonly rolloutOpenedAt?: StoreState['rolloutOpenedAt'];
   /** Invariants that were found broken on the way. */
   readonly violations?: readonly Invariant[];
 }
@@ -55,8 +55,12 @@
           .sort(([, first], [, second]) => first.seq - second.seq)
           .slice(0, control.commandOutcomes.size - maxKeptOutcomes + 1);
   return [
-    putRecord(controlKeys.call(reply.id), { status: reply.status, body: reply.body, seq }),
-    ...oldest.map(([id]) => deleteRecord(controlKeys.call(id))),
+    putRecord(controlKeys.commandOutcome(reply.id), {
+      status: reply.status,
+      body: reply.body,
+      seq,
+    }),
+    ...oldest.map(([id]) => deleteRecord(controlKeys.commandOutcome(id))),
   ];
 };
 
--- a/packages/store/src/store-effects.ts
+++ b/packages/store/src/store-effects.ts
@@ -35,7 +35,7 @@
           now,
           writeId: write.id,
           reason: result.error.text,
-          isDiskFull: result.error.full,
+          isDiskFull: result.error.isDiskFull,
         },
   );
 };
@@ -51,7 +51,7 @@
     kind: 'configurationCompiled',
     now,
     hash,
-    faults: compiled.isOk ? [] : compiled.error,
+    issues: compiled.isOk ? [] : compiled.error,
   }));
 };
 
