--- a/packages/routing/src/attempt-state/attempt-state.ts
+++ b/packages/routing/src/attempt-state/attempt-state.ts
@@ -1,7 +1,7 @@
 /**
- * The state machine of one client request at an edge: when an origin is picked, retried or hedged, and which outcome the
- * client gets. It is pure; the edge router carries out the effects and reports their results as events. A request that
- * is not idempotent goes to a second origin only while it is certain that no origin has run it.
+ * Pure state machine of one client request at an edge: decides on attempts, retries, hedges and the outcome for the
+ * client. The edge router executes the effects and reports their results as events. A non-idempotent request is sent to
+ * a second origin only if it is certain that no origin has run it.
  */
 
 import {
@@ -15,16 +15,16 @@
 } from '@switchwheel/types';
 import type { HeaderFields } from '@switchwheel/transport';
 
-/** A complete response of an origin; names of fields are in lower case. */
+/** Complete response of an origin; field names are in lower case. */
 export interface OriginResponse {
   readonly status: number;
   readonly fields: HeaderFields;
   readonly body: Buffer;
-  /** The origin says that it did not run the request. */
+  /** Whether the origin stated that it did not run the request. */
   readonly isUnprocessed: boolean;
 }
 
-/** The final outcome of a request: an origin's response, or why there is none. */
+/** Final outcome of a request: an origin's response, or the reason why there is none. */
 export type RequestOutcome =
   | {
       readonly kind: 'response';
@@ -36,32 +36,32 @@
       readonly kind: 'failure';
       readonly errorKind: ErrorKind;
       readonly text: string;
-      /** After how many milliseconds the client may try again; 0 says nothing about it. */
+      /** Delay in milliseconds after which the client may retry; 0 for no advice. */
       readonly retryAfterMs: number;
     };
 
-/** One request from when it was read until its client has its reply. Attempts are numbered from 1. */
+/** State of a request from its arrival to its outcome. Attempts are numbered from 1. */
 export interface RequestState {
   readonly isIdempotent: boolean;
-  /** The largest number of attempts that may reach an origin. */
+  /** Maximum number of attempts that may reach an origin. */
   readonly maxAttempts: number;
   readonly deadline: Timestamp;
   readonly phase: 'picking' | 'waiting' | 'finished';
-  /** The instances of the attempts in flight. */
+  /** Instances of the attempts in flight, by attempt number. */
   readonly inFlight: ReadonlyMap<number, InstanceId>;
   readonly nextAttempt: number;
-  /** Attempts that reached an origin, or may have. */
+  /** Number of attempts sent, without those whose connection never opened. */
   readonly sentCount: number;
-  /** Attempts whose connection never opened. */
+  /** Number of attempts whose connection never opened. */
   readonly unopenedCount: number;
   /** Whether an origin may have run the request. */
   readonly mayHaveRun: boolean;
   readonly triedInstances: ReadonlySet<InstanceId>;
-  /** An origin's 5xx response: the outcome if no attempt brings a better one. */
+  /** An origin's 5xx response, used as the outcome if no attempt gets a better one. */
   readonly fallback: Extract<RequestOutcome, { kind: 'response' }> | undefined;
 }
 
-/** What happened to a request. */
+/** Event that a request receives. */
 export type RequestEvent =
   | { readonly kind: 'started'; readonly now: Timestamp }
   | { readonly kind: 'endpointPicked'; readonly now: Timestamp; readonly instance: InstanceId }
@@ -77,7 +77,7 @@
       readonly attempt: number;
       readonly response: OriginResponse;
     }
-  /** An attempt ended without a complete response. */
+  /** An attempt failed without a complete response. */
   | {
       readonly kind: 'attemptFailed';
       readonly now: Timestamp;
@@ -86,14 +86,14 @@
       readonly mayHaveReachedOrigin: boolean;
       readonly text: string;
     }
-  /** The response is late: a hedge to another origin may be quicker. */
+  /** No response within the hedge delay. */
   | { readonly kind: 'hedgeDelayElapsed'; readonly now: Timestamp }
   | { readonly kind: 'deadlineExpired'; readonly now: Timestamp }
   | { readonly kind: 'clientDisconnected'; readonly now: Timestamp };
 
-/** What the edge router does for a request. */
+/** Effect that the edge router executes for a request. */
 export type RequestEffect =
-  /** Pick an endpoint; an extra attempt (retry or hedge) is charged to the budget. */
+  /** Selects an endpoint; an extra attempt (retry or hedge) is charged to the budget. */
   | { readonly kind: 'pickEndpoint'; readonly isExtra: boolean }
   | { readonly kind: 'sendAttempt'; readonly attempt: number; readonly instance: InstanceId }
   | { readonly kind: 'cancelAttempt'; readonly attempt: number }
@@ -105,10 +105,10 @@
 const unprocessedRetryMs = 200;
 const failedRetryMs = 200;
 const expiredRetryMs = 200;
-/** Statuses by which a client may conclude that nothing has run. */
+/** Statuses from which a client may conclude that the request was not run. */
 const unprocessedStatuses: ReadonlySet<number> = new Set([408, 421, 429, 503]);
 
-/** A request that has not been sent anywhere yet. */
+/** Returns the state of a request before its first attempt. */
 export const newRequestState = (
   isIdempotent: boolean,
   maxAttempts: number,
@@ -143,7 +143,7 @@
     ...(outcome === undefined ? [] : [{ kind: 'finishRequest' as const, outcome }]),
   );
 
-/** The outcome when no origin will respond: it promises that nothing ran only if nothing has and nothing will. */
+/** Returns the outcome without a response; `rejected` states that no origin has run or will run the request. */
 const finalOutcome = (
   request: RequestState,
   text: string,
@@ -156,7 +156,7 @@
     : failureOutcome('rejected', text, retryAfterMs);
 };
 
-/** Waits for the attempts that are in flight, or ends the request if there are none. */
+/** Waits for the attempts in flight, or finishes the request if there are none. */
 const waitOrFinish = (
   request: RequestState,
   text: string,
@@ -166,7 +166,7 @@
     ? transition<RequestState, RequestEffect>({ ...request, phase: 'waiting' })
     : finish(request, finalOutcome(request, text, retryAfterMs));
 
-/** Goes on after a futile attempt: with a retry, with the attempts still in flight, or to the end. */
+/** Continues after an unsuccessful attempt: retries, waits for other attempts in flight, or finishes the request. */
 const retryOrFinish = (
   request: RequestState,
   text: string,
@@ -210,7 +210,7 @@
   if (response.isUnprocessed)
     return retryOrFinish(remaining, 'origins turn requests away', unprocessedRetryMs);
   const processed: RequestState = { ...remaining, mayHaveRun: true };
-  // By such a status a client would conclude that nothing ran, which the origin did not say.
+  // From such a status a client would conclude that the request was not run, which the origin did not state.
   const isMisleading = !request.isIdempotent && unprocessedStatuses.has(response.status);
   if (response.status < 500)
     return finish(
@@ -235,7 +235,7 @@
   const remaining: RequestState = { ...request, inFlight: withoutEntry(request.inFlight, attempt) };
   if (mayHaveReachedOrigin)
     return retryOrFinish({ ...remaining, mayHaveRun: true }, text, failedRetryMs);
-  // An attempt that was never sent does not count: nothing ran.
+  // An attempt whose connection never opened does not count, as it can't have run.
   const uncounted: RequestState = {
     ...remaining,
     sentCount: remaining.sentCount - 1,
@@ -244,7 +244,7 @@
   return retryOrFinish(uncounted, text, failedRetryMs);
 };
 
-/** A hedge is sent for idempotent requests only, and beside a single attempt. */
+/** Sends a hedge, only for idempotent requests with a single attempt in flight. */
 const onHedgeDelayElapsed = (request: RequestState): RequestTransition => {
   const mayHedge =
     request.phase === 'waiting' &&
@@ -260,7 +260,7 @@
 
 const onDeadlineExpired = (request: RequestState): RequestTransition => {
   if (request.fallback !== undefined) return finish(request, request.fallback);
-  // An attempt in flight may still run.
+  // An attempt in flight may still be run by its origin.
   const mayRun = request.mayHaveRun || request.inFlight.size > 0;
   return finish(
     request,
@@ -270,7 +270,7 @@
   );
 };
 
-/** The next state of a request and what follows from it; a finished request ignores all events. */
+/** Returns the next state and effects of a request; a finished request ignores all events. */
 export const requestTransition = (
   request: RequestState,
   event: RequestEvent,
--- a/packages/routing/src/endpoint/endpoint-table.ts
+++ b/packages/routing/src/endpoint/endpoint-table.ts
@@ -1,6 +1,6 @@
 /**
- * The endpoints of all services as one edge sees them: load balancing by the power of two choices, weighted by latency,
- * and outlier ejection by consecutive failures. Statistics come from this edge's own requests only.
+ * Endpoints of all services as seen by one edge. Load balancing uses the power of two choices, weighted by latency;
+ * outliers are ejected after consecutive failures. Statistics cover only this edge's own requests.
  */
 
 import {
@@ -17,48 +17,48 @@
 import { type OriginTable, isLiveOrigin } from '@switchwheel/membership';
 import { RandomSource } from '../random/random-source.js';
 
-/** What this edge knows of one origin instance. */
+/** Address, capacity and statistics of one origin instance. */
 export interface EndpointStats {
   readonly instance: InstanceId;
   readonly service: ServiceName;
   address: Address;
   release: Release;
   zone: ZoneName | undefined;
-  /** How many requests it can run at once. */
+  /** Number of requests that the instance can run concurrently. */
   slots: number;
   warmingUpUntil: Timestamp;
-  /** This edge's requests that are in flight to it. */
+  /** Attempts of this edge in flight to the instance. */
   inFlight: number;
-  /** Exponentially weighted moving average of the time to a complete response. */
+  /** Exponentially weighted moving average of the time until the complete response. */
   latencyEwmaMs: number;
   responseCount: number;
   consecutiveFailures: number;
   ejectedUntil: Timestamp;
 }
 
-/** How endpoints are weighed against each other. */
+/** Parameters for the comparison of endpoints. */
 export interface BalancingPolicy {
   readonly zone: ZoneName;
-  /** By which factor an endpoint of another zone costs more. */
+  /** Factor applied to the cost of endpoints in other zones. */
   readonly crossZoneCostFactor: number;
-  /** How strongly quicker endpoints are preferred. */
+  /** Exponent of the cost in the weights; higher values prefer fast endpoints more. */
   readonly latencyExponent: number;
 }
 
-/** The latency of a service from which no response has come yet. */
+/** Assumed latency of a service before its first responses. */
 const initialLatencyMs = 100;
 const ewmaWeight = 0.15;
-/** Responses that an endpoint must have given for its latency to count towards its service's. */
+/** Minimum number of responses before an endpoint's latency counts in the median of its service. */
 const minResponsesForMedian = 3;
 const failuresToEject = 2;
 const baseEjectionMs = 400;
 const maxEjectionMs = 6000;
 const maxEjectionDoublings = 6;
-/** How long an endpoint is passed over that rejected a request for lack of capacity. */
+/** Ejection time of an endpoint that rejected a request without running it. */
 const rejectionEjectionMs = 40;
 const warmingUpCostFactor = 2;
 
-/** The endpoints of all services. Its tables change in place, as each request changes them. */
+/** Endpoints of all services, updated in place. */
 export class EndpointTable {
   readonly #endpoints = new Map<InstanceId, EndpointStats>();
   readonly #endpointsByService = new Map<ServiceName, EndpointStats[]>();
@@ -68,17 +68,17 @@
     this.#random = new RandomSource(randomState);
   }
 
-  /** The endpoint of an instance, if it is known and live. */
+  /** Returns the endpoint of an instance, if it is known and live. */
   get(instance: InstanceId): EndpointStats | undefined {
     return this.#endpoints.get(instance);
   }
 
-  /** The endpoints of a service. */
+  /** Returns the endpoints of a service. */
   ofService(service: ServiceName): readonly EndpointStats[] {
     return this.#endpointsByService.get(service) ?? [];
   }
 
-  /** Adopts the fleet's live origins; gives the instances that are gone. */
+  /** Synchronizes the table with the fleet's live origins; returns the instances that were removed. */
   update(origins: OriginTable, now: Timestamp): readonly InstanceId[] {
     const live = new Set<InstanceId>();
     for (const origin of origins.values()) {
@@ -98,8 +98,8 @@
   }
 
   /**
-   * Picks an endpoint that is eligible and has less than `maxInFlight` requests: of two drawn by their latency, the less
-   * loaded one. The arguments are positional, as this runs for each attempt.
+   * Selects an eligible endpoint with fewer than `maxInFlight` requests: the less loaded of two that are drawn at random
+   * with weights by latency and slots. The arguments are positional to avoid an allocation per attempt.
    */
   pick(
     service: ServiceName,
@@ -114,17 +114,17 @@
     );
     const untried = available.filter(({ instance }) => !triedInstances.has(instance));
     const candidates = untried.filter(({ ejectedUntil }) => ejectedUntil <= now);
-    // When all are ejected, or tried, the one whose ejection ends first is better than none.
+    // If all are ejected or tried, falls back to the one whose ejection ends first.
     if (candidates.length === 0) return soonestAvailable(untried.length > 0 ? untried : available);
     return this.#pickOfTwo(candidates, policy, now);
   }
 
-  /** An attempt is sent to an endpoint. */
+  /** Records that an attempt is sent to an endpoint. */
   recordAttemptStart(endpoint: EndpointStats): void {
     endpoint.inFlight += 1;
   }
 
-  /** An attempt ended; `latencyMs` is given if the origin ran it and its response was complete. */
+  /** Records the end of an attempt; `latencyMs` is defined if its latency counts in the average. */
   recordAttemptEnd(
     endpoint: EndpointStats,
     latencyMs: number | undefined,
@@ -133,7 +133,7 @@
   ): void {
     endpoint.inFlight = Math.max(0, endpoint.inFlight - 1);
     if (latencyMs !== undefined) {
-      // The first responses weigh more: the average is then the arithmetic one.
+      // Starts as the arithmetic mean, until enough responses have been received.
       const weight = Math.max(ewmaWeight, 1 / (endpoint.responseCount + 1));
       endpoint.latencyEwmaMs += (latencyMs - endpoint.latencyEwmaMs) * weight;
       endpoint.responseCount += 1;
@@ -142,13 +142,13 @@
     else recordFailure(endpoint, now);
   }
 
-  /** An endpoint rejected a request without running it: it has no capacity now. */
+  /** Records that an endpoint rejected a request without running it, and ejects the endpoint briefly. */
   recordRejection(endpoint: EndpointStats, now: Timestamp): void {
     endpoint.inFlight = Math.max(0, endpoint.inFlight - 1);
     endpoint.ejectedUntil = addMs(now, rejectionEjectionMs);
   }
 
-  /** The median latency of a service's endpoints, or of those of one release. */
+  /** Returns the median latency of a service's endpoints, optionally of one release only. */
   typicalLatencyMs(service: ServiceName, release?: Release): number {
     const latencies = this.ofService(service)
       .filter(
@@ -161,7 +161,7 @@
     return latencies[Math.floor(latencies.length / 2)] ?? initialLatencyMs;
   }
 
-  /** The releases that a service has endpoints of. */
+  /** Returns the releases of a service's endpoints. */
   releases(service: ServiceName): ReadonlySet<Release> {
     return new Set(this.ofService(service).map(({ release }) => release));
   }
@@ -238,7 +238,7 @@
     undefined,
   );
 
-/** Each failure beyond the first ones doubles the time of the ejection, up to a bound. */
+/** Ejects an endpoint after consecutive failures; each further failure doubles the ejection time up to a maximum. */
 const recordFailure = (endpoint: EndpointStats, now: Timestamp): void => {
   endpoint.consecutiveFailures += 1;
   const excess = endpoint.consecutiveFailures - failuresToEject;
--- a/packages/routing/src/index.ts
+++ b/packages/routing/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * The routing of an edge that sends requests straight to origins: a request's state machine, endpoint balancing, quotas,
- * coalescing, caching and object sharing. Sockets and HTTP are left to the proxy package.
+ * Request routing of an edge that sends requests directly to origins: request state machine, load balancing, quotas,
+ * request coalescing, caching and object sharing. Sockets and HTTP are handled by the proxy package.
  */
 
 export * from './token-bucket/token-bucket.js';
--- a/packages/routing/src/object-sharing/object-owners.ts
+++ b/packages/routing/src/object-sharing/object-owners.ts
@@ -1,6 +1,6 @@
 /**
- * Which edge of a zone owns an object: rendezvous hashing. An edge that comes or goes moves no objects but its own, and
- * all edges that see the same members agree without communicating.
+ * Ownership of objects by rendezvous hashing. When an edge joins or leaves, only its own objects change owner. Edges
+ * that see the same members agree without communication.
  */
 
 import type { Address } from '@switchwheel/types';
@@ -8,7 +8,7 @@
 const fnvPrime = 0x01000193;
 const fnvOffsetBasis = 0x811c9dc5;
 
-/** FNV-1a over the UTF-16 units of a text. */
+/** FNV-1a hash over the UTF-16 code units of a text. */
 const fnv1a = (text: string): number => {
   let hash = fnvOffsetBasis;
   for (let index = 0; index < text.length; index += 1)
@@ -16,7 +16,7 @@
   return hash >>> 0;
 };
 
-/** Mixes two hashes so that each bit of either changes half of the result (the finalizer of MurmurHash3). */
+/** Combines two hashes with the finalizer of MurmurHash3, so that every input bit affects all output bits. */
 const mixHashes = (first: number, second: number): number => {
   let hash = first ^ Math.imul(second, 0x9e3779b1);
   hash = Math.imul(hash ^ (hash >>> 16), 0x85ebca6b);
@@ -24,7 +24,7 @@
   return (hash ^ (hash >>> 16)) >>> 0;
 };
 
-/** The edges among which objects are distributed, with their hashes at hand. */
+/** Edges among which objects are distributed, with precomputed hashes. */
 export class ObjectOwners {
   readonly #edges: readonly { readonly address: Address; readonly hash: number }[];
 
@@ -32,7 +32,7 @@
     this.#edges = addresses.map((address) => ({ address, hash: fnv1a(address) }));
   }
 
-  /** The owner of an object among the edges that may be asked; undefined if none may. */
+  /** Returns the owner of an object among the available edges; undefined if none is available. */
   ownerOf(object: string, isAvailable: (address: Address) => boolean): Address | undefined {
     const objectHash = fnv1a(object);
     let owner: Address | undefined;
--- a/packages/routing/src/object-sharing/object-sharing.ts
+++ b/packages/routing/src/object-sharing/object-sharing.ts
@@ -1,8 +1,8 @@
 /**
- * Sharing of cached objects among the edges of a zone. Where a service's rate limit is so low that each edge's quota
- * share can't fill a cache, one edge owns each object: the others request it there, and the owner alone fetches from an
- * origin. If the owner does not reply in time, or refuses, the request goes to an origin after all. This module keeps
- * the pending queries and their time-outs; who may be served, and what is cached, is the router's.
+ * Sharing of cached objects between the edges of a zone. If a service's rate limit is so low that an edge's quota share
+ * can't fill its cache, each object has an owner: the other edges request it from the owner, which alone fetches it from
+ * an origin. If the owner refuses or does not reply in time, the request is sent to an origin directly. This module
+ * manages pending queries and their timeouts.
  */
 
 import {
@@ -20,16 +20,16 @@
 import type { HeaderFields, FrameOf, ObjectFrame } from '@switchwheel/transport';
 import { ObjectOwners } from './object-owners.js';
 
-/** How long an owner may take to reply at all: a response to a client may be on the same link before its reply. */
+/** Timeout for the first reply of an owner; allows for client responses queued before it on the same link. */
 const ownerReplyTimeoutMs = 400;
-/** How long an owner may take to fetch an object once it has replied that it does. */
+/** Timeout for the object once the owner has replied that it is fetching it. */
 const ownerFetchTimeoutMs = 3000;
-/** How long an owner that did not reply is passed over. */
+/** Time that an owner is skipped after it did not reply. */
 const unresponsiveOwnerBackoffMs = 1000;
-/** The largest number of pending queries; beyond it requests go to origins. */
+/** Maximum number of pending queries; further requests are sent to origins. */
 const maxPendingQueries = 256;
 
-/** The largest object that is shared, in bytes: it has to fit one frame. */
+/** Maximum size of a shared object in bytes; it must fit one frame. */
 export const maxSharedBytes = 4 * 1024 * 1024;
 
 /** Sends frames to other edges. */
@@ -37,32 +37,32 @@
   readonly send: (to: Address, frame: ObjectFrame) => void;
 }
 
-/** What an owner is asked for; the members are those of the `object-request` frame. */
+/** Request for an object, with the members of the `object-request` frame. */
 export interface ObjectQuery {
-  /** The id of the caller's request, by which the owner fetches. */
+  /** Id of the client's request, which the owner sends to the origin. */
   readonly callerId: string;
   readonly generation: Generation;
   readonly route: RouteName;
   readonly host: string;
   readonly target: string;
   readonly fields: HeaderFields;
-  /** How much time the request has left. */
+  /** Remaining time of the request. */
   readonly left: DurationMs;
 }
 
-/** An object as its owner sent it; `createdAt` is no later than the object was fetched, by this edge's clock. */
+/** An object received from its owner. `createdAt`, by this edge's clock, is never later than the object's fetch. */
 export interface SharedObject {
   readonly createdAt: Timestamp;
-  /** The last purge that the object is known to have survived. */
+  /** Latest purge that is known not to have removed the object. */
   readonly purged: Seq;
   readonly fields: HeaderFields;
   readonly body: Buffer;
 }
 
-/** An owner's reply: the object, that it is being fetched, or a refusal. */
+/** An owner's reply: the object, a notice that it is being fetched, or a refusal. */
 export type ObjectReply = SharedObject | 'fetching' | 'refused';
 
-/** The outcome of a query: the object, or none, and then whether the owner may have sent the request to an origin. */
+/** Outcome of a query: the object, or otherwise whether the owner may have sent the request to an origin. */
 export type ObjectOutcome =
   | { readonly isFound: true; readonly object: SharedObject }
   | { readonly isFound: false; readonly mayHaveFetched: boolean };
@@ -75,7 +75,7 @@
   isFetching: boolean;
 }
 
-/** The pending queries of one edge, and the owners that it may ask. */
+/** Pending queries of one edge, and the ownership of objects. */
 export class ObjectSharing {
   readonly #port: PeerPort;
   readonly #self: Address;
@@ -90,7 +90,7 @@
     this.#self = self;
   }
 
-  /** Adopts the edges of the zone, this one among them. */
+  /** Sets the edges of the zone, including this one. */
   updatePeers(addresses: readonly Address[]): void {
     const sorted = [...addresses].sort();
     const key = sorted.join(' ');
@@ -99,7 +99,7 @@
     this.#owners = new ObjectOwners(sorted);
   }
 
-  /** The other edge that owns an object; undefined if this one does, or none can be asked now. */
+  /** Returns the other edge that owns an object; undefined if this edge owns it or no owner is available. */
   ownerOf(object: string, now: Timestamp): Address | undefined {
     if (this.#pending.size >= maxPendingQueries) return undefined;
     const owner = this.#owners.ownerOf(
@@ -110,7 +110,7 @@
     return owner === this.#self ? undefined : owner;
   }
 
-  /** Asks an owner; `onOutcome` is called once. */
+  /** Sends a query to an owner; `onOutcome` is called once. */
   request(
     owner: Address,
     query: ObjectQuery,
@@ -128,7 +128,7 @@
     this.#port.send(owner, { kind: 'object-request', id: this.#lastQueryId, ...query });
   }
 
-  /** Handles an owner's reply; one of another edge than was asked is ignored. */
+  /** Handles an owner's reply; replies from other edges than the queried one are ignored. */
   handleReply(
     from: Address,
     frame: FrameOf<'object'> | FrameOf<'object-status'>,
@@ -149,7 +149,7 @@
     }
   }
 
-  /** Ends queries whose owner has not replied in time. */
+  /** Expires queries whose owner has not replied in time. */
   tick(now: Timestamp): void {
     for (const [address, until] of this.#backoffUntil)
       if (until <= now) this.#backoffUntil.delete(address);
@@ -157,12 +157,12 @@
       if (now < query.deadline) continue;
       if (!query.isFetching)
         this.#backoffUntil.set(query.owner, addMs(now, unresponsiveOwnerBackoffMs));
-      // The reply may have been lost, not the request.
+      // Only the reply may have been lost, so the owner may have sent the request to an origin.
       this.#finish(id, query, { isFound: false, mayHaveFetched: true });
     }
   }
 
-  /** Replies to another edge's request for an object. */
+  /** Sends a reply to another edge's request for an object. */
   reply(to: Address, id: number, reply: ObjectReply, now: Timestamp): void {
     if (reply === 'fetching' || reply === 'refused') {
       this.#port.send(to, { kind: 'object-status', id, state: reply });
--- a/packages/routing/src/object-sharing/peer-bandwidth.ts
+++ b/packages/routing/src/object-sharing/peer-bandwidth.ts
@@ -1,32 +1,32 @@
 /**
- * How much of its link an edge gives to other edges. Objects that it owns leave on the same link as the responses to its
- * own clients, and a large object in demand would hold all of them up.
+ * Limits the bandwidth that an edge uses for other edges. Shared objects are sent over the same link as responses to
+ * clients; without a limit, a popular large object would delay those responses.
  */
 
 import { type Timestamp, clockOrigin, elapsedMs } from '@switchwheel/types';
 
-/** Which part of the link's rate other edges may take. */
+/** Fraction of the link's bandwidth available to other edges. */
 const peerShareOfLink = 0.3;
-/** For how long unused rate is saved up. */
+/** Time over which unused bandwidth accumulates; sets the size of a burst. */
 const burstMs = 400;
-/** The size that an object is assumed to have before any was sent. */
+/** Assumed object size before the first object was sent. */
 const initialObjectBytes = 16 * 1024;
 const ewmaWeight = 0.2;
 
-/** A token bucket of bytes; an object in progress is reserved with the average size. */
+/** Token bucket of bytes. Each object in progress reserves the average object size. */
 export class PeerBandwidth {
   readonly #bytesPerMs: number;
   #availableBytes: number;
   #refilledAt: Timestamp = clockOrigin;
   #objectBytesEwma = initialObjectBytes;
 
-  /** The rate of the link in bytes a second; infinite if it is not known, and nothing is limited then. */
+  /** Bandwidth of the link in bytes per second; infinite if unknown, which disables the limit. */
   constructor(linkBytesPerSecond: number) {
     this.#bytesPerMs = (peerShareOfLink * linkBytesPerSecond) / 1000;
     this.#availableBytes = this.#capacityBytes;
   }
 
-  /** Reserves bandwidth for one object; false if other edges have had their share for now. */
+  /** Reserves bandwidth for one object; returns false if other edges' share is used up. */
   reserve(now: Timestamp): boolean {
     if (!Number.isFinite(this.#bytesPerMs)) return true;
     const refilledBytes = Math.max(0, elapsedMs(this.#refilledAt, now)) * this.#bytesPerMs;
@@ -37,7 +37,7 @@
     return true;
   }
 
-  /** Settles a reservation: with the bytes of the object that was sent, or 0 if none was. */
+  /** Replaces a reservation by the size of the object that was sent; 0 if none was sent. */
   settle(bytes: number): void {
     if (!Number.isFinite(this.#bytesPerMs)) return;
     this.#availableBytes += this.#objectBytesEwma - bytes;
--- a/packages/routing/src/quota/quota-share.ts
+++ b/packages/routing/src/quota/quota-share.ts
@@ -1,6 +1,6 @@
 /**
- * An edge's share of what the whole fleet may send to a service. Edges do not coordinate: each takes an equal share, so
- * that the sum keeps the limits whichever edge is partitioned, restarts or stalls.
+ * One edge's share of the fleet-wide limits of a service. Edges do not coordinate: each uses an equal share, so the sum
+ * stays within the limits even if edges are partitioned, restart or stall.
  */
 
 import {
@@ -22,26 +22,26 @@
   nextTokenDelayMs,
 } from '../token-bucket/token-bucket.js';
 
-/** How long an edge that is no longer seen still counts: its share may be in use. */
+/** Window over which the highest edge count applies: an edge that is no longer seen may still use its share. */
 const edgeCountWindowMs = 30_000;
-/** How long a service counts as scarce after this edge's share of its rate ran out. */
+/** Time that a service stays marked as scarce after this edge used up its share of the rate limit. */
 const scarcityDurationMs = 5000;
-/** Fetches a second below which an edge can't fill a cache by itself. */
+/** Lowest rate, in fetches per second, at which one edge can fill its cache alone. */
 const minCacheFillPerSecond = 5;
 
-/** What of the allowed extra attempts is used: by the ratio to requests, and by the slack. The rest is a margin. */
+/** Fractions used of the extra-attempt limits; the rest is a safety margin. */
 const extraAttemptRatioUtilization = 0.75;
 const extraAttemptSlackUtilization = 0.4;
-/** What of a service's rate, of the allowed overage and of its connections is used. */
+/** Fractions used of a service's rate limit, of its permitted overage and of its connections; the rest is a margin. */
 const serviceRateUtilization = 0.97;
 const overageUtilization = 0.8;
 const connectionUtilization = 0.9;
 
-/** How many edges share the limits: the most that were seen in a while. */
+/** Number of edges that share the limits: the highest count seen within the window. */
 export class EdgeCount {
   #observations: readonly { readonly count: number; readonly at: Timestamp }[] = [];
 
-  /** Notes how many edges are seen now. */
+  /** Records the number of edges that are currently visible. */
   record(count: number, now: Timestamp): void {
     const latest = { count, at: now };
     const previous = this.#observations.at(-1);
@@ -52,19 +52,19 @@
     this.#observations = [...earlier, latest];
   }
 
-  /** The number of edges, 1 at least. */
+  /** Number of edges, at least 1. */
   get count(): number {
     return this.#observations.reduce((highest, { count }) => Math.max(highest, count), 1);
   }
 }
 
-/** The token buckets of one edge. A new edge starts with nothing. */
+/** Token buckets of one edge. They are empty at start. */
 export class QuotaShare {
   readonly #limits: EdgeLimits;
   readonly #edgeCount: EdgeCount;
   readonly #extraAttemptBuckets = new Map<ServiceName, TokenBucket>();
   readonly #serviceBuckets = new Map<ServiceName, TokenBucket>();
-  /** Until when a service counts as one whose share ran out here. */
+  /** Times until which services are marked as scarce. */
   readonly #scarceUntil = new Map<ServiceName, Timestamp>();
 
   constructor(limits: EdgeLimits, edgeCount: EdgeCount) {
@@ -72,7 +72,7 @@
     this.#edgeCount = edgeCount;
   }
 
-  /** A client's request came for a service: it earns a part of an extra attempt (retry or hedge). */
+  /** Records a client's request, which adds a fraction of a token to the extra-attempt budget (retries and hedges). */
   recordRequest(service: ServiceName, now: Timestamp): void {
     const rate = this.#extraAttemptRate();
     const bucket = refill(this.#extraAttemptBucket(service, now), rate, now);
@@ -80,7 +80,7 @@
     this.#extraAttemptBuckets.set(service, addTokens(bucket, rate, earned));
   }
 
-  /** Takes an extra attempt (retry or hedge) from the budget; false if there is none. */
+  /** Takes one extra attempt (retry or hedge) from the budget; returns false if the budget is used up. */
   takeExtraAttempt(service: ServiceName, now: Timestamp): boolean {
     const bucket = this.#extraAttemptBucket(service, now);
     const remaining = takeToken(bucket, this.#extraAttemptRate(), now);
@@ -89,7 +89,7 @@
     return true;
   }
 
-  /** Takes a request from the service's rate limit and gives 0; or gives the milliseconds until there is one. */
+  /** Takes one request from the service's rate limit and returns 0, or returns the milliseconds until one is available. */
   takeOrWaitMs(service: Service, now: Timestamp): number {
     if (service.perSecond === undefined) return 0;
     const rate = this.#serviceRate(service.perSecond);
@@ -102,8 +102,8 @@
   }
 
   /**
-   * Whether this edge's share of a service's rate is too small to fetch what its clients ask for: it ran out recently,
-   * or would fill a cache too slowly.
+   * Whether this edge's share of a service's rate limit is too small to serve its clients alone: it was used up
+   * recently, or would fill the cache too slowly.
    */
   isScarce(service: Service, now: Timestamp): boolean {
     if (service.perSecond === undefined) return false;
@@ -111,7 +111,7 @@
     return (this.#scarceUntil.get(service.name) ?? clockOrigin) > now;
   }
 
-  /** How many connections this edge may have to one endpoint of a service. */
+  /** Maximum number of connections from this edge to one endpoint of a service. */
   maxConnectionsPerEndpoint({ connections }: Service): number {
     if (connections === undefined) return Infinity;
     return Math.max(1, Math.floor((connections * connectionUtilization) / this.#edgeCount.count));
--- a/packages/routing/src/random/random-source.ts
+++ b/packages/routing/src/random/random-source.ts
@@ -1,8 +1,8 @@
-/** A sequence of random numbers for classes whose state changes in place; the same seed gives the same sequence. */
+/** Mutable pseudo-random number generator for classes that keep their state in place. */
 
 import { type RandomState, nextRandom } from '@switchwheel/types';
 
-/** Draws numbers one after another; whoever shares a source shares its sequence. */
+/** Deterministic random source: equal initial states give equal sequences. Users of one instance share its sequence. */
 export class RandomSource {
   #state: RandomState;
 
@@ -10,7 +10,7 @@
     this.#state = state;
   }
 
-  /** The next number, from 0 inclusive to 1 exclusive. */
+  /** Returns the next number, from 0 inclusive to 1 exclusive. */
   next(): number {
     const [value, state] = nextRandom(this.#state);
     this.#state = state;
--- a/packages/routing/src/rollout/rollout-counters.ts
+++ b/packages/routing/src/rollout/rollout-counters.ts
@@ -1,6 +1,6 @@
 /**
- * What an edge counts of the releases that a rollout compares, for the store's primary, which decides on the canary. The
- * counts of a rollout begin when this edge first hears of it.
+ * Counts attempts per release during a rollout. The store's primary judges the canary by these counts. Counting starts
+ * when this edge first receives the rollout.
  */
 
 import {
@@ -12,16 +12,16 @@
 } from '@switchwheel/types';
 import type { FrameOf, ReleaseCountsRow, RolloutState } from '@switchwheel/transport';
 
-/** How an attempt ended, as far as its release is concerned. */
+/** Outcome of an attempt for the statistics of its release. */
 export type AttemptOutcome = 'succeeded' | 'failed' | 'cancelled';
 
-/** A service's counts as they stand in the frame to the primary. */
+/** Counts of a service's rollout, as members of the `tally` frame. */
 export type RolloutReport = Pick<
   FrameOf<'tally'>,
   'service' | 'order' | 'serial' | 'rows' | 'inFlightOld' | 'spentMs'
 >;
 
-/** The counts of one release and service class; the names are those of the frame's row. */
+/** Counts of one release and service class; the members are those of a row of the `tally` frame. */
 interface OutcomeCounts {
   readonly release: Release;
   readonly group: string;
@@ -38,16 +38,16 @@
   readonly countsByRelease: Map<string, OutcomeCounts>;
 }
 
-/** An attempt this many times as long as is typical is slow. */
+/** An attempt is slow if it takes longer than the typical latency times this factor. */
 const slowAttemptFactor = 4;
 
-/** The counts of all rollouts. They change in place, as each request changes them. */
+/** Counters of all rollouts, updated in place by each attempt. */
 export class RolloutCounters {
   readonly #rollouts = new Map<ServiceName, RolloutCounts>();
-  /** Attempts in flight by service and release, whether there is a rollout or not. */
+  /** Attempts in flight by service and release, counted also without a rollout. */
   readonly #inFlight = new Map<string, number>();
 
-  /** Begins to count for rollouts that are new. */
+  /** Starts counting for rollouts that are new to this edge. */
   trackRollouts(rollouts: Iterable<RolloutState>, now: Timestamp): void {
     for (const { service, target, order } of rollouts) {
       if (target === undefined || this.#rollouts.get(service)?.rolloutSeq === order) continue;
@@ -59,7 +59,7 @@
     }
   }
 
-  /** An attempt was sent to a release. */
+  /** Records that an attempt was sent to an instance of a release. */
   recordAttemptStart(service: ServiceName, release: Release, className: string): void {
     const key = inFlightKey(service, release);
     this.#inFlight.set(key, (this.#inFlight.get(key) ?? 0) + 1);
@@ -67,7 +67,7 @@
     if (counts !== undefined) counts.sent += 1;
   }
 
-  /** An attempt ended after `durationMs`, where `typicalMs` is typical of the settled release. */
+  /** Records the end of an attempt after `durationMs`; `typicalMs` is the typical latency of the settled release. */
   recordAttemptEnd(
     service: ServiceName,
     release: Release,
@@ -81,7 +81,7 @@
     const counts = this.#countsOf(service, release, className);
     if (counts === undefined) return;
     const isSlow = durationMs > slowAttemptFactor * typicalMs;
-    // One that was cancelled before it was slow says nothing of its release.
+    // An attempt cancelled before it counted as slow gives no evidence about its release.
     if (outcome === 'cancelled' && !isSlow) return;
     if (outcome === 'failed') counts.bad += 1;
     else counts.good += 1;
@@ -89,7 +89,7 @@
     counts.sumMs += durationMs;
   }
 
-  /** The counts of a rollout; undefined if this edge counts for another one of the service. */
+  /** Returns the counts of a rollout; undefined if this edge counts for another rollout of the service. */
   report(rollout: RolloutState, now: Timestamp): RolloutReport | undefined {
     const { service, order, serial } = rollout;
     const counts = this.#rollouts.get(service);
@@ -101,7 +101,7 @@
     return { service, order, serial, rows, inFlightOld: this.#inFlightOld(rollout), spentMs };
   }
 
-  /** Attempts in flight to other releases than the rollout's target. */
+  /** Number of attempts in flight to releases other than the rollout's target. */
   #inFlightOld({ service, target }: RolloutState): number {
     const targetKey = `${service} ${target ?? ''}`;
     let total = 0;
--- a/packages/routing/src/router/active-request.ts
+++ b/packages/routing/src/router/active-request.ts
@@ -1,4 +1,4 @@
-/** What the edge router holds of one request that is in progress. It decides nothing: that is `requestTransition`'s. */
+/** State that the edge router keeps per request in progress; `requestTransition` makes the decisions. */
 
 import {
   type Release,
@@ -14,44 +14,44 @@
 import type { CoalescedFetch } from './coalesced-fetches.js';
 import type { IncomingRequest, ReplyCallback } from './ports.js';
 
-/** How much earlier than its client the edge gives up, so that the reply still arrives. */
+/** Time before the client's timeout at which the edge gives up, so that the reply arrives in time. */
 const deadlineMarginMs = 15;
 
-/** An attempt that was sent to an origin and has not ended. */
+/** An attempt that was sent to an origin and has not finished. */
 export interface InFlightAttempt {
   readonly endpoint: EndpointStats;
-  /** The endpoint's release when the attempt was sent. */
+  /** Release of the endpoint at the time of sending; the endpoint may be updated later. */
   readonly release: Release;
   readonly startedAt: Timestamp;
   cancel: () => void;
 }
 
-/** When an attempt was sent, and the last purge that had been applied by then. */
+/** Time at which an attempt was sent, and the last purge applied by then. */
 export interface AttemptStart {
   readonly sentAt: Timestamp;
   readonly purgeSeq: Seq;
 }
 
-/** A request in progress, with the bodies and callbacks that its state machine knows nothing of. */
+/** A request in progress: its state machine together with the body, callbacks and attempts in flight. */
 export interface ActiveRequest {
   readonly id: number;
   readonly request: IncomingRequest;
   readonly route: CompiledRoute;
   readonly service: ServiceName;
-  /** Set if the response may be cached and shared. */
+  /** Defined if the response may be cached and shared. */
   readonly cacheable: CacheableRequest | undefined;
-  /** Those who wait for this very fetch: a newer one of the same object has its own. */
+  /** Fetch that later requests may join. A newer fetch of the same object has its own waiters. */
   readonly fetch: CoalescedFetch | undefined;
   readonly reply: ReplyCallback;
   readonly inFlight: Map<number, InFlightAttempt>;
   readonly attemptStarts: Map<number, AttemptStart>;
   state: RequestState;
-  /** When a hedge is due. */
+  /** Time at which a hedge is due, if one is still to be sent. */
   hedgeAt: Timestamp | undefined;
   isClientDisconnected: boolean;
 }
 
-/** When this edge gives a request up: a little before its client does, or at the route's timeout. */
+/** Returns the time at which this edge gives up: shortly before the earlier of the client's and the route's timeouts. */
 export const deadlineOf = (
   request: IncomingRequest,
   route: CompiledRoute,
--- a/packages/routing/src/router/attempt-sender.ts
+++ b/packages/routing/src/router/attempt-sender.ts
@@ -1,7 +1,6 @@
 /**
- * Sends the attempts of requests to origins and accounts for how each ended: in the endpoint's statistics and in the
- * counts of its release. What follows from an outcome is decided by the request's state machine, which hears of it as
- * an event.
+ * Sends attempts to origins and records their outcomes in the endpoint's statistics and in the counts of its release.
+ * Outcomes are passed as events to the request's state machine, which decides what follows.
  */
 
 import {
@@ -19,7 +18,7 @@
 import type { ActiveRequest, InFlightAttempt } from './active-request.js';
 import type { AttemptRequest, HeaderNames, OriginClient, RouterContext } from './ports.js';
 
-/** What a sender stands on; tables and counters are the router's own. */
+/** Dependencies of an attempt sender, shared with its router. */
 export interface AttemptSenderOptions {
   readonly context: RouterContext;
   readonly originClient: OriginClient;
@@ -27,11 +26,11 @@
   readonly rolloutCounters: RolloutCounters;
   readonly headerNames: HeaderNames;
   readonly counts: Map<string, number>;
-  /** Hears how an attempt ended, unless it was cancelled. */
+  /** Called with the outcome of an attempt, unless the attempt was cancelled. */
   readonly onEvent: (active: ActiveRequest, event: RequestEvent) => void;
 }
 
-/** Sends attempts, and cancels them. */
+/** Sends and cancels attempts. */
 export class AttemptSender {
   readonly #options: AttemptSenderOptions;
 
@@ -39,7 +38,7 @@
     this.#options = options;
   }
 
-  /** Sends a request to an instance; nothing happens if the instance has left since it was picked. */
+  /** Sends a request to an instance; does nothing if the instance has left since it was selected. */
   send(active: ActiveRequest, attempt: number, instance: InstanceId, now: Timestamp): void {
     const { context, endpoints, originClient, rolloutCounters } = this.#options;
     const endpoint = endpoints.get(instance);
@@ -71,17 +70,17 @@
     active.inFlight.set(attempt, inFlight);
   }
 
-  /** Cancels an attempt; its client port reports nothing of it any more. */
+  /** Cancels an attempt; the origin client calls no handler for it afterwards. */
   cancel(active: ActiveRequest, attempt: number, now: Timestamp): void {
     const inFlight = active.inFlight.get(attempt);
     if (inFlight === undefined) return;
     active.inFlight.delete(attempt);
     const { endpoints } = this.#options;
     const durationMs = elapsedMs(inFlight.startedAt, now);
-    // The instance may have left, and another endpoint may bear its name.
+    // The instance may have left, and a new endpoint may have the same name.
     const endpoint = endpoints.get(inFlight.endpoint.instance);
     this.#countOutcome(active, inFlight.release, 'cancelled', durationMs);
-    // A cancelled attempt took at least this long: a slow origin is known by it.
+    // The latency was at least this long; recording it makes a slow origin visible.
     if (endpoint !== undefined)
       endpoints.recordAttemptEnd(endpoint, Math.max(endpoint.latencyEwmaMs, durationMs), true, now);
     inFlight.cancel();
--- a/packages/routing/src/router/coalesced-fetches.ts
+++ b/packages/routing/src/router/coalesced-fetches.ts
@@ -1,71 +1,71 @@
 /**
- * Request coalescing (single flight): requests for an object that is being fetched wait for that fetch. A fetch that
- * began before a purge is not joined by requests that came after it.
+ * Request coalescing (single flight): a request for an object that is being fetched waits for that fetch. Requests that
+ * arrive after a purge never join a fetch that started before it.
  */
 
 import { type Timestamp, elapsedMs } from '@switchwheel/types';
 import type { IncomingRequest, ReplyCallback } from './ports.js';
 
-/** How young a fetch must be to be joined: what it brings is no older. */
+/** Maximum age of a fetch that requests may join; bounds the age of the response that they receive. */
 const maxJoinAgeMs = 1000;
 
-/** A request that waits for another one's fetch of the same object. */
+/** A request that waits for another request's fetch of the same object. */
 export interface Waiter {
   readonly request: IncomingRequest;
   readonly reply: ReplyCallback;
   readonly deadline: Timestamp;
-  /** Whether another edge asks. */
+  /** Whether the request comes from another edge. */
   readonly isForPeer: boolean;
-  /** Set once it has its reply, or its client has left. */
+  /** True once the reply was sent or the client has disconnected. */
   isDone: boolean;
-  /** What to call when the client leaves after the request was sent on by itself. */
+  /** Cancels the request when its client disconnects; set once the request was resubmitted on its own. */
   cancel: (() => void) | undefined;
 }
 
-/** A fetch that later requests for the same object may join. */
+/** A fetch in progress that later requests for the same object may join. */
 export interface CoalescedFetch {
   readonly startedAt: Timestamp;
   readonly purgeEpoch: number;
   readonly waiters: Waiter[];
 }
 
-/** The newest fetch of each object, by coalescing key. */
+/** The latest fetch of each object, by coalescing key. */
 export class CoalescedFetches {
   readonly #fetches = new Map<string, CoalescedFetch>();
   readonly #maxAgeMs: number;
   #purgeEpoch = 0;
 
-  /** A fetch older than half the longest allowed purge lag is not joined either. */
+  /** Limits the age of joinable fetches also to half of the maximum purge lag, in milliseconds. */
   constructor(maxPurgeLagMs: number) {
     this.#maxAgeMs = Math.min(maxJoinAgeMs, maxPurgeLagMs / 2);
   }
 
-  /** Purges were applied: nobody joins fetches that began before. */
+  /** Called after purges were applied: no request joins a fetch that started earlier. */
   onPurged(): void {
     this.#purgeEpoch += 1;
   }
 
-  /** The fetch that a request may join, if there is one. */
+  /** Returns the fetch that a request may join, if there is one. */
   findJoinable(key: string, now: Timestamp): CoalescedFetch | undefined {
     const fetch = this.#fetches.get(key);
     if (fetch === undefined || fetch.purgeEpoch !== this.#purgeEpoch) return undefined;
     return elapsedMs(fetch.startedAt, now) < this.#maxAgeMs ? fetch : undefined;
   }
 
-  /** Begins a fetch; later requests join this one instead of an older one. */
+  /** Starts a fetch; later requests join it instead of an older one. */
   begin(key: string, now: Timestamp): CoalescedFetch {
     const fetch = { startedAt: now, purgeEpoch: this.#purgeEpoch, waiters: [] };
     this.#fetches.set(key, fetch);
     return fetch;
   }
 
-  /** Ends a fetch; a newer one of the same object stays. */
+  /** Removes a fetch that has ended, unless a newer fetch of the same object has replaced it. */
   end(key: string, fetch: CoalescedFetch | undefined): void {
     if (this.#fetches.get(key) === fetch) this.#fetches.delete(key);
   }
 }
 
-/** Waits for a fetch; gives what to call when the client leaves. */
+/** Adds a request to the waiters of a fetch; returns the callback for a disconnect of its client. */
 export const joinFetch = (
   fetch: CoalescedFetch,
   waiterOptions: Pick<Waiter, 'request' | 'reply' | 'deadline' | 'isForPeer'>,
--- a/packages/routing/src/router/edge-router.ts
+++ b/packages/routing/src/router/edge-router.ts
@@ -1,8 +1,7 @@
 /**
- * The way of a client's request through an edge that sends straight to origins: served from the cache, joined to a fetch
- * that is in flight, requested from the edge that owns the object, or sent to an origin. The router accepts requests;
- * `RequestRunner` carries those through that need a fetch. Picking endpoints, sending attempts, caching, coalescing and
- * object sharing are in modules of their own.
+ * Entry point for clients' requests at an edge without shields. A request is served from the cache, joins a fetch in
+ * flight, is requested from the edge that owns the object, or is sent to an origin. The router accepts requests;
+ * `RequestRunner` executes those that need a fetch.
  */
 
 import {
@@ -45,30 +44,29 @@
 import { RequestRunner } from './request-runner.js';
 import { ResponseCache } from './response-cache.js';
 
-/** How an edge picks endpoints and how much it takes on. */
+/** Options of a router: zone, limits and links to other edges. */
 export interface EdgeRouterOptions {
   readonly zone: ZoneName;
   readonly headerNames: HeaderNames;
   readonly limits: EdgeLimits;
-  /** The largest number of requests in progress; more are rejected with a time to come back. */
+  /** Maximum number of requests in progress; further requests are rejected with a retry delay. */
   readonly maxActiveRequests: number;
-  /** The way to other edges, where objects are shared with them. */
+  /** Connection to other edges; undefined disables object sharing. */
   readonly peers?: PeerPort;
-  /** The rate of this machine's link in bytes a second, where it is known. */
+  /** Bandwidth of this machine's link in bytes per second; unlimited if undefined. */
   readonly linkBytesPerSecond?: number;
 }
 
-/** How a request is accepted. */
 interface AcceptOptions {
-  /** Its deadline, if it has waited for another one's fetch in vain. */
+  /** Original deadline of a request that is resubmitted after the fetch that it joined failed. */
   readonly deadline?: Timestamp;
-  /** Whether another edge asks: that edge counts its own clients, and no edge is asked in turn. */
+  /** Whether the request comes from another edge: it earns no retry budget here and is not forwarded to a third edge. */
   readonly isForPeer: boolean;
 }
 const clientAcceptOptions: AcceptOptions = { isForPeer: false };
 const peerAcceptOptions: AcceptOptions = { isForPeer: true };
 
-/** A request that has a route and can't be served from the cache. */
+/** A request with a route and without a usable cached response. */
 interface AcceptedRequest extends Pick<
   ActiveRequest,
   'request' | 'route' | 'service' | 'cacheable' | 'reply'
@@ -79,23 +77,23 @@
 
 const notReadyRetryMs = 300;
 const overloadRetryMs = 300;
-/** When a client is to come back to an edge whose configuration is being replaced. */
+/** Retry delay while a newer configuration is overdue at this edge. */
 const configurationOverdueRetryMs = 200;
-/** When a client is to come back that met a stopping edge: another one serves it. */
+/** Retry delay at an edge that is shutting down; short, as another edge serves the retry. */
 const stoppingRetryMs = 100;
 
-/** How many origins a request may reach where its route says nothing. */
+/** Maximum number of attempts per request unless its route sets `origins`. */
 const defaultMaxAttempts = { idempotent: 3, other: 2 };
-/** An owner tries once: retries are the asking edge's. */
+/** An owner sends a single attempt; the requesting edge retries. */
 const maxAttemptsForPeer = 1;
 
 const doNothing = (): void => undefined;
 
-/** Routes the requests of one edge. Its tables change in place, as each request changes them. */
+/** Routes the requests of one edge. Its state is updated in place. */
 export class EdgeRouter {
-  /** How often each thing happened, by the names that the metrics bear. */
+  /** Event counters by metric name. */
   readonly counts = new Map<string, number>();
-  /** What this edge knows of the origins. */
+  /** Endpoints of all services with their statistics. */
   readonly endpoints: EndpointTable;
   readonly #context: RouterContext;
   readonly #originClient: OriginClient;
@@ -163,17 +161,17 @@
     });
   }
 
-  /** Requests in progress, without those that wait for another one's fetch. */
+  /** Number of requests in progress, excluding those that wait for another request's fetch. */
   get openRequests(): number {
     return this.#runner.openRequests;
   }
 
-  /** Purges were applied: nobody joins fetches that began before. */
+  /** Called after purges were applied: no request joins a fetch that started earlier. */
   onPurged(): void {
     this.#fetches.onPurged();
   }
 
-  /** Adopts the fleet's members, origins and rollouts. */
+  /** Updates the router with the fleet's members, origins and rollouts. */
   updateFleet(nodeAgent: NodeAgent): void {
     const now = this.#context.now();
     const { members, origins } = nodeAgent.nodeSession;
@@ -185,23 +183,23 @@
       this.#originClient.closeIdleConnections(instance);
   }
 
-  /** Serves a client's request, read with its whole body; gives what to call when the client leaves. */
+  /** Serves a client's request, including its complete body; returns the callback for a disconnect of the client. */
   serve(request: IncomingRequest, reply: ReplyCallback): () => void {
     return this.#accept(request, reply, clientAcceptOptions);
   }
 
-  /** Handles a frame of another edge. */
+  /** Handles a frame received from another edge. */
   handlePeerFrame(from: Address, frame: ObjectFrame): void {
     this.#peerObjects.handleFrame(from, frame);
   }
 
-  /** Ends what is past its deadline, and hedges what is late. */
+  /** Expires requests whose deadline has passed, and sends hedges that are due. */
   tick(now: Timestamp): void {
     this.#peerObjects.tick(now);
     this.#runner.tick(now);
   }
 
-  /** This edge's counts for the rollouts in progress, as frames for the store's primary. */
+  /** Returns this edge's counts of the rollouts in progress as frames for the store's primary. */
   rolloutReports(nodeAgent: NodeAgent): readonly FrameOf<'tally'>[] {
     const { node, incarnation } = nodeAgent.nodeSession.member;
     return [...nodeAgent.releaseStates.values()].flatMap((rollout) => {
@@ -211,7 +209,7 @@
     });
   }
 
-  /** Ends all requests in progress as expired and accepts none any more; gives how many there were. */
+  /** Expires all requests in progress and rejects new ones; returns the number of requests that were in progress. */
   abortAll(): number {
     this.#isStopped = true;
     const openRequests = this.#runner.openRequests;
@@ -219,7 +217,7 @@
     return openRequests;
   }
 
-  /** Accepts a request: a client's, one that waited for a fetch in vain, or another edge's. */
+  /** Accepts a request from a client or another edge, or one that is resubmitted after the fetch that it joined failed. */
   #accept(request: IncomingRequest, reply: ReplyCallback, options: AcceptOptions): () => void {
     const now = this.#context.now();
     const nodeAgent = this.#context.nodeAgent();
@@ -253,7 +251,7 @@
     const deadline = givenDeadline ?? deadlineOf(request, route, now);
     const cacheable = this.#responseCache.cacheable(route, request);
     if (cacheable !== undefined && this.#replyFromCache(cacheable, reply, now)) return doNothing;
-    // The response to a HEAD request has no body: it can be neither cached nor shared as the object.
+    // The response to a HEAD request has no body, so it can be neither cached nor shared.
     const coalescable = request.method === 'GET' ? cacheable : undefined;
     const fetch =
       coalescable === undefined
@@ -302,7 +300,7 @@
     return () => this.#runner.onClientDisconnected(active);
   }
 
-  /** Replies with a failure at once; there is nothing to cancel then. */
+  /** Replies with a failure immediately; the returned callback does nothing. */
   #refuse(
     reply: ReplyCallback,
     errorKind: ErrorKind,
@@ -314,7 +312,7 @@
   }
 }
 
-/** Whether a rollout is in progress, or was so recently that late counts still matter. */
+/** Whether counts are reported: the rollout is in progress, or ended so recently that late counts still matter. */
 const isRolloutReported = ({ phase, leftMs }: RolloutState): boolean =>
   phase !== 'none' && (phase === 'trial' || phase === 'moving' || leftMs > 0);
 
--- a/packages/routing/src/router/endpoint-selector.ts
+++ b/packages/routing/src/router/endpoint-selector.ts
@@ -1,6 +1,6 @@
 /**
- * Picks the endpoint of each attempt: the service's rate limit and the retry budget allow it, the rollout decides the
- * release, and the endpoint table balances among the instances that are left.
+ * Selects the endpoint of each attempt. The rate limit and the retry budget must permit the attempt, the rollout
+ * determines the release, and the endpoint table balances the load among the remaining instances.
  */
 
 import {
@@ -20,16 +20,16 @@
 
 const unknownServiceRetryMs = 120;
 const noEndpointRetryMs = 250;
-/** What is added to the wait for a token, so that a client does not come back just before there is one. */
+/** Added to the wait for a rate-limit token, so that a client does not retry just before one is available. */
 const rateLimitRetryMarginMs = 20;
-/** How old the rollouts' state may be for a canary to get new requests. */
+/** Maximum age of the rollouts' state at which a canary still receives new requests. */
 const canaryFreshnessMs = 1500;
 const crossZoneCostFactor = 1.3;
 const latencyExponent = 3;
-/** The fraction by which an extra attempt draws its release: such an attempt never goes to a canary. */
+/** Fixed draw for the release of an extra attempt: 1 is above every share, so no canary is selected. */
 const extraAttemptReleaseFraction = 1;
 
-/** What a selector stands on; the table, the quota and the counters are the router's own. */
+/** Dependencies of an endpoint selector, shared with its router. */
 export interface EndpointSelectorOptions {
   readonly context: RouterContext;
   readonly zone: ZoneName;
@@ -39,7 +39,7 @@
   readonly counts: Map<string, number>;
 }
 
-/** Chooses where an attempt goes, and whether it may be made at all. */
+/** Decides whether an attempt may be sent, and to which endpoint. */
 export class EndpointSelector {
   readonly #options: EndpointSelectorOptions;
   readonly #policy: BalancingPolicy;
@@ -49,7 +49,7 @@
     this.#policy = { zone: options.zone, crossZoneCostFactor, latencyExponent };
   }
 
-  /** Picks an endpoint and takes what the attempt costs from the quota; the event says which, or why there is none. */
+  /** Selects an endpoint and charges the attempt to the quota; the event holds the endpoint, or the reason for none. */
   pick(active: ActiveRequest, isExtra: boolean, now: Timestamp): RequestEvent {
     const { context, endpoints, quota, counts } = this.#options;
     const service = context.nodeAgent().compiledConfiguration?.services.get(active.service);
@@ -83,7 +83,7 @@
     return { kind: 'endpointPicked', now, instance: endpoint.instance };
   }
 
-  /** The release to send to: undefined for any, null if only one that failed its rollout is left. */
+  /** Returns the release to send to: undefined for any, null if only releases that failed their rollout are left. */
   #pickRelease(
     active: ActiveRequest,
     isExtra: boolean,
--- a/packages/routing/src/router/peer-objects.ts
+++ b/packages/routing/src/router/peer-objects.ts
@@ -1,6 +1,6 @@
 /**
- * Objects that the edges of a zone share: requests for an object that another edge owns, and other edges' requests for
- * objects that this one owns. Which edge owns what, and the time-outs, are `ObjectSharing`'s.
+ * Object sharing between the edges of a zone, from the router's side: requests for objects that another edge owns, and
+ * other edges' requests for objects that this edge owns. `ObjectSharing` handles ownership and timeouts.
  */
 
 import {
@@ -25,25 +25,25 @@
 import type { ActiveRequest } from './active-request.js';
 import type { HeaderNames, IncomingRequest, ReplyCallback, RouterContext } from './ports.js';
 
-/** Fields of a request on which a cached object may depend, besides those that its route names. */
+/** Request fields on which a cached object may depend, in addition to the `vary` fields of its route. */
 const commonVary: ReadonlySet<string> = new Set(['accept', 'accept-encoding', 'accept-language']);
 
-/** What the sharing stands on; quota and counters are the router's own. */
+/** Dependencies of object sharing, shared with the router. */
 export interface PeerObjectsOptions {
   readonly context: RouterContext;
   readonly zone: ZoneName;
   readonly headerNames: HeaderNames;
   readonly quota: QuotaShare;
   readonly counts: Map<string, number>;
-  /** The way to other edges; without it nothing is shared. */
+  /** Connection to other edges; undefined disables object sharing. */
   readonly peers: PeerPort | undefined;
-  /** The rate of this machine's link, in bytes a second; infinite if it is not known. */
+  /** Bandwidth of this machine's link in bytes per second; infinite if unknown. */
   readonly linkBytesPerSecond: number;
-  /** Serves another edge's request like a client's, but without asking any edge for it in turn. */
+  /** Serves another edge's request like a client's, but does not forward it to a third edge. */
   readonly serveForPeer: (request: IncomingRequest, reply: ReplyCallback) => void;
 }
 
-/** The router's side of object sharing. */
+/** Requests objects from their owners, and serves the objects that this edge owns. */
 export class PeerObjects {
   readonly #options: PeerObjectsOptions;
   readonly #sharing: ObjectSharing | undefined;
@@ -57,19 +57,19 @@
       options.peers === undefined ? undefined : new ObjectSharing(options.peers, self);
   }
 
-  /** Adopts the fleet's edges; those of this edge's zone share objects. */
+  /** Updates the edges that share objects: those of this edge's zone. */
   updateEdges(edges: readonly Member[]): void {
     this.#sharing?.updatePeers(
       edges.filter((edge) => edge.area === this.#options.zone).map((edge) => edge.address),
     );
   }
 
-  /** Ends requests to owners that have not replied in time. */
+  /** Expires requests to owners that have not replied in time. */
   tick(now: Timestamp): void {
     this.#sharing?.tick(now);
   }
 
-  /** Handles a frame of another edge: its request for an object, or its reply. */
+  /** Handles another edge's request for an object, or its reply to a request of this edge. */
   handleFrame(from: Address, frame: ObjectFrame): void {
     const now = this.#options.context.now();
     if (frame.kind === 'object-request') this.#serveObject(from, frame);
@@ -77,8 +77,8 @@
   }
 
   /**
-   * Asks the edge that owns an object, where this edge's quota share is too small to fetch all objects itself. Gives
-   * false if the request has to be sent to an origin instead; else `onOutcome` is called once.
+   * Requests an object from the edge that owns it, if this edge's quota share is too small to fetch all objects itself.
+   * Returns false if the request must be sent to an origin instead; otherwise `onOutcome` is called once.
    */
   requestFromOwner(
     active: ActiveRequest,
@@ -108,7 +108,7 @@
     return true;
   }
 
-  /** Replies with an object that this edge owns: cached, or fetched if its quota share allows it. */
+  /** Replies with an object that this edge owns: from the cache, or fetched if the quota share permits it. */
   #serveObject(to: Address, query: FrameOf<'object-request'>): void {
     const { context, counts, headerNames, serveForPeer } = this.#options;
     const respond = (reply: ObjectReply): void =>
@@ -137,7 +137,7 @@
     if (!progress.hasReplied) respond('fetching');
   }
 
-  /** Whether both edges run the same configuration, the route is cached, and the link has room; room is reserved. */
+  /** Whether both edges run the same configuration, the route is cached and bandwidth could be reserved. */
   #mayServe(query: FrameOf<'object-request'>, now: Timestamp): boolean {
     const { compiledConfiguration } = this.#options.context.nodeAgent();
     if (compiledConfiguration?.routesByName.get(query.route)?.cache === undefined) return false;
--- a/packages/routing/src/router/ports.ts
+++ b/packages/routing/src/router/ports.ts
@@ -1,4 +1,4 @@
-/** What the edge router receives and gives: requests, replies, its limits, and the client that reaches origins. */
+/** Interfaces of the edge router: requests, replies, limits, header names and the origin client. */
 
 import type {
   Address,
@@ -12,23 +12,23 @@
 import type { CacheEntry, NodeAgent } from '@switchwheel/proxy-core';
 import type { OriginResponse } from '../attempt-state/attempt-state.js';
 
-/** The names of the headers that clients and origins use, in lower case. */
+/** Names of the headers exchanged with clients and origins, in lower case. */
 export interface HeaderNames {
-  /** The id that each attempt of a client bears, and that origins echo. */
+  /** Request id, set by the client and echoed by origins. */
   readonly requestId: string;
-  /** How many milliseconds the client, or the origin, has left. */
+  /** Remaining time in milliseconds until the sender gives up. */
   readonly timeLeftMs: string;
-  /** The one instance that may run a request. */
+  /** Instance that may run the request; all others must reject it. */
   readonly targetInstance: string;
-  /** In a response: the origin did not run the request. */
+  /** Response header by which an origin states that it did not run the request. */
   readonly unprocessed: string;
-  /** The tags that purges by tag name. */
+  /** Response header with the tags by which an object can be purged. */
   readonly cacheTags: string;
-  /** A success without it is not the origin's; undefined where origins give no proof. */
+  /** Header that every successful response must carry to be accepted; undefined if origins send none. */
   readonly originProof: string | undefined;
 }
 
-/** The header names of a fleet that no platform has given others. */
+/** Header names used unless the platform sets others. */
 export const defaultHeaderNames: HeaderNames = {
   requestId: 'switchwheel-id',
   timeLeftMs: 'switchwheel-deadline-ms',
@@ -38,22 +38,22 @@
   originProof: undefined,
 };
 
-/** The limits that the fleet's edges keep together. */
+/** Limits that all edges of the fleet keep in sum. */
 export interface EdgeLimits {
-  /** In any window extra attempts (retries and hedges) are this part of the requests, and the slack beside. */
+  /** Extra attempts (retries and hedges) in any window are at most this ratio of the requests, plus the slack. */
   readonly extraAttemptRatio: number;
   readonly extraAttemptSlack: number;
   readonly extraAttemptWindowMs: number;
-  /** In any window a service may be sent this many times what its rate allows. */
+  /** Requests to a service in any window are at most its rate limit times the overage factor. */
   readonly rateLimitWindowMs: number;
   readonly rateLimitOverageFactor: number;
-  /** How long cached objects may be served after this edge last had every purge. */
+  /** Maximum time that cached objects are served after this edge last had all purges. */
   readonly maxPurgeLagMs: number;
-  /** How soon after its confirmation a configuration has to be in force. */
+  /** Maximum time between the confirmation of a configuration and its use at an edge. */
   readonly maxApplyMs: number;
 }
 
-/** The limits where the settings give none. */
+/** Limits used unless the settings set others. */
 export const defaultEdgeLimits: EdgeLimits = {
   extraAttemptRatio: 0.2,
   extraAttemptSlack: 60,
@@ -64,29 +64,29 @@
   maxApplyMs: 2000,
 };
 
-/** A client's request with its whole body; names of fields are in lower case. */
+/** A client's request with its complete body; field names are in lower case. */
 export interface IncomingRequest {
-  /** The client's id of the request; empty if it gave none. */
+  /** Request id set by the client; empty if there is none. */
   readonly id: string;
   readonly method: string;
   readonly host: string;
   readonly target: string;
   readonly fields: HeaderFields;
   readonly body: Buffer;
-  /** How long the client waits; undefined if it did not say. */
+  /** Time that the client waits for a response; undefined if it sent none. */
   readonly timeoutMs: number | undefined;
 }
 
-/** What a client gets in the end. */
+/** Final reply to a client. */
 export type ClientReply =
   | {
       readonly kind: 'failure';
       readonly errorKind: ErrorKind;
       readonly text: string;
-      /** After how many milliseconds the client may try again; 0 says nothing about it. */
+      /** Delay in milliseconds after which the client may retry; 0 for no advice. */
       readonly retryAfterMs: number;
     }
-  /** An object that may be shared, and the last purge that it is known to have survived. */
+  /** A shareable object, and the latest purge that is known not to have removed it. */
   | {
       readonly kind: 'cached';
       readonly entry: CacheEntry;
@@ -94,10 +94,10 @@
     }
   | { readonly kind: 'response'; readonly response: OriginResponse };
 
-/** Called once with the reply to a request. */
+/** Callback for the reply to a request; called at most once. */
 export type ReplyCallback = (reply: ClientReply) => void;
 
-/** One attempt: a request as it is sent to one origin. */
+/** An attempt: a request as it is sent to one origin. */
 export interface AttemptRequest {
   readonly service: ServiceName;
   readonly address: Address;
@@ -108,11 +108,11 @@
   readonly fields: HeaderFields;
   readonly body: Buffer;
   readonly timeoutMs: number;
-  /** Whether a connection of its own is opened for it: a refusal to open it is then certain. */
+  /** Whether to open a new connection, so that a refused connection proves that the request was not sent. */
   readonly needsNewConnection: boolean;
 }
 
-/** Hears how an attempt ended; one of the two is called, once. */
+/** Callbacks for the outcome of an attempt; exactly one of them is called, once, unless the attempt is cancelled. */
 export interface AttemptHandlers {
   readonly onResponse: (response: OriginResponse) => void;
   readonly onFailure: (mayHaveReachedOrigin: boolean, text: string) => void;
@@ -120,13 +120,13 @@
 
 /** Sends attempts to origins. */
 export interface OriginClient {
-  /** Sends an attempt; gives what to call to cancel it, after which no handler is called. */
+  /** Sends an attempt; returns a function that cancels it, after which no handler is called. */
   readonly send: (attempt: AttemptRequest, handlers: AttemptHandlers) => () => void;
-  /** Closes the idle connections to an instance that is gone. */
+  /** Closes the idle connections to an instance that has left. */
   readonly closeIdleConnections: (instance: InstanceId) => void;
 }
 
-/** What a router reads: the time, and the state of its node's agent. */
+/** Read access to the current time and to the state of the node agent. */
 export interface RouterContext {
   readonly now: () => Timestamp;
   readonly nodeAgent: () => NodeAgent;
--- a/packages/routing/src/router/request-runner.ts
+++ b/packages/routing/src/router/request-runner.ts
@@ -1,7 +1,6 @@
 /**
- * Carries requests through: applies events to their state machine, runs the effects, and replies to the client and to
- * those who wait for the same fetch. It decides nothing about endpoints, caching or quotas; that is done by the modules
- * it stands on.
+ * Executes requests: applies events to their state machine, runs the effects, and replies to the client and to the
+ * requests that wait for the same fetch. Endpoint selection, caching and quotas are decided by other modules.
  */
 
 import { type ServiceName, type Timestamp, addMs, increment } from '@switchwheel/types';
@@ -25,15 +24,15 @@
 import { failureReply, sendReply } from './replies.js';
 import type { ResponseCache } from './response-cache.js';
 
-/** When a client is to come back whose object its owner could not fetch. */
+/** Retry delay for a client whose object could not be fetched by its owner. */
 const ownerRetryMs = 250;
 
-/** A hedge is due after this many times the service's typical latency, within the two bounds. */
+/** Hedge delay as a multiple of the service's typical latency. */
 const hedgeLatencyFactor = 3;
 const minHedgeDelayMs = 60;
 const maxDefaultHedgeDelayMs = 400;
 
-/** What a runner stands on; all of it is the router's own. */
+/** Dependencies of a request runner, shared with its router. */
 export interface RequestRunnerOptions {
   readonly context: RouterContext;
   readonly originClient: OriginClient;
@@ -46,11 +45,11 @@
   readonly peerObjects: PeerObjects;
   readonly selector: EndpointSelector;
   readonly counts: Map<string, number>;
-  /** Accepts a request once more whose fetch brought nothing to share; gives what to call when its client leaves. */
+  /** Accepts a waiter again whose fetch gave no shareable response; returns the callback for a disconnect of its client. */
   readonly resubmit: (waiter: Waiter) => () => void;
 }
 
-/** The requests in progress at one edge. */
+/** Runs the requests in progress of one edge. */
 export class RequestRunner {
   readonly #options: RequestRunnerOptions;
   readonly #sender: AttemptSender;
@@ -69,12 +68,12 @@
     });
   }
 
-  /** Requests in progress, without those that wait for another one's fetch. */
+  /** Number of requests in progress, excluding those that wait for another request's fetch. */
   get openRequests(): number {
     return this.#activeRequests.size;
   }
 
-  /** Begins a request: at the edge that owns its object, or else at an origin. */
+  /** Starts a request at the edge that owns its object, or otherwise at an origin. */
   start(active: ActiveRequest, isForPeer: boolean, now: Timestamp): void {
     this.#activeRequests.set(active.id, active);
     const isRequestedFromOwner =
@@ -82,7 +81,7 @@
     if (!isRequestedFromOwner) this.#startAtOrigin(active, now);
   }
 
-  /** Ends what is past its deadline, and hedges what is late. */
+  /** Expires requests whose deadline has passed, and sends hedges that are due. */
   tick(now: Timestamp): void {
     for (const active of [...this.#activeRequests.values()]) {
       this.#expireWaiters(active.fetch, now);
@@ -94,22 +93,22 @@
     }
   }
 
-  /** Ends all requests in progress as expired. */
+  /** Expires all requests in progress. */
   abortAll(): void {
     const now = this.#options.context.now();
     for (const active of [...this.#activeRequests.values()])
       this.#dispatch(active, { kind: 'deadlineExpired', now });
   }
 
-  /** The client of a request has left. */
+  /** Called when the client of a request has disconnected. */
   onClientDisconnected(active: ActiveRequest): void {
     active.isClientDisconnected = true;
-    // Others may wait for what can be cached: it goes on without its client.
+    // A cacheable request continues, as others may wait for its fetch.
     if (active.cacheable === undefined)
       this.#dispatch(active, { kind: 'clientDisconnected', now: this.#options.context.now() });
   }
 
-  /** Sends a request to an origin for the first time. */
+  /** Starts the first attempt at an origin. */
   #startAtOrigin(active: ActiveRequest, now: Timestamp): void {
     active.hedgeAt = addMs(now, this.#hedgeDelayMs(active.service, active.route));
     this.#dispatch(active, { kind: 'started', now });
@@ -144,7 +143,7 @@
     this.#finishWithoutAttempt(active, { kind: 'cached', entry, purgeSeq: object.purged });
   };
 
-  /** Goes on without the owner; what it may have sent to an origin counts as the request's first attempt. */
+  /** Continues without the owner. If the owner may have sent an attempt, that counts as the request's first attempt. */
   #startWithoutOwner(active: ActiveRequest, mayHaveFetched: boolean, now: Timestamp): void {
     increment(this.#options.counts, 'owner_silent');
     if (!mayHaveFetched) {
@@ -164,14 +163,14 @@
     );
   }
 
-  /** Ends a request that was never sent to an origin from here. */
+  /** Finishes a request that this edge never sent to an origin. */
   #finishWithoutAttempt(active: ActiveRequest, reply: ClientReply): void {
     active.state = { ...active.state, phase: 'finished' };
     this.#activeRequests.delete(active.id);
     this.#finish(active, reply);
   }
 
-  /** Applies an event to a request, and those that its effects raise in turn. */
+  /** Applies an event to a request, and then the events that its effects produce. */
   #dispatch(active: ActiveRequest, event: RequestEvent): void {
     const queue: RequestEvent[] = [event];
     for (let nextEvent = queue.shift(); nextEvent !== undefined; nextEvent = queue.shift()) {
@@ -205,7 +204,7 @@
     }
   }
 
-  /** The reply for an outcome; a response that may be cached is stored. */
+  /** Returns the reply for an outcome, and stores a response that may be cached. */
   #replyOf(active: ActiveRequest, outcome: RequestOutcome, now: Timestamp): ClientReply {
     if (outcome.kind === 'failure')
       return failureReply(outcome.errorKind, outcome.text, outcome.retryAfterMs);
@@ -217,7 +216,7 @@
     return { kind: 'cached', entry, purgeSeq: start.purgeSeq };
   }
 
-  /** Replies to the client; those who waited for the fetch share a cached reply, or else go on by themselves. */
+  /** Replies to the client. Waiters of the fetch get the same reply if it is cached; otherwise they are resubmitted. */
   #finish(active: ActiveRequest, reply: ClientReply): void {
     const { counts, fetches, resubmit } = this.#options;
     const { cacheable, fetch } = active;
--- a/packages/routing/src/router/response-cache.ts
+++ b/packages/routing/src/router/response-cache.ts
@@ -1,6 +1,6 @@
 /**
- * The edge's cache of responses: when a cached response may be served, and which fetched or shared ones are stored.
- * Storage and variants are the `Cache`'s, the rules of cacheable requests those of `CacheLookup`.
+ * Response cache of an edge: decides when a cached response may be served and which responses are stored. `Cache`
+ * stores the variants; `CacheLookup` decides which requests are cacheable.
  */
 
 import { type Timestamp, elapsedMs } from '@switchwheel/types';
@@ -20,7 +20,7 @@
 import type { AttemptStart } from './active-request.js';
 import type { EdgeLimits, HeaderNames, IncomingRequest } from './ports.js';
 
-/** The cached responses of an edge: only those of status 200. */
+/** Cached responses of an edge; only responses with status 200 are cached. */
 export class ResponseCache {
   readonly #lookup: CacheLookup;
   readonly #headerNames: HeaderNames;
@@ -32,23 +32,23 @@
     this.#maxPurgeLagMs = limits.maxPurgeLagMs;
   }
 
-  /** How a request is known at the cache; undefined if its response may not be cached. */
+  /** Returns the cache key and fields of a request; undefined if its response must not be cached. */
   cacheable(route: CompiledRoute, request: IncomingRequest): CacheableRequest | undefined {
     const { method, host, target, fields } = request;
     return this.#lookup.cacheableRequest(route, method, host, target, fields);
   }
 
-  /** A cached response that may be served now. */
+  /** Returns a cached response that may be served now, if there is one. */
   find(cacheable: CacheableRequest, nodeAgent: NodeAgent, now: Timestamp): CacheEntry | undefined {
     const { purgesCurrentAsOf, nodeSession } = nodeAgent;
     const hasRecentPurges =
       purgesCurrentAsOf !== undefined && elapsedMs(purgesCurrentAsOf, now) < this.#maxPurgeLagMs;
-    // An edge that is cut off from all registries serves what it has.
+    // An edge disconnected from all registries keeps serving cached responses.
     if (!hasRecentPurges && isConnected(nodeSession, now)) return undefined;
     return this.#lookup.cache.find(cacheable.key, cacheable.fields, now);
   }
 
-  /** The entry of a response of status 200 that was just fetched; it is stored if its route gives it a lifetime. */
+  /** Returns the entry of a fetched response with status 200, and stores it if the route sets a lifetime. */
   storeResponse(
     cacheable: CacheableRequest,
     { fields, body }: OriginResponse,
@@ -60,7 +60,7 @@
     return entry;
   }
 
-  /** The entry of an object that another edge shared; undefined if it is too old or was purged since. */
+  /** Stores an object that another edge shared; returns undefined if it has expired or was purged since. */
   storeShared(
     cacheable: CacheableRequest,
     object: SharedObject,
--- a/packages/routing/src/testing/edge-fixture.ts
+++ b/packages/routing/src/testing/edge-fixture.ts
@@ -1,4 +1,4 @@
-/** Builds the state in which an edge serves: a compiled configuration, live origins, and fresh news of both. */
+/** Builds the state of an edge that is ready to serve: a compiled configuration, live origins and current members. */
 
 import {
   type ServiceName,
@@ -20,28 +20,28 @@
 } from '@switchwheel/configuration';
 import { type NodeAgent, newNodeAgent } from '@switchwheel/proxy-core';
 
-/** An origin instance that is live. */
+/** A live origin instance. */
 export interface OriginFixture {
   readonly instance: string;
   readonly address: string;
-  /** `r1` unless it is given. */
+  /** Defaults to `r1`. */
   readonly release?: string;
 }
 
-/** What an edge's state is built of. */
+/** Options for the state of an edge. */
 export interface EdgeAgentOptions {
   readonly configuration: CompiledConfiguration;
   readonly service: ServiceName;
   readonly origins: readonly OriginFixture[];
-  /** How many requests each origin can run at once. */
+  /** Number of requests that each origin can run concurrently. */
   readonly slots: number;
   readonly now: Timestamp;
   readonly member?: Member;
-  /** All members that the edge sees; itself only unless they are given. */
+  /** All members that the edge sees; defaults to the edge itself. */
   readonly members?: readonly Member[];
 }
 
-/** The edge `e1` of the zone `a`. */
+/** Edge `e1` in zone `a`. */
 export const edgeMember: Member = {
   node: toNodeId('e1'),
   role: 'edge',
@@ -50,18 +50,19 @@
   incarnation: toIncarnation(1),
 };
 
-/** Compiles a document; throws if it is not valid. */
+/** Compiles a configuration document; throws if it is invalid. */
 export const compileDocument = (document: object, generation = 1): CompiledConfiguration => {
   const bundle = runToCompletion(splitIntoChunks(document));
-  if (bundle.isErr) throw new Error('the document is not valid');
+  if (bundle.isErr) throw new Error('configuration document could not be split into chunks');
   const { hash, chunkHashes, chunks } = bundle.value;
   const texts = chunkHashes.map((chunkHash) => chunks.get(chunkHash) ?? '');
   const built = runToCompletion(buildConfiguration(texts, toGeneration(generation), hash));
-  if (built.isErr) throw new Error('the configuration could not be built');
+  if (built.isErr)
+    throw new Error('configuration document is invalid: building the configuration failed');
   return built.value;
 };
 
-/** A node agent that has its configuration and origins, but does not know whether the configuration is the newest. */
+/** Returns a node agent with a configuration and origins that has no confirmation that the configuration is current. */
 export const newEdgeAgent = (options: EdgeAgentOptions): NodeAgent => {
   const { configuration, service, slots, now, member = edgeMember } = options;
   const agent = newNodeAgent(member, [], { seed: 3 });
@@ -93,7 +94,7 @@
   };
 };
 
-/** A node agent that knows its configuration to be the newest. */
+/** Returns a node agent whose configuration is confirmed as the newest generation. */
 export const newConfirmedEdgeAgent = (options: EdgeAgentOptions): NodeAgent => ({
   ...newEdgeAgent(options),
   configFreshness: {
--- a/packages/routing/src/testing/index.ts
+++ b/packages/routing/src/testing/index.ts
@@ -1,3 +1,3 @@
-/** Builders for tests of an edge; no shipped code imports them. */
+/** Test fixtures for edges; not imported by production code. */
 
 export * from './edge-fixture.js';
--- a/packages/routing/src/token-bucket/token-bucket.ts
+++ b/packages/routing/src/token-bucket/token-bucket.ts
@@ -1,29 +1,29 @@
-/** Token buckets as values: tokens come in with time, or are earned, up to a capacity; what is sent takes them. */
+/** Immutable token buckets: tokens are added over time or explicitly, up to a capacity, and taken by each request. */
 
 import { type Timestamp, clockOrigin, elapsedMs } from '@switchwheel/types';
 
-/** How many tokens there were, and when. */
+/** Number of tokens at the time of the last refill. */
 export interface TokenBucket {
   readonly tokens: number;
   readonly refilledAt: Timestamp;
 }
 
-/** How a bucket refills, and how many tokens it holds at most. */
+/** Refill rate and capacity of a bucket. */
 export interface RefillRate {
   readonly tokensPerSecond: number;
   readonly capacity: number;
 }
 
-/** How long to wait for a token of a bucket that never refills. */
+/** Delay reported for a bucket that never refills. */
 const noRefillDelayMs = 1000;
 
-/** A new bucket is empty: a process that restarts has no claim from before. */
+/** Returns an empty bucket, so that a restarted process gains no tokens. */
 export const newTokenBucket = (now: Timestamp = clockOrigin): TokenBucket => ({
   tokens: 0,
   refilledAt: now,
 });
 
-/** The bucket with the tokens that have come in until now. */
+/** Returns the bucket with the tokens added until `now`. */
 export const refill = (bucket: TokenBucket, rate: RefillRate, now: Timestamp): TokenBucket => {
   const seconds = Math.max(0, elapsedMs(bucket.refilledAt, now)) / 1000;
   return {
@@ -32,13 +32,13 @@
   };
 };
 
-/** Adds tokens that were earned by something else than time. */
+/** Adds tokens, up to the capacity. */
 export const addTokens = (bucket: TokenBucket, rate: RefillRate, count: number): TokenBucket => ({
   ...bucket,
   tokens: Math.min(rate.capacity, bucket.tokens + count),
 });
 
-/** Takes one token; undefined if there is none. */
+/** Takes one token; returns undefined if there is none. */
 export const takeToken = (
   bucket: TokenBucket,
   rate: RefillRate,
@@ -48,7 +48,7 @@
   return refilled.tokens < 1 ? undefined : { ...refilled, tokens: refilled.tokens - 1 };
 };
 
-/** In how many milliseconds there will be a token. */
+/** Returns the time in milliseconds until a token is available. */
 export const nextTokenDelayMs = (bucket: TokenBucket, rate: RefillRate, now: Timestamp): number => {
   const { tokens } = refill(bucket, rate, now);
   if (tokens >= 1) return 0;
