--- a/packages/proxy/src/admin/proxy-view.ts
+++ b/packages/proxy/src/admin/proxy-view.ts
@@ -1,6 +1,6 @@
 /**
- * A proxy's state for its operators, as the admin server's `/state` shows it. The keys are part of the operators'
- * interface and keep the words of the operators' pages; the code's own terms stand on the right.
+ * State of a proxy as shown by `/state` of the admin server. The keys are part of the operators' interface and may differ
+ * from the names used in the code.
  */
 
 import {
@@ -15,7 +15,7 @@
 import type { Timestamp } from '@switchwheel/types';
 import { now } from '@switchwheel/runtime';
 
-/** The state as an object for JSON. */
+/** Returns the state as a JSON-serializable object. */
 export const proxyView = ({ nodeAgent, leaders, forwarding }: ProxyState): object => {
   const at = now();
   const { holders, members } = nodeAgent.nodeSession;
--- a/packages/proxy/src/direct-edge/client-connections.ts
+++ b/packages/proxy/src/direct-edge/client-connections.ts
@@ -1,38 +1,38 @@
 /**
- * The clients' connections of an HTTP server: when each may be closed. A connection is never closed while a request that
- * was read on it has no complete response, in whatever order pipelined requests get theirs.
+ * Client connections of an HTTP server; decides when each may be closed. A connection is never closed while a request
+ * that was read on it has no complete response, whatever the order in which pipelined requests are answered.
  */
 
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { Duplex } from 'node:stream';
 import type { Socket } from 'node:net';
 
-/** How much longer than announced an idle connection is kept: a request that is on its way still arrives. */
+/** Time that an idle connection is kept beyond the announced timeout, for requests already on their way. */
 const keepAliveGraceMs = 1000;
 
-/** One request of a connection, from its head to when its response is handed to the operating system. */
+/** A request and its response, from the request head until the response is passed to the operating system. */
 interface Exchange {
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
-  /** How long the connection may be idle after this response, as its head announces. */
+  /** Idle timeout announced with this response. */
   readonly keepAliveMs: number;
-  /** Called once: the response is handed over, or the connection closed before. */
+  /** Called once, when the response is passed on or the connection closes before. */
   readonly onEnd: () => void;
 }
 
 interface Connection {
   readonly socket: Socket;
-  /** Requests without a complete response, in the order in which they came. */
+  /** Requests without a complete response, in order of arrival. */
   readonly exchanges: Exchange[];
-  /** A response was sent that is the last one of this connection. */
+  /** Whether the last response of this connection was sent. */
   isClosing: boolean;
-  /** The response to a message that could not be read; it ends the connection. */
+  /** Response to a malformed message; the connection closes after it. */
   errorResponse: string | undefined;
-  /** Bytes that had been read when the last response was handed over. */
+  /** Value of `bytesRead` when the last response was passed on. */
   bytesReadWhenIdle: number;
 }
 
-/** Tracks the connections of one server. */
+/** Tracks the client connections of one server. */
 export class ClientConnections {
   readonly #connections = new Map<Duplex, Connection>();
   #isClosing = false;
@@ -47,14 +47,14 @@
       bytesReadWhenIdle: 0,
     };
     this.#connections.set(socket, connection);
-    // The server does not report the close to a pipelined response that still waits for its turn.
+    // The server emits no 'close' on a pipelined response that is still queued behind another.
     socket.once('close', () => {
       this.#connections.delete(socket);
       for (const exchange of connection.exchanges.splice(0)) exchange.onEnd();
     });
   }
 
-  /** Begins an exchange with the head of a request; false if the connection's last response was sent already. */
+  /** Starts an exchange with the head of a request; returns false if the connection's last response was already sent. */
   begin(
     request: IncomingMessage,
     response: ServerResponse,
@@ -69,19 +69,19 @@
     return true;
   }
 
-  /** Whether the response to a request may announce that it is the last one: no request came behind it. */
+  /** Whether the response to a request may be the last of its connection, as no request was read after it. */
   mayBeLast(request: IncomingMessage): boolean {
     const connection = this.#connections.get(request.socket);
     return connection === undefined || connection.exchanges.at(-1)?.request === request;
   }
 
-  /** The response to a request announces that it is the last one. */
+  /** Marks the response to a request as the last of its connection. */
   markLast(request: IncomingMessage): void {
     const connection = this.#connections.get(request.socket);
     if (connection !== undefined) connection.isClosing = true;
   }
 
-  /** Rejects a message that could not be read, after the responses to all requests before it. */
+  /** Rejects a malformed message after the responses to all requests before it. */
   rejectMalformed(socket: Duplex, errorResponse: string): void {
     const connection = this.#connections.get(socket);
     if (connection === undefined) {
@@ -92,7 +92,7 @@
     this.#rejectInOrder(connection);
   }
 
-  /** Closes idle connections at once, and the others when all their requests have responses. */
+  /** Closes idle connections immediately, and the others once all their requests have responses. */
   close(): void {
     this.#isClosing = true;
     for (const connection of this.#connections.values())
@@ -118,7 +118,7 @@
 
   #rejectInOrder(connection: Connection): void {
     const { exchanges, errorResponse, socket } = connection;
-    // A request that was read in part is the one that is rejected.
+    // An incomplete request is the one being rejected, so only complete requests are waited for.
     if (errorResponse === undefined || exchanges.some(({ request }) => request.complete)) return;
     connection.isClosing = true;
     if (socket.writable) socket.end(errorResponse);
@@ -126,6 +126,6 @@
   }
 }
 
-/** Whether no request is in progress, nor any part of one was read. */
+/** Whether no request is in progress and no part of a new one has been read. */
 const isIdle = (connection: Connection): boolean =>
   connection.exchanges.length === 0 && connection.socket.bytesRead === connection.bytesReadWhenIdle;
--- a/packages/proxy/src/direct-edge/client-listener.ts
+++ b/packages/proxy/src/direct-edge/client-listener.ts
@@ -1,6 +1,6 @@
 /**
- * The HTTP server for the clients of a direct edge: it reads requests with their bodies and hands them to the router.
- * When a connection may be closed is decided by `ClientConnections`, what a response looks like by `ResponseWriter`.
+ * HTTP server for the clients of an edge without shields: reads requests with their bodies and passes them to the router.
+ * `ClientConnections` decides when a connection may be closed, `ResponseWriter` writes the responses.
  */
 
 import { type IncomingMessage, type Server, type ServerResponse, createServer } from 'node:http';
@@ -17,7 +17,7 @@
 
 const emptyBody = Buffer.alloc(0);
 const connectionBacklog = 1024;
-/** The limits until a configuration says otherwise. */
+/** Limit until a configuration is applied. */
 const defaultMaxBodyBytes = 1024 * 1024;
 const serverOptions = {
   keepAliveTimeout: 15_000,
@@ -29,19 +29,19 @@
   requireHostHeader: true,
 };
 
-/** What a listener asks of its edge. */
+/** Options of a listener. */
 export interface ClientListenerOptions {
-  /** Whether clients are told to come back on another connection. */
+  /** Whether responses ask clients to close their connections. */
   readonly isClosing: () => boolean;
 }
 
-/** One request from its head to its response; `cancel` is the router's. */
+/** A request from its head to its response; `cancel` cancels it at the router. */
 interface ClientExchange {
   hasEnded: boolean;
   cancel: () => void;
 }
 
-/** Accepts clients' connections and requests. */
+/** Accepts client connections and requests. */
 export class ClientListener {
   readonly #router: EdgeRouter;
   readonly #headerNames: HeaderNames;
@@ -49,7 +49,7 @@
   readonly #connections = new ClientConnections();
   readonly #writer: ResponseWriter;
   #maxBodyBytes = defaultMaxBodyBytes;
-  /** Requests that were read and have no response yet. */
+  /** Number of requests whose head was read and that have no complete response yet. */
   openRequests = 0;
 
   constructor(router: EdgeRouter, headerNames: HeaderNames, { isClosing }: ClientListenerOptions) {
@@ -66,7 +66,7 @@
     });
   }
 
-  /** Listens at an address; the promise fails if the address can't be had. */
+  /** Listens on an address; rejects if the address is not available. */
   listen(address: Address): Promise<void> {
     return new Promise((done, fail) => {
       this.#server.once('error', fail);
@@ -77,7 +77,7 @@
     });
   }
 
-  /** Adopts a configuration's limits for clients. */
+  /** Applies a configuration's limits for clients. */
   applyLimits(limits: ClientLimits): void {
     this.#maxBodyBytes = limits.bodyBytes;
     this.#server.keepAliveTimeout = limits.idleMs;
@@ -85,15 +85,15 @@
   }
 
   /**
-   * Accepts no new connections, and closes the others as soon as all requests read on them have their responses. The
-   * HTTP server's own `close` would cut responses that are not yet written out to a slow client.
+   * Stops accepting connections, and closes open ones once all requests read on them have responses. `close` of the HTTP
+   * server would truncate responses that are still being written to slow clients.
    */
   stopAccepting(): void {
     NetServer.prototype.close.call(this.#server);
     this.#connections.close();
   }
 
-  /** Closes all connections at once, also amid a response. */
+  /** Closes all connections immediately, including those with a response in progress. */
   closeAllConnections(): void {
     this.#server.closeAllConnections();
   }
@@ -135,7 +135,7 @@
     };
   }
 
-  /** The body; undefined if it can't be read, which the client has then been told. */
+  /** Reads the body; returns undefined after sending an error response if it can't be read. */
   async #readBody(
     message: IncomingMessage,
     response: ServerResponse,
@@ -152,7 +152,7 @@
 const hasBody = ({ headers }: IncomingMessage): boolean =>
   headers['content-length'] !== undefined || headers['transfer-encoding'] !== undefined;
 
-/** The response to a message that could not be read, by the HTTP parser's error code. */
+/** Returns the response to a malformed message for an error code of the HTTP parser. */
 const parseErrorResponse = (code: string | undefined): string => {
   const status =
     code === 'HPE_HEADER_OVERFLOW'
--- a/packages/proxy/src/direct-edge/drain.ts
+++ b/packages/proxy/src/direct-edge/drain.ts
@@ -1,20 +1,20 @@
-/** The graceful shutdown of a direct edge's requests. */
+/** Graceful shutdown of the requests of an edge without shields. */
 
 import type { EdgeRouter } from '@switchwheel/routing';
 import { type Logger, delay, now } from '@switchwheel/runtime';
 import type { ClientListener } from './client-listener.js';
 
-/** How long the platform needs to see that an edge is stopping. */
+/** Time for the platform to notice that the edge is no longer ready. */
 const shutdownNoticeMs = 2600;
-/** How long before the end of a stop requests still in progress are aborted, and their clients told so. */
+/** Time before the end of the shutdown at which requests in progress are aborted with an error response. */
 const abortLeadTimeMs = 300;
 const pollIntervalMs = 10;
-/** How long replies to aborted requests get to leave. */
+/** Time to send the responses to aborted requests. */
 const abortedReplyFlushMs = 50;
 
 /**
- * Serves on until the platform has had time to notice, then accepts no connections and waits for the requests in
- * progress; those that are left near the end of `timeoutMs` are aborted. All connections are closed at the end.
+ * Keeps serving until the platform has had time to notice the shutdown, then accepts no more connections and waits for
+ * the requests in progress. Requests left near the end of `timeoutMs` are aborted. Finally all connections are closed.
  */
 export const drainRequests = async (
   listener: ClientListener,
@@ -34,6 +34,6 @@
     log.write('warn', 'requests aborted by shutdown', new Map([['count', router.abortAll()]]));
     await delay(abortedReplyFlushMs);
   }
-  // In one turn with the last look at what is open: nothing can have been read in between.
+  // No await since the last check of open requests, so no request can have been read in between.
   listener.closeAllConnections();
 };
--- a/packages/proxy/src/direct-edge/edge-metrics.ts
+++ b/packages/proxy/src/direct-edge/edge-metrics.ts
@@ -1,11 +1,11 @@
-/** The metrics of a direct edge; their names are part of the operators' interface. */
+/** Metrics of an edge without shields; their names are part of the operators' interface. */
 
 import { totalViolations } from '@switchwheel/types';
 import type { NodeAgent } from '@switchwheel/proxy-core';
 import type { EdgeRouter } from '@switchwheel/routing';
 import { formatMetrics, metricSample } from '@switchwheel/runtime';
 
-/** The metrics as text; `maxLoopLagMs` is how long the event loop was held up since the last call. */
+/** Returns the metrics as text; `maxLoopLagMs` is the maximum event loop lag since the last call. */
 export const edgeMetrics = (
   nodeAgent: NodeAgent,
   router: EdgeRouter,
--- a/packages/proxy/src/direct-edge/edge-ticker.ts
+++ b/packages/proxy/src/direct-edge/edge-ticker.ts
@@ -1,14 +1,14 @@
-/** What a direct edge does regularly: it hands the fleet's changes and the time to the router, and sends reports. */
+/** Periodic work of an edge without shields: updates and ticks the router, and reports rollout counts. */
 
 import { type Timestamp, primaryLease } from '@switchwheel/types';
 import type { ChannelPool } from '@switchwheel/transport';
 import type { NodeAgent } from '@switchwheel/proxy-core';
 import type { EdgeRouter } from '@switchwheel/routing';
 
-/** How often the counts of rollouts are sent to the store's primary. */
+/** Interval at which rollout counts are sent to the store's primary. */
 const reportIntervalMs = 250;
 
-/** What a ticker stands on. */
+/** Dependencies of a ticker. */
 export interface EdgeTickerOptions {
   readonly now: () => Timestamp;
   readonly nodeAgent: () => NodeAgent;
@@ -16,7 +16,7 @@
   readonly channels: ChannelPool;
 }
 
-/** Runs after each tick of the node agent. */
+/** Periodic work of one edge; `tick` is called after each tick of the node agent. */
 export class EdgeTicker {
   readonly #options: EdgeTickerOptions;
   #lastNodeAgent: NodeAgent | undefined;
@@ -27,7 +27,7 @@
     this.#lastReportedAt = options.now();
   }
 
-  /** Updates the router's view of the fleet if it has changed, ticks the router, and reports if it is time. */
+  /** Updates the router if the fleet has changed, ticks the router, and sends reports that are due. */
   tick(): void {
     const { now, nodeAgent, router } = this.#options;
     const current = nodeAgent();
--- a/packages/proxy/src/direct-edge/origin-client.ts
+++ b/packages/proxy/src/direct-edge/origin-client.ts
@@ -1,4 +1,4 @@
-/** Sends requests to origins with Node's HTTP client: no retries, no redirects, and each response whole in memory. */
+/** Origin client based on Node's HTTP client: no retries, no redirects, responses buffered in memory. */
 
 import type { InstanceId } from '@switchwheel/types';
 import type {
@@ -10,7 +10,7 @@
 import { OriginConnections } from './origin-connections.js';
 import { OriginExchange } from './origin-exchange.js';
 
-/** The origin client of a direct edge. */
+/** Origin client of an edge without shields. */
 export class HttpOriginClient implements OriginClient {
   readonly #headerNames: HeaderNames;
   readonly #connections = new OriginConnections();
@@ -19,12 +19,12 @@
     this.#headerNames = headerNames;
   }
 
-  /** Closes the idle connections to an instance that is gone. */
+  /** Closes the idle connections to an instance that has left. */
   closeIdleConnections(instance: InstanceId): void {
     this.#connections.closeIdleConnections(instance);
   }
 
-  /** Sends a request to an origin once; gives what to call to cancel it. */
+  /** Sends a request to an origin once; returns a function that cancels it. */
   send(attempt: AttemptRequest, handlers: AttemptHandlers): () => void {
     const exchange = new OriginExchange({
       attempt,
--- a/packages/proxy/src/direct-edge/origin-connections.ts
+++ b/packages/proxy/src/direct-edge/origin-connections.ts
@@ -1,22 +1,22 @@
 /**
- * Connections to origins. Those that are kept open are watched while they are idle: nothing that an origin sends then
- * can reach a later request.
+ * Persistent connections to origins. An idle connection is closed if data arrives on it, so that surplus data can't be
+ * taken for the response to a later request.
  */
 
 import { Agent, type ClientRequest } from 'node:http';
 import type { Socket } from 'node:net';
 import type { InstanceId } from '@switchwheel/types';
 
-/** Idle connections to one origin that are kept open. */
+/** Maximum number of idle connections to one origin. */
 const maxIdleConnections = 8;
-/** How long a connection may be idle here: well before an origin closes it. */
+/** Idle timeout; shorter than the usual keep-alive timeout of origins. */
 const idleTimeoutMs = 4000;
 
-/** The connections that are kept open, by instance. */
+/** Keep-alive agents by origin instance. */
 export class OriginConnections {
   readonly #agents = new Map<InstanceId, KeepAliveAgent>();
 
-  /** The agent that keeps the connections to an instance. */
+  /** Returns the agent for connections to an instance. */
   agentFor(instance: InstanceId): Agent {
     const existing = this.#agents.get(instance);
     if (existing !== undefined) return existing;
@@ -30,7 +30,7 @@
     return agent;
   }
 
-  /** Closes the idle connections to an instance that is gone; those in use end with their requests. */
+  /** Closes the idle connections to an instance that has left; active ones close after their requests. */
   closeIdleConnections(instance: InstanceId): void {
     const agent = this.#agents.get(instance);
     if (agent === undefined) return;
@@ -40,16 +40,16 @@
   }
 }
 
-/** Bytes that come while no request is in flight belong to none: the connection ends. */
+/** Closes an idle connection on which data arrives, as the data belongs to no request. */
 const destroyOnUnexpectedData = function destroyOnUnexpectedData(this: Socket): void {
   this.destroy();
 };
 
-/** The agent's own decision, which its types hide: it keeps no connection that its origin will close within a second. */
+/** Method missing from Node's type definitions; keeps no connection that its origin will close within a second. */
 const baseAgent: { readonly keepSocketAlive: (this: Agent, socket: Socket) => unknown } =
   Agent.prototype;
 
-/** Keeps a connection only if nothing is left to read on it, and reads nothing from an idle one. */
+/** Keeps a connection only if no unread data is left on it, and closes an idle one on which data arrives. */
 class KeepAliveAgent extends Agent {
   override keepSocketAlive(socket: Socket): boolean {
     if (socket.bytesRead === 0 || socket.readableLength > 0 || socket.destroyed) return false;
--- a/packages/proxy/src/direct-edge/origin-exchange.ts
+++ b/packages/proxy/src/direct-edge/origin-exchange.ts
@@ -1,7 +1,7 @@
 /**
- * One request to an origin over HTTP/1.1 and its response. A response counts only if it is complete, bears the id of its
- * request and, where origins give one, its proof; everything else is a failure. A failure says whether the request may
- * have reached the origin: it can't have before the connection was open.
+ * A request to an origin over HTTP/1.1 and its response. A response is accepted only if it is complete and carries the id
+ * of its request and, if configured, the proof header; everything else is a failure. A failure states whether the request
+ * may have reached the origin, which is impossible before the connection has opened.
  */
 
 import { type Agent, type ClientRequest, type IncomingMessage, request } from 'node:http';
@@ -16,24 +16,23 @@
 import { fieldValue } from '@switchwheel/proxy-core';
 import { headerFieldsOf } from '../http/header-fields.js';
 
-/** How long a connection may take to open. */
 const connectTimeoutMs = 300;
-/** The least status of a final response; lower ones are interim responses or none at all. */
+/** Lowest status of a final response; lower ones are interim or invalid. */
 const minFinalStatus = 200;
 const maxBodyBytes = 64 * 1024 * 1024;
 const misdirectedRequestStatus = 421;
 const emptyBody = Buffer.alloc(0);
 
-/** What an exchange is made of. */
+/** Parameters of an exchange. */
 export interface OriginExchangeOptions {
   readonly attempt: AttemptRequest;
   readonly handlers: AttemptHandlers;
   readonly headerNames: HeaderNames;
-  /** False for a connection of its own. */
+  /** Agent that keeps connections open, or false for a new connection. */
   readonly agent: Agent | false;
 }
 
-/** Sends a request when it is made, and calls one of the handlers once unless it is cancelled before. */
+/** Sends a request on construction, and calls exactly one of the handlers once, unless it is cancelled before. */
 export class OriginExchange {
   readonly #options: OriginExchangeOptions;
   readonly #request: ClientRequest;
@@ -65,14 +64,14 @@
     this.#request.end(attempt.body.length > 0 ? attempt.body : undefined);
   }
 
-  /** Gives the request up; no handler is called any more. */
+  /** Cancels the request; no handler is called afterwards. */
   cancel(): void {
     if (this.#end()) this.#request.destroy();
   }
 
   #onSocket(socket: Socket): void {
     this.#socket = socket;
-    // Before the HTTP client hears of the end, and takes a response without a length for complete.
+    // Must run before the listener of the HTTP client, which accepts a response without a length as complete.
     socket.prependListener('end', this.#onSocketEnd);
     if (!socket.connecting) {
       this.#mayHaveReachedOrigin = true;
@@ -88,7 +87,7 @@
     this.#wasReset = this.#socket !== undefined && isReset(this.#socket);
   };
 
-  /** What happens behind a complete response does not spoil it. */
+  /** Fails the exchange, unless the response is already complete. */
   #onConnectionFailure(text: string): void {
     if (this.#response?.complete !== true) this.#fail(text);
   }
@@ -105,7 +104,7 @@
     response.socket.destroy();
   }
 
-  /** Why a response can't be one to this request, by its status and fields. */
+  /** Returns the reason to reject a response by its status and fields; undefined if there is none. */
   #headFailureReason(status: number, fields: HeaderFields): string | undefined {
     const { attempt, headerNames } = this.#options;
     const { requestId, originProof } = headerNames;
@@ -172,7 +171,7 @@
     this.#options.handlers.onFailure(this.#mayHaveReachedOrigin, text);
   }
 
-  /** Whether this is the end: everything behind it is ignored. */
+  /** Ends the exchange; returns false if it had ended before. */
   #end(): boolean {
     if (this.#hasEnded) return false;
     this.#hasEnded = true;
@@ -190,11 +189,11 @@
 };
 
 /**
- * Whether a connection that has just ended was reset. The event loop reports a reset that comes together with the last
- * bytes as an orderly end; the peer's address, asked for now for the first time, is gone only after a reset.
+ * Whether a connection that has just ended was reset. Node reports a reset that arrives together with the last bytes as
+ * an orderly end. The peer's address, which must not have been read before, is unavailable only after a reset.
  */
 const isReset = (socket: Socket): boolean => socket.remoteAddress === undefined;
 
-/** Whether only the end of its connection shows where a response ends. */
+/** Whether the end of a response is marked only by the close of its connection. */
 const isDelimitedByClose = ({ headers }: IncomingMessage): boolean =>
   headers['content-length'] === undefined && headers['transfer-encoding'] === undefined;
--- a/packages/proxy/src/direct-edge/readiness.ts
+++ b/packages/proxy/src/direct-edge/readiness.ts
@@ -1,27 +1,26 @@
-/** Whether an edge may be sent requests. */
+/** Readiness of an edge, as reported to the platform. */
 
 import type { NodeAgent } from '@switchwheel/proxy-core';
 
 /**
- * An edge is ready once it has a compiled configuration and the fleet's members and origins, and stays so while no
- * configuration fails and it is not stopping. What it once had is not asked for again: an edge that loses its registry
- * serves on.
+ * An edge becomes ready once it has a compiled configuration and the fleet's members. It is not ready while a
+ * configuration update has failed or during shutdown. It stays ready without a registry.
  */
 export class Readiness {
   #hasInitialized = false;
   #isStopping = false;
 
-  /** Whether the edge is ending its work. */
+  /** Whether the edge is shutting down. */
   get isStopping(): boolean {
     return this.#isStopping;
   }
 
-  /** From now on the edge is not ready. */
+  /** Marks the edge as shutting down, and thereby as not ready. */
   beginShutdown(): void {
     this.#isStopping = true;
   }
 
-  /** Whether the edge is ready, by the state of its node agent. */
+  /** Whether the edge is ready, according to the state of its node agent. */
   isReady({ compiledConfiguration, failedUpdate, nodeSession }: NodeAgent): boolean {
     this.#hasInitialized ||=
       compiledConfiguration !== undefined &&
--- a/packages/proxy/src/direct-edge/start-edge.ts
+++ b/packages/proxy/src/direct-edge/start-edge.ts
@@ -1,6 +1,6 @@
 /**
- * The program of an edge that sends its requests straight to origins (no shield between). This module wires the parts,
- * listens and stops; it decides nothing.
+ * Program of an edge that sends requests directly to origins, without shields. This module creates and connects the
+ * components, starts the servers and shuts them down.
  */
 
 import type { Server } from 'node:http';
@@ -39,36 +39,36 @@
 import { Readiness } from './readiness.js';
 import { startStatusServer } from './status-server.js';
 
-/** The settings of an edge that sends straight to origins. */
+/** Settings of an edge that sends requests directly to origins. */
 export interface EdgeSettings {
   readonly node: NodeId;
   readonly zone: ZoneName;
-  /** Where other nodes of the fleet connect. */
+  /** Address for connections from other nodes of the fleet. */
   readonly listen: Address;
   readonly seeds: readonly Address[];
-  /** Where clients connect. */
+  /** Address for connections from clients. */
   readonly clientAddress: Address;
-  /** Where the platform asks whether this edge is ready, and at which path. */
+  /** Address and path of the readiness check. */
   readonly readiness: { readonly address: Address; readonly path: string };
-  /** At which path of the same address the metrics are read. */
+  /** Path of the metrics, at the address of the readiness check. */
   readonly metricsPath: string;
   readonly cacheBytes: number;
-  /** The rate of this machine's link in bytes a second; infinite if it is not known. */
+  /** Bandwidth of this machine's link in bytes per second; infinite if unknown. */
   readonly linkBytesPerSecond: number;
   readonly headerNames: HeaderNames;
   readonly limits: EdgeLimits;
-  /** How long a graceful shutdown may take in all. */
+  /** Maximum total time of a graceful shutdown. */
   readonly stopTimeoutMs: number;
 }
 
-/** How often the node agent and the requests in progress are ticked. */
+/** Tick interval of the node agent and of the requests in progress. */
 const tickIntervalMs = 30;
 const maxActiveRequests = 1024;
 
 type EdgeEffect = Exclude<NodeAgentEffect, ProcessEffect>;
 type NodeAgentLoop = EventLoop<NodeAgent, NodeAgentEvent>;
 
-/** The parts of a running edge. */
+/** Components of a running edge. */
 interface EdgeParts {
   readonly settings: EdgeSettings;
   readonly log: Logger;
@@ -80,7 +80,7 @@
   readonly readiness: Readiness;
 }
 
-/** Starts an edge that carries the bytes of its requests itself; the promise holds once it listens everywhere. */
+/** Starts an edge without shields; resolves once it listens on all addresses. */
 export const startEdge = async (settings: EdgeSettings, log: Logger): Promise<RunningProgram> => {
   const parts = wireEdge(settings, log);
   const { channels, listener, loop, readiness, router } = parts;
--- a/packages/proxy/src/direct-edge/status-server.ts
+++ b/packages/proxy/src/direct-edge/status-server.ts
@@ -1,4 +1,4 @@
-/** The HTTP server on which the platform asks an edge whether it is ready, and reads its metrics. */
+/** HTTP server for the platform's readiness checks and metrics collection. */
 
 import { type Server, createServer } from 'node:http';
 import type { Address } from '@switchwheel/types';
@@ -7,17 +7,17 @@
 
 const keepAliveTimeoutMs = 30_000;
 
-/** What a status server tells, and where. */
+/** Address, paths and data sources of a status server. */
 export interface StatusServerOptions {
   readonly address: Address;
   readonly readinessPath: string;
   readonly metricsPath: string;
   readonly isReady: () => boolean;
-  /** The metrics in the text form of Prometheus. */
+  /** Returns the metrics in the Prometheus text format. */
   readonly metrics: () => string;
 }
 
-/** Starts the server; the promise holds once it listens. */
+/** Starts the server; resolves once it listens. */
 export const startStatusServer = async (options: StatusServerOptions): Promise<Server> => {
   const { address, readinessPath, metricsPath, isReady, metrics } = options;
   const server = createServer({ keepAliveTimeout: keepAliveTimeoutMs }, (request, response) => {
--- a/packages/proxy/src/http/header-fields.ts
+++ b/packages/proxy/src/http/header-fields.ts
@@ -1,9 +1,9 @@
-/** Header fields as Node's HTTP parser read them. */
+/** Header fields from Node's HTTP parser. */
 
 import type { IncomingMessage } from 'node:http';
 import type { HeaderFields } from '@switchwheel/transport';
 
-/** The fields of a message in their order, repeated ones too; names in lower case. */
+/** Returns the fields of a message in order, including repeated ones, with names in lower case. */
 export const headerFieldsOf = ({ rawHeaders }: IncomingMessage): HeaderFields => {
   const fields: HeaderFields = [];
   for (let index = 0; index + 1 < rawHeaders.length; index += 2)
--- a/packages/proxy/src/index.ts
+++ b/packages/proxy/src/index.ts
@@ -1,4 +1,4 @@
-/** The proxy package: the program of a direct edge, and the settings of the `proxy` command. */
+/** Program of an edge without shields, and the settings of the `proxy` command. */
 
 export { settingsSchema, program } from './settings/settings.js';
 export { type EdgeSettings, startEdge } from './direct-edge/start-edge.js';
--- a/packages/proxy/src/main.ts
+++ b/packages/proxy/src/main.ts
@@ -1,4 +1,4 @@
-/** The `proxy` command: reads the settings, starts the proxy, and stops it when the process is asked to end. */
+/** Entry point of the `proxy` command: reads the settings, starts the proxy and handles shutdown signals. */
 
 import { createLogger, handleShutdownSignals, readSettingsOrExit } from '@switchwheel/runtime';
 import { startProxy } from './proxy/start-proxy.js';
--- a/packages/proxy/src/node-agent/compile-configuration.ts
+++ b/packages/proxy/src/node-agent/compile-configuration.ts
@@ -1,14 +1,14 @@
-/** Compiles a configuration for the node agent, in slices between which the process serves requests. */
+/** Compiles a configuration for the node agent in time slices, so that the process keeps serving requests. */
 
 import type { Timestamp } from '@switchwheel/types';
 import { buildConfiguration } from '@switchwheel/configuration';
 import type { NodeAgentEffect, NodeAgentEvent } from '@switchwheel/proxy-core';
 import { runTimeSliced } from '@switchwheel/runtime';
 
-/** The node agent's wish that a configuration be compiled. */
+/** Effect by which the node agent requests the compilation of a configuration. */
 export type CompileEffect = Extract<NodeAgentEffect, { kind: 'compileConfiguration' }>;
 
-/** Runs the effect; the node agent hears of the compiled configuration, or of the errors, as an event. */
+/** Executes the effect; the compiled configuration or the errors are dispatched to the node agent as an event. */
 export const compileConfiguration = (
   { chunkTexts, offer, previous }: CompileEffect,
   dispatch: (makeEvent: (now: Timestamp) => NodeAgentEvent) => void,
--- a/packages/proxy/src/proxy/drain.ts
+++ b/packages/proxy/src/proxy/drain.ts
@@ -1,4 +1,4 @@
-/** The graceful shutdown of a proxy's requests. */
+/** Graceful shutdown of a proxy's requests. */
 
 import type {
   EdgeRequestHandler,
@@ -10,21 +10,21 @@
 import { type HttpServer, type Logger, delay, now } from '@switchwheel/runtime';
 
 const pollIntervalMs = 20;
-/** How long replies to aborted requests get to leave. */
+/** Time to send the responses to aborted requests. */
 const abortedReplyFlushMs = 100;
 
-/** What is drained. */
+/** State, handlers and server of the proxy to drain. */
 export interface ProxyDrainOptions {
   readonly role: 'edge' | 'shield';
   readonly state: () => ProxyState;
   readonly edgeHandler: EdgeRequestHandler;
   readonly shieldHandler: ShieldRequestHandler;
-  /** The server for clients, at an edge. */
+  /** HTTP server for clients; defined only at an edge. */
   readonly clientServer: HttpServer | undefined;
   readonly log: Logger;
 }
 
-/** Waits, by the phases of `shutdownPhase`, for the requests in progress; those that take too long are aborted. */
+/** Waits for the requests in progress according to `shutdownPhase`, and aborts those that take too long. */
 export const drainProxy = async (options: ProxyDrainOptions): Promise<void> => {
   const { role, clientServer } = options;
   const startedAt = now();
@@ -45,7 +45,7 @@
   shieldHandler.inbound.size +
   [...state().leaders.values()].reduce((sum, leader) => sum + leader.attempts.size, 0);
 
-/** Responses that take longer than a shutdown may take end visibly incomplete, never as if complete. */
+/** Aborts the remaining requests; started responses end visibly incomplete, so that no client accepts them as complete. */
 const abortRequests = async ({
   edgeHandler,
   shieldHandler,
--- a/packages/proxy/src/proxy/open-data-channel.ts
+++ b/packages/proxy/src/proxy/open-data-channel.ts
@@ -3,7 +3,7 @@
 import { type ChannelPool, type Frame } from '@switchwheel/transport';
 import { type OpenDataChannel, connectTimeoutMs } from '@switchwheel/proxy-core';
 
-/** Opens channels of a pool; one that has not come up in time is closed. */
+/** Returns a function that opens data channels of a pool and closes those that do not come up in time. */
 export const dataChannelsOf =
   (channels: ChannelPool): OpenDataChannel =>
   (to, handlers) => {
--- a/packages/proxy/src/proxy/proxy-metrics.ts
+++ b/packages/proxy/src/proxy/proxy-metrics.ts
@@ -1,4 +1,4 @@
-/** The metrics of a proxy; their names are part of the operators' interface. */
+/** Metrics of a proxy; their names are part of the operators' interface. */
 
 import type { ChannelPool } from '@switchwheel/transport';
 import {
@@ -10,18 +10,18 @@
 } from '@switchwheel/proxy-core';
 import { type MetricSample, metricSample, now } from '@switchwheel/runtime';
 
-/** What the metrics are read from. */
+/** Data sources of the metrics. */
 export interface ProxyMetricsSources {
   readonly state: () => ProxyState;
   readonly cache: Cache;
   readonly channels: ChannelPool;
   readonly edgeHandler: EdgeRequestHandler;
   readonly shieldHandler: ShieldRequestHandler;
-  /** The longest time in milliseconds that the event loop was held up since last asked. */
+  /** Returns the maximum event loop lag in milliseconds since the last call. */
   readonly takeMaxLagMs: () => number;
 }
 
-/** Gives a function that reads the metrics; the loop's lag is the worst since the start. */
+/** Returns a function that reads the metrics; the reported loop lag is the maximum since the start. */
 export const proxyMetrics = (sources: ProxyMetricsSources): (() => readonly MetricSample[]) => {
   const { state, cache, channels, edgeHandler, shieldHandler, takeMaxLagMs } = sources;
   let worstLagMs = 0;
--- a/packages/proxy/src/proxy/start-proxy.ts
+++ b/packages/proxy/src/proxy/start-proxy.ts
@@ -1,6 +1,7 @@
 /**
- * The program of a proxy of the way through shields: as an edge it takes clients' requests and forwards them, as a shield
- * it leads services and sends their requests to origins. This module wires the parts, listens and stops.
+ * Program of a proxy in a fleet with shields: an edge accepts clients' requests and forwards them to shields; a shield
+ * leads services and sends their requests to origins. This module creates and connects the components, starts the
+ * servers and shuts them down.
  */
 
 import Koa from 'koa';
@@ -43,7 +44,7 @@
 type HandledEffect = Exclude<ProxyEffect, ProcessEffect>;
 type ProxyLoop = EventLoop<ProxyState, ProxyEvent>;
 
-/** The parts of a running proxy. */
+/** Components of a running proxy. */
 interface ProxyParts {
   readonly channels: ChannelPool;
   readonly cache: Cache;
@@ -53,7 +54,7 @@
   readonly shieldHandler: ShieldRequestHandler;
 }
 
-/** Starts a proxy; the promise holds once it listens everywhere. */
+/** Starts a proxy; resolves once it listens on all addresses. */
 export const startProxy = async (settings: ProxySettings, log: Logger): Promise<RunningProgram> => {
   const parts = wireProxy(settings, log);
   const { channels, edgeHandler, loop } = parts;
--- a/packages/proxy/src/settings/settings.ts
+++ b/packages/proxy/src/settings/settings.ts
@@ -1,4 +1,4 @@
-/** The settings of the `proxy` command, as the command line and the environment give them. */
+/** Settings of the `proxy` command, from the command line and the environment. */
 
 import * as v from 'valibot';
 import { address } from '@switchwheel/types';
@@ -8,20 +8,21 @@
   commonSettingDefinitions,
 } from '@switchwheel/runtime';
 
-/** The command, with the text that its help shows. */
+/** Definition of the command, with its help texts. */
 export const program: ProgramDefinition = {
   name: 'proxy',
-  description: 'The proxy of switchwheel: an edge takes callers, a shield keeps services.',
+  description:
+    'Switchwheel proxy: an edge serves clients, a shield leads services and reaches their origins.',
   settings: [
     ...commonSettingDefinitions,
     { name: 'role', type: 'text', help: 'edge or shield' },
-    { name: 'door', type: 'text', help: 'IP:port for callers (edge) or for edges (shield)' },
+    { name: 'door', type: 'text', help: 'IP:port for clients (edge) or for edges (shield)' },
     { name: 'admin', type: 'text', help: 'IP:port for /live, /ready and /metrics' },
-    { name: 'cache', type: 'number', help: 'MiB of results to keep in memory (256)' },
+    { name: 'cache', type: 'number', help: 'cache size in MiB (256)' },
   ],
 };
 
-/** What the settings have to be; unknown ones are refused. */
+/** Schema of the settings; unknown ones are rejected. */
 export const settingsSchema = v.strictObject({
   ...commonSettingsSchema,
   role: v.picklist(['edge', 'shield'], 'edge or shield'),
--- a/packages/proxy/src/shield/origin-client.ts
+++ b/packages/proxy/src/shield/origin-client.ts
@@ -1,6 +1,6 @@
 /**
- * Sends a shield's requests to origins and streams the responses chunk by chunk. Whether a response may be trusted is
- * decided by proxy-core's response verifier; retries are the service leader's.
+ * Sends a shield's requests to origins and streams the responses. Responses are verified by the response verifier of
+ * proxy-core; the service leader decides on retries.
  */
 
 import { Agent, type ClientRequest, type IncomingMessage } from 'node:http';
@@ -26,12 +26,12 @@
 };
 const methods = ['GET', 'HEAD', 'POST', 'PUT', 'PATCH', 'DELETE', 'OPTIONS'] as const;
 
-/** Keeps connections to origins open; those to an instance that is gone are closed. */
+/** Streaming origin client with keep-alive connections per instance. */
 export class StreamingOriginClient implements AttemptPort {
   readonly #agents = new Map<InstanceId, Agent>();
   readonly #cancelByName = new Map<string, () => void>();
 
-  /** Closes the idle connections to all instances but the live ones; attempts in flight end by themselves. */
+  /** Closes the idle connections to instances that are not live; attempts in flight continue. */
   retainInstances(liveInstances: ReadonlySet<InstanceId>): void {
     for (const [instance, agent] of this.#agents) {
       if (liveInstances.has(instance)) continue;
@@ -41,12 +41,12 @@
     }
   }
 
-  /** Cancels the attempt of a name, if it is in flight. */
+  /** Cancels the named attempt, if it is in flight. */
   cancel(name: string): void {
     this.#cancelByName.get(name)?.();
   }
 
-  /** Sends a request to an origin once, under a name by which it can be cancelled. */
+  /** Sends a request to an origin once; `cancel` with the same name cancels it. */
   send(name: string, attempt: AttemptRequest, handlers: AttemptHandlers): void {
     const connection = { isOpen: false };
     const abort = new AbortController();
@@ -94,12 +94,12 @@
       http2: false,
       dnsCache: false,
     });
-    // A stream for a method with a body waits for its end.
+    // For a method that allows a body, got sends the request only once the stream has ended.
     if (!usuallyHasNoBody && body.length === 0) stream.end();
     return stream;
   }
 
-  /** A request that is not idempotent gets a connection of its own: a refusal to open it is then certain. */
+  /** A non-idempotent request uses a new connection, so that a refused connection proves that it was not sent. */
   #agentFor({ instance, isIdempotent }: AttemptRequest): Agent {
     if (!isIdempotent) return new Agent({ keepAlive: false });
     const existing = this.#agents.get(instance);
@@ -151,7 +151,7 @@
   handlers.onEnd();
 };
 
-/** A health check: whether an origin says that it is healthy and that it is the instance that was meant. */
+/** Health check: whether the origin responds with status 200 and identifies itself as the given instance. */
 export const checkOriginHealth = async (
   url: string,
   service: string,
--- a/packages/proxy/src/shield/recording-origin.test-support.ts
+++ b/packages/proxy/src/shield/recording-origin.test-support.ts
@@ -1,15 +1,15 @@
-/** An origin for tests that records what it receives. */
+/** Test origin that records the requests that it receives. */
 
 import { createServer } from 'node:http';
 
-/** An origin for tests that writes down each request with its headers, and answers with a body. */
+/** A running test origin; records each request with its headers and responds with a body. */
 export interface RecordingOrigin {
   readonly address: string;
   readonly requests: readonly string[];
   readonly stop: () => void;
 }
 
-/** Starts an origin; `headers` go with each of its responses, beside the id of the request. */
+/** Starts a test origin; `headers` are added to each response, along with the id of the request. */
 export const startRecordingOrigin = async (
   headers: Readonly<Record<string, string>>,
 ): Promise<RecordingOrigin> => {
--- a/packages/proxy/src/shielded-edge/client-handler.ts
+++ b/packages/proxy/src/shielded-edge/client-handler.ts
@@ -1,6 +1,6 @@
 /**
- * Clients' requests at an edge that forwards to shields: reads them with their bodies, hands them to the request handler
- * and writes its replies through Koa.
+ * Client requests at an edge that forwards to shields: reads requests with their bodies, passes them to the request
+ * handler and writes its replies with Koa.
  */
 
 import type { IncomingMessage } from 'node:http';
@@ -41,7 +41,7 @@
   }
 };
 
-/** Begins a streamed response; `more` is called when the client can take the next chunk. */
+/** Starts a streamed response; `onWritable` is called when the next chunk can be written. */
 const openStream = (
   ctx: Koa.Context,
   status: number,
@@ -64,7 +64,7 @@
   };
 };
 
-/** A message with both a length and a transfer coding may be read in two ways (request smuggling, RFC 9112, 6.1). */
+/** Whether a message has both a length and a transfer coding, which allows request smuggling (RFC 9112, section 6.1). */
 const isAmbiguous = ({ headers }: IncomingMessage): boolean =>
   headers['transfer-encoding'] !== undefined && headers['content-length'] !== undefined;
 
@@ -74,7 +74,7 @@
   sendErrorResponse(ctx, kind, text, 0);
 };
 
-/** Serves a request; the promise holds once its response has begun. */
+/** Serves a request; resolves once its response has started. */
 const serveRequest = (
   edge: EdgeRequestHandler,
   ctx: Koa.Context,
@@ -99,7 +99,7 @@
     });
   });
 
-/** Handles a client's request from its head to the beginning of its response. */
+/** Handles a client's request from its head until its response has started. */
 export const handleClientRequest = async (
   edge: EdgeRequestHandler,
   ctx: Koa.Context,
--- a/packages/proxy/src/shielded-edge/error-response.ts
+++ b/packages/proxy/src/shielded-edge/error-response.ts
@@ -1,9 +1,9 @@
-/** Error responses of an edge that forwards to shields: the kind of error, and whether the request ran. */
+/** Error responses of an edge that forwards requests to shields. */
 
 import type Koa from 'koa';
 import { type ErrorKind, errorResponseFor } from '@switchwheel/types';
 
-/** Writes an error response; a `retryMs` of 0 leaves the time to come back to the kind of error. */
+/** Writes an error response; with a `retryMs` of 0 the retry delay is the default of the error kind. */
 export const sendErrorResponse = (
   ctx: Koa.Context,
   kind: ErrorKind,
@@ -11,7 +11,7 @@
   retryMs: number,
 ): void => {
   const { status, retryAfter, didNotRun } = errorResponseFor(kind);
-  // To a client both mean that the outcome is not known.
+  // For a client both mean that the outcome is unknown.
   const publicKind = kind === 'slow' || kind === 'lost' ? 'unknown' : kind;
   ctx.status = status;
   ctx.set('cache-control', 'no-store');
@@ -26,7 +26,7 @@
   };
 };
 
-/** Closes the client's connection behind the response: its request can't be read any further. */
+/** Closes the client's connection after the response, as the rest of its request can't be read. */
 export const closeAfterResponse = (ctx: Koa.Context): void => {
   ctx.set('connection', 'close');
 };
--- a/packages/proxy/src/shielded-edge/response.ts
+++ b/packages/proxy/src/shielded-edge/response.ts
@@ -1,4 +1,4 @@
-/** Writes complete and cached responses through Koa, with the conditions and ranges of RFC 9110, sections 13 and 14. */
+/** Writes complete and cached responses with Koa, including conditional and range requests (RFC 9110, sections 13 and 14). */
 
 import type Koa from 'koa';
 import rangeParser from 'range-parser';
@@ -15,7 +15,7 @@
   }
 };
 
-/** Writes a complete response; `source` says where it came from, in the header `switchwheel-from`. */
+/** Writes a complete response; `source` is sent in the header `switchwheel-from`. */
 export const sendResponse = (
   ctx: Koa.Context,
   status: number,
@@ -36,7 +36,7 @@
   if (!fields.some(([name]) => name === 'content-type')) ctx.remove('content-type');
 };
 
-/** Writes a cached response, whole, in part or as not modified, as the client's conditions ask for it. */
+/** Writes a cached response: complete, as a range, or as not modified, depending on the request's conditions. */
 export const sendCachedResponse = (
   ctx: Koa.Context,
   entry: CacheEntry,
@@ -62,7 +62,7 @@
   readonly end: number;
 }
 
-/** The one byte range that a request asks for; undefined if the whole object is to be sent. */
+/** Returns the requested byte range; undefined if the complete object is to be sent. */
 const requestedRange = (
   ctx: Koa.Context,
   entry: CacheEntry,
@@ -81,14 +81,14 @@
   ctx.status = 416;
   ctx.set('content-range', `bytes */${entry.body.length}`);
   ctx.body = null;
-  // An empty body sets 204.
+  // Koa sets the status to 204 when the body is set to null.
   ctx.status = 416;
 };
 
 const sendRange = (ctx: Koa.Context, entry: CacheEntry, { start, end }: ByteRange): void => {
   ctx.status = 206;
   ctx.set('content-range', `bytes ${start}-${end}/${entry.body.length}`);
-  // The digest is of the whole object.
+  // The digest covers the complete object.
   ctx.remove('content-digest');
   ctx.body = entry.body.subarray(start, end + 1);
   ctx.length = end - start + 1;
