--- a/packages/proxy/src/admin/view-forms.test.ts
+++ b/packages/proxy/src/admin/view-forms.test.ts
@@ -1,4 +1,4 @@
-/** The admin view keeps the keys and forms that operators know. */
+/** Guards the keys and value types of the operators' state view against unintended changes. */
 
 import { test } from 'node:test';
 import {
@@ -29,9 +29,9 @@
 const service = toServiceName('clips');
 const play = toServiceClassName('play');
 const release = toRelease('r2');
-const group = { name: play, share: 0.5, lendsTo: [] };
+const playClass = { name: play, share: 0.5, lendsTo: [] };
 const now = toTimestamp(1000);
-const load = {
+const queuedRequest = {
   id: toRequestId('q1'),
   className: play,
   isIdempotent: true,
@@ -41,14 +41,14 @@
   triedInstances: new Set<never>(),
   mayHaveRun: false,
 };
-const rules = { name: service, waitlist: 1, probe: { path: '/', everyMs: 500 } };
-const empty = newServiceLeader(service, toEpoch(1), rules, new Map(), now);
-const busy: ServiceLeader = {
-  ...empty,
-  serviceConfiguration: { ...empty.serviceConfiguration, perSecond: 10 },
-  classes: new Map([[play, group]]),
-  queues: new Map([[play, [load]]]),
-  activeRequests: new Map([[load.id, load]]),
+const serviceConfiguration = { name: service, waitlist: 1, probe: { path: '/', everyMs: 500 } };
+const idleLeader = newServiceLeader(service, toEpoch(1), serviceConfiguration, new Map(), now);
+const busyLeader: ServiceLeader = {
+  ...idleLeader,
+  serviceConfiguration: { ...idleLeader.serviceConfiguration, perSecond: 10 },
+  classes: new Map([[play, playClass]]),
+  queues: new Map([[play, [queuedRequest]]]),
+  activeRequests: new Map([[queuedRequest.id, queuedRequest]]),
   endpoints: new Map([
     [
       toInstanceId('i1'),
@@ -94,12 +94,12 @@
   ]),
 };
 
-void test('the state that a proxy shows its operators keeps its keys', () => {
-  const fresh = newProxyState(member, [], { seed: 1 });
-  const view = proxyView({ ...fresh, leaders: new Map([[service, busy]]) });
-  const without = proxyView({ ...fresh, leaders: new Map([[service, empty]]) });
+void test('the keys and value types of the state view match the snapshot', () => {
+  const initialState = newProxyState(member, [], { seed: 1 });
+  const busyView = proxyView({ ...initialState, leaders: new Map([[service, busyLeader]]) });
+  const idleView = proxyView({ ...initialState, leaders: new Map([[service, idleLeader]]) });
   matchSnapshot(
     'admin-state',
-    `with work:\n${jsonShape(view)}\n\nwithout work:\n${jsonShape(without)}`,
+    `with work:\n${jsonShape(busyView)}\n\nwithout work:\n${jsonShape(idleView)}`,
   );
 });
--- a/packages/proxy/src/direct-edge/client-listener.test.ts
+++ b/packages/proxy/src/direct-edge/client-listener.test.ts
@@ -1,4 +1,4 @@
-/** The listener over real sockets, with origins that the test stands in for. */
+/** Guards responses, pipelining and shutdown of the client listener over real sockets; origins are simulated. */
 
 import assert from 'node:assert/strict';
 import { Agent, type IncomingHttpHeaders, request } from 'node:http';
@@ -44,20 +44,20 @@
 
 const freeAddress = async (): Promise<Address> => {
   const server = createServer();
-  await new Promise<void>((done) => {
-    server.listen(0, '127.0.0.1', done);
+  await new Promise<void>((resolve) => {
+    server.listen(0, '127.0.0.1', resolve);
   });
   const bound = server.address();
   const port = bound !== null && typeof bound === 'object' ? bound.port : 0;
-  await new Promise<void>((done) => {
+  await new Promise<void>((resolve) => {
     server.close(() => {
-      done();
+      resolve();
     });
   });
   return toAddress(`127.0.0.1:${port}`);
 };
 
-/** A client at the level of bytes. */
+/** Client that reads and writes raw bytes. */
 class RawClient {
   readonly socket: Socket;
   readonly #parts: Buffer[] = [];
@@ -71,8 +71,8 @@
       this.#parts.push(part);
       this.bytes += part.length;
     });
-    this.closed = new Promise((done) => {
-      socket.once('close', () => done());
+    this.closed = new Promise((resolve) => {
+      socket.once('close', () => resolve());
     });
   }
 
@@ -80,9 +80,9 @@
     return Buffer.concat(this.#parts).toString('latin1');
   }
 
-  /** The status codes of the answers received, in their order. */
+  /** Returns the status codes of the received responses in order. */
   statuses(): readonly string[] {
-    return [...this.text.matchAll(/HTTP\/1\.1 (\d{3}) /g)].map((found) => found[1] ?? '');
+    return [...this.text.matchAll(/HTTP\/1\.1 (\d{3}) /g)].map((match) => match[1] ?? '');
   }
 
   send(method: string, path: string, id: string, body = ''): void {
@@ -92,14 +92,14 @@
     );
   }
 
-  async until(holds: () => boolean): Promise<void> {
-    while (!holds()) await pause(2);
+  async until(condition: () => boolean): Promise<void> {
+    while (!condition()) await pause(2);
   }
 }
 
 const pause = (ms: number): Promise<void> =>
-  new Promise((done) => {
-    setTimeout(done, ms);
+  new Promise((resolve) => {
+    setTimeout(resolve, ms);
   });
 
 interface SentAttempt {
@@ -108,12 +108,12 @@
   isCancelled: boolean;
 }
 
-/** A listener with a router whose origins the test stands in for. */
+/** Listener with a router and simulated origins. */
 interface ListenerFixture {
   readonly listener: ClientListener;
   readonly limits: ClientLimits;
   readonly attempts: SentAttempt[];
-  readonly ask: (
+  readonly fetch: (
     method: string,
     path: string,
     headers?: Record<string, string>,
@@ -124,14 +124,14 @@
     readonly body: string;
   }>;
   readonly agent: Agent;
-  /** Opens a connection on which a test reads and writes bytes. */
-  readonly dial: () => Promise<RawClient>;
-  readonly sent: (count: number) => Promise<void>;
-  closing: boolean;
+  /** Opens a raw connection to the listener. */
+  readonly connectRaw: () => Promise<RawClient>;
+  readonly waitForAttempts: (count: number) => Promise<void>;
+  isClosing: boolean;
 }
 
-const open = async (changes: object = {}): Promise<ListenerFixture> => {
-  const configuration = compileDocument({ ...document, ...changes });
+const open = async (overrides: object = {}): Promise<ListenerFixture> => {
+  const configuration = compileDocument({ ...document, ...overrides });
   const nodeAgent = newConfirmedEdgeAgent({
     configuration,
     service,
@@ -140,12 +140,12 @@
     now,
   });
   const attempts: SentAttempt[] = [];
-  const waiting: { readonly count: number; readonly done: () => void }[] = [];
+  const attemptWaiters: { readonly count: number; readonly resolve: () => void }[] = [];
   const originClient = {
     send: (request: AttemptRequest, handlers: AttemptHandlers) => {
       const attempt: SentAttempt = { request, handlers, isCancelled: false };
       attempts.push(attempt);
-      for (const each of waiting) if (attempts.length >= each.count) each.done();
+      for (const waiter of attemptWaiters) if (attempts.length >= waiter.count) waiter.resolve();
       return () => {
         attempt.isCancelled = true;
       };
@@ -165,21 +165,21 @@
     { seed: 7 },
   );
   router.updateFleet(nodeAgent);
-  const fixture = { closing: false };
+  const fixture = { isClosing: false };
   const listener = new ClientListener(router, defaultHeaderNames, {
-    isClosing: () => fixture.closing,
+    isClosing: () => fixture.isClosing,
   });
-  const at = await freeAddress();
-  await listener.listen(at);
+  const address = await freeAddress();
+  await listener.listen(address);
   listener.applyLimits(configuration.header.limits);
   const agent = new Agent({ keepAlive: true, maxSockets: 4 });
-  const [host = '', number = ''] = at.split(':');
-  const ask: ListenerFixture['ask'] = (method, path, headers = {}, body = '') =>
-    new Promise((done, fail) => {
+  const [host = '', port = ''] = address.split(':');
+  const fetch: ListenerFixture['fetch'] = (method, path, headers = {}, body = '') =>
+    new Promise((resolve, reject) => {
       const clientRequest = request(
         {
           host,
-          port: Number(number),
+          port: Number(port),
           method,
           path,
           agent,
@@ -189,7 +189,7 @@
           const parts: Buffer[] = [];
           response.on('data', (part: Buffer) => parts.push(part));
           response.on('end', () => {
-            done({
+            resolve({
               status: response.statusCode ?? 0,
               headers: response.headers,
               body: Buffer.concat(parts).toString(),
@@ -197,32 +197,32 @@
           });
         },
       );
-      clientRequest.on('error', fail);
+      clientRequest.on('error', reject);
       clientRequest.end(body);
     });
-  const dial = (): Promise<RawClient> =>
-    new Promise((done) => {
-      const socket = connect(Number(number), host, () => done(new RawClient(socket)));
+  const connectRaw = (): Promise<RawClient> =>
+    new Promise((resolve) => {
+      const socket = connect(Number(port), host, () => resolve(new RawClient(socket)));
     });
-  const sent = (count: number): Promise<void> =>
+  const waitForAttempts = (count: number): Promise<void> =>
     attempts.length >= count
       ? Promise.resolve()
-      : new Promise((done) => {
-          waiting.push({ count, done });
+      : new Promise((resolve) => {
+          attemptWaiters.push({ count, resolve });
         });
   return Object.assign(fixture, {
     listener,
     limits: configuration.header.limits,
     attempts,
-    ask,
+    fetch,
     agent,
-    dial,
-    sent,
+    connectRaw,
+    waitForAttempts,
   });
 };
 
-const answer = (fixture: ListenerFixture, at: number, body: string, status = 200): void =>
-  fixture.attempts[at]?.handlers.onResponse({
+const respond = (fixture: ListenerFixture, index: number, body: string, status = 200): void =>
+  fixture.attempts[index]?.handlers.onResponse({
     status,
     fields: [
       ['etag', '"v1"'],
@@ -231,213 +231,223 @@
     body: Buffer.from(body),
     isUnprocessed: false,
   });
-const end = (fixture: ListenerFixture): void => {
+const closeFixture = (fixture: ListenerFixture): void => {
   fixture.listener.stopAccepting();
   fixture.listener.closeAllConnections();
   fixture.agent.destroy();
 };
 
-void test("a cached response is served whole, in ranges, and as not modified, each with the client's own id", async () => {
+void test("a cached response is served completely, as a range and as not modified, each time with the client's own id", async () => {
   const fixture = await open();
-  const first = fixture.ask('GET', '/clips/1', { range: 'bytes=2-4' });
-  await fixture.sent(1);
+  const first = fixture.fetch('GET', '/clips/1', { range: 'bytes=2-4' });
+  await fixture.waitForAttempts(1);
   assert.ok(
     fixture.attempts[0]?.request.fields.every(([name]) => name !== 'range'),
-    'the origin is asked for the whole',
+    'the complete object is requested from the origin',
   );
-  answer(fixture, 0, 'abcdefgh');
+  respond(fixture, 0, 'abcdefgh');
   const part = await first;
   assert.deepEqual(
     [part.status, part.body, part.headers['content-range'], part.headers['switchwheel-id']],
     [206, 'cde', 'bytes 2-4/8', 't1'],
   );
-  const whole = await fixture.ask('GET', '/clips/1', { 'switchwheel-id': 't2' });
+  const whole = await fixture.fetch('GET', '/clips/1', { 'switchwheel-id': 't2' });
   assert.deepEqual(
     [whole.status, whole.body, whole.headers['switchwheel-id'], whole.headers['x-own']],
     [200, 'abcdefgh', 't2', 'yes'],
   );
-  assert.equal((await fixture.ask('GET', '/clips/1', { 'if-none-match': '"v1"' })).status, 304);
-  assert.equal((await fixture.ask('GET', '/clips/1', { range: 'bytes=99-' })).status, 416);
-  assert.equal((await fixture.ask('GET', '/clips/1', { range: 'bytes=6-' })).body, 'gh');
+  assert.equal((await fixture.fetch('GET', '/clips/1', { 'if-none-match': '"v1"' })).status, 304);
+  assert.equal((await fixture.fetch('GET', '/clips/1', { range: 'bytes=99-' })).status, 416);
+  assert.equal((await fixture.fetch('GET', '/clips/1', { range: 'bytes=6-' })).body, 'gh');
   assert.equal(fixture.attempts.length, 1);
-  end(fixture);
+  closeFixture(fixture);
 });
 
-void test('a stopping edge completes requests in progress, and accepts no new connection', async () => {
+void test('during shutdown an edge completes requests in progress and accepts no new connections', async () => {
   const fixture = await open();
-  const under = fixture.ask('POST', '/edit/1', {}, 'body');
-  await fixture.sent(1);
-  fixture.closing = true;
+  const inProgress = fixture.fetch('POST', '/edit/1', {}, 'body');
+  await fixture.waitForAttempts(1);
+  fixture.isClosing = true;
   fixture.listener.stopAccepting();
-  answer(fixture, 0, 'done');
-  const told = await under;
-  assert.deepEqual([told.status, told.body, told.headers.connection], [200, 'done', 'close']);
-  await assert.rejects(fixture.ask('POST', '/edit/2', {}, 'body'), 'no new connection is taken');
-  end(fixture);
+  respond(fixture, 0, 'done');
+  const response = await inProgress;
+  assert.deepEqual(
+    [response.status, response.body, response.headers.connection],
+    [200, 'done', 'close'],
+  );
+  await assert.rejects(
+    fixture.fetch('POST', '/edit/2', {}, 'body'),
+    'no new connection is accepted',
+  );
+  closeFixture(fixture);
 });
 
-void test('a body over the limit and an unknown route are refused, each with its status', async () => {
+void test('a body over the limit is rejected with 413, and an unknown route with 404', async () => {
   const fixture = await open();
   assert.equal(
-    (await fixture.ask('POST', '/edit/1', { connection: 'close' }, 'x'.repeat(101))).status,
+    (await fixture.fetch('POST', '/edit/1', { connection: 'close' }, 'x'.repeat(101))).status,
     413,
   );
-  assert.equal((await fixture.ask('GET', '/nowhere/')).status, 404);
+  assert.equal((await fixture.fetch('GET', '/nowhere/')).status, 404);
   assert.equal(fixture.attempts.length, 0);
-  end(fixture);
+  closeFixture(fixture);
 });
 
-void test('when its client leaves, a request that is not shared is cancelled at the origin', async () => {
+void test('when its client disconnects, an uncacheable request is cancelled at the origin', async () => {
   const fixture = await open();
-  const gone = fixture.ask('POST', '/edit/1', {}, 'body');
-  await fixture.sent(1);
+  const abandoned = fixture.fetch('POST', '/edit/1', {}, 'body');
+  await fixture.waitForAttempts(1);
   fixture.agent.destroy();
-  await assert.rejects(gone);
-  await new Promise<void>((done) => {
-    const look = (): void => {
-      if (fixture.attempts[0]?.isCancelled === true) done();
-      else setImmediate(look);
+  await assert.rejects(abandoned);
+  await new Promise<void>((resolve) => {
+    const checkCancelled = (): void => {
+      if (fixture.attempts[0]?.isCancelled === true) resolve();
+      else setImmediate(checkCancelled);
     };
-    look();
+    checkCancelled();
   });
-  end(fixture);
+  closeFixture(fixture);
 });
 
-void test('a stop cuts no response that is still being written to a slow client', async () => {
+void test('shutdown does not truncate a response that is still being written to a slow client', async () => {
   const fixture = await open();
-  const client = await fixture.dial();
+  const client = await fixture.connectRaw();
   client.socket.pause();
   client.send('POST', '/edit/1', 'a', 'body');
-  await fixture.sent(1);
+  await fixture.waitForAttempts(1);
   const size = 24 * 1024 * 1024;
-  answer(fixture, 0, 'x'.repeat(size));
+  respond(fixture, 0, 'x'.repeat(size));
   await pause(20);
   fixture.listener.stopAccepting();
   client.socket.resume();
   await client.until(() => client.bytes > size || client.socket.destroyed);
-  assert.ok(client.bytes > size, `${client.bytes} bytes of more than ${size} came`);
-  end(fixture);
+  assert.ok(client.bytes > size, `${client.bytes} bytes received of more than ${size}`);
+  closeFixture(fixture);
 });
 
-void test('a stop closes idle connections, and the others once their responses are out', async () => {
+void test('shutdown closes idle connections immediately, and the others after their responses', async () => {
   const fixture = await open();
-  const [resting, busy] = [await fixture.dial(), await fixture.dial()];
-  resting.send('POST', '/edit/1', 'a', 'body');
-  await fixture.sent(1);
-  answer(fixture, 0, 'first');
-  await resting.until(() => resting.text.endsWith('first'));
+  const [idle, busy] = [await fixture.connectRaw(), await fixture.connectRaw()];
+  idle.send('POST', '/edit/1', 'a', 'body');
+  await fixture.waitForAttempts(1);
+  respond(fixture, 0, 'first');
+  await idle.until(() => idle.text.endsWith('first'));
   busy.send('POST', '/edit/2', 'b', 'body');
-  await fixture.sent(2);
+  await fixture.waitForAttempts(2);
   fixture.listener.stopAccepting();
-  await resting.closed;
-  answer(fixture, 1, 'second');
+  await idle.closed;
+  respond(fixture, 1, 'second');
   await busy.closed;
   assert.ok(busy.text.endsWith('second'));
-  end(fixture);
+  closeFixture(fixture);
 });
 
-void test('pipelined requests get their responses in order, each its own', async () => {
+void test('pipelined requests get their own responses in order', async () => {
   const fixture = await open();
-  const client = await fixture.dial();
+  const client = await fixture.connectRaw();
   client.send('POST', '/edit/1', 'a', 'body');
   client.send('POST', '/edit/2', 'b', 'body');
-  await fixture.sent(2);
-  answer(fixture, 1, 'second');
-  answer(fixture, 0, 'first');
+  await fixture.waitForAttempts(2);
+  respond(fixture, 1, 'second');
+  respond(fixture, 0, 'first');
   await client.until(() => client.text.endsWith('second'));
   assert.match(client.text, /switchwheel-id: a[^]*first[^]*switchwheel-id: b[^]*second/);
-  end(fixture);
+  closeFixture(fixture);
 });
 
-void test('a stopping edge responds to all pipelined requests that it has read before it closes', async () => {
+void test('during shutdown an edge responds to all pipelined requests that it has read before it closes the connection', async () => {
   const fixture = await open();
-  const client = await fixture.dial();
+  const client = await fixture.connectRaw();
   client.send('POST', '/edit/1', 'a', 'body');
   client.send('POST', '/edit/2', 'b', 'body');
-  await fixture.sent(2);
-  fixture.closing = true;
+  await fixture.waitForAttempts(2);
+  fixture.isClosing = true;
   fixture.listener.stopAccepting();
-  answer(fixture, 0, 'first');
+  respond(fixture, 0, 'first');
   await client.until(() => client.text.includes('first') || client.socket.destroyed);
   await pause(20);
-  answer(fixture, 1, 'second');
+  respond(fixture, 1, 'second');
   await client.closed;
   assert.deepEqual(client.statuses(), ['200', '200']);
   assert.ok(client.text.endsWith('second'));
-  assert.equal(client.text.match(/connection: close/g)?.length, 1, 'only the last one closes');
-  end(fixture);
+  assert.equal(
+    client.text.match(/connection: close/g)?.length,
+    1,
+    'only the last response closes the connection',
+  );
+  closeFixture(fixture);
 });
 
-void test('a request that comes after the last response was decided is not begun', async () => {
+void test('a request that arrives after the last response was announced is not started', async () => {
   const fixture = await open();
-  const client = await fixture.dial();
+  const client = await fixture.connectRaw();
   client.send('POST', '/edit/1', 'a', 'body');
   client.send('POST', '/edit/2', 'b', 'body');
-  await fixture.sent(2);
-  fixture.closing = true;
-  answer(fixture, 1, 'second');
+  await fixture.waitForAttempts(2);
+  fixture.isClosing = true;
+  respond(fixture, 1, 'second');
   client.send('POST', '/edit/3', 'c', 'body');
   await pause(20);
-  assert.equal(fixture.attempts.length, 2, 'the third one can have no answer any more');
-  answer(fixture, 0, 'first');
+  assert.equal(fixture.attempts.length, 2, 'the third request can no longer get a response');
+  respond(fixture, 0, 'first');
   await client.closed;
   assert.deepEqual(client.statuses(), ['200', '200']);
-  end(fixture);
+  closeFixture(fixture);
 });
 
-void test('bytes that are no request, behind one in progress, do not take the place of its response', async () => {
+void test('a malformed message after a request in progress is answered after that request', async () => {
   const fixture = await open();
-  const client = await fixture.dial();
+  const client = await fixture.connectRaw();
   client.send('POST', '/edit/1', 'a', 'body');
-  await fixture.sent(1);
+  await fixture.waitForAttempts(1);
   client.socket.write('this is no request\r\n\r\n');
   await pause(20);
-  assert.equal(client.text, '', 'the first request is not answered yet');
-  answer(fixture, 0, 'first');
+  assert.equal(client.text, '', 'the first request has no response yet');
+  respond(fixture, 0, 'first');
   await client.closed;
   assert.deepEqual(client.statuses(), ['200', '400']);
   assert.match(client.text, /switchwheel-id: a[^]*firstHTTP/);
-  end(fixture);
+  closeFixture(fixture);
 });
 
-void test('a head that takes too long, behind a request in progress, does not end that request', async () => {
+void test('a request head that times out after a request in progress does not end that request', async () => {
   const fixture = await open({ limits: { bodyBytes: 100, headerMs: 100 } });
-  const client = await fixture.dial();
+  const client = await fixture.connectRaw();
   client.send('POST', '/edit/1', 'a', 'body');
-  await fixture.sent(1);
+  await fixture.waitForAttempts(1);
   client.socket.write('POST /edit/2 HTTP/1.1\r\nhost');
   await pause(1500);
-  assert.equal(client.text, '', 'the first request is not answered yet');
-  answer(fixture, 0, 'first');
+  assert.equal(client.text, '', 'the first request has no response yet');
+  respond(fixture, 0, 'first');
   await client.closed;
   assert.deepEqual(client.statuses(), ['200', '408']);
-  end(fixture);
+  closeFixture(fixture);
 });
 
-void test('a connection is kept as long as its last response announced, also when a new configuration shortens that', async () => {
+void test('a connection stays open as long as its last response announced, also when a new configuration shortens the timeout', async () => {
   const fixture = await open({ limits: { bodyBytes: 100, idleMs: 2000 } });
-  const client = await fixture.dial();
+  const client = await fixture.connectRaw();
   client.send('POST', '/edit/1', 'a', 'body');
-  await fixture.sent(1);
+  await fixture.waitForAttempts(1);
   fixture.listener.applyLimits({ ...fixture.limits, idleMs: 300 });
-  answer(fixture, 0, 'first');
+  respond(fixture, 0, 'first');
   await client.until(() => client.text.endsWith('first'));
   assert.match(client.text, /timeout=2/);
   await pause(1700);
   client.send('POST', '/edit/2', 'b', 'body');
-  await Promise.race([fixture.sent(2), client.closed]);
+  await Promise.race([fixture.waitForAttempts(2), client.closed]);
   assert.equal(fixture.attempts.length, 2);
-  answer(fixture, 1, 'second');
+  respond(fixture, 1, 'second');
   await client.until(() => client.text.endsWith('second'));
-  end(fixture);
+  closeFixture(fixture);
 });
 
-void test('when a client leaves, each of its pipelined requests is cancelled and none counts as open', async () => {
+void test('when a client disconnects, each of its pipelined requests is cancelled and none counts as open', async () => {
   const fixture = await open();
-  const client = await fixture.dial();
+  const client = await fixture.connectRaw();
   client.send('POST', '/edit/1', 'a', 'body');
   client.send('POST', '/edit/2', 'b', 'body');
-  await fixture.sent(2);
+  await fixture.waitForAttempts(2);
   client.socket.destroy();
   await client.closed;
   await pause(50);
@@ -445,5 +455,5 @@
     [fixture.attempts.map((attempt) => attempt.isCancelled), fixture.listener.openRequests],
     [[true, true], 0],
   );
-  end(fixture);
+  closeFixture(fixture);
 });
--- a/packages/proxy/src/direct-edge/client-listener.ts
+++ b/packages/proxy/src/direct-edge/client-listener.ts
@@ -68,11 +68,11 @@
 
   /** Listens on an address; rejects if the address is not available. */
   listen(address: Address): Promise<void> {
-    return new Promise((done, fail) => {
-      this.#server.once('error', fail);
+    return new Promise((resolve, reject) => {
+      this.#server.once('error', reject);
       this.#server.listen({ ...splitAddress(address), backlog: connectionBacklog }, () => {
-        this.#server.off('error', fail);
-        done();
+        this.#server.off('error', reject);
+        resolve();
       });
     });
   }
--- a/packages/proxy/src/direct-edge/end-to-end.test.ts
+++ b/packages/proxy/src/direct-edge/end-to-end.test.ts
@@ -1,4 +1,4 @@
-/** The rules of requests over real sockets at both ends: nothing is lost, mixed up, run twice or falsely rejected. */
+/** Guards against lost, mixed-up, duplicated and falsely rejected requests, over real sockets at both ends. */
 
 import assert from 'node:assert/strict';
 import { connect } from 'node:net';
@@ -22,8 +22,8 @@
 const unprocessedStatuses = new Set(['408', '421', '429', '503']);
 const now = (): ReturnType<typeof toTimestamp> => toTimestamp(50_000 + performance.now());
 const pause = (ms: number): Promise<void> =>
-  new Promise((done) => {
-    setTimeout(done, ms);
+  new Promise((resolve) => {
+    setTimeout(resolve, ms);
   });
 
 const nodeAgentWith = (addresses: readonly string[]): NodeAgent =>
@@ -43,53 +43,53 @@
     now: now(),
   });
 
-/** A client that pipelines requests on one connection; it may leave before their answers. */
+/** Pipelines requests on one connection, and disconnects after `disconnectAfterMs` if that is given. */
 const pipeline = (
   port: number,
   requests: readonly { readonly id: string; readonly method: string }[],
-  leaveMs: number | undefined,
+  disconnectAfterMs: number | undefined,
 ): Promise<string> =>
-  new Promise((done) => {
+  new Promise((resolve) => {
     const parts: Buffer[] = [];
     const socket = connect(port, '127.0.0.1', () => {
-      for (const [at, { id, method }] of requests.entries()) {
-        const last = at === requests.length - 1 ? 'connection: close\r\n' : '';
+      for (const [index, { id, method }] of requests.entries()) {
+        const last = index === requests.length - 1 ? 'connection: close\r\n' : '';
         const path = method === 'GET' ? '/read/x' : '/edit/x';
-        const body = method === 'GET' ? '' : `asked ${id}`;
+        const body = method === 'GET' ? '' : `sent by ${id}`;
         const length = body === '' ? '' : `content-length: ${body.length}\r\n`;
         socket.write(
           `${method} ${path} HTTP/1.1\r\nhost: x\r\nswitchwheel-id: ${id}\r\nswitchwheel-deadline-ms: 1500\r\n${last}${length}\r\n${body}`,
         );
       }
-      if (leaveMs !== undefined) setTimeout(() => socket.destroy(), leaveMs);
+      if (disconnectAfterMs !== undefined) setTimeout(() => socket.destroy(), disconnectAfterMs);
     });
     socket.on('data', (part: Buffer) => parts.push(part));
     socket.on('error', () => undefined);
-    socket.on('close', () => done(Buffer.concat(parts).toString('latin1')));
+    socket.on('close', () => resolve(Buffer.concat(parts).toString('latin1')));
   });
 
-/** The answers of one connection: status, id and body of each. */
-const answersIn = (text: string): readonly (readonly string[])[] =>
+/** Returns the status, id and body of each response of a connection. */
+const responsesIn = (text: string): readonly (readonly string[])[] =>
   [
     ...text.matchAll(
       /HTTP\/1\.1 (\d{3}) [^]*?switchwheel-id: (\S+)[^]*?\r\n\r\n([^]*?)(?=HTTP\/1\.1 |$)/g,
     ),
-  ].map((found) => found.slice(1));
+  ].map((match) => match.slice(1));
 
-void test('over real sockets, with misbehaving origins and pipelining clients, each response is its own, nothing runs twice, and a stop loses none', async () => {
-  let dice: RandomState = { seed: 11 };
-  const chance = (): number => {
-    const [value, next] = nextRandom(dice);
-    dice = next;
+void test('with misbehaving origins and pipelining clients each response belongs to its request, no POST request runs twice, and a shutdown loses no response', async () => {
+  let randomState: RandomState = { seed: 11 };
+  const random = (): number => {
+    const [value, next] = nextRandom(randomState);
+    randomState = next;
     return value;
   };
   const origins = [1, 2, 3, 4].map(
     () =>
       new MisbehavingOrigin(
-        () => originBehaviors[Math.floor(chance() * originBehaviors.length)] ?? 'complete',
+        () => originBehaviors[Math.floor(random() * originBehaviors.length)] ?? 'complete',
       ),
   );
-  const nodeAgent = nodeAgentWith(await Promise.all(origins.map((one) => one.listen())));
+  const nodeAgent = nodeAgentWith(await Promise.all(origins.map((origin) => origin.listen())));
   const router = new EdgeRouter(
     { now, nodeAgent: () => nodeAgent },
     new Cache(1_000_000),
@@ -103,13 +103,13 @@
     { seed: 7 },
   );
   router.updateFleet(nodeAgent);
-  const ticking = setInterval(() => router.tick(now()), 30);
-  let closing = false;
-  const listener = new ClientListener(router, defaultHeaderNames, { isClosing: () => closing });
-  // An address that was free a moment ago.
-  const spare = new MisbehavingOrigin(() => 'complete');
-  const address = toAddress(await spare.listen());
-  spare.close();
+  const ticker = setInterval(() => router.tick(now()), 30);
+  let isClosing = false;
+  const listener = new ClientListener(router, defaultHeaderNames, { isClosing: () => isClosing });
+  // Finds a free address.
+  const portFinder = new MisbehavingOrigin(() => 'complete');
+  const address = toAddress(await portFinder.listen());
+  portFinder.close();
   const port = Number(address.split(':')[1]);
   await listener.listen(address);
 
@@ -118,14 +118,19 @@
   const exchange = async (number: number): Promise<void> => {
     const requests = ['a', 'b'].map((part) => ({
       id: `t${number}${part}`,
-      method: chance() < 0.5 ? 'POST' : 'GET',
+      method: random() < 0.5 ? 'POST' : 'GET',
     }));
-    const leaveMs = chance() < 0.15 ? 1 + chance() * 30 : undefined;
-    const answers = answersIn(await pipeline(port, requests, leaveMs));
-    if (leaveMs === undefined) assert.equal(answers.length, requests.length, `LOST t${number}`);
-    for (const [at, [status = '', id = '', body = '']] of answers.entries()) {
-      assert.equal(id, requests[at]?.id, 'MIXED: the answer to another request');
-      if (status === '200') assert.ok(`body of ${id}`.startsWith(body), `MIXED: ${body}`);
+    const disconnectAfterMs = random() < 0.15 ? 1 + random() * 30 : undefined;
+    const responses = responsesIn(await pipeline(port, requests, disconnectAfterMs));
+    if (disconnectAfterMs === undefined)
+      assert.equal(responses.length, requests.length, `responses of t${number} are lost`);
+    for (const [index, [status = '', id = '', body = '']] of responses.entries()) {
+      assert.equal(id, requests[index]?.id, 'the response has the id of another request');
+      if (status === '200')
+        assert.ok(
+          `body of ${id}`.startsWith(body),
+          `the response has the body of another request: ${body}`,
+        );
       if (status === '200' && body === `body of ${id}`) completeCount += 1;
       statuses.set(id, status);
     }
@@ -135,26 +140,30 @@
     exchanges.push(exchange(number));
     await pause(2);
   }
-  // A stop: what was read is answered, and no connection stays open.
-  closing = true;
+  // Shutdown: all requests that were read get a response, and no connection stays open.
+  isClosing = true;
   await pause(50);
   listener.stopAccepting();
   await Promise.all(exchanges);
   assert.equal(listener.openRequests, 0);
 
   const counts = new Map<string, number>();
-  for (const run of origins.flatMap((one) => one.handledRequests)) {
+  for (const run of origins.flatMap((origin) => origin.handledRequests)) {
     counts.set(run.id, (counts.get(run.id) ?? 0) + 1);
     if (run.method === 'GET') continue;
-    assert.equal(run.body, `asked ${run.id}`, 'UNASKED');
-    assert.equal(counts.get(run.id), 1, `TWICE ${run.id}`);
+    assert.equal(
+      run.body,
+      `sent by ${run.id}`,
+      'an origin ran a request with a body that was not sent',
+    );
+    assert.equal(counts.get(run.id), 1, `${run.id} ran twice`);
     assert.ok(
       !unprocessedStatuses.has(statuses.get(run.id) ?? ''),
-      `REFUSED ${run.id}: ${statuses.get(run.id) ?? ''}`,
+      `${run.id} ran and was rejected with ${statuses.get(run.id) ?? ''}`,
     );
   }
   assert.ok(completeCount > 200, `${completeCount} complete responses`);
-  clearInterval(ticking);
+  clearInterval(ticker);
   listener.closeAllConnections();
   for (const origin of origins) origin.close();
 });
--- a/packages/proxy/src/direct-edge/origin-client.test.ts
+++ b/packages/proxy/src/direct-edge/origin-client.test.ts
@@ -1,4 +1,4 @@
-/** The origin client against servers that respond with raw bytes, right ones and wrong ones. */
+/** Guards the origin client against incomplete, surplus, mismatched and malformed responses. */
 
 import assert from 'node:assert/strict';
 import { type Server, type Socket, createServer } from 'node:net';
@@ -7,7 +7,7 @@
 import { type OriginResponse, type AttemptRequest, defaultHeaderNames } from '@switchwheel/routing';
 import { HttpOriginClient } from './origin-client.js';
 
-/** A server whose responses are raw bytes, and requests to it. */
+/** Server that responds with raw bytes, and a factory for requests to it. */
 interface OriginFixture {
   readonly server: Server;
   readonly attempt: (id: string, needsNewConnection?: boolean, method?: string) => AttemptRequest;
@@ -30,8 +30,8 @@
       }
     });
   });
-  await new Promise<void>((done) => {
-    server.listen(0, '127.0.0.1', done);
+  await new Promise<void>((resolve) => {
+    server.listen(0, '127.0.0.1', resolve);
   });
   const bound = server.address();
   const port = bound !== null && typeof bound === 'object' ? bound.port : 0;
@@ -60,18 +60,18 @@
   | { readonly response: OriginResponse }
   | { readonly failure: string; readonly mayHaveReachedOrigin: boolean };
 const exchange = (client: HttpOriginClient, attempt: AttemptRequest): Promise<Outcome> =>
-  new Promise((done) => {
+  new Promise((resolve) => {
     client.send(attempt, {
-      onResponse: (response) => done({ response }),
-      onFailure: (mayHaveReachedOrigin, failure) => done({ failure, mayHaveReachedOrigin }),
+      onResponse: (response) => resolve({ response }),
+      onFailure: (mayHaveReachedOrigin, failure) => resolve({ failure, mayHaveReachedOrigin }),
     });
   });
-const responseText = (id: string, body: string, more = ''): string =>
-  `HTTP/1.1 200 OK\r\nswitchwheel-id: ${id}\r\n${more}content-length: ${body.length}\r\n\r\n${body}`;
+const responseText = (id: string, body: string, extraHeaders = ''): string =>
+  `HTTP/1.1 200 OK\r\nswitchwheel-id: ${id}\r\n${extraHeaders}content-length: ${body.length}\r\n\r\n${body}`;
 const bodyOf = (outcome: Outcome): string =>
   'response' in outcome ? outcome.response.body.toString() : `failed: ${outcome.failure}`;
 
-void test('a response is complete and of its request, over kept connections', async () => {
+void test('over persistent connections each response is complete and belongs to its request', async () => {
   const fixture = await startOrigin((id, socket) =>
     socket.write(responseText(id, `body of ${id}`)),
   );
@@ -80,41 +80,41 @@
     assert.equal(bodyOf(await exchange(client, fixture.attempt(id))), `body of ${id}`);
   assert.equal(fixture.sockets(), 1);
   assert.equal(bodyOf(await exchange(client, fixture.attempt('d', true, 'POST'))), 'body of d');
-  assert.equal(fixture.sockets(), 2, 'one that may not be repeated has a connection of its own');
+  assert.equal(fixture.sockets(), 2, 'a non-idempotent request uses a new connection');
   client.closeIdleConnections(toInstanceId('o1'));
   fixture.server.close();
 });
 
-void test('a surplus response, at once or in the place of the next one, is never passed on', async () => {
-  const fixture = await startOrigin((id, socket, number) => {
-    if (number === 1) socket.write(responseText(id, 'one') + responseText(id, 'surplus'));
-    else if (number === 2) socket.write(responseText('zz', "another one's"));
+void test('a surplus response is never delivered, whether sent at once or in place of the next response', async () => {
+  const fixture = await startOrigin((id, socket, requestNumber) => {
+    if (requestNumber === 1) socket.write(responseText(id, 'one') + responseText(id, 'surplus'));
+    else if (requestNumber === 2) socket.write(responseText('zz', "another one's"));
     else socket.write(responseText(id, `body of ${id}`));
   });
   const client = new HttpOriginClient(defaultHeaderNames);
   const first = await exchange(client, fixture.attempt('a'));
   assert.ok(bodyOf(first) === 'one' || 'failure' in first);
   const second = await exchange(client, fixture.attempt('b'));
-  assert.ok('failure' in second && second.mayHaveReachedOrigin, 'it may have run');
+  assert.ok('failure' in second && second.mayHaveReachedOrigin, 'the request may have run');
   assert.equal(bodyOf(await exchange(client, fixture.attempt('c'))), 'body of c');
   client.closeIdleConnections(toInstanceId('o1'));
   fixture.server.close();
 });
 
-void test('a surplus response while no request is in flight ends the connection', async () => {
-  let late: Socket | undefined;
+void test('a surplus response while no request is in flight closes the connection', async () => {
+  let lateSocket: Socket | undefined;
   const fixture = await startOrigin((id, socket) => {
-    late = socket;
+    lateSocket = socket;
     socket.write(responseText(id, `body of ${id}`));
   });
   const client = new HttpOriginClient(defaultHeaderNames);
   await exchange(client, fixture.attempt('a'));
-  const ended = new Promise<void>((done) => {
-    late?.once('close', () => {
-      done();
+  const ended = new Promise<void>((resolve) => {
+    lateSocket?.once('close', () => {
+      resolve();
     });
   });
-  late?.write(responseText('a', 'late surplus'));
+  lateSocket?.write(responseText('a', 'late surplus'));
   await ended;
   assert.equal(bodyOf(await exchange(client, fixture.attempt('b'))), 'body of b');
   assert.equal(fixture.sockets(), 2);
@@ -122,12 +122,12 @@
   fixture.server.close();
 });
 
-void test('a broken, short or invalid response, or one without proof, is a failure that says whether the request may have been sent', async () => {
-  const fixture = await startOrigin((id, socket, number) => {
-    if (number === 1)
+void test('a truncated, malformed or aborted response, or one without the proof header, is a failure that states whether the request may have been sent', async () => {
+  const fixture = await startOrigin((id, socket, requestNumber) => {
+    if (requestNumber === 1)
       socket.end(`HTTP/1.1 200 OK\r\nswitchwheel-id: ${id}\r\ncontent-length: 10\r\n\r\nhalf`);
-    else if (number === 2) socket.end('this is not HTTP at all\r\n\r\n');
-    else if (number === 3) socket.resetAndDestroy();
+    else if (requestNumber === 2) socket.end('this is not HTTP at all\r\n\r\n');
+    else if (requestNumber === 3) socket.resetAndDestroy();
     else socket.write(responseText(id, 'no proof'));
   });
   const client = new HttpOriginClient({ ...defaultHeaderNames, originProof: 'proof' });
@@ -137,17 +137,20 @@
   }
   client.closeIdleConnections(toInstanceId('o1'));
   fixture.server.close();
-  const nobody = await exchange(client, {
+  const refused = await exchange(client, {
     ...fixture.attempt('e'),
     address: toAddress('127.0.0.1:1'),
   });
-  assert.ok('failure' in nobody && !nobody.mayHaveReachedOrigin, 'a refused connection is certain');
+  assert.ok(
+    'failure' in refused && !refused.mayHaveReachedOrigin,
+    'after a refused connection the request was not sent',
+  );
 });
 
-void test('a response may say that the origin did not run the request', async () => {
-  const fixture = await startOrigin((id, socket, number) =>
+void test('a response with the unprocessed header or status 421 counts as not run', async () => {
+  const fixture = await startOrigin((id, socket, requestNumber) =>
     socket.write(
-      number === 1
+      requestNumber === 1
         ? `HTTP/1.1 503 Full\r\nswitchwheel-id: ${id}\r\nswitchwheel-unrun: 1\r\ncontent-length: 0\r\n\r\n`
         : `HTTP/1.1 421 Not me\r\nswitchwheel-id: ${id}\r\ncontent-length: 0\r\n\r\n`,
     ),
@@ -161,10 +164,10 @@
   fixture.server.close();
 });
 
-void test('bytes behind a complete response do not spoil it, and their connection is not used again', async () => {
-  const junk = ['this is no answer\r\n\r\n', responseText('zz', 'surplus')];
-  const fixture = await startOrigin((id, socket, number) =>
-    socket.write(responseText(id, `body of ${id}`) + (junk[number - 1] ?? '')),
+void test('data after a complete response does not invalidate it, and its connection is not reused', async () => {
+  const surplusData = ['this is no answer\r\n\r\n', responseText('zz', 'surplus')];
+  const fixture = await startOrigin((id, socket, requestNumber) =>
+    socket.write(responseText(id, `body of ${id}`) + (surplusData[requestNumber - 1] ?? '')),
   );
   const client = new HttpOriginClient(defaultHeaderNames);
   for (const id of ['a', 'b', 'c', 'd'])
@@ -174,10 +177,10 @@
   fixture.server.close();
 });
 
-void test('a status that no final response may have is a failure', async () => {
-  const fixture = await startOrigin((id, socket, number) =>
+void test('a status below 200 as the final response is a failure', async () => {
+  const fixture = await startOrigin((id, socket, requestNumber) =>
     socket.write(
-      `HTTP/1.1 ${['099', '000', '101'][number - 1] ?? '200'} X\r\nswitchwheel-id: ${id}\r\ncontent-length: 0\r\n\r\n`,
+      `HTTP/1.1 ${['099', '000', '101'][requestNumber - 1] ?? '200'} X\r\nswitchwheel-id: ${id}\r\ncontent-length: 0\r\n\r\n`,
     ),
   );
   const client = new HttpOriginClient(defaultHeaderNames);
@@ -189,10 +192,10 @@
   fixture.server.close();
 });
 
-void test('a connection that its origin will close within a second is not used again', async () => {
-  const fixture = await startOrigin((id, socket, number) =>
+void test('a connection that its origin will close within a second is not reused', async () => {
+  const fixture = await startOrigin((id, socket, requestNumber) =>
     socket.write(
-      responseText(id, `body of ${id}`, `keep-alive: timeout=${number === 1 ? 1 : 2}\r\n`),
+      responseText(id, `body of ${id}`, `keep-alive: timeout=${requestNumber === 1 ? 1 : 2}\r\n`),
     ),
   );
   const client = new HttpOriginClient(defaultHeaderNames);
@@ -200,9 +203,9 @@
   await exchange(client, fixture.attempt('b'));
   assert.equal(fixture.sockets(), 2);
   await exchange(client, fixture.attempt('c'));
-  assert.equal(fixture.sockets(), 2, 'it is used while it surely stands');
-  await new Promise<void>((done) => {
-    setTimeout(done, 1300);
+  assert.equal(fixture.sockets(), 2, 'the connection is reused within its announced timeout');
+  await new Promise<void>((resolve) => {
+    setTimeout(resolve, 1300);
   });
   assert.equal(bodyOf(await exchange(client, fixture.attempt('d'))), 'body of d');
   assert.equal(fixture.sockets(), 3);
@@ -210,11 +213,12 @@
   fixture.server.close();
 });
 
-void test('what a response left behind on a connection never reaches the next request', async () => {
-  const fixture = await startOrigin((id, socket, number) => {
+void test('surplus data on a connection never reaches the next request', async () => {
+  const fixture = await startOrigin((id, socket, requestNumber) => {
     socket.write(responseText(id, `body of ${id}`));
-    // A surplus answer under the id of the request before, some moments later.
-    if (number % 2 === 1) setTimeout(() => socket.write(responseText(id, 'surplus')), number);
+    // A delayed surplus response with the id of the previous request.
+    if (requestNumber % 2 === 1)
+      setTimeout(() => socket.write(responseText(id, 'surplus')), requestNumber);
   });
   const client = new HttpOriginClient(defaultHeaderNames);
   for (let number = 0; number < 40; number += 1) {
@@ -222,8 +226,8 @@
     const outcome = await exchange(client, fixture.attempt(id, number % 3 === 0));
     if ('response' in outcome) assert.equal(bodyOf(outcome), `body of ${id}`);
     else assert.ok(outcome.mayHaveReachedOrigin);
-    await new Promise<void>((done) => {
-      setTimeout(done, number % 4);
+    await new Promise<void>((resolve) => {
+      setTimeout(resolve, number % 4);
     });
   }
   client.closeIdleConnections(toInstanceId('o1'));
--- a/packages/proxy/src/direct-edge/reset-at-end.test.ts
+++ b/packages/proxy/src/direct-edge/reset-at-end.test.ts
@@ -1,7 +1,4 @@
-/**
- * A response without a length ends with its connection. One whose connection is reset right behind its last bytes is not
- * complete: the runtime's event loop reports such a reset as an orderly end, so the end alone does not show it.
- */
+/** Guards against accepting a truncated response without a length: Node reports a reset after the last bytes as an orderly end. */
 
 import assert from 'node:assert/strict';
 import { type Socket, createServer } from 'node:net';
@@ -13,21 +10,21 @@
 const id = 't1';
 const head = `HTTP/1.1 200 OK\r\n${defaultHeaderNames.requestId}: ${id}\r\n\r\n`;
 
-/** The outcome of a request whose origin ends the connection behind its first bytes. */
+/** Returns the outcome of a request whose origin ends the connection after the first bytes of the body. */
 const outcomeOf = async (
   needsNewConnection: boolean,
-  finish: (socket: Socket) => void,
+  endConnection: (socket: Socket) => void,
 ): Promise<string> => {
   const server = createServer((socket) => {
     socket.on('error', () => undefined);
-    socket.once('data', () => socket.write(`${head}a part`, () => finish(socket)));
+    socket.once('data', () => socket.write(`${head}a part`, () => endConnection(socket)));
   });
-  await new Promise<void>((done) => {
-    server.listen(0, '127.0.0.1', done);
+  await new Promise<void>((resolve) => {
+    server.listen(0, '127.0.0.1', resolve);
   });
   const bound = server.address();
   assert.ok(bound !== null && typeof bound === 'object');
-  const outcome = await new Promise<string>((done) => {
+  const outcome = await new Promise<string>((resolve) => {
     new HttpOriginClient(defaultHeaderNames).send(
       {
         service: toServiceName('acts'),
@@ -42,8 +39,8 @@
         needsNewConnection,
       },
       {
-        onResponse: () => done('complete'),
-        onFailure: () => done('failed'),
+        onResponse: () => resolve('complete'),
+        onFailure: () => resolve('failed'),
       },
     );
   });
@@ -52,14 +49,14 @@
 };
 
 for (const needsNewConnection of [true, false]) {
-  void test(`a response without a length whose connection is reset is not complete, on a ${needsNewConnection ? 'new' : 'kept'} connection`, async () => {
+  void test(`a response without a length whose connection is reset is a failure, on a ${needsNewConnection ? 'new' : 'keep-alive'} connection`, async () => {
     assert.equal(
       await outcomeOf(needsNewConnection, (socket) => socket.resetAndDestroy()),
       'failed',
     );
   });
 
-  void test(`a response without a length whose connection ends in order is complete, on a ${needsNewConnection ? 'new' : 'kept'} connection`, async () => {
+  void test(`a response without a length whose connection closes in an orderly way is complete, on a ${needsNewConnection ? 'new' : 'keep-alive'} connection`, async () => {
     assert.equal(await outcomeOf(needsNewConnection, (socket) => socket.end()), 'complete');
   });
 }
--- a/packages/proxy/src/direct-edge/response-forms.test.ts
+++ b/packages/proxy/src/direct-edge/response-forms.test.ts
@@ -1,4 +1,4 @@
-/** The requests that a direct edge sends and its responses keep their forms. */
+/** Guards the requests and responses of an edge without shields against unintended changes. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -39,7 +39,7 @@
   ],
 };
 
-/** The state of an edge that runs the configuration, with one origin. */
+/** Returns the state of an edge with the configuration and one origin. */
 const edgeState = (origin: string): NodeAgent =>
   newEdgeAgent({
     configuration: compileDocument(document),
@@ -64,13 +64,13 @@
   { method: 'GET', path: '/none/1', headers: id },
 ];
 
-void test('an edge that sends straight to origins keeps its requests to them and its responses', async () => {
+void test('requests to origins, responses and counters of an edge without shields match the snapshots', async () => {
   const origin = await startRecordingOrigin({ etag: '"tag"', 'cache-tag': 'one two' });
   const state = edgeState(origin.address);
-  // Time stands still, so that how loaded the machine is changes nothing.
-  const clock = (): typeof now => now;
+  // A fixed time keeps the result independent of the machine's load.
+  const fixedTime = (): typeof now => now;
   const router = new EdgeRouter(
-    { now: clock, nodeAgent: () => state },
+    { now: fixedTime, nodeAgent: () => state },
     new Cache(1_000_000),
     new HttpOriginClient(defaultHeaderNames),
     {
@@ -89,15 +89,15 @@
   const address = await freeAddress();
   await listener.listen(address);
   try {
-    const texts: string[] = [];
-    for (const asked of requests)
-      texts.push(responseText(asked, await httpExchange(portOf(address), asked)));
+    const responses: string[] = [];
+    for (const request of requests)
+      responses.push(responseText(request, await httpExchange(portOf(address), request)));
     const sent = origin.requests
       .join('\n')
       .replace(/(deadline-ms: )\d+/g, '$1NUMBER')
       .replaceAll(address, 'EDGE');
     const retryAfter = /(retry-after: )[\d.]+/g;
-    matchSnapshot('direct-responses', texts.join('\n').replace(retryAfter, '$1NUMBER'));
+    matchSnapshot('direct-responses', responses.join('\n').replace(retryAfter, '$1NUMBER'));
     matchSnapshot('direct-origin-requests', sent);
     matchSnapshot('direct-counts', [...router.counts.keys()].toSorted().join('\n'));
   } finally {
--- a/packages/proxy/src/direct-edge/status-server.ts
+++ b/packages/proxy/src/direct-edge/status-server.ts
@@ -29,8 +29,8 @@
     const status = path !== readinessPath ? 404 : isReady() ? 200 : 503;
     response.writeHead(status, ['content-length', '0']).end();
   });
-  await new Promise<void>((done) => {
-    server.listen(splitAddress(address), done);
+  await new Promise<void>((resolve) => {
+    server.listen(splitAddress(address), resolve);
   });
   return server;
 };
--- a/packages/proxy/src/direct-edge/testing/misbehaving-origin.ts
+++ b/packages/proxy/src/direct-edge/testing/misbehaving-origin.ts
@@ -1,8 +1,8 @@
-/** An origin for tests that misbehaves at the level of bytes. */
+/** Test origin that sends incomplete, surplus and malformed responses. */
 
 import { type Server, type Socket, createServer } from 'node:net';
 
-/** What an origin does with one request; each is drawn as often as it stands here. */
+/** Behaviors for a single request; repeated entries are selected more often. */
 export const originBehaviors = [
   'complete',
   'complete',
@@ -10,21 +10,21 @@
   'complete',
   'late',
   'surplus',
-  'surplus later',
-  'junk behind',
-  'short',
+  'delayed surplus',
+  'trailing garbage',
+  'truncated',
   'other id',
   'unprocessed',
   'misleading status',
-  'no response',
-  'reset before',
-  'reset amid',
-  'reset after',
+  'malformed response',
+  'reset before running',
+  'reset during response',
+  'reset after running',
 ] as const;
-/** One of the behaviors. */
+/** Behavior of an origin for a single request; see `originBehaviors`. */
 export type OriginBehavior = (typeof originBehaviors)[number];
 
-/** A request that an origin ran. */
+/** A request that the origin ran. */
 export interface HandledRequest {
   readonly id: string;
   readonly method: string;
@@ -33,32 +33,32 @@
 
 const headEnd = '\r\n\r\n';
 
-const responseText = (id: string, body: string, status = '200 OK', more = ''): string =>
-  `HTTP/1.1 ${status}\r\nswitchwheel-id: ${id}\r\n${more}content-length: ${body.length}${headEnd}${body}`;
+const responseText = (id: string, body: string, status = '200 OK', extraHeaders = ''): string =>
+  `HTTP/1.1 ${status}\r\nswitchwheel-id: ${id}\r\n${extraHeaders}content-length: ${body.length}${headEnd}${body}`;
 
-/** Misbehaves as it is told, and records the requests that it ran. */
+/** Test origin that behaves according to `nextBehavior` and records the requests that it ran. */
 export class MisbehavingOrigin {
   readonly handledRequests: HandledRequest[] = [];
   readonly #server: Server;
   readonly #sockets = new Set<Socket>();
   readonly #nextBehavior: () => OriginBehavior;
 
-  constructor(next: () => OriginBehavior) {
-    this.#nextBehavior = next;
+  constructor(nextBehavior: () => OriginBehavior) {
+    this.#nextBehavior = nextBehavior;
     this.#server = createServer((socket) => this.#accept(socket));
   }
 
-  /** Listens on a free port; gives the address. */
+  /** Listens on a free port; resolves with the address. */
   listen(): Promise<string> {
-    return new Promise((done) => {
+    return new Promise((resolve) => {
       this.#server.listen(0, '127.0.0.1', () => {
         const bound = this.#server.address();
-        done(`127.0.0.1:${bound !== null && typeof bound === 'object' ? bound.port : 0}`);
+        resolve(`127.0.0.1:${bound !== null && typeof bound === 'object' ? bound.port : 0}`);
       });
     });
   }
 
-  /** Stops listening and cuts all connections. */
+  /** Stops listening and destroys all connections. */
   close(): void {
     this.#server.close();
     for (const socket of this.#sockets) socket.destroy();
@@ -68,16 +68,16 @@
     this.#sockets.add(socket);
     socket.on('error', () => undefined);
     socket.once('close', () => this.#sockets.delete(socket));
-    let read = '';
+    let received = '';
     socket.on('data', (bytes: Buffer) => {
-      read += bytes.toString('latin1');
-      const end = read.indexOf(headEnd);
+      received += bytes.toString('latin1');
+      const end = received.indexOf(headEnd);
       if (end < 0) return;
-      const length = Number(/content-length: (\d+)/i.exec(read)?.[1] ?? 0);
-      const body = read.slice(end + headEnd.length);
+      const length = Number(/content-length: (\d+)/i.exec(received)?.[1] ?? 0);
+      const body = received.slice(end + headEnd.length);
       if (body.length < length) return;
-      const head = read.slice(0, end);
-      read = '';
+      const head = received.slice(0, end);
+      received = '';
       this.#serve(socket, head, body);
     });
   }
@@ -86,7 +86,7 @@
     const id = /switchwheel-id: (\S+)/i.exec(head)?.[1] ?? '';
     const method = head.slice(0, head.indexOf(' '));
     const behavior = this.#nextBehavior();
-    if (behavior === 'reset before') {
+    if (behavior === 'reset before running') {
       socket.resetAndDestroy();
       return;
     }
@@ -99,13 +99,13 @@
   }
 }
 
-const noResponse = `this is no answer${headEnd}`;
+const malformedResponse = `this is no answer${headEnd}`;
 
-/** Responds to a request that was run. */
+/** Sends the response of a behavior that runs the request. */
 const respond = (
   socket: Socket,
   id: string,
-  behavior: Exclude<OriginBehavior, 'reset before' | 'unprocessed'>,
+  behavior: Exclude<OriginBehavior, 'reset before running' | 'unprocessed'>,
 ): void => {
   const complete = responseText(id, `body of ${id}`);
   switch (behavior) {
@@ -118,14 +118,14 @@
     case 'surplus':
       socket.write(complete + responseText(id, 'surplus'));
       break;
-    case 'surplus later':
+    case 'delayed surplus':
       socket.write(complete);
       setTimeout(() => socket.write(responseText(id, 'surplus')), 5);
       break;
-    case 'junk behind':
-      socket.write(`${complete}${noResponse}`);
+    case 'trailing garbage':
+      socket.write(`${complete}${malformedResponse}`);
       break;
-    case 'short':
+    case 'truncated':
       socket.end(complete.slice(0, -3));
       break;
     case 'other id':
@@ -134,13 +134,13 @@
     case 'misleading status':
       socket.write(responseText(id, '', '429 Later'));
       break;
-    case 'no response':
-      socket.write(noResponse);
+    case 'malformed response':
+      socket.write(malformedResponse);
       break;
-    case 'reset amid':
+    case 'reset during response':
       socket.write(complete.slice(0, -3), () => socket.resetAndDestroy());
       break;
-    case 'reset after':
+    case 'reset after running':
       setTimeout(() => socket.resetAndDestroy(), 5);
       break;
   }
--- a/packages/proxy/src/program-forms.test.ts
+++ b/packages/proxy/src/program-forms.test.ts
@@ -1,4 +1,4 @@
-/** The proxy as a process keeps its responses, metrics and state. */
+/** Guards the responses, metric names and state keys of the running proxy against unintended changes. */
 
 import { join } from 'node:path';
 import { test } from 'node:test';
@@ -15,18 +15,31 @@
 const matchSnapshot = snapshotsFor(import.meta.dirname);
 const script = join(import.meta.dirname, '..', 'bin', 'proxy.js');
 
-void test('an edge that no registry answers keeps its responses, metrics and state', async () => {
+void test('responses, metrics and state keys of an edge without a registry match the snapshots', async () => {
   const [listen, door, admin] = [await freeAddress(), await freeAddress(), await freeAddress()];
-  const place = ['--node', 'e1', '--area', 'a', '--listen', listen, '--seeds', '127.0.0.1:1'];
-  const rest = ['--role', 'edge', '--door', door, '--admin', admin, '--cache', '1'];
-  const proxy = await startProgram(script, { args: [...place, ...rest] }, '"text":"started"');
+  const nodeArguments = [
+    '--node',
+    'e1',
+    '--area',
+    'a',
+    '--listen',
+    listen,
+    '--seeds',
+    '127.0.0.1:1',
+  ];
+  const proxyArguments = ['--role', 'edge', '--door', door, '--admin', admin, '--cache', '1'];
+  const proxy = await startProgram(
+    script,
+    { args: [...nodeArguments, ...proxyArguments] },
+    '"text":"started"',
+  );
   try {
-    const answers: string[] = [];
+    const responses: string[] = [];
     for (const path of ['/clips/1', '*']) {
-      const asked = { method: 'GET', path, headers: { host: 'one.example' } };
-      answers.push(responseText(asked, await httpExchange(portOf(door), asked)));
+      const request = { method: 'GET', path, headers: { host: 'one.example' } };
+      responses.push(responseText(request, await httpExchange(portOf(door), request)));
     }
-    matchSnapshot('edge-responses', answers.join('\n'));
+    matchSnapshot('edge-responses', responses.join('\n'));
     const metrics = await httpExchange(portOf(admin), { method: 'GET', path: '/metrics' });
     matchMetrics(matchSnapshot, 'metrics', metrics.body);
     const state = await httpExchange(portOf(admin), { method: 'GET', path: '/state' });
--- a/packages/proxy/src/settings/settings-forms.test.ts
+++ b/packages/proxy/src/settings/settings-forms.test.ts
@@ -1,4 +1,4 @@
-/** The settings of the proxy keep their names and forms. */
+/** Guards the settings and help of the proxy command against unintended changes. */
 
 import { join } from 'node:path';
 import { test } from 'node:test';
@@ -8,18 +8,41 @@
 const matchSnapshot = snapshotsFor(import.meta.dirname);
 const script = join(import.meta.dirname, '..', '..', 'bin', 'proxy.js');
 
-void test('the settings of the proxy keep their names, types and checks', () => {
-  const flags = program.settings.map((one) => `--${one.name} ${one.type}: ${one.help}`);
+void test('the names, types and validation of the settings match the snapshot', () => {
+  const flags = program.settings.map(
+    (setting) => `--${setting.name} ${setting.type}: ${setting.help}`,
+  );
   matchSnapshot('settings', `${flags.join('\n')}\n\n${schemaLines(settingsSchema, 'settings')}`);
 });
 
-void test('the help of the proxy and its exit codes for wrong use stay', async () => {
-  const place = ['--node', 'p1', '--area', 'a', '--listen', '127.0.0.1:1', '--admin', 'here'];
+void test('the help text and the exit code for invalid settings match the snapshot', async () => {
+  const nodeArguments = [
+    '--node',
+    'p1',
+    '--area',
+    'a',
+    '--listen',
+    '127.0.0.1:1',
+    '--admin',
+    'here',
+  ];
   matchSnapshot(
     'command-line',
     await runCommands(script, 'proxy', [
       { args: ['--help'] },
-      { args: [...place, '--role', 'other', '--cache', '0', '--seeds', 'nowhere', '--odd', '1'] },
+      {
+        args: [
+          ...nodeArguments,
+          '--role',
+          'other',
+          '--cache',
+          '0',
+          '--seeds',
+          'nowhere',
+          '--odd',
+          '1',
+        ],
+      },
     ]),
   );
 });
--- a/packages/proxy/src/shield/header-forms.test.ts
+++ b/packages/proxy/src/shield/header-forms.test.ts
@@ -1,4 +1,4 @@
-/** The headers that a shield sends to origins keep their forms. */
+/** Guards the headers that a shield sends to origins against unintended changes. */
 
 import { test } from 'node:test';
 import { toAddress, toInstanceId, toServiceName } from '@switchwheel/types';
@@ -11,18 +11,18 @@
 const service = toServiceName('clips');
 const instance = toInstanceId('i1');
 
-void test('the header names that callers and origins use by default stay', () => {
+void test('the default header names match the snapshot', () => {
   const names: readonly unknown[] = Object.values(defaultHeaderNames);
   matchSnapshot('header-names', JSON.stringify(names, null, 2));
 });
 
-void test('origins get the headers that they got', async () => {
+void test('the requests and health checks that origins receive match the snapshot', async () => {
   const origin = await startRecordingOrigin({ 'switchwheel-instance': instance });
   try {
     for (const method of ['GET', 'POST']) {
       await new Promise<void>((resolve, reject) => {
         new StreamingOriginClient().send(
-          'one',
+          'attempt-1',
           {
             service,
             instance,
@@ -36,7 +36,7 @@
           },
           {
             onHead: () => undefined,
-            onChunk: (_, more) => more(),
+            onChunk: (_, resume) => resume(),
             onEnd: resolve,
             onFailed: ({ text }) => reject(new Error(text)),
           },
--- a/packages/proxy/src/shield/origin-client.ts
+++ b/packages/proxy/src/shield/origin-client.ts
@@ -137,9 +137,9 @@
 };
 
 const readResponse = async (stream: Request, handlers: AttemptHandlers): Promise<void> => {
-  const message = await new Promise<IncomingMessage>((done, fail) => {
-    stream.once('response', done);
-    stream.once('error', fail);
+  const message = await new Promise<IncomingMessage>((resolve, reject) => {
+    stream.once('response', resolve);
+    stream.once('error', reject);
   });
   handlers.onHead(message.statusCode ?? 0, headerFieldsOf(message));
   for await (const part of stream) {
--- a/packages/proxy/src/shielded-edge/client-handler.ts
+++ b/packages/proxy/src/shielded-edge/client-handler.ts
@@ -81,15 +81,15 @@
   route: CompiledRoute,
   request: ClientRequest,
 ): Promise<void> =>
-  new Promise<void>((done) => {
+  new Promise<void>((resolve) => {
     const client: ClientConnection = {
       reply: (reply) => {
         sendReply(ctx, reply);
-        done();
+        resolve();
       },
       startStream: (status, fields, length) => {
         const stream = openStream(ctx, status, fields, length);
-        done();
+        resolve();
         return stream;
       },
     };
--- a/packages/proxy/src/shielded-edge/error-forms.test.ts
+++ b/packages/proxy/src/shielded-edge/error-forms.test.ts
@@ -1,4 +1,4 @@
-/** The error responses of an edge that forwards to shields keep their forms. */
+/** Guards the responses of an edge that forwards to shields against unintended changes. */
 
 import { test } from 'node:test';
 import Koa from 'koa';
@@ -12,24 +12,24 @@
 
 const responsesOf = async (app: Koa, paths: readonly string[]): Promise<string> => {
   app.silent = true;
-  const listener = await startHttpServer(app, toAddress('127.0.0.1:0'));
+  const server = await startHttpServer(app, toAddress('127.0.0.1:0'));
   try {
-    const texts: string[] = [];
+    const responses: string[] = [];
     for (const path of paths) {
-      const asked = { method: 'GET', path };
-      texts.push(responseText(asked, await httpExchange(listener.port(), asked)));
+      const request = { method: 'GET', path };
+      responses.push(responseText(request, await httpExchange(server.port(), request)));
     }
-    return texts.join('\n');
+    return responses.join('\n');
   } finally {
-    listener.stopAccepting();
+    server.stopAccepting();
   }
 };
 
-void test('a caller is told each error kind as before, with and without a time to come back', async () => {
+void test('the response to each error kind matches the snapshot, with and without a retry delay', async () => {
   const app = new Koa();
   app.use((ctx) => {
     const [, name, retryMs] = ctx.path.split('/');
-    const kind = errorKinds.find((one) => one === name);
+    const kind = errorKinds.find((candidate) => candidate === name);
     if (kind !== undefined) sendErrorResponse(ctx, kind, 'why', Number(retryMs));
     if (kind === 'malformed') closeAfterResponse(ctx);
   });
@@ -37,7 +37,7 @@
   matchSnapshot('error-responses', await responsesOf(app, paths));
 });
 
-void test('a whole result is told with its own headers and where it came from', async () => {
+void test('a complete response with its origin headers and source matches the snapshot', async () => {
   const app = new Koa();
   app.use((ctx) => {
     const status = Number(ctx.path.slice(1));
--- a/packages/routing/src/attempt-state/attempt-state.test.ts
+++ b/packages/routing/src/attempt-state/attempt-state.test.ts
@@ -1,4 +1,4 @@
-/** The state machine of a request, by random sequences of events. */
+/** Guards against running a non-idempotent request twice, and against claiming that a request that may have run did not. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -24,39 +24,39 @@
 });
 const origin = (number: number): InstanceId => toInstanceId(`o${number}`);
 
-type Move =
-  | { readonly move: 'endpointPicked' }
-  | { readonly move: 'noEndpointAvailable' }
-  | { readonly move: 'hedgeDelayElapsed' }
-  | { readonly move: 'deadlineExpired' }
-  | { readonly move: 'clientDisconnected' }
+type Step =
+  | { readonly kind: 'endpointPicked' }
+  | { readonly kind: 'noEndpointAvailable' }
+  | { readonly kind: 'hedgeDelayElapsed' }
+  | { readonly kind: 'deadlineExpired' }
+  | { readonly kind: 'clientDisconnected' }
   | {
-      readonly move: 'responseReceived';
+      readonly kind: 'responseReceived';
       readonly attempt: number;
       readonly status: number;
       readonly isUnprocessed: boolean;
     }
   | {
-      readonly move: 'attemptFailed';
+      readonly kind: 'attemptFailed';
       readonly attempt: number;
       readonly mayHaveReachedOrigin: boolean;
     };
 
-const moves: fc.Arbitrary<Move> = fc.oneof(
-  { weight: 6, arbitrary: fc.constant<Move>({ move: 'endpointPicked' }) },
+const steps: fc.Arbitrary<Step> = fc.oneof(
+  { weight: 6, arbitrary: fc.constant<Step>({ kind: 'endpointPicked' }) },
   {
     weight: 1,
-    arbitrary: fc.constantFrom<Move>(
-      { move: 'noEndpointAvailable' },
-      { move: 'hedgeDelayElapsed' },
-      { move: 'deadlineExpired' },
-      { move: 'clientDisconnected' },
+    arbitrary: fc.constantFrom<Step>(
+      { kind: 'noEndpointAvailable' },
+      { kind: 'hedgeDelayElapsed' },
+      { kind: 'deadlineExpired' },
+      { kind: 'clientDisconnected' },
     ),
   },
   {
     weight: 4,
     arbitrary: fc.record({
-      move: fc.constant('responseReceived' as const),
+      kind: fc.constant('responseReceived' as const),
       attempt: fc.integer({ min: 1, max: 6 }),
       status: fc.constantFrom(200, 404, 429, 500, 503, 504),
       isUnprocessed: fc.boolean(),
@@ -65,156 +65,165 @@
   {
     weight: 4,
     arbitrary: fc.record({
-      move: fc.constant('attemptFailed' as const),
+      kind: fc.constant('attemptFailed' as const),
       attempt: fc.integer({ min: 1, max: 6 }),
       mayHaveReachedOrigin: fc.boolean(),
     }),
   },
 );
 
-const eventOf = (move: Move, number: number): RequestEvent => {
-  switch (move.move) {
+const eventOf = (step: Step, number: number): RequestEvent => {
+  switch (step.kind) {
     case 'endpointPicked':
       return { kind: 'endpointPicked', now: at, instance: origin(number) };
     case 'noEndpointAvailable':
-      return { kind: 'noEndpointAvailable', now: at, text: 'none', retryAfterMs: 100 };
+      return { kind: 'noEndpointAvailable', now: at, text: 'no endpoint', retryAfterMs: 100 };
     case 'responseReceived':
       return {
         kind: 'responseReceived',
         now: at,
-        attempt: move.attempt,
-        response: response(move.status, move.isUnprocessed),
+        attempt: step.attempt,
+        response: response(step.status, step.isUnprocessed),
       };
     case 'attemptFailed':
       return {
         kind: 'attemptFailed',
         now: at,
-        attempt: move.attempt,
-        mayHaveReachedOrigin: move.mayHaveReachedOrigin,
-        text: 'broke',
+        attempt: step.attempt,
+        mayHaveReachedOrigin: step.mayHaveReachedOrigin,
+        text: 'connection reset',
       };
     default:
-      return { kind: move.move, now: at };
+      return { kind: step.kind, now: at };
   }
 };
 
-interface Seen {
+interface ObservedEffects {
   readonly outcomes: RequestOutcome[];
   readonly inFlight: Set<number>;
   hasRun: boolean;
   sentCount: number;
 }
 
-/** Plays moves against the machine, holding each effect to the rules. */
-const play = (isIdempotent: boolean, maxAttempts: number, list: readonly Move[]): Seen => {
-  const seen: Seen = { outcomes: [], inFlight: new Set(), hasRun: false, sentCount: 0 };
+/** Applies steps to the state machine and checks each effect. */
+const runSteps = (
+  isIdempotent: boolean,
+  maxAttempts: number,
+  sequence: readonly Step[],
+): ObservedEffects => {
+  const observed: ObservedEffects = {
+    outcomes: [],
+    inFlight: new Set(),
+    hasRun: false,
+    sentCount: 0,
+  };
   let request: RequestState = newRequestState(isIdempotent, maxAttempts, deadline);
-  const take = (effects: readonly RequestEffect[]): void => {
+  const applyEffects = (effects: readonly RequestEffect[]): void => {
     for (const effect of effects) {
-      assert.equal(seen.outcomes.length, 0, 'nothing follows what the caller was told');
+      assert.equal(observed.outcomes.length, 0, 'no effect follows the outcome');
       if (effect.kind === 'sendAttempt') {
         assert.ok(
-          isIdempotent || (!seen.hasRun && seen.inFlight.size === 0),
-          'a request that may not be repeated goes out once unless nothing ran',
+          isIdempotent || (!observed.hasRun && observed.inFlight.size === 0),
+          'a non-idempotent request is sent again only if no origin has run it',
         );
-        seen.inFlight.add(effect.attempt);
-        seen.sentCount += 1;
-        assert.ok(seen.sentCount <= maxAttempts, 'no more origins than allowed');
+        observed.inFlight.add(effect.attempt);
+        observed.sentCount += 1;
+        assert.ok(observed.sentCount <= maxAttempts, 'no more attempts than allowed');
       } else if (effect.kind === 'cancelAttempt') {
-        seen.inFlight.delete(effect.attempt);
-        seen.hasRun = true;
+        observed.inFlight.delete(effect.attempt);
+        observed.hasRun = true;
       } else if (effect.kind === 'finishRequest') {
-        seen.outcomes.push(effect.outcome);
+        observed.outcomes.push(effect.outcome);
       }
     }
   };
-  take(requestTransition(request, { kind: 'started', now: at }).effects);
-  list.forEach((move, number) => {
-    const event = eventOf(move, number);
-    if (event.kind === 'responseReceived' && seen.inFlight.has(event.attempt)) {
-      seen.inFlight.delete(event.attempt);
-      if (!event.response.isUnprocessed) seen.hasRun = true;
+  applyEffects(requestTransition(request, { kind: 'started', now: at }).effects);
+  sequence.forEach((step, number) => {
+    const event = eventOf(step, number);
+    if (event.kind === 'responseReceived' && observed.inFlight.has(event.attempt)) {
+      observed.inFlight.delete(event.attempt);
+      if (!event.response.isUnprocessed) observed.hasRun = true;
     }
-    if (event.kind === 'attemptFailed' && seen.inFlight.has(event.attempt)) {
-      seen.inFlight.delete(event.attempt);
-      if (event.mayHaveReachedOrigin) seen.hasRun = true;
-      else seen.sentCount -= 1;
+    if (event.kind === 'attemptFailed' && observed.inFlight.has(event.attempt)) {
+      observed.inFlight.delete(event.attempt);
+      if (event.mayHaveReachedOrigin) observed.hasRun = true;
+      else observed.sentCount -= 1;
     }
-    const done = requestTransition(request, event);
-    request = done.state;
-    take(done.effects);
+    const result = requestTransition(request, event);
+    request = result.state;
+    applyEffects(result.effects);
   });
-  return seen;
+  return observed;
 };
 
-void test('no sequence of responses, failures and delays runs a non-idempotent request twice, or rejects it when it may have run', () => {
+void test('no sequence of responses, failures and delays runs a non-idempotent request twice or rejects it although it may have run', () => {
   fc.assert(
     fc.property(
       fc.boolean(),
       fc.integer({ min: 1, max: 4 }),
-      fc.array(moves, { maxLength: 30 }),
-      (isIdempotent, maxAttempts, list) => {
-        const seen = play(isIdempotent, maxAttempts, list);
-        for (const outcome of seen.outcomes) {
-          const promise =
+      fc.array(steps, { maxLength: 30 }),
+      (isIdempotent, maxAttempts, sequence) => {
+        const observed = runSteps(isIdempotent, maxAttempts, sequence);
+        for (const outcome of observed.outcomes) {
+          const claimsNotRun =
             outcome.kind === 'failure'
               ? outcome.errorKind === 'rejected'
               : [408, 421, 429, 503].includes(outcome.response.status);
-          if (promise && !isIdempotent)
+          if (claimsNotRun && !isIdempotent)
             assert.ok(
-              !seen.hasRun && seen.inFlight.size === 0,
-              'a promise is only given when nothing ran and nothing will',
+              !observed.hasRun && observed.inFlight.size === 0,
+              'a claim that the request was not run is made only if no origin has run or will run it',
             );
         }
-        assert.ok(seen.outcomes.length <= 1);
+        assert.ok(observed.outcomes.length <= 1);
       },
     ),
     { seed: 4711, numRuns: 4000 },
   );
 });
 
-void test('an unprocessed request goes to another origin, and its response is the outcome', () => {
+void test('a request that its origin did not process is sent to another origin, whose response is the outcome', () => {
   let request = newRequestState(false, 2, deadline);
   request = requestTransition(request, {
     kind: 'endpointPicked',
     now: at,
     instance: origin(1),
   }).state;
-  const away = requestTransition(request, {
+  const unprocessed = requestTransition(request, {
     kind: 'responseReceived',
     now: at,
     attempt: 1,
     response: response(503, true),
   });
-  assert.deepEqual(away.effects, [{ kind: 'pickEndpoint', isExtra: true }]);
-  const again = requestTransition(away.state, {
+  assert.deepEqual(unprocessed.effects, [{ kind: 'pickEndpoint', isExtra: true }]);
+  const retried = requestTransition(unprocessed.state, {
     kind: 'endpointPicked',
     now: at,
     instance: origin(2),
   });
-  const done = requestTransition(again.state, {
+  const result = requestTransition(retried.state, {
     kind: 'responseReceived',
     now: at,
     attempt: 2,
     response: response(200),
   });
-  assert.equal(done.effects[0]?.kind, 'finishRequest');
+  assert.equal(result.effects[0]?.kind, 'finishRequest');
 });
 
-void test('a status by which a client would conclude that nothing ran is not passed on when the request may have run', () => {
-  const out = requestTransition(newRequestState(false, 2, deadline), {
+void test('a status that implies that the request was not run is not passed on if the request may have run', () => {
+  const sent = requestTransition(newRequestState(false, 2, deadline), {
     kind: 'endpointPicked',
     now: at,
     instance: origin(1),
   });
-  const done = requestTransition(out.state, {
+  const result = requestTransition(sent.state, {
     kind: 'responseReceived',
     now: at,
     attempt: 1,
     response: response(503),
   });
   assert.deepEqual(
-    done.effects.map((effect) =>
+    result.effects.map((effect) =>
       effect.kind === 'finishRequest' && effect.outcome.kind === 'failure'
         ? effect.outcome.errorKind
         : effect.kind,
--- a/packages/routing/src/object-sharing/object-sharing.test.ts
+++ b/packages/routing/src/object-sharing/object-sharing.test.ts
@@ -1,4 +1,4 @@
-/** Object sharing among the routers of one zone. */
+/** Guards object sharing between the edges of a zone: ownership, age, purges, unresponsive owners and refusals. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -35,7 +35,7 @@
 const zoneName = toZoneName('a');
 const lifetimeMs = 5000;
 const edgeCount = 6;
-/** So low that each edge's quota share is one fetch in two seconds. */
+/** Rate limit of the service; each edge's quota share is one fetch in two seconds. */
 const perSecond = 3;
 
 const configurationOf = (generation: number): CompiledConfiguration =>
@@ -60,14 +60,14 @@
   );
 const configuration = configurationOf(1);
 
-const memberAt = (at: number): Member => ({
-  node: toNodeId(`e${at}`),
+const memberAt = (index: number): Member => ({
+  node: toNodeId(`e${index}`),
   role: 'edge',
   area: zoneName,
-  address: toAddress(`10.0.0.${at + 1}:1`),
+  address: toAddress(`10.0.0.${index + 1}:1`),
   incarnation: toIncarnation(1),
 });
-const members = Array.from({ length: edgeCount }, (_, at) => memberAt(at));
+const members = Array.from({ length: edgeCount }, (_, index) => memberAt(index));
 
 interface Fetch {
   readonly edge: Edge;
@@ -75,38 +75,51 @@
   readonly handlers: AttemptHandlers;
 }
 
-/** The edges of one zone, each with its own clock; the test delivers their frames and responds to their fetches. */
+/** Edges of one zone, each with its own clock; the test delivers their frames and responds to their fetches. */
 class ZoneFixture {
   now = 0;
   readonly edges: readonly Edge[];
   readonly fetches: Fetch[] = [];
-  /** Edges whose frames are lost in both directions. */
-  readonly dead = new Set<Address>();
-  readonly #wire: { readonly from: Edge; readonly to: Address; readonly frame: ObjectFrame }[] = [];
+  /** Addresses of edges whose frames are lost in both directions. */
+  readonly unreachable = new Set<Address>();
+  readonly #framesInTransit: {
+    readonly from: Edge;
+    readonly to: Address;
+    readonly frame: ObjectFrame;
+  }[] = [];
 
   constructor() {
-    this.edges = members.map((member, at) => new Edge(this, member, 10_000 * (at + 1)));
+    this.edges = members.map((member, index) => new Edge(this, member, 10_000 * (index + 1)));
     // A quota share is empty when it is first used, and refills from then on.
-    for (const edge of this.edges) edge.ask('/edit/0', 'POST');
-    this.pass(3000);
+    for (const edge of this.edges) edge.request('/edit/0', 'POST');
+    this.advance(3000);
     for (const edge of this.edges) edge.replies.splice(0);
   }
 
   send(from: Edge, to: Address, frame: ObjectFrame): void {
-    this.#wire.push({ from, to, frame });
+    this.#framesInTransit.push({ from, to, frame });
   }
 
-  /** Delivers all frames, also those that are sent meanwhile. */
+  /** Delivers all frames, including those sent during delivery. */
   deliver(): void {
-    for (let one = this.#wire.shift(); one !== undefined; one = this.#wire.shift()) {
-      const { from, to, frame } = one;
+    for (
+      let sent = this.#framesInTransit.shift();
+      sent !== undefined;
+      sent = this.#framesInTransit.shift()
+    ) {
+      const { from, to, frame } = sent;
       const target = this.edges.find((edge) => edge.member.address === to);
-      if (target === undefined || this.dead.has(to) || this.dead.has(from.member.address)) continue;
+      if (
+        target === undefined ||
+        this.unreachable.has(to) ||
+        this.unreachable.has(from.member.address)
+      )
+        continue;
       target.router.handlePeerFrame(from.member.address, frame);
     }
   }
 
-  pass(ms: number): void {
+  advance(ms: number): void {
     const end = this.now + ms;
     while (this.now < end) {
       this.now = Math.min(end, this.now + 30);
@@ -115,9 +128,9 @@
     }
   }
 
-  answer(at: number, body = 'body', status = 200): void {
+  respond(index: number, body = 'body', status = 200): void {
     const fields: AttemptRequest['fields'] = [['cache-tag', 't1']];
-    this.fetches[at]?.handlers.onResponse({
+    this.fetches[index]?.handlers.onResponse({
       status,
       fields,
       body: Buffer.from(body),
@@ -126,20 +139,22 @@
     this.deliver();
   }
 
-  /** The edge that owns an object, and the others. */
-  split(target: string): { readonly owner: Edge; readonly others: readonly Edge[] } {
+  /** Returns the owner of an object and the other edges. */
+  ownerAndOthers(target: string): { readonly owner: Edge; readonly others: readonly Edge[] } {
     const probe = new ZoneFixture();
     const [first] = probe.edges;
-    first?.ask(target);
+    first?.request(target);
     probe.deliver();
-    const at = probe.edges.indexOf(probe.fetches[0]?.edge ?? probe.edges[0] ?? fail());
-    const owner = this.edges[at] ?? fail();
-    return { owner, others: this.edges.filter((one) => one !== owner) };
+    const ownerIndex = probe.edges.indexOf(
+      probe.fetches[0]?.edge ?? probe.edges[0] ?? throwMissingEdge(),
+    );
+    const owner = this.edges[ownerIndex] ?? throwMissingEdge();
+    return { owner, others: this.edges.filter((edge) => edge !== owner) };
   }
 }
 
-const fail = (): never => {
-  throw new Error('no such edge');
+const throwMissingEdge = (): never => {
+  throw new Error('the zone fixture has no edge that owns the requested object');
 };
 
 class Edge {
@@ -190,16 +205,16 @@
 
   tick(): void {
     const { nodeSession } = this.nodeAgent;
-    const at = this.now;
+    const now = this.now;
     this.nodeAgent = {
       ...this.nodeAgent,
-      purgesCurrentAsOf: at,
-      nodeSession: { ...nodeSession, registryHeardAt: at },
+      purgesCurrentAsOf: now,
+      nodeSession: { ...nodeSession, registryHeardAt: now },
     };
-    this.router.tick(at);
+    this.router.tick(now);
   }
 
-  ask(target: string, method = 'GET', fields: AttemptRequest['fields'] = []): void {
+  request(target: string, method = 'GET', fields: AttemptRequest['fields'] = []): void {
     const request = {
       id: `${this.member.node}-${this.replies.length}`,
       method,
@@ -230,24 +245,24 @@
   }
 }
 
-void test('all edges of a zone that request an object get it by one fetch of its owner', () => {
+void test('all edges of a zone that request an object get it from a single fetch by its owner', () => {
   const zone = new ZoneFixture();
-  for (const edge of zone.edges) edge.ask('/clips/1');
+  for (const edge of zone.edges) edge.request('/clips/1');
   zone.deliver();
   assert.equal(zone.fetches.length, 1);
-  zone.answer(0, 'first');
+  zone.respond(0, 'first');
   for (const edge of zone.edges) assert.deepEqual(edge.bodies(), ['first']);
-  for (const edge of zone.edges) edge.ask('/clips/1');
-  assert.equal(zone.fetches.length, 1, 'each of them keeps it');
+  for (const edge of zone.edges) edge.request('/clips/1');
+  assert.equal(zone.fetches.length, 1, 'each edge caches the object');
   for (const edge of zone.edges) assert.deepEqual(edge.bodies(), ['first', 'first']);
 });
 
-void test('an owner fetches by the id of the first request, which the origin echoes', () => {
+void test('an owner fetches with the id of the first request and forwards only fields on which the response may depend', () => {
   const zone = new ZoneFixture();
-  const { others } = zone.split('/clips/1');
-  others[0]?.ask('/clips/1', 'GET', [
+  const { others } = zone.ownerAndOthers('/clips/1');
+  others[0]?.request('/clips/1', 'GET', [
     ['accept', 'audio/*'],
-    ['x-private', 'of the caller'],
+    ['x-private', 'private value'],
   ]);
   zone.deliver();
   const [fetch] = zone.fetches;
@@ -259,203 +274,206 @@
   assert.equal(names.has('x-private'), false);
 });
 
-void test('objects are owned by all edges, and each is fetched once', () => {
+void test('ownership is spread over all edges, and each object is fetched once', () => {
   const zone = new ZoneFixture();
   const owners = new Set<Edge>();
   for (let object = 0; object < 30; object += 1) {
-    for (const edge of zone.edges) edge.ask(`/clips/${object}`);
+    for (const edge of zone.edges) edge.request(`/clips/${object}`);
     zone.deliver();
     assert.equal(zone.fetches.length, object + 1);
     const edge = zone.fetches.at(-1)?.edge;
     if (edge !== undefined) owners.add(edge);
-    zone.answer(object);
-    zone.pass(2100);
+    zone.respond(object);
+    zone.advance(2100);
   }
   assert.equal(owners.size, edgeCount);
 });
 
-void test('a shared object is as old at every edge as it is at its owner', () => {
+void test('a shared object expires at the same time at every edge as at its owner', () => {
   const zone = new ZoneFixture();
-  const { owner, others } = zone.split('/clips/1');
-  owner.ask('/clips/1');
-  zone.answer(0, 'old');
-  zone.pass(lifetimeMs - 100);
+  const { owner, others } = zone.ownerAndOthers('/clips/1');
+  owner.request('/clips/1');
+  zone.respond(0, 'old');
+  zone.advance(lifetimeMs - 100);
   const [first] = others;
-  first?.ask('/clips/1');
+  first?.request('/clips/1');
   zone.deliver();
-  assert.deepEqual(first?.bodies(), ['old'], 'told while it is good');
-  zone.pass(100);
-  first.ask('/clips/1');
+  assert.deepEqual(first?.bodies(), ['old'], 'shared within its lifetime');
+  zone.advance(100);
+  first.request('/clips/1');
   zone.deliver();
-  assert.equal(zone.fetches.length, 2, 'not told past its lifetime');
+  assert.equal(zone.fetches.length, 2, 'not shared after its lifetime');
 });
 
-void test('an object that was purged after its owner fetched it is rejected by an edge that knows', () => {
+void test('an edge that has applied a purge rejects an object that its owner fetched before the purge', () => {
   const zone = new ZoneFixture();
-  const { owner, others } = zone.split('/clips/1');
-  owner.ask('/clips/1');
-  zone.answer(0, 'old');
+  const { owner, others } = zone.ownerAndOthers('/clips/1');
+  owner.request('/clips/1');
+  zone.respond(0, 'old');
   const [first, second] = others;
   first?.purge(1, '/clips/1');
-  first?.ask('/clips/1');
+  first?.request('/clips/1');
   zone.deliver();
-  assert.equal(zone.fetches.length, 2, 'it asks an origin itself');
-  zone.answer(1, 'new');
+  assert.equal(zone.fetches.length, 2, 'the edge sends the request to an origin itself');
+  zone.respond(1, 'new');
   assert.deepEqual(first?.bodies(), ['new']);
-  // One that does not know yet may tell it, and drops it with the purge.
-  second?.ask('/clips/1');
+  // An edge that has not applied the purge yet may serve the object, and removes it with the purge.
+  second?.request('/clips/1');
   zone.deliver();
   second?.purge(1, '/clips/1');
   owner.purge(1, '/clips/1');
-  second?.ask('/clips/1');
+  second?.request('/clips/1');
   zone.deliver();
   assert.equal(zone.fetches.length, 3);
-  zone.answer(2, 'new');
+  zone.respond(2, 'new');
   assert.deepEqual(second?.bodies(), ['old', 'new']);
 });
 
-void test('an owner that may lack purges shares nothing from its cache', () => {
+void test('an owner that may have missed purges shares nothing from its cache', () => {
   const zone = new ZoneFixture();
-  const { owner, others } = zone.split('/clips/1');
-  owner.ask('/clips/1');
-  zone.answer(0, 'old');
+  const { owner, others } = zone.ownerAndOthers('/clips/1');
+  owner.request('/clips/1');
+  zone.respond(0, 'old');
   owner.nodeAgent = {
     ...owner.nodeAgent,
     purgesCurrentAsOf: toTimestamp(owner.now - 2 * defaultEdgeLimits.maxPurgeLagMs),
   };
-  others[0]?.ask('/clips/1');
+  others[0]?.request('/clips/1');
   zone.deliver();
-  assert.deepEqual(others[0]?.kinds(), [], 'nothing is told from what it keeps');
+  assert.deepEqual(others[0]?.kinds(), [], 'nothing is shared from its cache');
 });
 
-void test('a dead owner delays one request; after that the next owner is asked', () => {
+void test('an unresponsive owner delays one request; later requests go to the next owner', () => {
   const zone = new ZoneFixture();
-  const { owner, others } = zone.split('/clips/1');
-  zone.dead.add(owner.member.address);
+  const { owner, others } = zone.ownerAndOthers('/clips/1');
+  zone.unreachable.add(owner.member.address);
   const [first] = others;
-  first?.ask('/clips/1');
+  first?.request('/clips/1');
   zone.deliver();
   assert.equal(zone.fetches.length, 0);
-  zone.pass(430);
-  assert.equal(zone.fetches.length, 1, 'it goes on by itself');
-  zone.answer(0);
+  zone.advance(430);
+  assert.equal(zone.fetches.length, 1, 'the edge sends the request to an origin itself');
+  zone.respond(0);
   assert.deepEqual(first?.kinds(), ['cached']);
-  first.ask('/clips/2');
-  first.ask('/clips/3');
-  zone.pass(60);
+  first.request('/clips/2');
+  first.request('/clips/3');
+  zone.advance(60);
   assert.ok(zone.fetches.length >= 2);
 });
 
-void test('an owner whose quota share is used up refuses at once, and the asking edge uses its own', () => {
+void test('an owner whose quota share is used up refuses immediately, and the requesting edge uses its own share', () => {
   const zone = new ZoneFixture();
-  const { owner, others } = zone.split('/clips/1');
-  // What the owner may send is spent on requests that cannot be kept.
-  owner.ask('/edit/1', 'POST');
-  owner.ask('/edit/2', 'POST');
-  const spent = zone.fetches.length;
+  const { owner, others } = zone.ownerAndOthers('/clips/1');
+  // Uses up the owner's quota share with requests that can't be cached.
+  owner.request('/edit/1', 'POST');
+  owner.request('/edit/2', 'POST');
+  const fetchCount = zone.fetches.length;
   const [first, second] = others;
-  first?.ask('/clips/1');
+  first?.request('/clips/1');
   zone.deliver();
-  assert.equal(zone.fetches.length, spent + 1);
+  assert.equal(zone.fetches.length, fetchCount + 1);
   assert.equal(zone.fetches.at(-1)?.edge, first);
-  second?.ask('/edit/3', 'POST');
-  second?.ask('/clips/1');
+  second?.request('/edit/3', 'POST');
+  second?.request('/clips/1');
   zone.deliver();
   assert.equal(
     second?.kinds().at(-1),
     'rejected',
-    'without any part left it is told when to come back',
+    'with no quota share left the request is rejected',
   );
 });
 
-void test('an edge that runs another configuration is refused', () => {
+void test('an owner refuses requests of an edge that runs another configuration', () => {
   const zone = new ZoneFixture();
-  const { owner, others } = zone.split('/clips/1');
-  owner.ask('/clips/1');
-  zone.answer(0, 'by the old one');
+  const { owner, others } = zone.ownerAndOthers('/clips/1');
+  owner.request('/clips/1');
+  zone.respond(0, 'from the old configuration');
   const [first] = others;
   assert.ok(first !== undefined);
   first.nodeAgent = { ...first.nodeAgent, compiledConfiguration: configurationOf(2) };
-  first.ask('/clips/1');
+  first.request('/clips/1');
   zone.deliver();
   assert.equal(zone.fetches.at(-1)?.edge, first);
 });
 
-void test('what is not an object of a cached route is never requested from another edge', () => {
+void test('uncacheable requests are never sent to another edge', () => {
   const zone = new ZoneFixture();
   const [first] = zone.edges;
-  first?.ask('/edit/1', 'POST');
+  first?.request('/edit/1', 'POST');
   assert.equal(zone.fetches.length, 1);
-  zone.pass(2100);
-  first?.ask('/clips/1', 'GET', [['authorization', 'x']]);
+  zone.advance(2100);
+  first?.request('/clips/1', 'GET', [['authorization', 'x']]);
   assert.equal(zone.fetches.length, 2);
 });
 
-void test('an edge that is asked asks no other edge, whatever members it sees', () => {
+void test('an edge does not forward a request from another edge, whatever members it sees', () => {
   const zone = new ZoneFixture();
-  const { owner, others } = zone.split('/clips/1');
+  const { owner, others } = zone.ownerAndOthers('/clips/1');
   const [first] = others;
   const { nodeSession } = owner.nodeAgent;
-  const seen = members.filter((one) => one !== owner.member);
-  owner.nodeAgent = { ...owner.nodeAgent, nodeSession: { ...nodeSession, members: seen } };
+  const visibleMembers = members.filter((member) => member !== owner.member);
+  owner.nodeAgent = {
+    ...owner.nodeAgent,
+    nodeSession: { ...nodeSession, members: visibleMembers },
+  };
   owner.router.updateFleet(owner.nodeAgent);
-  first?.ask('/clips/1');
+  first?.request('/clips/1');
   zone.deliver();
   assert.equal(zone.fetches.length, 1);
   assert.equal(zone.fetches[0]?.edge, owner);
 });
 
-void test('a failure of the origin is not shared: the asking edge fetches its own response', () => {
+void test('an error response of the origin is not shared; the requesting edge fetches its own response', () => {
   const zone = new ZoneFixture();
-  const { others } = zone.split('/clips/1');
-  others[0]?.ask('/clips/1');
+  const { others } = zone.ownerAndOthers('/clips/1');
+  others[0]?.request('/clips/1');
   zone.deliver();
-  zone.answer(0, 'no', 404);
+  zone.respond(0, 'no', 404);
   assert.equal(zone.fetches.length, 2);
-  zone.answer(1, 'no', 404);
+  zone.respond(1, 'no', 404);
   assert.deepEqual(others[0]?.kinds(), ['response']);
 });
 
-void test('an object that does not fit a frame is not shared', () => {
+void test('an object that does not fit into a frame is not shared', () => {
   const zone = new ZoneFixture();
-  const { others } = zone.split('/clips/1');
-  others[0]?.ask('/clips/1');
+  const { others } = zone.ownerAndOthers('/clips/1');
+  others[0]?.request('/clips/1');
   zone.deliver();
-  zone.answer(0, 'x'.repeat(maxSharedBytes + 1));
+  zone.respond(0, 'x'.repeat(maxSharedBytes + 1));
   assert.equal(zone.fetches.length, 2);
   assert.equal(zone.fetches[1]?.edge, others[0]);
 });
 
-void test('an abort replies to those who wait for an owner', () => {
+void test('an abort replies to requests that wait for an owner', () => {
   const zone = new ZoneFixture();
-  const { owner, others } = zone.split('/clips/1');
-  zone.dead.add(owner.member.address);
-  others[0]?.ask('/clips/1');
+  const { owner, others } = zone.ownerAndOthers('/clips/1');
+  zone.unreachable.add(owner.member.address);
+  others[0]?.request('/clips/1');
   zone.deliver();
   assert.equal(others[0]?.router.abortAll(), 1);
   assert.equal(others[0].replies.length, 1);
-  zone.pass(300);
-  assert.equal(zone.fetches.length, 0, 'and nothing begins later');
+  zone.advance(300);
+  assert.equal(zone.fetches.length, 0, 'no fetch starts afterwards');
 });
 
 const addresses = fc.uniqueArray(fc.integer({ min: 1, max: 200 }), { minLength: 2, maxLength: 40 });
 
-void test('when an edge goes, only the objects that it owned get another owner', () => {
+void test('when an edge leaves, only the objects that it owned get another owner', () => {
   fc.assert(
     fc.property(
       addresses,
       fc.array(fc.string(), { minLength: 1, maxLength: 50 }),
       (list, objects) => {
-        const all = list.map((one) => toAddress(`10.0.0.${one}:1`));
-        const [gone, ...rest] = all;
+        const all = list.map((number) => toAddress(`10.0.0.${number}:1`));
+        const [removed, ...remaining] = all;
         const before = new ObjectOwners(all);
-        const after = new ObjectOwners(rest);
+        const after = new ObjectOwners(remaining);
         for (const object of objects) {
           const owner = before.ownerOf(object, () => true);
           const next = after.ownerOf(object, () => true);
           assert.equal(
             next,
-            owner === gone ? before.ownerOf(object, (one) => one !== gone) : owner,
+            owner === removed ? before.ownerOf(object, (address) => address !== removed) : owner,
           );
         }
       },
@@ -464,16 +482,16 @@
   );
 });
 
-void test('objects are spread evenly: no edge of twenty owns over twice its share', () => {
-  const all = Array.from({ length: 20 }, (_, at) => toAddress(`10.1.0.${at + 1}:7340`));
+void test('objects are spread evenly: none of twenty edges owns more than twice its share', () => {
+  const all = Array.from({ length: 20 }, (_, index) => toAddress(`10.1.0.${index + 1}:7340`));
   const owners = new ObjectOwners(all);
-  const owned = new Map<Address, number>();
-  const objects = 4000;
-  for (let at = 0; at < objects; at += 1) {
-    const owner = owners.ownerOf(JSON.stringify(['clip', host, `/clips/${at}`]), () => true);
+  const ownedCounts = new Map<Address, number>();
+  const objectCount = 4000;
+  for (let index = 0; index < objectCount; index += 1) {
+    const owner = owners.ownerOf(JSON.stringify(['clip', host, `/clips/${index}`]), () => true);
     assert.ok(owner !== undefined);
-    owned.set(owner, (owned.get(owner) ?? 0) + 1);
+    ownedCounts.set(owner, (ownedCounts.get(owner) ?? 0) + 1);
   }
-  assert.ok(Math.max(...owned.values()) < (2 * objects) / all.length);
-  assert.equal(owned.size, all.length);
+  assert.ok(Math.max(...ownedCounts.values()) < (2 * objectCount) / all.length);
+  assert.equal(ownedCounts.size, all.length);
 });
--- a/packages/routing/src/object-sharing/peer-bandwidth.test.ts
+++ b/packages/routing/src/object-sharing/peer-bandwidth.test.ts
@@ -1,4 +1,4 @@
-/** The limit of what other edges are sent. */
+/** Guards against shared objects that use more than their fraction of the link. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -6,49 +6,53 @@
 import { toTimestamp } from '@switchwheel/types';
 import { PeerBandwidth } from './peer-bandwidth.js';
 
-const linkRate = 1_600_000;
-const largest = 720_000;
+const linkBytesPerSecond = 1_600_000;
+const maxObjectBytes = 720_000;
 
-void test('what other edges are sent stays under its part of the link, but for one burst and one object', () => {
+void test('traffic to other edges stays within its fraction of the link, apart from one burst and one object', () => {
   fc.assert(
     fc.property(
       fc.array(
         fc.record({
           gapMs: fc.integer({ min: 0, max: 60 }),
-          bytes: fc.integer({ min: 0, max: largest }),
+          bytes: fc.integer({ min: 0, max: maxObjectBytes }),
         }),
         { minLength: 50, maxLength: 400 },
       ),
-      (asked) => {
-        const uploads = new PeerBandwidth(linkRate);
+      (requests) => {
+        const bandwidth = new PeerBandwidth(linkBytesPerSecond);
         let now = 1000;
-        let sent = 0;
-        for (const one of asked) {
-          now += one.gapMs;
-          if (!uploads.reserve(toTimestamp(now))) continue;
-          uploads.settle(one.bytes);
-          sent += one.bytes;
+        let sentBytes = 0;
+        for (const request of requests) {
+          now += request.gapMs;
+          if (!bandwidth.reserve(toTimestamp(now))) continue;
+          bandwidth.settle(request.bytes);
+          sentBytes += request.bytes;
         }
-        const part = 0.3 * linkRate;
-        assert.ok(sent <= (part * (now - 1000)) / 1000 + 0.4 * part + largest, `${sent} bytes`);
+        const peerBytesPerSecond = 0.3 * linkBytesPerSecond;
+        assert.ok(
+          sentBytes <=
+            (peerBytesPerSecond * (now - 1000)) / 1000 + 0.4 * peerBytesPerSecond + maxObjectBytes,
+          `${sentBytes} bytes`,
+        );
       },
     ),
     { seed: 5 },
   );
 });
 
-void test('many that wait for one fetch are reserved for: those beyond the part are refused at once', () => {
-  const uploads = new PeerBandwidth(linkRate);
+void test('each request that waits for a fetch reserves bandwidth, and requests beyond the available bandwidth are refused', () => {
+  const bandwidth = new PeerBandwidth(linkBytesPerSecond);
   const now = toTimestamp(1000);
-  let taken = 0;
-  while (taken < 1000 && uploads.reserve(now)) taken += 1;
-  assert.ok(taken > 1 && taken < 30, `${taken} reserved`);
+  let reservations = 0;
+  while (reservations < 1000 && bandwidth.reserve(now)) reservations += 1;
+  assert.ok(reservations > 1 && reservations < 30, `${reservations} reserved`);
 });
 
-void test('a link of unknown rate is not limited', () => {
-  const uploads = new PeerBandwidth(Infinity);
-  for (let at = 0; at < 1000; at += 1) {
-    assert.ok(uploads.reserve(toTimestamp(1000)));
-    uploads.settle(largest);
+void test('traffic over a link of unknown bandwidth is not limited', () => {
+  const bandwidth = new PeerBandwidth(Infinity);
+  for (let index = 0; index < 1000; index += 1) {
+    assert.ok(bandwidth.reserve(toTimestamp(1000)));
+    bandwidth.settle(maxObjectBytes);
   }
 });
--- a/packages/routing/src/quota/quota-share.test.ts
+++ b/packages/routing/src/quota/quota-share.test.ts
@@ -1,4 +1,4 @@
-/** The shares of all edges together keep the limits. */
+/** Guards against edges that exceed the fleet-wide limits in sum, also after restarts. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -17,61 +17,62 @@
 });
 const stepMs = 20;
 
-interface Node {
-  edges: EdgeCount;
+interface EdgeNode {
+  edgeCounter: EdgeCount;
   quota: QuotaShare;
 }
-const start = (many: number, now: Timestamp): Node => {
-  const edges = new EdgeCount();
-  edges.record(many, now);
-  return { edges, quota: new QuotaShare(defaultEdgeLimits, edges) };
+const startNode = (edgeCount: number, now: Timestamp): EdgeNode => {
+  const edgeCounter = new EdgeCount();
+  edgeCounter.record(edgeCount, now);
+  return { edgeCounter, quota: new QuotaShare(defaultEdgeLimits, edgeCounter) };
 };
 
-/** The most that falls into any window. */
-const worst = (times: readonly number[], windowMs: number): number => {
-  let most = 0;
+/** Returns the highest number of events in any window. */
+const maxInWindow = (times: readonly number[], windowMs: number): number => {
+  let highest = 0;
   let first = 0;
   times.forEach((at, last) => {
     while (at - (times[first] ?? 0) >= windowMs) first += 1;
-    most = Math.max(most, last - first + 1);
+    highest = Math.max(highest, last - first + 1);
   });
-  return most;
+  return highest;
 };
 
 const fleet = fc.record({
-  many: fc.integer({ min: 1, max: 14 }),
+  edgeCount: fc.integer({ min: 1, max: 14 }),
   perStep: fc.integer({ min: 1, max: 12 }),
   restarts: fc.array(fc.integer({ min: 0, max: 999 }), { maxLength: 6 }),
   seed: fc.integer({ min: 1, max: 1e6 }),
 });
 
-void test('the extra legs of all edges together keep the rule in every window, whoever restarts', () => {
+void test('the extra attempts of all edges stay within the limit in every window, also when edges restart', () => {
   fc.assert(
-    fc.property(fleet, ({ many, perStep, restarts, seed }) => {
-      const nodes = Array.from({ length: many }, () => start(many, toTimestamp(0)));
-      const asked: number[] = [];
-      const extra: number[] = [];
+    fc.property(fleet, ({ edgeCount, perStep, restarts, seed }) => {
+      const nodes = Array.from({ length: edgeCount }, () => startNode(edgeCount, toTimestamp(0)));
+      const requestTimes: number[] = [];
+      const extraAttemptTimes: number[] = [];
       for (let step = 0; step < 1000; step += 1) {
         const now = toTimestamp(step * stepMs);
-        if (restarts.includes(step)) nodes[step % many] = start(many, now);
-        for (let one = 0; one < perStep; one += 1) {
-          const node = nodes[(step * 7 + one * seed) % many];
+        if (restarts.includes(step)) nodes[step % edgeCount] = startNode(edgeCount, now);
+        for (let requestIndex = 0; requestIndex < perStep; requestIndex += 1) {
+          const node = nodes[(step * 7 + requestIndex * seed) % edgeCount];
           node?.quota.recordRequest(name, now);
-          asked.push(now);
-          while (node?.quota.takeExtraAttempt(name, now) === true) extra.push(now);
+          requestTimes.push(now);
+          while (node?.quota.takeExtraAttempt(name, now) === true) extraAttemptTimes.push(now);
         }
       }
       const { extraAttemptWindowMs, extraAttemptRatio, extraAttemptSlack } = defaultEdgeLimits;
       let first = 0;
-      let from = 0;
-      extra.forEach((at, last) => {
-        while (at - (extra[first] ?? 0) >= extraAttemptWindowMs) first += 1;
-        while ((asked[from] ?? 0) <= at - extraAttemptWindowMs) from += 1;
-        let to = from;
-        while (to < asked.length && (asked[to] ?? 0) <= at) to += 1;
+      let windowStart = 0;
+      extraAttemptTimes.forEach((at, last) => {
+        while (at - (extraAttemptTimes[first] ?? 0) >= extraAttemptWindowMs) first += 1;
+        while ((requestTimes[windowStart] ?? 0) <= at - extraAttemptWindowMs) windowStart += 1;
+        let windowEnd = windowStart;
+        while (windowEnd < requestTimes.length && (requestTimes[windowEnd] ?? 0) <= at)
+          windowEnd += 1;
         assert.ok(
-          last - first + 1 <= extraAttemptRatio * (to - from) + extraAttemptSlack,
-          'within a share of the requests and the slack',
+          last - first + 1 <= extraAttemptRatio * (windowEnd - windowStart) + extraAttemptSlack,
+          'at most the ratio of the requests plus the slack',
         );
       });
     }),
@@ -79,38 +80,38 @@
   );
 });
 
-void test('what all edges send together keeps the ceiling in every window, whoever restarts', () => {
+void test('the requests of all edges stay within the rate limit in every window, also when edges restart', () => {
   fc.assert(
-    fc.property(fleet, fc.integer({ min: 5, max: 900 }), ({ many, restarts }, perSecond) => {
-      const nodes = Array.from({ length: many }, () => start(many, toTimestamp(0)));
+    fc.property(fleet, fc.integer({ min: 5, max: 900 }), ({ edgeCount, restarts }, perSecond) => {
+      const nodes = Array.from({ length: edgeCount }, () => startNode(edgeCount, toTimestamp(0)));
       const sent: number[] = [];
       for (let step = 0; step < 800; step += 1) {
         const now = toTimestamp(step * stepMs);
-        if (restarts.includes(step)) nodes[step % many] = start(many, now);
+        if (restarts.includes(step)) nodes[step % edgeCount] = startNode(edgeCount, now);
         for (const node of nodes)
           while (node.quota.takeOrWaitMs(service(perSecond), now) === 0) sent.push(now);
       }
       const { rateLimitWindowMs, rateLimitOverageFactor } = defaultEdgeLimits;
-      const most = (perSecond * rateLimitWindowMs * rateLimitOverageFactor) / 1000 + 5;
+      const limit = (perSecond * rateLimitWindowMs * rateLimitOverageFactor) / 1000 + 5;
       assert.ok(
-        worst(sent, rateLimitWindowMs) <= most + Math.max(0, many - perSecond),
-        `${worst(sent, rateLimitWindowMs)} of ${most}`,
+        maxInWindow(sent, rateLimitWindowMs) <= limit + Math.max(0, edgeCount - perSecond),
+        `${maxInWindow(sent, rateLimitWindowMs)} of ${limit}`,
       );
-      // And the rate is used: what is asked for all the time is sent nearly at the rate.
+      // Under constant demand, requests are sent at nearly the rate limit.
       assert.ok(
-        sent.length >= 0.9 * perSecond * 15 - many * 2,
-        'the quota is no smaller than it must be',
+        sent.length >= 0.9 * perSecond * 15 - edgeCount * 2,
+        'the quota is not needlessly small',
       );
     }),
     { seed: 12, numRuns: 40 },
   );
 });
 
-void test('an edge counts the most edges it saw of late: those that are no longer seen may still use their part', () => {
-  const edges = new EdgeCount();
-  edges.record(10, toTimestamp(0));
-  edges.record(3, toTimestamp(1000));
-  assert.equal(edges.count, 10);
-  edges.record(4, toTimestamp(40_000));
-  assert.equal(edges.count, 4);
+void test('an edge uses the highest recent edge count, as edges that are no longer seen may still use their share', () => {
+  const edgeCounter = new EdgeCount();
+  edgeCounter.record(10, toTimestamp(0));
+  edgeCounter.record(3, toTimestamp(1000));
+  assert.equal(edgeCounter.count, 10);
+  edgeCounter.record(4, toTimestamp(40_000));
+  assert.equal(edgeCounter.count, 4);
 });
--- a/packages/routing/src/router/edge-router.test.ts
+++ b/packages/routing/src/router/edge-router.test.ts
@@ -1,4 +1,4 @@
-/** The router with a clock and origins that the test controls. */
+/** Guards the routing rules of an edge: caching, coalescing, retries, hedges, rollouts and overdue configurations. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -71,7 +71,7 @@
   isCancelled: boolean;
 }
 
-/** A router with origins whose responses the test gives. */
+/** Router with simulated origins; the test supplies the responses and controls the clock. */
 class RouterFixture {
   now: Timestamp = toTimestamp(100_000);
   readonly sent: SentAttempt[] = [];
@@ -79,7 +79,7 @@
   readonly cache = new Cache(1_000_000);
   nodeAgent: NodeAgent;
   readonly router: EdgeRouter;
-  readonly #confirmed = new Map<number, Timestamp>();
+  readonly #confirmedAt = new Map<number, Timestamp>();
 
   constructor(origins: readonly (readonly [string, string])[]) {
     this.nodeAgent = newConfirmedEdgeAgent({
@@ -118,7 +118,7 @@
     this.router.updateFleet(this.nodeAgent);
   }
 
-  ask(target: string, method = 'GET', fields: HeaderFields = []): () => void {
+  request(target: string, method = 'GET', fields: HeaderFields = []): () => void {
     const request: IncomingRequest = {
       id: `t${this.replies.length}`,
       method,
@@ -131,7 +131,7 @@
     return this.router.serve(request, (reply) => this.replies.push(reply));
   }
 
-  pass(ms: number): void {
+  advance(ms: number): void {
     this.now = toTimestamp(this.now + ms);
     this.nodeAgent = {
       ...this.nodeAgent,
@@ -141,15 +141,15 @@
     this.router.tick(this.now);
   }
 
-  /** When the core confirmed a generation. */
-  #newestSince(generation: number): Timestamp {
-    const known = this.#confirmed.get(generation) ?? this.now;
-    this.#confirmed.set(generation, known);
-    return known;
+  /** Time at which a generation was first confirmed. */
+  #confirmedSince(generation: number): Timestamp {
+    const confirmedAt = this.#confirmedAt.get(generation) ?? this.now;
+    this.#confirmedAt.set(generation, confirmedAt);
+    return confirmedAt;
   }
 
-  /** A registry in touch with the primary tells this edge which generation is the newest. */
-  hearNewest(generation: number): void {
+  /** Delivers a heartbeat reply that confirms the newest generation. */
+  confirmNewest(generation: number): void {
     const reply: FrameOf<'heartbeat-reply'> = {
       kind: 'heartbeat-reply',
       at: this.now,
@@ -158,7 +158,7 @@
       epoch: toEpoch(1),
       age: toDurationMs(0),
       newest: toGeneration(generation),
-      newestAge: toDurationMs(this.now - this.#newestSince(generation)),
+      newestAge: toDurationMs(this.now - this.#confirmedSince(generation)),
       purges: [],
       floor: noSeq,
       top: noSeq,
@@ -180,17 +180,17 @@
     }).state;
   }
 
-  answer(at: number, body = 'body', status = 200, unrun = false): void {
-    const answer: OriginResponse = {
+  respond(index: number, body = 'body', status = 200, isUnprocessed = false): void {
+    const response: OriginResponse = {
       status,
       fields: [
         ['cache-tag', 't1'],
         ['etag', '"1"'],
       ],
       body: Buffer.from(body),
-      isUnprocessed: unrun,
+      isUnprocessed,
     };
-    this.sent[at]?.handlers.onResponse(answer);
+    this.sent[index]?.handlers.onResponse(response);
   }
 
   kinds(): readonly string[] {
@@ -198,7 +198,7 @@
   }
 }
 
-/** How long a confirmed configuration may take to be in force, by the limits of these tests. */
+/** Maximum time between the confirmation of a configuration and its use. */
 const maxApplyMs = defaultEdgeLimits.maxApplyMs;
 
 const twoOrigins = [
@@ -208,26 +208,26 @@
 
 void test('a fetched object is served from the cache for its lifetime, or until a purge of its path or tag', () => {
   const fixture = new RouterFixture(twoOrigins);
-  fixture.ask('/clips/1');
-  fixture.answer(0);
-  fixture.ask('/clips/1');
+  fixture.request('/clips/1');
+  fixture.respond(0);
+  fixture.request('/clips/1');
   assert.deepEqual([fixture.kinds(), fixture.sent.length], [['cached', 'cached'], 1]);
   fixture.cache.purge([{ seq: toSeq(1), aims: [{ by: 'tag', tag: 't1' }] }], false, toSeq(1));
   fixture.router.onPurged();
   fixture.nodeAgent = { ...fixture.nodeAgent, lastPurgeSeq: toSeq(1) };
-  fixture.ask('/clips/1');
+  fixture.request('/clips/1');
   assert.equal(fixture.sent.length, 2);
-  fixture.answer(1);
-  fixture.pass(5001);
-  fixture.ask('/clips/1');
+  fixture.respond(1);
+  fixture.advance(5001);
+  fixture.request('/clips/1');
   assert.equal(fixture.sent.length, 3);
 });
 
-void test('a fetch that began before a purge is not cached, and later requests do not join it', () => {
+void test('a fetch that started before a purge is not cached, and later requests do not join it', () => {
   const fixture = new RouterFixture(twoOrigins);
-  fixture.ask('/clips/1');
-  fixture.ask('/clips/1');
-  assert.equal(fixture.sent.length, 1, 'the second waits for the first');
+  fixture.request('/clips/1');
+  fixture.request('/clips/1');
+  assert.equal(fixture.sent.length, 1, 'the second request joins the fetch of the first');
   fixture.cache.purge(
     [{ seq: toSeq(1), aims: [{ by: 'object', host, path: '/clips/1' }] }],
     false,
@@ -235,36 +235,36 @@
   );
   fixture.router.onPurged();
   fixture.nodeAgent = { ...fixture.nodeAgent, lastPurgeSeq: toSeq(1) };
-  fixture.ask('/clips/1');
+  fixture.request('/clips/1');
   assert.equal(fixture.sent.length, 2);
-  fixture.answer(0, 'old');
-  fixture.answer(1, 'new');
-  fixture.ask('/clips/1');
+  fixture.respond(0, 'old');
+  fixture.respond(1, 'new');
+  fixture.request('/clips/1');
   assert.equal(fixture.sent.length, 2);
   const last = fixture.replies.at(-1);
   assert.ok(last?.kind === 'cached' && last.entry.body.toString() === 'new');
 });
 
-void test('nothing is served from the cache while purges may be missing, and all is when no registry is reachable', () => {
+void test('the cache is not used while purges may be missing, and is used while no registry is reachable', () => {
   const fixture = new RouterFixture(twoOrigins);
-  fixture.ask('/clips/1');
-  fixture.answer(0);
+  fixture.request('/clips/1');
+  fixture.respond(0);
   fixture.now = toTimestamp(fixture.now + 1600);
   fixture.nodeAgent = {
     ...fixture.nodeAgent,
     nodeSession: { ...fixture.nodeAgent.nodeSession, registryHeardAt: fixture.now },
   };
-  fixture.ask('/clips/1');
-  assert.equal(fixture.sent.length, 2, 'its registry has no fresh word');
-  fixture.answer(1);
+  fixture.request('/clips/1');
+  assert.equal(fixture.sent.length, 2, 'the purges are too old although the registry is connected');
+  fixture.respond(1);
   fixture.now = toTimestamp(fixture.now + 2000);
-  fixture.ask('/clips/1');
-  assert.equal(fixture.sent.length, 2, 'no registry is heard at all');
+  fixture.request('/clips/1');
+  assert.equal(fixture.sent.length, 2, 'no registry is connected');
 });
 
-void test('a non-idempotent request is retried if its connection never opened, and not if it broke', () => {
+void test('a non-idempotent request is retried if its connection never opened, and not if the connection was reset', () => {
   const fixture = new RouterFixture(twoOrigins);
-  fixture.ask('/edit/1', 'POST');
+  fixture.request('/edit/1', 'POST');
   fixture.sent[0]?.handlers.onFailure(false, 'refused');
   assert.equal(fixture.sent.length, 2);
   fixture.sent[1]?.handlers.onFailure(true, 'reset');
@@ -272,35 +272,35 @@
   assert.deepEqual(fixture.kinds(), ['lost']);
 });
 
-void test('a late idempotent request is hedged at another origin, and the loser is cancelled', () => {
+void test('a slow idempotent request is hedged at another origin, and the slower attempt is cancelled', () => {
   const fixture = new RouterFixture(twoOrigins);
-  // Requests earn extra attempts; a new edge has none.
-  for (let at = 0; at < 40; at += 1) {
-    fixture.ask(`/clips/a${at}`);
-    fixture.answer(at);
+  // Extra attempts are earned by requests; a new edge has none.
+  for (let index = 0; index < 40; index += 1) {
+    fixture.request(`/clips/a${index}`);
+    fixture.respond(index);
   }
-  fixture.ask('/clips/slow');
-  fixture.pass(450);
+  fixture.request('/clips/slow');
+  fixture.advance(450);
   assert.equal(fixture.sent.length, 42);
   assert.notEqual(fixture.sent[41]?.request.instance, fixture.sent[40]?.request.instance);
-  fixture.answer(41);
+  fixture.respond(41);
   assert.ok(fixture.sent[40]?.isCancelled);
   assert.equal(fixture.kinds().at(-1), 'cached');
 });
 
-void test('a silent origin ends in a time-out reply shortly before the deadline of its client', () => {
+void test('if its origin does not respond, a request fails with a timeout shortly before its deadline', () => {
   const fixture = new RouterFixture([['o1', 'r1']]);
-  fixture.ask('/edit/1', 'POST');
-  fixture.pass(1990);
+  fixture.request('/edit/1', 'POST');
+  fixture.advance(1990);
   assert.deepEqual(fixture.kinds(), ['slow']);
   assert.ok(fixture.sent[0]?.isCancelled);
 });
 
-void test('without an origin the reply comes at once, with a time to retry', () => {
+void test('without an origin a request is rejected immediately, with a retry delay', () => {
   const fixture = new RouterFixture([]);
-  fixture.ask('/edit/1', 'POST');
-  const told = fixture.replies[0];
-  assert.ok(told?.kind === 'failure' && told.errorKind === 'rejected' && told.retryAfterMs > 0);
+  fixture.request('/edit/1', 'POST');
+  const reply = fixture.replies[0];
+  assert.ok(reply?.kind === 'failure' && reply.errorKind === 'rejected' && reply.retryAfterMs > 0);
 });
 
 const rolloutIn = (phase: RolloutState['phase'], share: number): RolloutState => ({
@@ -315,7 +315,7 @@
   serial: toSeq(2),
 });
 
-void test('a canary gets its share, a failed release nothing, a good one all; the counts are reported', () => {
+void test('a canary gets its share of requests, a failed release none and a good one all, and the counts are reported', () => {
   const fixture = new RouterFixture([
     ['o1', 'r1'],
     ['o2', 'r2'],
@@ -332,13 +332,17 @@
       releaseStatesAt: fixture.now,
     };
     fixture.router.updateFleet(fixture.nodeAgent);
-    const from = fixture.sent.length;
-    for (let at = 0; at < 300; at += 1) {
-      fixture.ask('/edit/1', 'POST');
-      fixture.answer(fixture.sent.length - 1);
+    const firstAttempt = fixture.sent.length;
+    for (let index = 0; index < 300; index += 1) {
+      fixture.request('/edit/1', 'POST');
+      fixture.respond(fixture.sent.length - 1);
     }
-    const fresh = fixture.sent.slice(from);
-    shares.set(phase, fresh.filter((one) => one.request.instance === 'o2').length / fresh.length);
+    const phaseAttempts = fixture.sent.slice(firstAttempt);
+    shares.set(
+      phase,
+      phaseAttempts.filter((attempt) => attempt.request.instance === 'o2').length /
+        phaseAttempts.length,
+    );
   }
   assert.ok(
     (shares.get('trial') ?? 0) > 0.04 && (shares.get('trial') ?? 0) < 0.17,
@@ -355,7 +359,7 @@
   assert.equal(report.inFlightOld, 0);
 });
 
-void test('an unknown route is denied only while the configuration is known to be the newest', () => {
+void test('an unknown route is denied only while the configuration is confirmed as the newest', () => {
   const fixture = new RouterFixture([['o1', 'r1']]);
   assert.equal(noGeneration, 0);
   const errorKindWith = (
@@ -365,7 +369,7 @@
       ...fixture.nodeAgent,
       configFreshness: { ...newest, pendingGenerations: [] },
     };
-    fixture.ask('/nowhere/');
+    fixture.request('/nowhere/');
     const reply = fixture.replies.at(-1);
     return reply?.kind === 'failure' ? reply.errorKind : 'none';
   };
@@ -378,155 +382,155 @@
   assert.equal(
     errorKindWith({ newestGeneration: noGeneration, confirmedAsOf: undefined }),
     'unready',
-    'provisional',
+    'the configuration is not confirmed',
   );
   assert.equal(
     errorKindWith({ newestGeneration: next, confirmedAsOf: fixture.now }),
     'unready',
-    'a newer one is known',
+    'a newer generation is known',
   );
   assert.equal(
     errorKindWith({ newestGeneration: generation, confirmedAsOf: toTimestamp(fixture.now - 2000) }),
     'unready',
-    'out of touch',
+    'the confirmation is too old',
   );
-  fixture.ask('/edit/1', 'POST');
-  assert.equal(fixture.sent.length, 1, 'known routes are served all the same');
+  fixture.request('/edit/1', 'POST');
+  assert.equal(fixture.sent.length, 1, 'known routes are still served');
 });
 
-/** Begins a fetch that a second request joins, and after a purge another one that a fourth request joins. */
-const withTwoFetches = (fixture: RouterFixture): void => {
-  fixture.ask('/clips/1');
-  fixture.ask('/clips/1');
+/** Starts a fetch that a second request joins, and after a purge another one that a fourth request joins. */
+const startTwoFetches = (fixture: RouterFixture): void => {
+  fixture.request('/clips/1');
+  fixture.request('/clips/1');
   fixture.router.onPurged();
-  fixture.ask('/clips/1');
-  fixture.ask('/clips/1');
+  fixture.request('/clips/1');
+  fixture.request('/clips/1');
   assert.equal(fixture.sent.length, 2);
 };
 
-void test('a request that joined a fetch gets its reply from that fetch after a newer one of the same object has begun', () => {
+void test('a request that joined a fetch gets the reply of that fetch, also when a newer fetch of the object has started', () => {
   const fixture = new RouterFixture(twoOrigins);
-  withTwoFetches(fixture);
-  fixture.answer(1, 'newer');
-  assert.equal(fixture.replies.length, 2, 'the newer fetch answers those who wait for it');
-  fixture.answer(0, 'older');
-  assert.equal(fixture.replies.length, 4, 'nobody is left without an answer');
+  startTwoFetches(fixture);
+  fixture.respond(1, 'newer');
+  assert.equal(fixture.replies.length, 2, 'the newer fetch answers its own waiters');
+  fixture.respond(0, 'older');
+  assert.equal(fixture.replies.length, 4, 'every request has a reply');
 });
 
-void test('a fetch that began before a purge serves no request that came after it', () => {
+void test('a fetch that started before a purge serves no request that arrived after the purge', () => {
   const fixture = new RouterFixture(twoOrigins);
-  withTwoFetches(fixture);
-  fixture.answer(0, 'older');
-  assert.equal(fixture.replies.length, 2, 'those who came after the purge still wait');
-  fixture.answer(1, 'newer');
-  const bodies = fixture.replies.map((one) =>
-    one.kind === 'cached' ? one.entry.body.toString() : '',
+  startTwoFetches(fixture);
+  fixture.respond(0, 'older');
+  assert.equal(fixture.replies.length, 2, 'requests after the purge still wait');
+  fixture.respond(1, 'newer');
+  const bodies = fixture.replies.map((reply) =>
+    reply.kind === 'cached' ? reply.entry.body.toString() : '',
   );
   assert.deepEqual(bodies, ['older', 'older', 'newer', 'newer']);
 });
 
-void test('a request that joined a fetch gets its reply at its own deadline, also when a newer fetch has begun', () => {
+void test('a request that joined a fetch expires at its own deadline, also when a newer fetch has started', () => {
   const fixture = new RouterFixture(twoOrigins);
-  withTwoFetches(fixture);
-  fixture.pass(2000);
+  startTwoFetches(fixture);
+  fixture.advance(2000);
   assert.equal(fixture.replies.length, 4);
 });
 
-void test('a request whose fetch failed is forwarded with what is left of its own time', () => {
+void test('a request whose joined fetch failed is forwarded with its own remaining time', () => {
   const fixture = new RouterFixture(twoOrigins);
-  fixture.ask('/clips/1');
-  fixture.ask('/clips/1');
-  fixture.pass(700);
-  const many = fixture.sent.length;
-  for (let at = 0; at < many; at += 1) fixture.answer(at, 'gone', 404);
+  fixture.request('/clips/1');
+  fixture.request('/clips/1');
+  fixture.advance(700);
+  const sentCount = fixture.sent.length;
+  for (let index = 0; index < sentCount; index += 1) fixture.respond(index, 'gone', 404);
   const resent = fixture.sent.at(-1);
-  assert.ok(resent !== undefined && fixture.sent.length > many);
+  assert.ok(resent !== undefined && fixture.sent.length > sentCount);
   assert.ok(
     resent.request.timeoutMs <= 1300,
-    `${resent.request.timeoutMs} ms are told to the origin`,
+    `${resent.request.timeoutMs} ms are sent to the origin`,
   );
-  fixture.pass(1300);
-  assert.equal(fixture.replies.length, 2, 'it is told at the deadline that it came with');
+  fixture.advance(1300);
+  assert.equal(fixture.replies.length, 2, 'the request expires at its original deadline');
 });
 
-void test('a client that leaves is noticed after its request was forwarded for a fetch that failed', () => {
+void test('a client that disconnects gets no reply, also after its joined fetch failed and its request was forwarded', () => {
   const fixture = new RouterFixture(twoOrigins);
-  fixture.ask('/clips/1');
-  const leave = fixture.ask('/clips/1');
-  fixture.answer(0, 'gone', 404);
-  leave();
-  fixture.answer(1, 'late');
-  assert.equal(fixture.replies.length, 1, 'nobody is told who has left');
+  fixture.request('/clips/1');
+  const disconnect = fixture.request('/clips/1');
+  fixture.respond(0, 'gone', 404);
+  disconnect();
+  fixture.respond(1, 'late');
+  assert.equal(fixture.replies.length, 1, 'no reply to the disconnected client');
 });
 
-void test('an abort replies to each client and begins nothing new', () => {
+void test('an abort replies to each client and starts no new attempts', () => {
   const fixture = new RouterFixture(twoOrigins);
-  fixture.ask('/clips/1');
-  fixture.ask('/clips/1');
-  fixture.ask('/edit/1', 'POST');
-  const many = fixture.sent.length;
+  fixture.request('/clips/1');
+  fixture.request('/clips/1');
+  fixture.request('/edit/1', 'POST');
+  const sentCount = fixture.sent.length;
   fixture.router.abortAll();
   assert.equal(fixture.replies.length, 3);
-  assert.equal(fixture.sent.length, many);
-  assert.ok(fixture.sent.every((one) => one.isCancelled));
+  assert.equal(fixture.sent.length, sentCount);
+  assert.ok(fixture.sent.every((attempt) => attempt.isCancelled));
   assert.equal(fixture.router.openRequests, 0);
 });
 
-void test('a HEAD request is neither cached as the object nor joined by requests for it', () => {
+void test('the response to a HEAD request is not cached as the object, and GET requests do not join its fetch', () => {
   const fixture = new RouterFixture(twoOrigins);
-  fixture.ask('/clips/1', 'HEAD');
-  fixture.ask('/clips/1');
-  assert.equal(fixture.sent.length, 2, 'the object is fetched by itself');
-  fixture.answer(0, '');
-  fixture.answer(1, 'body');
-  fixture.ask('/clips/1');
-  const bodies = fixture.replies.map((one) =>
-    one.kind === 'cached'
-      ? one.entry.body.toString()
-      : one.kind === 'response'
-        ? one.response.body.toString()
-        : one.errorKind,
+  fixture.request('/clips/1', 'HEAD');
+  fixture.request('/clips/1');
+  assert.equal(fixture.sent.length, 2, 'the object is fetched separately');
+  fixture.respond(0, '');
+  fixture.respond(1, 'body');
+  fixture.request('/clips/1');
+  const bodies = fixture.replies.map((reply) =>
+    reply.kind === 'cached'
+      ? reply.entry.body.toString()
+      : reply.kind === 'response'
+        ? reply.response.body.toString()
+        : reply.errorKind,
   );
   assert.deepEqual(bodies, ['', 'body', 'body']);
-  fixture.ask('/clips/1', 'HEAD');
-  assert.equal(fixture.sent.length, 2, 'a kept object answers for its head');
+  fixture.request('/clips/1', 'HEAD');
+  assert.equal(fixture.sent.length, 2, 'a HEAD request is served from the cached object');
 });
 
-void test('a route of a replaced configuration is served for a while only, then refused with a time to retry', () => {
+void test('a route of a superseded configuration is served for a limited time, then refused with a retry delay', () => {
   const fixture = new RouterFixture(twoOrigins);
-  fixture.hearNewest(2);
-  fixture.ask('/edit/1', 'POST');
-  assert.equal(fixture.sent.length, 1, 'the new description has its time to come');
-  fixture.answer(0);
+  fixture.confirmNewest(2);
+  fixture.request('/edit/1', 'POST');
+  assert.equal(fixture.sent.length, 1, 'the newer configuration is not overdue yet');
+  fixture.respond(0);
   for (let waited = 0; waited < maxApplyMs; waited += 100) {
-    fixture.pass(100);
-    fixture.hearNewest(2);
+    fixture.advance(100);
+    fixture.confirmNewest(2);
   }
-  fixture.ask('/edit/2', 'POST');
-  fixture.ask('/clips/2');
-  assert.equal(fixture.sent.length, 1, 'nothing more is sent by the old description');
+  fixture.request('/edit/2', 'POST');
+  fixture.request('/clips/2');
+  assert.equal(fixture.sent.length, 1, 'no request is sent by the superseded configuration');
   assert.deepEqual(fixture.kinds(), ['response', 'unready', 'unready']);
   const refusal = fixture.replies.at(-1);
   assert.ok(refusal?.kind === 'failure' && refusal.retryAfterMs > 0);
 });
 
-void test('an edge without a registry serves on by the configuration it has', () => {
+void test('an edge without a registry keeps serving with its current configuration', () => {
   const fixture = new RouterFixture(twoOrigins);
-  fixture.hearNewest(2);
-  fixture.pass(3 * maxApplyMs);
-  fixture.ask('/edit/1', 'POST');
+  fixture.confirmNewest(2);
+  fixture.advance(3 * maxApplyMs);
+  fixture.request('/edit/1', 'POST');
   assert.equal(fixture.sent.length, 1);
 });
 
-void test('nothing is served from the cache of a replaced configuration after that time either', () => {
+void test('the cache of a superseded configuration is not used after that time either', () => {
   const fixture = new RouterFixture(twoOrigins);
-  fixture.ask('/clips/1');
-  fixture.answer(0);
-  fixture.hearNewest(2);
+  fixture.request('/clips/1');
+  fixture.respond(0);
+  fixture.confirmNewest(2);
   for (let waited = 0; waited < maxApplyMs; waited += 100) {
-    fixture.pass(100);
-    fixture.hearNewest(2);
+    fixture.advance(100);
+    fixture.confirmNewest(2);
   }
-  fixture.ask('/clips/1');
+  fixture.request('/clips/1');
   assert.deepEqual(fixture.kinds(), ['cached', 'unready']);
 });
