--- a/packages/proxy/src/direct-edge/client-listener.ts
+++ b/packages/proxy/src/direct-edge/client-listener.ts
@@ -29,7 +29,7 @@
   requireHostHeader: true,
 };
 
-/** Options of a listener. */
+/** Shutdown state of the edge, read for each response. */
 export interface ClientListenerOptions {
   /** Whether responses ask clients to close their connections. */
   readonly isClosing: () => boolean;
