--- a/packages/routing/src/endpoint/endpoint-table.ts
+++ b/packages/routing/src/endpoint/endpoint-table.ts
@@ -92,9 +92,9 @@
         endpoint.warmingUpUntil = warmUpEnd(origin);
       }
     }
-    const gone = [...this.#endpoints.keys()].filter((instance) => !live.has(instance));
-    for (const instance of gone) this.#remove(instance);
-    return gone;
+    const removed = [...this.#endpoints.keys()].filter((instance) => !live.has(instance));
+    for (const instance of removed) this.#remove(instance);
+    return removed;
   }
 
   /**
--- a/packages/routing/src/router/active-request.ts
+++ b/packages/routing/src/router/active-request.ts
@@ -20,7 +20,7 @@
 /** An attempt that was sent to an origin and has not finished. */
 export interface InFlightAttempt {
   readonly endpoint: EndpointStats;
-  /** Release of the endpoint at the time of sending; the endpoint may be updated later. */
+  /** Release of the endpoint at the time of sending. */
   readonly release: Release;
   readonly startedAt: Timestamp;
   cancel: () => void;
--- a/packages/routing/src/router/request-runner.ts
+++ b/packages/routing/src/router/request-runner.ts
@@ -27,7 +27,7 @@
 /** Retry delay for a client whose object could not be fetched by its owner. */
 const ownerRetryMs = 250;
 
-/** Hedge delay as a multiple of the service's typical latency. */
+/** Lower bound of the hedge delay, as a multiple of the service's typical latency. */
 const hedgeLatencyFactor = 3;
 const minHedgeDelayMs = 60;
 const maxDefaultHedgeDelayMs = 400;
