--- a/packages/proxy/src/direct-edge/edge-ticker.ts
+++ b/packages/proxy/src/direct-edge/edge-ticker.ts
@@ -1,14 +1,14 @@
-/** What a direct edge does regularly: it hands the fleet's changes and the time to the router, and sends reports. */
+/** Periodic work of an edge without shields: updates and ticks the router, and reports rollout counts. */
 
 import { type Timestamp, primaryLease } from '@switchwheel/types';
 import type { ChannelPool } from '@switchwheel/transport';
 import type { NodeAgent } from '@switchwheel/proxy-core';
 import type { EdgeRouter } from '@switchwheel/routing';
 
-/** How often the counts of rollouts are sent to the store's primary. */
+/** Interval at which rollout counts are sent to the store's primary. */
 const reportIntervalMs = 250;
 
-/** What a ticker stands on. */
+/** Dependencies of a ticker. */
 export interface EdgeTickerOptions {
   readonly now: () => Timestamp;
   readonly nodeAgent: () => NodeAgent;
@@ -16,41 +16,41 @@
   readonly channels: ChannelPool;
 }
 
-/** Runs after each tick of the node agent. */
+/** Periodic work of one edge; `tick` is called after each tick of the node agent. */
 export class EdgeTicker {
   readonly #options: EdgeTickerOptions;
-  #last: NodeAgent | undefined;
-  #reportedAt: Timestamp;
+  #lastNodeAgent: NodeAgent | undefined;
+  #lastReportedAt: Timestamp;
 
   constructor(options: EdgeTickerOptions) {
     this.#options = options;
-    this.#reportedAt = options.now();
+    this.#lastReportedAt = options.now();
   }
 
-  /** Updates the router's view of the fleet if it has changed, ticks the router, and reports if it is time. */
+  /** Updates the router if the fleet has changed, ticks the router, and sends reports that are due. */
   tick(): void {
     const { now, nodeAgent, router } = this.#options;
     const current = nodeAgent();
     if (this.#hasFleetChanged(current)) router.updateFleet(current);
-    this.#last = current;
+    this.#lastNodeAgent = current;
     router.tick(now());
     this.#report(current);
   }
 
   #hasFleetChanged({ nodeSession, releaseStates }: NodeAgent): boolean {
-    const last = this.#last;
+    const lastNodeAgent = this.#lastNodeAgent;
     return (
-      nodeSession.origins !== last?.nodeSession.origins ||
-      nodeSession.members !== last.nodeSession.members ||
-      releaseStates !== last.releaseStates
+      nodeSession.origins !== lastNodeAgent?.nodeSession.origins ||
+      nodeSession.members !== lastNodeAgent.nodeSession.members ||
+      releaseStates !== lastNodeAgent.releaseStates
     );
   }
 
   #report(current: NodeAgent): void {
     const { now, router, channels } = this.#options;
     const primary = current.nodeSession.holders.get(primaryLease);
-    if (primary === undefined || now() - this.#reportedAt < reportIntervalMs) return;
-    this.#reportedAt = now();
+    if (primary === undefined || now() - this.#lastReportedAt < reportIntervalMs) return;
+    this.#lastReportedAt = now();
     for (const report of router.rolloutReports(current)) channels.send(primary.address, report);
   }
 }
