--- a/packages/routing/src/router/edge-router.ts
+++ b/packages/routing/src/router/edge-router.ts
@@ -1,8 +1,7 @@
 /**
- * The way of a client's request through an edge that sends straight to origins: served from the cache, joined to a fetch
- * that is in flight, requested from the edge that owns the object, or sent to an origin. The router accepts requests;
- * `RequestRunner` carries those through that need a fetch. Picking endpoints, sending attempts, caching, coalescing and
- * object sharing are in modules of their own.
+ * Entry point for clients' requests at an edge without shields. A request is served from the cache, joins a fetch in
+ * flight, is requested from the edge that owns the object, or is sent to an origin. The router accepts requests;
+ * `RequestRunner` executes those that need a fetch.
  */
 
 import {
@@ -45,30 +44,29 @@
 import { RequestRunner } from './request-runner.js';
 import { ResponseCache } from './response-cache.js';
 
-/** How an edge picks endpoints and how much it takes on. */
+/** Options of a router: zone, limits and links to other edges. */
 export interface EdgeRouterOptions {
   readonly zone: ZoneName;
   readonly headerNames: HeaderNames;
   readonly limits: EdgeLimits;
-  /** The largest number of requests in progress; more are rejected with a time to come back. */
+  /** Maximum number of requests in progress; further requests are rejected with a retry delay. */
   readonly maxActiveRequests: number;
-  /** The way to other edges, where objects are shared with them. */
+  /** Connection to other edges; undefined disables object sharing. */
   readonly peers?: PeerPort;
-  /** The rate of this machine's link in bytes a second, where it is known. */
+  /** Bandwidth of this machine's link in bytes per second; unlimited if undefined. */
   readonly linkBytesPerSecond?: number;
 }
 
-/** How a request is accepted. */
 interface AcceptOptions {
-  /** Its deadline, if it has waited for another one's fetch in vain. */
+  /** Original deadline of a request that is resubmitted after the fetch that it joined failed. */
   readonly deadline?: Timestamp;
-  /** Whether another edge asks: that edge counts its own clients, and no edge is asked in turn. */
+  /** Whether the request comes from another edge: it earns no retry budget here and is not forwarded to a third edge. */
   readonly isForPeer: boolean;
 }
-const fromClient: AcceptOptions = { isForPeer: false };
-const fromPeer: AcceptOptions = { isForPeer: true };
+const clientAcceptOptions: AcceptOptions = { isForPeer: false };
+const peerAcceptOptions: AcceptOptions = { isForPeer: true };
 
-/** A request that has a route and can't be served from the cache. */
+/** A request with a route and without a usable cached response. */
 interface AcceptedRequest extends Pick<
   ActiveRequest,
   'request' | 'route' | 'service' | 'cacheable' | 'reply'
@@ -79,23 +77,23 @@
 
 const notReadyRetryMs = 300;
 const overloadRetryMs = 300;
-/** When a client is to come back to an edge whose configuration is being replaced. */
-const overdueRetryMs = 200;
-/** When a client is to come back that met a stopping edge: another one serves it. */
-const stoppedRetryMs = 100;
+/** Retry delay while a newer configuration is overdue at this edge. */
+const configurationOverdueRetryMs = 200;
+/** Retry delay at an edge that is shutting down; short, as another edge serves the retry. */
+const stoppingRetryMs = 100;
 
-/** How many origins a request may reach where its route says nothing. */
-const defaultAttempts = { idempotent: 3, other: 2 };
-/** An owner tries once: retries are the asking edge's. */
-const attemptsForPeer = 1;
+/** Maximum number of attempts per request unless its route sets `origins`. */
+const defaultMaxAttempts = { idempotent: 3, other: 2 };
+/** An owner sends a single attempt; the requesting edge retries. */
+const maxAttemptsForPeer = 1;
 
 const doNothing = (): void => undefined;
 
-/** Routes the requests of one edge. Its tables change in place, as each request changes them. */
+/** Routes the requests of one edge. Its state is updated in place. */
 export class EdgeRouter {
-  /** How often each thing happened, by the names that the metrics bear. */
+  /** Event counters by metric name. */
   readonly counts = new Map<string, number>();
-  /** What this edge knows of the origins. */
+  /** Endpoints of all services with their statistics. */
   readonly endpoints: EndpointTable;
   readonly #context: RouterContext;
   readonly #originClient: OriginClient;
@@ -135,7 +133,7 @@
       counts,
       peers: options.peers,
       linkBytesPerSecond: options.linkBytesPerSecond ?? Infinity,
-      serveForPeer: (request, reply) => this.#accept(request, reply, fromPeer),
+      serveForPeer: (request, reply) => this.#accept(request, reply, peerAcceptOptions),
     });
     this.#context = context;
     this.#originClient = originClient;
@@ -159,58 +157,59 @@
       peerObjects,
       selector,
       counts,
-      acceptAgain: (waiter) => this.#accept(waiter.request, waiter.reply, waiter),
+      resubmit: (waiter) => this.#accept(waiter.request, waiter.reply, waiter),
     });
   }
 
-  /** Requests in progress, without those that wait for another one's fetch. */
+  /** Number of requests in progress, excluding those that wait for another request's fetch. */
   get openRequests(): number {
     return this.#runner.openRequests;
   }
 
-  /** Purges were applied: nobody joins fetches that began before. */
+  /** Called after purges were applied: no request joins a fetch that started earlier. */
   onPurged(): void {
     this.#fetches.onPurged();
   }
 
-  /** Adopts the fleet's members, origins and rollouts. */
+  /** Updates the router with the fleet's members, origins and rollouts. */
   updateFleet(nodeAgent: NodeAgent): void {
     const now = this.#context.now();
     const { members, origins } = nodeAgent.nodeSession;
     const edges = members.filter((member) => member.role === 'edge');
     this.#edgeCount.record(edges.length, now);
     this.#peerObjects.updateEdges(edges);
-    this.#rolloutCounters.noteRollouts(nodeAgent.releaseStates.values(), now);
-    for (const instance of this.endpoints.update(origins, now)) this.#originClient.closeIdleConnections(instance);
+    this.#rolloutCounters.trackRollouts(nodeAgent.releaseStates.values(), now);
+    for (const instance of this.endpoints.update(origins, now))
+      this.#originClient.closeIdleConnections(instance);
   }
 
-  /** Serves a client's request, read with its whole body; gives what to call when the client leaves. */
+  /** Serves a client's request, including its complete body; returns the callback for a disconnect of the client. */
   serve(request: IncomingRequest, reply: ReplyCallback): () => void {
-    return this.#accept(request, reply, fromClient);
+    return this.#accept(request, reply, clientAcceptOptions);
   }
 
-  /** Handles a frame of another edge. */
+  /** Handles a frame received from another edge. */
   handlePeerFrame(from: Address, frame: ObjectFrame): void {
     this.#peerObjects.handleFrame(from, frame);
   }
 
-  /** Ends what is past its deadline, and hedges what is late. */
+  /** Expires requests whose deadline has passed, and sends hedges that are due. */
   tick(now: Timestamp): void {
     this.#peerObjects.tick(now);
     this.#runner.tick(now);
   }
 
-  /** This edge's counts for the rollouts in progress, as frames for the store's primary. */
+  /** Returns this edge's counts of the rollouts in progress as frames for the store's primary. */
   rolloutReports(nodeAgent: NodeAgent): readonly FrameOf<'tally'>[] {
     const { node, incarnation } = nodeAgent.nodeSession.member;
     return [...nodeAgent.releaseStates.values()].flatMap((rollout) => {
-      if (!isCounted(rollout)) return [];
+      if (!isRolloutReported(rollout)) return [];
       const report = this.#rolloutCounters.report(rollout, this.#context.now());
       return report === undefined ? [] : [{ kind: 'tally' as const, node, incarnation, ...report }];
     });
   }
 
-  /** Ends all requests in progress as expired and accepts none any more; gives how many there were. */
+  /** Expires all requests in progress and rejects new ones; returns the number of requests that were in progress. */
   abortAll(): number {
     this.#isStopped = true;
     const openRequests = this.#runner.openRequests;
@@ -218,17 +217,17 @@
     return openRequests;
   }
 
-  /** Accepts a request: a client's, one that waited for a fetch in vain, or another edge's. */
+  /** Accepts a request from a client or another edge, or one that is resubmitted after the fetch that it joined failed. */
   #accept(request: IncomingRequest, reply: ReplyCallback, options: AcceptOptions): () => void {
     const now = this.#context.now();
     const nodeAgent = this.#context.nodeAgent();
     if (this.#isStopped)
-      return this.#refuse(reply, 'rejected', 'this node is stopping', stoppedRetryMs);
+      return this.#refuse(reply, 'rejected', 'this node is stopping', stoppingRetryMs);
     if (nodeAgent.compiledConfiguration === undefined)
       return this.#refuse(reply, 'unready', 'this node is not ready', notReadyRetryMs);
     if (isConfigurationOverdue(nodeAgent, now, this.#options.limits.maxApplyMs)) {
       const text = 'a newer description is on its way here';
-      return this.#refuse(reply, 'unready', text, overdueRetryMs);
+      return this.#refuse(reply, 'unready', text, configurationOverdueRetryMs);
     }
     const { path } = splitTarget(request.target);
     const { method, host } = request;
@@ -252,10 +251,12 @@
     const deadline = givenDeadline ?? deadlineOf(request, route, now);
     const cacheable = this.#responseCache.cacheable(route, request);
     if (cacheable !== undefined && this.#replyFromCache(cacheable, reply, now)) return doNothing;
-    // The response to a HEAD request has no body: it can be neither cached nor shared as the object.
-    const fetched = request.method === 'GET' ? cacheable : undefined;
+    // The response to a HEAD request has no body, so it can be neither cached nor shared.
+    const coalescable = request.method === 'GET' ? cacheable : undefined;
     const fetch =
-      fetched === undefined ? undefined : this.#fetches.find(fetched.coalescingKey, now);
+      coalescable === undefined
+        ? undefined
+        : this.#fetches.findJoinable(coalescable.coalescingKey, now);
     if (fetch !== undefined) {
       increment(this.counts, 'joined');
       return joinFetch(fetch, { request, reply, deadline, isForPeer });
@@ -263,7 +264,7 @@
     if (this.#runner.openRequests >= this.#options.maxActiveRequests)
       return this.#refuse(reply, 'rejected', 'too many requests are under way', overloadRetryMs);
     return this.#start(
-      { request, route, service, cacheable: fetched, reply, deadline, isForPeer },
+      { request, route, service, cacheable: coalescable, reply, deadline, isForPeer },
       now,
     );
   }
@@ -293,13 +294,13 @@
       attemptStarts: new Map(),
       state: newRequestState(route.isIdempotent, maxAttemptsOf(route, isForPeer), deadline),
       hedgeAt: undefined,
-      isClientGone: false,
+      isClientDisconnected: false,
     };
     this.#runner.start(active, isForPeer, now);
-    return () => this.#runner.onClientGone(active);
+    return () => this.#runner.onClientDisconnected(active);
   }
 
-  /** Replies with a failure at once; there is nothing to cancel then. */
+  /** Replies with a failure immediately; the returned callback does nothing. */
   #refuse(
     reply: ReplyCallback,
     errorKind: ErrorKind,
@@ -311,13 +312,14 @@
   }
 }
 
-/** Whether a rollout is in progress, or was so recently that late counts still matter. */
-const isCounted = ({ phase, leftMs }: RolloutState): boolean =>
+/** Whether counts are reported: the rollout is in progress, or ended so recently that late counts still matter. */
+const isRolloutReported = ({ phase, leftMs }: RolloutState): boolean =>
   phase !== 'none' && (phase === 'trial' || phase === 'moving' || leftMs > 0);
 
 const maxAttemptsOf = (route: CompiledRoute, isForPeer: boolean): number => {
-  if (isForPeer) return attemptsForPeer;
+  if (isForPeer) return maxAttemptsForPeer;
   return (
-    route.maxOrigins ?? (route.isIdempotent ? defaultAttempts.idempotent : defaultAttempts.other)
+    route.maxOrigins ??
+    (route.isIdempotent ? defaultMaxAttempts.idempotent : defaultMaxAttempts.other)
   );
 };
