--- a/packages/proxy/src/proxy/start-proxy.ts
+++ b/packages/proxy/src/proxy/start-proxy.ts
@@ -1,6 +1,7 @@
 /**
- * The program of a proxy of the way through shields: as an edge it takes clients' requests and forwards them, as a shield
- * it leads services and sends their requests to origins. This module wires the parts, listens and stops.
+ * Program of a proxy in a fleet with shields: an edge accepts clients' requests and forwards them to shields; a shield
+ * leads services and sends their requests to origins. This module creates and connects the components, starts the
+ * servers and shuts them down.
  */
 
 import Koa from 'koa';
@@ -34,16 +35,16 @@
 import { proxyView } from '../admin/proxy-view.js';
 import { compileConfiguration } from '../node-agent/compile-configuration.js';
 import type { ProxySettings } from '../settings/settings.js';
-import { StreamingOriginClient, probeOrigin } from '../shield/origin-client.js';
+import { StreamingOriginClient, checkOriginHealth } from '../shield/origin-client.js';
 import { handleClientRequest } from '../shielded-edge/client-handler.js';
 import { drainProxy } from './drain.js';
 import { dataChannelsOf } from './open-data-channel.js';
 import { proxyMetrics } from './proxy-metrics.js';
 
-type OwnEffect = Exclude<ProxyEffect, ProcessEffect>;
+type HandledEffect = Exclude<ProxyEffect, ProcessEffect>;
 type ProxyLoop = EventLoop<ProxyState, ProxyEvent>;
 
-/** The parts of a running proxy. */
+/** Components of a running proxy. */
 interface ProxyParts {
   readonly channels: ChannelPool;
   readonly cache: Cache;
@@ -53,7 +54,7 @@
   readonly shieldHandler: ShieldRequestHandler;
 }
 
-/** Starts a proxy; the promise holds once it listens everywhere. */
+/** Starts a proxy; resolves once it listens on all addresses. */
 export const startProxy = async (settings: ProxySettings, log: Logger): Promise<RunningProgram> => {
   const parts = wireProxy(settings, log);
   const { channels, edgeHandler, loop } = parts;
@@ -91,7 +92,7 @@
   const cache = new Cache(settings.cache * 1024 * 1024);
   const cacheLookup = new CacheLookup(cache);
   const origins = new StreamingOriginClient();
-  const loop: ProxyLoop = startEventLoop<ProxyState, ProxyEvent, OwnEffect>(
+  const loop: ProxyLoop = startEventLoop<ProxyState, ProxyEvent, HandledEffect>(
     proxyTransition,
     newProxyState(member, settings.seeds, newRandomState()),
     channels,
@@ -146,7 +147,7 @@
   });
 };
 
-const runEffect = (parts: ProxyParts, effect: OwnEffect): void => {
+const runEffect = (parts: ProxyParts, effect: HandledEffect): void => {
   const { cache, edgeHandler, loop, origins, shieldHandler } = parts;
   switch (effect.kind) {
     case 'compileConfiguration':
@@ -182,11 +183,11 @@
 };
 
 const checkHealth = (
-  { address, path, service, instance }: Extract<OwnEffect, { kind: 'checkHealth' }>,
+  { address, path, service, instance }: Extract<HandledEffect, { kind: 'checkHealth' }>,
   loop: ProxyLoop,
 ): void => {
   const startedAt = now();
-  void probeOrigin(`http://${address}${path}`, service, instance).then((isHealthy) =>
+  void checkOriginHealth(`http://${address}${path}`, service, instance).then((isHealthy) =>
     loop.dispatch((at) => ({
       kind: 'healthChecked',
       now: at,
