--- a/packages/registry/src/settings.ts
+++ b/packages/registry/src/settings.ts
@@ -15,7 +15,7 @@
     'A switchwheel registry, which connects nodes, origins and operators to the stores. One runs on each core machine.',
   settings: [
     ...commonSettingDefinitions,
-    { name: 'door', type: 'text', help: 'IP:port of the HTTP listener for operators and origins' },
+    { name: 'door', type: 'text', help: 'IP:port to listen on for operators and origins (HTTP)' },
     {
       name: 'limit',
       type: 'number',
--- a/packages/store/src/settings.ts
+++ b/packages/store/src/settings.ts
@@ -15,18 +15,18 @@
     'A switchwheel store, which keeps a replica of the configuration. One runs on each core machine with a disk.',
   settings: [
     ...commonSettingDefinitions,
-    { name: 'data', type: 'text', help: 'the folder for all files of the store' },
+    { name: 'data', type: 'text', help: 'folder for all files of the store' },
     {
       name: 'admin',
       type: 'text',
-      help: 'IP:port of the HTTP listener for /live, /ready and /metrics',
+      help: 'IP:port to listen on for /live, /ready and /metrics',
     },
     { name: 'copies', type: 'number', help: 'number of stores that keep each write (2)' },
     { name: 'tolerate', type: 'number', help: 'number of stores that may be lost at once (1)' },
     {
       name: 'electorate',
       type: 'text',
-      help: 'the set of voters: fixed, or follows the registries (fixed)',
+      help: 'set of voters: fixed, or follows the registries (fixed)',
     },
   ],
 };
--- a/packages/store/src/testing/loaded-state.ts
+++ b/packages/store/src/testing/loaded-state.ts
@@ -1,7 +1,4 @@
-/**
- * The state that a store has loaded from its disk as JSON, with key names independent of the code: recorded fixtures
- * stay valid when a type or field is renamed. For tests only.
- */
+/** State loaded by a store as JSON with fixed key names, so that renames keep recorded fixtures valid. For tests only. */
 
 import {
   type NodeRecord,
--- a/packages/store/src/testing/stored-fixture.ts
+++ b/packages/store/src/testing/stored-fixture.ts
@@ -16,7 +16,7 @@
 
 /** Stores of the fixture, by their role when the data were copied. */
 export const fixtureStores = ['primary', 'backup'] as const;
-/** Store of the fixture. */
+/** Role of a store in the fixture. */
 export type FixtureStore = (typeof fixtureStores)[number];
 
 const readJson = (name: string): unknown => JSON.parse(readFileSync(join(fixtures, name), 'utf8'));
