--- a/packages/registry/src/http/parse-request.ts
+++ b/packages/registry/src/http/parse-request.ts
@@ -1,4 +1,4 @@
-/** Parses requests. Each reader of a request responds to an invalid one with an error itself, and returns undefined. */
+/** Parses requests. Each parser responds to an invalid request with an error itself, and returns undefined. */
 
 import { randomUUID } from 'node:crypto';
 import type Koa from 'koa';
--- a/packages/store/src/disk-rows.ts
+++ b/packages/store/src/disk-rows.ts
@@ -34,7 +34,7 @@
   };
 };
 
-/** Reads a data folder: empty, complete, or damaged if any row is missing or malformed. */
+/** Reads a data folder. It is damaged if it can't be read, lacks its header row, or has a malformed row. */
 export const readDiskContents = (disk: Disk): DiskContents => {
   if (disk.quarantineReason !== undefined)
     return { status: 'damaged', reason: disk.quarantineReason };
