--- a/packages/simulator/src/digest/direct-edge.ts
+++ b/packages/simulator/src/digest/direct-edge.ts
@@ -6,7 +6,7 @@
 import { type DigestSuite, seedRange } from './suite.js';
 
 const addCaller = (digest: RunDigest, caller: CallerRecord): void => {
-  digest.add(caller.id, caller.target, caller.sentAt, caller.leastRevision, caller.hasLeft);
+  digest.add(caller.id, caller.target, caller.sentAt, caller.minRevision, caller.hasDisconnected);
   for (const { at, reply } of caller.replies)
     digest.add(at, statusOf(reply), Buffer.byteLength(bodyOf(reply)));
 };
--- a/packages/simulator/src/digest/fleet.ts
+++ b/packages/simulator/src/digest/fleet.ts
@@ -12,25 +12,25 @@
 import { RunDigest } from './run-digest.js';
 import { type DigestSuite, seedRange } from './suite.js';
 
-const faultsInEachRun = 10;
+const faultsPerRun = 10;
 
-const endings: readonly Outcome[] = ['acknowledged', 'refused', 'unknown'];
+const outcomes: readonly Outcome[] = ['acknowledged', 'refused', 'unknown'];
 
 /** What happened, as a number: the first value of each line that is added while a run goes on. */
-const sentLine = 1;
-const deliveredLine = 2;
-const actedLine = 3;
+const sentEvent = 1;
+const deliveredEvent = 2;
+const processedEvent = 3;
 
 /** Adds every message as it is sent and delivered, and every event that a process acted on. */
 const observeRun = (world: World, digest: RunDigest): void => {
   world.network.observer = {
-    sent: (from, to) => digest.add(sentLine, world.eventQueue.now, from, to),
-    delivered: (from, to) => digest.add(deliveredLine, world.eventQueue.now, from, to),
+    sent: (from, to) => digest.add(sentEvent, world.eventQueue.now, from, to),
+    delivered: (from, to) => digest.add(deliveredEvent, world.eventQueue.now, from, to),
   };
   const checkRules = world.afterEvent;
-  world.afterEvent = (actor) => {
-    digest.add(actedLine, world.eventQueue.now, actor.address);
-    checkRules(actor);
+  world.afterEvent = (process) => {
+    digest.add(processedEvent, world.eventQueue.now, process.address);
+    checkRules(process);
   };
 };
 
@@ -41,33 +41,34 @@
 };
 
 /** The numbers that an operation of an operator was sent with and ended with. */
-const numbersOf = (operation: Operation): readonly (string | number | undefined)[] => {
+const versionOf = (operation: Operation): readonly (string | number | undefined)[] => {
   switch (operation.kind) {
     case 'write':
     case 'read':
       return [operation.version?.number, operation.version?.hash];
     case 'release':
-      return [operation.key, operation.order];
+      return [operation.key, operation.rolloutNumber];
     case 'purge':
       return [operation.number];
   }
 };
 
 const addOperation = (digest: RunDigest, operation: Operation): void => {
-  const ending = endings.indexOf(operation.outcome);
-  digest.add(operation.startedAt, operation.endedAt, ending, ...numbersOf(operation));
+  const outcomeIndex = outcomes.indexOf(operation.outcome);
+  digest.add(operation.startedAt, operation.endedAt, outcomeIndex, ...versionOf(operation));
 };
 
 const addOrigin = (digest: RunDigest, origin: SimulatedOrigin): void => {
   digest.add(
     origin.address,
     origin.usedSlots,
-    origin.overflowCount,
+    origin.overloadCount,
     origin.isAlive,
     origin.departureKnownAt,
   );
-  for (const run of origin.executions) digest.add(run.requestId, run.at, run.isUnsafe);
-  for (const request of origin.attempts) digest.add(request.request, request.at);
+  for (const execution of origin.executions)
+    digest.add(execution.requestId, execution.at, execution.isUnsafe);
+  for (const attempt of origin.attempts) digest.add(attempt.request, attempt.at);
   digest.add(...origin.arrivalTimes);
   digest.add(...origin.receiveTimes);
   digest.add(...origin.failureTimes);
@@ -95,7 +96,7 @@
     request.hasSecondReply,
     request.hasDisconnected,
   );
-  digest.add(request.answeredAt);
+  digest.add(request.repliedAt);
   if (result === undefined) return;
   digest.add(resultNumber(result.kind), result.status, result.revision, result.object);
   digest.add(result.request, result.createdAt, result.source, result.retryAfterMs);
@@ -110,13 +111,13 @@
   digest.add(world.eventQueue.now, world.network.sentCount, world.random.next());
 };
 
-const digestStorm = (seed: number, only: readonly string[]): string => {
+const digestRandomFaults = (seed: number, namePrefixes: readonly string[]): string => {
   const digest = new RunDigest();
   let finishRecords = (): void => undefined;
   const report = runRandomFaults({
     seed,
-    faultCount: faultsInEachRun,
-    namePrefixes: only,
+    faultCount: faultsPerRun,
+    namePrefixes,
     skippedFaults: new Set(),
     observe: (world, callers) => {
       observeRun(world, digest);
@@ -124,7 +125,7 @@
     },
   });
   finishRecords();
-  digest.add(report.violations.length, ...report.causedFaults);
+  digest.add(report.violations.length, ...report.causedFaultNumbers);
   return digest.finish();
 };
 
@@ -133,7 +134,7 @@
   name: 'fleet',
   seeds: seedRange(1001, 60),
   seedsInTests: 1,
-  digest: (seed) => digestStorm(seed, []),
+  digest: (seed) => digestRandomFaults(seed, []),
 };
 
 const everyFault = [...allFaults, ...numberedCommandFaults].map((fault) => fault.name);
@@ -143,5 +144,5 @@
   name: 'operators',
   seeds: seedRange(2001, 20),
   seedsInTests: 1,
-  digest: (seed) => digestStorm(seed, everyFault),
+  digest: (seed) => digestRandomFaults(seed, everyFault),
 };
--- a/packages/simulator/src/digest/reference.ts
+++ b/packages/simulator/src/digest/reference.ts
@@ -7,7 +7,7 @@
 export type Digests = ReadonlyMap<string, string>;
 
 const referenceFile = new URL('../../fixtures/digests.txt', import.meta.url);
-const commentMark = '#';
+const commentPrefix = '#';
 
 /** Names a run in the file and in what is printed. */
 export const runName = (suite: DigestSuite, seed: number): string => `${suite.name} ${seed}`;
@@ -17,7 +17,7 @@
   new Map(
     text
       .split('\n')
-      .filter((line) => line !== '' && !line.startsWith(commentMark))
+      .filter((line) => line !== '' && !line.startsWith(commentPrefix))
       .map((line) => splitLine(line)),
   );
 
@@ -36,8 +36,8 @@
 /** Records digests; the header says which sources they belong to. */
 export const writeReference = (digests: Digests, revision: string): void => {
   const header = [
-    `${commentMark} Digests of deterministic runs, one seed a line.`,
-    `${commentMark} Recorded with the behaviour of ${revision}. Compare: npm run digests`,
+    `${commentPrefix} Digests of deterministic runs, one seed a line.`,
+    `${commentPrefix} Recorded with the behaviour of ${revision}. Compare: npm run digests`,
   ];
   writeFileSync(referenceFile, `${header.join('\n')}\n${formatDigests(digests)}`);
 };
--- a/packages/simulator/src/digest/run-digest.ts
+++ b/packages/simulator/src/digest/run-digest.ts
@@ -6,7 +6,7 @@
 export type DigestValue = string | number | boolean | undefined;
 
 /** How many characters are gathered before they are hashed. */
-const bufferedCharacters = 65_536;
+const maxBufferedCharacters = 65_536;
 
 /** Hashes one line after the other. */
 export class RunDigest {
@@ -15,7 +15,7 @@
 
   add(...values: readonly DigestValue[]): void {
     this.#buffered += `${values.map(String).join(' ')}\n`;
-    if (this.#buffered.length > bufferedCharacters) this.#flush();
+    if (this.#buffered.length > maxBufferedCharacters) this.#flush();
   }
 
   /** The digest of all lines, in hexadecimal. */
--- a/packages/simulator/src/direct/direct.test.ts
+++ b/packages/simulator/src/direct/direct.test.ts
@@ -4,16 +4,16 @@
 import { test } from 'node:test';
 import { runDirectEdge } from './run.js';
 
-const seeds = 40;
+const seedCount = 40;
 
 void test('the direct edge keeps the rules of requests, whatever its origins and callers do', () => {
   const counts = new Map<string, number>();
   let requests = 0;
-  for (let seed = 1; seed <= seeds; seed += 1) {
+  for (let seed = 1; seed <= seedCount; seed += 1) {
     const run = runDirectEdge(seed);
     assert.deepEqual(run.violations.slice(0, 5), [], `seed ${seed}`);
     requests += run.requests;
-    for (const [name, many] of run.counts) counts.set(name, (counts.get(name) ?? 0) + many);
+    for (const [name, count] of run.counts) counts.set(name, (counts.get(name) ?? 0) + count);
   }
   for (const name of [
     'joined',
@@ -25,5 +25,5 @@
     'fault_rejected',
   ])
     assert.ok((counts.get(name) ?? 0) > 100, `${name}: ${counts.get(name) ?? 0}`);
-  console.log(`${seeds} seeds, ${requests} requests:`, Object.fromEntries(counts));
+  console.log(`${seedCount} seeds, ${requests} requests:`, Object.fromEntries(counts));
 });
--- a/packages/simulator/src/direct/origin.ts
+++ b/packages/simulator/src/direct/origin.ts
@@ -19,7 +19,7 @@
   | 'reset after';
 
 /** The troubles of origins, besides a plain answer. */
-export const originFaults: readonly OriginBehaviour[] = [
+export const faultyBehaviours: readonly OriginBehaviour[] = [
   'late',
   'silent',
   'full',
@@ -57,8 +57,8 @@
   /** The share of requests that meet a fault. */
   faultProbability = 0.3;
 
-  constructor(chance: SeededRandom) {
-    this.#random = chance;
+  constructor(random: SeededRandom) {
+    this.#random = random;
   }
 
   /** Starts an origin at an address; whoever had the address before is gone. */
@@ -72,15 +72,15 @@
 
   pickBehaviour(): OriginBehaviour {
     if (!this.#random.happens(this.faultProbability)) return 'answer';
-    return this.#random.pick(originFaults) ?? 'answer';
+    return this.#random.pick(faultyBehaviours) ?? 'answer';
   }
 
-  recordExecution(origin: DirectOrigin, order: AttemptRequest): void {
+  recordExecution(origin: DirectOrigin, request: AttemptRequest): void {
     this.executions.push({
-      id: order.id,
-      method: order.method,
-      target: order.target,
-      body: order.body.toString(),
+      id: request.id,
+      method: request.method,
+      target: request.target,
+      body: request.body.toString(),
       instance: origin.instance,
       service: origin.service,
     });
--- a/packages/simulator/src/direct/request-rules.ts
+++ b/packages/simulator/src/direct/request-rules.ts
@@ -3,7 +3,7 @@
 import { errorResponseFor } from '@switchwheel/types';
 import type { ClientReply } from '@switchwheel/routing';
 import type { ExecutionRecord } from './origin.js';
-import { objectBody } from './attempt-port.js';
+import { objectBody } from './origin-client.js';
 
 /** The rules of requests that are judged here. */
 export type RequestRule =
@@ -18,8 +18,8 @@
   readonly sentAt: number;
   readonly deadline: number;
   /** The revision that the object had at the last purge before the request. */
-  readonly leastRevision: number;
-  hasLeft: boolean;
+  readonly minRevision: number;
+  hasDisconnected: boolean;
   readonly replies: { readonly at: number; readonly reply: ClientReply }[];
 }
 
@@ -36,79 +36,83 @@
 const replyMarginMs = 40;
 
 /** The status that a caller is answered with. */
-export const statusOf = (word: ClientReply): number => {
-  if (word.kind === 'failure') return errorResponseFor(word.errorKind).status;
-  return word.kind === 'cached' ? word.entry.status : word.response.status;
+export const statusOf = (reply: ClientReply): number => {
+  if (reply.kind === 'failure') return errorResponseFor(reply.errorKind).status;
+  return reply.kind === 'cached' ? reply.entry.status : reply.response.status;
 };
 
 /** The body that a caller is answered with; empty for a failure. */
-export const bodyOf = (word: ClientReply): string => {
-  if (word.kind === 'failure') return '';
-  return (word.kind === 'cached' ? word.entry.body : word.response.body).toString();
+export const bodyOf = (reply: ClientReply): string => {
+  if (reply.kind === 'failure') return '';
+  return (reply.kind === 'cached' ? reply.entry.body : reply.response.body).toString();
 };
 
-const judgeCaller = (one: CallerRecord, ran: boolean): readonly Violation[] => {
-  const found: Violation[] = [];
+const checkCaller = (record: CallerRecord, wasExecuted: boolean): readonly Violation[] => {
+  const violations: Violation[] = [];
   const add = (rule: RequestRule, text: string): void => {
-    found.push({ rule, id: one.id, text });
+    violations.push({ rule, id: record.id, text });
   };
-  const [first] = one.replies;
-  if (one.replies.length > 1) add('MIXED', 'told more than once');
-  if (first === undefined) {
-    if (!one.hasLeft) add('LOST', 'never told');
-    return found;
+  const [firstReply] = record.replies;
+  if (record.replies.length > 1) add('MIXED', 'told more than once');
+  if (firstReply === undefined) {
+    if (!record.hasDisconnected) add('LOST', 'never told');
+    return violations;
   }
-  if (first.at > one.deadline + replyMarginMs)
-    add('LOST', `told ${first.at - one.deadline} ms late`);
-  const status = statusOf(first.reply);
-  if (one.method !== 'GET' && ran && notExecutedStatuses.has(status))
+  if (firstReply.at > record.deadline + replyMarginMs)
+    add('LOST', `told ${firstReply.at - record.deadline} ms late`);
+  const status = statusOf(firstReply.reply);
+  if (record.method !== 'GET' && wasExecuted && notExecutedStatuses.has(status))
     add('REFUSED', `told ${status}`);
-  if (first.reply.kind === 'failure' && status === 503 && first.reply.retryAfterMs <= 0)
+  if (firstReply.reply.kind === 'failure' && status === 503 && firstReply.reply.retryAfterMs <= 0)
     add('RETRY', 'not told when to come back');
-  if (status === 200) judgeBody(one, bodyOf(first.reply), add);
-  return found;
+  if (status === 200) checkBody(record, bodyOf(firstReply.reply), add);
+  return violations;
 };
 
-const judgeBody = (
-  one: CallerRecord,
+const checkBody = (
+  record: CallerRecord,
   body: string,
   add: (rule: RequestRule, text: string) => void,
 ): void => {
-  if (one.method !== 'GET') {
-    if (body !== `done ${one.id}`) add('MIXED', body);
+  if (record.method !== 'GET') {
+    if (body !== `done ${record.id}`) add('MIXED', body);
     return;
   }
   const revision = Number(body.split('@')[1]);
-  if (body !== objectBody(one.target, revision)) add('MIXED', body);
-  else if (revision < one.leastRevision) add('STALE', `${body}, purged at ${one.leastRevision}`);
+  if (body !== objectBody(record.target, revision)) add('MIXED', body);
+  else if (revision < record.minRevision) add('STALE', `${body}, purged at ${record.minRevision}`);
 };
 
 /** Judges a run from what the origins wrote down and what the callers got. */
-export const judge = (
+export const checkRequests = (
   callers: ReadonlyMap<string, CallerRecord>,
-  runs: readonly ExecutionRecord[],
-  mayRun: (target: string, service: string) => boolean,
+  executions: readonly ExecutionRecord[],
+  mayExecute: (target: string, service: string) => boolean,
 ): readonly Violation[] => {
   const counts = new Map<string, number>();
-  const found: Violation[] = [];
-  for (const run of runs) {
-    counts.set(run.id, (counts.get(run.id) ?? 0) + 1);
-    const asked = callers.get(run.id);
+  const violations: Violation[] = [];
+  for (const execution of executions) {
+    counts.set(execution.id, (counts.get(execution.id) ?? 0) + 1);
+    const caller = callers.get(execution.id);
     if (
-      asked === undefined ||
-      asked.method !== run.method ||
-      asked.target !== run.target ||
-      asked.body !== run.body
+      caller === undefined ||
+      caller.method !== execution.method ||
+      caller.target !== execution.target ||
+      caller.body !== execution.body
     )
-      found.push({ rule: 'UNASKED', id: run.id, text: run.target });
-    if (!mayRun(run.target, run.service))
-      found.push({ rule: 'ROUTE', id: run.id, text: `${run.target} ran at ${run.service}` });
+      violations.push({ rule: 'UNASKED', id: execution.id, text: execution.target });
+    if (!mayExecute(execution.target, execution.service))
+      violations.push({
+        rule: 'ROUTE',
+        id: execution.id,
+        text: `${execution.target} ran at ${execution.service}`,
+      });
   }
-  for (const one of callers.values()) {
-    const many = counts.get(one.id) ?? 0;
-    if (one.method !== 'GET' && many > 1)
-      found.push({ rule: 'TWICE', id: one.id, text: `ran ${many} times` });
-    found.push(...judgeCaller(one, many > 0));
+  for (const record of callers.values()) {
+    const executionCount = counts.get(record.id) ?? 0;
+    if (record.method !== 'GET' && executionCount > 1)
+      violations.push({ rule: 'TWICE', id: record.id, text: `ran ${executionCount} times` });
+    violations.push(...checkCaller(record, executionCount > 0));
   }
-  return found;
+  return violations;
 };
--- a/packages/simulator/src/direct/run.ts
+++ b/packages/simulator/src/direct/run.ts
@@ -27,9 +27,9 @@
 import { EdgeRouter, defaultEdgeLimits, defaultHeaderNames } from '@switchwheel/routing';
 import { EventQueue } from '../world/event-queue.js';
 import { SeededRandom } from '../world/seeded-random.js';
-import { type SentAttempt, SimulatedAttemptPort } from './attempt-port.js';
+import { type SentAttempt, SimulatedOriginClient } from './origin-client.js';
 import { OriginFleet, type ExecutionRecord, type DirectOrigin } from './origin.js';
-import { type CallerRecord, type Violation, judge } from './request-rules.js';
+import { type CallerRecord, type Violation, checkRequests } from './request-rules.js';
 
 /** What a run brought about. */
 export interface DirectRun {
@@ -50,11 +50,14 @@
 const tickIntervalMs = 30;
 const runDurationMs = 20_000;
 /** Of a stop, how long what is under way may go on. */
-const stopGraceMs = 4000;
+const drainTimeoutMs = 4000;
 const services = [toServiceName('clips'), toServiceName('edits')] as const;
 
 /** One configuration: both routes of the service named. */
-const buildTable = (service: ServiceName, generation: number): CompiledConfiguration => {
+const buildTestConfiguration = (
+  service: ServiceName,
+  generation: number,
+): CompiledConfiguration => {
   const bundle = runToCompletion(
     splitIntoChunks({
       format: 1,
@@ -85,10 +88,10 @@
   );
   if (!bundle.isOk) throw new Error('the description is not valid');
   const { hash, chunkHashes, chunks } = bundle.value;
-  const texts = chunkHashes.map((one) => chunks.get(one) ?? '');
-  const built = runToCompletion(buildConfiguration(texts, toGeneration(generation), hash));
-  if (!built.isOk) throw new Error('the table was not built');
-  return built.value;
+  const texts = chunkHashes.map((chunkHash) => chunks.get(chunkHash) ?? '');
+  const compiled = runToCompletion(buildConfiguration(texts, toGeneration(generation), hash));
+  if (!compiled.isOk) throw new Error('the table was not built');
+  return compiled.value;
 };
 
 /** An edge that sends straight to origins, with callers and origins in all their troubles, from one seed. */
@@ -99,8 +102,8 @@
   readonly callers = new Map<string, CallerRecord>();
   readonly cache = new Cache(1_000_000);
   readonly router: EdgeRouter;
-  readonly attemptPort: SimulatedAttemptPort;
-  readonly #tables: readonly CompiledConfiguration[];
+  readonly originClient: SimulatedOriginClient;
+  readonly #configurations: readonly CompiledConfiguration[];
   readonly #knownOrigins = new Map<InstanceId, DirectOrigin>();
   readonly #revisions = new Map<string, number>();
   readonly #purgedRevisions = new Map<string, number>();
@@ -113,7 +116,9 @@
     this.random = new SeededRandom(seed);
     this.fleet = new OriginFleet(this.random.fork());
     this.fleet.faultProbability = this.random.uniform(0, 0.7);
-    this.#tables = services.map((service, at) => buildTable(service, at + 1));
+    this.#configurations = services.map((service, index) =>
+      buildTestConfiguration(service, index + 1),
+    );
     const member = {
       node: toNodeId('e1'),
       role: 'edge' as const,
@@ -121,9 +126,12 @@
       address: toAddress('10.0.0.1:1'),
       incarnation: toIncarnation(1),
     };
-    const fresh = newNodeAgent(member, [], { seed });
-    this.#nodeAgent = { ...fresh, nodeSession: { ...fresh.nodeSession, members: [member] } };
-    this.attemptPort = new SimulatedAttemptPort(
+    const initialAgent = newNodeAgent(member, [], { seed });
+    this.#nodeAgent = {
+      ...initialAgent,
+      nodeSession: { ...initialAgent.nodeSession, members: [member] },
+    };
+    this.originClient = new SimulatedOriginClient(
       this.eventQueue,
       this.random.fork(),
       this.fleet,
@@ -132,7 +140,7 @@
     this.router = new EdgeRouter(
       { now: () => this.#now(), nodeAgent: () => this.#nodeAgent },
       this.cache,
-      this.attemptPort,
+      this.originClient,
       {
         zone: toZoneName('a'),
         headerNames: defaultHeaderNames,
@@ -146,52 +154,53 @@
   run(): void {
     this.#repeat(() => this.#tick(), tickIntervalMs, tickIntervalMs);
     this.#repeat(() => this.#sendRequest(), 1, 30);
-    this.eventQueue.schedule(this.random.uniform(5, 200), () => this.#activateTable());
-    for (let at = 0; at < 4; at += 1) this.#startOrigin(at);
+    this.eventQueue.schedule(this.random.uniform(5, 200), () => this.#activateConfiguration());
+    for (let slot = 0; slot < 4; slot += 1) this.#startOrigin(slot);
     this.#repeat(() => this.#startOrigin(this.random.integer(0, 4)), 300, 2500);
-    this.#repeat(() => this.#activateTable(), 1000, 5000);
+    this.#repeat(() => this.#activateConfiguration(), 1000, 5000);
     this.#repeat(() => this.#changeObject(), 50, 600);
     this.eventQueue.schedule(runDurationMs, () => {
       this.eventQueue.schedule(this.random.uniform(0, 2600), () => {
         this.#isAccepting = false;
       });
-      this.eventQueue.schedule(stopGraceMs, () => this.router.abortAll());
+      this.eventQueue.schedule(drainTimeoutMs, () => this.router.abortAll());
     });
-    while (this.eventQueue.runNext(runDurationMs + stopGraceMs + 100));
+    while (this.eventQueue.runNext(runDurationMs + drainTimeoutMs + 100));
   }
 
   #now(): ReturnType<typeof toTimestamp> {
     return toTimestamp(100_000 + this.eventQueue.now);
   }
 
-  #repeat(act: () => void, least: number, most: number): void {
-    this.eventQueue.schedule(this.random.uniform(least, most), () => {
-      if (this.eventQueue.now > runDurationMs + stopGraceMs) return;
-      act();
-      this.#repeat(act, least, most);
+  #repeat(action: () => void, minDelayMs: number, maxDelayMs: number): void {
+    this.eventQueue.schedule(this.random.uniform(minDelayMs, maxDelayMs), () => {
+      if (this.eventQueue.now > runDurationMs + drainTimeoutMs) return;
+      action();
+      this.#repeat(action, minDelayMs, maxDelayMs);
     });
   }
 
   #tick(): void {
-    const at = this.#now();
+    const now = this.#now();
     const { nodeSession } = this.#nodeAgent;
     this.#nodeAgent = {
       ...this.#nodeAgent,
-      purgesCurrentAsOf: at,
-      nodeSession: { ...nodeSession, registryHeardAt: at },
+      purgesCurrentAsOf: now,
+      nodeSession: { ...nodeSession, registryHeardAt: now },
     };
-    this.router.tick(at);
+    this.router.tick(now);
   }
 
-  #activateTable(): void {
-    const table = this.random.pick(this.#tables);
-    if (table !== undefined) this.#nodeAgent = { ...this.#nodeAgent, compiledConfiguration: table };
+  #activateConfiguration(): void {
+    const configuration = this.random.pick(this.#configurations);
+    if (configuration !== undefined)
+      this.#nodeAgent = { ...this.#nodeAgent, compiledConfiguration: configuration };
   }
 
   /** An origin starts at an address that another one, perhaps of another service, may have had. */
-  #startOrigin(place: number): void {
+  #startOrigin(slot: number): void {
     this.#originCount += 1;
-    const address = toAddress(`10.0.1.${place + 1}:80`);
+    const address = toAddress(`10.0.1.${slot + 1}:80`);
     const service = this.random.happens(0.5) ? services[0] : services[1];
     const origin = { instance: toInstanceId(`o${this.#originCount}`), service, address };
     this.fleet.start(origin);
@@ -205,11 +214,11 @@
   }
 
   #updateOrigins(): void {
-    const at = this.#now();
+    const now = this.#now();
     const origins = new Map(
-      [...this.#knownOrigins.values()].map((one) => [
-        one.instance,
-        { ...one, release: toRelease('r1'), slots: 8, state: 'up' as const, lastHeardAt: at },
+      [...this.#knownOrigins.values()].map((origin) => [
+        origin.instance,
+        { ...origin, release: toRelease('r1'), slots: 8, state: 'up' as const, lastHeardAt: now },
       ]),
     );
     this.#nodeAgent = {
@@ -228,10 +237,14 @@
     const target = `/clips/${this.random.integer(1, 3)}`;
     this.#revisions.set(target, this.#revisionOf(target) + 1);
     this.#purgeCount += 1;
-    const top = toSeq(this.#purgeCount);
-    this.cache.purge([{ seq: top, aims: [{ by: 'object', host, path: target }] }], false, top);
+    const lastPurgeSeq = toSeq(this.#purgeCount);
+    this.cache.purge(
+      [{ seq: lastPurgeSeq, aims: [{ by: 'object', host, path: target }] }],
+      false,
+      lastPurgeSeq,
+    );
     this.router.onPurged();
-    this.#nodeAgent = { ...this.#nodeAgent, lastPurgeSeq: top };
+    this.#nodeAgent = { ...this.#nodeAgent, lastPurgeSeq };
     this.#purgedRevisions.set(target, this.#revisionOf(target));
   }
 
@@ -248,12 +261,12 @@
       body: method === 'POST' ? `body of ${id}` : '',
       sentAt: this.eventQueue.now,
       deadline: this.eventQueue.now + requestTimeoutMs,
-      leastRevision: this.#purgedRevisions.get(target) ?? 0,
-      hasLeft: false,
+      minRevision: this.#purgedRevisions.get(target) ?? 0,
+      hasDisconnected: false,
       replies: [],
     };
     this.callers.set(id, record);
-    const call = {
+    const request = {
       id,
       method,
       host,
@@ -262,14 +275,14 @@
       body: Buffer.from(record.body),
       timeoutMs: requestTimeoutMs,
     };
-    const leave = this.router.serve(call, (word) => {
-      record.replies.push({ at: this.eventQueue.now, reply: word });
+    const disconnect = this.router.serve(request, (reply) => {
+      record.replies.push({ at: this.eventQueue.now, reply });
     });
     if (this.random.happens(0.1))
       this.eventQueue.schedule(this.random.uniform(1, 400), () => {
         if (record.replies.length > 0) return;
-        record.hasLeft = true;
-        leave();
+        record.hasDisconnected = true;
+        disconnect();
       });
   }
 }
@@ -278,15 +291,15 @@
 export const runDirectEdge = (seed: number): DirectRun => {
   const world = new DirectWorld(seed);
   world.run();
-  const mayRun = (target: string, service: string): boolean =>
+  const mayExecute = (target: string, service: string): boolean =>
     target.startsWith('/edit/') || service === 'clips';
   return {
-    violations: judge(world.callers, world.fleet.executions, mayRun),
+    violations: checkRequests(world.callers, world.fleet.executions, mayExecute),
     requests: world.callers.size,
     executions: world.fleet.executions.length,
     counts: world.router.counts,
     callerRecords: [...world.callers.values()],
     executionRecords: world.fleet.executions,
-    sentAttempts: world.attemptPort.sent,
+    sentAttempts: world.originClient.sentAttempts,
   };
 };
--- a/packages/simulator/src/fault/caller-faults.ts
+++ b/packages/simulator/src/fault/caller-faults.ts
@@ -25,8 +25,8 @@
       const kind = world.random.pick(['plain', 'act'] as const) ?? 'plain';
       context.log(`flood of ${kind} at ${service}`);
       context.callers.floodedUntil.set(`/${service}/${kind}/`, world.eventQueue.now + 8000);
-      for (let at = 0; at < 900; at += 1)
-        world.eventQueue.schedule(at * 2.5, () => {
+      for (let index = 0; index < 900; index += 1)
+        world.eventQueue.schedule(index * 2.5, () => {
           context.callers.send({ kind, service, isFlood: true });
         });
     },
--- a/packages/simulator/src/fault/fault-context.ts
+++ b/packages/simulator/src/fault/fault-context.ts
@@ -15,25 +15,25 @@
   readonly world: World;
   readonly ruleChecker: RuleChecker;
   /** When the last fault of a machine with a disk is over, and of the whole core. */
-  #diskFreeAt = 0;
-  #coreFreeAt = 0;
+  #diskFaultsAllowedAt = 0;
+  #coreFaultsAllowedAt = 0;
   #lastRelease = 1;
   trace: ((text: string) => void) | undefined;
   /** Operators whose orders are recorded and judged; only where a run has them. */
   operators: SimulatedOperators | undefined;
 
   readonly callers: SimulatedCallers;
-  #lastSerial = 0;
+  #lastNumber = 0;
 
-  constructor(world: World, rules: RuleChecker, callers: SimulatedCallers) {
+  constructor(world: World, ruleChecker: RuleChecker, callers: SimulatedCallers) {
     this.world = world;
-    this.ruleChecker = rules;
+    this.ruleChecker = ruleChecker;
     this.callers = callers;
   }
 
-  nextSerial(): number {
-    this.#lastSerial += 1;
-    return this.#lastSerial;
+  nextNumber(): number {
+    this.#lastNumber += 1;
+    return this.#lastNumber;
   }
 
   log(text: string): void {
@@ -47,26 +47,29 @@
   /** Reserves a fault of one machine with a disk: one at a time, and the next only once both stores are in sync again. */
   reserveDiskFault(durationMs: number): SimulatedStore | undefined {
     const { world } = this;
-    if (world.eventQueue.now < this.#diskFreeAt || world.eventQueue.now < this.#coreFreeAt)
+    if (
+      world.eventQueue.now < this.#diskFaultsAllowedAt ||
+      world.eventQueue.now < this.#coreFaultsAllowedAt
+    )
       return undefined;
     const primary = world.primary();
     if (
       primary?.state?.metadata?.inSyncSet.length !== 2 ||
-      !world.stores.every((one) => one.isAlive && !one.isFrozen)
+      !world.stores.every((store) => store.isAlive && !store.isFrozen)
     )
       return undefined;
-    this.#diskFreeAt = world.eventQueue.now + durationMs + 3000;
+    this.#diskFaultsAllowedAt = world.eventQueue.now + durationMs + 3000;
     return world.random.pick(world.stores);
   }
 
   /** Reserves a fault of the whole core: one at a time. */
   reserveCoreFault(durationMs: number): boolean {
     if (
-      this.world.eventQueue.now < this.#coreFreeAt ||
-      this.world.eventQueue.now < this.#diskFreeAt
+      this.world.eventQueue.now < this.#coreFaultsAllowedAt ||
+      this.world.eventQueue.now < this.#diskFaultsAllowedAt
     )
       return false;
-    this.#coreFreeAt = this.world.eventQueue.now + durationMs + coreRecoveryMs;
+    this.#coreFaultsAllowedAt = this.world.eventQueue.now + durationMs + coreRecoveryMs;
     return true;
   }
 
@@ -74,7 +77,7 @@
   reserveZoneFault(durationMs: number): SimulatedStore | undefined {
     const store = this.reserveDiskFault(durationMs);
     if (store !== undefined)
-      this.#coreFreeAt = this.world.eventQueue.now + durationMs + coreRecoveryMs;
+      this.#coreFaultsAllowedAt = this.world.eventQueue.now + durationMs + coreRecoveryMs;
     return store;
   }
 
@@ -84,20 +87,20 @@
   }
 
   /** Everything on one machine. */
-  processesOnMachineOf(target: SimulatedProcess): readonly SimulatedProcess[] {
-    const name = target.node.replace(/-registry$/, '');
+  processesOnMachineOf(process: SimulatedProcess): readonly SimulatedProcess[] {
+    const machine = process.node.replace(/-registry$/, '');
     return this.world.allProcesses.filter(
-      (one) => one.node === name || one.node === `${name}-registry`,
+      (process) => process.node === machine || process.node === `${machine}-registry`,
     );
   }
 
   /** Cuts some processes off from all others, both ways or one. */
-  isolate(actors: readonly SimulatedProcess[], way: 'both' | 'out' | 'in'): void {
-    for (const one of actors) {
+  isolate(processes: readonly SimulatedProcess[], direction: 'both' | 'out' | 'in'): void {
+    for (const process of processes) {
       for (const other of this.world.allProcesses) {
-        if (actors.includes(other)) continue;
-        if (way !== 'in') this.world.network.cut(one.node, other.node);
-        if (way !== 'out') this.world.network.cut(other.node, one.node);
+        if (processes.includes(other)) continue;
+        if (direction !== 'in') this.world.network.cut(process.node, other.node);
+        if (direction !== 'out') this.world.network.cut(other.node, process.node);
       }
     }
   }
--- a/packages/simulator/src/fault/fault.ts
+++ b/packages/simulator/src/fault/fault.ts
@@ -15,10 +15,11 @@
   context: FaultContext,
   candidates: readonly Fault[],
 ): Fault | undefined => {
-  let left = context.world.random.next() * candidates.reduce((sum, one) => sum + one.weight, 0);
-  for (const one of candidates) {
-    left -= one.weight;
-    if (left <= 0) return one;
+  let remainingWeight =
+    context.world.random.next() * candidates.reduce((sum, fault) => sum + fault.weight, 0);
+  for (const candidate of candidates) {
+    remainingWeight -= candidate.weight;
+    if (remainingWeight <= 0) return candidate;
   }
   return candidates.at(-1);
 };
--- a/packages/simulator/src/fault/network-faults.ts
+++ b/packages/simulator/src/fault/network-faults.ts
@@ -3,7 +3,7 @@
 import { SimulatedProxy } from '../processes/proxy.js';
 import {
   type LinkConditions,
-  goodConditions,
+  normalConditions,
   lossyConditions,
   slowConditions,
 } from '../world/network.js';
@@ -27,7 +27,7 @@
   context.log(`${text} for ${Math.round(durationMs)}`);
   network.conditions = conditions;
   eventQueue.schedule(durationMs, () => {
-    network.conditions = goodConditions;
+    network.conditions = normalConditions;
   });
 };
 
@@ -42,11 +42,11 @@
       const process = context.world.random.pick(context.world.allProcesses);
       if (process === undefined) return;
       const machine = context.processesOnMachineOf(process);
-      const way = context.world.random.pick(['both', 'both', 'out', 'in'] as const) ?? 'both';
+      const direction = context.world.random.pick(['both', 'both', 'out', 'in'] as const) ?? 'both';
       context.log(
-        `isolate ${machine.map((process) => process.node).join(' ')} ${way} for ${Math.round(durationMs)}`,
+        `isolate ${machine.map((process) => process.node).join(' ')} ${direction} for ${Math.round(durationMs)}`,
       );
-      context.isolate(machine, way);
+      context.isolate(machine, direction);
       healLater(context, durationMs);
     },
   },
@@ -92,9 +92,9 @@
       if (process === undefined) return;
       const machine = context.processesOnMachineOf(process);
       context.log(`flap ${machine.map((process) => process.node).join(' ')}`);
-      for (let turn = 0; turn < 8; turn += 1) {
-        context.world.eventQueue.schedule(turn * 700, () => context.isolate(machine, 'both'));
-        context.world.eventQueue.schedule(turn * 700 + context.randomMs(50, 600), () =>
+      for (let round = 0; round < 8; round += 1) {
+        context.world.eventQueue.schedule(round * 700, () => context.isolate(machine, 'both'));
+        context.world.eventQueue.schedule(round * 700 + context.randomMs(50, 600), () =>
           context.world.network.heal(),
         );
       }
--- a/packages/simulator/src/fault/operator-commands.ts
+++ b/packages/simulator/src/fault/operator-commands.ts
@@ -57,8 +57,8 @@
     cause: (context) => {
       const { world } = context;
       for (const service of world.layout.services) {
-        for (let at = 0; at < 20; at += 1) {
-          const path = `/${service.name}/read/${at}`;
+        for (let index = 0; index < 20; index += 1) {
+          const path = `/${service.name}/read/${index}`;
           world.eventQueue.schedule(context.randomMs(0, 500), () => {
             world.purge([path], [{ by: 'object', path }]);
           });
--- a/packages/simulator/src/fault/origin-faults.ts
+++ b/packages/simulator/src/fault/origin-faults.ts
@@ -22,9 +22,14 @@
     weight: 2,
     cause: (context) => {
       const { world } = context;
-      const up = world.origins.filter((origin) => origin.isAlive && origin.state === 'up');
-      const origin = world.random.pick(up);
-      if (origin === undefined || up.filter((other) => other.service === origin.service).length < 2)
+      const runningOrigins = world.origins.filter(
+        (origin) => origin.isAlive && origin.state === 'up',
+      );
+      const origin = world.random.pick(runningOrigins);
+      if (
+        origin === undefined ||
+        runningOrigins.filter((other) => other.service === origin.service).length < 2
+      )
         return;
       context.log(`crash ${origin.instance}`);
       origin.crash();
@@ -59,7 +64,7 @@
         world.origins.filter((other) => other.isAlive && other.state === 'up'),
       );
       const other = world.random.pick(
-        world.layout.services.filter((row) => row.name !== origin?.service),
+        world.layout.services.filter((service) => service.name !== origin?.service),
       );
       if (origin === undefined || other === undefined) return;
       world.coverage.record('R6: an address was taken by another service');
@@ -100,7 +105,7 @@
       origin.truncationProbability = context.randomMs(0, 0.2);
       origin.wrongInstanceProbability = context.randomMs(0, 0.1);
       context.world.eventQueue.schedule(context.randomMs(1000, 6000), () => {
-        origin.repair();
+        origin.clearResponseFaults();
       });
     },
   },
--- a/packages/simulator/src/fault/process-actions.ts
+++ b/packages/simulator/src/fault/process-actions.ts
@@ -15,29 +15,30 @@
 
 /** Whether a store holds a write whose operator has no reply yet. */
 export const hasUnansweredWrite = ({ world }: FaultContext, store: SimulatedStore): boolean =>
-  world.writes.some((one) => one.reply === undefined && store.hasResultOf(one.id));
+  world.writes.some((write) => write.reply === undefined && store.hasResultOf(write.id));
 
 /** Records which coverage goals losing a process just now reaches. */
 const recordLossCoverage = (context: FaultContext, target: SimulatedProcess): void => {
   const { world } = context;
   if (target instanceof SimulatedStore) {
-    const primary = world.primary() === target;
-    const fresh = world.writes.some(
-      (one) => one.reply?.status === 200 && world.eventQueue.now - one.reply.at < 1000,
+    const isPrimary = world.primary() === target;
+    const hasRecentWrite = world.writes.some(
+      (write) => write.reply?.status === 200 && world.eventQueue.now - write.reply.at < 1000,
     );
-    if (primary && fresh) world.coverage.record('R4: a primary was lost just after it accepted');
+    if (isPrimary && hasRecentWrite)
+      world.coverage.record('R4: a primary was lost just after it accepted');
     if (target.writePhase === 'writingToDisk')
       world.coverage.record('a write was cut before its sync');
     if (target.writePhase === 'replicating')
       world.coverage.record('a write was cut between the two disks');
-    if (primary && hasUnansweredWrite(context, target))
+    if (isPrimary && hasUnansweredWrite(context, target))
       world.coverage.record('a write was cut before its answer');
   }
   if (!(target instanceof SimulatedProxy)) return;
-  for (const name of target.state?.activeLeaders.values() ?? []) {
-    const leader = target.state?.leaders.get(name);
+  for (const leaderName of target.state?.activeLeaders.values() ?? []) {
+    const leader = target.state?.leaders.get(leaderName);
     if (leader === undefined) continue;
-    if ([...leader.canaries.values()].some((one) => one.state === 'trial'))
+    if ([...leader.canaries.values()].some((canary) => canary.state === 'trial'))
       world.coverage.record('R10: a keeper was lost during a trial');
     if (windowSum(leader.recentExtraAttempts, target.clock) > 5)
       world.coverage.record('R8: a keeper was lost with extra legs just sent');
--- a/packages/simulator/src/fault/process-faults.ts
+++ b/packages/simulator/src/fault/process-faults.ts
@@ -79,11 +79,11 @@
     weight: 1,
     cause: (context) => {
       if (!context.reserveCoreFault(6000)) return;
-      const doomed = context.world.allProcesses.filter(
+      const targets = context.world.allProcesses.filter(
         (target) => !(target instanceof SimulatedStore) && context.world.random.happens(0.5),
       );
-      context.log(`kill ${doomed.map((target) => target.node).join(' ')}`);
-      for (const target of doomed)
+      context.log(`kill ${targets.map((target) => target.node).join(' ')}`);
+      for (const target of targets)
         if (target.isAlive) killFor(context, target, context.randomMs(50, 1500));
     },
   },
--- a/packages/simulator/src/fault/registry-replacement.ts
+++ b/packages/simulator/src/fault/registry-replacement.ts
@@ -9,7 +9,7 @@
 const retryDelayMs = 500;
 const replyTimeoutMs = 5000;
 const maxRetries = 20;
-const httpOk = 200;
+const httpStatusOk = 200;
 
 type ElectorateChange = 'add' | 'remove';
 
@@ -37,7 +37,9 @@
     const node = change === 'add' ? this.#joining.node : this.#departing.node;
     const id = toCommandId(`seat-${change}-${node}`);
     const registry = world.random.pick(
-      world.registries.filter((one) => one.isAlive && !one.isFrozen && one !== this.#departing),
+      world.registries.filter(
+        (candidate) => candidate.isAlive && !candidate.isFrozen && candidate !== this.#departing,
+      ),
     );
     let isSettled = false;
     const retry = (): void => this.#change(change, onAccepted, retries + 1);
@@ -51,7 +53,7 @@
       (reply) => {
         if (isSettled) return;
         isSettled = true;
-        if (reply.status === httpOk) onAccepted();
+        if (reply.status === httpStatusOk) onAccepted();
         else if (retries < maxRetries) world.eventQueue.schedule(retryDelayMs, retry);
       },
     );
@@ -76,11 +78,11 @@
   if (!context.reserveCoreFault(5000)) return;
   const departing = world.random.pick(
     world.registries.filter(
-      (one) => !world.stores.some((store) => `${store.node}-registry` === one.node),
+      (registry) => !world.stores.some((store) => `${store.node}-registry` === registry.node),
     ),
   );
   if (departing === undefined) return;
-  const number = context.nextSerial();
+  const number = context.nextNumber();
   const joining = world.addRegistry(`new-${number}`, number);
   context.log(`replace ${departing.node} by ${joining.node}`);
   new RegistryReplacement(context, departing, joining).start();
--- a/packages/simulator/src/fault/store-faults.ts
+++ b/packages/simulator/src/fault/store-faults.ts
@@ -15,10 +15,10 @@
   const primary = world.primary();
   if (primary === undefined || context.reserveDiskFault(3000) === undefined) return;
   const write = world.apply(world.random.integer(1, 1_000_000));
-  const until = world.eventQueue.now + 500;
+  const deadline = world.eventQueue.now + 500;
   const check = (): void => {
-    if (world.eventQueue.now > until) return;
-    const [store] = world.stores.filter((one) => one.isAlive && isDue(one));
+    if (world.eventQueue.now > deadline) return;
+    const [store] = world.stores.filter((store) => store.isAlive && isDue(store));
     if (store === undefined) {
       world.eventQueue.schedule(0.25, check);
       return;
@@ -107,7 +107,7 @@
     cause: (context) => {
       const { world } = context;
       const write = world.apply(world.random.integer(1, 1_000_000));
-      const until = world.eventQueue.now + 1000;
+      const deadline = world.eventQueue.now + 1000;
       const check = (): void => {
         if (write.reply?.status === 200) {
           const store = context.reserveDiskFault(4000);
@@ -116,7 +116,7 @@
           world.coverage.record('a store lost its disk after confirming');
           killFor(context, store, context.randomMs(200, 2000));
           store.disk.wipe();
-        } else if (world.eventQueue.now < until) world.eventQueue.schedule(1, check);
+        } else if (world.eventQueue.now < deadline) world.eventQueue.schedule(1, check);
       };
       check();
     },
--- a/packages/simulator/src/fault/zone-faults.ts
+++ b/packages/simulator/src/fault/zone-faults.ts
@@ -13,10 +13,11 @@
       const durationMs = context.randomMs(1000, 6000);
       const store = context.reserveZoneFault(durationMs);
       if (store === undefined) return;
-      const lost = context.world.allProcesses.filter((one) => one.zone === store.zone);
+      const affected = context.world.allProcesses.filter((process) => process.zone === store.zone);
       context.log(`lose area ${store.zone} for ${Math.round(durationMs)}`);
       context.world.coverage.record('an area was lost');
-      for (const one of lost) killFor(context, one, durationMs + context.randomMs(0, 500));
+      for (const process of affected)
+        killFor(context, process, durationMs + context.randomMs(0, 500));
     },
   },
   {
@@ -25,8 +26,8 @@
     cause: (context) => {
       const { eventQueue, proxies } = context.world;
       context.log('stop all proxies in turn');
-      for (const [at, one] of proxies.entries())
-        eventQueue.schedule(at * 1500, () => stopProxy(context, one));
+      for (const [index, proxy] of proxies.entries())
+        eventQueue.schedule(index * 1500, () => stopProxy(context, proxy));
     },
   },
   {
--- a/packages/simulator/src/guard/built-copy.ts
+++ b/packages/simulator/src/guard/built-copy.ts
@@ -23,24 +23,24 @@
 
 /** Copies the built files of all packages to a temporary folder; whoever copies removes it. */
 export const copyBuilt = (root: string): BuiltCopy => {
-  const place = mkdtempSync(join(tmpdir(), 'guards-'));
-  const drop = (): void => rmSync(place, { recursive: true, force: true });
-  mkdirSync(join(place, 'node_modules', '@switchwheel'), { recursive: true });
-  for (const name of readdirSync(join(root, 'node_modules'))) {
-    if (name !== '@switchwheel' && name !== '.bin')
-      symlinkSync(join(root, 'node_modules', name), join(place, 'node_modules', name));
+  const copyRoot = mkdtempSync(join(tmpdir(), 'guards-'));
+  const removeCopy = (): void => rmSync(copyRoot, { recursive: true, force: true });
+  mkdirSync(join(copyRoot, 'node_modules', '@switchwheel'), { recursive: true });
+  for (const entryName of readdirSync(join(root, 'node_modules'))) {
+    if (entryName !== '@switchwheel' && entryName !== '.bin')
+      symlinkSync(join(root, 'node_modules', entryName), join(copyRoot, 'node_modules', entryName));
   }
-  for (const name of readdirSync(join(root, 'packages')).filter((one) =>
-    existsSync(join(root, 'packages', one, 'dist')),
+  for (const entryName of readdirSync(join(root, 'packages')).filter((packageName) =>
+    existsSync(join(root, 'packages', packageName, 'dist')),
   )) {
-    const from = join(root, 'packages', name);
-    const to = join(place, 'packages', name);
+    const from = join(root, 'packages', entryName);
+    const to = join(copyRoot, 'packages', entryName);
     mkdirSync(to, { recursive: true });
     cpSync(join(from, 'package.json'), join(to, 'package.json'));
     cpSync(join(from, 'dist'), join(to, 'dist'), { recursive: true });
-    symlinkSync(to, join(place, 'node_modules', '@switchwheel', name));
+    symlinkSync(to, join(copyRoot, 'node_modules', '@switchwheel', entryName));
   }
-  return { root: place, remove: drop };
+  return { root: copyRoot, remove: removeCopy };
 };
 
 /** Where a text stands in another one. */
@@ -50,35 +50,43 @@
 }
 
 /** Every place where a text stands, white space left out of account on both sides. */
-const occurrencesOf = (text: string, sought: string): readonly TextRange[] => {
-  const positions = [...text.matchAll(/\S/gu)].map((one) => one.index);
-  const dense = positions.map((at) => text.charAt(at)).join('');
-  const needle = sought.replace(/\s/gu, '');
-  const places: TextRange[] = [];
-  for (let at = dense.indexOf(needle); at >= 0; at = dense.indexOf(needle, at + 1)) {
-    const start = positions[at];
-    const last = positions[at + needle.length - 1];
-    if (start !== undefined && last !== undefined) places.push({ start, end: last + 1 });
+const occurrencesOf = (text: string, pattern: string): readonly TextRange[] => {
+  const offsets = [...text.matchAll(/\S/gu)].map((match) => match.index);
+  const compactText = offsets.map((offset) => text.charAt(offset)).join('');
+  const compactPattern = pattern.replace(/\s/gu, '');
+  const ranges: TextRange[] = [];
+  for (
+    let offset = compactText.indexOf(compactPattern);
+    offset >= 0;
+    offset = compactText.indexOf(compactPattern, offset + 1)
+  ) {
+    const start = offsets[offset];
+    const lastOffset = offsets[offset + compactPattern.length - 1];
+    if (start !== undefined && lastOffset !== undefined)
+      ranges.push({ start, end: lastOffset + 1 });
   }
-  return places;
+  return ranges;
 };
 
 /** Why a guard can't be taken out; nothing if it can. */
 export const guardError = (root: string, guard: Guard): string | undefined => {
   const path = join(root, 'packages', guard.file);
   if (!existsSync(path)) return `${guard.file}: not there, for the guard "${guard.name}"`;
-  const many = occurrencesOf(readFileSync(path, 'utf8'), guard.from).length;
-  return many === 1
+  const occurrenceCount = occurrencesOf(readFileSync(path, 'utf8'), guard.from).length;
+  return occurrenceCount === 1
     ? undefined
-    : `${guard.file}: the text of the guard "${guard.name}" stands there ${many} times, not once`;
+    : `${guard.file}: the text of the guard "${guard.name}" stands there ${occurrenceCount} times, not once`;
 };
 
 /** Takes a guard out of a copy; gives what puts it back. */
 export const removeGuard = (copy: BuiltCopy, guard: Guard): (() => void) => {
   const path = join(copy.root, 'packages', guard.file);
-  const text = readFileSync(path, 'utf8');
-  const place = occurrencesOf(text, guard.from)[0];
-  if (place === undefined) throw new Error(`${guard.name}: its text is not there`);
-  writeFileSync(path, text.slice(0, place.start) + guard.to + text.slice(place.end));
-  return () => writeFileSync(path, text);
+  const originalText = readFileSync(path, 'utf8');
+  const occurrence = occurrencesOf(originalText, guard.from)[0];
+  if (occurrence === undefined) throw new Error(`${guard.name}: its text is not there`);
+  writeFileSync(
+    path,
+    originalText.slice(0, occurrence.start) + guard.to + originalText.slice(occurrence.end),
+  );
+  return () => writeFileSync(path, originalText);
 };
--- a/packages/simulator/src/guard/list.test.ts
+++ b/packages/simulator/src/guard/list.test.ts
@@ -9,11 +9,13 @@
 const root = fileURLToPath(new URL('../../../..', import.meta.url));
 
 void test('the text of each guard stands once in its built file', () => {
-  const faults = guards.map((one) => guardError(root, one)).filter((one) => one !== undefined);
-  assert.deepEqual(faults, []);
+  const errors = guards
+    .map((guard) => guardError(root, guard))
+    .filter((error) => error !== undefined);
+  assert.deepEqual(errors, []);
 });
 
 void test('no two guards bear one name', () => {
-  const names = guards.map((one) => one.name);
+  const names = guards.map((guard) => guard.name);
   assert.deepEqual([...new Set(names)], names);
 });
--- a/packages/simulator/src/guard/list.ts
+++ b/packages/simulator/src/guard/list.ts
@@ -13,22 +13,22 @@
   readonly to: string;
 }
 
-const trial = 'proxy-core/dist/service-leader/canary.js';
-const forward = 'proxy-core/dist/forwarding/forwarding.js';
-const taking = 'proxy-core/dist/request-handler/response-verifier.js';
-const trip = 'proxy-core/dist/request-handler/request-state.js';
-const edge = 'proxy-core/dist/request-handler/edge-request-handler.js';
-const dock = 'proxy-core/dist/request-handler/inbound-requests.js';
-const desk = 'proxy-core/dist/cache/cache-lookup.js';
+const canary = 'proxy-core/dist/service-leader/canary.js';
+const forwarding = 'proxy-core/dist/forwarding/forwarding.js';
+const responseVerifier = 'proxy-core/dist/request-handler/response-verifier.js';
+const requestState = 'proxy-core/dist/request-handler/request-state.js';
+const edgeRequestHandler = 'proxy-core/dist/request-handler/edge-request-handler.js';
+const inboundRequests = 'proxy-core/dist/request-handler/inbound-requests.js';
+const cacheLookup = 'proxy-core/dist/cache/cache-lookup.js';
 const cache = 'proxy-core/dist/cache/cache.js';
 const proxy = 'proxy-core/dist/proxy/proxy.js';
-const candidate = 'election/dist/candidate/vote-count.js';
+const voteCount = 'election/dist/candidate/vote-count.js';
 const voter = 'election/dist/voter/voter.js';
 const primaryWrite = 'replicated-store/dist/log-write/primary-write.js';
 const decideCanary = 'replicated-store/dist/commands/decide-canary.js';
-const decideApply = 'replicated-store/dist/commands/apply-configuration.js';
+const applyConfiguration = 'replicated-store/dist/commands/apply-configuration.js';
 const decision = 'replicated-store/dist/commands/decision.js';
-const releaseOrder = 'configuration/dist/release/release-rollout.js';
+const releaseRollout = 'configuration/dist/release/release-rollout.js';
 const candidacy = 'replicated-store/dist/leadership/candidacy.js';
 const origins = 'membership/dist/origins/origins.js';
 const departures = 'membership/dist/registry/departures.js';
@@ -73,14 +73,14 @@
   {
     name: 'the margin of a lease',
     rule: 'one holder',
-    file: candidate,
+    file: voteCount,
     from: 'decisive + leaseMs - leaseSafetyMarginMs',
     to: 'decisive + leaseMs + 50',
   },
   {
     name: 'a lease that ran out stays over',
     rule: 'one holder',
-    file: candidate,
+    file: voteCount,
     from: "if (phase.phase === 'holdingLease' && now >= phase.leaseEndsAt)",
     to: 'if (false)',
   },
@@ -101,7 +101,7 @@
   {
     name: 'recovering votes do not count',
     rule: 'lost write',
-    file: candidate,
+    file: voteCount,
     from: 'vote !== undefined && (context.countsRecoveringVoters || !vote.wasRecovering)',
     to: 'vote !== undefined',
   },
@@ -157,49 +157,49 @@
   {
     name: 'a generation is made from its base',
     rule: 'generation',
-    file: decideApply,
+    file: applyConfiguration,
     from: 'if (command.baseGeneration !== undefined && command.baseGeneration !== current)',
     to: 'if (false)',
   },
   {
     name: 'an invalid description is refused whole',
     rule: 'whole',
-    file: decideApply,
+    file: applyConfiguration,
     from: 'if (command.issues.length > 0)',
     to: 'if (false)',
   },
   {
     name: 'a number has one content',
     rule: 'generation',
-    file: decideApply,
+    file: applyConfiguration,
     from: 'if (taken !== undefined && taken !== command.hash)',
     to: 'if (false)',
   },
   {
     name: 'a number keeps its content once another is in force',
     rule: 'generation',
-    file: decideApply,
+    file: applyConfiguration,
     from: 'if (kept !== undefined) return kept;',
     to: '',
   },
   {
     name: 'a lower number alters nothing',
     rule: 'generation',
-    file: decideApply,
+    file: applyConfiguration,
     from: 'if (requestedGeneration <= current) return alreadySuperseded(control, command, requestedGeneration);',
     to: '',
   },
   {
     name: 'an order that others followed is known again',
     rule: 'order',
-    file: releaseOrder,
+    file: releaseRollout,
     from: "if (repeated !== undefined) return { kind: 'alreadyAccepted', rolloutNumber: repeated.order };",
     to: '',
   },
   {
     name: 'an order that was judged bad is known again after its term',
     rule: 'order',
-    file: releaseOrder,
+    file: releaseRollout,
     from: 'spentMs < Math.max(known.spanMs, repeatMs)',
     to: 'spentMs < known.spanMs',
   },
@@ -248,42 +248,42 @@
   {
     name: 'a caller that left is told that it may have run',
     rule: 'R2',
-    file: forward,
+    file: forwarding,
     from: "errorKind: isWaiting ? 'rejected' : 'unknown'",
     to: "errorKind: 'rejected'",
   },
   {
     name: 'a result has the told length',
     rule: 'R3',
-    file: taking,
+    file: responseVerifier,
     from: 'if (contentLength !== undefined && this.#receivedBytes !== contentLength)',
     to: 'if (false)',
   },
   {
     name: 'a result fits its digest',
     rule: 'R3',
-    file: taking,
+    file: responseVerifier,
     from: "else if (digest === 'mismatch')",
     to: 'else if (false)',
   },
   {
     name: 'a result names the instance that was asked',
     rule: 'R3',
-    file: taking,
+    file: responseVerifier,
     from: 'if (respondingInstance !== this.#request.instance)',
     to: 'if (false)',
   },
   {
     name: 'the end of a stream is held back',
     rule: 'R3',
-    file: trip,
+    file: requestState,
     from: 'this.#heldChunk = { bytes, onReady }; if (previousChunk !== undefined) phase.stream.write(previousChunk.bytes, previousChunk.onReady);',
     to: 'phase.stream.write(bytes, onReady);',
   },
   {
     name: 'one stream for each ask',
     rule: 'R3',
-    file: dock,
+    file: inboundRequests,
     from: 'if (inbound === undefined || inbound.isStreaming) return undefined;',
     to: 'if (inbound === undefined) return undefined;',
   },
@@ -311,7 +311,7 @@
   {
     name: 'a shield that is behind does not answer from its cache',
     rule: 'R7',
-    file: desk,
+    file: cacheLookup,
     from: 'mayServeFromCache(nodeAgent, now) && this.cache.lastPurgeSeq >= requiredPurgeSeq',
     to: 'mayServeFromCache(nodeAgent, now)',
   },
@@ -332,14 +332,14 @@
   {
     name: 'an edge does not tell what was long under way',
     rule: 'R7',
-    file: edge,
+    file: edgeRequestHandler,
     from: 'return (now - sentAt > purgeCheckThresholdMs &&',
     to: 'return (false &&',
   },
   {
     name: 'an edge that slept does not tell what it had',
     rule: 'R7',
-    file: edge,
+    file: edgeRequestHandler,
     from: 'if (lastResumedAt > sentAt)',
     to: 'if (false)',
   },
@@ -416,21 +416,21 @@
   {
     name: 'the share of a trial',
     rule: 'R10',
-    file: trial,
+    file: canary,
     from: "canary.state === 'good' || canary.usedRequests < allowance(state, canary)",
     to: 'true',
   },
   {
     name: 'a trial is reserved before it is used',
     rule: 'R10',
-    file: trial,
+    file: canary,
     from: 'Math.min(canary.reservedRequests, Math.floor(trafficBudget(state, canary)))',
     to: 'Math.floor(trafficBudget(state, canary))',
   },
   {
     name: 'a bad release is judged',
     rule: 'R10',
-    file: trial,
+    file: canary,
     from: 'canary.failures >= maxCanaryFailures || (canary.failures >= minFailuresToReject && canary.failures > maxCanaryFailureShare * (canary.successes + canary.failures))',
     to: 'false',
   },
--- a/packages/simulator/src/guard/main.ts
+++ b/packages/simulator/src/guard/main.ts
@@ -35,39 +35,41 @@
   },
 );
 
-const say = (text: string): void => {
+const printLine = (text: string): void => {
   process.stdout.write(`${text}\n`);
 };
 const root = fileURLToPath(new URL('../../../..', import.meta.url));
-const only = cli.flags.only ?? [];
-const chosen = guards.filter(
-  (one) => only.length === 0 || only.some((text) => one.name.includes(text) || one.rule === text),
+const filters = cli.flags.only ?? [];
+const selectedGuards = guards.filter(
+  (guard) =>
+    filters.length === 0 ||
+    filters.some((text) => guard.name.includes(text) || guard.rule === text),
 );
-const known = new Set(['only', 'atOnce', 'storms', 'list']);
-const faults = [
+const knownFlags = new Set(['only', 'atOnce', 'storms', 'list']);
+const usageErrors = [
   ...Object.keys(cli.flags)
-    .filter((name) => !known.has(name))
+    .filter((name) => !knownFlags.has(name))
     .map((name) => `--${name}: no such flag`),
-  ...cli.input.map((one) => `${one}: not a flag`),
+  ...cli.input.map((argument) => `${argument}: not a flag`),
   ...(Number.isSafeInteger(cli.flags.atOnce) && cli.flags.atOnce >= 1 && cli.flags.atOnce <= 64
     ? []
     : ['--at-once: a whole number from 1 to 64']),
-  ...only
-    .filter((text) => !guards.some((one) => one.name.includes(text) || one.rule === text))
+  ...filters
+    .filter((text) => !guards.some((guard) => guard.name.includes(text) || guard.rule === text))
     .map((text) => `--only: no guard is named ${text}`),
-  ...chosen.map((one) => guardError(root, one)).filter((one) => one !== undefined),
+  ...selectedGuards.map((guard) => guardError(root, guard)).filter((error) => error !== undefined),
 ];
-if (faults.length > 0) {
-  for (const line of faults) process.stderr.write(`guards: ${line}\n`);
+if (usageErrors.length > 0) {
+  for (const line of usageErrors) process.stderr.write(`guards: ${line}\n`);
   process.exit(2);
 }
 if (cli.flags.list) {
-  for (const one of chosen) say(`${one.rule.padEnd(12)} ${one.name}`);
+  for (const guard of selectedGuards) printLine(`${guard.rule.padEnd(12)} ${guard.name}`);
   process.exit(0);
 }
 
 /** The tests that run without sockets, the quick ones first: those of single machines and the simulator's. */
-const files = [
+const testFiles = [
   'proxy-core/dist/forwarding/forwarding.test.js',
   'proxy-core/dist/service-leader/service-leader.test.js',
   'proxy-core/dist/cache/cache.test.js',
@@ -78,58 +80,60 @@
   'simulator/dist/run/failures.test.js',
   ...(cli.flags.storms ? ['simulator/dist/run/random-faults.test.js'] : []),
 ];
-const span = 600_000;
+const testTimeoutMs = 600_000;
 
 /** Runs one file of tests up to the first that goes red; gives its name. */
 const runFile = (copy: BuiltCopy, file: string): Promise<string | undefined> =>
-  new Promise((done) => {
+  new Promise((resolve) => {
     const child = spawn(
       process.execPath,
       ['--test-reporter=tap', join(copy.root, 'packages', file)],
       { cwd: copy.root, stdio: ['ignore', 'pipe', 'ignore'] },
     );
-    let text = '';
-    let red: string | undefined;
-    const late = setTimeout(() => child.kill('SIGKILL'), span);
-    child.stdout.on('data', (part: Buffer) => {
-      text += part.toString();
-      red ??= /^not ok \d+ - (.*)$/m.exec(text)?.[1];
-      if (red !== undefined) child.kill('SIGKILL');
+    let output = '';
+    let failedTest: string | undefined;
+    const timeout = setTimeout(() => child.kill('SIGKILL'), testTimeoutMs);
+    child.stdout.on('data', (chunk: Buffer) => {
+      output += chunk.toString();
+      failedTest ??= /^not ok \d+ - (.*)$/m.exec(output)?.[1];
+      if (failedTest !== undefined) child.kill('SIGKILL');
     });
     child.on('close', () => {
-      clearTimeout(late);
+      clearTimeout(timeout);
       // One that ends no more is noticed as well.
-      done(red ?? (text.includes('\n# tests ') ? undefined : `${file} did not end`));
+      resolve(failedTest ?? (output.includes('\n# tests ') ? undefined : `${file} did not end`));
     });
   });
 
-const run = async (copy: BuiltCopy): Promise<string | undefined> => {
-  for (const file of files) {
-    const red = await runFile(copy, file);
-    if (red !== undefined) return red;
+const runTests = async (copy: BuiltCopy): Promise<string | undefined> => {
+  for (const file of testFiles) {
+    const failedTest = await runFile(copy, file);
+    if (failedTest !== undefined) return failedTest;
   }
   return undefined;
 };
 
-const waiting = [...chosen];
-const missed: Guard[] = [];
-const work = async (): Promise<void> => {
+const queue = [...selectedGuards];
+const undetectedGuards: Guard[] = [];
+const runWorker = async (): Promise<void> => {
   const copy = copyBuilt(root);
-  for (let guard = waiting.shift(); guard !== undefined; guard = waiting.shift()) {
-    const back = removeGuard(copy, guard);
-    const red = await run(copy);
-    back();
-    if (red === undefined) missed.push(guard);
-    say(
-      `${guard.rule.padEnd(12)} ${guard.name}: ${red === undefined ? 'NOTHING NOTICES' : `red: ${red}`}`,
+  for (let guard = queue.shift(); guard !== undefined; guard = queue.shift()) {
+    const restoreGuard = removeGuard(copy, guard);
+    const failedTest = await runTests(copy);
+    restoreGuard();
+    if (failedTest === undefined) undetectedGuards.push(guard);
+    printLine(
+      `${guard.rule.padEnd(12)} ${guard.name}: ${failedTest === undefined ? 'NOTHING NOTICES' : `red: ${failedTest}`}`,
     );
   }
   copy.remove();
 };
-await Promise.all(Array.from({ length: Math.min(cli.flags.atOnce, chosen.length) }, work));
-say(
-  missed.length === 0
-    ? `all ${chosen.length} guards are missed by some test`
-    : `${missed.length} of ${chosen.length} guards are missed by none: ${missed.map((one) => one.name).join('; ')}`,
+await Promise.all(
+  Array.from({ length: Math.min(cli.flags.atOnce, selectedGuards.length) }, runWorker),
 );
-process.exitCode = missed.length > 0 ? 1 : 0;
+printLine(
+  undetectedGuards.length === 0
+    ? `all ${selectedGuards.length} guards are missed by some test`
+    : `${undetectedGuards.length} of ${selectedGuards.length} guards are missed by none: ${undetectedGuards.map((guard) => guard.name).join('; ')}`,
+);
+process.exitCode = undetectedGuards.length > 0 ? 1 : 0;
--- a/packages/simulator/src/history/checker.test.ts
+++ b/packages/simulator/src/history/checker.test.ts
@@ -18,18 +18,18 @@
   hash: string,
   startedAt: number,
   endedAt: number | undefined,
-  ending: Outcome = endedAt === undefined ? 'unknown' : 'acknowledged',
+  outcome: Outcome = endedAt === undefined ? 'unknown' : 'acknowledged',
 ): ConfigurationWrite => ({
   kind: 'write',
   isNumbered: true,
   version: { number, hash },
   startedAt,
   endedAt,
-  outcome: ending,
+  outcome,
 });
 
 /** A write to which the control side gives the number. */
-const given = (...args: Parameters<typeof write>): ConfigurationWrite => ({
+const unnumberedWrite = (...args: Parameters<typeof write>): ConfigurationWrite => ({
   ...write(...args),
   isNumbered: false,
 });
@@ -47,18 +47,18 @@
   outcome: 'acknowledged',
 });
 
-const release = (
+const rollout = (
   key: string,
-  order: number | undefined,
+  rolloutNumber: number | undefined,
   startedAt: number,
-  ending: Outcome = 'acknowledged',
+  outcome: Outcome = 'acknowledged',
 ): RolloutRequest => ({
   kind: 'release',
   key,
-  order,
+  rolloutNumber,
   startedAt,
   endedAt: startedAt + 1,
-  outcome: ending,
+  outcome,
 });
 
 const purge = (number: number, startedAt: number): PurgeWrite => ({
@@ -69,7 +69,7 @@
   outcome: 'acknowledged',
 });
 
-const bites = (name: string, text: string, operations: readonly Operation[]): void => {
+const testViolation = (name: string, text: string, operations: readonly Operation[]): void => {
   void test(`the checker finds ${name}`, () => {
     const { violations } = checkHistory(operations);
     assert.equal(violations.length, 1, JSON.stringify(violations));
@@ -77,117 +77,122 @@
   });
 };
 
-const passes = (name: string, operations: readonly Operation[]): void => {
+const testAccepted = (name: string, operations: readonly Operation[]): void => {
   void test(`the checker lets pass ${name}`, () => {
     assert.deepEqual(checkHistory(operations).violations, []);
   });
 };
 
-bites('two contents confirmed under one number', 'one number, two contents', [
+testViolation('two contents confirmed under one number', 'one number, two contents', [
   write(5, 'a', 0, 10),
   write(5, 'b', 0, 12),
 ]);
-bites('two contents confirmed under one number that lies below the newest', 'two contents', [
-  write(9, 'c', 0, 1),
-  write(5, 'a', 2, 3),
-  write(5, 'b', 4, 5),
-]);
-bites('another content read than was confirmed', 'one number, two contents', [
+testViolation(
+  'two contents confirmed under one number that lies below the newest',
+  'two contents',
+  [write(9, 'c', 0, 1), write(5, 'a', 2, 3), write(5, 'b', 4, 5)],
+);
+testViolation('another content read than was confirmed', 'one number, two contents', [
   write(5, 'a', 0, 10),
   write(5, 'b', 0, undefined),
   read(5, 'b', 11, 12),
 ]);
-bites('an acknowledged number that is lost', '5 was acknowledged, and 4 was read', [
+testViolation('an acknowledged number that is lost', '5 was acknowledged, and 4 was read', [
   write(4, 'a', 0, 1),
   write(5, 'b', 2, 3),
   read(4, 'a', 4, 5),
 ]);
-bites('an acknowledged first number that is lost whole', '4 was acknowledged, and 0 was read', [
-  write(4, 'a', 0, 1),
-  read(0, '', 2, 3),
-]);
-bites('a read that goes back behind another read', '5 was read, and 4 was read later', [
+testViolation(
+  'an acknowledged first number that is lost whole',
+  '4 was acknowledged, and 0 was read',
+  [write(4, 'a', 0, 1), read(0, '', 2, 3)],
+);
+testViolation('a read that goes back behind another read', '5 was read, and 4 was read later', [
   write(4, 'a', 0, 1),
   write(5, 'b', 2, undefined),
   read(5, 'b', 3, 4),
   read(4, 'a', 5, 6),
 ]);
-bites('an acknowledged order that is refused when sent again', 'sent again, and refused', [
+testViolation('an acknowledged order that is refused when sent again', 'sent again, and refused', [
   write(5, 'a', 0, 1),
   write(5, 'b', 0, 2, 'refused'),
   write(5, 'a', 3, 4, 'refused'),
 ]);
-bites('a refusal although no other content has the number', 'no other has its number', [
+testViolation('a refusal although no other content has the number', 'no other has its number', [
   write(5, 'a', 0, 1, 'refused'),
   write(5, 'b', 2, 3),
 ]);
-bites('a read of what was refused', 'was refused to all who sent it', [
+testViolation('a read of what was refused', 'was refused to all who sent it', [
   write(5, 'a', 0, 4, 'refused'),
   write(5, 'b', 0, undefined),
   read(5, 'a', 5, 6),
 ]);
-bites('a read of what nobody had sent yet', 'nobody had sent it', [
+testViolation('a read of what nobody had sent yet', 'nobody had sent it', [
   read(5, 'a', 0, 1),
   write(5, 'a', 2, 3),
 ]);
-bites('a release order that was begun twice', 'was begun twice, as 1 and 3', [
-  release('r2', 1, 0),
-  release('r3', 2, 2),
-  release('r2', 3, 4),
-]);
-bites('a release order that was refused after it was acknowledged', 'sent again, and refused', [
-  release('r2', 1, 0),
-  release('r2', undefined, 2, 'refused'),
-]);
-bites('purges that go back', 'purge 4 was acknowledged after purge 4 had been', [
+testViolation('a release order that was begun twice', 'was begun twice, as 1 and 3', [
+  rollout('r2', 1, 0),
+  rollout('r3', 2, 2),
+  rollout('r2', 3, 4),
+]);
+testViolation(
+  'a release order that was refused after it was acknowledged',
+  'sent again, and refused',
+  [rollout('r2', 1, 0), rollout('r2', undefined, 2, 'refused')],
+);
+testViolation('purges that go back', 'purge 4 was acknowledged after purge 4 had been', [
   purge(4, 0),
   purge(4, 2),
 ]);
 
-bites('a number that is given twice', '5 (b) was given, and 5 was known before', [
+testViolation('a number that is given twice', '5 (b) was given, and 5 was known before', [
   write(4, 'a', 0, 1),
   read(5, 'b', 2, 3),
-  given(undefined, 'b', 0, undefined),
-  given(5, 'b', 4, 5),
+  unnumberedWrite(undefined, 'b', 0, undefined),
+  unnumberedWrite(5, 'b', 4, 5),
 ]);
 
-passes('an unknown write without a number that is read, and one that is refused for its base', [
-  write(4, 'a', 0, 1),
-  given(undefined, 'b', 2, undefined),
-  given(undefined, 'c', 2, 3, 'refused'),
-  read(5, 'b', 4, 5),
-]);
-passes('an unknown write that takes effect late', [
+testAccepted(
+  'an unknown write without a number that is read, and one that is refused for its base',
+  [
+    write(4, 'a', 0, 1),
+    unnumberedWrite(undefined, 'b', 2, undefined),
+    unnumberedWrite(undefined, 'c', 2, 3, 'refused'),
+    read(5, 'b', 4, 5),
+  ],
+);
+testAccepted('an unknown write that takes effect late', [
   write(4, 'a', 0, 1),
   write(5, 'b', 2, undefined),
   read(4, 'a', 3, 4),
   read(5, 'b', 5, 6),
 ]);
-passes('an unknown write that never takes effect', [
+testAccepted('an unknown write that never takes effect', [
   write(4, 'a', 0, 1),
   write(5, 'b', 2, undefined),
   read(4, 'a', 3, 4),
   read(4, 'a', 5, 6),
 ]);
-passes('reads at the same time that differ, beside a write', [
+testAccepted('reads at the same time that differ, beside a write', [
   write(4, 'a', 0, 1),
   write(5, 'b', 2, 9),
   read(5, 'b', 3, 6),
   read(4, 'a', 5, 8),
 ]);
-passes('a race of which one is refused, and resends of both', [
+testAccepted('a race of which one is refused, and resends of both', [
   write(5, 'a', 0, 4),
   write(5, 'b', 1, 5, 'refused'),
   write(5, 'a', 6, 7),
   write(5, 'b', 6, 7, 'refused'),
   read(5, 'a', 8, 9),
 ]);
-passes('a race of which one is refused and the other never had an answer', [
+testAccepted('a race of which one is refused and the other never had an answer', [
   write(5, 'a', 0, undefined),
   write(5, 'b', 1, 5, 'refused'),
   read(5, 'a', 6, 7),
 ]);
-passes('a lower number that is acknowledged and alters nothing', [
+testAccepted('a lower number that is acknowledged and alters nothing', [
   write(5, 'a', 0, 1),
   write(3, 'b', 2, 3),
   read(5, 'a', 4, 5),
@@ -216,10 +221,10 @@
 void test('an operation ends once, at the time of its first answer', () => {
   let now = 1;
   const history = new History(() => now);
-  const open = history.begin(write(5, 'a', 1, undefined));
+  const operation = history.begin(write(5, 'a', 1, undefined));
   now = 3;
-  open.end({ outcome: 'acknowledged' });
+  operation.end({ outcome: 'acknowledged' });
   now = 4;
-  open.end({ outcome: 'refused' });
+  operation.end({ outcome: 'refused' });
   assert.deepEqual(history.operations, [write(5, 'a', 1, 3)]);
 });
--- a/packages/simulator/src/history/checker.ts
+++ b/packages/simulator/src/history/checker.ts
@@ -47,22 +47,23 @@
 
 const formatVersion = (version: SentVersion): string =>
   `${version.number ?? 'a new number'} (${version.hash.slice(0, 8)})`;
-const sameVersion = (one: SentVersion, two: SentVersion): boolean =>
-  one.number === two.number && one.hash === two.hash;
+const sameVersion = (left: SentVersion, right: SentVersion): boolean =>
+  left.number === right.number && left.hash === right.hash;
 /** Whether what was sent can be what has this number: the number of an unanswered write may be any. */
 const mayBeVersion = (sent: SentVersion, version: Version): boolean =>
   sent.hash === version.hash && (sent.number === undefined || sent.number === version.number);
 /** Whether two that were sent may have met under one number with different contents. */
-const canCollide = (one: SentVersion, two: SentVersion): boolean =>
-  one.hash !== two.hash &&
-  (one.number === undefined || two.number === undefined || one.number === two.number);
-const isCompleted = <T extends Operation>(one: T): one is Completed<T> => one.endedAt !== undefined;
-const isAcknowledged = <T extends Operation>(one: T): one is Completed<T> =>
-  one.outcome === 'acknowledged' && isCompleted(one);
-const endsBefore = (one: Operation, two: Operation): boolean =>
-  one.endedAt !== undefined && one.endedAt < two.startedAt;
-const overlap = (one: Operation, two: Operation): boolean =>
-  !endsBefore(one, two) && !endsBefore(two, one);
+const canCollide = (left: SentVersion, right: SentVersion): boolean =>
+  left.hash !== right.hash &&
+  (left.number === undefined || right.number === undefined || left.number === right.number);
+const isCompleted = <T extends Operation>(operation: T): operation is Completed<T> =>
+  operation.endedAt !== undefined;
+const isAcknowledged = <T extends Operation>(operation: T): operation is Completed<T> =>
+  operation.outcome === 'acknowledged' && isCompleted(operation);
+const endsBefore = (earlier: Operation, later: Operation): boolean =>
+  earlier.endedAt !== undefined && earlier.endedAt < later.startedAt;
+const overlap = (left: Operation, right: Operation): boolean =>
+  !endsBefore(left, right) && !endsBefore(right, left);
 
 /** One pass over one history. */
 class HistoryCheck {
@@ -72,21 +73,23 @@
   readonly #acknowledged: readonly AcknowledgedWrite[];
   readonly #reads: readonly Completed<ConfigurationRead>[];
   readonly #completedReads: readonly CompletedRead[];
-  readonly #releases: readonly RolloutRequest[];
+  readonly #rolloutRequests: readonly RolloutRequest[];
   readonly #purges: readonly PurgeWrite[];
 
   constructor(operations: readonly Operation[]) {
-    this.#writes = operations.filter((one) => one.kind === 'write');
-    this.#acknowledged = this.#writes.filter(isAcknowledged).flatMap((one) => {
-      const { number, hash } = one.version;
-      return number === undefined ? [] : [{ ...one, version: { number, hash } }];
+    this.#writes = operations.filter((operation) => operation.kind === 'write');
+    this.#acknowledged = this.#writes.filter(isAcknowledged).flatMap((write) => {
+      const { number, hash } = write.version;
+      return number === undefined ? [] : [{ ...write, version: { number, hash } }];
     });
-    this.#reads = operations.filter((one) => one.kind === 'read').filter(isAcknowledged);
-    this.#completedReads = this.#reads.flatMap((one) =>
-      one.version === undefined ? [] : [{ ...one, version: one.version }],
+    this.#reads = operations
+      .filter((operation) => operation.kind === 'read')
+      .filter(isAcknowledged);
+    this.#completedReads = this.#reads.flatMap((read) =>
+      read.version === undefined ? [] : [{ ...read, version: read.version }],
     );
-    this.#releases = operations.filter((one) => one.kind === 'release');
-    this.#purges = operations.filter((one) => one.kind === 'purge');
+    this.#rolloutRequests = operations.filter((operation) => operation.kind === 'release');
+    this.#purges = operations.filter((operation) => operation.kind === 'purge');
   }
 
   run(): HistoryVerdict {
@@ -101,8 +104,8 @@
     return { violations: this.violations, counts: this.counts };
   }
 
-  #recordCoverage(point: HistoryCoverageGoal): void {
-    increment(this.counts, point);
+  #recordCoverage(goal: HistoryCoverageGoal): void {
+    increment(this.counts, goal);
   }
 
   #addViolation(text: string): void {
@@ -110,28 +113,29 @@
   }
 
   #recordWriteCoverage(): void {
-    for (const one of this.#writes) {
-      if (one.outcome === 'acknowledged') this.#recordCoverage('a configuration was acknowledged');
-      else if (one.outcome === 'refused') this.#recordCoverage('a configuration was refused');
+    for (const write of this.#writes) {
+      if (write.outcome === 'acknowledged')
+        this.#recordCoverage('a configuration was acknowledged');
+      else if (write.outcome === 'refused') this.#recordCoverage('a configuration was refused');
       else this.#recordCoverage('a configuration got no clear answer');
-      const others = this.#acknowledged.filter((other) => endsBefore(other, one));
-      if (others.some((other) => sameVersion(other.version, one.version)))
+      const earlierWrites = this.#acknowledged.filter((other) => endsBefore(other, write));
+      if (earlierWrites.some((other) => sameVersion(other.version, write.version)))
         this.#recordCoverage('an acknowledged configuration was sent again');
-      const { number } = one.version;
-      if (one.isNumbered && others.some((other) => other.version.number > (number ?? 0)))
+      const { number } = write.version;
+      if (write.isNumbered && earlierWrites.some((other) => other.version.number > (number ?? 0)))
         this.#recordCoverage('a number below an acknowledged one was sent');
     }
-    for (const [at, one] of this.#writes.entries()) {
-      const rival = this.#writes
-        .slice(at + 1)
+    for (const [index, earlier] of this.#writes.entries()) {
+      const collides = this.#writes
+        .slice(index + 1)
         .some(
           (other) =>
-            one.isNumbered &&
+            earlier.isNumbered &&
             other.isNumbered &&
-            canCollide(one.version, other.version) &&
-            overlap(one, other),
+            canCollide(earlier.version, other.version) &&
+            overlap(earlier, other),
         );
-      if (rival) this.#recordCoverage('two contents were sent under one number at once');
+      if (collides) this.#recordCoverage('two contents were sent under one number at once');
     }
   }
 
@@ -150,21 +154,21 @@
 
   /** What was acknowledged is not refused when it is sent again; and what is refused while nothing else has its number. */
   #checkRefusals(): void {
-    for (const one of this.#writes) {
-      if (one.outcome !== 'refused' || !one.isNumbered) continue;
-      const before = this.#acknowledged.find(
-        (other) => endsBefore(other, one) && sameVersion(other.version, one.version),
+    for (const write of this.#writes) {
+      if (write.outcome !== 'refused' || !write.isNumbered) continue;
+      const acknowledgedBefore = this.#acknowledged.find(
+        (other) => endsBefore(other, write) && sameVersion(other.version, write.version),
       );
-      if (before !== undefined)
+      if (acknowledgedBefore !== undefined)
         this.#addViolation(
-          `${formatVersion(one.version)} was acknowledged, sent again, and refused`,
+          `${formatVersion(write.version)} was acknowledged, sent again, and refused`,
         );
-      const rival = this.#writes.some(
-        (other) => canCollide(one.version, other.version) && !endsBefore(one, other),
+      const hasRival = this.#writes.some(
+        (other) => canCollide(write.version, other.version) && !endsBefore(write, other),
       );
-      if (!rival)
+      if (!hasRival)
         this.#addViolation(
-          `${formatVersion(one.version)} was refused, and no other has its number`,
+          `${formatVersion(write.version)} was refused, and no other has its number`,
         );
     }
   }
@@ -173,11 +177,11 @@
   #checkReadsWereSent(): void {
     for (const read of this.#completedReads) {
       const sent = this.#writes.filter(
-        (one) => mayBeVersion(one.version, read.version) && one.startedAt <= read.endedAt,
+        (write) => mayBeVersion(write.version, read.version) && write.startedAt <= read.endedAt,
       );
       if (sent.length === 0)
         this.#addViolation(`${formatVersion(read.version)} was read, and nobody had sent it`);
-      else if (sent.every((one) => one.outcome === 'refused'))
+      else if (sent.every((write) => write.outcome === 'refused'))
         this.#addViolation(
           `${formatVersion(read.version)} was read, and was refused to all who sent it`,
         );
@@ -186,14 +190,16 @@
 
   /** A number that the control side gives is above all that were acknowledged or read before. */
   #checkAssignedNumbers(): void {
-    for (const one of this.#acknowledged) {
-      if (one.isNumbered) continue;
+    for (const write of this.#acknowledged) {
+      if (write.isNumbered) continue;
       const known = [...this.#acknowledged, ...this.#completedReads].filter((other) =>
-        endsBefore(other, one),
+        endsBefore(other, write),
       );
-      const most = Math.max(0, ...known.map((other) => other.version.number));
-      if (one.version.number <= most)
-        this.#addViolation(`${formatVersion(one.version)} was given, and ${most} was known before`);
+      const highestNumber = Math.max(0, ...known.map((other) => other.version.number));
+      if (write.version.number <= highestNumber)
+        this.#addViolation(
+          `${formatVersion(write.version)} was given, and ${highestNumber} was known before`,
+        );
     }
   }
 
@@ -201,36 +207,37 @@
   #checkReadsAreCurrent(): void {
     for (const read of this.#reads) {
       const number = read.version?.number ?? 0;
-      const written = this.#acknowledged.filter((one) => endsBefore(one, read));
-      const seen = this.#completedReads.filter((one) => endsBefore(one, read));
-      if (written.length > 0) this.#recordCoverage('a read began after an acknowledgement');
-      if (seen.length > 0) this.#recordCoverage('a read began after another read');
-      if (this.#writes.some((one) => overlap(one, read)))
+      const earlierWrites = this.#acknowledged.filter((write) => endsBefore(write, read));
+      const earlierReads = this.#completedReads.filter((earlier) => endsBefore(earlier, read));
+      if (earlierWrites.length > 0) this.#recordCoverage('a read began after an acknowledgement');
+      if (earlierReads.length > 0) this.#recordCoverage('a read began after another read');
+      if (this.#writes.some((write) => overlap(write, read)))
         this.#recordCoverage('a read ran beside a write');
-      const most = Math.max(0, ...written.map((one) => one.version.number));
-      if (number < most)
-        this.#addViolation(`${most} was acknowledged, and ${number} was read later`);
-      const last = Math.max(0, ...seen.map((one) => one.version.number));
-      if (number < last) this.#addViolation(`${last} was read, and ${number} was read later`);
+      const highestWritten = Math.max(0, ...earlierWrites.map((write) => write.version.number));
+      if (number < highestWritten)
+        this.#addViolation(`${highestWritten} was acknowledged, and ${number} was read later`);
+      const highestRead = Math.max(0, ...earlierReads.map((earlier) => earlier.version.number));
+      if (number < highestRead)
+        this.#addViolation(`${highestRead} was read, and ${number} was read later`);
     }
   }
 
   /** An order that was acknowledged runs once, under one number, and is never refused. */
   #checkRolloutRequests(): void {
-    const acknowledged = this.#releases.filter(isAcknowledged);
-    for (const one of this.#releases) {
-      const before = acknowledged.filter((other) => endsBefore(other, one));
-      const same = before.find((other) => other.key === one.key);
-      if (same === undefined) continue;
-      if (one.outcome === 'refused')
-        this.#addViolation(`the order ${one.key} was acknowledged, sent again, and refused`);
-      if (one.outcome !== 'acknowledged') continue;
+    const acknowledged = this.#rolloutRequests.filter(isAcknowledged);
+    for (const request of this.#rolloutRequests) {
+      const earlierRequests = acknowledged.filter((other) => endsBefore(other, request));
+      const accepted = earlierRequests.find((other) => other.key === request.key);
+      if (accepted === undefined) continue;
+      if (request.outcome === 'refused')
+        this.#addViolation(`the order ${request.key} was acknowledged, sent again, and refused`);
+      if (request.outcome !== 'acknowledged') continue;
       this.#recordCoverage('a release order was acknowledged again');
-      if (one.order !== same.order)
+      if (request.rolloutNumber !== accepted.rolloutNumber)
         this.#addViolation(
-          `the order ${one.key} was begun twice, as ${same.order} and ${one.order}`,
+          `the order ${request.key} was begun twice, as ${accepted.rolloutNumber} and ${request.rolloutNumber}`,
         );
-      if (before.some((other) => other.key !== one.key && endsBefore(same, other)))
+      if (earlierRequests.some((other) => other.key !== request.key && endsBefore(accepted, other)))
         this.#recordCoverage('a release order was sent again after another one');
     }
   }
@@ -238,13 +245,15 @@
   /** Purges that were acknowledged keep their order: caches hear them in it. */
   #checkPurgeOrder(): void {
     const acknowledged = this.#purges.filter(isAcknowledged);
-    for (const one of acknowledged) {
-      const before = acknowledged.filter((other) => endsBefore(other, one));
-      if (before.length === 0) continue;
+    for (const purge of acknowledged) {
+      const earlierPurges = acknowledged.filter((other) => endsBefore(other, purge));
+      if (earlierPurges.length === 0) continue;
       this.#recordCoverage('a purge was acknowledged after another one');
-      const most = Math.max(...before.map((other) => other.number ?? 0));
-      if ((one.number ?? 0) <= most)
-        this.#addViolation(`purge ${one.number} was acknowledged after purge ${most} had been`);
+      const highestNumber = Math.max(...earlierPurges.map((other) => other.number ?? 0));
+      if ((purge.number ?? 0) <= highestNumber)
+        this.#addViolation(
+          `purge ${purge.number} was acknowledged after purge ${highestNumber} had been`,
+        );
     }
   }
 }
@@ -257,4 +266,4 @@
 export const unmetHistoryGoals = (
   counts: ReadonlyMap<HistoryCoverageGoal, number>,
 ): readonly HistoryCoverageGoal[] =>
-  historyCoverageGoals.filter((one) => (counts.get(one) ?? 0) === 0);
+  historyCoverageGoals.filter((goal) => (counts.get(goal) ?? 0) === 0);
--- a/packages/simulator/src/history/history.ts
+++ b/packages/simulator/src/history/history.ts
@@ -44,7 +44,7 @@
   readonly key: string;
   readonly outcome: Outcome;
   /** The number under which the control side runs it, where it is acknowledged. */
-  readonly order: number | undefined;
+  readonly rolloutNumber: number | undefined;
 }
 
 /** Objects were purged; `number` is that of the purge, where it is acknowledged. */
@@ -58,8 +58,8 @@
 export type Operation = ConfigurationWrite | ConfigurationRead | RolloutRequest | PurgeWrite;
 
 /** An operation that has no answer yet: ended by exactly one call of `end`. */
-export interface OpenOperation<T extends Operation> {
-  end(change: Partial<Omit<T, 'kind' | 'startedAt' | 'endedAt'>>): void;
+export interface OpenOperation<O extends Operation> {
+  end(change: Partial<Omit<O, 'kind' | 'startedAt' | 'endedAt'>>): void;
 }
 
 /** The history of one run, in the order in which operations began. */
@@ -77,14 +77,14 @@
 
   /** Notes that an operation begins: unknown until it is ended. */
   begin<T extends Operation>(operation: T): OpenOperation<T> {
-    const at = this.#operations.length;
+    const index = this.#operations.length;
     this.#operations.push(operation);
-    let open = true;
+    let isOpen = true;
     return {
       end: (change) => {
-        if (!open) return;
-        open = false;
-        this.#operations[at] = { ...operation, ...change, endedAt: this.#now() };
+        if (!isOpen) return;
+        isOpen = false;
+        this.#operations[index] = { ...operation, ...change, endedAt: this.#now() };
       },
     };
   }
--- a/packages/simulator/src/history/operators.ts
+++ b/packages/simulator/src/history/operators.ts
@@ -10,7 +10,7 @@
 import { numberField, outcomeOfStatus, parseVersion } from './replies.js';
 
 /** How long an operator waits for an answer before it sends the same order again. */
-const answerTimeoutMs = 1500;
+const replyTimeoutMs = 1500;
 const readIntervalMs = 700;
 const rolloutDurationMs = 6000;
 /** By how much an operator's number rises at most. */
@@ -41,17 +41,17 @@
   }
 
   /** Reads the configuration back again and again, through any registry, until the run ends. */
-  beginReading(): void {
+  startReading(): void {
     this.#isReading = true;
-    const next = (): void => {
+    const readNext = (): void => {
       if (!this.#isReading) return;
       this.read();
-      this.#world.eventQueue.schedule(readIntervalMs, next);
+      this.#world.eventQueue.schedule(readIntervalMs, readNext);
     };
-    next();
+    readNext();
   }
 
-  endReading(): void {
+  stopReading(): void {
     this.#isReading = false;
   }
 
@@ -61,7 +61,7 @@
     for (let operator = 0; operator < 2; operator += 1) {
       const configuration = { number, marker: this.#random.integer(1, 1_000_000) };
       this.#sentConfigurations.push(configuration);
-      this.#submit(configuration, 4);
+      this.#submitConfiguration(configuration, 4);
     }
   }
 
@@ -72,13 +72,13 @@
       marker: this.#random.integer(1, 1_000_000),
     };
     this.#sentConfigurations.push(configuration);
-    this.#submit(configuration, 4);
+    this.#submitConfiguration(configuration, 4);
   }
 
   /** An order that was sent earlier comes again. */
   repeatConfiguration(): void {
     const configuration = this.#random.pick(this.#sentConfigurations);
-    if (configuration !== undefined) this.#submit(configuration, 2);
+    if (configuration !== undefined) this.#submitConfiguration(configuration, 2);
   }
 
   /** A new release is ordered; origins of it need not stand. */
@@ -86,21 +86,21 @@
     const service = this.#random.pick(this.#world.layout.services)?.name;
     if (service === undefined) return;
     this.#lastRelease += 1;
-    const order = { service, target: `ordered-${this.#lastRelease}` };
-    this.#sentRollouts.push(order);
-    this.#submitRollout(order, 3);
+    const rollout = { service, target: `ordered-${this.#lastRelease}` };
+    this.#sentRollouts.push(rollout);
+    this.#submitRollout(rollout, 3);
   }
 
   /** An order of a release that was sent lately comes again. */
   repeatRollout(): void {
-    const order = this.#random.pick(this.#sentRollouts.slice(-3));
-    if (order !== undefined) this.#submitRollout(order, 2);
+    const rollout = this.#random.pick(this.#sentRollouts.slice(-3));
+    if (rollout !== undefined) this.#submitRollout(rollout, 2);
   }
 
   read(): void {
     const registry = this.#pickRegistry();
     if (registry === undefined) return;
-    const open = this.#history.begin<ConfigurationRead>({
+    const operation = this.#history.begin<ConfigurationRead>({
       kind: 'read',
       version: undefined,
       outcome: 'unknown',
@@ -111,8 +111,8 @@
       { verb: 'view', id: this.#nextRequestId(), viewName: 'description' },
       (reply) => {
         if (reply.status === 200)
-          open.end({ outcome: 'acknowledged', version: parseVersion(reply.body) });
-        else open.end({ outcome: 'unknown' });
+          operation.end({ outcome: 'acknowledged', version: parseVersion(reply.body) });
+        else operation.end({ outcome: 'unknown' });
       },
     );
   }
@@ -129,31 +129,36 @@
   }
 
   #pickRegistry(): SimulatedRegistry | undefined {
-    return this.#random.pick(this.#world.registries.filter((one) => one.isAlive && !one.isFrozen));
+    return this.#random.pick(
+      this.#world.registries.filter((registry) => registry.isAlive && !registry.isFrozen),
+    );
   }
 
   /** Sends an order, and again while it has no clear answer: each time a call of its own, to any registry. */
-  #sendUntilAnswered(send: (done: (reply: RegistryReply) => void) => void, tries: number): void {
-    let answered = false;
+  #sendUntilReplied(
+    send: (done: (reply: RegistryReply) => void) => void,
+    maxAttempts: number,
+  ): void {
+    let isAnswered = false;
     send((reply) => {
-      answered ||= outcomeOfStatus(reply.status) !== 'unknown';
+      isAnswered ||= outcomeOfStatus(reply.status) !== 'unknown';
     });
-    this.#world.eventQueue.schedule(answerTimeoutMs, () => {
-      if (!answered && tries > 1) this.#sendUntilAnswered(send, tries - 1);
+    this.#world.eventQueue.schedule(replyTimeoutMs, () => {
+      if (!isAnswered && maxAttempts > 1) this.#sendUntilReplied(send, maxAttempts - 1);
     });
   }
 
-  #submit(configuration: SentConfiguration, tries: number): void {
+  #submitConfiguration(configuration: SentConfiguration, maxAttempts: number): void {
     const bundle = runToCompletion(
       splitIntoChunks(createConfiguration(this.#world.layout, configuration.marker)),
     );
     if (bundle.isErr) throw new Error(JSON.stringify(bundle.error));
     const { hash, chunkHashes, chunks } = bundle.value;
     const { number } = configuration;
-    this.#sendUntilAnswered((done) => {
+    this.#sendUntilReplied((done) => {
       const registry = this.#pickRegistry();
       if (registry === undefined) return;
-      const open = this.#history.begin<ConfigurationWrite>({
+      const operation = this.#history.begin<ConfigurationWrite>({
         kind: 'write',
         isNumbered: true,
         version: { number, hash },
@@ -162,37 +167,37 @@
         endedAt: undefined,
       });
       const id = this.#nextRequestId();
-      const asked = toGeneration(number);
+      const requestedGeneration = toGeneration(number);
       registry.handleRequest(
         {
           verb: 'apply',
           id,
           baseGeneration: undefined,
-          requestedGeneration: asked,
+          requestedGeneration,
           hash,
           chunkHashes,
           chunks,
         },
         (reply) => {
-          open.end({ outcome: outcomeOfStatus(reply.status) });
+          operation.end({ outcome: outcomeOfStatus(reply.status) });
           done(reply);
         },
       );
-    }, tries);
+    }, maxAttempts);
   }
 
   #submitRollout(
-    order: { readonly service: ServiceName; readonly target: string },
-    tries: number,
+    rollout: { readonly service: ServiceName; readonly target: string },
+    maxAttempts: number,
   ): void {
-    const { service, target } = order;
-    this.#sendUntilAnswered((done) => {
+    const { service, target } = rollout;
+    this.#sendUntilReplied((done) => {
       const registry = this.#pickRegistry();
       if (registry === undefined) return;
-      const open = this.#history.begin<RolloutRequest>({
+      const operation = this.#history.begin<RolloutRequest>({
         kind: 'release',
         key: `${service} ${target}`,
-        order: undefined,
+        rolloutNumber: undefined,
         outcome: 'unknown',
         startedAt: this.#world.eventQueue.now,
         endedAt: undefined,
@@ -206,13 +211,13 @@
           spanMs: rolloutDurationMs,
         },
         (reply) => {
-          open.end({
+          operation.end({
             outcome: outcomeOfStatus(reply.status),
-            order: numberField(reply.body, 'order'),
+            rolloutNumber: numberField(reply.body, 'order'),
           });
           done(reply);
         },
       );
-    }, tries);
+    }, maxAttempts);
   }
 }
--- a/packages/simulator/src/processes/caller-result.ts
+++ b/packages/simulator/src/processes/caller-result.ts
@@ -49,17 +49,17 @@
 });
 
 /** A whole result; what its bytes say of themselves is read from them. */
-const completeResult = (status: number, body: Buffer, from: string): CallerResult => {
-  const read = status === 200 ? parseObjectContent(body) : undefined;
+const completeResult = (status: number, body: Buffer, source: string): CallerResult => {
+  const content = status === 200 ? parseObjectContent(body) : undefined;
   return {
     kind: 'result',
     text: '',
     status,
-    revision: read?.revision ?? -1,
-    object: read?.object ?? '',
-    request: read?.request ?? '',
-    createdAt: read?.createdAt ?? 0,
-    source: from,
+    revision: content?.revision ?? -1,
+    object: content?.object ?? '',
+    request: content?.request ?? '',
+    createdAt: content?.createdAt ?? 0,
+    source,
     retryAfterMs: 0,
   };
 };
@@ -78,7 +78,7 @@
 
 /** A caller that takes a result in parts, and sees whether it is all there. */
 export const streamToCaller = (
-  edge: SimulatedProcess,
+  edgeProcess: SimulatedProcess,
   status: number,
   length: number | undefined,
   onResult: (result: CallerResult) => void,
@@ -91,12 +91,12 @@
   };
   const received = (): Buffer => Buffer.concat(chunks);
   return {
-    write: (bytes, more) => {
+    write: (bytes, requestMore) => {
       chunks.push(bytes);
       // Once all the announced bytes are there a result counts as whole, whatever comes after.
       if (length !== undefined && received().length >= length)
         end(completeResult(status, received().subarray(0, length), 'stream'));
-      edge.schedule(edge.context.random.uniform(0.1, 5), more);
+      edgeProcess.schedule(edgeProcess.context.random.uniform(0.1, 5), requestMore);
     },
     end: () =>
       end(
@@ -104,6 +104,6 @@
           ? completeResult(status, received(), 'stream')
           : failedResult('broken', 'shorter than told'),
       ),
-    abort: (why) => end(failedResult('broken', why)),
+    abort: (reason) => end(failedResult('broken', reason)),
   };
 };
--- a/packages/simulator/src/processes/callers.ts
+++ b/packages/simulator/src/processes/callers.ts
@@ -19,7 +19,7 @@
   readonly wasEdgeUnreachable: boolean;
   /** For how long a result was owed by then. */
   serviceAvailableForMs: number;
-  answeredAt: number | undefined;
+  repliedAt: number | undefined;
   result: CallerResult | undefined;
   /** Whether another reply came after the first. */
   hasSecondReply: boolean;
@@ -50,21 +50,21 @@
   onSent: (request: CallerRequest) => void = () => undefined;
   onReply: (request: CallerRequest) => void = () => undefined;
 
-  constructor(world: World, perSecond: number) {
+  constructor(world: World, requestsPerSecond: number) {
     this.#world = world;
-    this.requestsPerSecond = perSecond;
+    this.requestsPerSecond = requestsPerSecond;
   }
 
   start(): void {
-    const next = (): void => {
+    const sendNext = (): void => {
       if (!this.#isSending) return;
       this.send();
       this.#world.eventQueue.schedule(
         (-Math.log(1 - this.#world.random.next()) * 1000) / this.requestsPerSecond,
-        next,
+        sendNext,
       );
     };
-    next();
+    sendNext();
   }
 
   stop(): void {
@@ -73,40 +73,40 @@
 
   send(options: RequestOptions = {}, retryCount = 0): CallerRequest | undefined {
     const world = this.#world;
-    const ready = world.edges.filter((one) => one.isReady);
+    const readyEdges = world.edges.filter((candidate) => candidate.isReady);
     const edge =
       options.edge ??
-      world.random.pick(ready) ??
-      world.random.pick(world.edges.filter((one) => one.isAlive));
+      world.random.pick(readyEdges) ??
+      world.random.pick(world.edges.filter((candidate) => candidate.isAlive));
     if (edge === undefined) return undefined;
     const service = options.service ?? world.random.pick(world.layout.services)?.name ?? '';
-    const family =
+    const kind =
       options.kind ?? world.random.pick(['read', 'read', 'plain', 'act'] as const) ?? 'read';
     this.#requestCount += 1;
     const id = `q${this.#requestCount}`;
-    const path = `/${service}/${family}/${options.object ?? world.random.integer(0, 19)}`;
+    const path = `/${service}/${kind}/${options.object ?? world.random.integer(0, 19)}`;
     const request: CallerRequest = {
       id,
       service,
       path,
-      isUnsafe: family === 'act',
+      isUnsafe: kind === 'act',
       edge,
       edgeIncarnation: edge.incarnationNumber,
       sentAt: world.eventQueue.now,
       isFlood:
         options.isFlood === true ||
         retryCount > 0 ||
-        world.eventQueue.now < (this.floodedUntil.get(`/${service}/${family}/`) ?? 0),
+        world.eventQueue.now < (this.floodedUntil.get(`/${service}/${kind}/`) ?? 0),
       wasEdgeUnreachable: world.isUnreachable(edge),
       serviceAvailableForMs: 0,
-      answeredAt: undefined,
+      repliedAt: undefined,
       result: undefined,
       hasSecondReply: false,
       hasDisconnected: false,
     };
     this.requests.push(request);
     this.onSent(request);
-    const retryOptions = { ...options, service, kind: family };
+    const retryOptions = { ...options, service, kind };
     this.#serve(request, () => this.send(retryOptions, retryCount + 1), retryCount);
     return request;
   }
@@ -115,13 +115,13 @@
   #serve(request: CallerRequest, retry: () => void, retryCount: number): void {
     const world = this.#world;
     const { id, path, edge } = request;
-    const leave = edge.serve(
+    const disconnect = edge.serve(
       { id, method: request.isUnsafe ? 'POST' : 'GET', path, fields: [['x-request-id', id]] },
       (result) => {
         request.hasSecondReply ||= request.result !== undefined;
         if (request.result !== undefined) return;
         request.result = result;
-        request.answeredAt = world.eventQueue.now;
+        request.repliedAt = world.eventQueue.now;
         this.onReply(request);
         if (result.kind === 'result' || retryCount >= this.maxImmediateRetries) return;
         world.coverage.record('callers asked again at once');
@@ -135,7 +135,7 @@
       if (request.result !== undefined) return;
       request.hasDisconnected = true;
       world.coverage.record('R2: a caller left before its result');
-      leave();
+      disconnect();
     });
   }
 }
--- a/packages/simulator/src/processes/channel.ts
+++ b/packages/simulator/src/processes/channel.ts
@@ -17,18 +17,18 @@
 interface ChannelEnd {
   readonly process: SimulatedProcess;
   readonly incarnationNumber: number;
-  readonly lane: { nextFreeAt: number };
+  readonly sendQueue: { nextFreeAt: number };
   handlers: Omit<DataChannelHandlers, 'onOpen'> | undefined;
-  lastHeardAt: number;
+  lastReceivedAt: number;
   isClosed: boolean;
 }
 
-const newChannelEnd = (actor: SimulatedProcess, now: number): ChannelEnd => ({
-  process: actor,
-  incarnationNumber: actor.incarnationNumber,
-  lane: { nextFreeAt: 0 },
+const newChannelEnd = (process: SimulatedProcess, now: number): ChannelEnd => ({
+  process,
+  incarnationNumber: process.incarnationNumber,
+  sendQueue: { nextFreeAt: 0 },
   handlers: undefined,
-  lastHeardAt: now,
+  lastReceivedAt: now,
   isClosed: false,
 });
 
@@ -43,23 +43,23 @@
     context: SimulationContext,
     from: SimulatedProcess,
     to: SimulatedProcess | undefined,
-    ears: DataChannelHandlers,
+    handlers: DataChannelHandlers,
     accept: (channel: DataChannel) => Omit<DataChannelHandlers, 'onOpen'>,
   ) {
     this.#context = context;
     this.#localEnd = newChannelEnd(from, context.eventQueue.now);
-    this.#localEnd.handlers = ears;
+    this.#localEnd.handlers = handlers;
     this.#remoteEnd = to === undefined ? undefined : newChannelEnd(to, context.eventQueue.now);
-    const far = this.#remoteEnd;
+    const remoteEnd = this.#remoteEnd;
     from.schedule(context.random.uniform(1, 6), () => {
-      if (far === undefined || !this.#isProcessAlive(far)) {
+      if (remoteEnd === undefined || !this.#isProcessAlive(remoteEnd)) {
         this.#close(this.#localEnd);
         return;
       }
       if (
-        far.process.isFrozen ||
-        !this.#isPathOpen(this.#localEnd, far) ||
-        !this.#isPathOpen(far, this.#localEnd)
+        remoteEnd.process.isFrozen ||
+        !this.#isPathOpen(this.#localEnd, remoteEnd) ||
+        !this.#isPathOpen(remoteEnd, this.#localEnd)
       ) {
         from.schedule(connectTimeoutMs, () => {
           if (!this.#isEstablished) this.#close(this.#localEnd);
@@ -67,12 +67,12 @@
         return;
       }
       this.#isEstablished = true;
-      far.handlers = accept(this.channel(far));
-      for (const end of [this.#localEnd, far]) {
-        end.lastHeardAt = context.eventQueue.now;
+      remoteEnd.handlers = accept(this.channel(remoteEnd));
+      for (const end of [this.#localEnd, remoteEnd]) {
+        end.lastReceivedAt = context.eventQueue.now;
         this.#scheduleKeepalive(end);
       }
-      ears.onOpen();
+      handlers.onOpen();
     });
   }
 
@@ -100,16 +100,16 @@
   #send(end: ChannelEnd, frame: Frame): void {
     const to = this.#otherEnd(end);
     if (to === undefined || end.isClosed) return;
-    const told = this.#context.random.happens(0.02)
-      ? deserializeFrame(serializeFrame(frame)).unwrapOrElse((fault) => {
-          throw new Error(`${frame.kind}: ${fault.text}`);
+    const receivedFrame = this.#context.random.happens(0.02)
+      ? deserializeFrame(serializeFrame(frame)).unwrapOrElse((parseError) => {
+          throw new Error(`${frame.kind}: ${parseError.text}`);
         })
       : frame;
-    this.#context.network.sendOrdered(end.process.node, to.process.node, end.lane, () => {
-      to.lastHeardAt = this.#context.eventQueue.now;
+    this.#context.network.sendOrdered(end.process.node, to.process.node, end.sendQueue, () => {
+      to.lastReceivedAt = this.#context.eventQueue.now;
       if (!to.isClosed)
         to.process.execute(() => {
-          if (!to.isClosed) to.handlers?.onFrame(told);
+          if (!to.isClosed) to.handlers?.onFrame(receivedFrame);
         }, to.incarnationNumber);
     });
   }
@@ -125,8 +125,8 @@
         !other.process.isFrozen &&
         this.#isPathOpen(other, end)
       )
-        end.lastHeardAt = now;
-      if (now - end.lastHeardAt > keepaliveTimeoutMs) this.#close(end);
+        end.lastReceivedAt = now;
+      if (now - end.lastReceivedAt > keepaliveTimeoutMs) this.#close(end);
       else this.#scheduleKeepalive(end);
     });
   }
@@ -137,7 +137,7 @@
     end.handlers?.onClosed();
     const other = this.#otherEnd(end);
     if (other === undefined) return;
-    this.#context.network.sendOrdered(end.process.node, other.process.node, end.lane, () =>
+    this.#context.network.sendOrdered(end.process.node, other.process.node, end.sendQueue, () =>
       other.process.execute(() => this.#close(other), other.incarnationNumber),
     );
   }
--- a/packages/simulator/src/processes/object-content.ts
+++ b/packages/simulator/src/processes/object-content.ts
@@ -10,10 +10,10 @@
   request: string,
   createdAt: number,
 ): Buffer => {
-  const object = Number(/(\d+)$/.exec(path)?.[1] ?? 0);
-  const head = `${revision} ${path} ${request} ${createdAt} `;
-  const size = object % 5 === 4 ? 9000 : 80 + object * 20;
-  return Buffer.from(head.padEnd(size, `${path}.${revision}.`));
+  const objectNumber = Number(/(\d+)$/.exec(path)?.[1] ?? 0);
+  const prefix = `${revision} ${path} ${request} ${createdAt} `;
+  const size = objectNumber % 5 === 4 ? 9000 : 80 + objectNumber * 20;
+  return Buffer.from(prefix.padEnd(size, `${path}.${revision}.`));
 };
 
 /** Whether an object is streamed rather than held whole. */
@@ -30,15 +30,15 @@
 
 /** Reads bytes; nothing if they are not all of an object. */
 export const parseObjectContent = (body: Buffer): ObjectContent | undefined => {
-  const [revision, object, request, stamp] = body.toString('latin1').split(' ');
+  const [revision, object, request, createdAt] = body.toString('latin1').split(' ');
   if (
     revision === undefined ||
     object === undefined ||
     request === undefined ||
-    stamp === undefined
+    createdAt === undefined
   )
     return undefined;
-  return objectContent(object, Number(revision), request, Number(stamp)).equals(body)
-    ? { revision: Number(revision), object, request, createdAt: Number(stamp) }
+  return objectContent(object, Number(revision), request, Number(createdAt)).equals(body)
+    ? { revision: Number(revision), object, request, createdAt: Number(createdAt) }
     : undefined;
 };
--- a/packages/simulator/src/processes/origin-attempts.ts
+++ b/packages/simulator/src/processes/origin-attempts.ts
@@ -15,7 +15,7 @@
 const minLatencyMs = 0.3;
 const maxLatencyMs = 2;
 /** How soon a refused connection is seen. */
-const refusalMs = 2;
+const refusedConnectionMs = 2;
 
 /** Attempts of one proxy. */
 export class OriginAttempts {
@@ -34,8 +34,8 @@
   }
 
   /** What comes back of an attempt is ignored from now on. */
-  cancel(name: string): void {
-    this.#cancelled.add(name);
+  cancel(attemptName: string): void {
+    this.#cancelled.add(attemptName);
   }
 
   /** Checks an origin's health, and gives the event that reports it. */
@@ -45,7 +45,7 @@
   ): void {
     this.#proxy.schedule(this.#proxy.context.random.uniform(1, 5), () => {
       const isHealthy =
-        this.#isConnected() && this.#originAt(address)?.answerProbe(instance) === true;
+        this.#isConnected() && this.#originAt(address)?.answerHealthCheck(instance) === true;
       onChecked((now) => ({
         kind: 'healthChecked',
         now,
@@ -58,33 +58,33 @@
   }
 
   /** Sends a request to its origin; `handlers` see what comes back, in its order. */
-  start(name: string, request: AttemptRequest, handlers: AttemptHandlers): void {
+  start(attemptName: string, request: AttemptRequest, handlers: AttemptHandlers): void {
     const { random, eventQueue } = this.#proxy.context;
     const origin = this.#originAt(request.address);
     this.#proxy.schedule(request.timeoutMs, () => {
-      if (!this.#cancelled.has(name))
+      if (!this.#cancelled.has(attemptName))
         handlers.onFailed({ mayHaveBeenSent: true, isTimeout: true, text: 'no result in time' });
     });
     if (origin === undefined || !this.#isConnected()) {
-      this.#proxy.schedule(refusalMs, () => {
-        if (!this.#cancelled.has(name))
+      this.#proxy.schedule(refusedConnectionMs, () => {
+        if (!this.#cancelled.has(attemptName))
           handlers.onFailed({ mayHaveBeenSent: false, isTimeout: false, text: 'no one listens' });
       });
       return;
     }
-    const inOrder = this.#orderedDelivery(name, handlers);
+    const deliverInOrder = this.#orderedDelivery(attemptName, handlers);
     eventQueue.schedule(random.uniform(minLatencyMs, maxLatencyMs), () =>
       origin.handleRequest(request, {
-        onHead: (status, fields) => inOrder(() => handlers.onHead(status, fields)),
-        onChunk: (bytes, more) => inOrder(() => handlers.onChunk(bytes, more)),
-        onEnd: () => inOrder(() => handlers.onEnd()),
-        onFailed: (how) => inOrder(() => handlers.onFailed(how)),
+        onHead: (status, fields) => deliverInOrder(() => handlers.onHead(status, fields)),
+        onChunk: (bytes, requestMore) => deliverInOrder(() => handlers.onChunk(bytes, requestMore)),
+        onEnd: () => deliverInOrder(() => handlers.onEnd()),
+        onFailed: (failure) => deliverInOrder(() => handlers.onFailed(failure)),
       }),
     );
   }
 
   /** Brings what an origin sends back to this incarnation of the proxy, in its order. */
-  #orderedDelivery(name: string, handlers: AttemptHandlers): (deliver: () => void) => void {
+  #orderedDelivery(attemptName: string, handlers: AttemptHandlers): (deliver: () => void) => void {
     const { incarnationNumber, context } = this.#proxy;
     let nextFreeAt = 0;
     return (deliver) => {
@@ -92,7 +92,7 @@
       nextFreeAt = Math.max(nextFreeAt, now + context.random.uniform(minLatencyMs, maxLatencyMs));
       context.eventQueue.schedule(nextFreeAt - now, () =>
         this.#proxy.execute(() => {
-          if (this.#cancelled.has(name)) return;
+          if (this.#cancelled.has(attemptName)) return;
           if (this.#isConnected()) deliver();
           else
             handlers.onFailed({
--- a/packages/simulator/src/processes/origin.ts
+++ b/packages/simulator/src/processes/origin.ts
@@ -47,7 +47,7 @@
   /** Everything it was sent: requests and health checks. */
   readonly receiveTimes: number[] = [];
   usedSlots = 0;
-  overflowCount = 0;
+  overloadCount = 0;
   isAlive = true;
   crashedAt = -Infinity;
   state: 'up' | 'leaving' | 'gone' = 'up';
@@ -114,7 +114,7 @@
   }
 
   /** Answers whole and in its own name again. */
-  repair(): void {
+  clearResponseFaults(): void {
     this.lossProbability = 0;
     this.corruptionProbability = 0;
     this.truncationProbability = 0;
@@ -135,20 +135,21 @@
   }
 
   #sendAnnouncement(): void {
-    const near = this.#registries().filter(
-      (one) => one.isAlive && !one.isFrozen && this.context.network.isOpen('origins', one.node),
+    const reachableRegistries = this.#registries().filter(
+      (candidate) =>
+        candidate.isAlive && !candidate.isFrozen && this.context.network.isOpen('origins', candidate.node),
     );
-    const registry = this.context.random.pick(near);
+    const registry = this.context.random.pick(reachableRegistries);
     const state = this.state;
-    const heard = (told: RegistryReply): void => {
-      if (told.status === 200) {
+    const onReply = (reply: RegistryReply): void => {
+      if (reply.status === 200) {
         if (state === 'up') return;
         if (this.departureKnownAt === undefined)
           this.context.coverage.record('R6: an origin that leaves was known');
         if (this.departureKnownAt === undefined && this.context.network.cutCount > 0)
           this.context.coverage.record('R6: an origin left while the core was cut');
         this.departureKnownAt ??= this.context.eventQueue.now;
-      } else if (told.status === 503 && this.isAlive)
+      } else if (reply.status === 503 && this.isAlive)
         this.context.eventQueue.schedule(300, () => this.#sendAnnouncement());
     };
     if (registry === undefined) {
@@ -163,11 +164,11 @@
       slots: this.slots,
       state,
     };
-    registry.handleRequest({ verb: 'announce', origin }, heard);
+    registry.handleRequest({ verb: 'announce', origin }, onReply);
   }
 
   /** A health check came. */
-  answerProbe(instance: InstanceId): boolean {
+  answerHealthCheck(instance: InstanceId): boolean {
     this.receiveTimes.push(this.context.eventQueue.now);
     return instance === this.instance && this.state === 'up';
   }
@@ -181,7 +182,7 @@
       );
       return;
     }
-    const unrun = (): void => {
+    const rejectUnprocessed = (): void => {
       eventQueue.schedule(random.uniform(0.5, 3), () => {
         response.onHead(503, [
           ['switchwheel-instance', this.instance],
@@ -193,38 +194,39 @@
     };
     this.receiveTimes.push(eventQueue.now);
     if (request.instance !== this.instance) {
-      unrun();
+      rejectUnprocessed();
       return;
     }
     const id = fieldValue(request.fields, 'x-request-id') ?? '';
-    const unsafe = request.method !== 'GET';
+    const isUnsafe = request.method !== 'GET';
     this.arrivalTimes.push(eventQueue.now);
     this.attempts.push({ request: id, at: eventQueue.now });
     if (this.usedSlots >= this.slots) {
-      this.overflowCount += 1;
-      unrun();
+      this.overloadCount += 1;
+      rejectUnprocessed();
       return;
     }
     this.usedSlots += 1;
     increment(this.#inProgress, request.target);
-    const span = this.workMs * (0.5 + -Math.log(1 - random.next()) * 0.7) + this.extraLatencyMs;
+    const workDurationMs =
+      this.workMs * (0.5 + -Math.log(1 - random.next()) * 0.7) + this.extraLatencyMs;
     const revision = this.revisionOf(request.target);
-    eventQueue.schedule(span, () => {
+    eventQueue.schedule(workDurationMs, () => {
       this.usedSlots -= 1;
       increment(this.#inProgress, request.target, -1);
       if (!this.isAlive) {
-        if (unsafe)
+        if (isUnsafe)
           this.context.coverage.record('R1: an origin died with an unsafe request in hand');
         // It may have died just before or just after the work.
         if (random.happens(0.5))
-          this.executions.push({ requestId: id, at: eventQueue.now, isUnsafe: unsafe });
+          this.executions.push({ requestId: id, at: eventQueue.now, isUnsafe });
         response.onFailed(connectionLost('crashed'));
         return;
       }
-      this.executions.push({ requestId: id, at: eventQueue.now, isUnsafe: unsafe });
-      const bad = random.happens(this.failureProbability);
-      if (bad) this.failureTimes.push(eventQueue.now);
-      this.#respond(request.target, id, revision, unsafe, bad, response);
+      this.executions.push({ requestId: id, at: eventQueue.now, isUnsafe });
+      const isFailure = random.happens(this.failureProbability);
+      if (isFailure) this.failureTimes.push(eventQueue.now);
+      this.#respond(request.target, id, revision, isUnsafe, isFailure, response);
     });
   }
 
@@ -232,61 +234,79 @@
     target: string,
     id: string,
     revision: number,
-    unsafe: boolean,
-    bad: boolean,
-    back: AttemptHandlers,
+    isUnsafe: boolean,
+    isFailure: boolean,
+    response: AttemptHandlers,
   ): void {
     const { random, coverage } = this.context;
     if (random.happens(this.lossProbability)) {
-      if (unsafe) coverage.record('R1: an unsafe result was lost after the work');
-      back.onFailed(connectionLost('lost after the work'));
+      if (isUnsafe) coverage.record('R1: an unsafe result was lost after the work');
+      response.onFailed(connectionLost('lost after the work'));
       return;
     }
-    const misnamed = random.happens(this.wrongInstanceProbability);
+    const hasWrongInstance = random.happens(this.wrongInstanceProbability);
     // Whoever answers in another's name answers what that one was asked.
-    const body = bad
+    const body = isFailure
       ? Buffer.from('fault')
       : objectContent(
-          misnamed ? '/somebody/else/1' : target,
+          hasWrongInstance ? '/somebody/else/1' : target,
           revision,
           id,
           this.context.eventQueue.now,
         );
-    if (misnamed) coverage.record('R3: a result bore a wrong name');
+    if (hasWrongInstance) coverage.record('R3: a result bore a wrong name');
     const fields: HeaderFields = [
-      ['switchwheel-instance', misnamed ? 'somebody-else' : this.instance],
+      ['switchwheel-instance', hasWrongInstance ? 'somebody-else' : this.instance],
       ['content-length', String(body.length)],
       ['cache-tag', `t${target.length % 3}`],
       ['content-digest', `sha-256=:${createHash('sha256').update(body).digest('base64')}:`],
     ];
     if (random.happens(this.corruptionProbability)) {
-      const spot = random.integer(0, body.length - 1);
-      body[spot] = (body[spot] ?? 0) ^ 0x55;
+      const byteIndex = random.integer(0, body.length - 1);
+      body[byteIndex] = (body[byteIndex] ?? 0) ^ 0x55;
       coverage.record(
-        isLargeObject(target) && !bad
+        isLargeObject(target) && !isFailure
           ? 'R3: a streamed result was corrupt'
           : 'R3: a whole result was corrupt',
       );
     }
-    const cut = random.happens(this.truncationProbability);
+    const isTruncated = random.happens(this.truncationProbability);
     // Some end a shortened answer as if it were whole, and tell no digest.
-    const sly = cut && random.happens(0.5);
-    if (sly) fields.pop();
-    if (cut) coverage.record('R3: a result was cut amid its body');
-    back.onHead(bad ? 500 : 200, fields);
-    this.#sendChunks(body, 0, cut ? random.integer(0, body.length - 1) : body.length, sly, back);
+    const endsNormally = isTruncated && random.happens(0.5);
+    if (endsNormally) fields.pop();
+    if (isTruncated) coverage.record('R3: a result was cut amid its body');
+    response.onHead(isFailure ? 500 : 200, fields);
+    this.#sendChunks(
+      body,
+      0,
+      isTruncated ? random.integer(0, body.length - 1) : body.length,
+      endsNormally,
+      response,
+    );
   }
 
-  #sendChunks(body: Buffer, at: number, breaks: number, sly: boolean, back: AttemptHandlers): void {
+  #sendChunks(
+    body: Buffer,
+    offset: number,
+    endOffset: number,
+    endsNormally: boolean,
+    response: AttemptHandlers,
+  ): void {
     const { eventQueue, random } = this.context;
-    if (sly && at >= breaks) back.onEnd();
-    else if (!this.isAlive || (at >= breaks && breaks < body.length))
-      back.onFailed(connectionLost('broke off amid the body'));
-    else if (at >= body.length) back.onEnd();
+    if (endsNormally && offset >= endOffset) response.onEnd();
+    else if (!this.isAlive || (offset >= endOffset && endOffset < body.length))
+      response.onFailed(connectionLost('broke off amid the body'));
+    else if (offset >= body.length) response.onEnd();
     else
-      back.onChunk(body.subarray(at, Math.min(breaks, at + chunkBytes)), () =>
+      response.onChunk(body.subarray(offset, Math.min(endOffset, offset + chunkBytes)), () =>
         eventQueue.schedule(random.uniform(0.1, 1) + this.extraChunkMs, () =>
-          this.#sendChunks(body, Math.min(breaks, at + chunkBytes), breaks, sly, back),
+          this.#sendChunks(
+            body,
+            Math.min(endOffset, offset + chunkBytes),
+            endOffset,
+            endsNormally,
+            response,
+          ),
         ),
       );
   }
--- a/packages/simulator/src/processes/proxy.ts
+++ b/packages/simulator/src/processes/proxy.ts
@@ -42,7 +42,7 @@
 import { SimulatedChannel } from './channel.js';
 
 /** Small measures, so that simulated results come in several parts and the larger ones stream. */
-const streamLimits: TransferLimits = {
+const transferLimits: TransferLimits = {
   maxBufferedBytes: 4000,
   chunkBytes: 900,
   windowBytes: 2500,
@@ -53,7 +53,7 @@
 export class SimulatedProxy extends SimulatedProcess {
   readonly role: 'edge' | 'shield';
   readonly #seeds: () => readonly Address[];
-  #store: StateMachine<ProxyState, ProxyEvent> | undefined;
+  #stateMachine: StateMachine<ProxyState, ProxyEvent> | undefined;
   #cache = new Cache(4 * 1024 * 1024);
   #edge: EdgeRequestHandler | undefined;
   #shield: ShieldRequestHandler | undefined;
@@ -86,7 +86,7 @@
   }
 
   get state(): ProxyState | undefined {
-    return this.isAlive ? this.#store?.state() : undefined;
+    return this.isAlive ? this.#stateMachine?.state() : undefined;
   }
 
   get isReady(): boolean {
@@ -100,15 +100,15 @@
 
   override resume(): void {
     const { state, clock } = this;
-    const past = [...(state?.activeLeaders ?? [])].some(([service, name]) => {
+    const hasAttemptsPastLease = [...(state?.activeLeaders ?? [])].some(([service, leaderName]) => {
       const candidate = state?.nodeAgent.candidates.get(service);
       return (
         candidate !== undefined &&
         !holdsLease(candidate, clock) &&
-        (state?.leaders.get(name)?.attempts.size ?? 0) > 0
+        (state?.leaders.get(leaderName)?.attempts.size ?? 0) > 0
       );
     });
-    if (this.isFrozen && past)
+    if (this.isFrozen && hasAttemptsPastLease)
       this.context.coverage.record('a keeper woke past its lease with legs open');
     super.resume();
   }
@@ -127,53 +127,57 @@
       door: this.address,
       incarnation: this.incarnation,
     };
-    const before = this.activations.at(-1);
-    if (before !== undefined && this.context.highestAcknowledgedGeneration() > before.generation)
+    const lastActivation = this.activations.at(-1);
+    if (
+      lastActivation !== undefined &&
+      this.context.highestAcknowledgedGeneration() > lastActivation.generation
+    )
       this.context.coverage.record('R5: a node started again under a newer generation');
     this.#isClosedToCallers = false;
     this.#originAttempts.clear();
     this.#cache = new Cache(4 * 1024 * 1024);
-    const first = newProxyState(member, this.#seeds(), {
+    const initialState = newProxyState(member, this.#seeds(), {
       seed: Math.floor(this.context.random.next() * 4294967296),
     });
-    const store = this.createStateMachine<ProxyState, ProxyEvent, ProxyEffect>(
+    const stateMachine = this.createStateMachine<ProxyState, ProxyEvent, ProxyEffect>(
       proxyTransition,
-      first,
+      initialState,
       (effect) => this.#runEffect(effect),
     );
-    this.#store = store;
+    this.#stateMachine = stateMachine;
     const cacheLookup = new CacheLookup(this.#cache);
     const handlerContext = {
       now: (): Timestamp => this.clock,
-      state: store.state,
-      dispatch: (make: (now: Timestamp) => ProxyEvent): void => this.#dispatchNow(make),
+      state: stateMachine.state,
+      dispatch: (makeEvent: (now: Timestamp) => ProxyEvent): void => this.#dispatchNow(makeEvent),
     };
     this.#edge = new EdgeRequestHandler(
       `${this.node}.${this.incarnationNumber}`,
       cacheLookup,
       (to, handlers) => this.#openChannel(to, handlers),
       handlerContext,
-      streamLimits,
+      transferLimits,
     );
     this.#shield = new ShieldRequestHandler(
       {
-        send: (name, request, handlers) => this.#originAttempts.start(name, request, handlers),
-        cancel: (name) => this.#originAttempts.cancel(name),
+        send: (attemptName, request, handlers) =>
+          this.#originAttempts.start(attemptName, request, handlers),
+        cancel: (attemptName) => this.#originAttempts.cancel(attemptName),
       },
       cacheLookup,
       handlerContext,
       () => undefined,
-      streamLimits,
+      transferLimits,
     );
   }
 
   /** Opens a data channel to a shield. */
   #openChannel(to: Address, handlers: DataChannelHandlers): DataChannel {
-    const other = this.context.processes.get(to);
+    const shield = this.context.processes.get(to);
     const channel = new SimulatedChannel(
       this.context,
       this,
-      other,
+      shield,
       {
         ...handlers,
         onClosed: () => {
@@ -182,23 +186,23 @@
         },
       },
       (accepted) =>
-        other instanceof SimulatedProxy
-          ? other.#accept(accepted)
+        shield instanceof SimulatedProxy
+          ? shield.#accept(accepted)
           : { onFrame: () => undefined, onClosed: () => undefined },
     );
-    const open = this.#channels.get(to) ?? new Set<SimulatedChannel>();
-    this.#channels.set(to, open.add(channel));
+    const channels = this.#channels.get(to) ?? new Set<SimulatedChannel>();
+    this.#channels.set(to, channels.add(channel));
     return channel.channel();
   }
 
-  protected onEnd(): void {
+  protected onTerminated(): void {
     this.#channels.clear();
     this.#edge = undefined;
     this.#shield = undefined;
   }
 
-  dispatch(make: (now: Timestamp) => ProcessEvent): void {
-    this.#dispatchNow(make);
+  dispatch(makeEvent: (now: Timestamp) => ProcessEvent): void {
+    this.#dispatchNow(makeEvent);
   }
 
   override peerDisconnected(address: Address): void {
@@ -218,50 +222,50 @@
   }
 
   /** A planned stop, as the shipped program goes about it; calls back when the process has ended. */
-  stop(onStopped: (how: ShutdownPhase) => void): void {
+  stop(onStopped: (phase: ShutdownPhase) => void): void {
     this.execute(() => {
-      const since = this.clock;
-      if (this.#openWork() > 0)
+      const stopRequestedAt = this.clock;
+      if (this.#openWorkCount() > 0)
         this.context.coverage.record('R11: a node was stopped with requests open');
       if ((this.state?.activeLeaders.size ?? 0) > 0)
         this.context.coverage.record('R11: a keeper was stopped');
       this.#dispatchNow((now) => ({ kind: 'stopRequested', now }));
-      const look = (): void => {
-        const how = shutdownPhase(this.role, since, this.#openWork(), this.clock);
-        this.#isClosedToCallers = how !== 'serving';
-        if (how === 'serving' || how === 'draining') {
-          this.schedule(20, look);
+      const checkPhase = (): void => {
+        const phase = shutdownPhase(this.role, stopRequestedAt, this.#openWorkCount(), this.clock);
+        this.#isClosedToCallers = phase !== 'serving';
+        if (phase === 'serving' || phase === 'draining') {
+          this.schedule(20, checkPhase);
           return;
         }
-        if (how === 'aborting') this.#edge?.abortAll('this node stops');
-        this.schedule(how === 'aborting' ? 100 : 0, () => {
+        if (phase === 'aborting') this.#edge?.abortAll('this node stops');
+        this.schedule(phase === 'aborting' ? 100 : 0, () => {
           this.kill('planned');
-          onStopped(how);
+          onStopped(phase);
         });
       };
-      look();
+      checkPhase();
     });
   }
 
-  #openWork(): number {
-    const attempts = [...(this.#store?.state().leaders.values() ?? [])].reduce(
-      (sum, one) => sum + one.attempts.size,
+  #openWorkCount(): number {
+    const attempts = [...(this.#stateMachine?.state().leaders.values() ?? [])].reduce(
+      (sum, leader) => sum + leader.attempts.size,
       0,
     );
     return (this.#edge?.openRequests ?? 0) + (this.#shield?.inbound.size ?? 0) + attempts;
   }
 
-  #dispatchNow(make: (now: Timestamp) => ProxyEvent): void {
-    this.#store?.dispatch(make(this.clock));
+  #dispatchNow(makeEvent: (now: Timestamp) => ProxyEvent): void {
+    this.#stateMachine?.dispatch(makeEvent(this.clock));
   }
 
   /** Takes a caller's request; the caller hears nothing if this process dies first. Gives what to call when the caller leaves. */
   serve(request: SimulatedRequest, onResult: (result: CallerResult) => void): () => void {
-    let leave = (): void => undefined;
+    let disconnect = (): void => undefined;
     const { incarnationNumber } = this;
     if (!this.isAlive) {
       onResult(failedResult('unready', 'nobody listens', 1000));
-      return leave;
+      return disconnect;
     }
     this.execute(() => {
       if (this.#isClosedToCallers) {
@@ -269,13 +273,13 @@
         return;
       }
       const edge = this.#edge;
-      const found = edge?.findRoute(request.method, 'sim', request.path);
-      if (edge === undefined || found === undefined) return;
-      if ('failure' in found) {
-        onResult(toCallerResult(found.failure));
+      const lookup = edge?.findRoute(request.method, 'sim', request.path);
+      if (edge === undefined || lookup === undefined) return;
+      if ('failure' in lookup) {
+        onResult(toCallerResult(lookup.failure));
         return;
       }
-      const call: ClientRequest = {
+      const clientRequest: ClientRequest = {
         method: request.method,
         host: 'sim',
         target: request.path,
@@ -283,20 +287,20 @@
         body: Buffer.from(request.method === 'POST' ? request.id : ''),
         remoteAddress: '10.9.9.9',
       };
-      const caller: ClientConnection = {
-        reply: (told) => onResult(toCallerResult(told)),
+      const connection: ClientConnection = {
+        reply: (reply) => onResult(toCallerResult(reply)),
         startStream: (status, _, length) => streamToCaller(this, status, length, onResult),
       };
-      leave = edge.serve(found.route, call, caller);
+      disconnect = edge.serve(lookup.route, clientRequest, connection);
     });
-    return () => this.execute(() => leave(), incarnationNumber);
+    return () => this.execute(() => disconnect(), incarnationNumber);
   }
 
   #runEffect(effect: ProxyEffect): void {
     switch (effect.kind) {
       case 'send':
       case 'log':
-        this.runWireEffect(effect);
+        this.runProcessEffect(effect);
         break;
       case 'compileConfiguration':
         this.#compile(effect);
@@ -325,7 +329,7 @@
         this.#edge?.run(effect);
         break;
       case 'startAttempt':
-        this.#checkLeaseOf(effect);
+        this.#checkLeaderLease(effect);
         this.#shield?.run(effect);
         break;
       case 'cancelAttempt':
@@ -338,7 +342,7 @@
 
   #compile(effect: Extract<ProxyEffect, { kind: 'compileConfiguration' }>): void {
     this.schedule(this.context.random.uniform(2, 40), () => {
-      const built = runToCompletion(
+      const compiled = runToCompletion(
         buildConfiguration(
           effect.chunkTexts,
           effect.offer.generation,
@@ -347,26 +351,26 @@
         ),
       );
       this.#dispatchNow((now) =>
-        built.isOk && !this.failsToCompile
+        compiled.isOk && !this.failsToCompile
           ? {
               kind: 'configurationCompiled',
               now,
               offer: effect.offer,
-              compiledConfiguration: built.value,
+              compiledConfiguration: compiled.value,
             }
           : {
               kind: 'compileFailed',
               now,
               offer: effect.offer,
-              issues: built.isOk ? [{ path: '(node)', text: 'lame' }] : built.error,
+              issues: compiled.isOk ? [{ path: '(node)', text: 'lame' }] : compiled.error,
             },
       );
     });
   }
 
   /** An attempt that is started by a leader past its lease is a violation. */
-  #checkLeaseOf(effect: Extract<ProxyEffect, { kind: 'startAttempt' }>): void {
-    const state = this.#store?.state();
+  #checkLeaderLease(effect: Extract<ProxyEffect, { kind: 'startAttempt' }>): void {
+    const state = this.#stateMachine?.state();
     const leader = state?.leaders.get(effect.leader);
     const candidate =
       leader === undefined ? undefined : state?.nodeAgent.candidates.get(leader.service);
--- a/packages/simulator/src/processes/registry.ts
+++ b/packages/simulator/src/processes/registry.ts
@@ -28,26 +28,26 @@
 export class SimulatedRegistry extends SimulatedProcess {
   readonly #seeds: () => readonly Address[];
   /** Whether nodes that run nothing may start on what disks hold. */
-  readonly #startsFromDisks: boolean;
-  #store: StateMachine<RegistryState, RegistryEvent> | undefined;
-  #lastRequest = 0;
-  readonly #pendingReplies = new Map<number, (told: RegistryReply) => void>();
+  readonly #offersDiskHints: boolean;
+  #stateMachine: StateMachine<RegistryState, RegistryEvent> | undefined;
+  #lastCorrelationId = 0;
+  readonly #pendingReplies = new Map<number, (reply: RegistryReply) => void>();
 
   constructor(
     context: SimulationContext,
     node: NodeId,
     address: Address,
-    area: string,
+    zone: string,
     seeds: () => readonly Address[],
-    eager = false,
+    offersDiskHints = false,
   ) {
-    super(context, node, address, area);
+    super(context, node, address, zone);
     this.#seeds = seeds;
-    this.#startsFromDisks = eager;
+    this.#offersDiskHints = offersDiskHints;
   }
 
   get state(): RegistryState | undefined {
-    return this.isAlive ? this.#store?.state() : undefined;
+    return this.isAlive ? this.#stateMachine?.state() : undefined;
   }
 
   protected onStart(): void {
@@ -59,51 +59,51 @@
       door: this.address,
       incarnation: this.incarnation,
     };
-    const dice = { seed: Math.floor(this.context.random.next() * 4294967296) };
-    const first = newRegistryState(
+    const randomState = { seed: Math.floor(this.context.random.next() * 4294967296) };
+    const initialState = newRegistryState(
       member,
       this.#seeds(),
       this.clock,
-      dice,
+      randomState,
       undefined,
-      this.#startsFromDisks,
+      this.#offersDiskHints,
     );
-    this.#store = this.createStateMachine<RegistryState, RegistryEvent, RegistryEffect>(
+    this.#stateMachine = this.createStateMachine<RegistryState, RegistryEvent, RegistryEffect>(
       registryTransition,
-      first,
+      initialState,
       (effect) => {
         if (effect.kind === 'reply') {
-          const done = this.#pendingReplies.get(effect.correlationId);
+          const onReply = this.#pendingReplies.get(effect.correlationId);
           this.#pendingReplies.delete(effect.correlationId);
-          done?.({ status: effect.status, body: effect.body });
-        } else this.runWireEffect(effect);
+          onReply?.({ status: effect.status, body: effect.body });
+        } else this.runProcessEffect(effect);
       },
     );
   }
 
-  protected onEnd(): void {
+  protected onTerminated(): void {
     this.#pendingReplies.clear();
   }
 
-  dispatch(make: (now: Timestamp) => ProcessEvent): void {
-    this.#store?.dispatch(make(this.clock));
+  dispatch(makeEvent: (now: Timestamp) => ProcessEvent): void {
+    this.#stateMachine?.dispatch(makeEvent(this.clock));
   }
 
   /** Asks the process to stop: its vote is taken over by others meanwhile. */
   stop(): void {
-    this.execute(() => this.#store?.dispatch({ kind: 'stopRequested', now: this.clock }));
+    this.execute(() => this.#stateMachine?.dispatch({ kind: 'stopRequested', now: this.clock }));
   }
 
   /** A call from outside; no answer ever comes if the process dies first. */
-  handleRequest(handleRequest: ExternalRequest, onReply: (told: RegistryReply) => void): void {
+  handleRequest(request: ExternalRequest, onReply: (reply: RegistryReply) => void): void {
     this.execute(() => {
-      this.#lastRequest += 1;
-      this.#pendingReplies.set(this.#lastRequest, onReply);
-      this.#store?.dispatch({
+      this.#lastCorrelationId += 1;
+      this.#pendingReplies.set(this.#lastCorrelationId, onReply);
+      this.#stateMachine?.dispatch({
         kind: 'requestReceived',
         now: this.clock,
-        correlationId: this.#lastRequest,
-        request: handleRequest,
+        correlationId: this.#lastCorrelationId,
+        request,
       });
     });
   }
--- a/packages/simulator/src/processes/store.ts
+++ b/packages/simulator/src/processes/store.ts
@@ -31,24 +31,24 @@
   readonly disk: VirtualDisk<DiskWrite>;
   readonly #seeds: () => readonly Address[];
   readonly #replication: ReplicationSettings | undefined;
-  #store: StateMachine<StoreState, StoreEvent> | undefined;
+  #stateMachine: StateMachine<StoreState, StoreEvent> | undefined;
 
   constructor(
     context: SimulationContext,
     node: NodeId,
     address: Address,
-    area: string,
+    zone: string,
     seeds: () => readonly Address[],
-    limits?: ReplicationSettings,
+    replication?: ReplicationSettings,
   ) {
-    super(context, node, address, area);
+    super(context, node, address, zone);
     this.#seeds = seeds;
-    this.#replication = limits;
+    this.#replication = replication;
     this.disk = new VirtualDisk(context.eventQueue, context.random.fork());
   }
 
   get state(): StoreState | undefined {
-    return this.isAlive ? this.#store?.state() : undefined;
+    return this.isAlive ? this.#stateMachine?.state() : undefined;
   }
 
   protected onStart(): void {
@@ -59,20 +59,20 @@
       address: this.address,
       incarnation: this.incarnation,
     };
-    const first = newStoreState(
+    const initialState = newStoreState(
       member,
       this.#seeds(),
       { seed: Math.floor(this.context.random.next() * 4294967296) },
       this.#replication,
     );
-    this.#store = this.createStateMachine<StoreState, StoreEvent, StoreEffect>(
+    this.#stateMachine = this.createStateMachine<StoreState, StoreEvent, StoreEffect>(
       storeTransition,
-      first,
+      initialState,
       (effect) => this.#runEffect(effect),
     );
-    const found = this.#readDisk();
+    const contents = this.#readDisk();
     this.schedule(this.context.random.uniform(5, 30), () =>
-      this.#dispatchNow((now) => ({ kind: 'diskRead', now, contents: found })),
+      this.#dispatchNow((now) => ({ kind: 'diskRead', now, contents })),
     );
   }
 
@@ -83,7 +83,7 @@
     super.resume();
   }
 
-  protected onEnd(): void {
+  protected onTerminated(): void {
     this.disk.losePower();
   }
 
@@ -101,28 +101,28 @@
   /** What the disk holds, put together from all that was ever synced. */
   #readDisk(): DiskContents {
     if (this.disk.isTorn) return { status: 'damaged', reason: 'torn' };
-    const last = this.disk.synced.at(-1);
-    if (last === undefined) return { status: 'empty' };
+    const lastWrite = this.disk.synced.at(-1);
+    if (lastWrite === undefined) return { status: 'empty' };
     const entries = new Map<string, KeyedEntry>();
     for (const write of this.disk.synced) {
       if (write.wipesFirst) entries.clear();
       for (const key of write.deletedKeys) entries.delete(key);
-      for (const one of write.entries) entries.set(one.key, one);
+      for (const entry of write.entries) entries.set(entry.key, entry);
     }
     return {
       status: 'complete',
-      metadata: last.metadata,
-      logPosition: last.logPosition,
+      metadata: lastWrite.metadata,
+      logPosition: lastWrite.logPosition,
       entries: [...entries.values()],
     };
   }
 
-  #dispatchNow(make: (now: Timestamp) => StoreEvent): void {
-    this.#store?.dispatch(make(this.clock));
+  #dispatchNow(makeEvent: (now: Timestamp) => StoreEvent): void {
+    this.#stateMachine?.dispatch(makeEvent(this.clock));
   }
 
-  dispatch(make: (now: Timestamp) => ProcessEvent): void {
-    this.#dispatchNow(make);
+  dispatch(makeEvent: (now: Timestamp) => ProcessEvent): void {
+    this.#dispatchNow(makeEvent);
   }
 
   /** Asks the process to stop, within the grace if it is given. */
@@ -141,19 +141,19 @@
       case 'writeToDisk': {
         const { write } = effect;
         const incarnationNumber = this.incarnationNumber;
-        this.disk.write(write, (ok, full) => {
-          if (ok && write.wipesFirst) this.disk.isTorn = false;
+        this.disk.write(write, (isSynced, isDiskFull) => {
+          if (isSynced && write.wipesFirst) this.disk.isTorn = false;
           this.execute(
             () =>
               this.#dispatchNow((now) =>
-                ok
+                isSynced
                   ? { kind: 'writeSynced', now, writeId: write.id }
                   : {
                       kind: 'writeFailed',
                       now,
                       writeId: write.id,
                       reason: 'no room',
-                      isDiskFull: full,
+                      isDiskFull,
                     },
               ),
             incarnationNumber,
@@ -163,14 +163,14 @@
       }
       case 'compileConfiguration':
         this.schedule(this.context.random.uniform(1, 20), () => {
-          const built = runToCompletion(
+          const compiled = runToCompletion(
             buildConfiguration(effect.texts, toGeneration(0), effect.hash),
           );
           this.#dispatchNow((now) => ({
             kind: 'configurationCompiled',
             now,
             hash: effect.hash,
-            issues: built.isOk ? [] : built.error,
+            issues: compiled.isOk ? [] : compiled.error,
           }));
         });
         break;
@@ -179,7 +179,7 @@
         break;
       case 'send':
       case 'log':
-        this.runWireEffect(effect);
+        this.runProcessEffect(effect);
         break;
     }
   }
--- a/packages/simulator/src/rules/coverage.ts
+++ b/packages/simulator/src/rules/coverage.ts
@@ -56,19 +56,19 @@
 export class Coverage {
   readonly counts = new Map<CoverageGoal, number>();
 
-  record(trial: CoverageGoal, many = 1): void {
-    increment(this.counts, trial, many);
+  record(goal: CoverageGoal, count = 1): void {
+    increment(this.counts, goal, count);
   }
 }
 
 /** Adds the counts of one run to those of several. */
 export const addCounts = (
-  sum: Map<CoverageGoal, number>,
+  totals: Map<CoverageGoal, number>,
   counts: ReadonlyMap<CoverageGoal, number>,
 ): void => {
-  for (const [name, many] of counts) increment(sum, name, many);
+  for (const [goal, count] of counts) increment(totals, goal, count);
 };
 
 /** Those that never came about. */
 export const unmetGoals = (counts: ReadonlyMap<CoverageGoal, number>): readonly CoverageGoal[] =>
-  coverageGoals.filter((one) => (counts.get(one) ?? 0) === 0);
+  coverageGoals.filter((goal) => (counts.get(goal) ?? 0) === 0);
--- a/packages/simulator/src/rules/origin-rules.ts
+++ b/packages/simulator/src/rules/origin-rules.ts
@@ -14,19 +14,19 @@
 /** The window over which extra attempts are judged. */
 const extraWindowMs = 10_000;
 /** Attempts of a bad release after which it must be known as bad, and how long that may take. */
-const failuresUntilBad = 50;
+const failuresUntilRejected = 50;
 const badReleaseLimitMs = 5000;
 
 /** The most of these times that lie in any one window. */
 const maxCountWithin = (times: readonly number[], windowMs: number): number => {
-  const sorted = [...times].sort((one, two) => one - two);
-  let most = 0;
-  let first = 0;
-  for (const [at, time] of sorted.entries()) {
-    while ((sorted[first] ?? 0) <= time - windowMs) first += 1;
-    most = Math.max(most, at - first + 1);
+  const sorted = [...times].sort((left, right) => left - right);
+  let highestCount = 0;
+  let windowStart = 0;
+  for (const [index, time] of sorted.entries()) {
+    while ((sorted[windowStart] ?? 0) <= time - windowMs) windowStart += 1;
+    highestCount = Math.max(highestCount, index - windowStart + 1);
   }
-  return most;
+  return highestCount;
 };
 
 /** R6, R8, R9, R10 from the origins' own records. */
@@ -35,33 +35,35 @@
   for (const origin of world.origins) {
     const departureKnownAt = origin.departureKnownAt;
     if (departureKnownAt === undefined) continue;
-    const late = origin.arrivalTimes.filter((at) => at > departureKnownAt + propagationLimitMs);
-    if (late.length > 0)
+    const lateArrivals = origin.arrivalTimes.filter(
+      (arrivedAt) => arrivedAt > departureKnownAt + propagationLimitMs,
+    );
+    if (lateArrivals.length > 0)
       violations.add(
         'R6',
-        `${origin.instance} got ${late.length} requests up to ${Math.round((late.at(-1) ?? 0) - departureKnownAt)} ms after it was known to leave`,
+        `${origin.instance} got ${lateArrivals.length} requests up to ${Math.round((lateArrivals.at(-1) ?? 0) - departureKnownAt)} ms after it was known to leave`,
       );
   }
   for (const service of world.layout.services) {
-    const own = world.origins.filter((one) => one.service === service.name);
+    const serviceOrigins = world.origins.filter((instance) => instance.service === service.name);
     if (service.perSecond !== undefined) {
-      const most = maxCountWithin(
-        own.flatMap((one) => one.receiveTimes),
+      const highestCount = maxCountWithin(
+        serviceOrigins.flatMap((instance) => instance.receiveTimes),
         rateWindowMs,
       );
-      if (most > service.perSecond * rateWindowSeconds)
+      if (highestCount > service.perSecond * rateWindowSeconds)
         violations.add(
           'R9',
-          `${service.name} was sent ${most} in 5 s, its ceiling is ${service.perSecond} a second`,
+          `${service.name} was sent ${highestCount} in 5 s, its ceiling is ${service.perSecond} a second`,
         );
     }
     checkExtraAttempts(
       violations,
       service.name,
-      own.flatMap((one) => one.attempts),
+      serviceOrigins.flatMap((instance) => instance.attempts),
     );
   }
-  checkReleases(run);
+  checkBadReleases(run);
 };
 
 /** In any ten seconds, tries beyond the first are at most a fifth of the traffic and sixty. */
@@ -70,32 +72,32 @@
   service: string,
   attempts: readonly OriginAttempt[],
 ): void => {
-  const sorted = [...attempts].sort((one, two) => one.at - two.at);
-  const seen = new Set<string>();
-  const rows = sorted.map((one) => {
-    const extra = seen.has(one.request);
-    seen.add(one.request);
+  const sorted = [...attempts].sort((one, right) => one.at - right.at);
+  const seenRequests = new Set<string>();
+  const markedAttempts = sorted.map((one) => {
+    const extra = seenRequests.has(one.request);
+    seenRequests.add(one.request);
     return { at: one.at, extra };
   });
-  let first = 0;
+  let windowStart = 0;
   let extra = 0;
-  let traffic = 0;
-  for (const row of rows) {
-    if (row.extra) extra += 1;
-    else traffic += 1;
+  let firstAttempts = 0;
+  for (const attempt of markedAttempts) {
+    if (attempt.extra) extra += 1;
+    else firstAttempts += 1;
     for (
-      let old = rows[first];
-      old !== undefined && old.at <= row.at - extraWindowMs;
-      old = rows[first]
+      let expired = markedAttempts[windowStart];
+      expired !== undefined && expired.at <= attempt.at - extraWindowMs;
+      expired = markedAttempts[windowStart]
     ) {
-      if (old.extra) extra -= 1;
-      else traffic -= 1;
-      first += 1;
+      if (expired.extra) extra -= 1;
+      else firstAttempts -= 1;
+      windowStart += 1;
     }
-    if (extra > traffic / 5 + 60) {
+    if (extra > firstAttempts / 5 + 60) {
       violations.add(
         'R8',
-        `${service}: ${extra} extra tries beside ${traffic} in ten seconds, up to ${Math.round(row.at)}`,
+        `${service}: ${extra} extra tries beside ${firstAttempts} in ten seconds, up to ${Math.round(attempt.at)}`,
       );
       return;
     }
@@ -103,24 +105,32 @@
 };
 
 /** R10: a bad release gets few requests, and none soon after it was found bad. */
-const checkReleases = ({ world, violations, badReleases }: FinishedRun): void => {
+const checkBadReleases = ({ world, violations, badReleases }: FinishedRun): void => {
   for (const release of badReleases) {
-    const own = world.origins.filter((one) => one.release === release);
-    const service = own[0]?.service;
-    const first = Math.min(...own.flatMap((one) => one.arrivalTimes));
-    const all = world.origins
-      .filter((one) => one.service === service)
-      .flatMap((one) => one.arrivalTimes)
-      .filter((at) => at >= first).length;
-    const got = own.reduce((sum, one) => sum + one.arrivalTimes.length, 0);
-    if (got > all / 10 + 55)
-      violations.add('R10', `the bad release ${release} got ${got} of ${all} requests`);
-    const bad = own.flatMap((one) => one.failureTimes).sort((left, right) => left - right)[
-      failuresUntilBad - 1
-    ];
+    const releaseOrigins = world.origins.filter((origin) => origin.release === release);
+    const service = releaseOrigins[0]?.service;
+    const firstArrivalAt = Math.min(...releaseOrigins.flatMap((origin) => origin.arrivalTimes));
+    const serviceArrivals = world.origins
+      .filter((origin) => origin.service === service)
+      .flatMap((origin) => origin.arrivalTimes)
+      .filter((arrivedAt) => arrivedAt >= firstArrivalAt).length;
+    const releaseArrivals = releaseOrigins.reduce(
+      (sum, origin) => sum + origin.arrivalTimes.length,
+      0,
+    );
+    if (releaseArrivals > serviceArrivals / 10 + 55)
+      violations.add(
+        'R10',
+        `the bad release ${release} got ${releaseArrivals} of ${serviceArrivals} requests`,
+      );
+    const rejectionDueAt = releaseOrigins
+      .flatMap((origin) => origin.failureTimes)
+      .sort((left, right) => left - right)[failuresUntilRejected - 1];
     if (
-      bad !== undefined &&
-      own.some((one) => one.arrivalTimes.some((at) => at > bad + badReleaseLimitMs))
+      rejectionDueAt !== undefined &&
+      releaseOrigins.some((origin) =>
+        origin.arrivalTimes.some((arrivedAt) => arrivedAt > rejectionDueAt + badReleaseLimitMs),
+      )
     )
       violations.add('R10', `${release} got requests more than 5 s after its fiftieth bad answer`);
   }
--- a/packages/simulator/src/rules/process-rules.ts
+++ b/packages/simulator/src/rules/process-rules.ts
@@ -35,16 +35,16 @@
   /** R5: the generation that a proxy runs never falls. */
   #checkProxy(proxy: SimulatedProxy): void {
     const generation = proxy.state?.nodeAgent.compiledConfiguration?.generation ?? 0;
-    const before = this.#highestGenerations.get(proxy.node) ?? 0;
-    if (generation !== 0 && generation < before)
+    const highest = this.#highestGenerations.get(proxy.node) ?? 0;
+    if (generation !== 0 && generation < highest)
       this.#violations.addOnce(
         'R5',
         proxy.node,
-        `${proxy.node} went from ${before} to ${generation}`,
+        `${proxy.node} went from ${highest} to ${generation}`,
       );
-    if (generation > before) this.#highestGenerations.set(proxy.node, generation);
+    if (generation > highest) this.#highestGenerations.set(proxy.node, generation);
     for (const [service, candidate] of proxy.state?.nodeAgent.candidates ?? [])
-      this.#recordHolder(
+      this.#recordLeaseHolder(
         candidate.leaseName,
         proxy,
         holdsLease(candidate, proxy.clock) && proxy.state?.activeLeaders.has(service) === true,
@@ -53,28 +53,28 @@
 
   /** A generation that a primary serves has one content. */
   #checkStore(store: SimulatedStore, state: StoreState): void {
-    this.#recordHolder(
+    this.#recordLeaseHolder(
       state.candidate.leaseName,
       store,
       state.isServing && holdsLease(state.candidate, store.clock),
     );
     const offer = state.control.configuration?.offer;
     if (!state.isServing || offer === undefined) return;
-    const known = this.#hashesByGeneration.get(offer.generation);
-    if (known !== undefined && known !== offer.hash)
+    const knownHash = this.#hashesByGeneration.get(offer.generation);
+    if (knownHash !== undefined && knownHash !== offer.hash)
       this.#violations.add('generation', `generation ${offer.generation} is two descriptions`);
     this.#hashesByGeneration.set(offer.generation, offer.hash);
   }
 
   /** What a process counted as broken of the invariants that it checks itself. */
   #checkInvariants(process: SimulatedProcess): void {
-    const found =
+    const counts =
       process instanceof SimulatedStore || process instanceof SimulatedRegistry
         ? process.state?.violations
         : process instanceof SimulatedProxy
           ? process.state?.nodeAgent.violations
           : undefined;
-    for (const [invariant, count] of found ?? [])
+    for (const [invariant, count] of counts ?? [])
       this.#violations.addOnce(
         'invariant',
         `${process.node} ${invariant}`,
@@ -82,27 +82,27 @@
       );
   }
 
-  #recordHolder(lease: LeaseName, process: SimulatedProcess, holding: boolean): void {
-    const set = this.#leaseHolders.get(lease) ?? new Set<SimulatedProcess>();
-    this.#leaseHolders.set(lease, set);
-    if (!holding) {
-      set.delete(process);
+  #recordLeaseHolder(lease: LeaseName, process: SimulatedProcess, isHolding: boolean): void {
+    const holders = this.#leaseHolders.get(lease) ?? new Set<SimulatedProcess>();
+    this.#leaseHolders.set(lease, holders);
+    if (!isHolding) {
+      holders.delete(process);
       return;
     }
-    set.add(process);
-    for (const other of [...set]) {
+    holders.add(process);
+    for (const other of [...holders]) {
       if (other === process) continue;
-      if (this.#stillHolds(other, lease))
+      if (this.#stillHoldsLease(other, lease))
         this.#violations.addOnce(
           'one holder',
           lease,
           `${lease} is held by ${process.node} and ${other.node}`,
         );
-      else set.delete(other);
+      else holders.delete(other);
     }
   }
 
-  #stillHolds(process: SimulatedProcess, lease: LeaseName): boolean {
+  #stillHoldsLease(process: SimulatedProcess, lease: LeaseName): boolean {
     if (!process.isAlive) return false;
     if (process instanceof SimulatedStore)
       return (
@@ -112,7 +112,7 @@
       );
     if (!(process instanceof SimulatedProxy)) return false;
     return [...(process.state?.nodeAgent.candidates.values() ?? [])].some(
-      (one) => one.leaseName === lease && holdsLease(one, process.clock),
+      (candidate) => candidate.leaseName === lease && holdsLease(candidate, process.clock),
     );
   }
 }
--- a/packages/simulator/src/rules/request-rules.ts
+++ b/packages/simulator/src/rules/request-rules.ts
@@ -18,8 +18,8 @@
 export const checkExecutions = ({ world, callers, violations }: FinishedRun): void => {
   const executionCounts = new Map<string, number>();
   const { coverage } = world;
-  for (const origin of world.origins)
-    for (const execution of origin.executions) increment(executionCounts, execution.requestId);
+  for (const description of world.origins)
+    for (const execution of description.executions) increment(executionCounts, execution.requestId);
   for (const request of callers.requests) {
     const count = executionCounts.get(request.id) ?? 0;
     if (request.isUnsafe && count > 1)
@@ -47,15 +47,15 @@
     (write) => write.kind === 'purge' && write.reply?.status === 200,
   );
   for (const request of callers.requests) {
-    const { result, answeredAt } = request;
+    const { result, repliedAt } = request;
     if (request.hasSecondReply) violations.add('R3', `${request.id} was told two results`);
-    if (result?.kind !== 'result' || answeredAt === undefined || result.status !== 200) continue;
+    if (result?.kind !== 'result' || repliedAt === undefined || result.status !== 200) continue;
     if (result.object !== request.path)
       violations.add(
         'R3',
         `${request.id} asked for ${request.path} and got ${result.object === '' ? 'bytes of nothing' : result.object} from ${result.source}`,
       );
-    if (isCacheable(request)) checkFreshness(run, request, result, answeredAt, purges);
+    if (isCacheable(request)) checkFreshness(run, request, result, repliedAt, purges);
     else if (result.request !== request.id)
       violations.add('R3', `${request.id} got the result of ${result.request}`);
   }
@@ -76,13 +76,13 @@
     coverage.record('R7: a kept result was told');
   if (request.wasEdgeUnreachable)
     coverage.record('R7: an edge out of reach was asked for what it may have kept');
-  const origin = `${request.id} from ${result.source} at ${request.edge.node}`;
+  const description = `${request.id} from ${result.source} at ${request.edge.node}`;
   const lifetimeMs = cacheLifetimeOf(request.service);
   const ageMs = answeredAt - result.createdAt;
   if (ageMs > lifetimeMs + propagationLimitMs)
     violations.add(
       'R7',
-      `${origin} got ${request.path} ${Math.round(ageMs)} ms after its origin made it`,
+      `${description} got ${request.path} ${Math.round(ageMs)} ms after its origin made it`,
     );
   if (ageMs > lifetimeMs * nearlyExpired) coverage.record('R7: a kept result came to its end');
   for (const purge of purges) {
@@ -95,7 +95,7 @@
     )
       violations.add(
         'R7',
-        `${origin}, asked at ${Math.round(request.sentAt)}, got revision ${result.revision} of ${request.path}, ${Math.round(answeredAt - purgedAt)} ms after its purge`,
+        `${description}, asked at ${Math.round(request.sentAt)}, got revision ${result.revision} of ${request.path}, ${Math.round(answeredAt - purgedAt)} ms after its purge`,
       );
   }
 };
--- a/packages/simulator/src/rules/rule-checker.ts
+++ b/packages/simulator/src/rules/rule-checker.ts
@@ -39,10 +39,10 @@
     world.afterEvent = (process) => this.checkProcess(process);
     world.isUnreachable = (proxy) => reachability.unreachable.has(proxy);
     callers.onSent = (request) => {
-      request.serviceAvailableForMs = this.#sampledRules.owedForMs(request);
+      request.serviceAvailableForMs = this.#sampledRules.serviceAvailableForMs(request);
     };
     callers.onReply = (request) => this.#sampledRules.checkReply(request);
-    this.#sampleFromNowOn();
+    this.#scheduleSamples();
   }
 
   /** What was found so far. */
@@ -74,8 +74,8 @@
     return this.#log.violations;
   }
 
-  #sampleFromNowOn(): void {
+  #scheduleSamples(): void {
     this.#sampledRules.sample();
-    this.#world.eventQueue.schedule(sampleIntervalMs, () => this.#sampleFromNowOn());
+    this.#world.eventQueue.schedule(sampleIntervalMs, () => this.#scheduleSamples());
   }
 }
--- a/packages/simulator/src/rules/sampled-rules.ts
+++ b/packages/simulator/src/rules/sampled-rules.ts
@@ -10,24 +10,26 @@
 import type { World } from '../world/world.js';
 import { propagationLimitMs } from './limits.js';
 import { Reachability } from './reachability.js';
-import { ServiceObligations } from './service-obligations.js';
+import { ServiceAvailability } from './service-availability.js';
 import type { ViolationLog } from './violation-log.js';
 
 /** After a full loss service is back within about fifteen seconds: then all that is in reach must serve. */
 const recoveryLimitMs = 15_000;
 /** For how long an edge must have owed a result before a request, so that what is left of a fault is over. */
-const minOwedMs = 3000;
+const minAvailableMs = 3000;
 
-type Leader = NonNullable<ReturnType<NonNullable<SimulatedProxy['state']>['leaders']['get']>>;
+type ServiceLeaderState = NonNullable<
+  ReturnType<NonNullable<SimulatedProxy['state']>['leaders']['get']>
+>;
 
 /** Judges a fleet by samples of its state. */
 export class SampledRules {
   readonly reachability: Reachability;
   readonly #world: World;
   readonly #violations: ViolationLog;
-  readonly #obligations: ServiceObligations;
+  readonly #serviceAvailability: ServiceAvailability;
   /** Accepted generations that need not be in force yet, by when they were accepted. */
-  readonly #accepted: { readonly at: number; readonly generation: number }[] = [];
+  readonly #pendingGenerations: { readonly at: number; readonly generation: number }[] = [];
   readonly #seenReplies = new Set<string>();
   readonly #vacantSince = new Map<string, number>();
   #dueGeneration = 0;
@@ -36,15 +38,15 @@
     this.#world = world;
     this.#violations = violations;
     this.reachability = new Reachability(world);
-    this.#obligations = new ServiceObligations(world, this.reachability);
+    this.#serviceAvailability = new ServiceAvailability(world, this.reachability);
   }
 
   /** Takes a sample and judges it. */
   sample(): void {
     this.reachability.sample();
-    this.#obligations.sample();
+    this.#serviceAvailability.sample();
     this.#updateDueGeneration();
-    this.#checkConfigurationInForce();
+    this.#checkActiveGenerations();
     this.#checkRecovery();
     for (const shield of this.#world.shields) {
       for (const [service, name] of shield.state?.activeLeaders ?? []) {
@@ -54,7 +56,7 @@
     }
   }
 
-  #checkLeader(shield: SimulatedProxy, service: ServiceName, leader: Leader): void {
+  #checkLeader(shield: SimulatedProxy, service: ServiceName, leader: ServiceLeaderState): void {
     if (!hasExtraAttemptBudget(leader, shield.clock))
       this.#world.coverage.record('R8: the budget of extra legs was used up');
     if (
@@ -75,8 +77,8 @@
   }
 
   /** For how long the edge of a request has owed its service's results, before the request. */
-  owedForMs(request: CallerRequest): number {
-    return this.#obligations.owedForMs(request.edge, toServiceName(request.service));
+  serviceAvailableForMs(request: CallerRequest): number {
+    return this.#serviceAvailability.availableForMs(request.edge, toServiceName(request.service));
   }
 
   /** Takes note of accepted configurations, and of the newest that must be in force by now. */
@@ -86,32 +88,32 @@
       if (write.kind !== 'apply' || write.reply?.status !== 200 || this.#seenReplies.has(write.id))
         continue;
       this.#seenReplies.add(write.id);
-      this.#accepted.push({ at: write.reply.at, generation: write.reply.generation });
+      this.#pendingGenerations.push({ at: write.reply.at, generation: write.reply.generation });
       if (this.reachability.unreachable.size > 0)
         this.#world.coverage.record('R4: accepted while a node was out of reach');
     }
     for (
-      let first = this.#accepted[0];
+      let first = this.#pendingGenerations[0];
       first !== undefined && first.at <= now - propagationLimitMs;
-      first = this.#accepted[0]
+      first = this.#pendingGenerations[0]
     ) {
       this.#dueGeneration = Math.max(this.#dueGeneration, first.generation);
-      this.#accepted.shift();
+      this.#pendingGenerations.shift();
     }
   }
 
   /** R4, for every node that has been in reach for as long as it takes. */
-  #checkConfigurationInForce(): void {
+  #checkActiveGenerations(): void {
     for (const proxy of this.#world.proxies) {
       if (this.reachability.reachableForMs(proxy) < propagationLimitMs) continue;
       const activation = proxy.activations.at(-1);
-      const running =
+      const activeGeneration =
         activation?.incarnationNumber === proxy.incarnationNumber ? activation.generation : 0;
-      if (running < this.#dueGeneration)
+      if (activeGeneration < this.#dueGeneration)
         this.#violations.addOnce(
           'R4',
           `${proxy.node} ${this.#dueGeneration}`,
-          `generation ${this.#dueGeneration} is not in force on ${proxy.node}, which runs ${running} and has been in reach for ${Math.round(this.reachability.reachableForMs(proxy))} ms`,
+          `generation ${this.#dueGeneration} is not in force on ${proxy.node}, which runs ${activeGeneration} and has been in reach for ${Math.round(this.reachability.reachableForMs(proxy))} ms`,
         );
     }
   }
@@ -120,40 +122,44 @@
   #checkRecovery(): void {
     const world = this.#world;
     for (const edge of world.edges) {
-      const idle = Math.min(
+      const unreadyForMs = Math.min(
         this.reachability.reachableForMs(edge),
         this.#vacantForMs(edge.node, edge.isReady || edge.isStopping),
       );
-      if (idle > recoveryLimitMs)
+      if (unreadyForMs > recoveryLimitMs)
         this.#violations.addOnce(
           'R12',
           edge.node,
-          `${edge.node} has been in reach and not ready for ${Math.round(idle)} ms`,
+          `${edge.node} has been in reach and not ready for ${Math.round(unreadyForMs)} ms`,
         );
     }
-    const core = this.reachability.coreAvailableForMs();
+    const coreAvailableForMs = this.reachability.coreAvailableForMs();
     if (
-      Math.min(core, this.#vacantForMs('primary', world.primary() !== undefined)) > recoveryLimitMs
+      Math.min(coreAvailableForMs, this.#vacantForMs('primary', world.primary() !== undefined)) >
+      recoveryLimitMs
     )
       this.#violations.addOnce('R12', 'primary', 'no primary for fifteen seconds');
-    const shield = Math.max(
+    const shieldReachableForMs = Math.max(
       0,
-      ...world.shields.map((one) => this.reachability.reachableForMs(one)),
+      ...world.shields.map((candidate) => this.reachability.reachableForMs(candidate)),
     );
     for (const { name } of world.layout.services) {
       if (
-        Math.min(core, shield, this.#vacantForMs(name, world.serviceLeaderOf(name) !== undefined)) >
-        recoveryLimitMs
+        Math.min(
+          coreAvailableForMs,
+          shieldReachableForMs,
+          this.#vacantForMs(name, world.serviceLeaderOf(name) !== undefined),
+        ) > recoveryLimitMs
       )
         this.#violations.addOnce('R12', name, `${name} has had no leader for fifteen seconds`);
     }
   }
 
   /** For how long a role has been vacant, as far as samples show. */
-  #vacantForMs(name: string, held: boolean): number {
+  #vacantForMs(role: string, isFilled: boolean): number {
     const { now } = this.#world.eventQueue;
-    const since = held ? now : (this.#vacantSince.get(name) ?? now);
-    this.#vacantSince.set(name, since);
+    const since = isFilled ? now : (this.#vacantSince.get(role) ?? now);
+    this.#vacantSince.set(role, since);
     return now - since;
   }
 
@@ -165,15 +171,15 @@
       result === undefined ||
       request.hasDisconnected ||
       result.kind === 'result' ||
-      request.serviceAvailableForMs < minOwedMs ||
+      request.serviceAvailableForMs < minAvailableMs ||
       request.isFlood
     )
       return;
     // What failed in this very moment, between two samples, counts.
     this.reachability.sample();
-    this.#obligations.sample();
+    this.#serviceAvailability.sample();
     if (
-      this.owedForMs(request) >=
+      this.serviceAvailableForMs(request) >=
       request.serviceAvailableForMs + world.eventQueue.now - request.sentAt - 1
     ) {
       this.#violations.add(
--- a/packages/simulator/src/rules/write-rules.ts
+++ b/packages/simulator/src/rules/write-rules.ts
@@ -5,25 +5,28 @@
 /** Judges the writes by their replies and by what the primary holds in the end. */
 // eslint-disable-next-line complexity -- independent checks in a row; optional chaining counts as branches
 export const checkWrites = ({ world, violations }: FinishedRun): void => {
-  let highest = 0;
+  let highestGeneration = 0;
   const writeByGeneration = new Map<number, string>();
   for (const write of world.writes) {
     const { reply } = write;
     if (write.kind !== 'apply' || reply?.status !== 200) continue;
     if (write.isInvalid) violations.add('whole', `${write.id} is invalid and was accepted`);
-    const other = writeByGeneration.get(reply.generation);
-    if (other !== undefined)
+    const earlierId = writeByGeneration.get(reply.generation);
+    if (earlierId !== undefined)
       violations.add(
         'generation',
-        `${other} and ${write.id} were both told generation ${reply.generation}`,
+        `${earlierId} and ${write.id} were both told generation ${reply.generation}`,
       );
     writeByGeneration.set(reply.generation, write.id);
-    highest = Math.max(highest, reply.generation);
+    highestGeneration = Math.max(highestGeneration, reply.generation);
   }
   const primary = world.primary();
-  const current = primary?.state?.control.configuration?.offer.generation ?? 0;
-  if (primary !== undefined && current < highest)
-    violations.add('lost write', `generation ${highest} was accepted, the store has ${current}`);
+  const currentGeneration = primary?.state?.control.configuration?.offer.generation ?? 0;
+  if (primary !== undefined && currentGeneration < highestGeneration)
+    violations.add(
+      'lost write',
+      `generation ${highestGeneration} was accepted, the store has ${currentGeneration}`,
+    );
   const outcomes = primary?.state?.control.commandOutcomes;
   for (const write of world.writes) {
     const status = write.reply?.status;
--- a/packages/simulator/src/run/failures.test.ts
+++ b/packages/simulator/src/run/failures.test.ts
@@ -558,8 +558,8 @@
   );
   const times = acting
     .flatMap((one) =>
-      one.result?.kind === 'result' && one.answeredAt !== undefined
-        ? [one.answeredAt - one.sentAt]
+      one.result?.kind === 'result' && one.repliedAt !== undefined
+        ? [one.repliedAt - one.sentAt]
         : [],
     )
     .sort((one, two) => one - two);
--- a/packages/simulator/src/run/fixture.ts
+++ b/packages/simulator/src/run/fixture.ts
@@ -22,8 +22,8 @@
 /** Forms a fleet; callers do not send until they are started. */
 export const createFixture = (
   seed: number,
-  perSecond: number,
-  change: Partial<FleetLayout> = {},
+  requestsPerSecond: number,
+  overrides: Partial<FleetLayout> = {},
 ): Fixture => {
   const world = new World({
     seed,
@@ -33,12 +33,17 @@
       { name: clips, origins: 3, slots: 8, perSecond: undefined },
       { name: acts, origins: 3, slots: 4, perSecond: 80 },
     ],
-    ...change,
+    ...overrides,
   });
-  const callers = new SimulatedCallers(world, perSecond);
-  const rules = new RuleChecker(world, callers);
+  const callers = new SimulatedCallers(world, requestsPerSecond);
+  const ruleChecker = new RuleChecker(world, callers);
   world.bootstrap();
-  return { world, callers, ruleChecker: rules, faults: new FaultContext(world, rules, callers) };
+  return {
+    world,
+    callers,
+    ruleChecker,
+    faults: new FaultContext(world, ruleChecker, callers),
+  };
 };
 
 /** Ends a run: no more callers, all that is under way ends, every rule is checked. */
@@ -51,17 +56,17 @@
 /** How callers fared over a part of a run. */
 export const countOutcomes = (
   callers: SimulatedCallers,
-  from = 0,
-  to = Infinity,
+  startAt = 0,
+  endAt = Infinity,
 ): ReadonlyMap<string, number> => {
-  const count = new Map<string, number>();
-  for (const one of callers.requests) {
-    if (one.sentAt < from || one.sentAt >= to) continue;
-    add(count, one.result?.kind ?? 'silent');
+  const counts = new Map<string, number>();
+  for (const request of callers.requests) {
+    if (request.sentAt < startAt || request.sentAt >= endAt) continue;
+    add(counts, request.result?.kind ?? 'silent');
   }
-  return count;
+  return counts;
 };
 
 /** So many seeds, one after the other. */
-export const seedRange = (many: number): readonly number[] =>
-  Array.from({ length: many }, (_, at) => 100 + at);
+export const seedRange = (count: number): readonly number[] =>
+  Array.from({ length: count }, (_, index) => 100 + index);
--- a/packages/simulator/src/run/network-partition.test.ts
+++ b/packages/simulator/src/run/network-partition.test.ts
@@ -30,7 +30,7 @@
     shields: 2,
     stores: 3,
     replication: { copies: 2, tolerate: 1, electorateFollowsRegistries: false },
-    startsFromDisks: true,
+    offersDiskHints: true,
   });
   run.callers.start();
   run.world.runFor(2000);
--- a/packages/simulator/src/run/random-faults.test.ts
+++ b/packages/simulator/src/run/random-faults.test.ts
@@ -24,7 +24,7 @@
     });
     addCounts(tried, report.coverage);
     assert.deepEqual(report.violations, []);
-    assert.ok(report.causedFaults.length === 25 && report.results > 500);
+    assert.ok(report.causedFaultNumbers.length === 25 && report.resultCount > 500);
   });
 }
 
@@ -112,7 +112,7 @@
       skippedFaults: new Set(),
       trace: (text) => lines.push(text),
     });
-    return JSON.stringify([lines, report.events, report.results]);
+    return JSON.stringify([lines, report.messageCount, report.resultCount]);
   });
   assert.equal(traces[0], traces[1]);
 });
--- a/packages/simulator/src/run/random-faults.ts
+++ b/packages/simulator/src/run/random-faults.ts
@@ -10,7 +10,7 @@
 import { SimulatedOperators } from '../history/operators.js';
 import { RuleChecker } from '../rules/rule-checker.js';
 import type { CoverageGoal } from '../rules/coverage.js';
-import { goodConditions } from '../world/network.js';
+import { normalConditions } from '../world/network.js';
 import { World } from '../world/world.js';
 
 const requestsPerSecond = 40;
@@ -35,11 +35,11 @@
 /** What a run came to. */
 export interface RandomFaultReport {
   readonly violations: readonly string[];
-  readonly faults: ReadonlyMap<string, number>;
-  readonly requests: number;
-  readonly results: number;
-  readonly events: number;
-  readonly causedFaults: readonly number[];
+  readonly faultCounts: ReadonlyMap<string, number>;
+  readonly requestCount: number;
+  readonly resultCount: number;
+  readonly messageCount: number;
+  readonly causedFaultNumbers: readonly number[];
   readonly coverage: ReadonlyMap<CoverageGoal, number>;
   /** How often each point of the operators' history was put to the test. */
   readonly historyCoverage: ReadonlyMap<HistoryCoverageGoal, number>;
@@ -47,7 +47,7 @@
 
 const endAllFaults = (world: World): void => {
   world.network.heal();
-  world.network.conditions = goodConditions;
+  world.network.conditions = normalConditions;
   for (const store of world.stores) store.disk.recover();
   for (const process of world.allProcesses) {
     process.resume();
@@ -56,7 +56,7 @@
   for (const proxy of world.proxies) proxy.failsToCompile = false;
   for (const origin of world.origins) {
     origin.extraLatencyMs = 0;
-    origin.repair();
+    origin.clearResponseFaults();
   }
 };
 
@@ -150,11 +150,11 @@
   const candidates = candidatesOf(options.namePrefixes);
   if (candidates.some((fault) => numberedCommandFaults.includes(fault))) {
     context.operators = new SimulatedOperators(world, world.history);
-    context.operators.beginReading();
+    context.operators.startReading();
   }
   const caused = causeFaults(context, candidates, options);
   const recoveryViolations = checkRecovery(context);
-  context.operators?.endReading();
+  context.operators?.stopReading();
   const history = checkHistory(world.history.operations);
   return {
     violations: [
@@ -162,12 +162,12 @@
       ...history.violations.map((violation) => `history: ${violation}`),
       ...recoveryViolations,
     ],
-    faults: caused.counts,
-    causedFaults: caused.numbers,
+    faultCounts: caused.counts,
+    causedFaultNumbers: caused.numbers,
     coverage: world.coverage.counts,
     historyCoverage: history.counts,
-    events: world.network.sentCount,
-    requests: callers.requests.length,
-    results: callers.requests.filter((request) => request.result?.kind === 'result').length,
+    messageCount: world.network.sentCount,
+    requestCount: callers.requests.length,
+    resultCount: callers.requests.filter((request) => request.result?.kind === 'result').length,
   };
 };
--- a/packages/simulator/src/run/replication.test.ts
+++ b/packages/simulator/src/run/replication.test.ts
@@ -76,7 +76,7 @@
   );
   for (const one of writes)
     assert.ok(run.world.primary()?.hasResultOf(one.id) === true, `${what}: ${one.id} is lost`);
-  confirmed(run, 9000 + run.faults.nextSerial());
+  confirmed(run, 9000 + run.faults.nextNumber());
   assert.ok(
     run.world.runUntil(10_000, () => inSync(run).length === copies),
     `${what}: in sync again: ${inSync(run).join(', ')}`,
--- a/packages/simulator/src/run/request-deadlines.test.ts
+++ b/packages/simulator/src/run/request-deadlines.test.ts
@@ -9,7 +9,7 @@
 /** Routes give three seconds: what is replied to by half of it was not held back for its deadline. */
 const half = 1500;
 
-const spent = (asked: CallerRequest): number => (asked.answeredAt ?? Infinity) - asked.sentAt;
+const spent = (asked: CallerRequest): number => (asked.repliedAt ?? Infinity) - asked.sentAt;
 
 /** Sends requests for a while and gives those that got no result, once all have a reply. */
 const refused = (run: Fixture, span: number, edge?: SimulatedProxy): readonly CallerRequest[] => {
--- a/packages/simulator/src/run/soak.ts
+++ b/packages/simulator/src/run/soak.ts
@@ -42,68 +42,69 @@
   },
 );
 
-const whole = (raw: number, low: number, high: number): boolean =>
-  Number.isSafeInteger(raw) && raw >= low && raw <= high;
-const known = new Set(['seed', 'runs', 'steps', 'only', 'trace', 'shrink']);
-const fault = [
+const isIntegerInRange = (value: number, min: number, max: number): boolean =>
+  Number.isSafeInteger(value) && value >= min && value <= max;
+const knownFlags = new Set(['seed', 'runs', 'steps', 'only', 'trace', 'shrink']);
+const usageErrors = [
   ...Object.keys(cli.flags)
-    .filter((name) => !known.has(name))
+    .filter((name) => !knownFlags.has(name))
     .map((name) => `--${name}: no such flag`),
-  ...cli.input.map((one) => `${one}: not a flag`),
-  ...(cli.flags.seed === undefined || whole(cli.flags.seed, 0, 4294967295)
+  ...cli.input.map((argument) => `${argument}: not a flag`),
+  ...(cli.flags.seed === undefined || isIntegerInRange(cli.flags.seed, 0, 4294967295)
     ? []
     : ['--seed: a whole number from 0 to 4294967295']),
-  ...(whole(cli.flags.runs, 1, 1_000_000) ? [] : ['--runs: a whole number from 1']),
-  ...(whole(cli.flags.steps, 0, 100_000) ? [] : ['--steps: a whole number from 0']),
+  ...(isIntegerInRange(cli.flags.runs, 1, 1_000_000) ? [] : ['--runs: a whole number from 1']),
+  ...(isIntegerInRange(cli.flags.steps, 0, 100_000) ? [] : ['--steps: a whole number from 0']),
 ];
-if (fault.length > 0) {
-  for (const line of fault) process.stderr.write(`soak: ${line}\n`);
+if (usageErrors.length > 0) {
+  for (const line of usageErrors) process.stderr.write(`soak: ${line}\n`);
   process.exit(2);
 }
 
-const say = (text: string): void => {
+const printLine = (text: string): void => {
   process.stdout.write(`${text}\n`);
 };
 
 /** Leaves faults out one by one for as long as the run still fails. */
 const shrink = (options: RandomFaultOptions, report: RandomFaultReport): ReadonlySet<number> => {
-  let skip = new Set(options.skippedFaults);
-  for (const step of report.causedFaults) {
-    const tried = new Set([...skip, step]);
-    if (runRandomFaults({ ...options, skippedFaults: tried }).violations.length > 0) skip = tried;
+  let skippedFaults = new Set(options.skippedFaults);
+  for (const number of report.causedFaultNumbers) {
+    const candidate = new Set([...skippedFaults, number]);
+    if (runRandomFaults({ ...options, skippedFaults: candidate }).violations.length > 0)
+      skippedFaults = candidate;
   }
-  return skip;
+  return skippedFaults;
 };
 
-const first = cli.flags.seed ?? Math.floor(Math.random() * 4294967296);
-const total = new Map<string, number>();
-const tried = new Map<CoverageGoal, number>();
-const historyTried = new Map<HistoryCoverageGoal, number>();
+const firstSeed = cli.flags.seed ?? Math.floor(Math.random() * 4294967296);
+const faultCounts = new Map<string, number>();
+const coverage = new Map<CoverageGoal, number>();
+const historyCoverage = new Map<HistoryCoverageGoal, number>();
 let requests = 0;
 let results = 0;
-let failing = 0;
-const began = performance.now();
+let failedRuns = 0;
+const startedAt = performance.now();
 for (let run = 0; run < cli.flags.runs; run += 1) {
   const options: RandomFaultOptions = {
-    seed: (first + run) >>> 0,
+    seed: (firstSeed + run) >>> 0,
     faultCount: cli.flags.steps,
     namePrefixes: cli.flags.only ?? [],
     skippedFaults: new Set(),
-    ...(cli.flags.trace ? { trace: say } : {}),
+    ...(cli.flags.trace ? { trace: printLine } : {}),
   };
   const report = runRandomFaults(options);
-  addCounts(tried, report.coverage);
-  for (const [point, many] of report.historyCoverage) increment(historyTried, point, many);
-  requests += report.requests;
-  results += report.results;
-  for (const [name, many] of report.faults) increment(total, name, many);
+  addCounts(coverage, report.coverage);
+  for (const [goal, count] of report.historyCoverage) increment(historyCoverage, goal, count);
+  requests += report.requestCount;
+  results += report.resultCount;
+  for (const [name, count] of report.faultCounts) increment(faultCounts, name, count);
   if (report.violations.length === 0) continue;
-  failing += 1;
-  say(`seed ${options.seed}, ${options.faultCount} steps:`);
-  for (const line of report.violations.slice(0, 3)) say(`  ${line}`);
-  if (report.violations.length > 3) say(`  and ${report.violations.length - 3} more`);
+  failedRuns += 1;
+  printLine(`seed ${options.seed}, ${options.faultCount} steps:`);
+  for (const line of report.violations.slice(0, 3)) printLine(`  ${line}`);
+  if (report.violations.length > 3) printLine(`  and ${report.violations.length - 3} more`);
   if (cli.flags.shrink) {
-    const skip = shrink(
+    const skippedFaults = shrink(
       {
         seed: options.seed,
         faultCount: options.faultCount,
@@ -112,27 +113,28 @@
       },
       report,
     );
-    const left = report.causedFaults.filter((step) => !skip.has(step));
-    say(`  still fails with only steps ${left.join(', ')}:`);
+    const remaining = report.causedFaultNumbers.filter((number) => !skippedFaults.has(number));
+    printLine(`  still fails with only steps ${remaining.join(', ')}:`);
     runRandomFaults({
       seed: options.seed,
       faultCount: options.faultCount,
       namePrefixes: options.namePrefixes,
-      skippedFaults: skip,
-      trace: (text) => say(`    ${text}`),
+      skippedFaults,
+      trace: (text) => printLine(`    ${text}`),
     });
   }
 }
-say(
-  `seeds ${first} to ${(first + cli.flags.runs - 1) >>> 0}, ${cli.flags.steps} faults each, ${Math.round((performance.now() - began) / 1000)} s: ${failing} of ${cli.flags.runs} runs broke a rule`,
+printLine(
+  `seeds ${firstSeed} to ${(firstSeed + cli.flags.runs - 1) >>> 0}, ${cli.flags.steps} faults each, ${Math.round((performance.now() - startedAt) / 1000)} s: ${failedRuns} of ${cli.flags.runs} runs broke a rule`,
 );
-say(
-  `${requests} requests, ${results} with a result; faults: ${[...total]
+printLine(
+  `${requests} requests, ${results} with a result; faults: ${[...faultCounts]
     .sort()
-    .map(([name, many]) => `${name} ${many}`)
+    .map(([name, count]) => `${name} ${count}`)
     .join(', ')}`,
 );
-for (const name of coverageGoals) say(`${String(tried.get(name) ?? 0).padStart(8)}  ${name}`);
-for (const point of historyCoverageGoals)
-  say(`${String(historyTried.get(point) ?? 0).padStart(8)}  history: ${point}`);
-process.exitCode = failing > 0 ? 1 : 0;
+for (const name of coverageGoals)
+  printLine(`${String(coverage.get(name) ?? 0).padStart(8)}  ${name}`);
+for (const goal of historyCoverageGoals)
+  printLine(`${String(historyCoverage.get(goal) ?? 0).padStart(8)}  history: ${goal}`);
+process.exitCode = failedRuns > 0 ? 1 : 0;
--- a/packages/simulator/src/world/configuration.ts
+++ b/packages/simulator/src/world/configuration.ts
@@ -74,17 +74,17 @@
     { name: 'act', latencyMs: 400, share: variant === 'invalid' && marker % 2 === 0 ? 0.6 : 0.3 },
     { name: 'bulk', share: 0.1 },
   ],
-  services: layout.services.map((one) => ({
-    name: one.name,
+  services: layout.services.map((service) => ({
+    name: service.name,
     waitlist: 200 + (marker % 100),
-    ...(one.perSecond === undefined ? {} : { perSecond: one.perSecond }),
-    ...(one.hedgeMs === undefined ? {} : { hedgeMs: one.hedgeMs }),
+    ...(service.perSecond === undefined ? {} : { perSecond: service.perSecond }),
+    ...(service.hedgeMs === undefined ? {} : { hedgeMs: service.hedgeMs }),
   })),
   routes: [
     ...layout.services.flatMap((service) => routesOf(service.name, marker, variant)),
-    ...Array.from({ length: variant === 'huge' ? hugeRouteCount : 0 }, (_, at) => ({
-      name: `huge-${at}`,
-      path: `/huge/${at}/${at % 7 === 0 ? marker : 0}`,
+    ...Array.from({ length: variant === 'huge' ? hugeRouteCount : 0 }, (_, index) => ({
+      name: `huge-${index}`,
+      path: `/huge/${index}/${index % 7 === 0 ? marker : 0}`,
       service: layout.services[0]?.name ?? '',
       class: 'bulk',
     })),
--- a/packages/simulator/src/world/network.ts
+++ b/packages/simulator/src/world/network.ts
@@ -14,7 +14,7 @@
   readonly delayProbability: number;
 }
 /** Links without faults. */
-export const goodConditions: LinkConditions = {
+export const normalConditions: LinkConditions = {
   minLatencyMs: 0.2,
   maxLatencyMs: 2,
   lossProbability: 0,
@@ -48,101 +48,108 @@
 export class Network {
   readonly #eventQueue: EventQueue;
   readonly #random: SeededRandom;
-  readonly #cuts = new Set<string>();
+  readonly #cutLinks = new Set<string>();
   /** What waits in channels whose way is stalled: it arrives, late, once the way is whole. */
-  readonly #stalled = new Map<string, (() => void)[]>();
-  readonly #refused = new Set<string>();
-  conditions: LinkConditions = goodConditions;
+  readonly #stalledMessages = new Map<string, (() => void)[]>();
+  readonly #refusedLinks = new Set<string>();
+  conditions: LinkConditions = normalConditions;
   sentCount = 0;
   observer: NetworkObserver | undefined;
 
-  constructor(agenda: EventQueue, chance: SeededRandom) {
-    this.#eventQueue = agenda;
-    this.#random = chance;
+  constructor(eventQueue: EventQueue, random: SeededRandom) {
+    this.#eventQueue = eventQueue;
+    this.#random = random;
   }
 
   cut(from: string, to: string): void {
-    this.#cuts.add(`${from}>${to}`);
+    this.#cutLinks.add(`${from}>${to}`);
   }
 
   /** Nothing gets through, nobody notices, and all that is sent meanwhile arrives after the healing. */
   stall(from: string, to: string): void {
-    this.#stalled.set(`${from}>${to}`, []);
+    this.#stalledMessages.set(`${from}>${to}`, []);
     this.cut(from, to);
   }
 
   /** Nothing gets through, and a sender sees at once that the connection was refused. */
   refuse(from: string, to: string): void {
-    this.#refused.add(`${from}>${to}`);
+    this.#refusedLinks.add(`${from}>${to}`);
     this.cut(from, to);
   }
 
   isRefused(from: string, to: string): boolean {
-    return this.#refused.has(`${from}>${to}`);
+    return this.#refusedLinks.has(`${from}>${to}`);
   }
 
   /** How many ways are cut. */
   get cutCount(): number {
-    return this.#cuts.size;
+    return this.#cutLinks.size;
   }
 
   heal(): void {
-    const late = [...this.#stalled.values()].flat();
-    this.#cuts.clear();
-    this.#stalled.clear();
-    this.#refused.clear();
-    for (const arrive of late) this.#eventQueue.schedule(this.#delay(), arrive);
+    const heldMessages = [...this.#stalledMessages.values()].flat();
+    this.#cutLinks.clear();
+    this.#stalledMessages.clear();
+    this.#refusedLinks.clear();
+    for (const deliver of heldMessages) this.#eventQueue.schedule(this.#drawLatencyMs(), deliver);
   }
 
   isOpen(from: string, to: string): boolean {
-    return !this.#cuts.has(`${from}>${to}`);
+    return !this.#cutLinks.has(`${from}>${to}`);
   }
 
-  #delay(): number {
+  #drawLatencyMs(): number {
     const { minLatencyMs, maxLatencyMs, delayProbability } = this.conditions;
-    const plain = this.#random.uniform(minLatencyMs, maxLatencyMs);
-    return this.#random.happens(delayProbability) ? plain + this.#random.uniform(20, 200) : plain;
+    const latencyMs = this.#random.uniform(minLatencyMs, maxLatencyMs);
+    return this.#random.happens(delayProbability)
+      ? latencyMs + this.#random.uniform(20, 200)
+      : latencyMs;
   }
 
   /** Tells the observer that something is sent, and again when it arrives. */
-  #observed(from: string, to: string, arrive: () => void): () => void {
+  #observed(from: string, to: string, deliver: () => void): () => void {
     const { observer } = this;
-    if (observer === undefined) return arrive;
+    if (observer === undefined) return deliver;
     observer.sent(from, to);
     return () => {
       observer.delivered(from, to);
-      arrive();
+      deliver();
     };
   }
 
   /** Carries something over that may be lost, doubled or overtaken. */
   sendDatagram(from: string, to: string, onArrival: () => void): void {
     this.sentCount += 1;
-    const arrive = this.#observed(from, to, onArrival);
-    const waiting = this.#stalled.get(`${from}>${to}`);
-    if (waiting !== undefined) {
-      waiting.push(arrive);
+    const deliver = this.#observed(from, to, onArrival);
+    const stalledMessages = this.#stalledMessages.get(`${from}>${to}`);
+    if (stalledMessages !== undefined) {
+      stalledMessages.push(deliver);
       return;
     }
     if (!this.isOpen(from, to) || this.#random.happens(this.conditions.lossProbability)) return;
-    const land = (): void => {
-      if (this.isOpen(from, to)) arrive();
+    const deliverIfOpen = (): void => {
+      if (this.isOpen(from, to)) deliver();
     };
-    this.#eventQueue.schedule(this.#delay(), land);
+    this.#eventQueue.schedule(this.#drawLatencyMs(), deliverIfOpen);
     if (this.#random.happens(this.conditions.duplicationProbability))
-      this.#eventQueue.schedule(this.#delay(), land);
+      this.#eventQueue.schedule(this.#drawLatencyMs(), deliverIfOpen);
   }
 
   /** Carries something over a channel that keeps order and loses nothing while it stands. */
-  sendOrdered(from: string, to: string, lane: { nextFreeAt: number }, onArrival: () => void): void {
+  sendOrdered(
+    from: string,
+    to: string,
+    sendQueue: { nextFreeAt: number },
+    onArrival: () => void,
+  ): void {
     this.sentCount += 1;
-    const arrive = this.#observed(from, to, onArrival);
-    const at = Math.max(this.#eventQueue.now + this.#delay(), lane.nextFreeAt);
-    lane.nextFreeAt = at;
-    const land = (): void => {
-      if (this.isOpen(from, to)) arrive();
-      else this.#eventQueue.schedule(50, land);
+    const deliver = this.#observed(from, to, onArrival);
+    const arrivesAt = Math.max(this.#eventQueue.now + this.#drawLatencyMs(), sendQueue.nextFreeAt);
+    sendQueue.nextFreeAt = arrivesAt;
+    const deliverOrRetry = (): void => {
+      if (this.isOpen(from, to)) deliver();
+      else this.#eventQueue.schedule(50, deliverOrRetry);
     };
-    this.#eventQueue.schedule(at - this.#eventQueue.now, land);
+    this.#eventQueue.schedule(arrivesAt - this.#eventQueue.now, deliverOrRetry);
   }
 }
--- a/packages/simulator/src/world/process.ts
+++ b/packages/simulator/src/world/process.ts
@@ -39,7 +39,7 @@
   readonly network: Network;
   readonly processes: Map<Address, SimulatedProcess>;
   /** Called after each event that any machine acted on. */
-  afterEvent: (actor: SimulatedProcess) => void;
+  afterEvent: (process: SimulatedProcess) => void;
   readonly logs: string[];
   readonly coverage: Coverage;
   /** What an actor saw itself do that it may not. */
@@ -62,13 +62,13 @@
   #isFrozen = false;
   #incarnationNumber = 0;
   readonly #heldWork: (() => void)[] = [];
-  readonly #endings = new Map<number, 'killed' | 'planned'>();
+  readonly #terminations = new Map<number, 'killed' | 'planned'>();
 
-  constructor(context: SimulationContext, node: NodeId, address: Address, area: string) {
+  constructor(context: SimulationContext, node: NodeId, address: Address, zone: string) {
     this.context = context;
     this.node = node;
     this.address = address;
-    this.zone = area;
+    this.zone = zone;
     this.#clockOffset = context.random.uniform(1000, 1_000_000);
     this.#clockRate = 1 + context.random.uniform(-0.005, 0.005);
     context.processes.set(address, this);
@@ -111,16 +111,16 @@
 
   /** How one of its incarnations came to its end. */
   terminationOf(incarnationNumber: number): 'alive' | 'killed' | 'planned' {
-    return this.#endings.get(incarnationNumber) ?? 'alive';
+    return this.#terminations.get(incarnationNumber) ?? 'alive';
   }
 
-  kill(how: 'killed' | 'planned' = 'killed'): void {
+  kill(termination: 'killed' | 'planned' = 'killed'): void {
     if (!this.#isAlive) return;
-    this.#endings.set(this.#incarnationNumber, how);
+    this.#terminations.set(this.#incarnationNumber, termination);
     this.#isAlive = false;
     this.#isFrozen = false;
     this.#heldWork.splice(0);
-    this.onEnd();
+    this.onTerminated();
     // Connections end: the peers that can be reached see it.
     for (const other of this.context.processes.values()) {
       if (other !== this && other.isAlive)
@@ -138,18 +138,18 @@
   resume(): void {
     if (!this.#isFrozen) return;
     this.#isFrozen = false;
-    for (const act of this.#heldWork.splice(0)) if (this.#isAlive) act();
+    for (const work of this.#heldWork.splice(0)) if (this.#isAlive) work();
   }
 
   /** Runs something as part of this process: later if it is frozen, not at all if it is another incarnation. */
   execute(work: () => void, incarnationNumber = this.#incarnationNumber): void {
-    const guarded = (): void => {
+    const runIfAlive = (): void => {
       if (!this.#isAlive || incarnationNumber !== this.#incarnationNumber) return;
       work();
       this.context.afterEvent(this);
     };
-    if (this.#isFrozen) this.#heldWork.push(guarded);
-    else guarded();
+    if (this.#isFrozen) this.#heldWork.push(runIfAlive);
+    else runIfAlive();
   }
 
   /** Schedules something for this incarnation of the process only. */
@@ -166,7 +166,7 @@
     });
   }
 
-  protected runWireEffect(effect: ProcessEffect): void {
+  protected runProcessEffect(effect: ProcessEffect): void {
     if (effect.kind === 'log') {
       if (effect.level !== 'info')
         this.context.logs.push(
@@ -189,8 +189,8 @@
     const incarnationNumber = other.incarnationNumber;
     // Now and then what is sent goes through the real coding, so that frames and their checks stay in step.
     const received = this.context.random.happens(0.02)
-      ? deserializeFrame(serializeFrame(frame)).unwrapOrElse((fault) => {
-          throw new Error(`${frame.kind}: ${fault.text}`);
+      ? deserializeFrame(serializeFrame(frame)).unwrapOrElse((parseError) => {
+          throw new Error(`${frame.kind}: ${parseError.text}`);
         })
       : frame;
     this.context.network.sendDatagram(this.node, other.node, () => {
@@ -212,14 +212,14 @@
   }
 
   protected abstract onStart(): void;
-  protected abstract onEnd(): void;
-  abstract dispatch(make: (now: Timestamp) => ProcessEvent): void;
-
-  protected createStateMachine<S, E, F>(
-    reduce: (state: S, event: E) => Transition<S, F>,
-    first: S,
-    run: (effect: F) => void,
-  ): StateMachine<S, E> {
-    return createStateMachine<S, E, F>(reduce, first, run);
+  protected abstract onTerminated(): void;
+  abstract dispatch(makeEvent: (now: Timestamp) => ProcessEvent): void;
+
+  protected createStateMachine<State, Event, Effect>(
+    reducer: (state: State, event: Event) => Transition<State, Effect>,
+    initialState: State,
+    runEffect: (effect: Effect) => void,
+  ): StateMachine<State, Event> {
+    return createStateMachine<State, Event, Effect>(reducer, initialState, runEffect);
   }
 }
--- a/packages/simulator/src/world/seeded-random.ts
+++ b/packages/simulator/src/world/seeded-random.ts
@@ -12,8 +12,8 @@
 
   /** From 0 up to 1. */
   next(): number {
-    const [value, dice] = nextRandom(this.#state);
-    this.#state = dice;
+    const [value, nextState] = nextRandom(this.#state);
+    this.#state = nextState;
     return value;
   }
 
