--- a/packages/simulator/src/world/virtual-disk.ts
+++ b/packages/simulator/src/world/virtual-disk.ts
@@ -6,40 +6,40 @@
 /** What a virtual disk does just now. */
 export type DiskCondition = 'well' | 'full' | 'stalled';
 
-interface QueuedWrite<W> {
-  readonly write: W;
-  readonly done: (ok: boolean, full: boolean) => void;
+interface QueuedWrite<Write> {
+  readonly write: Write;
+  readonly onDone: (isSynced: boolean, isDiskFull: boolean) => void;
   readonly powerCycle: object;
 }
 
 /** A virtual disk: it keeps what is synced, and may fill, stall, tear, or forget all. */
-export class VirtualDisk<W> {
+export class VirtualDisk<Write> {
   readonly #eventQueue: EventQueue;
   readonly #random: SeededRandom;
-  readonly #queue: QueuedWrite<W>[] = [];
+  readonly #queue: QueuedWrite<Write>[] = [];
   #isWriting = false;
   #powerCycle = {};
   condition: DiskCondition = 'well';
   /** Writes in the order in which they were synced. */
-  readonly synced: W[] = [];
+  readonly synced: Write[] = [];
   isTorn = false;
 
-  constructor(agenda: EventQueue, chance: SeededRandom) {
-    this.#eventQueue = agenda;
-    this.#random = chance;
+  constructor(eventQueue: EventQueue, random: SeededRandom) {
+    this.#eventQueue = eventQueue;
+    this.#random = random;
   }
 
-  write(write: W, done: (ok: boolean, full: boolean) => void): void {
-    this.#queue.push({ write, done, powerCycle: this.#powerCycle });
+  write(write: Write, onDone: (isSynced: boolean, isDiskFull: boolean) => void): void {
+    this.#queue.push({ write, onDone, powerCycle: this.#powerCycle });
     this.#writeNext();
   }
 
   /** Power goes: what was not synced is gone, but for a write that may just have made it. */
   losePower(): void {
     this.#powerCycle = {};
-    const first = this.#queue[0];
-    if (first !== undefined && this.condition === 'well' && this.#random.happens(0.5))
-      this.synced.push(first.write);
+    const pendingWrite = this.#queue[0];
+    if (pendingWrite !== undefined && this.condition === 'well' && this.#random.happens(0.5))
+      this.synced.push(pendingWrite.write);
     this.#queue.splice(0);
     this.#isWriting = false;
   }
@@ -56,18 +56,18 @@
   }
 
   #writeNext(): void {
-    const first = this.#queue[0];
-    if (this.#isWriting || first === undefined || this.condition === 'stalled') return;
+    const queued = this.#queue[0];
+    if (this.#isWriting || queued === undefined || this.condition === 'stalled') return;
     this.#isWriting = true;
-    const mark = this.#powerCycle;
+    const powerCycle = this.#powerCycle;
     this.#eventQueue.schedule(this.#random.uniform(1, 8), () => {
-      if (mark !== this.#powerCycle) return;
+      if (powerCycle !== this.#powerCycle) return;
       this.#isWriting = false;
       if (this.condition === 'stalled') return;
       this.#queue.shift();
-      const full = this.condition === 'full';
-      if (!full) this.synced.push(first.write);
-      first.done(!full, full);
+      const isDiskFull = this.condition === 'full';
+      if (!isDiskFull) this.synced.push(queued.write);
+      queued.onDone(!isDiskFull, isDiskFull);
       this.#writeNext();
     });
   }
--- a/packages/simulator/src/world/world.ts
+++ b/packages/simulator/src/world/world.ts
@@ -36,7 +36,7 @@
   readonly stores?: number;
   readonly replication?: ReplicationSettings;
   /** Whether nodes that run nothing may start on what disks hold. */
-  readonly startsFromDisks?: boolean;
+  readonly offersDiskHints?: boolean;
   /** The areas of the machines with a disk, in their order; they go round by four if it isn't said. */
   readonly storeZones?: readonly string[];
   readonly services: readonly {
@@ -90,7 +90,7 @@
   readonly #revisions = new Map<string, { readonly revision: number; readonly since: number }[]>();
   #originCount = 0;
   #writeCount = 0;
-  afterEvent: (actor: SimulatedProcess) => void = () => undefined;
+  afterEvent: (process: SimulatedProcess) => void = () => undefined;
   /** Sees every control frame, where a run needs it. */
   frameObserver: FrameObserver | undefined;
   /** Whether a node is out of reach of the fleet. */
@@ -100,57 +100,57 @@
     this.layout = layout;
     this.random = new SeededRandom(layout.seed);
     this.network = new Network(this.eventQueue, this.random.fork());
-    const seeds = (): readonly Address[] => this.registries.slice(0, 3).map((one) => one.address);
-    const areas = ['one', 'two', 'three', 'four'];
-    const area = (at: number): string => areas[at % areas.length] ?? 'one';
+    const seeds = (): readonly Address[] => this.registries.slice(0, 3).map((peer) => peer.address);
+    const zones = ['one', 'two', 'three', 'four'];
+    const zoneAt = (index: number): string => zones[index % zones.length] ?? 'one';
     const stores = layout.stores ?? 2;
-    for (let at = 0; at < layout.shields + stores; at += 1) {
+    for (let index = 0; index < layout.shields + stores; index += 1) {
       const name =
-        at < layout.shields
-          ? `shield-${at + 1}-registry`
-          : `store-${at - layout.shields + 1}-registry`;
+        index < layout.shields
+          ? `shield-${index + 1}-registry`
+          : `store-${index - layout.shields + 1}-registry`;
       this.registries.push(
         new SimulatedRegistry(
           this,
           toNodeId(name),
-          toAddress(`10.0.0.${at + 1}:1`),
-          layout.storeZones?.[at - layout.shields] ?? area(at),
+          toAddress(`10.0.0.${index + 1}:1`),
+          layout.storeZones?.[index - layout.shields] ?? zoneAt(index),
           seeds,
-          layout.startsFromDisks,
+          layout.offersDiskHints,
         ),
       );
     }
-    for (let at = 0; at < stores; at += 1)
+    for (let index = 0; index < stores; index += 1)
       this.stores.push(
         new SimulatedStore(
           this,
-          toNodeId(`store-${at + 1}`),
-          toAddress(`10.0.1.${at + 1}:1`),
-          layout.storeZones?.[at] ?? area(at + 1),
+          toNodeId(`store-${index + 1}`),
+          toAddress(`10.0.1.${index + 1}:1`),
+          layout.storeZones?.[index] ?? zoneAt(index + 1),
           seeds,
           layout.replication,
         ),
       );
-    for (let at = 0; at < layout.shields; at += 1)
+    for (let index = 0; index < layout.shields; index += 1)
       this.proxies.push(
         new SimulatedProxy(
           this,
           'shield',
-          toNodeId(`shield-${at + 1}`),
-          toAddress(`10.0.2.${at + 1}:1`),
-          area(at),
+          toNodeId(`shield-${index + 1}`),
+          toAddress(`10.0.2.${index + 1}:1`),
+          zoneAt(index),
           seeds,
           () => this.origins,
         ),
       );
-    for (let at = 0; at < layout.edges; at += 1)
+    for (let index = 0; index < layout.edges; index += 1)
       this.proxies.push(
         new SimulatedProxy(
           this,
           'edge',
-          toNodeId(`edge-${at + 1}`),
-          toAddress(`10.0.3.${at + 1}:1`),
-          area(at),
+          toNodeId(`edge-${index + 1}`),
+          toAddress(`10.0.3.${index + 1}:1`),
+          zoneAt(index),
           seeds,
           () => this.origins,
         ),
@@ -159,7 +159,7 @@
 
   /** A new core machine's registry, found by the seeds that are there now. */
   addRegistry(name: string, index: number, zone = 'one'): SimulatedRegistry {
-    const seeds = this.registries.slice(0, 3).map((one) => one.address);
+    const seeds = this.registries.slice(0, 3).map((peer) => peer.address);
     const registry = new SimulatedRegistry(
       this,
       toNodeId(name),
@@ -190,7 +190,7 @@
 
   /** A new machine with a blank disk. */
   addStore(name: string, index: number, zone = 'one'): SimulatedStore {
-    const seeds = this.registries.slice(0, 3).map((one) => one.address);
+    const seeds = this.registries.slice(0, 3).map((peer) => peer.address);
     const store = new SimulatedStore(
       this,
       toNodeId(name),
@@ -223,17 +223,17 @@
   }
 
   get edges(): readonly SimulatedProxy[] {
-    return this.proxies.filter((one) => one.role === 'edge');
+    return this.proxies.filter((proxy) => proxy.role === 'edge');
   }
 
   get shields(): readonly SimulatedProxy[] {
-    return this.proxies.filter((one) => one.role === 'shield');
+    return this.proxies.filter((proxy) => proxy.role === 'shield');
   }
 
   findProcess(name: string): SimulatedProcess {
-    const found = this.allProcesses.find((one) => one.node === name);
-    if (found === undefined) throw new Error(`no actor ${name}`);
-    return found;
+    const process = this.allProcesses.find((process) => process.node === name);
+    if (process === undefined) throw new Error(`no actor ${name}`);
+    return process;
   }
 
   runFor(durationMs: number): void {
@@ -255,14 +255,14 @@
     address?: Address,
   ): SimulatedOrigin {
     this.#originCount += 1;
-    const spot =
+    const originAddress =
       address ??
       toAddress(`10.1.${Math.floor(this.#originCount / 200)}.${(this.#originCount % 200) + 1}:80`);
     const origin = new SimulatedOrigin(
       this,
       service,
       toInstanceId(`${service}.${this.#originCount}`),
-      spot,
+      originAddress,
       toRelease(release),
       slots,
       () => this.registries,
@@ -274,65 +274,67 @@
 
   /** Starts every process and origin, founds the fleet and applies a first configuration. */
   bootstrap(): void {
-    for (const actor of this.allProcesses)
-      this.eventQueue.schedule(this.random.uniform(0, 100), () => actor.start());
+    for (const process of this.allProcesses)
+      this.eventQueue.schedule(this.random.uniform(0, 100), () => process.start());
     for (const service of this.layout.services)
-      for (let at = 0; at < service.origins; at += 1) this.addOrigin(service.name, service.slots);
-    const met = this.runUntil(5000, () =>
+      for (let index = 0; index < service.origins; index += 1)
+        this.addOrigin(service.name, service.slots);
+    const isConnected = this.runUntil(5000, () =>
       this.registries.every(
-        (one) =>
-          one.state !== undefined &&
-          [...one.state.sessions.values()].filter((row) => row.member.role === 'registry')
-            .length ===
+        (registry) =>
+          registry.state !== undefined &&
+          [...registry.state.sessions.values()].filter(
+            (session) => session.member.role === 'registry',
+          ).length ===
             this.registries.length - 1 &&
-          [...one.state.sessions.values()].filter((row) => row.member.role === 'store').length ===
-            this.stores.length,
+          [...registry.state.sessions.values()].filter((session) => session.member.role === 'store')
+            .length === this.stores.length,
       ),
     );
-    if (!met) throw new Error('the core did not find itself');
-    let founded = false;
-    const found = (): void => {
+    if (!isConnected) throw new Error('the core did not find itself');
+    let isBootstrapped = false;
+    const requestBootstrap = (): void => {
       this.registries[0]?.handleRequest(
         {
           verb: 'bootstrap',
           id: toCommandId('found'),
           fleet: toFleetId('sim'),
-          stores: this.stores.map((one) => one.node),
-          voters: this.registries.map((one) => one.node),
+          stores: this.stores.map((store) => store.node),
+          voters: this.registries.map((registry) => registry.node),
         },
         (reply) => {
-          founded = reply.status === 200;
-          if (!founded) this.eventQueue.schedule(100, found);
+          isBootstrapped = reply.status === 200;
+          if (!isBootstrapped) this.eventQueue.schedule(100, requestBootstrap);
         },
       );
     };
-    found();
-    if (!this.runUntil(5000, () => founded)) throw new Error('the fleet was not founded');
+    requestBootstrap();
+    if (!this.runUntil(5000, () => isBootstrapped)) throw new Error('the fleet was not founded');
     if (!this.runUntil(5000, () => this.primary() !== undefined)) throw new Error('no primary');
     this.apply(1);
-    const up = (): boolean =>
-      this.proxies.every((one) => one.isReady) &&
-      this.layout.services.every((one) => this.serviceLeaderOf(one.name) !== undefined);
-    if (!this.runUntil(8000, up))
+    const isServing = (): boolean =>
+      this.proxies.every((proxy) => proxy.isReady) &&
+      this.layout.services.every((service) => this.serviceLeaderOf(service.name) !== undefined);
+    if (!this.runUntil(8000, isServing))
       throw new Error(
         `not in force: ${this.proxies
-          .filter((one) => !one.isReady)
-          .map((one) => one.node)
-          .join(', ')} ${JSON.stringify(this.writes.map((one) => one.reply))}`,
+          .filter((proxy) => !proxy.isReady)
+          .map((proxy) => proxy.node)
+          .join(', ')} ${JSON.stringify(this.writes.map((write) => write.reply))}`,
       );
   }
 
   primary(): SimulatedStore | undefined {
     return this.stores.find(
-      (one) =>
-        one.state?.isServing === true &&
-        one.state.candidate.phase.phase === 'holdingLease' &&
-        one.clock < one.state.candidate.phase.leaseEndsAt,
+      (store) =>
+        store.state?.isServing === true &&
+        store.state.candidate.phase.phase === 'holdingLease' &&
+        store.clock < store.state.candidate.phase.leaseEndsAt,
     );
   }
 
   serviceLeaderOf(service: ServiceName): SimulatedProxy | undefined {
-    return this.shields.find((one) => one.state?.activeLeaders.has(service));
+    return this.shields.find((shield) => shield.state?.activeLeaders.has(service));
   }
 
   revisionOf(path: string): number {
@@ -340,30 +342,32 @@
   }
 
   advanceRevision(path: string): void {
-    const list = this.#revisions.get(path) ?? [];
-    list.push({ revision: this.revisionOf(path) + 1, since: this.eventQueue.now });
-    this.#revisions.set(path, list);
+    const revisions = this.#revisions.get(path) ?? [];
+    revisions.push({ revision: this.revisionOf(path) + 1, since: this.eventQueue.now });
+    this.#revisions.set(path, revisions);
   }
 
   /** When a revision of an object stopped being the newest; undefined while it is. */
   supersededAt(path: string, revision: number): number | undefined {
-    return this.#revisions.get(path)?.find((one) => one.revision > revision)?.since;
+    return this.#revisions.get(path)?.find((entry) => entry.revision > revision)?.since;
   }
 
   #pickRegistry(): SimulatedRegistry | undefined {
-    return this.random.pick(this.registries.filter((one) => one.isAlive && !one.isFrozen));
+    return this.random.pick(
+      this.registries.filter((registry) => registry.isAlive && !registry.isFrozen),
+    );
   }
 
-  #send(
+  #sendWrite(
     write: OperatorWrite,
-    call: (registry: SimulatedRegistry, done: (reply: RegistryReply) => void) => void,
+    send: (registry: SimulatedRegistry, onReply: (reply: RegistryReply) => void) => void,
   ): void {
     const registry = this.#pickRegistry();
     if (registry === undefined) return;
-    call(registry, (reply) => {
+    send(registry, (reply) => {
       if (
         reply.status === 200 &&
-        write.paths.some((path) => this.origins.some((one) => one.isWorkingOn(path)))
+        write.paths.some((path) => this.origins.some((origin) => origin.isWorkingOn(path)))
       )
         this.coverage.record('R7: a purge raced a fetch');
       write.reply ??= {
@@ -380,7 +384,7 @@
   highestAcknowledgedGeneration(): number {
     return Math.max(
       0,
-      ...this.writes.map((one) => (one.reply?.status === 200 ? one.reply.generation : 0)),
+      ...this.writes.map((write) => (write.reply?.status === 200 ? write.reply.generation : 0)),
     );
   }
 
@@ -403,14 +407,14 @@
       revisions: new Map(),
     };
     this.writes.push(write);
-    const bundle = runToCompletion(
+    const split = runToCompletion(
       splitIntoChunks(createConfiguration(this.layout, marker, variant)),
     );
-    if (bundle.isErr) throw new Error(JSON.stringify(bundle.error));
-    const order: readonly Hash[] = bundle.value.chunkHashes;
-    this.#send(write, (registry, done) => {
-      const { hash } = bundle.value;
-      const open = this.history.begin<ConfigurationWrite>({
+    if (split.isErr) throw new Error(JSON.stringify(split.error));
+    const chunkHashes: readonly Hash[] = split.value.chunkHashes;
+    this.#sendWrite(write, (registry, onReply) => {
+      const { hash } = split.value;
+      const operation = this.history.begin<ConfigurationWrite>({
         kind: 'write',
         isNumbered: false,
         version: { number: undefined, hash },
@@ -423,15 +427,15 @@
           verb: 'apply',
           id: write.id,
           baseGeneration: base === undefined ? undefined : toGeneration(base),
-          hash: bundle.value.hash,
-          chunkHashes: order,
-          chunks: bundle.value.chunks,
+          hash: split.value.hash,
+          chunkHashes,
+          chunks: split.value.chunks,
         },
         (reply) => {
           const number =
             reply.status === 200 ? (numberField(reply.body, 'generation') ?? 0) : undefined;
-          open.end({ outcome: outcomeOfStatus(reply.status), version: { number, hash } });
-          done(reply);
+          operation.end({ outcome: outcomeOfStatus(reply.status), version: { number, hash } });
+          onReply(reply);
         },
       );
     });
@@ -439,7 +443,7 @@
   }
 
   /** An operator changes objects at the origins and purges them. */
-  purge(paths: readonly string[], aims: readonly PurgeTarget[]): OperatorWrite {
+  purge(paths: readonly string[], targets: readonly PurgeTarget[]): OperatorWrite {
     this.#writeCount += 1;
     for (const path of paths) this.advanceRevision(path);
     const write: OperatorWrite = {
@@ -453,18 +457,18 @@
       revisions: new Map(paths.map((path) => [path, this.revisionOf(path)])),
     };
     this.writes.push(write);
-    this.#send(write, (registry, done) => {
-      const open = this.history.begin<PurgeWrite>({
+    this.#sendWrite(write, (registry, onReply) => {
+      const operation = this.history.begin<PurgeWrite>({
         kind: 'purge',
         number: undefined,
         outcome: 'unknown',
         startedAt: this.eventQueue.now,
         endedAt: undefined,
       });
-      registry.handleRequest({ verb: 'purge', id: write.id, targets: aims }, (reply) => {
+      registry.handleRequest({ verb: 'purge', id: write.id, targets }, (reply) => {
         const number = reply.status === 200 ? (numberField(reply.body, 'purge') ?? 0) : undefined;
-        open.end({ outcome: outcomeOfStatus(reply.status), number });
-        done(reply);
+        operation.end({ outcome: outcomeOfStatus(reply.status), number });
+        onReply(reply);
       });
     });
     return write;
