--- a/packages/simulator/src/processes/origin.ts
+++ b/packages/simulator/src/processes/origin.ts
@@ -137,7 +137,9 @@
   #sendAnnouncement(): void {
     const reachableRegistries = this.#registries().filter(
       (candidate) =>
-        candidate.isAlive && !candidate.isFrozen && this.context.network.isOpen('origins', candidate.node),
+        candidate.isAlive &&
+        !candidate.isFrozen &&
+        this.context.network.isOpen('origins', candidate.node),
     );
     const registry = this.context.random.pick(reachableRegistries);
     const state = this.state;
