--- a/packages/routing/src/router/request-runner.ts
+++ b/packages/routing/src/router/request-runner.ts
@@ -1,7 +1,6 @@
 /**
- * Carries requests through: applies events to their state machine, runs the effects, and replies to the client and to
- * those who wait for the same fetch. It decides nothing about endpoints, caching or quotas; that is done by the modules
- * it stands on.
+ * Executes requests: applies events to their state machine, runs the effects, and replies to the client and to the
+ * requests that wait for the same fetch. Endpoint selection, caching and quotas are decided by other modules.
  */
 
 import { type ServiceName, type Timestamp, addMs, increment } from '@switchwheel/types';
@@ -25,15 +24,15 @@
 import { failureReply, sendReply } from './replies.js';
 import type { ResponseCache } from './response-cache.js';
 
-/** When a client is to come back whose object its owner could not fetch. */
+/** Retry delay for a client whose object could not be fetched by its owner. */
 const ownerRetryMs = 250;
 
-/** A hedge is due after this many times the service's typical latency, within the two bounds. */
+/** Lower bound of the hedge delay, as a multiple of the service's typical latency. */
 const hedgeLatencyFactor = 3;
 const minHedgeDelayMs = 60;
 const maxDefaultHedgeDelayMs = 400;
 
-/** What a runner stands on; all of it is the router's own. */
+/** Dependencies of a request runner, shared with its router. */
 export interface RequestRunnerOptions {
   readonly context: RouterContext;
   readonly originClient: OriginClient;
@@ -46,11 +45,11 @@
   readonly peerObjects: PeerObjects;
   readonly selector: EndpointSelector;
   readonly counts: Map<string, number>;
-  /** Accepts a request once more whose fetch brought nothing to share; gives what to call when its client leaves. */
-  readonly acceptAgain: (waiter: Waiter) => () => void;
+  /** Accepts a waiter again whose fetch gave no shareable response; returns the callback for a disconnect of its client. */
+  readonly resubmit: (waiter: Waiter) => () => void;
 }
 
-/** The requests in progress at one edge. */
+/** Runs the requests in progress of one edge. */
 export class RequestRunner {
   readonly #options: RequestRunnerOptions;
   readonly #sender: AttemptSender;
@@ -69,20 +68,20 @@
     });
   }
 
-  /** Requests in progress, without those that wait for another one's fetch. */
+  /** Number of requests in progress, excluding those that wait for another request's fetch. */
   get openRequests(): number {
     return this.#activeRequests.size;
   }
 
-  /** Begins a request: at the edge that owns its object, or else at an origin. */
+  /** Starts a request at the edge that owns its object, or otherwise at an origin. */
   start(active: ActiveRequest, isForPeer: boolean, now: Timestamp): void {
     this.#activeRequests.set(active.id, active);
-    const isAtOwner =
+    const isRequestedFromOwner =
       !isForPeer && this.#options.peerObjects.requestFromOwner(active, now, this.#onOwnerOutcome);
-    if (!isAtOwner) this.#begin(active, now);
+    if (!isRequestedFromOwner) this.#startAtOrigin(active, now);
   }
 
-  /** Ends what is past its deadline, and hedges what is late. */
+  /** Expires requests whose deadline has passed, and sends hedges that are due. */
   tick(now: Timestamp): void {
     for (const active of [...this.#activeRequests.values()]) {
       this.#expireWaiters(active.fetch, now);
@@ -94,23 +93,23 @@
     }
   }
 
-  /** Ends all requests in progress as expired. */
+  /** Expires all requests in progress. */
   abortAll(): void {
     const now = this.#options.context.now();
     for (const active of [...this.#activeRequests.values()])
       this.#dispatch(active, { kind: 'deadlineExpired', now });
   }
 
-  /** The client of a request has left. */
-  onClientGone(active: ActiveRequest): void {
-    active.isClientGone = true;
-    // Others may wait for what can be cached: it goes on without its client.
+  /** Called when the client of a request has disconnected. */
+  onClientDisconnected(active: ActiveRequest): void {
+    active.isClientDisconnected = true;
+    // A cacheable request continues, as others may wait for its fetch.
     if (active.cacheable === undefined)
       this.#dispatch(active, { kind: 'clientDisconnected', now: this.#options.context.now() });
   }
 
-  /** Sends a request to an origin for the first time. */
-  #begin(active: ActiveRequest, now: Timestamp): void {
+  /** Starts the first attempt at an origin. */
+  #startAtOrigin(active: ActiveRequest, now: Timestamp): void {
     active.hedgeAt = addMs(now, this.#hedgeDelayMs(active.service, active.route));
     this.#dispatch(active, { kind: 'started', now });
   }
@@ -128,7 +127,7 @@
     if (active.state.phase === 'finished') return;
     const now = this.#options.context.now();
     if (!outcome.isFound) {
-      this.#beginAfterOwner(active, outcome.mayHaveFetched, now);
+      this.#startWithoutOwner(active, outcome.mayHaveFetched, now);
       return;
     }
     const { object } = outcome;
@@ -137,49 +136,49 @@
         ? undefined
         : this.#options.responseCache.storeShared(active.cacheable, object, now);
     if (entry === undefined) {
-      this.#beginAfterOwner(active, false, now);
+      this.#startWithoutOwner(active, false, now);
       return;
     }
     increment(this.#options.counts, 'owner_told');
-    this.#finishEarly(active, { kind: 'cached', entry, purgeSeq: object.purged });
+    this.#finishWithoutAttempt(active, { kind: 'cached', entry, purgeSeq: object.purged });
   };
 
-  /** Goes on without the owner; what it may have sent to an origin counts as the request's first attempt. */
-  #beginAfterOwner(active: ActiveRequest, mayHaveFetched: boolean, now: Timestamp): void {
+  /** Continues without the owner. If the owner may have sent an attempt, that counts as the request's first attempt. */
+  #startWithoutOwner(active: ActiveRequest, mayHaveFetched: boolean, now: Timestamp): void {
     increment(this.#options.counts, 'owner_silent');
     if (!mayHaveFetched) {
-      this.#begin(active, now);
+      this.#startAtOrigin(active, now);
       return;
     }
     const { maxAttempts } = active.state;
     if (maxAttempts > 1 && this.#options.quota.takeExtraAttempt(active.service, now)) {
       active.state = { ...active.state, maxAttempts: maxAttempts - 1 };
-      this.#begin(active, now);
+      this.#startAtOrigin(active, now);
       return;
     }
     increment(this.#options.counts, 'budget');
-    this.#finishEarly(
+    this.#finishWithoutAttempt(
       active,
       failureReply('lost', 'the object could not be fetched', ownerRetryMs),
     );
   }
 
-  /** Ends a request that was never sent to an origin from here. */
-  #finishEarly(active: ActiveRequest, reply: ClientReply): void {
+  /** Finishes a request that this edge never sent to an origin. */
+  #finishWithoutAttempt(active: ActiveRequest, reply: ClientReply): void {
     active.state = { ...active.state, phase: 'finished' };
     this.#activeRequests.delete(active.id);
     this.#finish(active, reply);
   }
 
-  /** Applies an event to a request, and those that its effects raise in turn. */
+  /** Applies an event to a request, and then the events that its effects produce. */
   #dispatch(active: ActiveRequest, event: RequestEvent): void {
     const queue: RequestEvent[] = [event];
-    for (let head = queue.shift(); head !== undefined; head = queue.shift()) {
-      const { state, effects } = requestTransition(active.state, head);
+    for (let nextEvent = queue.shift(); nextEvent !== undefined; nextEvent = queue.shift()) {
+      const { state, effects } = requestTransition(active.state, nextEvent);
       active.state = state;
       for (const effect of effects) {
-        const raised = this.#runEffect(active, effect, head.now);
-        if (raised !== undefined) queue.push(raised);
+        const followUpEvent = this.#runEffect(active, effect, nextEvent.now);
+        if (followUpEvent !== undefined) queue.push(followUpEvent);
       }
     }
     if (active.state.phase === 'finished') this.#activeRequests.delete(active.id);
@@ -205,7 +204,7 @@
     }
   }
 
-  /** The reply for an outcome; a response that may be cached is stored. */
+  /** Returns the reply for an outcome, and stores a response that may be cached. */
   #replyOf(active: ActiveRequest, outcome: RequestOutcome, now: Timestamp): ClientReply {
     if (outcome.kind === 'failure')
       return failureReply(outcome.errorKind, outcome.text, outcome.retryAfterMs);
@@ -217,17 +216,17 @@
     return { kind: 'cached', entry, purgeSeq: start.purgeSeq };
   }
 
-  /** Replies to the client; those who waited for the fetch share a cached reply, or else go on by themselves. */
+  /** Replies to the client. Waiters of the fetch get the same reply if it is cached; otherwise they are resubmitted. */
   #finish(active: ActiveRequest, reply: ClientReply): void {
-    const { counts, fetches, acceptAgain } = this.#options;
+    const { counts, fetches, resubmit } = this.#options;
     const { cacheable, fetch } = active;
     if (cacheable !== undefined) fetches.end(cacheable.coalescingKey, fetch);
-    if (!active.isClientGone) sendReply(counts, active.reply, reply);
+    if (!active.isClientDisconnected) sendReply(counts, active.reply, reply);
     for (const waiter of fetch?.waiters ?? []) {
       if (waiter.isDone) continue;
       waiter.isDone = true;
       if (reply.kind === 'cached') sendReply(counts, waiter.reply, reply);
-      else waiter.cancel = acceptAgain(waiter);
+      else waiter.cancel = resubmit(waiter);
     }
   }
 
