--- a/packages/simulator/src/rules/sampled-rules.ts
+++ b/packages/simulator/src/rules/sampled-rules.ts
@@ -10,7 +10,7 @@
 import type { World } from '../world/world.js';
 import { propagationLimitMs } from './limits.js';
 import { Reachability } from './reachability.js';
-import { ServiceAvailability } from './service-obligations.js';
+import { ServiceAvailability } from './service-availability.js';
 import type { ViolationLog } from './violation-log.js';
 
 /** After a full loss service is back within about fifteen seconds: then all that is in reach must serve. */
