--- a/packages/store/src/settings.ts
+++ b/packages/store/src/settings.ts
@@ -1,4 +1,4 @@
-/** The settings of the program `store`, their checks, and its help. Their names are part of the operators' interface. */
+/** Settings of the `store` program and its help text. The names of the settings are a public interface. */
 
 import * as v from 'valibot';
 import { address } from '@switchwheel/types';
@@ -8,42 +8,60 @@
   commonSettingDefinitions,
 } from '@switchwheel/runtime';
 
-/** The program as its help shows it. */
+/** Name and settings of the program, for its help text. */
 export const program: ProgramDefinition = {
   name: 'store',
-  description: 'The store of configuration of switchwheel: one on every core machine with a disk.',
+  description:
+    'A switchwheel store, which keeps a replica of the configuration. One runs on each core machine with a disk.',
   settings: [
     ...commonSettingDefinitions,
-    { name: 'data', type: 'text', help: 'the one folder that all files live under' },
-    { name: 'admin', type: 'text', help: 'IP:port for /live, /ready and /metrics' },
-    { name: 'copies', type: 'number', help: 'stores that must have each write (2)' },
-    { name: 'tolerate', type: 'number', help: 'machines with a disk that may be lost at once (1)' },
-    { name: 'electorate', type: 'text', help: 'fixed, or follows the registries (fixed)' },
+    { name: 'data', type: 'text', help: 'folder for all files of the store' },
+    {
+      name: 'admin',
+      type: 'text',
+      help: 'IP:port to listen on for /live, /ready and /metrics',
+    },
+    { name: 'copies', type: 'number', help: 'number of stores that keep each write (2)' },
+    { name: 'tolerate', type: 'number', help: 'number of stores that may be lost at once (1)' },
+    {
+      name: 'electorate',
+      type: 'text',
+      help: 'set of voters: fixed, or follows the registries (fixed)',
+    },
   ],
 };
 
-/** The checks of the settings; each message is shown behind the setting's name. */
-export const settingsSchema = v.strictObject({
-  ...commonSettingsSchema,
-  data: v.pipe(v.string('a folder'), v.minLength(1, 'a folder')),
-  admin: address,
-  copies: v.optional(
-    v.pipe(
-      v.number('a number'),
-      v.integer('a whole number'),
-      v.minValue(1, 'at least 1'),
-      v.maxValue(15, 'at most 15'),
+/** Schema of the settings; each message is printed after the setting's name. */
+export const settingsSchema = v.strictObject(
+  {
+    ...commonSettingsSchema,
+    data: v.pipe(
+      v.string('must be the path of a folder'),
+      v.minLength(1, 'must be the path of a folder'),
     ),
-    2,
-  ),
-  tolerate: v.optional(
-    v.pipe(
-      v.number('a number'),
-      v.integer('a whole number'),
-      v.minValue(0, 'at least 0'),
-      v.maxValue(14, 'at most 14'),
+    admin: address,
+    copies: v.optional(
+      v.pipe(
+        v.number('must be a number'),
+        v.integer('must be an integer'),
+        v.minValue(1, 'must be at least 1'),
+        v.maxValue(15, 'must be at most 15'),
+      ),
+      2,
     ),
-    1,
-  ),
-  electorate: v.optional(v.picklist(['fixed', 'follows'], 'fixed or follows'), 'fixed'),
-});
+    tolerate: v.optional(
+      v.pipe(
+        v.number('must be a number'),
+        v.integer('must be an integer'),
+        v.minValue(0, 'must be at least 0'),
+        v.maxValue(14, 'must be at most 14'),
+      ),
+      1,
+    ),
+    electorate: v.optional(v.picklist(['fixed', 'follows'], 'must be fixed or follows'), 'fixed'),
+  },
+  (issue) =>
+    issue.expected === 'never'
+      ? 'no such setting'
+      : `the required setting ${issue.expected} is missing; give it as a flag or in the --boot file`,
+);
