--- a/packages/query-shell/src/index.ts
+++ b/packages/query-shell/src/index.ts
@@ -1,4 +1,4 @@
-/** The query shell as a library: parse a query, run it over rows, complete a line. */
+/** Library of the query shell: parsing, execution over rows and completion of queries. */
 
 export { completions } from './query/completions.js';
 export { parseQuery } from './query/parse.js';
--- a/packages/query-shell/src/main.ts
+++ b/packages/query-shell/src/main.ts
@@ -1,4 +1,4 @@
-/** The program `query-shell`: an interactive shell, or one query from the command line. It only reads. */
+/** Program `query-shell`: runs an interactive shell, or one query from the command line. All requests are read-only. */
 
 import meow from 'meow';
 import { isAddress } from '@switchwheel/types';
@@ -8,26 +8,26 @@
 const cli = meow(
   `
   Usage
-    $ query-shell -r REGISTRY             a shell
-    $ query-shell -r REGISTRY "QUERY"     one query, for scripts
+    $ query-shell -r REGISTRY             start an interactive shell
+    $ query-shell -r REGISTRY "QUERY"     run one query and exit
 
   Flags
-    --registry, -r   IP:port of a registry's door; repeat it or part by commas (SWITCHWHEEL_REGISTRY)
-    --json           one JSON object a result
-    --timeout MS     how long to wait for each process (1500)
-    --history FILE   keep the shell's history there
+    --registry, -r   IP:port of a registry; repeat the flag or separate addresses by commas (SWITCHWHEEL_REGISTRY)
+    --json           print each result as one JSON object on one line
+    --timeout MS     maximum time to wait for the response of each process (default 1500)
+    --history FILE   file that keeps the history of the shell
 
   Exit codes
-    0  answered    1  no registry answers    2  wrong use or a wrong query
+    0  success    1  no registry responded    2  usage error or invalid query
 
 ${helpText
   .split('\n')
-  .map((one) => `  ${one}`)
+  .map((helpLine) => `  ${helpLine}`)
   .join('\n')}
 `,
   {
     importMeta: import.meta,
-    description: 'A shell for queries on the state of a switchwheel fleet. It only reads.',
+    description: 'Shell for read-only queries on the state of a switchwheel fleet.',
     version: '0.1.0',
     flags: {
       registry: { type: 'string', isMultiple: true, shortFlag: 'r' },
@@ -38,38 +38,42 @@
   },
 );
 
-const exitWithWrongUse = (message: string): never => {
+const exitWithUsageError = (message: string): never => {
   process.stderr.write(`query-shell: ${message}\n`);
   process.exit(2);
 };
-const odd = Object.keys(cli.flags).find(
+const unknownFlag = Object.keys(cli.flags).find(
   (name) => !['registry', 'r', 'json', 'timeout', 'history'].includes(name),
 );
-if (odd !== undefined) exitWithWrongUse(`--${odd}: no such flag`);
-const given =
+if (unknownFlag !== undefined) exitWithUsageError(`unknown flag --${unknownFlag}`);
+const registryArguments =
   (cli.flags.registry ?? []).length > 0
     ? (cli.flags.registry ?? [])
     : [process.env['SWITCHWHEEL_REGISTRY'] ?? ''];
-const names = given
-  .flatMap((one) => one.split(','))
-  .map((one) => one.trim())
-  .filter((one) => one !== '');
-const wrong = names.find((one) => !isAddress(one));
-if (wrong !== undefined) exitWithWrongUse(`--registry ${wrong}: an IP number and a port`);
-const registries = names.filter(isAddress);
-if (registries.length === 0) exitWithWrongUse('--registry: name at least one registry');
-if (!(cli.flags.timeout > 0)) exitWithWrongUse('--timeout: milliseconds');
+const addresses = registryArguments
+  .flatMap((argument) => argument.split(','))
+  .map((address) => address.trim())
+  .filter((address) => address !== '');
+const invalidAddress = addresses.find((address) => !isAddress(address));
+if (invalidAddress !== undefined)
+  exitWithUsageError(
+    `--registry: invalid address ${invalidAddress}; expected IP:port, such as 10.0.0.1:7000`,
+  );
+const registries = addresses.filter(isAddress);
+if (registries.length === 0)
+  exitWithUsageError('no registry given; set --registry or SWITCHWHEEL_REGISTRY');
+if (!(cli.flags.timeout > 0)) exitWithUsageError('--timeout must be more than 0 ms');
 const target = { registries, timeoutMs: cli.flags.timeout, asJson: cli.flags.json };
 
-const line = cli.input.join(' ').trim();
-if (line === '') await runShell(target, cli.flags.history);
+const queryText = cli.input.join(' ').trim();
+if (queryText === '') await runShell(target, cli.flags.history);
 else {
-  const query = readQuery(line);
-  if (query.isErr) exitWithWrongUse(query.error);
-  const stop = new AbortController();
-  process.on('SIGINT', () => stop.abort());
-  const answered = await runAndFollow(line, target, stop.signal, (text) =>
+  const query = readQuery(queryText);
+  if (query.isErr) exitWithUsageError(query.error);
+  const abortController = new AbortController();
+  process.on('SIGINT', () => abortController.abort());
+  const hasAnswer = await runAndFollow(queryText, target, abortController.signal, (text) =>
     process.stdout.write(`${text}\n`),
   );
-  process.exitCode = answered ? 0 : 1;
+  process.exitCode = hasAnswer ? 0 : 1;
 }
--- a/packages/query-shell/src/query/completions.ts
+++ b/packages/query-shell/src/query/completions.ts
@@ -1,13 +1,13 @@
-/** Completion of the line that is being typed. */
+/** Completion of queries in the interactive shell. */
 
 import { tables } from '../table/tables.js';
 import { stageNames } from './query.js';
 
-/** What may come next at the end of a line. */
+/** Returns the words that can follow at the end of a line, without a filter by the word that is being typed. */
 export const completions = (line: string): readonly string[] => {
-  const last = line.slice(line.lastIndexOf('|') + 1).trimStart();
+  const lastStage = line.slice(line.lastIndexOf('|') + 1).trimStart();
   const table = tables.get(line.split('|')[0]?.trim() ?? '');
   if (!line.includes('|')) return [...tables.keys(), 'help', 'quit'];
-  if (!last.includes(' ')) return [...stageNames];
+  if (!lastStage.includes(' ')) return [...stageNames];
   return [...(table?.columns ?? []), 'and', 'by', 'desc'];
 };
--- a/packages/query-shell/src/query/query.test.ts
+++ b/packages/query-shell/src/query/query.test.ts
@@ -1,4 +1,4 @@
-/** Parsing and running queries. */
+/** Guards against wrong results of queries, and against errors that point at the wrong place. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -13,54 +13,56 @@
   row({ node: 'shield-1', role: 'shield', area: 'one', ready: true, generation: 10 }),
   row({ node: 'store-1', role: 'store', area: 'two', ready: true, generation: null }),
 ];
-const ask = (text: string): readonly unknown[] =>
+const queryRows = (text: string): readonly unknown[] =>
   runQuery(
     parseQuery(text).unwrapOrElse((error) => assert.fail(error.text)),
     rows,
-  ).map((one) => [...one.values()]);
+  ).map((resultRow) => [...resultRow.values()]);
 
 void test('a query filters, selects, sorts, counts and limits the rows of its table', () => {
-  assert.deepEqual(ask('nodes | where role = edge and ready = false | select node'), [['edge-2']]);
+  assert.deepEqual(queryRows('nodes | where role = edge and ready = false | select node'), [
+    ['edge-2'],
+  ]);
   assert.deepEqual(
-    ask('nodes | where generation >= 4 | sort generation desc | select node generation'),
+    queryRows('nodes | where generation >= 4 | sort generation desc | select node generation'),
     [
       ['shield-1', 10],
       ['edge-1', 4],
     ],
   );
-  assert.deepEqual(ask('nodes | where generation = - | select node'), [['store-1']]);
-  assert.deepEqual(ask('nodes | where node ~ edge | count by area'), [
+  assert.deepEqual(queryRows('nodes | where generation = - | select node'), [['store-1']]);
+  assert.deepEqual(queryRows('nodes | where node ~ edge | count by area'), [
     ['one', 1],
     ['two', 1],
   ]);
-  assert.deepEqual(ask('nodes | count'), [[4]]);
-  assert.deepEqual(ask('nodes | sort generation | limit 1 | select node'), [['edge-2']]);
+  assert.deepEqual(queryRows('nodes | count'), [[4]]);
+  assert.deepEqual(queryRows('nodes | sort generation | limit 1 | select node'), [['edge-2']]);
   assert.equal(
     parseQuery('nodes | follow 500ms')
-      .map((one) => one.followMs)
+      .map((query) => query.followMs)
       .unwrapOr(undefined),
     500,
   );
 });
 
-void test('a wrong query is refused with the offset of the mistake and a suggestion', () => {
+void test('an invalid query is rejected with the offset of the mistake and a suggestion', () => {
   const mistakes = new Map([
-    ['', [0, 'which table?']],
+    ['', [0, 'missing table']],
     ['nods', [0, 'did you mean nodes?']],
     ['nodes | wher role = edge', [8, 'did you mean where?']],
     ['nodes | where rolle = edge', [14, 'did you mean role?']],
-    ['nodes | where role is edge', [19, 'after role comes']],
-    ['nodes | where role = edge or x', [26, 'between tests']],
-    ['nodes | limit none', [14, 'a whole number']],
-    ['nodes | select node | sort area', [27, 'no column area']],
-    ['nodes | follow 1ms', [15, '100ms or more']],
-    ['nodes |', [7, 'nothing behind it']],
-    ['nodes where', [6, 'behind a bar']],
+    ['nodes | where role is edge', [19, 'operator after role']],
+    ['nodes | where role = edge or x', [26, 'between conditions']],
+    ['nodes | limit none', [14, 'an integer of at least 1']],
+    ['nodes | select node | sort area', [27, 'unknown column area']],
+    ['nodes | follow 1ms', [15, 'at least 100ms']],
+    ['nodes |', [7, 'missing stage after "|"']],
+    ['nodes where', [6, 'missing "|"']],
   ] as const);
-  for (const [text, [at, part]] of mistakes) {
+  for (const [text, [offset, expectedText]] of mistakes) {
     const parsed = parseQuery(text);
     assert.ok(parsed.isErr, text);
-    assert.equal(parsed.error.offset, at, `${text}: ${parsed.error.text}`);
-    assert.ok(parsed.error.text.includes(part), `${text}: ${parsed.error.text}`);
+    assert.equal(parsed.error.offset, offset, `${text}: ${parsed.error.text}`);
+    assert.ok(parsed.error.text.includes(expectedText), `${text}: ${parsed.error.text}`);
   }
 });
--- a/packages/query-shell/src/query/query.ts
+++ b/packages/query-shell/src/query/query.ts
@@ -1,23 +1,23 @@
-/** A query as data: what parsing gives and running takes. */
+/** Parsed form of a query. */
 
-/** Where a query is wrong, and what may have been meant. */
+/** Mistake in a query; the text can include a suggestion. */
 export interface QueryError {
-  /** The offset in the text of the query. */
+  /** Offset of the mistake in the text of the query. */
   readonly offset: number;
   readonly text: string;
 }
 
-/** How a condition compares a cell; `~` is "contains". */
+/** Comparison of a cell with a value; `~` tests whether the cell contains the value. */
 export type Operator = '=' | '!=' | '<' | '>' | '<=' | '>=' | '~';
 
-/** One test of `where`. */
+/** Condition of a `where` stage. */
 export interface Condition {
   readonly column: string;
   readonly operator: Operator;
   readonly value: string;
 }
 
-/** One step that a query takes its rows through. */
+/** Transformation of the rows of a query. */
 export type Stage =
   | { readonly stage: 'where'; readonly conditions: readonly Condition[] }
   | { readonly stage: 'select'; readonly columns: readonly string[] }
@@ -25,13 +25,13 @@
   | { readonly stage: 'count'; readonly by: readonly string[] }
   | { readonly stage: 'limit'; readonly maxRows: number };
 
-/** The names of stages, as a query writes them. */
+/** Names of all stages in the syntax of queries, including `follow`. */
 export const stageNames = ['where', 'select', 'sort', 'count', 'limit', 'follow'] as const;
 
-/** A query: one table, stages in order, and how often it is run again. */
+/** Query over one table, with its stages in order. */
 export interface Query {
   readonly table: string;
   readonly stages: readonly Stage[];
-  /** The pause between runs; undefined for a query that is run once. */
+  /** Pause between runs; undefined for a query that is run once. */
   readonly followMs: number | undefined;
 }
--- a/packages/query-shell/src/query/run.ts
+++ b/packages/query-shell/src/query/run.ts
@@ -1,19 +1,19 @@
-/** Runs the stages of a query over rows. */
+/** Execution of queries. */
 
 import type { Cell, Row } from '../table/table.js';
 import type { Condition, Query } from './query.js';
 
-/** Orders cells: numbers by value, all else as text, nothing last. */
-const compareCells = (one: Cell, two: Cell): number => {
-  if (one === two) return 0;
-  if (one === null) return 1;
-  if (two === null) return -1;
-  if (typeof one === 'number' && typeof two === 'number') return one - two;
-  return String(one) < String(two) ? -1 : 1;
+/** Orders two numbers by value and other cells as text; empty cells come last. */
+const compareCells = (left: Cell, right: Cell): number => {
+  if (left === right) return 0;
+  if (left === null) return 1;
+  if (right === null) return -1;
+  if (typeof left === 'number' && typeof right === 'number') return left - right;
+  return String(left) < String(right) ? -1 : 1;
 };
 
-/** The value of a condition as the type of the cell that it is compared with; `-` stands for nothing. */
-const goalFor = (cell: Cell, value: string): Cell => {
+/** Converts the value of a condition to the type of the cell that it is compared with; `-` is an empty cell. */
+const operandFor = (cell: Cell, value: string): Cell => {
   if (typeof cell === 'number' && value !== '' && !Number.isNaN(Number(value)))
     return Number(value);
   if (typeof cell === 'boolean') return value === 'true';
@@ -22,22 +22,22 @@
 
 const matches = (row: Row, { column, operator, value }: Condition): boolean => {
   const cell = row.get(column) ?? null;
-  const goal = goalFor(cell, value);
+  const operand = operandFor(cell, value);
   switch (operator) {
     case '=':
-      return compareCells(cell, goal) === 0;
+      return compareCells(cell, operand) === 0;
     case '!=':
-      return compareCells(cell, goal) !== 0;
+      return compareCells(cell, operand) !== 0;
     case '~':
       return String(cell ?? '').includes(value);
     case '<':
-      return cell !== null && compareCells(cell, goal) < 0;
+      return cell !== null && compareCells(cell, operand) < 0;
     case '>':
-      return cell !== null && compareCells(cell, goal) > 0;
+      return cell !== null && compareCells(cell, operand) > 0;
     case '<=':
-      return cell !== null && compareCells(cell, goal) <= 0;
+      return cell !== null && compareCells(cell, operand) <= 0;
     case '>=':
-      return cell !== null && compareCells(cell, goal) >= 0;
+      return cell !== null && compareCells(cell, operand) >= 0;
   }
 };
 
@@ -55,29 +55,31 @@
   }
   if (by.length === 0) return [new Map<string, Cell>([['count', rows.length]])];
   return [...groups.values()].map(
-    (one) => new Map<string, Cell>([...one.cells, ['count', one.count]]),
+    (group) => new Map<string, Cell>([...group.cells, ['count', group.count]]),
   );
 };
 
-/** Runs the stages of a query over the rows of its table. */
+/** Applies the stages of a query in order to the rows of its table. */
 export const runQuery = (query: Query, rows: readonly Row[]): readonly Row[] =>
-  query.stages.reduce<readonly Row[]>((list, stage) => {
+  query.stages.reduce<readonly Row[]>((stageRows, stage) => {
     switch (stage.stage) {
       case 'where':
-        return list.filter((row) => stage.conditions.every((test) => matches(row, test)));
+        return stageRows.filter((row) =>
+          stage.conditions.every((condition) => matches(row, condition)),
+        );
       case 'select':
-        return list.map(
+        return stageRows.map(
           (row) => new Map(stage.columns.map((name) => [name, row.get(name) ?? null])),
         );
       case 'sort':
-        return [...list].sort(
-          (one, two) =>
-            compareCells(one.get(stage.column) ?? null, two.get(stage.column) ?? null) *
+        return [...stageRows].sort(
+          (left, right) =>
+            compareCells(left.get(stage.column) ?? null, right.get(stage.column) ?? null) *
             (stage.isDescending ? -1 : 1),
         );
       case 'count':
-        return countBy(list, stage.by);
+        return countBy(stageRows, stage.by);
       case 'limit':
-        return list.slice(0, stage.maxRows);
+        return stageRows.slice(0, stage.maxRows);
     }
   }, rows);
--- a/packages/query-shell/src/query/suggestion.ts
+++ b/packages/query-shell/src/query/suggestion.ts
@@ -1,32 +1,32 @@
-/** Suggests what a misspelt word may have been meant to be. */
+/** Suggestions for misspelt words in queries. */
 
-/** A word that differs by more edits than this is not suggested. */
+/** Maximum edit distance of a suggested word. */
 const maxEditDistance = 3;
 
-/** The Levenshtein distance between two words. */
-const editDistance = (one: string, two: string): number => {
-  let row = Array.from({ length: two.length + 1 }, (_, at) => at);
-  for (let a = 1; a <= one.length; a += 1) {
-    const next = [a];
-    for (let b = 1; b <= two.length; b += 1)
-      next.push(
+/** Returns the Levenshtein distance between two words. */
+const editDistance = (left: string, right: string): number => {
+  let row = Array.from({ length: right.length + 1 }, (_, index) => index);
+  for (let leftLength = 1; leftLength <= left.length; leftLength += 1) {
+    const nextRow = [leftLength];
+    for (let rightLength = 1; rightLength <= right.length; rightLength += 1)
+      nextRow.push(
         Math.min(
-          (next[b - 1] ?? 0) + 1,
-          (row[b] ?? 0) + 1,
-          (row[b - 1] ?? 0) + (one[a - 1] === two[b - 1] ? 0 : 1),
+          (nextRow[rightLength - 1] ?? 0) + 1,
+          (row[rightLength] ?? 0) + 1,
+          (row[rightLength - 1] ?? 0) + (left[leftLength - 1] === right[rightLength - 1] ? 0 : 1),
         ),
       );
-    row = next;
+    row = nextRow;
   }
-  return row[two.length] ?? 0;
+  return row[right.length] ?? 0;
 };
 
-/** The end of an error message: the nearest candidate, or all of them if none is near. */
+/** Returns the end of an error message: the nearest candidate, or all of them if none is within `maxEditDistance`. */
 export const suggestion = (word: string, candidates: readonly string[]): string => {
-  const best = [...candidates].sort(
-    (one, two) => editDistance(word, one) - editDistance(word, two),
+  const nearest = [...candidates].sort(
+    (left, right) => editDistance(word, left) - editDistance(word, right),
   )[0];
-  return best !== undefined && editDistance(word, best) <= maxEditDistance
-    ? `; did you mean ${best}?`
-    : `; one of ${candidates.join(', ')}`;
+  return nearest !== undefined && editDistance(word, nearest) <= maxEditDistance
+    ? `; did you mean ${nearest}?`
+    : `; expected one of ${candidates.join(', ')}`;
 };
--- a/packages/query-shell/src/query/tokens.ts
+++ b/packages/query-shell/src/query/tokens.ts
@@ -1,21 +1,21 @@
-/** Splits the text of a query into tokens with their places. */
+/** Tokenizer of queries. */
 
-/** A word, operator, comma or bar; quotes around a word are taken off. */
+/** Word, operator, comma or pipe; quotes around a word are removed. */
 export interface Token {
   readonly text: string;
-  /** Where it begins in the text. */
+  /** Offset of the first character in the text, including a quote. */
   readonly offset: number;
 }
 
-/** All tokens of a text, in order. */
+/** Splits a text into tokens. */
 export const tokenize = (text: string): readonly Token[] =>
-  [...text.matchAll(/"([^"]*)"|!=|<=|>=|[=<>~|,]|[^\s=<>~|,!"]+|\S/g)].map((found) => ({
-    text: found[1] ?? found[0],
-    offset: found.index,
+  [...text.matchAll(/"([^"]*)"|!=|<=|>=|[=<>~|,]|[^\s=<>~|,!"]+|\S/g)].map((match) => ({
+    text: match[1] ?? match[0],
+    offset: match.index,
   }));
 
-/** Splits tokens at the bars between the stages of a query. */
-export const splitAtBars = (tokens: readonly Token[]): readonly (readonly Token[])[] => {
+/** Splits tokens at the pipes between the stages of a query. */
+export const splitAtPipes = (tokens: readonly Token[]): readonly (readonly Token[])[] => {
   const stages: Token[][] = [[]];
   for (const token of tokens) {
     if (token.text === '|') stages.push([]);
--- a/packages/query-shell/src/shell/answer.ts
+++ b/packages/query-shell/src/shell/answer.ts
@@ -1,4 +1,4 @@
-/** Answers one query: collects a snapshot of the fleet, runs the query, formats the result. */
+/** Execution of one query: collects a snapshot of the fleet, runs the query and formats the result. */
 
 import { type Result, err, ok } from 'true-myth/result';
 import type { Address } from '@switchwheel/types';
@@ -9,20 +9,20 @@
 import { tables } from '../table/tables.js';
 import { formatFreshness, formatRows, toJson } from './format.js';
 
-/** Which registries a query starts from, and how long each process may take to answer. */
+/** Registries that a query starts from, time limit for each process, and output format. */
 export interface QueryTarget {
   readonly registries: readonly Address[];
   readonly timeoutMs: number;
   readonly asJson: boolean;
 }
 
-/** The printed result of a query, and whether any registry answered. */
+/** Formatted result of a query; `hasAnswer` is whether any registry responded. */
 export interface QueryOutput {
   readonly text: string;
   readonly hasAnswer: boolean;
 }
 
-/** Runs a query against the fleet as it is now. */
+/** Runs a query on the current state of the fleet. */
 export const answerQuery = async (query: Query, target: QueryTarget): Promise<QueryOutput> => {
   const table = tables.get(query.table);
   const snapshot = await collectSnapshot(
@@ -37,29 +37,29 @@
   return { text, hasAnswer: snapshot.fleets.length > 0 };
 };
 
-/** Parses a query; the error is a text for people with a mark under the mistake. */
+/** Parses a query; the error is a message for the operator with a mark under the mistake. */
 export const readQuery = (line: string): Result<Query, string> => {
   const parsed = parseQuery(line);
   return parsed.isOk
     ? ok(parsed.value)
-    : err(`wrong query\n${line}\n${' '.repeat(parsed.error.offset)}^ ${parsed.error.text}`);
+    : err(`invalid query\n${line}\n${' '.repeat(parsed.error.offset)}^ ${parsed.error.text}`);
 };
 
-/** The language of queries and the tables with their columns. */
-export const helpText = `A query is a table, then stages behind bars:
+/** Description of the query language, and of the tables with their columns. */
+export const helpText = `A query is the name of a table, then any number of stages after "|":
 
-  nodes                                                  every node
-  nodes | where role = edge and ready = false            edges that take nobody
-  nodes | where generation < 7 | select node area why    who is behind, and why
-  nodes | count by area role                             how many where
-  duties | sort left                                     leases that end soonest
+  nodes                                                  all nodes
+  nodes | where role = edge and ready = false            edges that accept no requests
+  nodes | where generation < 7 | select node area why    nodes on an older generation, with the reason
+  nodes | count by area role                             number of nodes by zone and role
+  duties | sort left                                     leases, the first to expire on top
   targets | where status = failed | sort generation desc
-  origins | where passed > 0                             origins passed over now
-  classes | where loan > 0                               who runs on borrowed slots
+  origins | where passed > 0                             ejected origins
+  classes | where loan > 0                               classes that use slots beyond their share
   services | select service keeper waiting extra10s | follow 2s
 
-Tests: = != < > <= >= and ~ (contains); "-" stands for nothing. Tables:
+Operators: = != < > <= >= and ~ (contains); "-" is an empty cell. Tables:
 
 ${[...tables].map(([name, table]) => `  ${name.padEnd(12)} ${table.summary}\n  ${''.padEnd(12)} ${table.columns.join(' ')}`).join('\n')}
 
-help, quit.`;
+Commands of the shell: help, quit.`;
--- a/packages/query-shell/src/shell/format.ts
+++ b/packages/query-shell/src/shell/format.ts
@@ -1,31 +1,31 @@
-/** Formats the result of a query as a table for people or as JSON. */
+/** Output formats of query results: a table, or JSON. */
 
 import { formatColumns } from '@switchwheel/types';
 import type { FleetSnapshot } from '../snapshot/collect.js';
 import type { Row } from '../table/table.js';
 
-const cellText = (raw: string | number | boolean | null | undefined): string =>
-  raw === null || raw === undefined || raw === '' ? '-' : String(raw);
+const cellText = (cell: string | number | boolean | null | undefined): string =>
+  cell === null || cell === undefined || cell === '' ? '-' : String(cell);
 
-/** Rows under headings; `-` stands for nothing. */
+/** Formats rows as a table under column titles; `-` is an empty cell. */
 export const formatRows = (rows: readonly Row[]): string => {
-  const heads = [...(rows[0]?.keys() ?? [])];
-  if (heads.length === 0) return '(no rows)';
-  const lines = [heads, ...rows.map((row) => heads.map((head) => cellText(row.get(head))))];
+  const titles = [...(rows[0]?.keys() ?? [])];
+  if (titles.length === 0) return '(no rows)';
+  const lines = [titles, ...rows.map((row) => titles.map((title) => cellText(row.get(title))))];
   return formatColumns(lines);
 };
 
-/** How fresh a result is, and which processes could not be asked. */
+/** Formats the age of a result, and the processes and parts that are missing from it. */
 export const formatFreshness = (snapshot: FleetSnapshot, rowCount: number): string =>
   [
-    `${rowCount} rows; ${snapshot.fleets.length} registries answered, the oldest word of the primary is ${Math.round(snapshot.ageMs)} ms old`,
+    `${rowCount} rows; ${snapshot.fleets.length} registries responded, oldest update from the primary ${Math.round(snapshot.ageMs)} ms ago`,
     ...(snapshot.unanswered.length > 0
-      ? [`no answer from: ${snapshot.unanswered.join(', ')}`]
+      ? [`no response from: ${snapshot.unanswered.join(', ')}`]
       : []),
     ...(snapshot.missing.length > 0 ? [`missing: ${snapshot.missing.join(', ')}`] : []),
   ].join('\n');
 
-/** A result as one JSON object on one line. */
+/** Formats a result as one JSON object on one line. */
 export const toJson = (rows: readonly Row[], snapshot: FleetSnapshot): string =>
   JSON.stringify({
     rows: rows.map((row) => Object.fromEntries(row)),
--- a/packages/query-shell/src/shell/output-forms.test.ts
+++ b/packages/query-shell/src/shell/output-forms.test.ts
@@ -1,4 +1,4 @@
-/** The outer form of the printed tables and of what is read for them. */
+/** Guards against unintended changes of the output of tables, and of the HTTP bodies that are read for them. */
 
 import { createServer } from 'node:http';
 import { test } from 'node:test';
@@ -22,7 +22,7 @@
   ready: true,
   health: { healthy: true, text: 'well' },
 };
-const fleetOf = (admin: string): object => ({
+const fleetBody = (adminAddress: string): object => ({
   registry: 'r1',
   fleet: 'f1',
   inTouch: true,
@@ -36,9 +36,16 @@
     grants: [{ duty: 'primary', epoch: 2, node: 's1', leftMs: 900 }],
   },
   nodes: [
-    { ...node, node: 'r1', role: 'registry', admin },
-    { ...node, node: 'e1', role: 'edge', admin },
-    { ...node, node: 'h1', role: 'shield', admin, failed: { text: 'why' }, ready: false },
+    { ...node, node: 'r1', role: 'registry', admin: adminAddress },
+    { ...node, node: 'e1', role: 'edge', admin: adminAddress },
+    {
+      ...node,
+      node: 'h1',
+      role: 'shield',
+      admin: adminAddress,
+      failed: { text: 'why' },
+      ready: false,
+    },
   ],
   desired: [{ node: 'e1', generation: 5 }],
   holders: [{ duty: 'primary', epoch: 2, node: 's1' }],
@@ -54,7 +61,7 @@
     },
   ],
 });
-const state = {
+const proxyState = {
   node: 'h1',
   role: 'edge',
   ready: true,
@@ -91,7 +98,7 @@
 };
 const target = { node: 'e1', status: 'failed', wave: 0, text: 'why' };
 const bodies: ReadonlyMap<string, object> = new Map<string, object>([
-  ['/state', state],
+  ['/state', proxyState],
   [
     '/v1/rollouts',
     {
@@ -131,20 +138,23 @@
   ],
 ]);
 
-/** Starts a listener that answers as a registry and as the proxies of a small fleet; gives its address. */
-const startFleet = async (): Promise<{ readonly address: string; readonly stop: () => void }> => {
+/** Starts a server with the responses of a registry and of the proxies of a small fleet. */
+const startStubFleet = async (): Promise<{
+  readonly address: string;
+  readonly stop: () => void;
+}> => {
   const server = createServer((request, response) => {
     const port = request.socket.localPort ?? 0;
     const path = request.url ?? '';
-    const body = path === '/v1/fleet' ? fleetOf(`127.0.0.1:${port}`) : bodies.get(path);
+    const body = path === '/v1/fleet' ? fleetBody(`127.0.0.1:${port}`) : bodies.get(path);
     response.writeHead(body === undefined ? 404 : 200, { 'content-type': 'application/json' });
     response.end(JSON.stringify(body ?? {}));
   });
   await new Promise<void>((resolve) => {
     server.listen(0, '127.0.0.1', resolve);
   });
-  const bound = server.address();
-  const port = bound !== null && typeof bound === 'object' ? bound.port : 0;
+  const serverAddress = server.address();
+  const port = serverAddress !== null && typeof serverAddress === 'object' ? serverAddress.port : 0;
   return {
     address: `127.0.0.1:${port}`,
     stop: () => {
@@ -154,8 +164,8 @@
   };
 };
 
-void test('each table is printed as before, for people and as JSON', async () => {
-  const fleet = await startFleet();
+void test('the output of each table, as text and as JSON, matches the snapshot', async () => {
+  const fleet = await startStubFleet();
   const outputs: string[] = [];
   try {
     for (const name of tables.keys())
@@ -173,7 +183,7 @@
   matchSnapshot('output', text);
 });
 
-void test('what is read from registries and proxies keeps its names', () => {
+void test('the members that are read from registries and proxies match the snapshot', () => {
   matchSnapshot(
     'read-bodies',
     `${schemaLines(fleetSchema, '/v1/fleet')}\n\n${schemaLines(proxySchema, '/state')}`,
--- a/packages/query-shell/src/shell/shell.ts
+++ b/packages/query-shell/src/shell/shell.ts
@@ -1,4 +1,4 @@
-/** The interactive shell, and queries that are run again and again. */
+/** Interactive shell, and repeated execution of queries with `follow`. */
 
 import { appendFileSync, existsSync, readFileSync } from 'node:fs';
 import { createInterface } from 'node:readline';
@@ -7,24 +7,24 @@
 
 const maxHistoryLines = 500;
 
-const delay = (ms: number, stop: AbortSignal): Promise<void> =>
-  new Promise((done) => {
-    const timer = setTimeout(done, ms);
-    stop.addEventListener(
+const delay = (ms: number, signal: AbortSignal): Promise<void> =>
+  new Promise((resolve) => {
+    const timer = setTimeout(resolve, ms);
+    signal.addEventListener(
       'abort',
       () => {
         clearTimeout(timer);
-        done();
+        resolve();
       },
       { once: true },
     );
   });
 
-/** Runs a query once, or until stopped if it follows; returns whether the last run had an answer. */
+/** Runs a query once, or with `follow` until aborted; returns whether any registry responded to the last run. */
 export const runAndFollow = async (
   line: string,
   target: QueryTarget,
-  stop: AbortSignal,
+  signal: AbortSignal,
   print: (text: string) => void,
 ): Promise<boolean> => {
   const query = readQuery(line);
@@ -38,22 +38,22 @@
     hasAnswer = output.hasAnswer;
     print(output.text);
     if (query.value.followMs === undefined) break;
-    await delay(query.value.followMs, stop);
-  } while (!stop.aborted);
+    await delay(query.value.followMs, signal);
+  } while (!signal.aborted);
   return hasAnswer;
 };
 
-/** Reads queries line by line until the input ends; the history is kept in a file if one is named. */
+/** Runs queries from standard input until it ends or the operator quits; `historyFile`, if given, keeps the history. */
 export const runShell = (target: QueryTarget, historyFile: string | undefined): Promise<void> => {
   const history =
     historyFile !== undefined && existsSync(historyFile)
       ? readFileSync(historyFile, 'utf8')
           .split('\n')
-          .filter((one) => one !== '')
+          .filter((entry) => entry !== '')
           .reverse()
           .slice(0, maxHistoryLines)
       : [];
-  const lines = createInterface({
+  const readlineInterface = createInterface({
     input: process.stdin,
     output: process.stdout,
     prompt: 'query-shell> ',
@@ -62,36 +62,38 @@
       const word = /[^\s|,]*$/.exec(line)?.[0] ?? '';
       return [
         completions(line)
-          .filter((one) => one.startsWith(word))
-          .map((one) => `${one} `),
+          .filter((candidate) => candidate.startsWith(word))
+          .map((candidate) => `${candidate} `),
         word,
       ];
     },
   });
-  let stop = new AbortController();
+  let abortController = new AbortController();
   let lastCommand: Promise<unknown> = Promise.resolve();
-  lines.on('SIGINT', () => {
-    stop.abort();
-    lines.prompt();
+  readlineInterface.on('SIGINT', () => {
+    abortController.abort();
+    readlineInterface.prompt();
   });
-  lines.on('line', (raw) => {
-    const line = raw.trim();
+  readlineInterface.on('line', (input) => {
+    const line = input.trim();
     lastCommand = lastCommand.then(async () => {
-      if (line === 'quit' || line === 'exit') lines.close();
+      if (line === 'quit' || line === 'exit') readlineInterface.close();
       else if (line === 'help') process.stdout.write(`${helpText}\n`);
       else if (line !== '') {
         if (historyFile !== undefined) appendFileSync(historyFile, `${line}\n`);
-        stop = new AbortController();
-        await runAndFollow(line, target, stop.signal, (text) => process.stdout.write(`${text}\n`));
+        abortController = new AbortController();
+        await runAndFollow(line, target, abortController.signal, (text) =>
+          process.stdout.write(`${text}\n`),
+        );
       }
-      if (line !== 'quit' && line !== 'exit') lines.prompt();
+      if (line !== 'quit' && line !== 'exit') readlineInterface.prompt();
     });
   });
-  lines.prompt();
-  return new Promise((done) =>
-    lines.on('close', () => {
-      stop.abort();
-      void lastCommand.then(() => done());
+  readlineInterface.prompt();
+  return new Promise((resolve) =>
+    readlineInterface.on('close', () => {
+      abortController.abort();
+      void lastCommand.then(() => resolve());
     }),
   );
 };
--- a/packages/query-shell/src/snapshot/collect.ts
+++ b/packages/query-shell/src/snapshot/collect.ts
@@ -1,6 +1,6 @@
 /**
- * Collects the state of a fleet for one query: every registry that can be found, then the proxies that the query needs,
- * then what the primary store answers through a registry. What a table makes of it is left to the tables.
+ * Collection of the state of a fleet for one query: from every registry that is discovered, from the proxies that the
+ * query needs, and from the primary store through a registry.
  */
 
 import type * as v from 'valibot';
@@ -15,91 +15,92 @@
   storedSchemas,
 } from './schemas.js';
 
-/** All that could be learned of the fleet, and which processes did not answer. */
+/** State of a fleet, as far as it could be collected. */
 export interface FleetSnapshot {
-  /** The fleet as each registry that answered sees it. */
+  /** State of the fleet as each registry that responded reports it. */
   readonly fleets: readonly FleetState[];
   readonly proxies: readonly ProxyState[];
   readonly stored: StoredState;
-  /** Processes that did not answer: the address of a registry, the name of a proxy. */
+  /** Processes that did not respond, sorted: addresses of registries and names of proxies. */
   readonly unanswered: readonly string[];
-  /** Parts that no process could answer, each with the reason. */
+  /** Parts of the state that no process returned, each with the reason. */
   readonly missing: readonly string[];
-  /** The age of the oldest message of the primary that a registry relied on. */
+  /** Age of the oldest update from the primary among the registries that responded. */
   readonly ageMs: number;
 }
 
-interface RegistryAnswer {
+interface RegistryReply {
   readonly address: string;
   readonly fleet: FleetState;
 }
 
-/** Asks the registries that are given, then those that they name, until none is new. */
+/** Queries the given registries, then those that they list, until none is new. */
 const collectRegistries = async (
   registries: readonly Address[],
   timeoutMs: number,
   unanswered: string[],
-): Promise<readonly RegistryAnswer[]> => {
+): Promise<readonly RegistryReply[]> => {
   const addresses = new Set<string>(registries);
-  const asked = new Set<string>();
-  const answers: RegistryAnswer[] = [];
+  const queried = new Set<string>();
+  const replies: RegistryReply[] = [];
   for (;;) {
-    const next = [...addresses].filter((address) => !asked.has(address));
-    if (next.length === 0) return answers;
-    for (const address of next) asked.add(address);
-    const replies = await Promise.all(
+    const next = [...addresses].filter((address) => !queried.has(address));
+    if (next.length === 0) return replies;
+    for (const address of next) queried.add(address);
+    const results = await Promise.all(
       next.map(async (address) => ({
         address,
         fleet: await fetchAs(fleetSchema, address, '/v1/fleet', timeoutMs),
       })),
     );
-    for (const { address, fleet } of replies) {
+    for (const { address, fleet } of results) {
       if (fleet === undefined) {
         unanswered.push(address);
         continue;
       }
-      answers.push({ address, fleet });
+      replies.push({ address, fleet });
       for (const node of fleet.nodes)
         if (node.role === 'registry' && isAddress(node.admin)) addresses.add(node.admin);
     }
   }
 };
 
-/** Asks the shields and edges that the sources call for, sorted by name. */
+/** Queries the shields and edges that the sources require; returns their states sorted by name. */
 const collectProxies = async (
   fleets: readonly FleetState[],
   sources: ReadonlySet<string>,
   timeoutMs: number,
   unanswered: string[],
 ): Promise<readonly ProxyState[]> => {
-  const known = new Map<string, { readonly admin: string; readonly role: string }>();
+  const nodesByName = new Map<string, { readonly admin: string; readonly role: string }>();
   for (const fleet of fleets)
     for (const node of fleet.nodes)
-      if (isAddress(node.admin)) known.set(node.node, { admin: node.admin, role: node.role });
-  const wanted = [...known].filter(
+      if (isAddress(node.admin)) nodesByName.set(node.node, { admin: node.admin, role: node.role });
+  const requiredProxies = [...nodesByName].filter(
     ([, { role }]) =>
-      (role === 'shield' && sources.has('keepers')) || (role === 'edge' && sources.has('edges')),
+      (role === 'shield' && sources.has('serviceLeaders')) ||
+      (role === 'edge' && sources.has('edges')),
   );
   const proxies: ProxyState[] = [];
   await Promise.all(
-    wanted.map(async ([name, { admin }]) => {
+    requiredProxies.map(async ([name, { admin }]) => {
       const proxy = await fetchAs(proxySchema, admin, '/state', timeoutMs);
       if (proxy === undefined) unanswered.push(name);
       else proxies.push(proxy);
     }),
   );
-  return proxies.sort((one, two) => (one.node < two.node ? -1 : 1));
+  return proxies.sort((left, right) => (left.node < right.node ? -1 : 1));
 };
 
-/** Asks for the stored parts through the registries that heard from the primary last. */
+/** Fetches stored parts through registries, starting with the one that has the most recent update from the primary. */
 const collectStored = async (
-  answers: readonly RegistryAnswer[],
+  replies: readonly RegistryReply[],
   sources: ReadonlySet<string>,
   timeoutMs: number,
 ): Promise<StoredState> => {
-  const feedAgeMs = ({ fleet }: RegistryAnswer): number => fleet.feedAgeMs ?? Infinity;
-  const addresses = [...answers]
-    .sort((one, two) => feedAgeMs(one) - feedAgeMs(two))
+  const feedAgeMs = ({ fleet }: RegistryReply): number => fleet.feedAgeMs ?? Infinity;
+  const addresses = [...replies]
+    .sort((left, right) => feedAgeMs(left) - feedAgeMs(right))
     .map(({ address }) => address);
   const fetchPart = <T>(
     name: string,
@@ -117,21 +118,21 @@
   };
 };
 
-/** Collects what a query needs; `sources` names the parts beside the registries' own state. */
+/** Collects the state that a query needs; `sources` are the parts needed in addition to the registries' own state. */
 export const collectSnapshot = async (
   registries: readonly Address[],
   sources: ReadonlySet<string>,
   timeoutMs: number,
 ): Promise<FleetSnapshot> => {
   const unanswered: string[] = [];
-  const answers = await collectRegistries(registries, timeoutMs, unanswered);
-  const fleets = answers.map(({ fleet }) => fleet);
+  const replies = await collectRegistries(registries, timeoutMs, unanswered);
+  const fleets = replies.map(({ fleet }) => fleet);
   const proxies = await collectProxies(fleets, sources, timeoutMs, unanswered);
-  const stored = await collectStored(answers, sources, timeoutMs);
+  const stored = await collectStored(replies, sources, timeoutMs);
   const missing = Object.entries(stored)
     .filter(([name, part]) => sources.has(name) && part === undefined)
-    .map(([name]) => `${name} (the primary does not answer)`);
-  if (fleets.length === 0) missing.push('everything (no registry answers)');
+    .map(([name]) => `${name} (the primary did not respond)`);
+  if (fleets.length === 0) missing.push('everything (no registry responded)');
   return {
     fleets,
     proxies,
--- a/packages/query-shell/src/snapshot/fetch.ts
+++ b/packages/query-shell/src/snapshot/fetch.ts
@@ -1,10 +1,10 @@
-/** Reads JSON from the HTTP addresses of processes; whatever goes wrong counts as no answer. */
+/** Fetches JSON from the HTTP addresses of processes. Every failure is treated as a missing response. */
 
 import got from 'got';
 import * as v from 'valibot';
 
-/** How many registries are tried for a stored part before it counts as missing. */
-const maxRegistriesTried = 3;
+/** Number of registries that are tried for a stored part before it counts as missing. */
+const maxRegistryAttempts = 3;
 
 const fetchJson = async (address: string, path: string, timeoutMs: number): Promise<unknown> => {
   const reply = await got(`http://${address}${path}`, {
@@ -14,14 +14,14 @@
   }).catch(() => undefined);
   if (reply?.statusCode !== 200) return undefined;
   try {
-    const raw: unknown = JSON.parse(reply.body);
-    return raw;
+    const body: unknown = JSON.parse(reply.body);
+    return body;
   } catch {
     return undefined;
   }
 };
 
-/** One request; undefined unless it is answered with 200 and a body of the schema within the time. */
+/** Fetches one path; undefined unless the response is a 200 within the timeout, with a body that matches the schema. */
 export const fetchAs = async <T>(
   schema: v.GenericSchema<unknown, T>,
   address: string,
@@ -32,16 +32,16 @@
   return parsed.success ? parsed.output : undefined;
 };
 
-/** The first answer of a few addresses that are tried in order. */
+/** Returns the first valid response; the addresses are tried in order, up to `maxRegistryAttempts`. */
 export const fetchFirst = async <T>(
   schema: v.GenericSchema<unknown, T>,
   addresses: readonly string[],
   path: string,
   timeoutMs: number,
 ): Promise<T | undefined> => {
-  for (const address of addresses.slice(0, maxRegistriesTried)) {
-    const answer = await fetchAs(schema, address, path, timeoutMs);
-    if (answer !== undefined) return answer;
+  for (const address of addresses.slice(0, maxRegistryAttempts)) {
+    const body = await fetchAs(schema, address, path, timeoutMs);
+    if (body !== undefined) return body;
   }
   return undefined;
 };
--- a/packages/query-shell/src/snapshot/schemas.ts
+++ b/packages/query-shell/src/snapshot/schemas.ts
@@ -1,4 +1,4 @@
-/** The JSON that registries and proxies answer, as far as the shell reads it. Members keep the names of the HTTP API. */
+/** Schemas of the JSON responses of registries and proxies, limited to the members that the shell reads. */
 
 import * as v from 'valibot';
 
@@ -23,7 +23,7 @@
   failed: v.nullish(looseObject({ text: v.string() })),
   health: v.nullish(looseObject({ healthy: v.boolean(), text: v.string() })),
 });
-/** `GET /v1/fleet` of a registry. */
+/** Response to `GET /v1/fleet` of a registry. */
 export const fleetSchema = looseObject({
   registry: v.string(),
   fleet: optionalString,
@@ -58,10 +58,10 @@
     }),
   ),
 });
-/** The fleet as one registry sees it. */
+/** State of the fleet as one registry reports it. */
 export type FleetState = v.InferOutput<typeof fleetSchema>;
 
-/** `GET /state` of a proxy's admin address. */
+/** Response to `GET /state` at the admin address of a proxy. */
 export const proxySchema = looseObject({
   node: v.string(),
   role: v.string(),
@@ -106,10 +106,10 @@
     }),
   ),
 });
-/** What one proxy reports of itself. */
+/** State of a proxy as it reports it. */
 export type ProxyState = v.InferOutput<typeof proxySchema>;
 
-/** What the primary store answers through a registry, by the last part of the path `/v1/...`. */
+/** Responses of the primary store through a registry, by the last segment of the path `/v1/...`. */
 export const storedSchemas = {
   rollouts: looseObject({
     rollouts: v.array(
@@ -165,7 +165,7 @@
     ),
   }),
 } as const;
-/** The stored parts that were collected; a part is undefined if it was not asked for or not answered. */
+/** Stored parts that were collected; undefined for a part that was not requested or not returned. */
 export type StoredState = {
   readonly [K in keyof typeof storedSchemas]: v.InferOutput<(typeof storedSchemas)[K]> | undefined;
 };
--- a/packages/query-shell/src/table/control-tables.ts
+++ b/packages/query-shell/src/table/control-tables.ts
@@ -3,28 +3,30 @@
 import type { FleetState } from '../snapshot/schemas.js';
 import { type Table, row } from './table.js';
 
-/** The table `duties`. */
+/** Table `duties`: one row per lease. */
 export const dutiesTable: Table = {
-  summary: 'duties with holders, epochs and the leases that voters know',
+  summary: 'leases with their holders, epochs and grants of voters',
   sources: [],
   columns: ['duty', 'node', 'epoch', 'voters', 'left'],
   rows: (snapshot) => {
-    const best = new Map<string, FleetState['holders'][number]>();
+    const newestByLease = new Map<string, FleetState['holders'][number]>();
     for (const fleet of snapshot.fleets)
-      for (const one of fleet.holders)
-        if ((best.get(one.duty)?.epoch ?? -1) < one.epoch) best.set(one.duty, one);
-    return [...best.values()]
-      .sort((one, two) => (one.duty < two.duty ? -1 : 1))
-      .map((one) => {
+      for (const holder of fleet.holders)
+        if ((newestByLease.get(holder.duty)?.epoch ?? -1) < holder.epoch)
+          newestByLease.set(holder.duty, holder);
+    return [...newestByLease.values()]
+      .sort((left, right) => (left.duty < right.duty ? -1 : 1))
+      .map((holder) => {
         const grants = snapshot.fleets.flatMap((fleet) =>
           fleet.voter.grants.filter(
-            (grant) => grant.duty === one.duty && grant.epoch === one.epoch && grant.leftMs > 0,
+            (grant) =>
+              grant.duty === holder.duty && grant.epoch === holder.epoch && grant.leftMs > 0,
           ),
         );
         return row(
-          ['duty', one.duty],
-          ['node', one.node],
-          ['epoch', one.epoch],
+          ['duty', holder.duty],
+          ['node', holder.node],
+          ['epoch', holder.epoch],
           ['voters', grants.length],
           ['left', Math.max(0, ...grants.map((grant) => grant.leftMs))],
         );
@@ -32,55 +34,55 @@
   },
 };
 
-/** The table `registries`. */
+/** Table `registries`: one row per registry that responded. */
 export const registriesTable: Table = {
-  summary: 'registries: what each knows',
+  summary: 'registries with the state that each has received',
   sources: [],
   columns: ['registry', 'touch', 'feed', 'epoch', 'generation', 'purges', 'recovering', 'voters'],
   rows: (snapshot) =>
-    snapshot.fleets.map((one) =>
+    snapshot.fleets.map((fleet) =>
       row(
-        ['registry', one.registry],
-        ['touch', one.inTouch],
-        ['feed', one.feedAgeMs],
-        ['epoch', one.epoch],
-        ['generation', one.generation],
-        ['purges', one.purges.top],
-        ['recovering', one.voter.recovering],
-        ['voters', one.electorate?.members.map((member) => member.node).join(' ')],
+        ['registry', fleet.registry],
+        ['touch', fleet.inTouch],
+        ['feed', fleet.feedAgeMs],
+        ['epoch', fleet.epoch],
+        ['generation', fleet.generation],
+        ['purges', fleet.purges.top],
+        ['recovering', fleet.voter.recovering],
+        ['voters', fleet.electorate?.members.map((member) => member.node).join(' ')],
       ),
     ),
 };
 
-/** The table `rollouts`. */
+/** Table `rollouts`: one row per configuration rollout. */
 export const rolloutsTable: Table = {
-  summary: 'rollouts, newest first',
+  summary: 'configuration rollouts, newest first',
   sources: ['rollouts'],
   columns: ['generation', 'status', 'wave', 'waves', 'troubled', 'targets', 'failed'],
   rows: (snapshot) =>
-    (snapshot.stored.rollouts?.rollouts ?? []).map((one) =>
+    (snapshot.stored.rollouts?.rollouts ?? []).map((rollout) =>
       row(
-        ['generation', one.generation],
-        ['status', one.status],
-        ['wave', one.wave + 1],
-        ['waves', one.waves],
-        ['troubled', one.troubled],
-        ['targets', one.targets.length],
-        ['failed', one.targets.filter((target) => target.status === 'failed').length],
+        ['generation', rollout.generation],
+        ['status', rollout.status],
+        ['wave', rollout.wave + 1],
+        ['waves', rollout.waves],
+        ['troubled', rollout.troubled],
+        ['targets', rollout.targets.length],
+        ['failed', rollout.targets.filter((target) => target.status === 'failed').length],
       ),
     ),
 };
 
-/** The table `targets`. */
+/** Table `targets`: one row per rollout and target node. */
 export const targetsTable: Table = {
-  summary: 'targets of rollouts',
+  summary: 'nodes that rollouts target',
   sources: ['rollouts'],
   columns: ['generation', 'node', 'wave', 'status', 'why'],
   rows: (snapshot) =>
-    (snapshot.stored.rollouts?.rollouts ?? []).flatMap((one) =>
-      one.targets.map((target) =>
+    (snapshot.stored.rollouts?.rollouts ?? []).flatMap((rollout) =>
+      rollout.targets.map((target) =>
         row(
-          ['generation', one.generation],
+          ['generation', rollout.generation],
           ['node', target.node],
           ['wave', target.wave + 1],
           ['status', target.status],
@@ -90,32 +92,36 @@
     ),
 };
 
-/** The table `purges`. */
+/** Table `purges`: one row per retained batch of purges. */
 export const purgesTable: Table = {
-  summary: 'batches of purges that are kept',
+  summary: 'retained batches of purges',
   sources: ['purges'],
   columns: ['number', 'aims', 'first'],
   rows: (snapshot) =>
-    (snapshot.stored.purges?.purges ?? []).map((one) =>
-      row(['number', one.seq], ['aims', one.aims.length], ['first', JSON.stringify(one.aims[0])]),
+    (snapshot.stored.purges?.purges ?? []).map((batch) =>
+      row(
+        ['number', batch.seq],
+        ['aims', batch.aims.length],
+        ['first', JSON.stringify(batch.aims[0])],
+      ),
     ),
 };
 
-/** The table `stores`. */
+/** Table `stores`: one row per store of the cluster. */
 export const storesTable: Table = {
-  summary: 'stores: who is in sync',
+  summary: 'stores and their replication state',
   sources: ['store'],
   columns: ['store', 'primary', 'inSyncSet', 'epoch', 'entries', 'waiting'],
   rows: (snapshot) => {
     const primary = snapshot.stored.store;
-    return (primary?.metadata?.stores ?? []).map((one) =>
+    return (primary?.metadata?.stores ?? []).map((store) =>
       row(
-        ['store', one.node],
-        ['primary', primary?.store === one.node],
-        ['inSyncSet', primary?.metadata?.inSyncSet.includes(one.node)],
+        ['store', store.node],
+        ['primary', primary?.store === store.node],
+        ['inSyncSet', primary?.metadata?.inSyncSet.includes(store.node)],
         ['epoch', primary?.epoch],
-        ['entries', primary?.store === one.node ? primary.entries : null],
-        ['waiting', primary?.store === one.node ? primary.waitlist : null],
+        ['entries', primary?.store === store.node ? primary.entries : null],
+        ['waiting', primary?.store === store.node ? primary.waitlist : null],
       ),
     );
   },
--- a/packages/query-shell/src/table/newest.ts
+++ b/packages/query-shell/src/table/newest.ts
@@ -1,53 +1,55 @@
-/** Merges what several registries and proxies report into one view: the newest state of each thing wins. */
+/** Merge of the reports of several registries and proxies. */
 
 import type { FleetSnapshot } from '../snapshot/collect.js';
 import type { FleetState, ProxyState } from '../snapshot/schemas.js';
 
-/** A node as a registry sees it. */
+/** State of a node as a registry reports it. */
 export type NodeState = FleetState['nodes'][number];
 
-/** The newest state of each node, whichever registry has it, by name. */
+/** Returns the newest state of each node among all registries, sorted by name. */
 export const newestNodes = (snapshot: FleetSnapshot): readonly NodeState[] => {
-  const best = new Map<string, NodeState>();
+  const newestByName = new Map<string, NodeState>();
   for (const fleet of snapshot.fleets) {
     for (const node of fleet.nodes) {
-      const old = best.get(node.node);
+      const previous = newestByName.get(node.node);
       if (
-        old === undefined ||
-        node.incarnation > old.incarnation ||
-        (node.incarnation === old.incarnation && node.ageMs < old.ageMs)
+        previous === undefined ||
+        node.incarnation > previous.incarnation ||
+        (node.incarnation === previous.incarnation && node.ageMs < previous.ageMs)
       )
-        best.set(node.node, node);
+        newestByName.set(node.node, node);
     }
   }
-  return [...best.values()].sort((one, two) => (one.node < two.node ? -1 : 1));
+  return [...newestByName.values()].sort((left, right) => (left.node < right.node ? -1 : 1));
 };
 
-/** The generation that a node should run, as the most advanced registry has it. */
+/** Returns the generation that a node should run, according to the registry with the highest generation. */
 export const desiredGeneration = (snapshot: FleetSnapshot, node: string): number | undefined => {
-  const top = [...snapshot.fleets].sort((one, two) => two.generation - one.generation)[0];
-  return top?.desired.find((one) => one.node === node)?.generation;
+  const newestFleet = [...snapshot.fleets].sort(
+    (left, right) => right.generation - left.generation,
+  )[0];
+  return newestFleet?.desired.find((desired) => desired.node === node)?.generation;
 };
 
-/** The newest announcement of each origin, whichever registry has it. */
+/** Returns one announcement of each origin: the newest, unless a registry reports a state other than `up`. */
 export const newestOrigins = (
   snapshot: FleetSnapshot,
 ): readonly FleetState['origins'][number][] => {
-  const best = new Map<string, FleetState['origins'][number]>();
+  const newestByInstance = new Map<string, FleetState['origins'][number]>();
   for (const fleet of snapshot.fleets) {
-    for (const one of fleet.origins) {
-      const old = best.get(one.instance);
-      if (old === undefined || one.ageMs < old.ageMs || one.state !== 'up')
-        best.set(one.instance, one);
+    for (const origin of fleet.origins) {
+      const previous = newestByInstance.get(origin.instance);
+      if (previous === undefined || origin.ageMs < previous.ageMs || origin.state !== 'up')
+        newestByInstance.set(origin.instance, origin);
     }
   }
-  return [...best.values()];
+  return [...newestByInstance.values()];
 };
 
-/** A service's leader as the shield that holds its lease reports it. */
+/** State of a service leader as its shield reports it. */
 export type ServiceLeaderState = ProxyState['keepers'][number] & { readonly node: string };
 
-/** The leaders of all services, with the node that each runs on. */
+/** Returns the leaders of all services, each with the node that it runs on. */
 export const serviceLeaders = (snapshot: FleetSnapshot): readonly ServiceLeaderState[] =>
   snapshot.proxies.flatMap((proxy) =>
     proxy.keepers.map((leader) => ({ ...leader, node: proxy.node })),
--- a/packages/query-shell/src/table/node-tables.ts
+++ b/packages/query-shell/src/table/node-tables.ts
@@ -1,11 +1,11 @@
-/** Tables of nodes: their state, sessions, zones and generations. */
+/** Tables of nodes: state, sessions, zones and generations. */
 
 import { desiredGeneration, newestNodes } from './newest.js';
 import { type Table, row } from './table.js';
 
-/** The table `nodes`. */
+/** Table `nodes`: one row per node. */
 export const nodesTable: Table = {
-  summary: 'every node, by the newest word on it',
+  summary: 'nodes, each in its newest reported state',
   sources: [],
   columns: [
     'node',
@@ -23,112 +23,112 @@
     'address',
   ],
   rows: (snapshot) =>
-    newestNodes(snapshot).map((one) =>
+    newestNodes(snapshot).map((node) =>
       row(
-        ['node', one.node],
-        ['role', one.role],
-        ['area', one.area],
-        ['open', one.open],
-        ['ready', one.ready],
-        ['generation', one.generation],
-        ['desired', desiredGeneration(snapshot, one.node)],
-        ['phase', one.phase],
-        ['healthy', one.health?.healthy],
-        ['why', one.failed?.text ?? one.health?.text],
-        ['registry', one.registry],
-        ['age', one.ageMs],
-        ['address', one.address],
+        ['node', node.node],
+        ['role', node.role],
+        ['area', node.area],
+        ['open', node.open],
+        ['ready', node.ready],
+        ['generation', node.generation],
+        ['desired', desiredGeneration(snapshot, node.node)],
+        ['phase', node.phase],
+        ['healthy', node.health?.healthy],
+        ['why', node.failed?.text ?? node.health?.text],
+        ['registry', node.registry],
+        ['age', node.ageMs],
+        ['address', node.address],
       ),
     ),
 };
 
-/** The table `sessions`. */
+/** Table `sessions`: one row per node and registry that reports its session. */
 export const sessionsTable: Table = {
-  summary: 'each session as each registry tells it',
+  summary: 'sessions of nodes as each registry reports them',
   sources: [],
   columns: ['node', 'told', 'registry', 'open', 'age', 'incarnation'],
   rows: (snapshot) =>
     snapshot.fleets.flatMap((fleet) =>
       fleet.nodes
-        .filter((one) => one.role !== 'registry')
-        .map((one) =>
+        .filter((node) => node.role !== 'registry')
+        .map((node) =>
           row(
-            ['node', one.node],
+            ['node', node.node],
             ['told', fleet.registry],
-            ['registry', one.registry],
-            ['open', one.open],
-            ['age', one.ageMs],
-            ['incarnation', one.incarnation],
+            ['registry', node.registry],
+            ['open', node.open],
+            ['age', node.ageMs],
+            ['incarnation', node.incarnation],
           ),
         ),
     ),
 };
 
-/** The table `areas`. */
+/** Table `areas`: one row per zone. */
 export const areasTable: Table = {
-  summary: 'areas with their nodes',
+  summary: 'zones with the number of nodes in each',
   sources: [],
   columns: ['area', 'nodes', 'open', 'ready'],
   rows: (snapshot) => {
-    const all = newestNodes(snapshot);
-    return [...new Set(all.map((one) => one.area))].sort().map((area) => {
-      const members = all.filter((one) => one.area === area);
+    const nodes = newestNodes(snapshot);
+    return [...new Set(nodes.map((node) => node.area))].sort().map((zone) => {
+      const members = nodes.filter((node) => node.area === zone);
       return row(
-        ['area', area],
+        ['area', zone],
         ['nodes', members.length],
-        ['open', members.filter((one) => one.open).length],
-        ['ready', members.filter((one) => one.ready === true).length],
+        ['open', members.filter((node) => node.open).length],
+        ['ready', members.filter((node) => node.ready === true).length],
       );
     });
   },
 };
 
-/** The table `generations`. */
+/** Table `generations`: one row per node that runs a configuration. */
 export const generationsTable: Table = {
-  summary: 'per node: assigned, desired, reported, failed',
+  summary: 'generations of each node: assigned, desired, reported and failed',
   sources: ['nodes'],
   columns: ['node', 'assigned', 'desired', 'reported', 'phase', 'failed'],
   rows: (snapshot) =>
     snapshot.stored.nodes === undefined
       ? newestNodes(snapshot)
-          .filter((one) => one.generation !== undefined)
-          .map((one) =>
+          .filter((node) => node.generation !== undefined)
+          .map((node) =>
             row(
-              ['node', one.node],
-              ['desired', desiredGeneration(snapshot, one.node)],
-              ['reported', one.generation],
-              ['phase', one.phase],
-              ['failed', one.failed?.text],
+              ['node', node.node],
+              ['desired', desiredGeneration(snapshot, node.node)],
+              ['reported', node.generation],
+              ['phase', node.phase],
+              ['failed', node.failed?.text],
             ),
           )
-      : snapshot.stored.nodes.nodes.map((one) =>
+      : snapshot.stored.nodes.nodes.map((node) =>
           row(
-            ['node', one.node],
-            ['assigned', one.assigned?.generation],
-            ['desired', one.desired?.generation],
-            ['reported', one.reported.generation],
-            ['phase', one.reported.phase],
-            ['failed', one.failed],
+            ['node', node.node],
+            ['assigned', node.assigned?.generation],
+            ['desired', node.desired?.generation],
+            ['reported', node.reported.generation],
+            ['phase', node.reported.phase],
+            ['failed', node.failed],
           ),
         ),
 };
 
-/** The table `edges`. */
+/** Table `edges`: one row per edge that responded. */
 export const edgesTable: Table = {
-  summary: 'edges: requests under way, purges heard, cache lease',
+  summary: 'edges with their newest purge, cache lease and requests in progress',
   sources: ['edges'],
   columns: ['node', 'ready', 'generation', 'purged', 'lease', 'forwarding'],
   rows: (snapshot) =>
     snapshot.proxies
-      .filter((one) => one.role === 'edge')
-      .map((one) =>
+      .filter((edge) => edge.role === 'edge')
+      .map((edge) =>
         row(
-          ['node', one.node],
-          ['ready', one.ready],
-          ['generation', one.generation],
-          ['purged', one.purged],
-          ['lease', one.cacheLease],
-          ['forwarding', one.forwarding],
+          ['node', edge.node],
+          ['ready', edge.ready],
+          ['generation', edge.generation],
+          ['purged', edge.purged],
+          ['lease', edge.cacheLease],
+          ['forwarding', edge.forwarding],
         ),
       ),
 };
--- a/packages/query-shell/src/table/service-tables.ts
+++ b/packages/query-shell/src/table/service-tables.ts
@@ -1,12 +1,12 @@
-/** Tables of services: their leaders, classes, origins and canaries. */
+/** Tables of services: leaders, classes, origins and canaries. */
 
 import { newestOrigins, serviceLeaders } from './newest.js';
 import { type Table, row, sum } from './table.js';
 
-/** The table `services`. */
+/** Table `services`: one row per service leader. */
 export const servicesTable: Table = {
-  summary: 'services at their keepers',
-  sources: ['keepers'],
+  summary: 'services as their leaders report them',
+  sources: ['serviceLeaders'],
   columns: [
     'service',
     'keeper',
@@ -22,51 +22,54 @@
     'closing',
   ],
   rows: (snapshot) =>
-    serviceLeaders(snapshot).map((one) =>
+    serviceLeaders(snapshot).map((leader) =>
       row(
-        ['service', one.service],
-        ['keeper', one.node],
-        ['epoch', one.epoch],
-        ['origins', one.origins.filter((origin) => origin.up).length],
-        ['slots', sum(one.origins.filter((origin) => origin.up).map((origin) => origin.slots))],
-        ['used', sum(one.origins.map((origin) => origin.used))],
-        ['waiting', sum(one.waitlist.map((list) => list.waiting))],
-        ['typical', one.typicalMs],
-        ['traffic10s', one.budget.traffic10s],
-        ['extra10s', one.budget.extra10s],
-        ['tokens', one.ceilingTokens],
-        ['closing', one.closing],
+        ['service', leader.service],
+        ['keeper', leader.node],
+        ['epoch', leader.epoch],
+        ['origins', leader.origins.filter((origin) => origin.up).length],
+        ['slots', sum(leader.origins.filter((origin) => origin.up).map((origin) => origin.slots))],
+        ['used', sum(leader.origins.map((origin) => origin.used))],
+        ['waiting', sum(leader.waitlist.map((list) => list.waiting))],
+        ['typical', leader.typicalMs],
+        ['traffic10s', leader.budget.traffic10s],
+        ['extra10s', leader.budget.extra10s],
+        ['tokens', leader.ceilingTokens],
+        ['closing', leader.closing],
       ),
     ),
 };
 
-/** The table `classes`. */
+/** Table `classes`: one row per service and traffic class. */
 export const classesTable: Table = {
-  summary: 'classes at each service: running, waiting, and what is on loan beyond their share',
-  sources: ['keepers'],
+  summary: 'classes of each service: running, waiting, and slots in use beyond the share',
+  sources: ['serviceLeaders'],
   columns: ['service', 'class', 'running', 'waiting', 'share', 'loan'],
   rows: (snapshot) =>
-    serviceLeaders(snapshot).flatMap((one) =>
-      one.running.map((load) => {
-        const slots = sum(one.origins.filter((origin) => origin.up).map((origin) => origin.slots));
-        const part = one.shares?.find((each) => each.class === load.class)?.share;
-        const share = part === undefined ? undefined : Math.floor(part * slots + 1e-9);
+    serviceLeaders(snapshot).flatMap((leader) =>
+      leader.running.map((load) => {
+        const slots = sum(
+          leader.origins.filter((origin) => origin.up).map((origin) => origin.slots),
+        );
+        const shareFraction = leader.shares?.find((entry) => entry.class === load.class)?.share;
+        const shareSlots =
+          shareFraction === undefined ? undefined : Math.floor(shareFraction * slots + 1e-9);
         return row(
-          ['service', one.service],
+          ['service', leader.service],
           ['class', load.class],
           ['running', load.running],
-          ['waiting', one.waitlist.find((list) => list.class === load.class)?.waiting ?? 0],
-          ['share', share],
-          ['loan', share === undefined ? undefined : Math.max(0, load.running - share)],
+          ['waiting', leader.waitlist.find((list) => list.class === load.class)?.waiting ?? 0],
+          ['share', shareSlots],
+          ['loan', shareSlots === undefined ? undefined : Math.max(0, load.running - shareSlots)],
         );
       }),
     ),
 };
 
-/** The table `origins`. */
+/** Table `origins`: one row per origin instance. */
 export const originsTable: Table = {
-  summary: 'origins as announced, with what their keeper sees',
-  sources: ['keepers'],
+  summary: 'announced origins, with the state that their service leader reports',
+  sources: ['serviceLeaders'],
   columns: [
     'instance',
     'service',
@@ -81,57 +84,57 @@
     'address',
   ],
   rows: (snapshot) =>
-    newestOrigins(snapshot).map((one) => {
+    newestOrigins(snapshot).map((origin) => {
       const endpoint = serviceLeaders(snapshot)
-        .flatMap((keeper) => keeper.origins)
-        .find((each) => each.instance === one.instance);
+        .flatMap((leader) => leader.origins)
+        .find((candidate) => candidate.instance === origin.instance);
       return row(
-        ['instance', one.instance],
-        ['service', one.service],
-        ['release', one.release],
-        ['state', one.state],
-        ['age', one.ageMs],
-        ['slots', one.slots],
+        ['instance', origin.instance],
+        ['service', origin.service],
+        ['release', origin.release],
+        ['state', origin.state],
+        ['age', origin.ageMs],
+        ['slots', origin.slots],
         ['used', endpoint?.used],
         ['probe', endpoint?.probe],
         ['typical', endpoint?.typicalMs],
         ['passed', endpoint?.passedOverMs],
-        ['address', one.address],
+        ['address', origin.address],
       );
     }),
 };
 
-/** The table `trials`. */
+/** Table `trials`: one row per release with a canary result. */
 export const trialsTable: Table = {
-  summary: 'releases on trial and what is judged of them',
-  sources: ['keepers', 'verdicts'],
+  summary: 'canary releases with their results',
+  sources: ['serviceLeaders', 'verdicts'],
   columns: ['service', 'release', 'state', 'spent', 'bad', 'used', 'granted', 'good'],
   rows: (snapshot) => {
-    const live = serviceLeaders(snapshot)
-      .filter((one) => !one.closing)
-      .flatMap((one) => one.trials.map((trial) => ({ ...trial, service: one.service })));
-    const stored =
+    const liveCanaries = serviceLeaders(snapshot)
+      .filter((leader) => !leader.closing)
+      .flatMap((leader) => leader.trials.map((canary) => ({ ...canary, service: leader.service })));
+    const canaryResults =
       snapshot.stored.verdicts?.verdicts ??
-      live.map((one) => ({
-        service: one.service,
-        release: one.release,
-        state: one.state,
-        spent: one.granted,
-        bad: one.bad,
+      liveCanaries.map((canary) => ({
+        service: canary.service,
+        release: canary.release,
+        state: canary.state,
+        spent: canary.granted,
+        bad: canary.bad,
       }));
-    return stored.map((one) => {
-      const trial = live.find(
-        (each) => each.service === one.service && each.release === one.release,
+    return canaryResults.map((result) => {
+      const liveCanary = liveCanaries.find(
+        (canary) => canary.service === result.service && canary.release === result.release,
       );
       return row(
-        ['service', one.service],
-        ['release', one.release],
-        ['state', one.state],
-        ['spent', one.spent],
-        ['bad', Math.max(one.bad, trial?.bad ?? 0)],
-        ['used', trial?.used],
-        ['granted', trial?.granted],
-        ['good', trial?.good],
+        ['service', result.service],
+        ['release', result.release],
+        ['state', result.state],
+        ['spent', result.spent],
+        ['bad', Math.max(result.bad, liveCanary?.bad ?? 0)],
+        ['used', liveCanary?.used],
+        ['granted', liveCanary?.granted],
+        ['good', liveCanary?.good],
       );
     });
   },
--- a/packages/query-shell/src/table/table.ts
+++ b/packages/query-shell/src/table/table.ts
@@ -1,31 +1,31 @@
-/** What a table of the shell is, and how its rows are made. */
+/** Definition of the tables of the shell, and helpers for their rows. */
 
 import type { FleetSnapshot } from '../snapshot/collect.js';
 
-/** One value of a row; `null` where nothing is known. */
+/** Value in a row; `null` if it is unknown. */
 export type Cell = string | number | boolean | null;
 
-/** Cells by the name of their column, in the order of the columns. */
+/** Cells by column, in the order of the columns. */
 export type Row = ReadonlyMap<string, Cell>;
 
 /** Parts of a snapshot that are collected only for the tables that need them. */
 export type SnapshotSource =
-  'edges' | 'keepers' | 'nodes' | 'purges' | 'rollouts' | 'store' | 'verdicts';
+  'edges' | 'serviceLeaders' | 'nodes' | 'purges' | 'rollouts' | 'store' | 'verdicts';
 
-/** One table that can be queried. */
+/** Table that can be queried. */
 export interface Table {
-  /** One line for the help text. */
+  /** Line in the help text. */
   readonly summary: string;
   readonly columns: readonly string[];
-  /** What must be collected beside the registries' own state. */
+  /** Parts of the snapshot that the table needs in addition to the registries' own state. */
   readonly sources: readonly SnapshotSource[];
   readonly rows: (snapshot: FleetSnapshot) => readonly Row[];
 }
 
-/** A row from its cells; a cell without a value is `null`. */
+/** Builds a row from its cells; undefined becomes `null`. */
 export const row = (...cells: readonly (readonly [string, Cell | undefined])[]): Row =>
   new Map(cells.map(([name, cell]) => [name, cell ?? null]));
 
-/** The sum of a list of numbers. */
-export const sum = (list: readonly number[]): number =>
-  list.reduce((total, value) => total + value, 0);
+/** Returns the sum of the numbers; 0 if there are none. */
+export const sum = (numbers: readonly number[]): number =>
+  numbers.reduce((total, value) => total + value, 0);
--- a/packages/query-shell/src/table/tables.ts
+++ b/packages/query-shell/src/table/tables.ts
@@ -1,4 +1,4 @@
-/** All tables of the shell by name, in the order in which the help lists them. */
+/** Index of all tables of the shell. */
 
 import {
   areasTable,
@@ -18,7 +18,7 @@
 import { classesTable, originsTable, servicesTable, trialsTable } from './service-tables.js';
 import type { Table } from './table.js';
 
-/** Tables by the name that a query begins with. */
+/** Tables by the name that a query starts with, in the order of the help text. */
 export const tables: ReadonlyMap<string, Table> = new Map<string, Table>([
   ['nodes', nodesTable],
   ['sessions', sessionsTable],
