--- a/packages/query-shell/src/query/parse.ts
+++ b/packages/query-shell/src/query/parse.ts
@@ -13,7 +13,6 @@
 import { suggestion } from './suggestion.js';
 import { type Token, splitAtPipes, tokenize } from './tokens.js';
 
-// Operators that are a prefix of another come after it.
 const operators: readonly Operator[] = ['!=', '<=', '>=', '=', '<', '>', '~'];
 /** Column, operator, value, and the "and" before the next condition. */
 const tokensPerCondition = 4;
