--- a/packages/query-shell/src/main.ts
+++ b/packages/query-shell/src/main.ts
@@ -72,8 +72,8 @@
   if (query.isErr) exitWithUsageError(query.error);
   const abortController = new AbortController();
   process.on('SIGINT', () => abortController.abort());
-  const hasAnswer = await runAndFollow(queryText, target, abortController.signal, (text) =>
+  const hasResponse = await runAndFollow(queryText, target, abortController.signal, (text) =>
     process.stdout.write(`${text}\n`),
   );
-  process.exitCode = hasAnswer ? 0 : 1;
+  process.exitCode = hasResponse ? 0 : 1;
 }
--- a/packages/query-shell/src/shell/answer.ts
+++ b/packages/query-shell/src/shell/answer.ts
@@ -16,10 +16,10 @@
   readonly asJson: boolean;
 }
 
-/** Formatted result of a query; `hasAnswer` is whether any registry responded. */
+/** Formatted result of a query; `hasResponse` is whether any registry responded. */
 export interface QueryOutput {
   readonly text: string;
-  readonly hasAnswer: boolean;
+  readonly hasResponse: boolean;
 }
 
 /** Runs a query on the current state of the fleet. */
@@ -34,7 +34,7 @@
   const text = target.asJson
     ? toJson(rows, snapshot)
     : `${formatRows(rows)}\n${formatFreshness(snapshot, rows.length)}`;
-  return { text, hasAnswer: snapshot.fleets.length > 0 };
+  return { text, hasResponse: snapshot.fleets.length > 0 };
 };
 
 /** Parses a query; the error is a message for the operator with a mark under the mistake. */
--- a/packages/query-shell/src/shell/format.ts
+++ b/packages/query-shell/src/shell/format.ts
@@ -19,8 +19,8 @@
 export const formatFreshness = (snapshot: FleetSnapshot, rowCount: number): string =>
   [
     `${rowCount} rows; ${snapshot.fleets.length} registries responded, oldest update from the primary ${Math.round(snapshot.ageMs)} ms ago`,
-    ...(snapshot.unanswered.length > 0
-      ? [`no response from: ${snapshot.unanswered.join(', ')}`]
+    ...(snapshot.unresponsive.length > 0
+      ? [`no response from: ${snapshot.unresponsive.join(', ')}`]
       : []),
     ...(snapshot.missing.length > 0 ? [`missing: ${snapshot.missing.join(', ')}`] : []),
   ].join('\n');
@@ -31,6 +31,6 @@
     rows: rows.map((row) => Object.fromEntries(row)),
     registries: snapshot.fleets.length,
     oldestMs: Math.round(snapshot.ageMs),
-    silent: snapshot.unanswered,
+    silent: snapshot.unresponsive,
     missing: snapshot.missing,
   });
--- a/packages/query-shell/src/shell/shell.ts
+++ b/packages/query-shell/src/shell/shell.ts
@@ -32,15 +32,15 @@
     print(query.error);
     return false;
   }
-  let hasAnswer = false;
+  let hasResponse = false;
   do {
     const output = await answerQuery(query.value, target);
-    hasAnswer = output.hasAnswer;
+    hasResponse = output.hasResponse;
     print(output.text);
     if (query.value.followMs === undefined) break;
     await delay(query.value.followMs, signal);
   } while (!signal.aborted);
-  return hasAnswer;
+  return hasResponse;
 };
 
 /** Runs queries from standard input until it ends or the operator quits; `historyFile`, if given, keeps the history. */
--- a/packages/query-shell/src/snapshot/collect.ts
+++ b/packages/query-shell/src/snapshot/collect.ts
@@ -22,7 +22,7 @@
   readonly proxies: readonly ProxyState[];
   readonly stored: StoredState;
   /** Processes that did not respond, sorted: addresses of registries and names of proxies. */
-  readonly unanswered: readonly string[];
+  readonly unresponsive: readonly string[];
   /** Parts of the state that no process returned, each with the reason. */
   readonly missing: readonly string[];
   /** Age of the oldest update from the primary among the registries that responded. */
@@ -38,7 +38,7 @@
 const collectRegistries = async (
   registries: readonly Address[],
   timeoutMs: number,
-  unanswered: string[],
+  unresponsive: string[],
 ): Promise<readonly RegistryReply[]> => {
   const addresses = new Set<string>(registries);
   const queried = new Set<string>();
@@ -55,7 +55,7 @@
     );
     for (const { address, fleet } of results) {
       if (fleet === undefined) {
-        unanswered.push(address);
+        unresponsive.push(address);
         continue;
       }
       replies.push({ address, fleet });
@@ -70,7 +70,7 @@
   fleets: readonly FleetState[],
   sources: ReadonlySet<string>,
   timeoutMs: number,
-  unanswered: string[],
+  unresponsive: string[],
 ): Promise<readonly ProxyState[]> => {
   const nodesByName = new Map<string, { readonly admin: string; readonly role: string }>();
   for (const fleet of fleets)
@@ -85,7 +85,7 @@
   await Promise.all(
     requiredProxies.map(async ([name, { admin }]) => {
       const proxy = await fetchAs(proxySchema, admin, '/state', timeoutMs);
-      if (proxy === undefined) unanswered.push(name);
+      if (proxy === undefined) unresponsive.push(name);
       else proxies.push(proxy);
     }),
   );
@@ -124,10 +124,10 @@
   sources: ReadonlySet<string>,
   timeoutMs: number,
 ): Promise<FleetSnapshot> => {
-  const unanswered: string[] = [];
-  const replies = await collectRegistries(registries, timeoutMs, unanswered);
+  const unresponsive: string[] = [];
+  const replies = await collectRegistries(registries, timeoutMs, unresponsive);
   const fleets = replies.map(({ fleet }) => fleet);
-  const proxies = await collectProxies(fleets, sources, timeoutMs, unanswered);
+  const proxies = await collectProxies(fleets, sources, timeoutMs, unresponsive);
   const stored = await collectStored(replies, sources, timeoutMs);
   const missing = Object.entries(stored)
     .filter(([name, part]) => sources.has(name) && part === undefined)
@@ -137,7 +137,7 @@
     fleets,
     proxies,
     stored,
-    unanswered: unanswered.sort(),
+    unresponsive: unresponsive.sort(),
     missing,
     ageMs: Math.max(0, ...fleets.map((fleet) => fleet.feedAgeMs ?? 0)),
   };
--- a/packages/switchwheel/src/command-line-forms.test.ts
+++ b/packages/switchwheel/src/command-line-forms.test.ts
@@ -64,11 +64,11 @@
   ...overrides,
 });
 
-const descriptionFile = join(import.meta.dirname, '..', 'fixtures', 'description.json');
+const configurationFile = join(import.meta.dirname, '..', 'fixtures', 'description.json');
 const commands: readonly (readonly string[])[] = [
-  ['check', descriptionFile],
-  ['apply', descriptionFile],
-  ['diff', descriptionFile],
+  ['check', configurationFile],
+  ['apply', configurationFile],
+  ['diff', configurationFile],
   ['show'],
   ['status'],
   ['rollouts'],
@@ -108,7 +108,7 @@
     optionsFor(address, overrides),
   );
   return [
-    `$ switchwheel ${commandLine.join(' ').replace(descriptionFile, 'FILE')}${overrides.json === true ? ' --json' : ''}`,
+    `$ switchwheel ${commandLine.join(' ').replace(configurationFile, 'FILE')}${overrides.json === true ? ' --json' : ''}`,
     `exit code ${exitCode}`,
     ...(stdout === '' ? [] : ['stdout:', stdout]),
     ...(stderr === '' ? [] : ['stderr:', stderr]),
@@ -150,7 +150,7 @@
 void test('apply reports on how many nodes the configuration is in force', async () => {
   const registry = await startStubRegistry();
   try {
-    const output = await outputsOf([['apply', descriptionFile]], registry, { waitMs: 60_000 });
+    const output = await outputsOf([['apply', configurationFile]], registry, { waitMs: 60_000 });
     matchSnapshot('command-apply-wait', output.replace(/after \d+ ms/, 'after NUMBER ms'));
   } finally {
     registry.stop();
--- a/packages/switchwheel/src/command/command-result.ts
+++ b/packages/switchwheel/src/command/command-result.ts
@@ -29,7 +29,7 @@
   readonly voters: readonly string[];
   /** Maximum time that `apply` waits for the nodes to report the new generation; 0 to not wait. */
   readonly waitMs: number;
-  /** Duration of a release rollout as the operator wrote it: `16s`, `500ms`. */
+  /** Duration of a release rollout as the operator wrote it, such as `16s`. */
   readonly span: string;
 }
 
--- a/packages/switchwheel/src/command/releases.ts
+++ b/packages/switchwheel/src/command/releases.ts
@@ -19,7 +19,7 @@
   );
 
 const canaryResultTable = (body: unknown, origins: readonly unknown[]): string => {
-  const liveOrigins = (result: unknown): number =>
+  const countLiveOrigins = (result: unknown): number =>
     origins.filter(
       (origin) =>
         memberOf(origin, 'service') === memberOf(result, 'service') &&
@@ -30,7 +30,7 @@
     ['service', 'release', 'result', 'spent', 'bad', 'origins up'],
     listMember(body, 'verdicts').map((result) => [
       ...memberTexts(result, ['service', 'release', 'state', 'spent', 'bad']),
-      String(liveOrigins(result)),
+      String(countLiveOrigins(result)),
     ]),
   );
 };
@@ -52,7 +52,7 @@
   );
 };
 
-/** Parses a duration such as `500ms`, `16s` or `2m`; undefined if it is malformed. */
+/** Parses a duration such as `1500ms`, `16s` or `2m`; undefined if it is malformed. */
 const parseDurationMs = (duration: string): number | undefined => {
   const [, amount, unit] = /^(\d+(?:\.\d+)?)(ms|s|m)$/.exec(duration) ?? [];
   if (amount === undefined) return undefined;
@@ -72,7 +72,9 @@
     );
   if (spanMs === undefined)
     return Promise.resolve(
-      usageError(`--span: invalid duration ${options.span}; expected one such as 500ms, 16s or 2m`),
+      usageError(
+        `--span: invalid duration ${options.span}; expected one such as 1500ms, 16s or 2m`,
+      ),
     );
   const id = options.id ?? randomUUID();
   return requestAndFormat(
--- a/packages/switchwheel/src/command/rollouts.ts
+++ b/packages/switchwheel/src/command/rollouts.ts
@@ -5,8 +5,8 @@
 import { formatTable, listMember, memberOf, memberTexts, toText } from './json-text.js';
 import { requestAndFormat } from './registry-request.js';
 
-/** States of a target that is listed with its reason. */
-const unfinishedStates: ReadonlySet<string> = new Set([
+/** States of targets that are listed one by one, with the reason. */
+const incompleteStates: ReadonlySet<string> = new Set([
   'failed',
   'skipped',
   'pending',
@@ -30,21 +30,21 @@
     ]),
   );
 
-const unfinishedTargets = (rollout: unknown): readonly (readonly string[])[] =>
+const incompleteTargets = (rollout: unknown): readonly (readonly string[])[] =>
   listMember(rollout, 'targets')
-    .filter((target) => unfinishedStates.has(toText(memberOf(target, 'status'))))
+    .filter((target) => incompleteStates.has(toText(memberOf(target, 'status'))))
     .map((target) => [
       toText(memberOf(rollout, 'generation')),
       ...memberTexts(target, ['node', 'status', 'text']),
     ]);
 
-/** Runs `rollouts`: lists rollouts, then the targets that have not finished, if any. */
+/** Runs `rollouts`: lists rollouts, then the targets that are not done, if any. */
 export const showRollouts = (options: CommandOptions): Promise<CommandResult> =>
   requestAndFormat(options, { method: 'GET', path: '/v1/rollouts' }, (body) => {
     const rollouts = listMember(body, 'rollouts');
     const table = rolloutTable(rollouts);
-    const unfinished = rollouts.flatMap(unfinishedTargets);
-    return unfinished.length === 0
+    const incomplete = rollouts.flatMap(incompleteTargets);
+    return incomplete.length === 0
       ? table
-      : `${table}\n\n${formatTable(['generation', 'node', 'status', 'reason'], unfinished)}`;
+      : `${table}\n\n${formatTable(['generation', 'node', 'status', 'reason'], incomplete)}`;
   });
--- a/packages/switchwheel/src/main.ts
+++ b/packages/switchwheel/src/main.ts
@@ -37,7 +37,7 @@
     --strict         import fails if any directive can't be converted
     --store NODE     bootstrap only on this store; repeat the flag for several stores (default: all that are connected)
     --voter NODE     bootstrap with this registry as a voter; repeat the flag for several voters (default: all that are connected)
-    --span SPAN      duration of a release rollout: 500ms, 16s, 2m (default 60s)
+    --span SPAN      duration of a release rollout, such as 1500ms, 16s or 2m (default 60s)
     --timeout MS     maximum time to wait for the response of each registry (default 10000)
 
   Exit codes
