--- a/packages/proxy-core/src/request-handler/edge-request-handler.ts
+++ b/packages/proxy-core/src/request-handler/edge-request-handler.ts
@@ -39,7 +39,7 @@
   type Reply,
   defaultTransferLimits,
 } from './ports.js';
-import { type RequestOutcome, RequestState } from './request-state.js';
+import { type ForwardOutcome, ForwardedRequestState } from './request-state.js';
 import { type RouteLookup, lookUpRoute } from './route-lookup.js';
 
 /**
@@ -61,7 +61,7 @@
    * Passes the outcome to the requests that wait for this fetch; undefined if the fetch can't be
    * joined.
    */
-  readonly finishFetch: ((outcome: RequestOutcome) => void) | undefined;
+  readonly finishFetch: ((outcome: ForwardOutcome) => void) | undefined;
   /** Id of the forwarded request; undefined until it is forwarded. */
   readonly forwarded: { id: RequestId | undefined };
 }
@@ -98,7 +98,7 @@
 /** Handles client requests at an edge. */
 export class EdgeRequestHandler {
   readonly #forwarded: ForwardedRequests;
-  readonly #coalescing: RequestCoalescing<RequestOutcome>;
+  readonly #coalescing: RequestCoalescing<ForwardOutcome>;
   readonly #cacheLookup: CacheLookup;
   readonly #context: HandlerContext;
   readonly #idPrefix: string;
@@ -245,7 +245,7 @@
     const purgeSeq = this.#cacheLookup.cache.lastPurgeSeq;
     context.forwarded.id = id;
     this.#forwarded.add(
-      new RequestState({
+      new ForwardedRequestState({
         id,
         body: request.body,
         client,
@@ -283,7 +283,7 @@
     };
   }
 
-  #onOutcome(context: FilterContext, sentAt: Timestamp, outcome: RequestOutcome): void {
+  #onOutcome(context: FilterContext, sentAt: Timestamp, outcome: ForwardOutcome): void {
     switch (outcome.kind) {
       case 'failure':
         this.#reply(context, outcome);
@@ -301,7 +301,7 @@
   #onComplete(
     context: FilterContext,
     sentAt: Timestamp,
-    response: Extract<RequestOutcome, { kind: 'complete' }>,
+    response: Extract<ForwardOutcome, { kind: 'complete' }>,
   ): void {
     const { cacheable } = context;
     const { status, fields, body, digest, ageMs, purgeSeqAtFetch, source } = response;
--- a/packages/proxy-core/src/request-handler/forwarded-requests.ts
+++ b/packages/proxy-core/src/request-handler/forwarded-requests.ts
@@ -8,7 +8,7 @@
 import type { ForwardingEffect } from '../forwarding/state.js';
 import { LeaderChannels } from './leader-channels.js';
 import type { HandlerContext, OpenDataChannel } from './ports.js';
-import type { RequestState } from './request-state.js';
+import type { ForwardedRequestState } from './request-state.js';
 
 type EffectOf<K extends ForwardingEffect['kind']> = Extract<ForwardingEffect, { kind: K }>;
 
@@ -28,7 +28,7 @@
 
 /** Requests that an edge has forwarded and that are not finished. */
 export class ForwardedRequests {
-  readonly #requests = new Map<RequestId, RequestState>();
+  readonly #requests = new Map<RequestId, ForwardedRequestState>();
   readonly #context: HandlerContext;
   readonly #channels: LeaderChannels;
   readonly #onIncomplete: () => void;
@@ -53,7 +53,7 @@
   }
 
   /** Adds a request before it is dispatched to the forwarding module. */
-  add(request: RequestState): void {
+  add(request: ForwardedRequestState): void {
     this.#requests.set(request.id, request);
   }
 
@@ -124,7 +124,7 @@
   }
 
   /** Returns the request that is receiving its response from `from`, if any. */
-  #receiving(from: Address, id: RequestId): RequestState | undefined {
+  #receiving(from: Address, id: RequestId): ForwardedRequestState | undefined {
     const request = this.#requests.get(id);
     return request?.hasResponse === true && request.leader === from ? request : undefined;
   }
@@ -160,17 +160,17 @@
   }
 
   /** Removes a request whose response has ended. */
-  #finish(request: RequestState): void {
+  #finish(request: ForwardedRequestState): void {
     this.#requests.delete(request.id);
     this.#context.dispatch((now) => ({ kind: 'responseCompleted', now, id: request.id }));
   }
 
-  #failIncomplete(request: RequestState, text: string): void {
+  #failIncomplete(request: ForwardedRequestState, text: string): void {
     this.#onIncomplete();
     request.fail('lost', text, 0);
   }
 
-  #abort(request: RequestState, text: string): void {
+  #abort(request: ForwardedRequestState, text: string): void {
     this.#finish(request);
     this.#failIncomplete(request, text);
   }
--- a/packages/proxy-core/src/request-handler/origin-attempts.ts
+++ b/packages/proxy-core/src/request-handler/origin-attempts.ts
@@ -16,7 +16,7 @@
   ResponseWriter,
   StreamHead,
 } from './inbound-requests.js';
-import type { AttemptPort, AttemptRequest, HandlerContext } from './ports.js';
+import type { AttemptPort, OriginAttemptRequest, HandlerContext } from './ports.js';
 import {
   type AttemptResult,
   type CompleteResponse,
@@ -57,7 +57,7 @@
 const attemptRequest = (
   effect: StartAttemptEffect,
   forwarded: ForwardedRequest,
-): AttemptRequest => ({
+): OriginAttemptRequest => ({
   address: effect.address,
   instance: effect.instance,
   service: forwarded.service,
@@ -190,7 +190,7 @@
   #responseVerifier(
     effect: StartAttemptEffect,
     admitted: AdmittedRequest,
-    request: AttemptRequest,
+    request: OriginAttemptRequest,
     startedAt: Timestamp,
   ): ResponseVerifier {
     let writer: ResponseWriter | undefined;
--- a/packages/proxy-core/src/request-handler/ports.ts
+++ b/packages/proxy-core/src/request-handler/ports.ts
@@ -110,7 +110,7 @@
 }
 
 /** Request of an attempt at an origin. */
-export interface AttemptRequest {
+export interface OriginAttemptRequest {
   readonly address: Address;
   readonly instance: InstanceId;
   readonly service: string;
@@ -134,7 +134,7 @@
 /**
  * Handlers for the response of an origin. `onReady` is to be called when more bytes are accepted.
  */
-export interface AttemptHandlers {
+export interface OriginAttemptHandlers {
   readonly onHead: (status: number, fields: HeaderFields) => void;
   readonly onChunk: (bytes: Buffer, onReady: () => void) => void;
   readonly onEnd: () => void;
@@ -143,7 +143,11 @@
 
 /** Connections to origins. `attemptKey` identifies an attempt. */
 export interface AttemptPort {
-  readonly send: (attemptKey: string, request: AttemptRequest, handlers: AttemptHandlers) => void;
+  readonly send: (
+    attemptKey: string,
+    request: OriginAttemptRequest,
+    handlers: OriginAttemptHandlers,
+  ) => void;
   /** Cancels an attempt; none of its handlers is called afterwards. */
   readonly cancel: (attemptKey: string) => void;
 }
--- a/packages/proxy-core/src/request-handler/request-state.ts
+++ b/packages/proxy-core/src/request-handler/request-state.ts
@@ -9,7 +9,7 @@
 import type { ClientConnection, ClientStream } from './ports.js';
 
 /** Outcome of a forwarded request. */
-export type RequestOutcome =
+export type ForwardOutcome =
   | {
       readonly kind: 'complete';
       readonly status: number;
@@ -44,8 +44,8 @@
       readonly stream: ClientStream;
     };
 
-/** Options of `RequestState`. */
-export interface RequestStateOptions {
+/** Options of `ForwardedRequestState`. */
+export interface ForwardedRequestOptions {
   readonly id: RequestId;
   readonly body: Uint8Array;
   readonly client: ClientConnection;
@@ -53,23 +53,23 @@
   readonly maxBufferedBytes: number;
   /** Whether a response with these header fields arrives too late to be used. */
   readonly isStale: (fields: HeaderFields) => boolean;
-  readonly onOutcome: (outcome: RequestOutcome) => void;
+  readonly onOutcome: (outcome: ForwardOutcome) => void;
 }
 
 /** State of one forwarded request. */
-export class RequestState {
+export class ForwardedRequestState {
   readonly id: RequestId;
   readonly body: Uint8Array;
   /** Address of the leader to which it was last sent. */
   leader: Address | undefined;
-  readonly #options: RequestStateOptions;
+  readonly #options: ForwardedRequestOptions;
   readonly #hash: Hash = createHash('sha256');
   #phase: ResponsePhase = { phase: 'awaitingHead' };
   #receivedBytes = 0;
   /** Latest chunk of a stream, held back until the next chunk or the end has been verified. */
   #heldChunk: { readonly bytes: Buffer; readonly onReady: () => void } | undefined;
 
-  constructor(options: RequestStateOptions) {
+  constructor(options: ForwardedRequestOptions) {
     this.id = options.id;
     this.body = options.body;
     this.#options = options;
--- a/packages/proxy-core/src/request-handler/response-verifier.ts
+++ b/packages/proxy-core/src/request-handler/response-verifier.ts
@@ -8,7 +8,7 @@
 import { fieldValue } from '../cache/header-fields.js';
 import type { AttemptOutcome } from '../service-leader/state.js';
 import { DigestVerifier } from './digest-verifier.js';
-import type { AttemptFailure, AttemptHandlers, AttemptRequest } from './ports.js';
+import type { AttemptFailure, OriginAttemptHandlers, OriginAttemptRequest } from './ports.js';
 
 /** Response with its complete body. */
 export interface CompleteResponse {
@@ -49,7 +49,7 @@
 
 /** Options of `ResponseVerifier`. */
 export interface ResponseVerifierOptions {
-  readonly request: AttemptRequest;
+  readonly request: OriginAttemptRequest;
   /** Size above which a response is passed on while it is received. */
   readonly maxBufferedBytes: number;
   readonly sink: ResponseSink;
@@ -58,8 +58,8 @@
 }
 
 /** Verifies the response of one attempt. */
-export class ResponseVerifier implements AttemptHandlers {
-  readonly #request: AttemptRequest;
+export class ResponseVerifier implements OriginAttemptHandlers {
+  readonly #request: OriginAttemptRequest;
   readonly #maxBufferedBytes: number;
   readonly #sink: ResponseSink;
   readonly #onEnd: (result: AttemptResult) => void;
--- a/packages/proxy/src/shield/origin-client.ts
+++ b/packages/proxy/src/shield/origin-client.ts
@@ -9,9 +9,9 @@
 import type { InstanceId } from '@switchwheel/types';
 import type { HeaderFields } from '@switchwheel/transport';
 import {
-  type AttemptHandlers,
+  type OriginAttemptHandlers,
   type AttemptPort,
-  type AttemptRequest,
+  type OriginAttemptRequest,
   fieldValue,
 } from '@switchwheel/proxy-core';
 import { headerFieldsOf } from '../http/header-fields.js';
@@ -47,7 +47,7 @@
   }
 
   /** Sends a request to an origin once; `cancel` with the same name cancels it. */
-  send(name: string, attempt: AttemptRequest, handlers: AttemptHandlers): void {
+  send(name: string, attempt: OriginAttemptRequest, handlers: OriginAttemptHandlers): void {
     const connection = { isOpen: false };
     const abort = new AbortController();
     const stream = this.#openStream(attempt, abort.signal);
@@ -76,7 +76,7 @@
       .finally(() => this.cancel(name));
   }
 
-  #openStream(attempt: AttemptRequest, signal: AbortSignal): Request {
+  #openStream(attempt: OriginAttemptRequest, signal: AbortSignal): Request {
     const { address, target, timeoutMs, body } = attempt;
     const usuallyHasNoBody = attempt.method === 'GET' || attempt.method === 'HEAD';
     const stream = got.stream(`http://${address}${target}`, {
@@ -100,7 +100,7 @@
   }
 
   /** A non-idempotent request uses a new connection, so that a refused connection proves that it was not sent. */
-  #agentFor({ instance, isIdempotent }: AttemptRequest): Agent {
+  #agentFor({ instance, isIdempotent }: OriginAttemptRequest): Agent {
     if (!isIdempotent) return new Agent({ keepAlive: false });
     const existing = this.#agents.get(instance);
     if (existing !== undefined) return existing;
@@ -117,7 +117,7 @@
   fields,
   instance,
   service,
-}: AttemptRequest): Record<string, string | string[]> => ({
+}: OriginAttemptRequest): Record<string, string | string[]> => ({
   ...groupByName(fields),
   'switchwheel-instance': instance,
   'switchwheel-service': service,
@@ -136,7 +136,7 @@
   );
 };
 
-const readResponse = async (stream: Request, handlers: AttemptHandlers): Promise<void> => {
+const readResponse = async (stream: Request, handlers: OriginAttemptHandlers): Promise<void> => {
   const message = await new Promise<IncomingMessage>((resolve, reject) => {
     stream.once('response', resolve);
     stream.once('error', reject);
--- a/packages/routing/src/rollout/rollout-counters.ts
+++ b/packages/routing/src/rollout/rollout-counters.ts
@@ -13,7 +13,7 @@
 import type { FrameOf, ReleaseCountsRow, RolloutState } from '@switchwheel/transport';
 
 /** Outcome of an attempt for the statistics of its release. */
-export type AttemptOutcome = 'succeeded' | 'failed' | 'cancelled';
+export type ReleaseOutcome = 'succeeded' | 'failed' | 'cancelled';
 
 /** Counts of a service's rollout, as members of the `tally` frame. */
 export type RolloutReport = Pick<
@@ -72,7 +72,7 @@
     service: ServiceName,
     release: Release,
     className: string,
-    outcome: AttemptOutcome,
+    outcome: ReleaseOutcome,
     durationMs: number,
     typicalMs: number,
   ): void {
--- a/packages/routing/src/router/attempt-sender.ts
+++ b/packages/routing/src/router/attempt-sender.ts
@@ -14,7 +14,7 @@
 import { conditionalFields, forwardableFields } from '@switchwheel/proxy-core';
 import type { OriginResponse, RequestEvent } from '../attempt-state/attempt-state.js';
 import type { EndpointTable } from '../endpoint/endpoint-table.js';
-import type { AttemptOutcome, RolloutCounters } from '../rollout/rollout-counters.js';
+import type { ReleaseOutcome, RolloutCounters } from '../rollout/rollout-counters.js';
 import type { ActiveRequest, InFlightAttempt } from './active-request.js';
 import type { AttemptRequest, HeaderNames, OriginClient, RouterContext } from './ports.js';
 
@@ -158,7 +158,7 @@
   #countOutcome(
     active: ActiveRequest,
     release: Release,
-    outcome: AttemptOutcome,
+    outcome: ReleaseOutcome,
     durationMs: number,
   ): void {
     const { context, endpoints, rolloutCounters } = this.#options;
--- a/packages/simulator/src/processes/origin-attempts.ts
+++ b/packages/simulator/src/processes/origin-attempts.ts
@@ -2,8 +2,8 @@
 
 import type { Address, Timestamp } from '@switchwheel/types';
 import type {
-  AttemptHandlers,
-  AttemptRequest,
+  OriginAttemptHandlers,
+  OriginAttemptRequest,
   ProxyEffect,
   ProxyEvent,
 } from '@switchwheel/proxy-core';
@@ -58,7 +58,7 @@
   }
 
   /** Sends a request to its origin; `handlers` see what comes back, in its order. */
-  start(attemptName: string, request: AttemptRequest, handlers: AttemptHandlers): void {
+  start(attemptName: string, request: OriginAttemptRequest, handlers: OriginAttemptHandlers): void {
     const { random, eventQueue } = this.#proxy.context;
     const origin = this.#originAt(request.address);
     this.#proxy.schedule(request.timeoutMs, () => {
@@ -84,7 +84,10 @@
   }
 
   /** Brings what an origin sends back to this incarnation of the proxy, in its order. */
-  #orderedDelivery(attemptName: string, handlers: AttemptHandlers): (deliver: () => void) => void {
+  #orderedDelivery(
+    attemptName: string,
+    handlers: OriginAttemptHandlers,
+  ): (deliver: () => void) => void {
     const { incarnationNumber, context } = this.#proxy;
     let nextFreeAt = 0;
     return (deliver) => {
--- a/packages/simulator/src/processes/origin.ts
+++ b/packages/simulator/src/processes/origin.ts
@@ -11,8 +11,8 @@
 import type { HeaderFields } from '@switchwheel/transport';
 import {
   type AttemptFailure,
-  type AttemptHandlers,
-  type AttemptRequest,
+  type OriginAttemptHandlers,
+  type OriginAttemptRequest,
   fieldValue,
 } from '@switchwheel/proxy-core';
 import type { SimulationContext } from '../world/process.js';
@@ -176,7 +176,7 @@
   }
 
   /** Takes a request and answers it, once and in parts, on the channel that it came on. */
-  handleRequest(request: AttemptRequest, response: AttemptHandlers): void {
+  handleRequest(request: OriginAttemptRequest, response: OriginAttemptHandlers): void {
     const { eventQueue, random } = this.context;
     if (!this.isAlive) {
       eventQueue.schedule(random.uniform(0.5, 3), () =>
@@ -238,7 +238,7 @@
     revision: number,
     isUnsafe: boolean,
     isFailure: boolean,
-    response: AttemptHandlers,
+    response: OriginAttemptHandlers,
   ): void {
     const { random, coverage } = this.context;
     if (random.happens(this.lossProbability)) {
@@ -292,7 +292,7 @@
     offset: number,
     endOffset: number,
     endsNormally: boolean,
-    response: AttemptHandlers,
+    response: OriginAttemptHandlers,
   ): void {
     const { eventQueue, random } = this.context;
     if (endsNormally && offset >= endOffset) response.onEnd();
