--- a/packages/membership/src/registry/primary-feed.ts
+++ b/packages/membership/src/registry/primary-feed.ts
@@ -31,16 +31,16 @@
     frame.current !== undefined && frame.current.generation > generationOf(feed.current);
   const desired =
     frame.desired === undefined
-      ? { desiredSerial: feed.desiredSerial, desired: feed.desired, offers: feed.offers }
+      ? { desiredSeq: feed.desiredSeq, desired: feed.desired, offers: feed.offers }
       : {
-          desiredSerial: frame.serial,
+          desiredSeq: frame.serial,
           desired: new Map(frame.desired.map(({ node, ...row }) => [node, row])),
           offers: new Map(frame.offers.map((manifest) => [manifest.hash, manifest])),
         };
   return {
     ...desired,
     epoch: frame.epoch,
-    latestSerial: frame.serial,
+    latestSeq: frame.serial,
     asOf: frame.at > 0 ? toTimestamp(Math.max(frame.at, feed.asOf ?? 0)) : feed.asOf,
     current: frame.current ?? feed.current,
     currentSince: isNewer ? now : feed.currentSince,
@@ -69,7 +69,7 @@
 
 /** Whether a feed has changes that are pushed to nodes at once. */
 const hasChanges = (before: Feed, after: Feed): boolean =>
-  after.latestSerial !== before.latestSerial ||
+  after.latestSeq !== before.latestSeq ||
   after.latestPurge !== before.latestPurge ||
   after.epoch !== before.epoch ||
   after.current?.generation !== before.current?.generation;
@@ -99,7 +99,7 @@
       state,
       log('error', 'feed of another fleet rejected', ['fleet', frame.fleet]),
     );
-  if (frame.epoch === before.epoch && frame.serial < before.latestSerial) return transition(state);
+  if (frame.epoch === before.epoch && frame.serial < before.latestSeq) return transition(state);
   const feed = mergeFeed(before, frame, now);
   const voter =
     frame.electorate === undefined
@@ -146,7 +146,7 @@
       voter: voterReadiness(state, now),
       at: now,
       epoch: state.feed.epoch,
-      serial: state.feed.desiredSerial,
+      serial: state.feed.desiredSeq,
       purged: state.feed.latestPurge,
       reports,
     }),
--- a/packages/membership/src/registry/queries.ts
+++ b/packages/membership/src/registry/queries.ts
@@ -16,7 +16,7 @@
 import type { KnownSession, RegistryState } from './state.js';
 
 /** Time without a heartbeat after which a session is no longer alive. */
-export const sessionTimeoutMs = 1500;
+export const nodeSessionTimeoutMs = 1500;
 /** Maximum age of the primary's feed, or of a peer's echo, to count as contact. */
 export const freshnessLimitMs = 1200;
 /** Time for which a silent registry still gets gossip. */
@@ -26,7 +26,7 @@
 
 /** Whether a session is open and its node has sent a heartbeat in time. */
 export const isAlive = (session: KnownSession, now: Timestamp): boolean =>
-  session.open && now - session.lastHeardAt < sessionTimeoutMs;
+  session.open && now - session.lastHeardAt < nodeSessionTimeoutMs;
 
 /** Status of a node that runs no configuration. */
 export const emptyReport = (ready: boolean): NodeStatus => ({
--- a/packages/membership/src/registry/releases.test.ts
+++ b/packages/membership/src/registry/releases.test.ts
@@ -158,11 +158,7 @@
   const next = record('clips', { settled: toRelease('r2'), serial: toSeq(2) });
   const changed = receive(state, store, feedWithoutDesired([next], 5), 1020);
   assert.deepEqual(changed.services, ['clips']);
-  assert.equal(
-    changed.state.feed.desiredSerial,
-    1,
-    'the desired rows are those of the first write',
-  );
+  assert.equal(changed.state.feed.desiredSeq, 1, 'the desired rows are those of the first write');
   const late = receive(changed.state, store, feedWithoutDesired([record('clips')], 4), 1030);
   assert.equal(late.services, undefined);
   assert.equal(late.state.feed.releases[0]?.settled, 'r2');
--- a/packages/membership/src/registry/state.ts
+++ b/packages/membership/src/registry/state.ts
@@ -40,7 +40,10 @@
 import type { OriginTable } from '../origins/origins.js';
 import type { RegistryEffect } from './event.js';
 
-/** A node's session, with this registry or, as reported by gossip, with another one. */
+/**
+ * A node's session, with this registry or, as reported by gossip, with another one. Spread from and into
+ * gossip frames, so `report` and `open` have the names that they have on the wire.
+ */
 export interface KnownSession {
   readonly member: Member;
   readonly report: NodeStatus;
@@ -56,10 +59,10 @@
 /** State received from the store's primary: desired configurations, purges, canary results and releases. */
 export interface Feed {
   readonly epoch: Epoch;
-  /** Serial of the write up to which `desired` and `offers` are complete. */
-  readonly desiredSerial: Seq;
-  /** Serial of the latest write that the primary has sent. */
-  readonly latestSerial: Seq;
+  /** Sequence number of the write up to which `desired` and `offers` are complete. */
+  readonly desiredSeq: Seq;
+  /** Sequence number of the latest write that the primary has sent. */
+  readonly latestSeq: Seq;
   /** Time as of which this feed holds all confirmed writes; undefined before the primary's first reply. */
   readonly asOf: Timestamp | undefined;
   readonly desired: ReadonlyMap<
@@ -81,8 +84,8 @@
 /** Feed before the primary's first frame. */
 export const emptyFeed: Feed = {
   epoch: noEpoch,
-  desiredSerial: noSeq,
-  latestSerial: noSeq,
+  desiredSeq: noSeq,
+  latestSeq: noSeq,
   asOf: undefined,
   desired: new Map(),
   offers: new Map(),
--- a/packages/membership/src/session/node-session.ts
+++ b/packages/membership/src/session/node-session.ts
@@ -43,7 +43,7 @@
 /** Time with a stale feed after which a node switches to another registry; also the minimum time between such switches. */
 const staleTimeoutMs = 500;
 /** Time without a reply of any registry after which the node counts as disconnected. */
-const sessionTimeoutMs = 1200;
+const registryContactTimeoutMs = 1200;
 /** Interval between probes of other registries while the feed of the node's own is stale. */
 const probeIntervalMs = 250;
 /** Number of registries per probe. */
@@ -74,7 +74,7 @@
   readonly seq: Seq;
   readonly members: readonly Member[];
   readonly origins: OriginTable;
-  readonly holders: ReadonlyMap<LeaseName, LeaseHolder>;
+  readonly leaseHolders: ReadonlyMap<LeaseName, LeaseHolder>;
   readonly electorate: Electorate | undefined;
   readonly fleet: FleetId | undefined;
   readonly randomState: RandomState;
@@ -96,7 +96,7 @@
   seq: noSeq,
   members: [],
   origins: new Map(),
-  holders: new Map(),
+  leaseHolders: new Map(),
   electorate: undefined,
   fleet: undefined,
   randomState,
@@ -139,11 +139,12 @@
 
 /** Whether any registry has replied within the session timeout. */
 export const isConnected = (nodeSession: NodeSession, now: Timestamp): boolean =>
-  nodeSession.registryHeardAt > clockOrigin && now - nodeSession.registryHeardAt < sessionTimeoutMs;
+  nodeSession.registryHeardAt > clockOrigin &&
+  now - nodeSession.registryHeardAt < registryContactTimeoutMs;
 
 /** Highest epoch of a lease that this node knows of. */
 export const highestEpoch = (nodeSession: NodeSession, lease: LeaseName): Epoch =>
-  nodeSession.holders.get(lease)?.epoch ?? noEpoch;
+  nodeSession.leaseHolders.get(lease)?.epoch ?? noEpoch;
 
 /** State of a node that it reports in its heartbeats. */
 export interface HeartbeatContent {
@@ -303,7 +304,7 @@
     ...nodeSession,
     members: isOwnRegistry ? frame.members : nodeSession.members,
     origins: forgetOrigins(learnOrigins(nodeSession.origins, frame.origins, now).origins, now),
-    holders: frame.holders.reduce(learnHolder, nodeSession.holders),
+    leaseHolders: frame.holders.reduce(learnHolder, nodeSession.leaseHolders),
   };
 };
 
--- a/packages/proxy-core/src/node-agent/heartbeat.ts
+++ b/packages/proxy-core/src/node-agent/heartbeat.ts
@@ -59,7 +59,7 @@
   { isLeaving } = { isLeaving: false },
 ): HeartbeatContent => ({
   report: statusReport(state, now),
-  heldLeases: [...heldLeases(state, now), ...state.nodeSession.holders.values()],
+  heldLeases: [...heldLeases(state, now), ...state.nodeSession.leaseHolders.values()],
   latestPurge: state.lastPurgeSeq,
   isLeaving,
   releasesDigest: releaseStatesDigest(state.releaseStates),
--- a/packages/proxy-core/src/node-agent/service-lease.ts
+++ b/packages/proxy-core/src/node-agent/service-lease.ts
@@ -42,7 +42,7 @@
 
 /** Returns the last known holder of a service's lease, whether it is live or not. */
 export const leaseHolder = (state: NodeAgent, service: ServiceName): LeaseHolder | undefined =>
-  state.nodeSession.holders.get(serviceLeaseOf(service));
+  state.nodeSession.leaseHolders.get(serviceLeaseOf(service));
 
 /** Whether the known holder of a service's lease is in the member list. */
 export const hasLiveHolder = (state: NodeAgent, service: ServiceName): boolean => {
--- a/packages/proxy-core/src/proxy/leaders.ts
+++ b/packages/proxy-core/src/proxy/leaders.ts
@@ -33,7 +33,7 @@
  */
 const reportCanary = (state: ProxyState, report: ReportCanary): readonly ProxyEffect[] => {
   const { nodeSession } = state.nodeAgent;
-  const primary = nodeSession.holders.get(primaryLease);
+  const primary = nodeSession.leaseHolders.get(primaryLease);
   if (primary === undefined) return [];
   const { service, release, failures } = report;
   const frame: FrameOf<'trial'> = {
--- a/packages/proxy-core/src/proxy/proxy.ts
+++ b/packages/proxy-core/src/proxy/proxy.ts
@@ -73,7 +73,7 @@
 };
 
 const propagateLeaseHolders = (state: ProxyState, now: Timestamp): ProxyTransition => {
-  const leaseHolders = state.nodeAgent.nodeSession.holders;
+  const leaseHolders = state.nodeAgent.nodeSession.leaseHolders;
   const epochHistory = recordEpochs(state.epochHistory, leaseHolders, now);
   return dispatchToForwarding(
     { ...state, epochHistory },
@@ -102,7 +102,7 @@
 ): ProxyTransition => {
   const { nodeSession, canaryResults } = state.nodeAgent;
   let next: ProxyTransition = transition(state);
-  if (before.nodeSession.holders !== nodeSession.holders)
+  if (before.nodeSession.leaseHolders !== nodeSession.leaseHolders)
     next = andThen(next, (current) => propagateLeaseHolders(current, now));
   if (before.nodeSession.origins !== nodeSession.origins)
     next = andThen(next, (current) => propagateOrigins(current, now));
--- a/packages/proxy/src/admin/proxy-view.ts
+++ b/packages/proxy/src/admin/proxy-view.ts
@@ -18,12 +18,12 @@
 /** Returns the state as a JSON-serializable object. */
 export const proxyView = ({ nodeAgent, leaders, forwarding }: ProxyState): object => {
   const at = now();
-  const { holders, members } = nodeAgent.nodeSession;
+  const { leaseHolders, members } = nodeAgent.nodeSession;
   return {
     ...nodeView(nodeAgent, at),
     keepers: [...leaders.values()].map((leader) => leaderView(leader, at)),
     forwarding: forwarding.requests.size,
-    holders: [...holders.values()],
+    holders: [...leaseHolders.values()],
     members: members.length,
   };
 };
--- a/packages/proxy/src/direct-edge/edge-ticker.ts
+++ b/packages/proxy/src/direct-edge/edge-ticker.ts
@@ -48,7 +48,7 @@
 
   #report(current: NodeAgent): void {
     const { now, router, channels } = this.#options;
-    const primary = current.nodeSession.holders.get(primaryLease);
+    const primary = current.nodeSession.leaseHolders.get(primaryLease);
     if (primary === undefined || now() - this.#lastReportedAt < reportIntervalMs) return;
     this.#lastReportedAt = now();
     for (const report of router.rolloutReports(current)) channels.send(primary.address, report);
