--- a/packages/devfleet/src/command-line-forms.test.ts
+++ b/packages/devfleet/src/command-line-forms.test.ts
@@ -1,4 +1,4 @@
-/** The outer form of the command line of devfleet. */
+/** Guards the help text, error messages and exit codes of devfleet against unintended changes. */
 
 import { join } from 'node:path';
 import { test } from 'node:test';
@@ -7,7 +7,7 @@
 const matchSnapshot = snapshotsFor(import.meta.dirname);
 const script = join(import.meta.dirname, '..', 'bin', 'devfleet.js');
 
-void test('the help of devfleet and its exit codes for wrong use stay', async () => {
+void test('the help of devfleet, its error messages and exit codes match the snapshot', async () => {
   matchSnapshot(
     'command-line',
     await runCommands(script, 'devfleet', [
--- a/packages/devfleet/src/deployment/schema-forms.test.ts
+++ b/packages/devfleet/src/deployment/schema-forms.test.ts
@@ -1,4 +1,4 @@
-/** The outer form of the deployment file. */
+/** Guards the schema of the deployment file against unintended changes. */
 
 import { test } from 'node:test';
 import { schemaLines, snapshotsFor } from '@switchwheel/types/testing';
@@ -6,6 +6,6 @@
 
 const matchSnapshot = snapshotsFor(import.meta.dirname);
 
-void test('the deployment file of devfleet keeps its members, defaults and checks', () => {
+void test('members, defaults and checks of the deployment file match the snapshot', () => {
   matchSnapshot('deployment', schemaLines(deploymentSchema, 'deployment'));
 });
--- a/packages/devfleet/src/deployment/schema.ts
+++ b/packages/devfleet/src/deployment/schema.ts
@@ -1,4 +1,4 @@
-/** The deployment file of devfleet: how large a fleet is, which origins stand behind it, and the load it gets. */
+/** Deployment file of devfleet: the size of a fleet, its stub origins and the load sent to it. */
 
 import { readFileSync } from 'node:fs';
 import { dirname, join } from 'node:path';
@@ -9,19 +9,18 @@
 const countSchema = v.pipe(v.number(), v.integer(), v.minValue(0), v.maxValue(1000));
 const rangeSchema = v.tuple([v.number(), v.number()]);
 
-/** The origins behind a service, and how they behave. */
+/** Stub origins of one service: number, concurrency limit and request duration. */
 const originGroupSchema = v.strictObject({
   service: serviceName,
   count: countSchema,
   slots: v.pipe(v.number(), v.integer(), v.minValue(1)),
-  /** Milliseconds of work for one request: least and usual; a few take far longer. */
+  /** Minimum and mean processing time of a request in milliseconds; drawn from an exponential distribution. */
   workMs: rangeSchema,
   release: v.optional(v.string(), 'r1'),
 });
-/** The origins of one service. */
+/** Validated settings of the stub origins of one service. */
 export type OriginGroup = v.InferOutput<typeof originGroupSchema>;
 
-/** One kind of request of the clients. */
 const trafficSchema = v.strictObject({
   name: v.string(),
   class: v.string(),
@@ -34,10 +33,10 @@
   unsafe: v.optional(v.boolean(), false),
   tagged: v.optional(v.boolean(), false),
 });
-/** One kind of request that clients send. */
+/** Class of client requests: its share of the load, target latency, paths and object sizes. */
 export type Traffic = v.InferOutput<typeof trafficSchema>;
 
-/** The form of the deployment file. */
+/** Schema of the deployment file. */
 export const deploymentSchema = v.strictObject({
   name: v.string(),
   description: v.string(),
@@ -49,26 +48,32 @@
   perSecond: v.number(),
   traffic: v.pipe(v.array(trafficSchema), v.minLength(1)),
 });
-/** A deployment file that was read. */
+/** Validated contents of a deployment file. */
 export type Deployment = v.InferOutput<typeof deploymentSchema>;
 
-/** A deployment with the configuration that it starts with. */
+/** Deployment with the fleet configuration that is applied first. */
 export interface DeploymentPlan {
   readonly deployment: Deployment;
   readonly configuration: unknown;
   readonly configurationFile: string;
 }
 
-/** Reads a deployment file and the configuration it names; the errors are one sentence for each fault. */
+/** Reads a deployment file and the configuration it names; returns one message for each error. */
 export const readDeploymentPlan = (file: string): Result<DeploymentPlan, readonly string[]> => {
   try {
-    const read = v.safeParse(deploymentSchema, JSON.parse(readFileSync(file, 'utf8')));
-    if (!read.success)
-      return err(read.issues.map((issue) => `${v.getDotPath(issue) ?? 'file'}: ${issue.message}`));
-    const path = join(dirname(file), read.output.description);
-    const description: unknown = JSON.parse(readFileSync(path, 'utf8'));
-    return ok({ deployment: read.output, configuration: description, configurationFile: path });
-  } catch (problem) {
-    return err([`${file}: ${problem instanceof Error ? problem.message : 'unreadable'}`]);
+    const parsed = v.safeParse(deploymentSchema, JSON.parse(readFileSync(file, 'utf8')));
+    if (!parsed.success)
+      return err(
+        parsed.issues.map((issue) => `${v.getDotPath(issue) ?? 'file'}: ${issue.message}`),
+      );
+    const path = join(dirname(file), parsed.output.description);
+    const fleetConfiguration: unknown = JSON.parse(readFileSync(path, 'utf8'));
+    return ok({
+      deployment: parsed.output,
+      configuration: fleetConfiguration,
+      configurationFile: path,
+    });
+  } catch (error) {
+    return err([`${file}: ${error instanceof Error ? error.message : 'cannot be read or parsed'}`]);
   }
 };
--- a/packages/devfleet/src/fault-injection/preload.ts
+++ b/packages/devfleet/src/fault-injection/preload.ts
@@ -1,6 +1,6 @@
 /**
- * Loaded into the processes of a development fleet before their own program: patches their sockets and disk so that faults
- * can be injected. The programs themselves know nothing of it and have no switch for it.
+ * Preload script of the processes of a development fleet: patches their sockets and disk so that faults can be injected.
+ * The programs themselves contain no fault injection.
  */
 
 import { Socket } from 'node:net';
@@ -17,25 +17,25 @@
 const ownHost = process.env[faultHostVariable] ?? '';
 let currentFaults: ProcessFaults = noFaults;
 process.on('message', (raw) => {
-  const read = v.safeParse(processFaultsSchema, raw);
-  if (read.success) currentFaults = read.output;
+  const parsed = v.safeParse(processFaultsSchema, raw);
+  if (parsed.success) currentFaults = parsed.output;
 });
 // The IPC channel must not keep a process alive.
 process.channel?.unref();
 
 const pollIntervalMs = 20;
-/** Runs an action as soon as a condition holds; at once if it does already. */
+/** Runs an action synchronously if a condition holds, otherwise polls until it does. */
 const runWhen = (condition: () => boolean, action: () => void): void => {
   if (condition()) action();
   else setTimeout(() => runWhen(condition, action), pollIntervalMs);
 };
 
-/** The first argument; Node.js passes the arguments of `connect` on as one list. */
+/** Returns the first argument of `connect`; Node.js passes its arguments on as one array. */
 const firstArgument = (args: readonly unknown[]): unknown => {
   const [first] = args;
   return Array.isArray(first) ? first[0] : first;
 };
-/** The host that a socket's options name; empty for a path or a port alone. */
+/** Returns the host in socket options; empty if they hold only a path or a port. */
 const hostIn = (options: unknown): string =>
   typeof options === 'object' &&
   options !== null &&
@@ -48,7 +48,8 @@
 const isFunction = (raw: unknown): raw is AnyFunction => typeof raw === 'function';
 const methodOf = (prototype: object, name: string): AnyFunction => {
   const method: unknown = Reflect.get(prototype, name);
-  if (!isFunction(method)) throw new Error(`no method ${name} to patch`);
+  if (!isFunction(method))
+    throw new Error(`cannot patch ${name}: the prototype has no such method`);
   return method;
 };
 const callOriginal = (original: AnyFunction, receiver: object, args: unknown[]): unknown =>
@@ -67,7 +68,7 @@
     if (host === '' || ownHost === '' || typeof options !== 'object' || options === null)
       return callOriginal(originalConnect, this, args);
     intendedHosts.set(this, host);
-    // Each machine connects from its own address, so that its peers know which machine it is.
+    // Each machine connects from its own address, by which its peers and the faults identify it.
     Reflect.set(options, 'localAddress', ownHost);
     if (!currentFaults.unreachablePeers.includes(host))
       return callOriginal(originalConnect, this, args);
@@ -82,10 +83,10 @@
   },
 );
 
-/** The machine at the other end of a socket. */
+/** Returns the loopback address of the machine that a socket is connected to. */
 const peerHost = (socket: Socket): string =>
   intendedHosts.get(socket) ?? socket.remoteAddress ?? '';
-/** When the next write of a socket may go out, so that delayed writes keep their order. */
+/** Earliest time of the next write on each socket, so that delayed writes keep their order. */
 const earliestWrites = new WeakMap<object, number>();
 
 Reflect.set(
--- a/packages/devfleet/src/fault-injection/process-faults.ts
+++ b/packages/devfleet/src/fault-injection/process-faults.ts
@@ -1,25 +1,25 @@
-/** The faults of one process's network and disk, as devfleet sends them to it over its IPC channel. */
+/** Network and disk faults of one process, sent to it by devfleet over its IPC channel. */
 
 import * as v from 'valibot';
 
-/** The environment variable that tells a process the loopback address of its machine. */
+/** Environment variable that holds the loopback address of a process's machine. */
 export const faultHostVariable = 'DEVFLEET_HOST';
 
-/** The form of the IPC message; each message replaces the faults of the one before. */
+/** Schema of the IPC message; each message replaces all faults set by the previous one. */
 export const processFaultsSchema = v.object({
-  /** Hosts to which nothing gets through: what is sent waits, as on a link that was cut. */
+  /** Hosts to which writes are held back, as on a cut link. */
   stalledPeers: v.array(v.string()),
-  /** Hosts to which no new connection is set up. */
+  /** Hosts to which new connections are held back. */
   unreachablePeers: v.array(v.string()),
-  /** The delay of everything that is sent. */
+  /** Delay of each socket write, in milliseconds. */
   lagMs: v.number(),
   disk: v.picklist(['healthy', 'full', 'stalled']),
 });
 
-/** What is wrong with a process's links and disk. */
+/** Current faults of a process's links and disk. */
 export type ProcessFaults = v.InferOutput<typeof processFaultsSchema>;
 
-/** A process with which nothing is wrong. */
+/** Faults of a healthy process: none. */
 export const noFaults: ProcessFaults = {
   stalledPeers: [],
   unreachablePeers: [],
--- a/packages/devfleet/src/fleet/fleet-process.ts
+++ b/packages/devfleet/src/fleet/fleet-process.ts
@@ -1,4 +1,4 @@
-/** Starts, signals and stops one process of a development fleet, and sends it the faults it should have. */
+/** Starts, signals and stops one process of a development fleet, and sends it the faults to inject. */
 
 import { type ChildProcess, spawn } from 'node:child_process';
 import { createWriteStream, mkdirSync, type WriteStream } from 'node:fs';
@@ -13,7 +13,7 @@
 
 const preloadScript = fileURLToPath(new URL('../fault-injection/preload.js', import.meta.url));
 
-/** A port that is free now on a loopback address. */
+/** Returns a port that is currently free on a loopback address. */
 export const freePort = (host: string): Promise<number> =>
   new Promise((resolve, reject) => {
     const server = createServer();
@@ -22,33 +22,33 @@
       const address = server.address();
       server.close(() => {
         if (address !== null && typeof address === 'object') resolve(address.port);
-        else reject(new Error('no port'));
+        else reject(new Error(`cannot reserve a port on ${host}: the listener has no TCP address`));
       });
     });
   });
 
-/** All processes that run now: they are killed when this process exits. */
+/** Running child processes; killed when this process exits. */
 const runningProcesses = new Set<ChildProcess>();
 process.on('exit', () => {
   for (const child of runningProcesses) child.kill('SIGKILL');
 });
 
-/** How a process is started; the same each time. */
+/** Name, command line and log folder of a process; the same on each start. */
 export interface FleetProcessOptions {
   readonly name: string;
   readonly script: string;
   readonly args: readonly string[];
   readonly logFolder: string;
-  /** The address of its machine, if its network and disk can be made to fail. */
+  /** Address of its machine if faults can be injected into the process, undefined otherwise. */
   readonly faultHost: string | undefined;
 }
 
-/** How much of a process's output is kept to explain a start that failed. */
-const maxStartOutput = 4000;
-/** The log line by which a process reports that it is up. */
-const startedMark = '"started"';
+/** Characters of a process's output that the error of a failed start quotes. */
+const maxStartOutputLength = 4000;
+/** Text of the log line that a process writes once it is up. */
+const startedMarker = '"started"';
 
-/** One process of the fleet, which can be started again after it ended. */
+/** Process of the fleet; can be started again after it has exited. */
 export class FleetProcess {
   readonly name: string;
   readonly #script: string;
@@ -68,12 +68,12 @@
     this.#log = createWriteStream(join(logFolder, `${name}.log`), { flags: 'a' });
   }
 
-  /** Whether it was started and has not exited. */
+  /** Whether the process was started and has not exited. */
   get isRunning(): boolean {
     return this.#process !== undefined;
   }
 
-  /** Starts the process; settles once it reports that it is up, and rejects if it exits before. */
+  /** Starts the process; resolves once it reports that it is up, and rejects if it exits before that. */
   start(): Promise<void> {
     const child = this.#spawn();
     this.#process = child;
@@ -101,7 +101,7 @@
     );
   }
 
-  /** Copies the output of a process to its log, and waits for the line that says it started. */
+  /** Copies the output of a process to its log, and waits for the log line that reports its start. */
   #waitUntilStarted(child: ChildProcess): Promise<void> {
     return new Promise((resolve, reject) => {
       let hasStarted = false;
@@ -109,25 +109,29 @@
       const onOutput = (bytes: Buffer): void => {
         this.#log.write(bytes);
         if (hasStarted) return;
-        output = (output + bytes.toString()).slice(-maxStartOutput);
-        if (!output.includes(startedMark)) return;
+        output = (output + bytes.toString()).slice(-maxStartOutputLength);
+        if (!output.includes(startedMarker)) return;
         hasStarted = true;
         resolve();
       };
       child.stderr?.on('data', onOutput);
       child.stdout?.on('data', onOutput);
       child.once('exit', (code) =>
-        reject(new Error(`${this.name} ended with ${String(code)}: ${output}`)),
+        reject(
+          new Error(
+            `${this.name} exited with code ${String(code)} before it had started: ${output}`,
+          ),
+        ),
       );
     });
   }
 
-  /** Sends a signal, if it runs. */
+  /** Sends a signal if the process is running. */
   signal(signal: 'SIGTERM' | 'SIGKILL' | 'SIGSTOP' | 'SIGCONT'): void {
     this.#process?.kill(signal);
   }
 
-  /** Changes the faults of its network or disk; they last over a restart. */
+  /** Changes some of the injected faults; they persist across restarts. */
   setFaults(change: Partial<ProcessFaults>): void {
     this.#faults = { ...this.#faults, ...change };
     this.#sendFaults();
@@ -138,7 +142,7 @@
       this.#process.send(this.#faults, () => undefined);
   }
 
-  /** Sends a signal that ends the process and waits for its exit code; null if a signal ended it. */
+  /** Terminates the process with a signal and returns its exit code; null if the signal killed it. */
   async stop(signal: 'SIGTERM' | 'SIGKILL' = 'SIGKILL'): Promise<number | null> {
     this.signal(signal);
     return this.#exitCode;
--- a/packages/devfleet/src/fleet/fleet.ts
+++ b/packages/devfleet/src/fleet/fleet.ts
@@ -1,4 +1,4 @@
-/** A whole fleet on one machine: its processes, their addresses, its stub origins, and the faults of its links. */
+/** Development fleet on one machine: its processes, their addresses, stub origins and link faults. */
 
 import { rmSync } from 'node:fs';
 import { fileURLToPath } from 'node:url';
@@ -23,7 +23,7 @@
 const readyTimeoutMs = 1000;
 const maxConcurrentStarts = 8;
 const maxConcurrentOriginStarts = 4;
-/** The row of loopback addresses that origins are given. */
+/** Row of loopback addresses from which origins get theirs. */
 const originRow = 100;
 
 const originArguments = (
@@ -38,51 +38,51 @@
     ...flags,
   }).flatMap(([name, value]) => [`--${name}`, value]);
 
-/** The processes of a deployment. */
+/** Running processes of a deployment. */
 export class Fleet {
   readonly machines: Machine[] = [];
   readonly origins: StubOrigin[] = [];
-  /** Cuts and slows links; has an effect only if the fleet was made with `canInjectFaults`. */
+  /** Cuts and delays links; has an effect only if the fleet was created with `canInjectFaults`. */
   readonly links = new LinkFaults(this.machines);
   readonly #deployment: Deployment;
   readonly #folder: string;
   readonly #canInjectFaults: boolean;
   #originCount = 0;
 
-  /** With `canInjectFaults` the network and disks of the processes can be made to fail. */
+  /** With `canInjectFaults`, network and disk faults can be injected into the processes. */
   constructor(deployment: Deployment, folder: string, canInjectFaults = false) {
     this.#canInjectFaults = canInjectFaults;
     this.#deployment = deployment;
     this.#folder = folder;
   }
 
-  /** The HTTP addresses of all registries. */
+  /** HTTP addresses of all registries. */
   get registries(): readonly string[] {
     return this.machines
       .filter((machine) => machine.kind !== 'edge')
       .map((machine) => machine.httpAddress);
   }
 
-  /** The machines that clients send to. */
+  /** Machines that clients send requests to. */
   get edges(): readonly Machine[] {
     return this.machines.filter((machine) => machine.kind === 'edge');
   }
 
-  /** The machine of a name; throws if there is none. */
+  /** Returns the machine with a name; throws if there is none. */
   machine(name: string): Machine {
     const machine = this.machines.find((candidate) => candidate.name === name);
-    if (machine === undefined) throw new Error(`no machine ${name}`);
+    if (machine === undefined) throw new Error(`no machine is named ${name}`);
     return machine;
   }
 
-  /** The process of a name, an origin's included; throws if there is none. */
+  /** Returns the process with a name, among origins too; throws if there is none. */
   process(name: string): FleetProcess {
     const process = this.#allProcesses().find((candidate) => candidate.name === name);
-    if (process === undefined) throw new Error(`no process ${name}`);
+    if (process === undefined) throw new Error(`no process is named ${name}`);
     return process;
   }
 
-  /** Empties the fleet's folder, lays out all machines and starts every process. */
+  /** Deletes the fleet's folder, lays out all machines and starts every process. */
   async start(): Promise<void> {
     rmSync(this.#folder, { recursive: true, force: true });
     const layouts = await layOutMachines(this.#deployment);
@@ -95,14 +95,17 @@
     const processes = this.machines.flatMap((machine) => machine.processes);
     await forEachConcurrently(processes, maxConcurrentStarts, (process) => process.start());
     for (const group of this.#deployment.origins) {
-      const names = Array.from({ length: group.count }, (_, at) => `${group.service}-${at + 1}`);
+      const names = Array.from(
+        { length: group.count },
+        (_, index) => `${group.service}-${index + 1}`,
+      );
       await forEachConcurrently(names, maxConcurrentOriginStarts, async (name) => {
         await this.addOrigin(group, name, group.release);
       });
     }
   }
 
-  /** Starts one more origin, at an address of its own unless one is given to be reused. */
+  /** Starts another origin, at a free address unless `reusedAddress` is given. */
   async addOrigin(
     group: OriginGroup,
     name: string,
@@ -133,7 +136,7 @@
     return origin;
   }
 
-  /** The JSON of a registry's path, from the first registry that answers. */
+  /** Returns the parsed JSON of a path from the first registry that answers 200; undefined if none does. */
   async readView(path: string): Promise<unknown> {
     for (const address of this.registries) {
       const reply = await got(`http://${address}${path}`, {
@@ -156,7 +159,7 @@
     return reply.statusCode === 200;
   }
 
-  /** Waits until every edge is ready for clients; false if one was not within the time. */
+  /** Waits until every edge is ready for clients; false if one is not within the time. */
   async waitUntilEdgesReady(timeoutMs: number): Promise<boolean> {
     const states = await Promise.all(
       this.edges.map((edge) => waitUntil(timeoutMs, () => this.isReady(edge))),
@@ -164,12 +167,12 @@
     return states.every((isReady) => isReady);
   }
 
-  /** The folder that a store keeps its data in. */
+  /** Returns the data folder of a store. */
   dataFolder(store: string): string {
     return storeDataFolder(this.#folder, store);
   }
 
-  /** Kills every process, paused ones included. */
+  /** Kills every process, including paused ones. */
   async stop(): Promise<void> {
     await Promise.all(
       this.#allProcesses().map((process) => {
--- a/packages/devfleet/src/fleet/link-faults.ts
+++ b/packages/devfleet/src/fleet/link-faults.ts
@@ -1,4 +1,4 @@
-/** Which links between the machines of a fleet are cut, and how slow all of them are. */
+/** Cut and delayed links between the machines of a fleet. */
 
 import type { Machine } from './machine.js';
 
@@ -6,7 +6,7 @@
   peers.set(machine, (peers.get(machine) ?? new Set()).add(peerHost));
 };
 
-/** Sets the link faults of machines whose processes were started with fault injection. */
+/** Controls the link faults of machines whose processes were started with fault injection. */
 export class LinkFaults {
   readonly #machines: readonly Machine[];
   readonly #stalledPeers = new Map<Machine, Set<string>>();
@@ -16,13 +16,13 @@
     this.#machines = machines;
   }
 
-  /** Cuts links: what the first machines send to the second no longer arrives. */
+  /** Cuts the links from senders to receivers; traffic in the other direction still passes. */
   cut(senders: readonly Machine[], receivers: readonly Machine[]): void {
     for (const sender of senders) {
       for (const receiver of receivers) {
         if (sender === receiver) continue;
         addPeer(this.#stalledPeers, sender, receiver.host);
-        // A connection is set up only where both directions are open.
+        // A TCP handshake needs both directions.
         addPeer(this.#unreachablePeers, sender, receiver.host);
         addPeer(this.#unreachablePeers, receiver, sender.host);
       }
@@ -30,14 +30,14 @@
     this.#apply();
   }
 
-  /** Opens all links again. */
+  /** Removes all cuts. */
   heal(): void {
     this.#stalledPeers.clear();
     this.#unreachablePeers.clear();
     this.#apply();
   }
 
-  /** Delays everything that machines send. */
+  /** Sets the delay of each write of every machine. */
   setLag(lagMs: number): void {
     for (const { processes } of this.#machines)
       for (const process of processes) process.setFaults({ lagMs });
--- a/packages/devfleet/src/fleet/machine.ts
+++ b/packages/devfleet/src/fleet/machine.ts
@@ -1,37 +1,37 @@
-/** The machines of a development fleet: their kinds, names, zones and addresses, and the processes that run on them. */
+/** Machines of a development fleet: kinds, names, zones, addresses and processes. */
 
 import { join } from 'node:path';
 import { fileURLToPath } from 'node:url';
 import type { Deployment, OriginGroup } from '../deployment/schema.js';
 import { FleetProcess, freePort } from './fleet-process.js';
 
-/** An edge, or a machine of the core: each of these runs a registry too. */
+/** Kind of a machine; shields and stores are the core, and their machines also run a registry. */
 export type MachineKind = 'edge' | 'shield' | 'store';
 
-/** A machine of the fleet with the processes on it. */
+/** Simulated machine of the fleet with its processes. */
 export interface Machine {
   readonly name: string;
   readonly kind: MachineKind;
   readonly zone: string;
-  /** Its own loopback address. */
+  /** Loopback address that only this machine uses. */
   readonly host: string;
   readonly processes: readonly FleetProcess[];
-  /** Where clients reach an edge, and operators the registry of any other machine. */
+  /** Address for client requests at an edge, and of the registry's HTTP API on other machines. */
   readonly httpAddress: string;
   readonly adminAddress: string;
 }
 
-/** A stub origin that runs beside the fleet. */
+/** Stub origin of the fleet. */
 export interface StubOrigin {
   readonly group: OriginGroup;
   readonly name: string;
   readonly address: string;
-  /** Where its faults are set and its records are read. */
+  /** Address at which its faults are set and its records are read. */
   readonly controlAddress: string;
   readonly process: FleetProcess;
 }
 
-/** A machine before its processes are made. */
+/** Name, zone and addresses of a machine, before its processes are created. */
 export interface MachineLayout {
   readonly kind: MachineKind;
   readonly name: string;
@@ -44,10 +44,10 @@
   readonly clientAddress: string;
 }
 
-/** How many machines are named as seeds to every process. */
+/** Number of machines that every process gets as seeds. */
 const seedCount = 3;
 
-/** A loopback address of its own for each machine, so that links between two of them can be cut. */
+/** Returns the loopback address of a machine; each has its own, so that links between two machines can be cut. */
 export const loopbackHost = (row: number, column: number): string => `127.${20 + row}.${column}.1`;
 
 const programScript = (name: string): string =>
@@ -69,7 +69,7 @@
   };
 };
 
-/** Gives every machine of a deployment its name, zone and free addresses. */
+/** Assigns a name, a zone and free addresses to every machine of a deployment. */
 export const layOutMachines = async (deployment: Deployment): Promise<readonly MachineLayout[]> => {
   const { areas, edges, shields, stores } = deployment;
   const zone = (index: number): string => areas[index % areas.length] ?? 'here';
@@ -93,26 +93,26 @@
   return machines;
 };
 
-/** The registry addresses that every process is given to find the fleet by. */
+/** Returns the registry addresses that every process gets as seeds. */
 export const seedAddresses = (machines: readonly MachineLayout[]): readonly string[] =>
   machines
     .filter(({ kind }) => kind !== 'edge')
     .slice(0, seedCount)
     .map(({ registryAddress }) => registryAddress);
 
-/** Where the processes of a fleet keep data and logs, and how they find each other. */
+/** Settings shared by all processes of a fleet. */
 export interface FleetSettings {
   readonly folder: string;
   readonly seeds: readonly string[];
-  /** Whether the network and disks of the processes can be made to fail. */
+  /** Whether network and disk faults can be injected into the processes. */
   readonly canInjectFaults: boolean;
 }
 
-/** The folder that a store keeps its data in. */
+/** Returns the data folder of a store. */
 export const storeDataFolder = (folder: string, store: string): string =>
   join(folder, 'data', store);
 
-/** The folder of all logs of a fleet. */
+/** Returns the log folder of a fleet. */
 export const logFolder = (folder: string): string => join(folder, 'log');
 
 const registryArguments = (machine: MachineLayout): readonly string[] => [
@@ -148,7 +148,7 @@
   machine.adminAddress,
 ];
 
-/** Makes a machine with its processes; none of them is started. */
+/** Creates a machine with its processes, without starting them. */
 export const createMachine = (machine: MachineLayout, settings: FleetSettings): Machine => {
   const { name, kind, zone, host, adminAddress } = machine;
   const commonArguments = ['--area', zone, ...settings.seeds.flatMap((seed) => ['--seeds', seed])];
--- a/packages/devfleet/src/fleet/readiness-probe.ts
+++ b/packages/devfleet/src/fleet/readiness-probe.ts
@@ -1,9 +1,8 @@
-/** Stands in for the platform's load balancer: clients are sent only to edges that were ready when last probed. */
+/** Readiness probe in place of the platform's load balancer: only edges that were ready at the last probe get requests. */
 
 import type { Fleet } from './fleet.js';
 import type { Machine } from './machine.js';
 
-/** How often each edge is asked whether it is ready. */
 const probeIntervalMs = 250;
 
 /** Probes the edges of a fleet for readiness. */
@@ -16,7 +15,7 @@
     this.#fleet = fleet;
   }
 
-  /** The edges that were ready at their last probe. */
+  /** Edges that were ready at their last probe. */
   get readyEdges(): readonly Machine[] {
     return this.#fleet.edges.filter((edge) => this.#readyNames.has(edge.name));
   }
@@ -32,14 +31,14 @@
     );
   }
 
-  /** Probes again and again until stopped. */
+  /** Probes every edge periodically until stopped. */
   start(): void {
     this.#timer = setInterval(() => {
       void this.probe();
     }, probeIntervalMs);
   }
 
-  /** Ends the probing. */
+  /** Stops the periodic probes. */
   stop(): void {
     clearInterval(this.#timer);
   }
--- a/packages/devfleet/src/fleet/wait.ts
+++ b/packages/devfleet/src/fleet/wait.ts
@@ -1,15 +1,14 @@
-/** Waiting and bounded concurrency for real processes. */
+/** Delays, polling and bounded concurrency. */
 
-/** How often a condition is tested. */
 const pollIntervalMs = 25;
 
-/** Settles after so many milliseconds. */
+/** Resolves after a number of milliseconds. */
 export const delay = (ms: number): Promise<void> =>
   new Promise((resolve) => {
     setTimeout(resolve, ms);
   });
 
-/** Waits for a condition; false if it did not hold within the time. A condition that throws does not hold. */
+/** Polls a condition; false if it does not hold within the time. A condition that throws counts as false. */
 export const waitUntil = async (
   timeoutMs: number,
   condition: () => Promise<boolean>,
@@ -22,7 +21,7 @@
   return false;
 };
 
-/** Runs work on each item, at most `concurrency` at a time. */
+/** Runs `work` on each item in order, at most `concurrency` at a time. */
 export const forEachConcurrently = async <T>(
   items: readonly T[],
   concurrency: number,
--- a/packages/devfleet/src/index.ts
+++ b/packages/devfleet/src/index.ts
@@ -1,4 +1,4 @@
-/** A whole fleet of real processes on one machine, with its load, faults and rules. */
+/** Development fleet of real processes on one machine: deployment, load generator, fault injection and rule checks. */
 
 export * from './deployment/schema.js';
 export * from './fleet/fleet.js';
--- a/packages/devfleet/src/load/load-generator.ts
+++ b/packages/devfleet/src/load/load-generator.ts
@@ -1,6 +1,6 @@
 /**
- * An open-loop load generator: each request is sent when it is due, whether or not earlier ones are answered.
- * Judging what came back is left to the report.
+ * Open-loop load generator: each request is sent when it is due, whether or not earlier ones have been answered.
+ * The report evaluates the responses.
  */
 
 import { Agent } from 'node:http';
@@ -16,11 +16,11 @@
 const drainPollMs = 20;
 const maxConnectionsPerEdge = 512;
 
-/** Sends the traffic of a deployment to the edges that are up. */
+/** Sends the traffic of a deployment to randomly chosen edges. */
 export class LoadGenerator {
-  /** Every request that has ended, in the order of their ends. */
+  /** Completed requests in order of completion. */
   readonly records: RequestRecord[] = [];
-  /** How often a client that got no result retries at once. */
+  /** Number of immediate retries after a request without a result. */
   maxImmediateRetries = 0;
   readonly #deployment: Deployment;
   readonly #agents = new Map<string, Agent>();
@@ -36,20 +36,20 @@
     this.#edges = edges;
   }
 
-  /** Sends at the rate of the deployment until stopped. */
+  /** Sends requests at the given rate until stopped. */
   start(): void {
     const startedAt = performance.now();
-    let sent = 0;
+    let sentCount = 0;
     this.#timer = setInterval(() => {
-      const due = ((performance.now() - startedAt) / 1000) * this.#requestsPerSecond;
-      while (sent < due) {
-        sent += 1;
+      const dueCount = ((performance.now() - startedAt) / 1000) * this.#requestsPerSecond;
+      while (sentCount < dueCount) {
+        sentCount += 1;
         this.#send();
       }
     }, sendIntervalMs);
   }
 
-  /** Sends no more, and waits for the requests in flight. */
+  /** Stops sending and waits for the requests in flight, up to the drain timeout. */
   async stop(): Promise<void> {
     clearInterval(this.#timer);
     const deadline = performance.now() + drainTimeoutMs;
@@ -57,19 +57,19 @@
     for (const agent of this.#agents.values()) agent.destroy();
   }
 
-  /** Sends one kind of traffic at a rate of its own for a while, beside the usual load. */
+  /** Sends one kind of traffic at a separate rate for a time, in addition to the normal load. */
   async flood(trafficName: string, requestsPerSecond: number, durationMs: number): Promise<void> {
     const traffic = this.#deployment.traffic.find(({ name }) => name === trafficName);
     const startedAt = performance.now();
-    let sent = 0;
+    let sentCount = 0;
     while (performance.now() - startedAt < durationMs) {
-      const due = ((performance.now() - startedAt) / 1000) * requestsPerSecond;
-      for (; sent < due; sent += 1) this.#send(traffic);
+      const dueCount = ((performance.now() - startedAt) / 1000) * requestsPerSecond;
+      for (; sentCount < dueCount; sentCount += 1) this.#send(traffic);
       await delay(sendIntervalMs);
     }
   }
 
-  /** Draws a kind of traffic by weight. */
+  /** Picks a kind of traffic at random by weight. */
   #pickTraffic(): Traffic {
     const { traffic } = this.#deployment;
     let remaining = Math.random() * traffic.reduce((sum, { weight }) => sum + weight, 0);
@@ -78,7 +78,8 @@
       if (remaining <= 0) return candidate;
     }
     const [first] = traffic;
-    if (first === undefined) throw new Error('no traffic');
+    if (first === undefined)
+      throw new Error(`the deployment ${this.#deployment.name} has no traffic`);
     return first;
   }
 
--- a/packages/devfleet/src/load/planned-request.ts
+++ b/packages/devfleet/src/load/planned-request.ts
@@ -1,26 +1,26 @@
-/** Draws the requests of a kind of traffic: which object, of which size, with which body. */
+/** Random requests of a kind of traffic: path, object size and body. */
 
 import type { Traffic } from '../deployment/schema.js';
 import { objectSize } from '../origin/content.js';
 
-/** How many tags the objects of tagged traffic are spread over. */
+/** Number of tags over which the objects of tagged traffic are spread. */
 const tagCount = 20;
-/** Draws to this power make objects with low numbers far more frequent. */
+/** Exponent applied to the uniform random draw; makes objects with low numbers more frequent. */
 const popularityExponent = 3;
 
-/** A request before it is sent. */
+/** Request to be sent. */
 export interface PlannedRequest {
   readonly traffic: Traffic;
   readonly id: string;
   readonly path: string;
-  /** The query with its question mark, or nothing. */
+  /** Query string with its question mark; may be empty. */
   readonly query: string;
-  /** The size in bytes of the object that is read, or of the text that is written. */
+  /** Size in bytes of the object that is read, or of the text that is written. */
   readonly size: number;
   readonly body: Buffer | undefined;
 }
 
-/** Draws one request. */
+/** Creates a random request. */
 export const planRequest = (traffic: Traffic, id: string): PlannedRequest => {
   const object = Math.floor(traffic.objects * Math.random() ** popularityExponent);
   const path = `${traffic.prefix}${object}`;
--- a/packages/devfleet/src/load/request-record.ts
+++ b/packages/devfleet/src/load/request-record.ts
@@ -1,34 +1,34 @@
-/** What the load generator notes of each request that it sent. */
+/** Record that the load generator keeps of each request. */
 
 import type { Traffic } from '../deployment/schema.js';
 
-/** How one request ended, as its client saw it. */
+/** Outcome of a request as its client saw it. */
 export interface RequestOutcome {
-  /** The HTTP status; 0 if there was no response. */
+  /** HTTP status; 0 if there was no response. */
   readonly status: number;
   /**
-   * `result`, `rejected`, `unknown`, or what else the response called itself; `broken` where the connection broke and
-   * `closed` where it was refused.
+   * `result`, the error kind of the response (such as `rejected` or `unknown`), or `status` followed by the code of an error
+   * status without a kind; `broken` if the connection failed and `closed` if it was refused.
    */
   readonly outcome: string;
-  /** Which tier answered, by the header `switchwheel-from`; empty if none did. */
+  /** Tier that answered, from the header `switchwheel-from`; empty if the header is missing. */
   readonly answeredBy: string;
-  /** Whether the body is the one that the origin sends for this request. */
+  /** Whether the body equals the one that the origin sends for this request; `unread` if it was not compared. */
   readonly bodyMatches: 'yes' | 'no' | 'unread';
-  /** The revision of the object in the body, where it has one. */
+  /** Revision of the object in the body; undefined if the body has none. */
   readonly revision: number | undefined;
-  /** The reason that a rejection or a failure gave. */
+  /** Text of the error response; empty for results. */
   readonly reason: string;
 }
 
-/** One request with its outcome. */
+/** Request with its outcome and timing. */
 export interface RequestRecord extends RequestOutcome {
   readonly traffic: Traffic;
   readonly id: string;
   readonly path: string;
-  /** Milliseconds of `performance.now()`. */
+  /** Time of sending by `performance.now()`, in milliseconds. */
   readonly sentAt: number;
   readonly elapsedMs: number;
-  /** The name of the edge that it was sent to. */
+  /** Name of the edge that received the request. */
   readonly edge: string;
 }
--- a/packages/devfleet/src/load/send-request.ts
+++ b/packages/devfleet/src/load/send-request.ts
@@ -1,13 +1,13 @@
-/** Sends one planned request to an edge and says how it ended. */
+/** Sends one request to an edge and reports its outcome. */
 
 import { type Agent, type IncomingMessage, request } from 'node:http';
 import { objectBytes } from '../origin/content.js';
 import type { PlannedRequest } from './planned-request.js';
 import type { RequestOutcome } from './request-record.js';
 
-/** A client that waits longer than this for a byte gives up. */
+/** Maximum time without socket activity before the client aborts the request. */
 const idleTimeoutMs = 15_000;
-/** The revision stands in the first line of an object. */
+/** Length of the prefix of an object that is searched for its revision. */
 const revisionPrefixBytes = 200;
 
 const brokenOutcome = (status: number): RequestOutcome => ({
@@ -25,7 +25,7 @@
   bodyMatches: 'unread',
 });
 
-/** The outcome of a complete response. */
+/** Determines the outcome of a complete response. */
 const outcomeOf = (
   planned: PlannedRequest,
   response: IncomingMessage,
@@ -65,7 +65,7 @@
   };
 };
 
-/** Sends a request to `host:port`; `onEnd` is called exactly once. */
+/** Sends a request to `host:port`; calls `onEnd` exactly once. */
 export const sendRequest = (
   address: string,
   agent: Agent,
--- a/packages/devfleet/src/main.ts
+++ b/packages/devfleet/src/main.ts
@@ -1,4 +1,4 @@
-/** The program `devfleet`: reads and checks the command line, and runs one command. */
+/** Entry point of `devfleet`: validates the command line and runs one command. */
 
 import { join, resolve } from 'node:path';
 import meow from 'meow';
@@ -14,29 +14,29 @@
 const cli = meow(
   `
   Usage
-    $ devfleet run FILE    start the deployment, drive its load, check the rules, print figures
+    $ devfleet run FILE    start the deployment, send its load, check the rules, print a report
     $ devfleet fail FILE --cause NAME
-                           cause one failure under load, print what callers saw before and during it
+                           run one fault scenario under load, print client outcomes before and during it
     $ devfleet soak FILE --seed N --runs N
-                           overlapping troubles on a small fleet under load and racing orders, seed after seed
-    $ devfleet up FILE     start the deployment and leave it running until interrupted
+                           inject overlapping faults under load and concurrent operator commands, seed by seed
+    $ devfleet up FILE     start the deployment and keep it running until interrupted
 
   Flags
-    --seconds N    how long to drive the load (30)
-    --scale X      multiply the requests a second (1)
-    --edges N      start this many edges instead
-    --shields N    start this many shields instead
-    --cause NAME   ${[...faultScenarios.keys()].join(', ')}
-    --seed N       the first seed of a soak (1)
-    --runs N       how many seeds a soak plays, one after another (1)
-    --folder DIR   where data and logs go (.devfleet)
+    --seconds N    seconds of load, or of fault injection in a soak, 1 to 3600 (30)
+    --scale X      factor for the request rate, over 0 and up to 20 (1)
+    --edges N      number of edges, in place of the deployment's
+    --shields N    number of shields, in place of the deployment's
+    --cause NAME   fault scenario: ${[...faultScenarios.keys()].join(', ')}
+    --seed N       first seed of a soak (1)
+    --runs N       number of consecutive seeds in a soak (1)
+    --folder DIR   folder for data and logs; its contents are deleted first (.devfleet)
 
   Exit codes
-    0  every rule held    1  a rule was broken, or the fleet did not come up    2  wrong use
+    0  every rule held    1  a rule was broken, or the fleet did not start    2  invalid command line
 `,
   {
     importMeta: import.meta,
-    description: 'A whole fleet with stand-ins on one machine.',
+    description: 'Runs a development fleet with stub origins on one machine.',
     version: '0.1.0',
     flags: {
       seconds: { type: 'number', default: 30 },
@@ -51,7 +51,7 @@
   },
 );
 
-const exitWithWrongUse = (message: string): never => {
+const exitWithUsageError = (message: string): never => {
   process.stderr.write(`devfleet: ${message}\n`);
   process.exit(2);
 };
@@ -59,7 +59,7 @@
   process.stdout.write(`${text}\n`);
 };
 
-/** The deployment with as many edges and shields as the flags ask for. */
+/** Returns the deployment with the numbers of edges and shields set by the flags. */
 const withSizeFlags = (plan: DeploymentPlan): DeploymentPlan => ({
   ...plan,
   deployment: {
@@ -69,12 +69,12 @@
   },
 });
 
-/** The share of a deployment's load that a soak sends. */
+/** Fraction of a deployment's load that a soak sends. */
 const soakLoadScale = 0.1;
 
-/** Plays seeds one after another; returns whether all of them are passed. */
+/** Runs the soak of each seed; returns whether all of them passed. */
 const runSoaks = async (plan: DeploymentPlan, folder: string): Promise<boolean> => {
-  let areAllPassed = true;
+  let haveAllPassed = true;
   for (let seed = cli.flags.seed; seed < cli.flags.seed + cli.flags.runs; seed += 1) {
     print(`seed ${seed}`);
     const report = await runSoak(plan, {
@@ -86,9 +86,9 @@
     });
     const summary = summarizeSoak(seed, report);
     print(summary.text);
-    areAllPassed &&= summary.isPassed;
+    haveAllPassed &&= summary.isPassed;
   }
-  return areAllPassed;
+  return haveAllPassed;
 };
 
 const isWholeNumber = (raw: number, min: number): boolean =>
@@ -96,30 +96,30 @@
 
 const commands: ReadonlySet<string | undefined> = new Set(['run', 'up', 'fail', 'soak']);
 
-/** What is wrong with the flags; undefined if nothing is. */
-const flagFault = (): string | undefined => {
+/** Returns the message for the first invalid flag; undefined if all are valid. */
+const flagError = (): string | undefined => {
   const { cause, seconds, seed, runs, scale } = cli.flags;
   if (!faultScenarios.has(cause))
-    return `--cause ${cause}: one of ${[...faultScenarios.keys()].join(', ')}`;
-  if (!(seconds >= 1 && seconds <= 3600)) return '--seconds: from 1 to 3600';
-  if (!isWholeNumber(seed, 0)) return '--seed: a whole number';
-  if (!isWholeNumber(runs, 1)) return '--runs: a whole number from 1';
-  if (!(scale > 0 && scale <= 20)) return '--scale: over 0, at most 20';
+    return `--cause ${cause}: must be one of ${[...faultScenarios.keys()].join(', ')}`;
+  if (!(seconds >= 1 && seconds <= 3600)) return '--seconds: must be from 1 to 3600';
+  if (!isWholeNumber(seed, 0)) return '--seed: must be a non-negative integer';
+  if (!isWholeNumber(runs, 1)) return '--runs: must be a positive integer';
+  if (!(scale > 0 && scale <= 20)) return '--scale: must be over 0 and at most 20';
   return undefined;
 };
 
-const endSignals = ['SIGINT', 'SIGTERM'] as const;
+const terminationSignals = ['SIGINT', 'SIGTERM'] as const;
 
-/** Starts a deployment and leaves it running until a signal ends it. */
+/** Starts a deployment and keeps it running until the process is signalled. */
 const runUntilInterrupted = async (plan: DeploymentPlan, folder: string): Promise<void> => {
   const fleet = await startFleet(plan, folder, print);
-  for (const signal of endSignals)
+  for (const signal of terminationSignals)
     process.removeAllListeners(signal).on(signal, () => process.exit(0));
   print(`registries: ${fleet.registries.join(',')}`);
   print(`edges: ${fleet.edges.map((edge) => edge.httpAddress).join(' ')}`);
 };
 
-/** Runs a command and exits with its code; returns only from `up`. */
+/** Runs a command and exits with its exit code; returns only for `up`. */
 const runCommand = async (
   name: string | undefined,
   plan: DeploymentPlan,
@@ -127,32 +127,32 @@
 ): Promise<void> => {
   const { cause, seconds, scale } = cli.flags;
   const options = { seconds, loadScale: scale, folder, print };
-  const exitWith = (areHeld: boolean): never => process.exit(areHeld ? 0 : 1);
-  const areAllHeld = ({ ruleResults }: RunReport): boolean =>
+  const exitWith = (hasPassed: boolean): never => process.exit(hasPassed ? 0 : 1);
+  const areAllRulesHeld = ({ ruleResults }: RunReport): boolean =>
     ruleResults.every(({ isHeld }) => isHeld);
   const scenario = faultScenarios.get(cause);
   if (name === 'soak') exitWith(await runSoaks(plan, folder));
   if (name === 'fail' && scenario !== undefined)
-    exitWith(areAllHeld(await runFaultScenario(plan, cause, scenario, options)));
-  if (name === 'run') exitWith(areAllHeld(await runUnderLoad(plan, options)));
+    exitWith(areAllRulesHeld(await runFaultScenario(plan, cause, scenario, options)));
+  if (name === 'run') exitWith(areAllRulesHeld(await runUnderLoad(plan, options)));
   await runUntilInterrupted(plan, folder);
 };
 
 const [command, file] = cli.input;
 if (!commands.has(command)) cli.showHelp(2);
-else if (file === undefined) exitWithWrongUse('which deployment file?');
+else if (file === undefined) exitWithUsageError('FILE: the deployment file is missing');
 else {
-  const fault = flagFault();
-  if (fault !== undefined) exitWithWrongUse(fault);
+  const invalidFlag = flagError();
+  if (invalidFlag !== undefined) exitWithUsageError(invalidFlag);
   const plan = readDeploymentPlan(file);
-  if (plan.isErr) exitWithWrongUse(plan.error.join('\n'));
+  if (plan.isErr) exitWithUsageError(plan.error.join('\n'));
   else {
-    for (const signal of endSignals) process.on(signal, () => process.exit(1));
+    for (const signal of terminationSignals) process.on(signal, () => process.exit(1));
     try {
       await runCommand(command, withSizeFlags(plan.value), resolve(cli.flags.folder));
-    } catch (problem) {
+    } catch (error) {
       process.stderr.write(
-        `devfleet: ${problem instanceof Error ? problem.message : 'broke down'}\n`,
+        `devfleet: ${error instanceof Error ? error.message : 'unexpected error'}\n`,
       );
       process.exit(1);
     }
--- a/packages/devfleet/src/origin/content.ts
+++ b/packages/devfleet/src/origin/content.ts
@@ -1,4 +1,4 @@
-/** The content of stub origins' objects: a pure function of path, revision and size. */
+/** Deterministic content of the objects of stub origins. */
 
 import { createHash } from 'node:crypto';
 
@@ -6,15 +6,15 @@
 
 const hashBlock = (seed: string): Buffer => createHash('sha512').update(seed).digest();
 
-/** The bytes of an object: every stub origin makes the same of path, revision and size. */
+/** Returns the bytes of an object; a pure function of path, revision and size. */
 export const objectBytes = (path: string, revision: number, size: number): Buffer => {
-  const head = Buffer.from(`${path} r${revision}\n`);
+  const header = Buffer.from(`${path} r${revision}\n`);
   const fill = hashBlock(path);
-  const out = Buffer.alloc(Math.max(size, head.length), fill);
-  head.copy(out);
-  return out;
+  const content = Buffer.alloc(Math.max(size, header.length), fill);
+  header.copy(content);
+  return content;
 };
 
-/** The size of an object between two bounds, always the same for a path. */
-export const objectSize = (path: string, [least, most]: readonly [number, number]): number =>
-  least + Math.floor((hashBlock(`size ${path}`).readUInt32BE(0) / uint32Range) * (most - least));
+/** Returns the size of an object in bytes: from `min` up to `max`, determined by its path. */
+export const objectSize = (path: string, [min, max]: readonly [number, number]): number =>
+  min + Math.floor((hashBlock(`size ${path}`).readUInt32BE(0) / uint32Range) * (max - min));
--- a/packages/devfleet/src/origin/stub-origin.ts
+++ b/packages/devfleet/src/origin/stub-origin.ts
@@ -1,6 +1,7 @@
 /**
- * A stub origin: announces itself to the registries, answers health checks, keeps to its slots, works for a drawn time, and
- * records what it ran. Its control address sets faults and returns the records.
+ * Stub origin: announces itself to the registries, answers health checks, limits concurrent requests to its slots, delays
+ * each response by a random processing time and records the requests it ran. Faults are set and records read at its control
+ * address.
  */
 
 import { createHash } from 'node:crypto';
@@ -10,14 +11,14 @@
 import { increment } from '@switchwheel/types';
 import { objectBytes } from './content.js';
 
-const defaultObjectSize = 200;
+const defaultObjectBytes = 200;
 const etagLength = 16;
 const keepAliveTimeoutMs = 20_000;
 const announceIntervalMs = 2000;
 const announceTimeoutMs = 1000;
-/** How long it goes on serving after SIGTERM. */
-const drainMs = 3000;
-/** No request takes more than so many times the usual work. */
+/** Time for which the origin keeps serving after SIGTERM. */
+const shutdownDelayMs = 3000;
+/** Cap of the random part of the processing time, as a multiple of the mean. */
 const maxWorkFactor = 8;
 
 const cli = meow('', {
@@ -34,19 +35,22 @@
     registries: { type: 'string', default: '' },
   },
 });
-const { service, instance, slots, least, usual, release } = cli.flags;
+const { service, instance, slots, least: minWorkMs, usual: meanWorkMs, release } = cli.flags;
 const registries = cli.flags.registries.split(',').filter((address) => address !== '');
 
-/** How it misbehaves; the members are the JSON of `POST /mood`. */
+/** Injected misbehaviour; its members are the JSON of `POST /mood`. */
 interface OriginBehaviour {
-  /** How much longer each request takes. */
+  /** Milliseconds added to the processing time of each request. */
   slowMs: number;
-  /** Shares of requests, from 0 to 1: answered with 500, dropped, answered with a damaged or a cut body. */
+  /**
+   * Fractions of requests, from 0 to 1: answered with 500, closed without a response, answered with a corrupted or a
+   * truncated body.
+   */
   badShare: number;
   loseShare: number;
   corruptShare: number;
   cutShare: number;
-  /** Whether it answers in the name of another instance. */
+  /** Whether responses carry the name of another instance. */
   wrongName: boolean;
   state: 'up' | 'leaving' | 'gone';
 }
@@ -67,11 +71,11 @@
 let rejectedCount = 0;
 let lastRunAt = 0;
 
-/** Draws the time of work: exponential above the least, and far longer only up to a limit. */
+/** Draws a processing time: the minimum plus an exponentially distributed, capped part. */
 const drawWorkMs = (): number => {
-  const draw = Math.random();
-  const aboveLeast = -Math.log(1 - draw) * (usual - least);
-  return least + Math.min(aboveLeast, usual * maxWorkFactor) + behaviour.slowMs;
+  const uniform = Math.random();
+  const excessMs = -Math.log(1 - uniform) * (meanWorkMs - minWorkMs);
+  return minWorkMs + Math.min(excessMs, meanWorkMs * maxWorkFactor) + behaviour.slowMs;
 };
 
 const readBody = async (request: IncomingMessage): Promise<Buffer> => {
@@ -122,10 +126,10 @@
     ? Buffer.from(
         JSON.stringify({ done: request.headers['x-request-id'] ?? null, bytes: body.length }),
       )
-    : objectBytes(pathname, revision, Number(searchParams.get('size') ?? defaultObjectSize));
+    : objectBytes(pathname, revision, Number(searchParams.get('size') ?? defaultObjectBytes));
   setContentHeaders(response, content, searchParams.get('tag'));
   const middle = Math.floor(content.length / 2);
-  // The digest is of the undamaged content, so that the receiver can notice.
+  // The digest header covers the original content, so that the receiver can detect the corruption.
   if (Math.random() < behaviour.corruptShare) content[middle] = (content[middle] ?? 0) ^ 0xff;
   if (Math.random() < behaviour.cutShare) {
     response.write(content.subarray(0, middle), () => request.socket.destroy());
@@ -134,8 +138,12 @@
   response.end(content);
 };
 
-/** Rejects a request without running it. */
-const rejectUnrun = (request: IncomingMessage, response: ServerResponse, status: number): void => {
+/** Rejects a request without running it, and declares so in a header. */
+const rejectWithoutRunning = (
+  request: IncomingMessage,
+  response: ServerResponse,
+  status: number,
+): void => {
   rejectedCount += 1;
   response.statusCode = status;
   response.setHeader('switchwheel-unrun', 'true');
@@ -152,11 +160,11 @@
   }
   const intendedInstance = request.headers['switchwheel-instance'];
   if (intendedInstance !== undefined && intendedInstance !== instance) {
-    rejectUnrun(request, response, 421);
+    rejectWithoutRunning(request, response, 421);
     return;
   }
   if (usedSlots >= slots) {
-    rejectUnrun(request, response, 503);
+    rejectWithoutRunning(request, response, 503);
     return;
   }
   usedSlots += 1;
@@ -178,9 +186,9 @@
   response.end(JSON.stringify(value));
 };
 
-/** Sets the members of the behaviour that are given. */
-const changeBehaviour = (given: ReadonlyMap<string, unknown>): void => {
-  for (const [name, value] of given) {
+/** Sets the given members of the behaviour; ignores unknown names. */
+const changeBehaviour = (changes: ReadonlyMap<string, unknown>): void => {
+  for (const [name, value] of changes) {
     switch (name) {
       case 'wrongName':
         behaviour.wrongName = value === true;
@@ -201,16 +209,16 @@
 
 const handleControl = async (
   path: string | undefined,
-  given: ReadonlyMap<string, unknown>,
+  body: ReadonlyMap<string, unknown>,
 ): Promise<object> => {
   switch (path) {
     case '/mood':
-      changeBehaviour(given);
-      if (given.has('state')) await announce();
+      changeBehaviour(body);
+      if (body.has('state')) await announce();
       return behaviour;
     case '/revision': {
-      const object = given.get('path');
-      revisions.set(typeof object === 'string' ? object : '*', Number(given.get('revision') ?? 0));
+      const object = body.get('path');
+      revisions.set(typeof object === 'string' ? object : '*', Number(body.get('revision') ?? 0));
       return {};
     }
     case '/ran':
@@ -236,16 +244,16 @@
 const control = createServer((request, response) => {
   void readBody(request).then(async (body) => {
     const raw: unknown = body.length === 0 ? {} : JSON.parse(body.toString());
-    const given = new Map<string, unknown>(Object.entries(raw ?? {}));
-    sendJson(response, await handleControl(request.url, given));
+    const members = new Map<string, unknown>(Object.entries(raw ?? {}));
+    sendJson(response, await handleControl(request.url, members));
   });
 });
 
-/** Announces itself to the first registry that answers, beginning with a random one. */
+/** Announces the origin to the first registry that accepts or refuses it, starting with a random one. */
 const announce = async (): Promise<void> => {
-  const first = Math.floor(Math.random() * registries.length);
+  const startIndex = Math.floor(Math.random() * registries.length);
   for (let offset = 0; offset < registries.length; offset += 1) {
-    const address = registries[(first + offset) % registries.length] ?? '';
+    const address = registries[(startIndex + offset) % registries.length] ?? '';
     const reply = await got
       .post(`http://${address}/v1/origins`, {
         json: {
@@ -280,5 +288,5 @@
 });
 process.on('SIGTERM', () => {
   behaviour.state = 'leaving';
-  void announce().then(() => setTimeout(() => process.exit(0), drainMs));
+  void announce().then(() => setTimeout(() => process.exit(0), shutdownDelayMs));
 });
--- a/packages/devfleet/src/report/rules.ts
+++ b/packages/devfleet/src/report/rules.ts
@@ -1,4 +1,4 @@
-/** The rules on unsafe requests and response bodies, checked against the origins' own records. */
+/** Rules on unsafe requests and response bodies, checked against the origins' records. */
 
 import got from 'got';
 import * as v from 'valibot';
@@ -7,7 +7,7 @@
 import type { RequestRecord } from '../load/request-record.js';
 import { type RuleResult, untimedResult } from './report.js';
 
-const recordsTimeoutMs = 5000;
+const runsTimeoutMs = 5000;
 
 const runsReplySchema = v.object({
   ran: v.array(v.tuple([v.string(), v.number()])),
@@ -17,27 +17,27 @@
   stamps: v.array(v.number()),
 });
 
-/** How often each unsafe request ran, by its id, from the records of all origins that are up. */
+/** Collects how often each unsafe request ran, by request id, from all running origins. */
 export const collectRuns = async (fleet: Fleet): Promise<ReadonlyMap<string, number>> => {
-  const all = new Map<string, number>();
+  const runs = new Map<string, number>();
   for (const origin of fleet.origins) {
     if (!origin.process.isRunning) continue;
     const reply = await got(`http://${origin.controlAddress}/ran`, {
       retry: { limit: 0 },
-      timeout: { request: recordsTimeoutMs },
+      timeout: { request: runsTimeoutMs },
     });
     for (const [id, count] of v.parse(runsReplySchema, JSON.parse(reply.body)).ran)
-      increment(all, id, count);
+      increment(runs, id, count);
   }
-  return all;
+  return runs;
 };
 
-/** Checks that nothing ran twice, nothing rejected ran, and every body was the origin's. */
+/** Checks that no unsafe request ran twice, no rejected one ran, and every body equals the origin's. */
 export const checkRuns = (
   records: readonly RequestRecord[],
   runs: ReadonlyMap<string, number>,
 ): readonly RuleResult[] => {
-  const ranTwice = [...runs].filter(([, count]) => count > 1);
+  const repeated = [...runs].filter(([, count]) => count > 1);
   const unsafe = records.filter(({ traffic }) => traffic.unsafe);
   const count = (outcome: string): number =>
     unsafe.filter((record) => record.outcome === outcome).length;
@@ -47,25 +47,25 @@
   const confirmedButLost = unsafe.filter(
     ({ outcome, id }) => outcome === 'result' && !runs.has(id),
   );
-  const damaged = records.filter(
+  const differing = records.filter(
     ({ bodyMatches, outcome }) => bodyMatches === 'no' && outcome === 'result',
   );
-  const readCount = records.filter(({ bodyMatches }) => bodyMatches === 'yes').length;
+  const matchingCount = records.filter(({ bodyMatches }) => bodyMatches === 'yes').length;
   return [
     untimedResult(
-      'R1 at most once',
-      ranTwice.length === 0,
-      `${runs.size} unsafe requests ran, ${ranTwice.length} more than once`,
+      'R1 unsafe requests run at most once',
+      repeated.length === 0,
+      `${runs.size} unsafe requests ran, ${repeated.length} more than once`,
     ),
     untimedResult(
-      'R2 refused is unrun',
+      'R2 rejected requests do not run',
       rejectedButRan.length === 0,
-      `${count('rejected')} told refused, ${rejectedButRan.length} of them ran; ${count('unknown')} told unknown; ${confirmedButLost.length} told done that no origin noted`,
+      `${count('rejected')} unsafe requests rejected, ${rejectedButRan.length} rejected or unready ones ran; ${count('unknown')} with unknown outcome; ${confirmedButLost.length} confirmed but not recorded by an origin`,
     ),
     untimedResult(
-      'R3 whole answers',
-      damaged.length === 0 && confirmedButLost.length === 0,
-      `${readCount} answers read, ${damaged.length} unlike the origin's`,
+      'R3 responses match the origin',
+      differing.length === 0 && confirmedButLost.length === 0,
+      `${matchingCount} response bodies match the origin's, ${differing.length} differ`,
     ),
   ];
 };
--- a/packages/devfleet/src/run/configuration-file.ts
+++ b/packages/devfleet/src/run/configuration-file.ts
@@ -1,4 +1,4 @@
-/** Writes variants of a deployment's configuration to files that the operators' command line can apply. */
+/** Writes variants of a deployment's configuration to files for `switchwheel apply`. */
 
 import { mkdirSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
@@ -7,7 +7,7 @@
 
 const configurationSchema = v.looseObject({ services: v.array(v.looseObject({})) });
 
-/** Writes the deployment's configuration with some parts replaced; returns the path of the file. */
+/** Writes the deployment's configuration with the given top-level members replaced; returns the path of the file. */
 export const writeConfiguration = (
   plan: DeploymentPlan,
   folder: string,
@@ -21,7 +21,7 @@
   return file;
 };
 
-/** Writes the deployment's configuration with another queue limit for each service. */
+/** Writes the deployment's configuration with a different queue limit for every service; returns the path of the file. */
 export const writeChangedConfiguration = (
   plan: DeploymentPlan,
   folder: string,
--- a/packages/devfleet/src/run/edge-request.test-support.ts
+++ b/packages/devfleet/src/run/edge-request.test-support.ts
@@ -1,10 +1,10 @@
-/** Requests of tests to an edge of a real fleet, and what its error bodies say. */
+/** Test helpers: requests to an edge and parsing of its error responses. */
 
 import got, { type Response } from 'got';
 import * as v from 'valibot';
 import type { Machine } from '../fleet/machine.js';
 
-/** Sends one request to an edge, without retries; every status is an answer. */
+/** Sends one request to an edge, without retries; resolves for every status. */
 export const sendToEdge = (
   edge: Machine,
   path: string,
@@ -18,6 +18,6 @@
     ...options,
   });
 
-/** The error kind that the body of a failed response names. */
+/** Parses the error kind from the body of an error response. */
 export const errorKindOf = (body: Buffer): string =>
   v.parse(v.object({ kind: v.string() }), JSON.parse(body.toString())).kind;
--- a/packages/devfleet/src/run/fault-run.ts
+++ b/packages/devfleet/src/run/fault-run.ts
@@ -1,4 +1,4 @@
-/** `devfleet fail`: one fault scenario under load, and what clients saw before and during it. */
+/** Implements `devfleet fail`: one fault scenario under load, with client outcomes before and during it. */
 
 import got from 'got';
 import type { DeploymentPlan } from '../deployment/schema.js';
@@ -14,11 +14,11 @@
 import type { RunOptions, RunReport } from './run-report.js';
 import type { FaultScenario } from './scenarios/scenario.js';
 
-/** How long load is sent before and after the scenario. */
-const calmMs = 5000;
+/** Duration of the load before and after the scenario. */
+const steadyLoadMs = 5000;
 const metricsTimeoutMs = 1000;
 
-/** The admin addresses of the processes on a machine, by the names of the processes. */
+/** Returns name and metrics address of each process on a machine. */
 const metricsAddresses = ({
   name,
   kind,
@@ -32,9 +32,9 @@
         [`${name}-registry`, httpAddress],
       ];
 
-/** The longest that any process's event loop was blocked, from the processes' metrics. */
-const worstLoopLag = async (fleet: Fleet): Promise<string> => {
-  let worst = { name: 'none', lagMs: 0 };
+/** Returns the longest event loop lag in the fleet with the process's name, from the processes' metrics. */
+const maxLoopLag = async (fleet: Fleet): Promise<string> => {
+  let highest = { name: 'none', lagMs: 0 };
   for (const [name, address] of fleet.machines.flatMap(metricsAddresses)) {
     const reply = await got(`http://${address}/metrics`, {
       retry: { limit: 0 },
@@ -42,24 +42,24 @@
       timeout: { request: metricsTimeoutMs },
     }).catch(() => undefined);
     const lagMs = Number(/loop_lag_worst_ms ([\d.]+)/.exec(reply?.body ?? '')?.[1] ?? 0);
-    if (lagMs > worst.lagMs) worst = { name, lagMs };
+    if (lagMs > highest.lagMs) highest = { name, lagMs };
   }
-  return `${worst.lagMs.toFixed(0)} ms (${worst.name})`;
+  return `${highest.lagMs.toFixed(0)} ms (${highest.name})`;
 };
 
-/** The longest time in which no request got a result. */
+/** Returns the longest time in milliseconds between two consecutive results. */
 const longestGapMs = (records: readonly RequestRecord[]): number => {
   const resultTimes = records
     .filter(({ outcome }) => outcome === 'result')
     .map(({ sentAt, elapsedMs }) => sentAt + elapsedMs)
-    .sort((one, two) => one - two);
+    .sort((left, right) => left - right);
   let longest = 0;
   for (let index = 1; index < resultTimes.length; index += 1)
     longest = Math.max(longest, (resultTimes[index] ?? 0) - (resultTimes[index - 1] ?? 0));
   return longest;
 };
 
-/** Runs a fault scenario under load on real processes, and prints what clients saw before and during it. */
+/** Runs a fault scenario under load on real processes; prints client outcomes before and during it. */
 export const runFaultScenario = async (
   plan: DeploymentPlan,
   name: string,
@@ -76,22 +76,22 @@
     await probe.probe();
     probe.start();
     load.start();
-    await delay(calmMs);
-    const lagBefore = await worstLoopLag(fleet);
+    await delay(steadyLoadMs);
+    const lagBefore = await maxLoopLag(fleet);
     const faultAt = performance.now();
     const scenarioResults = await scenario({ fleet, plan, folder, print, load });
-    await delay(calmMs);
+    await delay(steadyLoadMs);
     await load.stop();
     probe.stop();
     const before = load.records.filter(({ sentAt }) => sentAt < faultAt);
     const during = load.records.filter(({ sentAt }) => sentAt >= faultAt);
-    print(`${name} at ${deployment.name}, before:`);
+    print(`${name} on ${deployment.name}, before the fault:`);
     print(latencyTable(deployment, before));
-    print('from the failure on:');
+    print('from the start of the fault:');
     print(latencyTable(deployment, during));
     print(reasonTable(during));
     print(
-      `longest time without any result ${Math.round(longestGapMs(during))} ms (before ${Math.round(longestGapMs(before))} ms); worst loop lag before ${lagBefore}, after ${await worstLoopLag(fleet)}`,
+      `longest time between results: ${Math.round(longestGapMs(during))} ms (before the fault ${Math.round(longestGapMs(before))} ms); highest event loop lag: ${lagBefore} before, ${await maxLoopLag(fleet)} after`,
     );
     const ruleResults = [...scenarioResults, ...checkRuns(load.records, await collectRuns(fleet))];
     print(ruleResultTable(ruleResults));
--- a/packages/devfleet/src/run/fault-scenarios.test.ts
+++ b/packages/devfleet/src/run/fault-scenarios.test.ts
@@ -1,4 +1,4 @@
-/** A sequence of fault scenarios on real processes. */
+/** Guards against lost, repeated or altered requests and configurations during a sequence of fault scenarios. */
 
 import assert from 'node:assert/strict';
 import { mkdtempSync, rmSync } from 'node:fs';
@@ -10,15 +10,18 @@
 import { faultScenarios, inSequence } from './fault-scenarios.js';
 import { runFaultScenario } from './fault-run.js';
 
-const folder = mkdtempSync(join(tmpdir(), 'causes-'));
+const folder = mkdtempSync(join(tmpdir(), 'devfleet-faults-'));
 process.on('exit', () => rmSync(folder, { recursive: true, force: true }));
 
-void test("through cuts, failing and lost disks, replaced registries and colliding operators, the origins' records agree with what clients saw", async () => {
-  const read = readDeploymentPlan(
+void test('rules hold through network partitions, failing and lost disks, replaced registries and conflicting commands', async () => {
+  const planResult = readDeploymentPlan(
     fileURLToPath(new URL('../../../../examples/carpatic/devfleet.json', import.meta.url)),
   );
-  assert.ok(read.isOk);
-  const plan = { ...read.value, deployment: { ...read.value.deployment, edges: 2, shields: 3 } };
+  assert.ok(planResult.isOk);
+  const plan = {
+    ...planResult.value,
+    deployment: { ...planResult.value.deployment, edges: 2, shields: 3 },
+  };
   const lines: string[] = [];
   const names = [
     'collide',
@@ -34,22 +37,22 @@
     'reuse-address',
   ];
   assert.deepEqual(
-    names.filter((one) => !faultScenarios.has(one)),
+    names.filter((name) => !faultScenarios.has(name)),
     [],
   );
-  const report = await runFaultScenario(plan, 'a row of causes', inSequence(names), {
+  const report = await runFaultScenario(plan, 'sequence of scenarios', inSequence(names), {
     seconds: 10,
     loadScale: 0.1,
     folder,
     print: (text) => lines.push(text),
   });
   assert.deepEqual(
-    report.ruleResults.filter((one) => !one.isHeld && !one.isTimed),
+    report.ruleResults.filter((result) => !result.isHeld && !result.isTimed),
     [],
     lines.join('\n'),
   );
   assert.ok(
     report.ruleResults.length >= 11 &&
-      report.records.filter((one) => one.outcome === 'result').length > 500,
+      report.records.filter((record) => record.outcome === 'result').length > 500,
   );
 });
--- a/packages/devfleet/src/run/fault-scenarios.ts
+++ b/packages/devfleet/src/run/fault-scenarios.ts
@@ -1,4 +1,4 @@
-/** All fault scenarios by the names that `devfleet fail --cause` takes. */
+/** Fault scenarios by their names for `devfleet fail --cause`. */
 
 import type { RuleResult } from '../report/report.js';
 import { delay } from '../fleet/wait.js';
@@ -43,10 +43,10 @@
   replaceRegistries,
 } from './scenarios/process.js';
 
-/** The pause between scenarios of one run. */
-const pauseBetweenMs = 2000;
+/** Pause after each scenario of a sequence. */
+const pauseAfterScenarioMs = 2000;
 
-/** Scenarios that inject one fault each. */
+/** Individual scenarios by name. */
 const scenarios: ReadonlyMap<string, FaultScenario> = new Map<string, FaultScenario>([
   ['none', withCommonRules(() => delay(5000))],
   ['kill-primary', withCommonRules(killAndRestart(primaryStore))],
@@ -91,7 +91,7 @@
   ['flood', floodingClass],
 ]);
 
-/** Runs scenarios one after the other on one fleet; names that are not known are passed over. */
+/** Combines scenarios into one that runs them in sequence on the same fleet; ignores unknown names. */
 export const inSequence =
   (names: readonly string[]): FaultScenario =>
   async (context) => {
@@ -99,12 +99,12 @@
     for (const name of names) {
       context.print(`-- ${name}`);
       results.push(...((await scenarios.get(name)?.(context)) ?? []));
-      await delay(pauseBetweenMs);
+      await delay(pauseAfterScenarioMs);
     }
     return results;
   };
 
-/** Every scenario, and `all` for a run of each. */
+/** All scenarios by name, with `all` for the whole sequence. */
 export const faultScenarios: ReadonlyMap<string, FaultScenario> = new Map([
   ...scenarios,
   ['all', inSequence([...scenarios.keys()])],
--- a/packages/devfleet/src/run/fleet-setup.ts
+++ b/packages/devfleet/src/run/fleet-setup.ts
@@ -1,4 +1,4 @@
-/** Brings a fleet up as an operator would: starts its processes, founds it, and applies its first configuration. */
+/** Sets up a fleet as an operator would: starts its processes, bootstraps the cluster and applies its first configuration. */
 
 import type { DeploymentPlan } from '../deployment/schema.js';
 import { Fleet } from '../fleet/fleet.js';
@@ -6,7 +6,7 @@
 import { readFleetView } from './fleet-view.js';
 import { runOperatorCommand } from './operator-command.js';
 
-/** How long a slow machine may take for a step; no rule depends on it. */
+/** Time limit of each setup step; generous for slow machines. */
 export const stepTimeoutMs = 60_000;
 
 const startProcesses = async (fleet: Fleet, print: (text: string) => void): Promise<void> => {
@@ -27,10 +27,11 @@
       view.nodes.filter((node) => node.open && node.role === role).length;
     return count('registry') === shields + stores && count('store') === stores;
   });
-  if (!isConnected) throw new Error('the core did not find itself in a minute');
+  if (!isConnected)
+    throw new Error('not all registries and stores of the core connected within one minute');
 };
 
-/** Runs an operators' command until it is accepted; false if it was not within the time. */
+/** Retries an operator command until it succeeds; false if it does not within the time. */
 const runUntilAccepted = (
   fleet: Fleet,
   args: readonly string[],
@@ -42,7 +43,7 @@
     return exitCode === 0;
   });
 
-const foundArguments = (fleet: Fleet, plan: DeploymentPlan): readonly string[] => {
+const bootstrapArguments = (fleet: Fleet, plan: DeploymentPlan): readonly string[] => {
   const core = fleet.machines.filter(({ kind }) => kind !== 'edge');
   const stores = core.filter(({ kind }) => kind === 'store');
   return [
@@ -57,15 +58,15 @@
   const services = new Set(plan.deployment.origins.map(({ service }) => service));
   const areElected = await waitUntil(stepTimeoutMs, async () => {
     const view = await readFleetView(fleet);
-    // One lease for each service, and the primary's.
+    // A lease for each service, and one for the primary.
     return (
       view !== undefined && new Set(view.holders.map(({ duty }) => duty)).size >= services.size + 1
     );
   });
-  if (!areElected) throw new Error('not every service had a keeper in a minute');
+  if (!areElected) throw new Error('not every service had a leader within one minute');
 };
 
-/** Starts a fleet and waits until it serves its first configuration; throws if a step takes over a minute. */
+/** Starts a fleet and waits until it serves its first configuration; throws if a step exceeds its time limit. */
 export const startFleet = async (
   plan: DeploymentPlan,
   folder: string,
@@ -75,13 +76,13 @@
   const fleet = new Fleet(plan.deployment, folder, canInjectFaults);
   await startProcesses(fleet, print);
   await waitForCore(fleet, plan);
-  if (!(await runUntilAccepted(fleet, foundArguments(fleet, plan), print)))
-    throw new Error('the fleet was not founded in a minute');
-  const applyFirst = ['apply', plan.configurationFile, '--id', `first-${plan.deployment.name}`];
-  if (!(await runUntilAccepted(fleet, applyFirst, print)))
-    throw new Error('the first description was not accepted in a minute');
+  if (!(await runUntilAccepted(fleet, bootstrapArguments(fleet, plan), print)))
+    throw new Error('the cluster was not bootstrapped within one minute');
+  const applyArguments = ['apply', plan.configurationFile, '--id', `first-${plan.deployment.name}`];
+  if (!(await runUntilAccepted(fleet, applyArguments, print)))
+    throw new Error('the first configuration was not accepted within one minute');
   if (!(await fleet.waitUntilEdgesReady(stepTimeoutMs)))
-    throw new Error('not every edge was ready in a minute');
+    throw new Error('not every edge was ready within one minute');
   await waitForServiceLeaders(fleet, plan);
   return fleet;
 };
--- a/packages/devfleet/src/run/fleet-view.ts
+++ b/packages/devfleet/src/run/fleet-view.ts
@@ -1,4 +1,4 @@
-/** The state of a fleet as its registries report it, as far as devfleet reads it. */
+/** State of a fleet as reported by its registries. */
 
 import * as v from 'valibot';
 import type { Fleet } from '../fleet/fleet.js';
@@ -20,19 +20,19 @@
   verdicts: v.array(v.object({ service: v.string(), release: v.string(), state: v.string() })),
 });
 
-/** `GET /v1/fleet` of a registry. */
+/** Response of `GET /v1/fleet`, reduced to the members that devfleet uses. */
 export type FleetView = v.InferOutput<typeof fleetViewSchema>;
 
-/** The view of the first registry that answers; undefined if none does. */
+/** Reads the fleet view from the first registry that answers; undefined if none does or the view is invalid. */
 export const readFleetView = async (fleet: Fleet): Promise<FleetView | undefined> => {
-  const read = v.safeParse(fleetViewSchema, await fleet.readView('/v1/fleet'));
-  return read.success ? read.output : undefined;
+  const parsed = v.safeParse(fleetViewSchema, await fleet.readView('/v1/fleet'));
+  return parsed.success ? parsed.output : undefined;
 };
 
-/** The generation in force; 0 if no registry answers. */
+/** Returns the generation in force; 0 if no registry answers. */
 export const generationInForce = async (fleet: Fleet): Promise<number> =>
   (await readFleetView(fleet))?.generation ?? 0;
 
-/** The edges and shields that are connected. */
+/** Returns the nodes of connected edges and shields. */
 export const connectedProxies = (view: FleetView): FleetView['nodes'] =>
   view.nodes.filter(({ open, role }) => open && (role === 'edge' || role === 'shield'));
--- a/packages/devfleet/src/run/load-run.test.ts
+++ b/packages/devfleet/src/run/load-run.test.ts
@@ -1,4 +1,4 @@
-/** The example deployments, scaled down, on real processes. */
+/** Guards the rules under load against regressions, on the example deployments with fewer machines. */
 
 import assert from 'node:assert/strict';
 import { mkdtempSync, rmSync } from 'node:fs';
@@ -13,10 +13,13 @@
   fileURLToPath(new URL(`../../../../examples/${name}/devfleet.json`, import.meta.url));
 
 for (const name of ['mallgyeol', 'carpatic']) {
-  void test(`${name}, scaled down, keeps every rule under load, a rollout and a purge`, async () => {
-    const read = readDeploymentPlan(example(name));
-    assert.ok(read.isOk);
-    const plan = { ...read.value, deployment: { ...read.value.deployment, edges: 2, shields: 3 } };
+  void test(`every rule holds for ${name}, scaled down, under load with a rollout and a purge`, async () => {
+    const planResult = readDeploymentPlan(example(name));
+    assert.ok(planResult.isOk);
+    const plan = {
+      ...planResult.value,
+      deployment: { ...planResult.value.deployment, edges: 2, shields: 3 },
+    };
     const folder = mkdtempSync(join(tmpdir(), 'devfleet-'));
     try {
       const report = await runUnderLoad(plan, {
@@ -25,28 +28,28 @@
         folder,
         print: () => undefined,
       });
-      // Results that depend on the speed of a busy machine are left out; what must hold on any machine is not.
+      // Results that depend on the speed of the machine are ignored.
       assert.deepEqual(
-        report.ruleResults.filter((one) => !one.isTimed && !one.isHeld),
+        report.ruleResults.filter((result) => !result.isTimed && !result.isHeld),
         [],
       );
-      for (const kind of ['R1', 'R2', 'R3', 'R4', 'R7'])
+      for (const ruleNumber of ['R1', 'R2', 'R3', 'R4', 'R7'])
         assert.ok(
-          report.ruleResults.some((one) => one.rule.startsWith(kind)),
-          kind,
+          report.ruleResults.some((result) => result.rule.startsWith(ruleNumber)),
+          ruleNumber,
         );
-      const results = report.records.filter((one) => one.outcome === 'result');
+      const results = report.records.filter((record) => record.outcome === 'result');
       assert.ok(
         results.length > report.records.length / 2,
         `${results.length} of ${report.records.length} requests got a result`,
       );
       assert.ok(
-        results.some((one) => one.answeredBy === 'edge') &&
-          results.some((one) => one.answeredBy === 'origin'),
+        results.some((record) => record.answeredBy === 'edge') &&
+          results.some((record) => record.answeredBy === 'origin'),
       );
       assert.ok(
-        report.records.some((one) => one.revision === 1),
-        'the new revision was seen after the purge',
+        report.records.some((record) => record.revision === 1),
+        'no response had the new revision after the purge',
       );
     } finally {
       rmSync(folder, { recursive: true, force: true });
--- a/packages/devfleet/src/run/load-run.ts
+++ b/packages/devfleet/src/run/load-run.ts
@@ -1,4 +1,4 @@
-/** `devfleet run`: a whole deployment under its load, with a configuration change and a purge, every rule checked. */
+/** Implements `devfleet run`: a deployment under load with a configuration change and a purge, and the rule checks. */
 
 import got from 'got';
 import * as v from 'valibot';
@@ -22,13 +22,13 @@
 import { runOperatorCommand } from './operator-command.js';
 import type { RunOptions, RunReport } from './run-report.js';
 
-/** How soon a configuration must be in force everywhere, and a purged object no longer served. */
+/** Maximum time until a configuration is in force on every proxy, and until purged objects are no longer served. */
 const maxPropagationMs = 2000;
-/** The configuration is changed and the objects are purged after these parts of the run. */
+/** Fraction of the run before the configuration change, and between it and the purge. */
 const changeAtFraction = 0.3;
 const purgeAfterChangeFraction = 0.2;
 const changedQueueLimit = 300;
-/** Tagged objects bear one of so many tags. */
+/** Number of tags over which the objects of tagged traffic are spread. */
 const tagCount = 20;
 
 const acceptanceSchema = v.object({
@@ -36,13 +36,13 @@
   purge: v.optional(v.number()),
 });
 
-/** Applies a configuration and measures how long until every connected edge and shield has it in force. */
+/** Applies a configuration and measures the time until every connected edge and shield has it in force. */
 const measureApply = async (
   fleet: Fleet,
   file: string,
   print: (text: string) => void,
 ): Promise<RuleResult> => {
-  const rule = 'R4 in force within 2 s';
+  const rule = 'R4 configuration in force within 2 s';
   const reply = await runOperatorCommand(fleet.registries, [
     'apply',
     file,
@@ -52,7 +52,7 @@
   ]);
   const acceptedAt = performance.now();
   if (reply.exitCode !== 0)
-    return untimedResult(rule, false, `not accepted: ${reply.stdout}${reply.stderr}`);
+    return untimedResult(rule, false, `apply was not accepted: ${reply.stdout}${reply.stderr}`);
   const generation = v.parse(acceptanceSchema, JSON.parse(reply.stdout)).generation ?? 0;
   const isInForce = await waitUntil(stepTimeoutMs, async () => {
     const view = await readFleetView(fleet);
@@ -60,12 +60,14 @@
     return proxies.length > 0 && proxies.every((proxy) => proxy.generation >= generation);
   });
   const elapsedMs = Math.round(performance.now() - acceptedAt);
-  print(`generation ${generation} in force everywhere ${elapsedMs} ms after it was accepted`);
+  print(
+    `generation ${generation} in force on all connected proxies ${elapsedMs} ms after it was accepted`,
+  );
   return {
     isTimed: isInForce,
     rule,
     isHeld: isInForce && elapsedMs <= maxPropagationMs,
-    text: `generation ${generation}: ${elapsedMs} ms after the answer`,
+    text: `generation ${generation}: ${elapsedMs} ms after it was accepted`,
   };
 };
 
@@ -75,7 +77,7 @@
   readonly isAccepted: boolean;
 }
 
-/** Changes all objects at the origins and purges the tagged ones. */
+/** Sets a new revision of all objects at the origins and purges the tagged ones. */
 const purgeChangedObjects = async (fleet: Fleet, plan: DeploymentPlan): Promise<PurgeOutcome> => {
   const { traffic } = plan.deployment;
   const prefix = (traffic.find(({ tagged }) => tagged) ?? traffic[0])?.prefix ?? '/';
@@ -89,29 +91,29 @@
   return { purgedAt: performance.now(), prefix, isAccepted: exitCode === 0 };
 };
 
-/** Checks that no old revision was served once the purge had its time. */
+/** Checks that no old revision was served to requests sent after the time limit of the purge. */
 const checkPurge = (records: readonly RequestRecord[], purge: PurgeOutcome): RuleResult => {
-  const later = records.filter(
+  const afterLimit = records.filter(
     ({ path, sentAt }) =>
       path.startsWith(purge.prefix) && sentAt > purge.purgedAt + maxPropagationMs,
   );
-  const stale = later.filter(({ revision }) => revision === 0);
+  const stale = afterLimit.filter(({ revision }) => revision === 0);
   return {
     isTimed: purge.isAccepted,
-    rule: 'R7 purged is not served 2 s on',
+    rule: 'R7 purged objects are not served after 2 s',
     isHeld: purge.isAccepted && stale.length === 0,
-    text: `${later.length} reads more than 2 s after the purge, ${stale.length} of the old revision`,
+    text: `${afterLimit.length} reads more than 2 s after the purge, ${stale.length} of the old revision`,
   };
 };
 
-const sourceSummary = (records: readonly RequestRecord[]): string => {
+const answererSummary = (records: readonly RequestRecord[]): string => {
   const counts = new Map<string, number>();
   for (const { answeredBy } of records) increment(counts, answeredBy === '' ? '-' : answeredBy);
-  const sources = [...counts].map(([source, count]) => `${source} ${count}`).join(', ');
-  return `${records.length} requests; told by ${sources}`;
+  const answerers = [...counts].map(([answerer, count]) => `${answerer} ${count}`).join(', ');
+  return `${records.length} requests; answered by ${answerers}`;
 };
 
-/** Runs a deployment under its load, changes its configuration and purges meanwhile, and checks every rule. */
+/** Runs a deployment under load, changes its configuration and purges objects meanwhile, and checks the rules. */
 export const runUnderLoad = async (
   plan: DeploymentPlan,
   options: RunOptions,
@@ -129,20 +131,20 @@
     const startedAt = performance.now();
     load.start();
     await delay(totalMs * changeAtFraction);
-    const changed = writeChangedConfiguration(plan, folder, 'second.json', changedQueueLimit);
-    const applied = await measureApply(fleet, changed, print);
+    const changedFile = writeChangedConfiguration(plan, folder, 'second.json', changedQueueLimit);
+    const applyResult = await measureApply(fleet, changedFile, print);
     await delay(totalMs * purgeAfterChangeFraction);
     const purge = await purgeChangedObjects(fleet, plan);
     await delay(Math.max(0, totalMs - (performance.now() - startedAt)));
     await load.stop();
     const { records } = load;
     const ruleResults = [
-      applied,
+      applyResult,
       checkPurge(records, purge),
       ...checkRuns(records, await collectRuns(fleet)),
     ];
     print(latencyTable(plan.deployment, records));
-    print(sourceSummary(records));
+    print(answererSummary(records));
     print(reasonTable(records));
     print(ruleResultTable(ruleResults));
     return { records, ruleResults };
--- a/packages/devfleet/src/run/operator-command.ts
+++ b/packages/devfleet/src/run/operator-command.ts
@@ -1,4 +1,4 @@
-/** Runs the operators' command line as a process, as an operator would. */
+/** Runs the operators' command line `switchwheel` as a child process. */
 
 import { execFile } from 'node:child_process';
 import { fileURLToPath } from 'node:url';
@@ -6,14 +6,14 @@
 const maxOutputBytes = 64 * 1024 * 1024;
 const script = fileURLToPath(new URL('../../../switchwheel/bin/switchwheel.js', import.meta.url));
 
-/** What the program printed, and how it ended. */
+/** Output and exit code of a command. */
 export interface CommandResult {
   readonly exitCode: number;
   readonly stdout: string;
   readonly stderr: string;
 }
 
-/** Runs one command against any of the registries; never rejects. */
+/** Runs a command against the given registries; never rejects. */
 export const runOperatorCommand = (
   registries: readonly string[],
   args: readonly string[],
--- a/packages/devfleet/src/run/overload.test.ts
+++ b/packages/devfleet/src/run/overload.test.ts
@@ -1,4 +1,4 @@
-/** What the clients of an edge get when far more requests come than its origins can take. */
+/** Guards against rejected requests that ran anyway when an edge gets far more requests than its origins can process. */
 
 import assert from 'node:assert/strict';
 import { mkdtempSync, rmSync } from 'node:fs';
@@ -21,10 +21,10 @@
 let edge: Machine;
 
 before(async () => {
-  const read = readDeploymentPlan(planFile);
-  assert.ok(read.isOk);
-  const deployment = { ...read.value.deployment, edges: 1, shields: 1 };
-  fleet = await startFleet({ ...read.value, deployment }, folder, () => undefined);
+  const planResult = readDeploymentPlan(planFile);
+  assert.ok(planResult.isOk);
+  const deployment = { ...planResult.value.deployment, edges: 1, shields: 1 };
+  fleet = await startFleet({ ...planResult.value, deployment }, folder, () => undefined);
   const first = fleet.edges[0];
   assert.ok(first !== undefined);
   edge = first;
@@ -34,28 +34,31 @@
   rmSync(folder, { recursive: true, force: true });
 });
 
-void test('under overload requests are rejected with a time to retry, and nothing rejected ran', async () => {
-  const answers = await Promise.all(
-    Array.from({ length: 900 }, (_, at) =>
-      sendToEdge(edge, `/consent/${at}`, {
+void test('under overload, excess requests are rejected with Retry-After and none of them runs', async () => {
+  const responses = await Promise.all(
+    Array.from({ length: 900 }, (_, index) =>
+      sendToEdge(edge, `/consent/${index}`, {
         method: 'POST',
         body: 'x',
-        headers: { 'x-request-id': `flood-${at}` },
+        headers: { 'x-request-id': `flood-${index}` },
       }),
     ),
   );
-  const rejected = answers.flatMap((one, at) => (one.statusCode === 503 ? [{ one, at }] : []));
-  assert.ok(rejected.length > 0 && answers.some((one) => one.statusCode === 200));
+  const rejected = responses.flatMap((response, index) =>
+    response.statusCode === 503 ? [{ response, index }] : [],
+  );
+  assert.ok(rejected.length > 0 && responses.some((response) => response.statusCode === 200));
   assert.ok(
     rejected.every(
-      ({ one }) =>
-        errorKindOf(one.rawBody) === 'rejected' && Number(one.headers['retry-after']) >= 1,
+      ({ response }) =>
+        errorKindOf(response.rawBody) === 'rejected' &&
+        Number(response.headers['retry-after']) >= 1,
     ),
   );
-  const ran = await collectRuns(fleet);
+  const runs = await collectRuns(fleet);
   assert.deepEqual(
-    rejected.filter(({ at }) => ran.has(`flood-${at}`)),
+    rejected.filter(({ index }) => runs.has(`flood-${index}`)),
     [],
   );
-  assert.ok([...ran.values()].every((many) => many === 1));
+  assert.ok([...runs.values()].every((count) => count === 1));
 });
--- a/packages/devfleet/src/run/run-report.ts
+++ b/packages/devfleet/src/run/run-report.ts
@@ -1,20 +1,20 @@
-/** What the runs of devfleet are given and what they give back. */
+/** Options and results of the runs of devfleet. */
 
 import type { RequestRecord } from '../load/request-record.js';
 import type { RuleResult } from '../report/report.js';
 
-/** How a deployment is run. */
+/** Options of a run. */
 export interface RunOptions {
-  /** How long load is sent. */
+  /** Duration of the load. */
   readonly seconds: number;
-  /** The factor by which the deployment's rate of requests is multiplied. */
+  /** Factor for the deployment's request rate. */
   readonly loadScale: number;
-  /** Where data, logs and configuration files go. */
+  /** Folder for data, logs and configuration files. */
   readonly folder: string;
   readonly print: (text: string) => void;
 }
 
-/** The outcome of a run. */
+/** Result of a run. */
 export interface RunReport {
   readonly records: readonly RequestRecord[];
   readonly ruleResults: readonly RuleResult[];
--- a/packages/devfleet/src/run/scenarios/client.ts
+++ b/packages/devfleet/src/run/scenarios/client.ts
@@ -1,32 +1,32 @@
-/** Scenarios of clients that misbehave. */
+/** Fault scenarios of clients: immediate retries and a flood of one request class. */
 
 import { untimedResult } from '../../report/report.js';
 import type { FaultScenario } from './scenario.js';
 import { originFault } from './origin.js';
 
-/** Clients retry at once while an origin is slow. */
+/** Clients retry immediately while an origin is slow. */
 export const impatientClients: FaultScenario = async ({ load, fleet, plan, print }) => {
   load.maxImmediateRetries = 4;
-  print('callers ask again at once, up to four times');
+  print('clients retry immediately, up to 4 times');
   await originFault({ slowMs: 1500 }, { slowMs: 0 })({ load, fleet, plan, print, folder: '' });
   load.maxImmediateRetries = 0;
   return [];
 };
 
-/** One class of requests gets three times the whole load: the others must not suffer. */
+/** One class gets three times the total load; at most 1% of the requests of other classes may fail. */
 export const floodingClass: FaultScenario = async ({ load, plan, print }) => {
   const name = plan.deployment.traffic.at(-1)?.name ?? '';
-  print(`three times the whole rate in ${name} alone for 5 s`);
+  print(`flooding ${name} with three times the total request rate for 5 s`);
   await load.flood(name, plan.deployment.perSecond * 3, 5000);
-  const other = load.records.filter(
+  const otherRecords = load.records.filter(
     (record) => record.traffic.name !== name && record.sentAt > performance.now() - 5000,
   );
-  const lost = other.filter((record) => record.outcome !== 'result');
+  const failed = otherRecords.filter((record) => record.outcome !== 'result');
   return [
     untimedResult(
-      'a flooding class takes nothing of the others',
-      lost.length <= other.length / 100,
-      `${lost.length} of ${other.length} requests of other classes got no result`,
+      'a flooded class does not affect other classes',
+      failed.length <= otherRecords.length / 100,
+      `${failed.length} of ${otherRecords.length} requests of other classes got no result`,
     ),
   ];
 };
--- a/packages/devfleet/src/run/scenarios/configuration-change.ts
+++ b/packages/devfleet/src/run/scenarios/configuration-change.ts
@@ -1,11 +1,11 @@
-/** Configuration changes that scenarios submit while a fault lasts. */
+/** Configuration changes that scenarios submit during a fault. */
 
 import * as v from 'valibot';
 import { runOperatorCommand } from '../operator-command.js';
 import { writeChangedConfiguration } from '../configuration-file.js';
 import type { ScenarioContext } from './scenario.js';
 
-/** Applies the configuration with another queue limit; does not wait for the rollout. */
+/** Applies the configuration with a different queue limit, without waiting for the rollout. */
 export const applyChange = async (
   context: ScenarioContext,
   fileName: string,
@@ -22,8 +22,8 @@
   ]);
 
 const acceptanceSchema = v.object({ generation: v.number() });
-/** The generation that `apply --json` reports; 0 if it was not accepted. */
+/** Parses the generation from the output of `apply --json`; 0 if there is none. */
 export const generationIn = (text: string): number => {
-  const read = v.safeParse(v.pipe(v.string(), v.parseJson(), acceptanceSchema), text);
-  return read.success ? read.output.generation : 0;
+  const parsed = v.safeParse(v.pipe(v.string(), v.parseJson(), acceptanceSchema), text);
+  return parsed.success ? parsed.output.generation : 0;
 };
--- a/packages/devfleet/src/run/scenarios/disk.ts
+++ b/packages/devfleet/src/run/scenarios/disk.ts
@@ -1,4 +1,4 @@
-/** Scenarios of store disks that fill up, stall or are lost. */
+/** Fault scenarios of store disks that fill up, stall or are lost. */
 
 import { rmSync } from 'node:fs';
 import { generationInForce } from '../fleet-view.js';
@@ -8,21 +8,21 @@
 import { type FaultScenario, primaryStore } from './scenario.js';
 import { applyChange, generationIn } from './configuration-change.js';
 
-/** How many changes are submitted while the disk fails. */
+/** Number of changes submitted during the disk fault. */
 const changeCount = 8;
 
-/** The primary's disk accepts no writes for a while: writes go on, and nothing accepted is lost. */
+/** The primary's disk accepts no writes for a time: changes must still be accepted, and no accepted one lost. */
 export const failingDisk =
   (diskState: 'full' | 'stalled'): FaultScenario =>
   async (context) => {
     const { fleet, print } = context;
     const name = await primaryStore(context);
     fleet.process(name).setFaults({ disk: diskState });
-    print(`the disk of ${name} is ${diskState}`);
+    print(`injected a ${diskState} disk at ${name}`);
     let acceptedCount = 0;
     let lastGeneration = 0;
-    for (let turn = 0; turn < changeCount; turn += 1) {
-      const reply = await applyChange(context, 'ailing.json', 310 + turn);
+    for (let index = 0; index < changeCount; index += 1) {
+      const reply = await applyChange(context, 'disk-fault.json', 310 + index);
       if (reply.exitCode === 0) {
         acceptedCount += 1;
         lastGeneration = generationIn(reply.stdout);
@@ -36,23 +36,23 @@
     );
     return [
       untimedResult(
-        `a ${diskState} disk`,
+        `accepted changes survive a ${diskState} disk`,
         acceptedCount > 0 && isKept,
-        `${acceptedCount} of ${changeCount} descriptions accepted meanwhile, the last as generation ${lastGeneration}, in force after: ${String(isKept)}`,
+        `${acceptedCount} of ${changeCount} changes accepted during the fault, the last as generation ${lastGeneration}; in force afterwards: ${String(isKept)}`,
       ),
     ];
   };
 
-/** The primary loses its disk, or what was not yet synced, right after a write was confirmed. */
+/** The primary loses its disk, or its unsynced writes, right after it confirmed a change. */
 export const lossAfterConfirmation =
   (loss: 'disk' | 'power'): FaultScenario =>
   async (context) => {
     const { fleet, print } = context;
     const name = await primaryStore(context);
-    const reply = await applyChange(context, 'lost.json', 330);
+    const reply = await applyChange(context, 'confirmed.json', 330);
     const generation = generationIn(reply.stdout);
     const process = fleet.process(name);
-    // What is written from now on has not been synced when the power goes.
+    // Writes from here on are unsynced when the power fails.
     if (loss === 'power') {
       process.setFaults({ disk: 'stalled' });
       void applyChange(context, 'unsynced.json', 331);
@@ -61,7 +61,7 @@
     await process.stop('SIGKILL');
     if (loss === 'disk') rmSync(fleet.dataFolder(name), { recursive: true, force: true });
     process.setFaults({ disk: 'healthy' });
-    print(`${name} lost its ${loss} just after generation ${generation} was confirmed`);
+    print(`${name} lost its ${loss} after it confirmed generation ${generation}`);
     await delay(1500);
     await process.start();
     const isKept = await waitUntil(
@@ -74,9 +74,9 @@
     );
     return [
       untimedResult(
-        `the ${loss} lost after confirming`,
+        `a confirmed change survives the loss of ${loss}`,
         reply.exitCode === 0 && generation > 0 && isKept && isWritable,
-        `generation ${generation} kept: ${String(isKept)}; written to again: ${String(isWritable)}`,
+        `generation ${generation} in force: ${String(isKept)}; a later change accepted: ${String(isWritable)}`,
       ),
     ];
   };
--- a/packages/devfleet/src/run/scenarios/network.ts
+++ b/packages/devfleet/src/run/scenarios/network.ts
@@ -1,4 +1,4 @@
-/** Scenarios of cut and slow links between machines. */
+/** Fault scenarios of cut and slow links between machines. */
 
 import { delay } from '../../fleet/wait.js';
 import type { Machine } from '../../fleet/machine.js';
@@ -6,7 +6,7 @@
 
 const flapCount = 8;
 
-/** Cuts some machines off from the others for a while. */
+/** Partitions chosen machines from all others for a time, in one or both directions. */
 export const isolate =
   (
     durationMs: number,
@@ -16,15 +16,15 @@
   async (context: ScenarioContext): Promise<void> => {
     const { fleet, print } = context;
     const isolated = await chooseMachines(context);
-    const rest = fleet.machines.filter((machine) => !isolated.includes(machine));
-    if (direction !== 'in') fleet.links.cut(isolated, rest);
-    if (direction !== 'out') fleet.links.cut(rest, isolated);
-    print(`cut off (${direction}): ${isolated.map((machine) => machine.name).join(' ')}`);
+    const others = fleet.machines.filter((machine) => !isolated.includes(machine));
+    if (direction !== 'in') fleet.links.cut(isolated, others);
+    if (direction !== 'out') fleet.links.cut(others, isolated);
+    print(`network partition (${direction}): ${isolated.map((machine) => machine.name).join(' ')}`);
     await delay(durationMs);
     fleet.links.heal();
-    print('healed');
+    print('network partition healed');
   };
-/** Chooses the machine of one node. */
+/** Chooses the machine of a process. */
 export const machineRunning =
   (findProcess: (context: ScenarioContext) => Promise<string>) =>
   async (context: ScenarioContext): Promise<readonly Machine[]> => [
@@ -32,23 +32,23 @@
   ];
 /** Chooses every second machine of the core. */
 export const halfOfCore = (context: ScenarioContext): Promise<readonly Machine[]> =>
-  Promise.resolve(coreMachines(context).filter((_, at) => at % 2 === 0));
+  Promise.resolve(coreMachines(context).filter((_, index) => index % 2 === 0));
 /** Chooses all edges. */
 export const allEdges = ({ fleet }: ScenarioContext): Promise<readonly Machine[]> =>
   Promise.resolve(fleet.edges);
 
-/** Cuts a service leader off again and again, each time briefly. */
+/** Partitions a service leader repeatedly, for 300 ms each time. */
 export const flapServiceLeader = async (context: ScenarioContext): Promise<void> => {
-  for (let turn = 0; turn < flapCount; turn += 1) {
+  for (let index = 0; index < flapCount; index += 1) {
     await isolate(300, 'both', machineRunning(serviceLeader))(context);
     await delay(400);
   }
 };
 
-/** Delays everything that machines send. */
+/** Delays all messages of all machines by 60 ms for five seconds. */
 export const slowLinks = async ({ fleet, print }: ScenarioContext): Promise<void> => {
   fleet.links.setLag(60);
-  print('everything that machines send takes 60 ms longer');
+  print('all links delayed by 60 ms');
   await delay(5000);
   fleet.links.setLag(0);
 };
--- a/packages/devfleet/src/run/scenarios/operator.ts
+++ b/packages/devfleet/src/run/scenarios/operator.ts
@@ -1,4 +1,4 @@
-/** Scenarios of operators: huge and invalid configurations, colliding commands, many purges. */
+/** Fault scenarios of operators: huge and invalid configurations, conflicting commands, many purges. */
 
 import { statSync } from 'node:fs';
 import { generationInForce } from '../fleet-view.js';
@@ -22,18 +22,20 @@
     plan.configuration,
   ).routes;
   const first = v.parse(v.looseObject({ service: v.string(), class: v.string() }), routes[0]);
-  const more = Array.from({ length: 50_000 }, (_, at) => ({
-    name: `bulk-${at}`,
-    host: `h${at % 500}.example`,
-    prefix: `/bulk/${at}/some/longer/path/to/make/it/weigh/`,
+  const bulkRoutes = Array.from({ length: 50_000 }, (_, index) => ({
+    name: `bulk-${index}`,
+    host: `h${index % 500}.example`,
+    prefix: `/bulk/${index}/some/longer/path/to/make/it/weigh/`,
     service: first.service,
     class: first.class,
     timeoutMs: 4000,
     cache: { lifetimeMs: 60_000, vary: ['accept-language'], query: true },
   }));
-  const file = writeConfiguration(plan, folder, 'huge.json', { routes: [...routes, ...more] });
-  const size = statSync(file).size;
-  const since = performance.now();
+  const file = writeConfiguration(plan, folder, 'huge.json', {
+    routes: [...routes, ...bulkRoutes],
+  });
+  const fileBytes = statSync(file).size;
+  const startedAt = performance.now();
   const reply = await runOperatorCommand(fleet.registries, [
     'apply',
     file,
@@ -43,22 +45,22 @@
     '15000',
   ]);
   print(
-    `${more.length} routes, ${(size / 1048576).toFixed(1)} MiB, ${Math.round(performance.now() - since)} ms in all: ${reply.stdout.trim()}${reply.stderr.trim()}`,
+    `${bulkRoutes.length} routes, ${(fileBytes / 1048576).toFixed(1)} MiB, applied in ${Math.round(performance.now() - startedAt)} ms: ${reply.stdout.trim()}${reply.stderr.trim()}`,
   );
 };
 
-/** Sends 2,000 single purges over 20 connections. */
+/** Sends 2,000 purges of one object each, 20 at a time. */
 export const purgeFlood = async ({ fleet, plan, print }: ScenarioContext): Promise<void> => {
   const prefix = plan.deployment.traffic[0]?.prefix ?? '/';
-  const since = performance.now();
+  const startedAt = performance.now();
   let acceptedCount = 0;
   await Promise.all(
-    Array.from({ length: 20 }, async (_, lane) => {
-      for (let at = 0; at < 100; at += 1) {
+    Array.from({ length: 20 }, async (_, workerIndex) => {
+      for (let index = 0; index < 100; index += 1) {
         const reply = await got.post(
-          `http://${fleet.registries[lane % fleet.registries.length] ?? ''}/v1/purges`,
+          `http://${fleet.registries[workerIndex % fleet.registries.length] ?? ''}/v1/purges`,
           {
-            json: { aims: [{ by: 'object', path: `${prefix}${lane * 100 + at}` }] },
+            json: { aims: [{ by: 'object', path: `${prefix}${workerIndex * 100 + index}` }] },
             retry: { limit: 0 },
             throwHttpErrors: false,
           },
@@ -68,11 +70,11 @@
     }),
   );
   print(
-    `${acceptedCount} of 2000 single purges accepted in ${Math.round(performance.now() - since)} ms`,
+    `${acceptedCount} of 2000 purges accepted in ${Math.round(performance.now() - startedAt)} ms`,
   );
 };
 
-/** Two operators apply on one base: exactly one of them is accepted. */
+/** Two operators apply changes to the same base generation: exactly one must be accepted. */
 export const collidingCommands: FaultScenario = async (context) => {
   const base = await generationInForce(context.fleet);
   const { registries } = context.fleet;
@@ -99,14 +101,14 @@
   const accepted = replies.filter((reply) => reply.exitCode === 0);
   return [
     untimedResult(
-      'two operators on one base',
+      'exactly one of two changes to the same base is accepted',
       accepted.length === 1 && replies.filter((reply) => reply.exitCode === 1).length === 1,
       `exit codes ${replies.map((reply) => reply.exitCode).join(' ')}`,
     ),
   ];
 };
 
-/** Applies an invalid configuration: it is refused, and the one in force stays. */
+/** Applies an invalid configuration: it must be rejected, and the one in force must stay. */
 export const invalidConfiguration: FaultScenario = async (context) => {
   const before = await generationInForce(context.fleet);
   const file = writeConfiguration(context.plan, context.folder, 'invalid.json', {
@@ -124,7 +126,7 @@
   const after = await generationInForce(context.fleet);
   return [
     untimedResult(
-      'an invalid description is refused whole',
+      'an invalid configuration is rejected',
       reply.exitCode !== 0 && reply.stderr.includes('classes') && after === before,
       `exit code ${reply.exitCode}, generation ${before} before and ${after} after`,
     ),
--- a/packages/devfleet/src/run/scenarios/origin.ts
+++ b/packages/devfleet/src/run/scenarios/origin.ts
@@ -1,4 +1,4 @@
-/** Scenarios of origins and their releases. */
+/** Fault scenarios of origins and their releases. */
 
 import got from 'got';
 import * as v from 'valibot';
@@ -8,14 +8,14 @@
 import { untimedResult } from '../../report/report.js';
 import { type FaultScenario, type ScenarioContext, firstService } from './scenario.js';
 
-/** How many requests an origin says that it served. */
+/** Reads the number of requests that an origin has served. */
 const servedCount = async (origin: StubOrigin): Promise<number> =>
   v.parse(
     v.looseObject({ served: v.number() }),
     JSON.parse((await got(`http://${origin.controlAddress}/`, { retry: { limit: 0 } })).body),
   ).served;
 
-/** Sets a fault at one origin of the first service for five seconds. */
+/** Injects a fault into one origin of the first service for five seconds. */
 export const originFault =
   (faulty: object, repaired: object) =>
   async ({ fleet, plan, print }: ScenarioContext): Promise<void> => {
@@ -33,11 +33,11 @@
 export const crashOrigin = async ({ fleet, plan, print }: ScenarioContext): Promise<void> => {
   const origin = fleet.origins.find((candidate) => candidate.group.service === firstService(plan));
   await origin?.process.stop('SIGKILL');
-  print(`killed ${origin?.name ?? 'nothing'}`);
+  print(`killed ${origin?.name ?? 'no origin'}`);
   await delay(3000);
 };
 
-/** A release that answers most requests with errors comes up. */
+/** Starts an origin of a new release that answers most requests with errors. */
 export const badRelease = async ({ fleet, plan, print }: ScenarioContext): Promise<void> => {
   const group = plan.deployment.origins[0];
   if (group === undefined) return;
@@ -46,59 +46,66 @@
     json: { badShare: 0.6 },
     retry: { limit: 0 },
   });
-  print(`a bad release of ${group.service} came up`);
+  print(`started an origin of a failing release of ${group.service}`);
   await delay(6000);
   const reply = await got(`http://${origin.controlAddress}/`, { retry: { limit: 0 } });
-  print(`the bad release: ${reply.body}`);
+  print(`the origin of the failing release reports: ${reply.body}`);
 };
 
-/** Replaces the origins of the first service one by one. */
+/** Replaces the origins of the first service one at a time. */
 export const replaceOrigins = async ({ fleet, plan, print }: ScenarioContext): Promise<void> => {
   const group = plan.deployment.origins[0];
   if (group === undefined) return;
-  for (const old of fleet.origins.filter((candidate) => candidate.group === group)) {
-    await fleet.addOrigin(group, `${old.name}-next`, group.release);
+  for (const oldOrigin of fleet.origins.filter((candidate) => candidate.group === group)) {
+    await fleet.addOrigin(group, `${oldOrigin.name}-next`, group.release);
     await delay(500);
-    await old.process.stop('SIGTERM');
+    await oldOrigin.process.stop('SIGTERM');
   }
-  print(`the origins of ${group.service} were replaced one by one`);
+  print(`replaced the origins of ${group.service} one at a time`);
 };
 
-/** The address of a crashed origin is taken over by an origin of another service. */
+/** An origin of another service reuses the address of a crashed origin. */
 export const reuseAddress: FaultScenario = async ({ fleet, plan, print }) => {
-  const [group, other] = plan.deployment.origins;
-  const old = fleet.origins.find((origin) => origin.group === group);
-  if (group === undefined || other === undefined || old === undefined) return [];
-  await old.process.stop('SIGKILL');
-  const next = await fleet.addOrigin(other, `${other.service}-taker`, other.release, old.address);
-  print(`${old.address} of ${group.service} is ${other.service} now`);
+  const [group, otherGroup] = plan.deployment.origins;
+  const oldOrigin = fleet.origins.find((origin) => origin.group === group);
+  if (group === undefined || otherGroup === undefined || oldOrigin === undefined) return [];
+  await oldOrigin.process.stop('SIGKILL');
+  const newOrigin = await fleet.addOrigin(
+    otherGroup,
+    `${otherGroup.service}-taker`,
+    otherGroup.release,
+    oldOrigin.address,
+  );
+  print(
+    `the address ${oldOrigin.address} of ${group.service} now belongs to ${otherGroup.service}`,
+  );
   await delay(5000);
-  const served = await servedCount(next);
+  const served = await servedCount(newOrigin);
   return [
     untimedResult(
-      'a reused address',
+      'an origin at a reused address gets requests',
       served > 0,
-      `${served} requests served by ${other.service} at the address that was of ${group.service}`,
+      `${served} requests served by ${otherGroup.service} at the former address of ${group.service}`,
     ),
   ];
 };
 
-/** A healthy release comes up: its canary must succeed and it must get its share of requests. */
+/** Starts an origin of a healthy release: its canary must succeed, and it must get its share of requests. */
 export const goodRelease: FaultScenario = async ({ fleet, plan, print }) => {
   const group = plan.deployment.origins[0];
   if (group === undefined) return [];
   const origin = await fleet.addOrigin(group, `${group.service}-good`, 'r3');
-  print(`a good release of ${group.service} came up`);
+  print(`started an origin of a healthy release of ${group.service}`);
   await delay(12_000);
   const served = await servedCount(origin);
   const state = (await readFleetView(fleet))?.verdicts.find(
-    (result) => result.service === group.service && result.release === 'r3',
+    (canaryResult) => canaryResult.service === group.service && canaryResult.release === 'r3',
   )?.state;
   return [
     untimedResult(
-      'a good release earns its traffic',
+      'a healthy release gets its share of requests',
       served > 60 && state === 'good',
-      `${served} requests, judged ${state ?? 'not at all'}`,
+      `${served} requests served, canary result ${state ?? 'missing'}`,
     ),
   ];
 };
--- a/packages/devfleet/src/run/scenarios/process.ts
+++ b/packages/devfleet/src/run/scenarios/process.ts
@@ -1,4 +1,4 @@
-/** Scenarios of processes that are killed, paused, restarted and replaced. */
+/** Fault scenarios of processes that are killed, paused, restarted or replaced. */
 
 import { delay, waitUntil } from '../../fleet/wait.js';
 import { runOperatorCommand } from '../operator-command.js';
@@ -12,10 +12,10 @@
 } from './scenario.js';
 import { applyChange } from './configuration-change.js';
 
-/** A machine that takes longer than this to stop is reported. */
+/** Stop duration of a machine above which it is reported. */
 const maxStopMs = 6000;
 
-/** Kills a process and starts it again two seconds later. */
+/** Kills a process and restarts it two seconds later. */
 export const killAndRestart =
   (findProcess: (context: ScenarioContext) => Promise<string>) =>
   async (context: ScenarioContext): Promise<void> => {
@@ -27,60 +27,62 @@
     await process.start();
   };
 
-/** Pauses a process for a while. */
+/** Pauses a process by SIGSTOP for a time. */
 export const freeze =
   (durationMs: number, findProcess: (context: ScenarioContext) => Promise<string>) =>
   async (context: ScenarioContext): Promise<void> => {
     const name = await findProcess(context);
     const process = context.fleet.process(name);
     process.signal('SIGSTOP');
-    context.print(`froze ${name}`);
+    context.print(`paused ${name}`);
     await delay(durationMs);
     process.signal('SIGCONT');
   };
 
-/** Kills every process at once and starts all again. */
+/** Kills all processes of all machines at once and restarts them. */
 export const killAllProcesses = async ({ fleet, print }: ScenarioContext): Promise<void> => {
-  const all = fleet.machines.flatMap((machine) => machine.processes);
-  await Promise.all(all.map((process) => process.stop('SIGKILL')));
-  const since = performance.now();
-  await Promise.all(all.map((process) => process.start()));
+  const processes = fleet.machines.flatMap((machine) => machine.processes);
+  await Promise.all(processes.map((process) => process.stop('SIGKILL')));
+  const startedAt = performance.now();
+  await Promise.all(processes.map((process) => process.start()));
   const areReady = await fleet.waitUntilEdgesReady(20_000);
   print(
-    `every process killed; ${areReady ? 'all edges ready' : 'NOT all edges ready'} ${Math.round(performance.now() - since)} ms after the start began`,
+    `every process killed; ${areReady ? 'all edges ready' : 'NOT all edges ready'} ${Math.round(performance.now() - startedAt)} ms after the restart began`,
   );
 };
 
-/** Stops and starts one machine after the other. */
+/** Restarts every machine in turn. */
 export const restartInTurn = async ({ fleet, print }: ScenarioContext): Promise<void> => {
   for (const machine of fleet.machines) {
-    const since = performance.now();
-    const codes = await Promise.all(machine.processes.map((process) => process.stop('SIGTERM')));
-    const elapsedMs = Math.round(performance.now() - since);
-    if (elapsedMs > maxStopMs || codes.some((code) => code !== 0))
-      print(`${machine.name} took ${elapsedMs} ms to stop, exit codes ${codes.join(' ')}`);
+    const startedAt = performance.now();
+    const exitCodes = await Promise.all(
+      machine.processes.map((process) => process.stop('SIGTERM')),
+    );
+    const elapsedMs = Math.round(performance.now() - startedAt);
+    if (elapsedMs > maxStopMs || exitCodes.some((exitCode) => exitCode !== 0))
+      print(`${machine.name} took ${elapsedMs} ms to stop, exit codes ${exitCodes.join(' ')}`);
     await Promise.all(machine.processes.map((process) => process.start()));
     await delay(300);
   }
-  print(`${fleet.machines.length} machines stopped and started in turn`);
+  print(`restarted ${fleet.machines.length} machines in turn`);
 };
 
-/** Kills every process in the primary's zone for a while. */
+/** Kills every process in the primary's zone and restarts them four seconds later. */
 export const loseZone = async (context: ScenarioContext): Promise<void> => {
   const name = await primaryStore(context);
   const { zone } = context.fleet.machine(name);
-  const lost = context.fleet.machines
+  const killed = context.fleet.machines
     .filter((machine) => machine.zone === zone)
     .flatMap((machine) => machine.processes);
-  await Promise.all(lost.map((process) => process.stop('SIGKILL')));
-  context.print(`lost the area ${zone}: ${lost.map((process) => process.name).join(' ')}`);
+  await Promise.all(killed.map((process) => process.stop('SIGKILL')));
+  context.print(`killed zone ${zone}: ${killed.map((process) => process.name).join(' ')}`);
   await delay(4000);
-  await Promise.all(lost.map((process) => process.start()));
+  await Promise.all(killed.map((process) => process.start()));
 };
 
 const seedCount = 3;
 
-/** Removes each seed's registry from the voters, restarts it and adds it again, one after the other. */
+/** Removes the registry of each seed from the electorate, restarts it and adds it again, one at a time. */
 export const replaceRegistries: FaultScenario = async (context) => {
   const { print } = context;
   let replacedCount = 0;
@@ -103,14 +105,14 @@
       async () => (await runOperatorCommand(others, ['voter', 'add', process.name])).exitCode === 0,
     );
     if (wasRemoved && wasAdded) replacedCount += 1;
-    print(`${process.name} was unseated, replaced and seated again`);
+    print(`${process.name} was removed from the voters, restarted and added again`);
   }
-  const reply = await applyChange(context, 'swapped.json', 350);
+  const reply = await applyChange(context, 'replaced.json', 350);
   return [
     untimedResult(
-      'first-found registries are swapped',
+      'the registries of all seeds are replaced',
       replacedCount === seedCount && reply.exitCode === 0,
-      `${replacedCount} of ${seedCount} swapped; a description after that: exit code ${reply.exitCode}`,
+      `${replacedCount} of ${seedCount} replaced; exit code of a change afterwards: ${reply.exitCode}`,
     ),
   ];
 };
--- a/packages/devfleet/src/run/scenarios/scenario.ts
+++ b/packages/devfleet/src/run/scenarios/scenario.ts
@@ -1,4 +1,4 @@
-/** What every fault scenario is given, and how it finds the process that it acts on. */
+/** Type and context of fault scenarios, and the selection of the processes they act on. */
 
 import type { DeploymentPlan } from '../../deployment/schema.js';
 import type { Fleet } from '../../fleet/fleet.js';
@@ -7,7 +7,7 @@
 import type { RuleResult } from '../../report/report.js';
 import { readFleetView } from '../fleet-view.js';
 
-/** What a scenario works with. */
+/** Fleet, load and output that a scenario works with. */
 export interface ScenarioContext {
   readonly fleet: Fleet;
   readonly plan: DeploymentPlan;
@@ -16,10 +16,10 @@
   readonly load: LoadGenerator;
 }
 
-/** Injects one fault; settles when the fault is over, with the results of rules that only this scenario checks. */
+/** Injects a fault; resolves when it is over, with the results of rules that only this scenario checks. */
 export type FaultScenario = (context: ScenarioContext) => Promise<readonly RuleResult[]>;
 
-/** A scenario that is judged by the rules of every run alone. */
+/** Creates a scenario that is checked only by the rules common to all runs. */
 export const withCommonRules =
   (injectFault: (context: ScenarioContext) => Promise<unknown>): FaultScenario =>
   async (context) => {
@@ -27,31 +27,31 @@
     return [];
   };
 
-/** The node that holds a lease; throws if none does. */
+/** Returns the node that holds a lease; throws if none does. */
 const leaseHolder = async (fleet: Fleet, lease: string): Promise<string> => {
   const view = await readFleetView(fleet);
   const holder = view?.holders.find((candidate) => candidate.duty === lease);
-  if (holder === undefined) throw new Error(`nobody holds ${lease}`);
+  if (holder === undefined) throw new Error(`the fleet view names no holder of the lease ${lease}`);
   return holder.node;
 };
 
-/** The name of the service whose origins scenarios act on. */
+/** Returns the name of the service whose origins scenarios act on; empty if there are no origins. */
 export const firstService = (plan: DeploymentPlan): string =>
   plan.deployment.origins[0]?.service ?? '';
 
-/** The store that holds the primary's lease. */
+/** Returns the name of the primary store. */
 export const primaryStore = ({ fleet }: ScenarioContext): Promise<string> =>
   leaseHolder(fleet, 'primary');
-/** The shield that leads the first service. */
+/** Returns the name of the service leader of the first service. */
 export const serviceLeader = ({ fleet, plan }: ScenarioContext): Promise<string> =>
   leaseHolder(fleet, `keeper:${firstService(plan)}`);
-/** The first edge. */
+/** Returns the name of the first edge; empty if there is none. */
 export const firstEdge = ({ fleet }: ScenarioContext): Promise<string> =>
   Promise.resolve(fleet.edges[0]?.name ?? '');
-/** The registry on the first machine. */
+/** Returns the name of the registry on the first machine. */
 export const firstRegistry = ({ fleet }: ScenarioContext): Promise<string> =>
   Promise.resolve(`${fleet.machines[0]?.name ?? ''}-registry`);
 
-/** All machines that run a registry. */
+/** Returns the machines that run a registry: shields and stores. */
 export const coreMachines = ({ fleet }: ScenarioContext): readonly Machine[] =>
   fleet.machines.filter((machine) => machine.kind !== 'edge');
--- a/packages/devfleet/src/soak/racing-operators.ts
+++ b/packages/devfleet/src/soak/racing-operators.ts
@@ -1,6 +1,6 @@
 /**
- * Operators whose commands race: they submit configurations from a few contents, so that contents recur, through any
- * registry, and give up on some replies on purpose, after which they retry the same command at another registry.
+ * Operators with concurrent commands: they submit one of a few configurations to a random registry, abandon some replies
+ * on purpose and then retry the same command at a random registry.
  */
 
 import got from 'got';
@@ -9,17 +9,17 @@
 import { delay } from '../fleet/wait.js';
 import type { SeededRandom } from './seeded-random.js';
 
-/** One configuration change with the replies to it. */
+/** Submitted configuration change and its confirmations. */
 export interface OperatorCommand {
   readonly id: string;
   readonly content: number;
-  /** The generation of the last confirmation. */
+  /** Generation in the last confirmation. */
   generation: number | undefined;
-  /** How many replies confirmed it. */
+  /** Number of replies that confirmed it. */
   confirmations: number;
 }
 
-/** Two replies to one command that name different generations. */
+/** Two confirmations of the same command with different generations. */
 export interface ConflictingReplies {
   readonly id: string;
   readonly firstGeneration: number;
@@ -29,13 +29,13 @@
 const contentCount = 4;
 const minQueueLimit = 300;
 const replyTimeoutMs = 9000;
-/** How soon an operator gives up on a reply that it is to lose. */
-const lostReplyTimeoutRangeMs = [5, 60] as const;
-const lostReplyProbability = 0.25;
-/** How often two commands are submitted at once. */
+/** Range of the timeout for replies that are abandoned on purpose. */
+const abandonTimeoutRangeMs = [5, 60] as const;
+const abandonProbability = 0.25;
+/** Probability that two commands are submitted concurrently. */
 const pairProbability = 0.6;
 const maxAttempts = 4;
-const gapRangeMs = [40, 900] as const;
+const pauseRangeMs = [40, 900] as const;
 
 const acceptanceSchema = v.object({ generation: v.number() });
 const configurationSchema = v.looseObject({ services: v.array(v.looseObject({})) });
@@ -55,10 +55,10 @@
     this.#random = random;
   }
 
-  /** Submits commands, often two at once, until it is stopped. */
+  /** Submits commands, often two concurrently, until stopped. */
   async run(): Promise<void> {
     while (this.#isRunning) {
-      await delay(this.#random.between(...gapRangeMs));
+      await delay(this.#random.between(...pauseRangeMs));
       const submissions = this.#random.happens(pairProbability)
         ? [this.#submitCommand(), this.#submitCommand()]
         : [this.#submitCommand()];
@@ -66,22 +66,26 @@
     }
   }
 
-  /** Submits no more; a command that is being sent is still finished. */
+  /** Stops submitting; commands in progress are still completed, with their retries. */
   stop(): void {
     this.#isRunning = false;
   }
 
-  /** The configuration of one content. */
+  /** Returns the configuration with a content number. */
   configurationWith(content: number): object {
     const base = v.parse(configurationSchema, this.#plan.configuration);
-    const waitlist = minQueueLimit + content;
-    return { ...base, services: base.services.map((service) => ({ ...service, waitlist })) };
+    const queueLimit = minQueueLimit + content;
+    return {
+      ...base,
+      services: base.services.map((service) => ({ ...service, waitlist: queueLimit })),
+    };
   }
 
-  /** The command that was confirmed with the highest generation. */
+  /** Confirmed command with the highest generation. */
   get newestConfirmed(): OperatorCommand | undefined {
     return this.commands.reduce<OperatorCommand | undefined>(
-      (best, command) => ((command.generation ?? 0) > (best?.generation ?? 0) ? command : best),
+      (newest, command) =>
+        (command.generation ?? 0) > (newest?.generation ?? 0) ? command : newest,
       undefined,
     );
   }
@@ -96,15 +100,17 @@
     };
     this.commands.push(command);
     for (let attempt = 0; attempt < maxAttempts; attempt += 1) {
-      const isLost = attempt === 0 && this.#random.happens(lostReplyProbability);
-      const timeoutMs = isLost ? this.#random.between(...lostReplyTimeoutRangeMs) : replyTimeoutMs;
+      const isAbandoned = attempt === 0 && this.#random.happens(abandonProbability);
+      const timeoutMs = isAbandoned
+        ? this.#random.between(...abandonTimeoutRangeMs)
+        : replyTimeoutMs;
       const isFinal = await this.#send(command, timeoutMs);
       if (isFinal) return;
-      await delay(this.#random.between(...gapRangeMs));
+      await delay(this.#random.between(...pauseRangeMs));
     }
   }
 
-  /** Sends a command once; true if the reply is final. */
+  /** Makes one attempt at a command; true if the reply is final. */
   async #send(command: OperatorCommand, timeoutMs: number): Promise<boolean> {
     const registry = this.#random.pick(this.#registries);
     const reply = await got
--- a/packages/devfleet/src/soak/random-faults.ts
+++ b/packages/devfleet/src/soak/random-faults.ts
@@ -1,4 +1,4 @@
-/** Random faults of real processes that overlap in time: kills, pauses, cuts of either direction, slow links and disks. */
+/** Random overlapping faults of machines: kills, pauses, network partitions, slow links and stalled disks. */
 
 import type { ProcessFaults } from '../fault-injection/process-faults.js';
 import type { Fleet } from '../fleet/fleet.js';
@@ -6,7 +6,7 @@
 import { delay } from '../fleet/wait.js';
 import type { SeededRandom } from './seeded-random.js';
 
-/** The kinds of faults, by the names that a soak prints. */
+/** Fault kinds; their names are printed by a soak. */
 export const faultKinds = [
   'kill',
   'pause',
@@ -16,10 +16,10 @@
   'slow links',
   'stalled disk',
 ] as const;
-/** One kind of fault. */
+/** Kind of a fault; `deaf` and `mute` cut only the incoming or only the outgoing links. */
 export type FaultKind = (typeof faultKinds)[number];
 
-/** One fault: when it begins after the start of the soak, how long it lasts, and which machine has it. */
+/** Fault of a machine, with its start relative to the start of the injection. */
 export interface ScheduledFault {
   readonly kind: FaultKind;
   readonly startMs: number;
@@ -30,35 +30,34 @@
 const minDurationMs = 400;
 const maxDurationMs = 3500;
 const slowLinkLagMs = 40;
-/** How many faults may be active at once. */
 const maxConcurrentFaults = 3;
-const gapRangeMs = [150, 1500] as const;
+const startIntervalRangeMs = [150, 1500] as const;
 
 const isActive = (fault: ScheduledFault, atMs: number): boolean =>
   fault.startMs <= atMs && atMs < fault.startMs + fault.durationMs;
 
-/** Draws the faults of a soak: up to three at once, each on another machine, often two or more. */
+/** Draws the faults of a soak: up to three at once, each on a different machine. */
 export const drawFaults = (
   random: SeededRandom,
   machines: readonly Machine[],
   totalMs: number,
 ): readonly ScheduledFault[] => {
-  const drawn: ScheduledFault[] = [];
-  for (let at = 0; at < totalMs; at += random.between(...gapRangeMs)) {
-    const active = drawn.filter((fault) => isActive(fault, at));
+  const faults: ScheduledFault[] = [];
+  for (let startMs = 0; startMs < totalMs; startMs += random.between(...startIntervalRangeMs)) {
+    const active = faults.filter((fault) => isActive(fault, startMs));
     if (active.length >= maxConcurrentFaults) continue;
-    const free = machines.filter(
+    const candidates = machines.filter(
       (candidate) => !active.some((fault) => fault.machine === candidate.name),
     );
-    const machine = random.pick(free);
+    const machine = random.pick(candidates);
     const kinds = faultKinds.filter((kind) => kind !== 'stalled disk' || machine.kind === 'store');
-    const durationMs = Math.min(random.between(minDurationMs, maxDurationMs), totalMs - at);
-    drawn.push({ kind: random.pick(kinds), startMs: at, durationMs, machine: machine.name });
+    const durationMs = Math.min(random.between(minDurationMs, maxDurationMs), totalMs - startMs);
+    faults.push({ kind: random.pick(kinds), startMs, durationMs, machine: machine.name });
   }
-  return drawn;
+  return faults;
 };
 
-/** How many faults began while another one was active. */
+/** Counts the faults that began while another one was active. */
 export const countOverlaps = (faults: readonly ScheduledFault[]): number =>
   faults.filter((fault) =>
     faults.some((other) => other !== fault && isActive(other, fault.startMs)),
@@ -69,7 +68,7 @@
   readonly to: readonly Machine[];
 }
 
-/** Injects faults into a fleet, and repairs each when its time is over. */
+/** Injects faults into a fleet and repairs each after its duration. */
 export class FaultInjector {
   readonly #fleet: Fleet;
   readonly #print: (text: string) => void;
@@ -82,24 +81,26 @@
     this.#print = print;
   }
 
-  /** Injects all faults at their times; settles when the last one is repaired. */
+  /** Injects all faults at their start times; resolves when the last one is repaired. */
   async run(faults: readonly ScheduledFault[]): Promise<void> {
     await Promise.all(faults.map((fault) => this.#schedule(fault)));
   }
 
   async #schedule(fault: ScheduledFault): Promise<void> {
     await delay(fault.startMs);
-    // A machine whose processes are still starting again gets its next fault when they run.
-    const before = this.#lastFaultByMachine.get(fault.machine) ?? Promise.resolve();
-    const done = before.then(() => this.#inject(fault));
-    this.#lastFaultByMachine.set(fault.machine, done);
-    return done;
+    // A fault waits until the previous one of the same machine is repaired.
+    const previous = this.#lastFaultByMachine.get(fault.machine) ?? Promise.resolve();
+    const completion = previous.then(() => this.#inject(fault));
+    this.#lastFaultByMachine.set(fault.machine, completion);
+    return completion;
   }
 
   async #inject(fault: ScheduledFault): Promise<void> {
     const machine = this.#fleet.machine(fault.machine);
-    const at = Math.round(performance.now() - this.#startedAt);
-    this.#print(`${at} ms: ${fault.kind} ${machine.name} for ${Math.round(fault.durationMs)} ms`);
+    const elapsedMs = Math.round(performance.now() - this.#startedAt);
+    this.#print(
+      `${elapsedMs} ms: ${fault.kind} ${machine.name} for ${Math.round(fault.durationMs)} ms`,
+    );
     switch (fault.kind) {
       case 'kill':
         return this.#kill(machine, fault.durationMs);
@@ -145,10 +146,10 @@
     direction: 'both' | 'in' | 'out',
     durationMs: number,
   ): Promise<void> {
-    const rest = this.#fleet.machines.filter((other) => other !== machine);
+    const others = this.#fleet.machines.filter((other) => other !== machine);
     const cuts: LinkCut[] = [];
-    if (direction !== 'in') cuts.push({ from: [machine], to: rest });
-    if (direction !== 'out') cuts.push({ from: rest, to: [machine] });
+    if (direction !== 'in') cuts.push({ from: [machine], to: others });
+    if (direction !== 'out') cuts.push({ from: others, to: [machine] });
     for (const cut of cuts) {
       this.#activeCuts.add(cut);
       this.#fleet.links.cut(cut.from, cut.to);
@@ -156,7 +157,7 @@
     await delay(durationMs);
     for (const cut of cuts) this.#activeCuts.delete(cut);
     this.#fleet.links.heal();
-    // Healing opened every link: cuts of other machines that are still active are made again.
+    // heal() opens every link, so cuts of other machines that are still active are restored.
     for (const cut of this.#activeCuts) this.#fleet.links.cut(cut.from, cut.to);
   }
 
--- a/packages/devfleet/src/soak/seeded-random.ts
+++ b/packages/devfleet/src/soak/seeded-random.ts
@@ -1,8 +1,8 @@
-/** Random numbers from one seed, for plans that can be repeated. Real processes add randomness of their own. */
+/** Seeded random source, for reproducible schedules; the timing of real processes still varies. */
 
 import { type RandomState, nextRandom } from '@switchwheel/types';
 
-/** A stream of random draws that is the same for the same seed. */
+/** Random source whose draws depend only on the seed. */
 export class SeededRandom {
   #state: RandomState;
 
@@ -10,27 +10,27 @@
     this.#state = { seed };
   }
 
-  /** A number from 0 up to 1. */
+  /** Returns a number from 0 up to, but not including, 1. */
   next(): number {
-    const [value, next] = nextRandom(this.#state);
-    this.#state = next;
+    const [value, nextState] = nextRandom(this.#state);
+    this.#state = nextState;
     return value;
   }
 
-  /** A number between two bounds. */
+  /** Returns a number from `min` up to, but not including, `max`. */
   between(min: number, max: number): number {
     return min + this.next() * (max - min);
   }
 
-  /** True with a probability from 0 to 1. */
+  /** Returns true with the given probability. */
   happens(probability: number): boolean {
     return this.next() < probability;
   }
 
-  /** One of a list; throws if the list is empty. */
+  /** Returns a random element; throws if there is none. */
   pick<T>(candidates: readonly T[]): T {
     const candidate = candidates[Math.floor(this.next() * candidates.length)];
-    if (candidate === undefined) throw new Error('nothing to choose from');
+    if (candidate === undefined) throw new Error('cannot pick a random element of an empty list');
     return candidate;
   }
 }
--- a/packages/devfleet/src/soak/soak-report.ts
+++ b/packages/devfleet/src/soak/soak-report.ts
@@ -1,53 +1,51 @@
-/**
- * What a soak came to, and the sentence that the command prints for it. Playing the soak is left to `soak.ts`.
- */
+/** Result of a soak and its one-line summary. */
 
 import type { RuleResult } from '../report/report.js';
 
-/** The outcome of one seed of a soak. */
+/** Result of one seed of a soak. */
 export interface SoakReport {
   readonly ruleResults: readonly RuleResult[];
-  /** How many faults were injected. */
+  /** Number of injected faults. */
   readonly faultCount: number;
-  /** How many of the faults began while another one was active. */
+  /** Number of faults that began while another one was active. */
   readonly overlapCount: number;
-  /** How many configuration changes the operators submitted. */
+  /** Number of configuration changes that operators submitted. */
   readonly commandCount: number;
-  /** How many of these were confirmed at least once. */
+  /** Number of those that were confirmed at least once. */
   readonly confirmedCount: number;
 }
 
-/** A run in which less happened than this proves nothing, so it is not passed. */
+/** Minimum activity; a run below it does not pass, as its rules were hardly exercised. */
 const minOverlaps = 3;
 const minConfirmedCommands = 3;
 
-/** Checks that enough happened in a run for its other rules to mean something. */
+/** Checks that a run had enough overlapping faults and confirmed commands to exercise the other rules. */
 export const checkActivity = (
   report: Pick<SoakReport, 'overlapCount' | 'confirmedCount'>,
 ): RuleResult => ({
-  rule: `at least ${minOverlaps} overlapping faults and ${minConfirmedCommands} confirmed orders`,
+  rule: `at least ${minOverlaps} overlapping faults and ${minConfirmedCommands} confirmed commands`,
   isHeld: report.overlapCount >= minOverlaps && report.confirmedCount >= minConfirmedCommands,
-  text: `${report.overlapCount} overlapping, ${report.confirmedCount} confirmed`,
+  text: `${report.overlapCount} overlapping faults, ${report.confirmedCount} confirmed commands`,
   isTimed: false,
 });
 
-/** Whether a soak is passed, and the line that says so. */
+/** Verdict on a soak, with the line that is printed for it. */
 export interface SoakSummary {
   readonly isPassed: boolean;
   readonly text: string;
 }
 
-/** Judges the report of one seed; results that depend on the speed of this machine do not count. */
+/** Summarizes the report of one seed; results that depend on the speed of this machine are ignored. */
 export const summarizeSoak = (seed: number, report: SoakReport): SoakSummary => {
   const { ruleResults, faultCount, overlapCount, commandCount, confirmedCount } = report;
   const results = [...ruleResults, checkActivity(report)];
   const broken = results.filter((result) => !result.isHeld && !result.isTimed);
   const isPassed = broken.length === 0;
-  const judgement = isPassed
+  const verdict = isPassed
     ? 'all held'
     : `BROKEN ${broken.map((result) => result.rule).join(', ')}`;
   return {
     isPassed,
-    text: `seed ${seed}: ${judgement}; ${faultCount} troubles, ${overlapCount} begun beside another, ${confirmedCount} of ${commandCount} orders confirmed`,
+    text: `seed ${seed}: ${verdict}; ${faultCount} faults, ${overlapCount} of them overlapping, ${confirmedCount} of ${commandCount} commands confirmed`,
   };
 };
--- a/packages/devfleet/src/soak/soak.test.ts
+++ b/packages/devfleet/src/soak/soak.test.ts
@@ -1,4 +1,4 @@
-/** The short form of the soak: one seed, a few seconds of overlapping faults on real processes. */
+/** Short soak of one seed: guards against broken invariants and lost configurations under overlapping faults. */
 
 import assert from 'node:assert/strict';
 import { mkdtempSync, rmSync } from 'node:fs';
@@ -12,12 +12,15 @@
 const folder = mkdtempSync(join(tmpdir(), 'soak-'));
 process.on('exit', () => rmSync(folder, { recursive: true, force: true }));
 
-void test('under overlapping faults, lost replies and racing commands invariants hold, and what was confirmed is in force after', async () => {
-  const read = readDeploymentPlan(
+void test('invariants hold and confirmed configurations take effect under overlapping faults, lost replies and concurrent commands', async () => {
+  const planResult = readDeploymentPlan(
     fileURLToPath(new URL('../../../../examples/carpatic/devfleet.json', import.meta.url)),
   );
-  assert.ok(read.isOk);
-  const plan = { ...read.value, deployment: { ...read.value.deployment, edges: 2, shields: 3 } };
+  assert.ok(planResult.isOk);
+  const plan = {
+    ...planResult.value,
+    deployment: { ...planResult.value.deployment, edges: 2, shields: 3 },
+  };
   const lines: string[] = [];
   const report = await runSoak(plan, {
     seed: 20,
@@ -26,8 +29,8 @@
     folder,
     print: (text) => lines.push(text),
   });
-  const broken = report.ruleResults.filter((one) => !one.isHeld && !one.isTimed);
-  assert.deepEqual(broken, [], lines.join('\n'));
+  const brokenResults = report.ruleResults.filter((result) => !result.isHeld && !result.isTimed);
+  assert.deepEqual(brokenResults, [], lines.join('\n'));
   assert.ok(
     report.overlapCount >= 3 && report.confirmedCount >= 3,
     JSON.stringify({ ...report, ruleResults: [] }),
--- a/packages/devfleet/src/soak/soak.ts
+++ b/packages/devfleet/src/soak/soak.ts
@@ -1,6 +1,6 @@
 /**
- * A soak of real processes: a whole fleet under load and racing configuration changes while faults overlap; then calm, and
- * what must hold by then. The invariants that the programs check on themselves are read from their logs.
+ * Soak of a development fleet: overlapping faults under load and concurrent configuration changes, then a check that the
+ * fleet recovered. Violations of the invariants that the processes check themselves are read from their logs.
  */
 
 import { readFileSync, readdirSync } from 'node:fs';
@@ -21,29 +21,29 @@
 import type { SoakReport } from './soak-report.js';
 import { FaultInjector, type ScheduledFault, countOverlaps, drawFaults } from './random-faults.js';
 
-/** How one seed is run. */
+/** Options of the run of one seed. */
 export interface SoakOptions {
   readonly seed: number;
-  /** How long faults are injected. */
+  /** Duration of the fault injection. */
   readonly faultsDurationMs: number;
-  /** The factor by which the deployment's rate of requests is multiplied. */
+  /** Factor for the deployment's request rate. */
   readonly loadScale: number;
   readonly folder: string;
   readonly print: (text: string) => void;
 }
 
-/** How long after the last fault the newest configuration must be in force everywhere; generous for a slow machine. */
+/** Time limit after the last fault for the newest configuration to be in force on every proxy. */
 const settleTimeoutMs = 30_000;
-/** How long processes are given to write their last log lines. */
+/** Time for the processes to write their last log lines. */
 const logFlushMs = 500;
-/** The log message of the programs; a change there must be made here too. */
+/** Log message of the processes for a broken invariant; must match their wording. */
 const brokenInvariantMessage = 'an invariant is broken';
 const configurationReplySchema = v.looseObject({
   generation: v.number(),
   description: v.unknown(),
 });
 
-/** The lines of all logs that report a broken invariant. */
+/** Returns the lines of all logs that report a broken invariant. */
 const brokenInvariantLines = (folder: string): readonly string[] => {
   const logs = join(folder, 'log');
   return readdirSync(logs).flatMap((name) =>
@@ -54,7 +54,7 @@
   );
 };
 
-/** Whether every node runs the newest generation, and it is at least the newest that was confirmed. */
+/** Whether every proxy is connected and runs the newest generation, and that is not below the newest confirmed one. */
 const isSettled = async (fleet: Fleet, confirmedGeneration: number): Promise<boolean> => {
   const view = await readFleetView(fleet);
   if (view === undefined || view.generation < confirmedGeneration) return false;
@@ -64,7 +64,7 @@
   return areAllKnown && proxies.every((node) => node.open && node.generation === view.generation);
 };
 
-/** The configuration as each registry returns it; undefined where one does not. */
+/** Reads the configuration from each registry; undefined for those that fail. */
 const readConfigurations = (fleet: Fleet): Promise<readonly unknown[]> =>
   Promise.all(
     fleet.registries.map(async (registry) => {
@@ -79,36 +79,36 @@
     }),
   );
 
-/** Checks that each registry returns the newest confirmed configuration, or a later one. */
+/** Checks that each registry returns the newest confirmed configuration or a later generation. */
 const checkReadBack = (replies: readonly unknown[], operators: RacingOperators): RuleResult => {
   const newest = operators.newestConfirmed;
-  const faults = replies.flatMap((raw) => {
-    const read = v.safeParse(configurationReplySchema, raw);
-    if (!read.success) return ['no answer'];
-    const { generation, description } = read.output;
-    if (generation < (newest?.generation ?? 0)) return [`generation ${generation}`];
+  const mismatches = replies.flatMap((raw) => {
+    const parsed = v.safeParse(configurationReplySchema, raw);
+    if (!parsed.success) return ['no valid response'];
+    const { generation, description } = parsed.output;
+    if (generation < (newest?.generation ?? 0)) return [`older generation ${generation}`];
     const isNewest = newest !== undefined && generation === newest.generation;
-    const isSame =
+    const isExpected =
       !isNewest ||
       canonicalJson(description) === canonicalJson(operators.configurationWith(newest.content));
-    return isSame ? [] : [`other content under ${generation}`];
+    return isExpected ? [] : [`different content in generation ${generation}`];
   });
   return untimedResult(
-    'the newest confirmed description is read back',
-    faults.length === 0,
-    `${replies.length} registries asked for ${newest?.generation ?? 0}: ${faults.length === 0 ? 'all tell it' : faults.join('; ')}`,
+    'registries return the newest confirmed configuration',
+    mismatches.length === 0,
+    `${replies.length} registries, newest confirmed generation ${newest?.generation ?? 0}: ${mismatches.length === 0 ? 'all return it or a later one' : mismatches.join('; ')}`,
   );
 };
 
-/** JSON text that is the same for equal values, whatever the order of members. */
+/** Serializes a value as JSON with sorted members, so that equal values give equal texts. */
 const canonicalJson = (raw: unknown): string =>
   JSON.stringify(raw, (_, value: unknown) =>
     typeof value === 'object' && value !== null && !Array.isArray(value)
-      ? Object.fromEntries(Object.entries(value).sort(([one], [two]) => (one < two ? -1 : 1)))
+      ? Object.fromEntries(Object.entries(value).sort(([left], [right]) => (left < right ? -1 : 1)))
       : value,
   );
 
-/** Sends load and injects faults until their time is over; returns what was injected and submitted. */
+/** Injects faults and submits configuration changes until the last fault is repaired; returns both. */
 const injectFaults = async (
   fleet: Fleet,
   plan: DeploymentPlan,
@@ -127,7 +127,7 @@
   return { faults, operators };
 };
 
-/** Runs one seed. */
+/** Runs one seed of a soak and prints its rule results. */
 export const runSoak = async (plan: DeploymentPlan, options: SoakOptions): Promise<SoakReport> => {
   const { folder, print } = options;
   const fleet = await startFleet(plan, folder, () => undefined, true);
@@ -140,32 +140,34 @@
     load.start();
     const { faults, operators } = await injectFaults(fleet, plan, options);
     const { commands, conflicts } = operators;
-    const confirmed = operators.newestConfirmed?.generation ?? 0;
-    const calmSince = performance.now();
-    const hasSettled = await waitUntil(settleTimeoutMs, () => isSettled(fleet, confirmed));
-    const calmMs = Math.round(performance.now() - calmSince);
-    print(`settled ${hasSettled ? '' : 'NOT '}after ${calmMs} ms of calm`);
+    const confirmedGeneration = operators.newestConfirmed?.generation ?? 0;
+    const faultsEndedAt = performance.now();
+    const hasSettled = await waitUntil(settleTimeoutMs, () =>
+      isSettled(fleet, confirmedGeneration),
+    );
+    const settleMs = Math.round(performance.now() - faultsEndedAt);
+    print(`settled: ${hasSettled ? '' : 'NOT '}within ${settleMs} ms after the last fault`);
     const configurations = await readConfigurations(fleet);
     await delay(logFlushMs);
     await load.stop();
     probe.stop();
-    const broken = brokenInvariantLines(folder);
+    const violations = brokenInvariantLines(folder);
     const ruleResults = [
       untimedResult(
         'invariants',
-        broken.length === 0,
-        broken.join('\n') || 'none was found broken',
+        violations.length === 0,
+        violations.join('\n') || 'no violation was logged',
       ),
       untimedResult(
-        'in force everywhere',
+        'newest configuration in force on every proxy',
         hasSettled,
-        `the newest confirmed generation is ${confirmed}`,
+        `newest confirmed generation ${confirmedGeneration}`,
       ),
       checkReadBack(configurations, operators),
       untimedResult(
-        'one answer to one order',
+        'all confirmations of a command name the same generation',
         conflicts.length === 0,
-        `${commands.length} orders, ${conflicts.length} with two answers`,
+        `${commands.length} commands, ${conflicts.length} conflicting confirmations`,
       ),
       ...checkRuns(load.records, await collectRuns(fleet)),
     ];
