--- a/packages/devfleet/src/fleet/fleet-process.ts
+++ b/packages/devfleet/src/fleet/fleet-process.ts
@@ -22,7 +22,7 @@
       const address = server.address();
       server.close(() => {
         if (address !== null && typeof address === 'object') resolve(address.port);
-        else reject(new Error(`cannot reserve a port on ${host}: the listener has no TCP address`));
+        else reject(new Error('cannot reserve a free port: the listener has no TCP address'));
       });
     });
   });
--- a/packages/devfleet/src/load/load-generator.ts
+++ b/packages/devfleet/src/load/load-generator.ts
@@ -79,7 +79,7 @@
     }
     const [first] = traffic;
     if (first === undefined)
-      throw new Error(`the deployment ${this.#deployment.name} has no traffic`);
+      throw new Error('cannot pick the traffic of a request: the deployment lists none');
     return first;
   }
 
--- a/packages/devfleet/src/run/overload.test.ts
+++ b/packages/devfleet/src/run/overload.test.ts
@@ -35,7 +35,7 @@
 });
 
 void test('under overload, excess requests are rejected with Retry-After and none of them runs', async () => {
-  const responses = await Promise.all(
+  const replies = await Promise.all(
     Array.from({ length: 900 }, (_, index) =>
       sendToEdge(edge, `/consent/${index}`, {
         method: 'POST',
@@ -44,20 +44,19 @@
       }),
     ),
   );
-  const rejected = responses.flatMap((response, index) =>
-    response.statusCode === 503 ? [{ response, index }] : [],
+  const rejected = replies.flatMap((reply, id) =>
+    reply.statusCode === 503 ? [{ reply, id }] : [],
   );
-  assert.ok(rejected.length > 0 && responses.some((response) => response.statusCode === 200));
+  assert.ok(rejected.length > 0 && replies.some((reply) => reply.statusCode === 200));
   assert.ok(
     rejected.every(
-      ({ response }) =>
-        errorKindOf(response.rawBody) === 'rejected' &&
-        Number(response.headers['retry-after']) >= 1,
+      ({ reply }) =>
+        errorKindOf(reply.rawBody) === 'rejected' && Number(reply.headers['retry-after']) >= 1,
     ),
   );
   const runs = await collectRuns(fleet);
   assert.deepEqual(
-    rejected.filter(({ index }) => runs.has(`flood-${index}`)),
+    rejected.filter(({ id }) => runs.has(`flood-${id}`)),
     [],
   );
   assert.ok([...runs.values()].every((count) => count === 1));
--- a/packages/devfleet/src/soak/racing-operators.ts
+++ b/packages/devfleet/src/soak/racing-operators.ts
@@ -84,8 +84,7 @@
   /** Confirmed command with the highest generation. */
   get newestConfirmed(): OperatorCommand | undefined {
     return this.commands.reduce<OperatorCommand | undefined>(
-      (newest, command) =>
-        (command.generation ?? 0) > (newest?.generation ?? 0) ? command : newest,
+      (best, command) => ((command.generation ?? 0) > (best?.generation ?? 0) ? command : best),
       undefined,
     );
   }
