--- a/packages/model-checker/src/cluster/cluster.ts
+++ b/packages/model-checker/src/cluster/cluster.ts
@@ -1,6 +1,6 @@
 /**
- * The processes of a cluster on their machines: events go to the state machines that ship, and
- * their effects become events in virtual time. Which faults there are is the simulation's matter.
+ * Processes of a simulated cluster: runs the production state machines on events, and schedules
+ * their effects as events in simulated time. The simulation injects the faults.
  */
 
 import type { NodeId } from '@switchwheel/types';
@@ -29,19 +29,18 @@
 import { type DiskWriteEvent, type ScheduledEvent, machineIndexOf } from './scheduled-event.js';
 import { Timeline } from './timeline.js';
 
-/** How long a write to a disk takes. */
 const diskLatencyMs = 3;
 const compileLatencyMs = 1;
-/** How often a process looks at its timers. */
+/** Interval between the ticks of a process. */
 export const tickIntervalMs = 30;
-/** How long a machine must have been healthy to count as reachable when a write is confirmed. */
-const settledMs = 3000;
+/** Time without faults after which a machine is expected to hold a copy of a confirmed write. */
+const reachableAfterMs = 3000;
 const httpOk = 200;
 
-/** When the processes of a machine that starts tick first, so that no two tick at once. */
+/** Delays of the first tick after a start; staggered so that no two processes tick at the same time. */
 const firstTickMs = { registry: 3, store: 14, perMachine: 5 } as const;
 
-/** All machines of one run with what lies between them. A clone goes its own way. */
+/** Machines of one run with their links, their operator and the events between them. */
 export class Cluster {
   readonly layout: ClusterLayout;
   readonly timeline: Timeline;
@@ -50,7 +49,7 @@
   #machines: Machine[];
   #monitor: InvariantMonitor;
   #steps = 0;
-  /** Sees each event that a process acted on, and each message sent. */
+  /** Callback for each event handled by a process and each message sent. */
   observer: ((occurrence: Occurrence) => void) | undefined;
 
   constructor(layout: ClusterLayout, source?: Cluster) {
@@ -62,13 +61,14 @@
     this.#steps = source?.steps ?? 0;
     this.#machines =
       source === undefined
-        ? Array.from({ length: layout.founders + layout.spares }, (_, index) =>
-            newMachine(layout, index),
+        ? Array.from(
+            { length: layout.initialMachineCount + layout.joiningMachineCount },
+            (_, index) => newMachine(layout, index),
           )
         : [...source.machines];
   }
 
-  /** An independent copy, without the observer. */
+  /** Returns an independent copy, without the observer. */
   clone(): Cluster {
     return new Cluster(this.layout, this);
   }
@@ -81,12 +81,12 @@
     return this.#monitor;
   }
 
-  /** How many events processes acted on. */
+  /** Number of events handled by processes. */
   get steps(): number {
     return this.#steps;
   }
 
-  /** Stops judging some invariants from here on. */
+  /** Disables the check of some invariants from now on. */
   ignore(ignored: ReadonlySet<Invariant>): void {
     this.#monitor = this.#monitor.clone(ignored);
   }
@@ -100,7 +100,7 @@
     if (machine !== undefined) this.#machines[index] = { ...machine, ...change };
   }
 
-  /** Whether a machine runs and no fault has befallen it for a while. */
+  /** Whether a machine is running and has had no fault for a duration. */
   isHealthyFor(machine: Machine, durationMs: number): boolean {
     const { now } = this.timeline;
     return (
@@ -112,7 +112,7 @@
     );
   }
 
-  /** Starts the processes of a machine that does not run. */
+  /** Starts the processes of a machine; does nothing if it is running. */
   startMachine(index: number): void {
     const machine = this.machineAt(index);
     if (machine === undefined || machine.isRunning) return;
@@ -123,7 +123,7 @@
       crashedUntil: next.incarnation === 1 ? -Infinity : this.timeline.now,
     };
     const { incarnation } = next;
-    this.timeline.schedule(1, { kind: 'read disk', machine: index, incarnation });
+    this.timeline.schedule(1, { kind: 'readDisk', machine: index, incarnation });
     for (const role of ['registry', 'store'] as const)
       this.timeline.schedule(firstTickMs[role] + index * firstTickMs.perMachine, {
         kind: 'tick',
@@ -132,9 +132,9 @@
       });
   }
 
-  /** Lets the processes of a machine act on an event, unless they have ended; later if they are paused. */
+  /** Dispatches an event to the processes of a machine: drops it if they have stopped, holds it if they are paused. */
   runProcessEvent(event: ScheduledEvent): void {
-    const machine = this.#targetOf(event);
+    const machine = this.#targetMachine(event);
     if (machine === undefined || !machine.isRunning) return;
     if ('incarnation' in event && event.incarnation !== machine.incarnation) return;
     if (machine.isPaused) {
@@ -156,26 +156,26 @@
           frame: event.frame,
         });
         break;
-      case 'gone':
+      case 'peerDisconnected':
         this.#deliver(machine, event.to.role, {
           kind: 'peerDisconnected',
           now,
           address: addressOf(event.of),
         });
         break;
-      case 'read disk':
+      case 'readDisk':
         this.#applyToStore(machine, { kind: 'diskRead', now, contents: readImage(machine.disk) });
         break;
-      case 'store event':
+      case 'storeEvent':
         this.#applyToStore(machine, event.event(now));
         break;
-      case 'call':
+      case 'operatorRequest':
         this.operator.onRequestReceived(event);
         this.#applyToRegistry(machine, {
           kind: 'requestReceived',
           now,
-          correlationId: event.ref,
-          request: event.call.call,
+          correlationId: event.correlationId,
+          request: event.operatorRequest.request,
         });
         break;
       default:
@@ -185,7 +185,7 @@
     this.#checkStores();
   }
 
-  #targetOf(event: ScheduledEvent): Machine | undefined {
+  #targetMachine(event: ScheduledEvent): Machine | undefined {
     const index = machineIndexOf(event);
     return index === undefined ? undefined : this.machineAt(index);
   }
@@ -221,7 +221,7 @@
     if (machine.registry === undefined) return;
     const result = registryTransition(machine.registry, event);
     this.updateMachine(machine.index, { registry: result.state });
-    this.#monitor.onVoter(
+    this.#monitor.onVoterUpdate(
       nodeOf({ machine: machine.index, role: 'registry' }),
       result.state.voter.electorate,
     );
@@ -233,7 +233,7 @@
     switch (effect.kind) {
       case 'writeToDisk':
         this.timeline.schedule(diskLatencyMs, {
-          kind: 'disk write',
+          kind: 'diskWrite',
           machine: index,
           incarnation,
           write: effect.write,
@@ -241,7 +241,7 @@
         break;
       case 'compileConfiguration':
         this.timeline.schedule(compileLatencyMs, {
-          kind: 'store event',
+          kind: 'storeEvent',
           machine: index,
           incarnation,
           event: (now) => ({ kind: 'configurationCompiled', now, hash: effect.hash, issues: [] }),
@@ -285,7 +285,7 @@
     this.operator.onReply(correlationId, status, body, this.#monitor, this.timeline.now);
   }
 
-  /** A disk takes a write, refuses it as it is full, or keeps it waiting. */
+  /** Completes a disk write, fails it if the disk is full, or holds it if the disk is stalled. */
   writeDisk(event: DiskWriteEvent): void {
     const machine = this.machineAt(event.machine);
     if (machine?.isRunning !== true || machine.incarnation !== event.incarnation) return;
@@ -293,40 +293,40 @@
       this.timeline.hold(event);
       return;
     }
-    const full = machine.diskFault === 'full';
-    if (!full) this.storeWrite(machine, event.write);
+    const isDiskFull = machine.diskFault === 'full';
+    if (!isDiskFull) this.storeWrite(machine, event.write);
     const { id } = event.write;
     this.timeline.schedule(0, {
-      kind: 'store event',
+      kind: 'storeEvent',
       machine: event.machine,
       incarnation: event.incarnation,
       event: (now) =>
-        full
-          ? { kind: 'writeFailed', now, writeId: id, reason: 'no room', isDiskFull: true }
+        isDiskFull
+          ? { kind: 'writeFailed', now, writeId: id, reason: 'disk full', isDiskFull: true }
           : { kind: 'writeSynced', now, writeId: id },
     });
   }
 
-  /** A disk holds a write from now on. */
+  /** Makes a write durable on the disk of a machine. */
   storeWrite(machine: Machine, write: DiskWrite): void {
     const node = nodeOf({ machine: machine.index, role: 'store' });
     this.#monitor.onDiskWrite(node, machine.disk, write, this.timeline.now);
     this.updateMachine(machine.index, { disk: applyWrite(machine.disk, write) });
   }
 
-  /** A primary answers that a number is accepted: the copies are counted right then. */
+  /** Counts the copies of a generation when the primary confirms it. */
   #checkConfirmation(machine: Machine, status: number, body: string): void {
     const reply = parseReply(body);
     const store = machine.store;
     if (status !== httpOk || reply.kind !== 'accepted' || store?.metadata === undefined) return;
     const metadata = this.machineAt(machine.index)?.store?.metadata ?? store.metadata;
     const images = new Map<NodeId, DiskImage | undefined>(
-      this.#machines.map((one) => [nodeOf({ machine: one.index, role: 'store' }), one.disk]),
+      this.#machines.map((other) => [nodeOf({ machine: other.index, role: 'store' }), other.disk]),
     );
-    const healthyMachines = this.#machines.filter((one) =>
-      this.isHealthyFor(one, settledMs),
+    const healthyMachines = this.#machines.filter((other) =>
+      this.isHealthyFor(other, reachableAfterMs),
     ).length;
-    this.#monitor.onConfirming(
+    this.#monitor.onConfirmation(
       reply.generation,
       nodeOf({ machine: machine.index, role: 'store' }),
       metadata.inSyncSet,
--- a/packages/model-checker/src/cluster/endpoints.ts
+++ b/packages/model-checker/src/cluster/endpoints.ts
@@ -1,20 +1,20 @@
-/** Names and addresses of the processes, from the number of their machine. */
+/** Names and addresses of processes, derived from the index of their machine. */
 
 import { type Address, type NodeId, toAddress, toNodeId } from '@switchwheel/types';
 import type { Endpoint, Role } from '../schedule/deviation.js';
 
 const firstPort: Record<Role, number> = { registry: 7000, store: 8000 };
 
-/** The name of a process. */
+/** Returns the node name of a process. */
 export const nodeOf = ({ machine, role }: Endpoint): NodeId => toNodeId(`${role}-${machine}`);
 
-/** The address of a process. */
+/** Returns the address of a process. */
 export const addressOf = ({ machine, role }: Endpoint): Address =>
   toAddress(`10.0.0.${machine + 1}:${firstPort[role]}`);
 
 const endpoints = new Map<Address, Endpoint>();
 
-/** The process at an address, among the first machines. */
+/** Returns the process at an address; undefined beyond the first 16 machines. */
 export const endpointAt = (address: Address): Endpoint | undefined => {
   if (endpoints.size === 0)
     for (let machine = 0; machine < 16; machine += 1)
--- a/packages/model-checker/src/cluster/event-queue.ts
+++ b/packages/model-checker/src/cluster/event-queue.ts
@@ -1,11 +1,11 @@
-/** A queue of events by time that can be cloned; the simulator's own can not, and is a heap. */
+/** Event queue that can be cloned, unlike the simulator's heap. */
 
-/** A queue of what happens when; entries of one time keep the order in which they were added. */
+/** Queue ordered by time; entries with the same time keep the order in which they were added. */
 export class EventQueue<T> {
   #entries: { readonly at: number; readonly order: number; readonly item: T }[] = [];
   #order = 0;
 
-  /** An independent copy. */
+  /** Returns an independent copy. */
   clone(): EventQueue<T> {
     const copy = new EventQueue<T>();
     copy.#entries = [...this.#entries];
@@ -15,19 +15,19 @@
 
   add(at: number, item: T): void {
     this.#order += 1;
-    let place = this.#entries.length;
-    // Entries stand latest first, so that the next one is taken from the end.
+    let insertAt = this.#entries.length;
+    // Entries are sorted latest first, so that the next one is popped from the end.
     let low = 0;
-    while (low < place) {
-      const middle = (low + place) >> 1;
+    while (low < insertAt) {
+      const middle = (low + insertAt) >> 1;
       const entry = this.#entries[middle];
       if (entry !== undefined && entry.at > at) low = middle + 1;
-      else place = middle;
+      else insertAt = middle;
     }
-    this.#entries.splice(place, 0, { at, order: this.#order, item });
+    this.#entries.splice(insertAt, 0, { at, order: this.#order, item });
   }
 
-  /** The time of the next entry. */
+  /** Time of the next entry; undefined if the queue is empty. */
   get nextAt(): number | undefined {
     return this.#entries.at(-1)?.at;
   }
@@ -36,10 +36,10 @@
     return this.#entries.pop();
   }
 
-  /** Takes out all entries that match, in their order. */
+  /** Removes all matching entries and returns their items in order. */
   extract(matches: (item: T) => boolean): readonly T[] {
-    const found = this.#entries.filter((one) => matches(one.item));
-    this.#entries = this.#entries.filter((one) => !matches(one.item));
-    return found.reverse().map((one) => one.item);
+    const extracted = this.#entries.filter((entry) => matches(entry.item));
+    this.#entries = this.#entries.filter((entry) => !matches(entry.item));
+    return extracted.reverse().map((entry) => entry.item);
   }
 }
--- a/packages/model-checker/src/cluster/invariants.test.ts
+++ b/packages/model-checker/src/cluster/invariants.test.ts
@@ -1,4 +1,4 @@
-/** The monitor of invariants on histories made by hand. */
+/** Guards the invariant monitor against missed violations and false ones, on hand-written histories. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -15,7 +15,8 @@
   })),
 });
 
-const violated = (monitor: InvariantMonitor): string | undefined => monitor.violation?.invariant;
+const violatedInvariant = (monitor: InvariantMonitor): string | undefined =>
+  monitor.violation?.invariant;
 
 void test('majorities of electorates that differ by one member intersect', () => {
   assert.ok(majoritiesIntersect(electorate(0, 0, 1, 2), electorate(1, 0, 1, 2, 3)));
@@ -29,26 +30,29 @@
   assert.ok(!majoritiesIntersect(electorate(0, 0, 1), electorate(1, 2, 3)));
 });
 
-void test('a read older than a write confirmed before is a violation, one of a later write is none', () => {
+void test('a read older than a previously confirmed write is a violation, a newer one is not', () => {
   const monitor = new InvariantMonitor();
   monitor.onAcknowledged(7, 'a', true, 10);
   monitor.onRead(7, monitor.highestConfirmed, 20);
   monitor.onRead(8, monitor.highestConfirmed, 20);
-  assert.equal(violated(monitor), undefined);
+  assert.equal(violatedInvariant(monitor), undefined);
   monitor.onRead(6, monitor.highestConfirmed, 30);
-  assert.equal(monitor.violation?.invariant, 'reads are never older than a write confirmed before');
+  assert.equal(
+    monitor.violation?.invariant,
+    'reads are never older than a previously confirmed write',
+  );
 });
 
-void test('two contents acknowledged under one number are a violation', () => {
+void test('acknowledging two contents for the same generation is a violation', () => {
   const monitor = new InvariantMonitor();
   monitor.onAcknowledged(7, 'a', true, 10);
   monitor.onAcknowledged(7, 'a', false, 20);
-  assert.equal(violated(monitor), undefined);
+  assert.equal(violatedInvariant(monitor), undefined);
   monitor.onAcknowledged(7, 'b', false, 30);
-  assert.equal(violated(monitor), 'one content by number');
+  assert.equal(violatedInvariant(monitor), 'one content per generation');
 });
 
-void test('a clone goes its own way', () => {
+void test('a clone of the monitor does not affect the original', () => {
   const monitor = new InvariantMonitor();
   const clone = monitor.clone();
   clone.onAcknowledged(7, 'a', true, 10);
--- a/packages/model-checker/src/cluster/invariants.ts
+++ b/packages/model-checker/src/cluster/invariants.ts
@@ -1,7 +1,4 @@
-/**
- * The invariants of the control side, judged as a run goes on. What puts them to the test is not
- * decided here.
- */
+/** Invariants of the control plane, checked during a run. */
 
 import { type Timestamp, type NodeId, noGeneration } from '@switchwheel/types';
 import type { Electorate } from '@switchwheel/transport';
@@ -9,30 +6,30 @@
 import { type DiskWrite, type StoreState, isPrimary } from '@switchwheel/replicated-store';
 import { type DiskImage, storedGeneration } from './disk.js';
 
-/** What must hold in each state. */
+/** Names of all invariants; each must hold in every state. */
 export const invariants = [
   'one valid lease',
   'one primary per epoch',
   'a primary has every confirmed write',
-  'in-sync members hold a confirmed write',
+  'every in-sync replica holds a confirmed write',
   'enough copies of a confirmed write',
-  'epochs on a disk only go up',
-  'reads are never older than a write confirmed before',
-  'one content by number',
-  'majorities of neighbouring electorates intersect',
-  'an electorate changes only when the one before is active',
+  'epochs on a disk never decrease',
+  'reads are never older than a previously confirmed write',
+  'one content per generation',
+  'majorities of consecutive electorates intersect',
+  'an electorate changes only after the previous one is active',
 ] as const;
-/** The name of an invariant. */
+/** Name of an invariant. */
 export type Invariant = (typeof invariants)[number];
 
-/** An invariant that does not hold, and why. */
+/** Violated invariant with the time and a description of the violation. */
 export interface Violation {
   readonly invariant: Invariant;
   readonly at: number;
   readonly text: string;
 }
 
-/** How often the invariants were put to the test: a run that tests nothing proves nothing. */
+/** Counts of the operations that exercised the invariants. */
 export interface ExerciseCounts {
   confirmedWrites: number;
   reads: number;
@@ -40,31 +37,33 @@
   electorateChanges: number;
 }
 
-const memberNames = (set: Electorate): readonly NodeId[] => set.members.map((one) => one.node);
-
-/** Whether every majority of one electorate meets every majority of the other. */
-export const majoritiesIntersect = (one: Electorate, two: Electorate): boolean => {
-  const others = new Set(memberNames(two));
-  const shared = memberNames(one).filter((node) => others.has(node)).length;
-  const all = one.members.length + two.members.length - shared;
-  const majorities = Math.floor(one.members.length / 2) + Math.floor(two.members.length / 2) + 2;
-  // Disjoint majorities exist if both fit side by side, each within its own electorate.
-  const onlyOne = one.members.length - shared;
-  const onlyTwo = two.members.length - shared;
-  const needOne = Math.max(0, Math.floor(one.members.length / 2) + 1 - onlyOne);
-  const needTwo = Math.max(0, Math.floor(two.members.length / 2) + 1 - onlyTwo);
-  return majorities > all || needOne + needTwo > shared;
+const memberNames = (electorate: Electorate): readonly NodeId[] =>
+  electorate.members.map((member) => member.node);
+
+/** Whether every majority of one electorate shares a member with every majority of the other. */
+export const majoritiesIntersect = (left: Electorate, right: Electorate): boolean => {
+  const rightNodes = new Set(memberNames(right));
+  const sharedCount = memberNames(left).filter((node) => rightNodes.has(node)).length;
+  const totalCount = left.members.length + right.members.length - sharedCount;
+  const majoritySum =
+    Math.floor(left.members.length / 2) + Math.floor(right.members.length / 2) + 2;
+  // Disjoint majorities exist if the shared members suffice for what each lacks in exclusive ones.
+  const leftOnly = left.members.length - sharedCount;
+  const rightOnly = right.members.length - sharedCount;
+  const leftNeeded = Math.max(0, Math.floor(left.members.length / 2) + 1 - leftOnly);
+  const rightNeeded = Math.max(0, Math.floor(right.members.length / 2) + 1 - rightOnly);
+  return majoritySum > totalCount || leftNeeded + rightNeeded > sharedCount;
 };
 
-/** Watches one run: what was seen so far, and the first violation. */
+/** Monitor of one run, which keeps the history it needs and the first violation. */
 export class InvariantMonitor {
-  #holders = new Map<number, NodeId>();
-  #contents = new Map<number, string>();
-  #highest = 0;
+  #leaseHolders = new Map<number, NodeId>();
+  #contentHashes = new Map<number, string>();
+  #highestConfirmed = 0;
   #electorates = new Map<number, Electorate>();
-  #informedVoters = new Map<number, Set<NodeId>>();
+  #activeVoters = new Map<number, Set<NodeId>>();
   violation: Violation | undefined;
-  /** Invariants that are not judged, as it is known that they do not hold. */
+  /** Invariants that are not checked. */
   readonly ignored: ReadonlySet<Invariant>;
   exercise: ExerciseCounts = { confirmedWrites: 0, reads: 0, leasesWon: 0, electorateChanges: 0 };
 
@@ -72,32 +71,32 @@
     this.ignored = ignored;
   }
 
-  /** An independent copy. */
+  /** Returns an independent copy. */
   clone(ignored = this.ignored): InvariantMonitor {
     const copy = new InvariantMonitor(ignored);
-    copy.#holders = new Map(this.#holders);
-    copy.#contents = new Map(this.#contents);
-    copy.#highest = this.#highest;
+    copy.#leaseHolders = new Map(this.#leaseHolders);
+    copy.#contentHashes = new Map(this.#contentHashes);
+    copy.#highestConfirmed = this.#highestConfirmed;
     copy.#electorates = new Map(this.#electorates);
-    copy.#informedVoters = new Map(
-      [...this.#informedVoters].map(([serial, voters]) => [serial, new Set(voters)]),
+    copy.#activeVoters = new Map(
+      [...this.#activeVoters].map(([serial, voters]) => [serial, new Set(voters)]),
     );
     copy.violation = this.violation;
     copy.exercise = { ...this.exercise };
     return copy;
   }
 
-  /** The highest number that was confirmed. */
+  /** Highest confirmed generation; 0 before the first. */
   get highestConfirmed(): number {
-    return this.#highest;
+    return this.#highestConfirmed;
   }
 
-  #fail(invariant: Invariant, at: number, text: string): void {
+  #report(invariant: Invariant, at: number, text: string): void {
     if (this.ignored.has(invariant)) return;
     this.violation ??= { invariant, at, text };
   }
 
-  /** Checks leases and the state that a primary serves, after any event. */
+  /** Checks the leases and the configuration that a primary serves, after each event. */
   onStores(
     stores: readonly {
       readonly store: StoreState;
@@ -106,87 +105,95 @@
     }[],
     at: number,
   ): void {
-    const holders = stores.filter((one) => holdsLease(one.store.candidate, one.clock));
+    const holders = stores.filter((process) => holdsLease(process.store.candidate, process.clock));
     if (holders.length > 1)
-      this.#fail('one valid lease', at, holders.map((one) => one.node).join(' and '));
+      this.#report('one valid lease', at, holders.map((holder) => holder.node).join(' and '));
     for (const { store, node, clock } of holders) {
       const epoch = heldEpoch(store.candidate);
-      const known = this.#holders.get(epoch);
-      if (known === undefined) {
-        this.#holders.set(epoch, node);
+      const knownHolder = this.#leaseHolders.get(epoch);
+      if (knownHolder === undefined) {
+        this.#leaseHolders.set(epoch, node);
         this.exercise.leasesWon += 1;
-      } else if (known !== node)
-        this.#fail('one primary per epoch', at, `epoch ${epoch}: ${known} and ${node}`);
-      if (isPrimary(store, clock)) this.#checkServed(store, node, at);
+      } else if (knownHolder !== node)
+        this.#report('one primary per epoch', at, `epoch ${epoch}: ${knownHolder} and ${node}`);
+      if (isPrimary(store, clock)) this.#checkServedConfiguration(store, node, at);
     }
   }
 
-  #checkServed(store: StoreState, node: NodeId, at: number): void {
+  #checkServedConfiguration(store: StoreState, node: NodeId, at: number): void {
     const offer = store.control.configuration?.offer;
     const generation = offer?.generation ?? noGeneration;
-    if (generation < this.#highest)
-      this.#fail(
+    if (generation < this.#highestConfirmed)
+      this.#report(
         'a primary has every confirmed write',
         at,
-        `${node} serves ${generation}, ${this.#highest} was confirmed`,
+        `${node} serves generation ${generation}, ${this.#highestConfirmed} was confirmed`,
+      );
+    const confirmedHash = this.#contentHashes.get(generation);
+    if (offer !== undefined && confirmedHash !== undefined && confirmedHash !== offer.hash)
+      this.#report(
+        'one content per generation',
+        at,
+        `${node} serves different content as generation ${generation}`,
       );
-    const content = this.#contents.get(generation);
-    if (offer !== undefined && content !== undefined && content !== offer.hash)
-      this.#fail('one content by number', at, `${node} serves other content under ${generation}`);
   }
 
-  /** A primary confirms a number: whose disks have it? */
-  onConfirming(
-    number: number,
+  /** Checks the copies on the disks when a primary confirms a generation. */
+  onConfirmation(
+    generation: number,
     node: NodeId,
     inSyncSet: readonly NodeId[],
     images: ReadonlyMap<NodeId, DiskImage | undefined>,
     copiesNeeded: number,
     at: number,
   ): void {
-    const holding = [...images].filter(([, image]) => storedGeneration(image) >= number);
-    const names = holding.map(([name]) => name);
-    // A disk that was lost since holds nothing; whether enough others do is judged below.
+    const holding = [...images].filter(([, image]) => storedGeneration(image) >= generation);
+    const holderNames = holding.map(([name]) => name);
+    // A lost disk holds nothing; the number of remaining copies is checked below.
     const lacking = inSyncSet.filter(
-      (one) => images.get(one) !== undefined && !names.includes(one),
+      (member) => images.get(member) !== undefined && !holderNames.includes(member),
     );
     if (lacking.length > 0)
-      this.#fail(
-        'in-sync members hold a confirmed write',
+      this.#report(
+        'every in-sync replica holds a confirmed write',
         at,
-        `${node} confirmed ${number} without ${lacking.join(', ')}`,
+        `${node} confirmed generation ${generation} without a copy on ${lacking.join(', ')}`,
       );
-    if (names.length < copiesNeeded)
-      this.#fail(
+    if (holderNames.length < copiesNeeded)
+      this.#report(
         'enough copies of a confirmed write',
         at,
-        `${node} confirmed ${number} on ${names.join(', ')}, ${copiesNeeded} were possible`,
+        `${node} confirmed generation ${generation} with copies on ${holderNames.join(', ')}; ${copiesNeeded} copies were possible`,
       );
   }
 
-  /** An operator got the reply that its content stands under a number, in force or below one that is. */
-  onAcknowledged(number: number, hash: string, accepted: boolean, at: number): void {
-    const known = this.#contents.get(number);
-    if (known !== undefined && known !== hash)
-      this.#fail('one content by number', at, `${number} was confirmed with two contents`);
-    this.#contents.set(number, hash);
+  /** Records an acknowledged write; `accepted` if the reply says that its generation was put in force. */
+  onAcknowledged(generation: number, hash: string, accepted: boolean, at: number): void {
+    const knownHash = this.#contentHashes.get(generation);
+    if (knownHash !== undefined && knownHash !== hash)
+      this.#report(
+        'one content per generation',
+        at,
+        `generation ${generation} was confirmed with two contents`,
+      );
+    this.#contentHashes.set(generation, hash);
     if (!accepted) return;
-    this.#highest = Math.max(this.#highest, number);
+    this.#highestConfirmed = Math.max(this.#highestConfirmed, generation);
     this.exercise.confirmedWrites += 1;
   }
 
-  /** An operator read what is in force, having asked when `floor` had been confirmed. */
-  onRead(generation: number, floor: number, at: number): void {
+  /** Checks a read of the generation in force, sent when `minGeneration` had been confirmed. */
+  onRead(generation: number, minGeneration: number, at: number): void {
     this.exercise.reads += 1;
-    if (generation < floor)
-      this.#fail(
-        'reads are never older than a write confirmed before',
+    if (generation < minGeneration)
+      this.#report(
+        'reads are never older than a previously confirmed write',
         at,
-        `${generation} was read, ${floor} had been confirmed before`,
+        `generation ${generation} was read after ${minGeneration} had been confirmed`,
       );
   }
 
-  /** A disk took a write. */
+  /** Checks a write that became durable on a disk. */
   onDiskWrite(node: NodeId, before: DiskImage | undefined, write: DiskWrite, at: number): void {
     const { metadata } = write;
     if (
@@ -194,50 +201,50 @@
       before.metadata.fleet === metadata.fleet &&
       metadata.epoch < before.metadata.epoch
     )
-      this.#fail(
-        'epochs on a disk only go up',
+      this.#report(
+        'epochs on a disk never decrease',
         at,
         `${node}: ${before.metadata.epoch}, then ${metadata.epoch}`,
       );
     this.#checkElectorate(node, metadata.electorate, at);
   }
 
-  #checkElectorate(node: NodeId, set: Electorate, at: number): void {
-    const known = this.#electorates.get(set.serial);
+  #checkElectorate(node: NodeId, electorate: Electorate, at: number): void {
+    const known = this.#electorates.get(electorate.serial);
     if (known !== undefined) {
-      if (memberNames(known).join() !== memberNames(set).join())
-        this.#fail(
-          'majorities of neighbouring electorates intersect',
+      if (memberNames(known).join() !== memberNames(electorate).join())
+        this.#report(
+          'majorities of consecutive electorates intersect',
           at,
-          `two electorates under serial ${set.serial}`,
+          `two electorates have serial ${electorate.serial}`,
         );
       return;
     }
-    this.#electorates.set(set.serial, set);
-    const before = this.#electorates.get(set.serial - 1);
-    if (before === undefined) return;
+    this.#electorates.set(electorate.serial, electorate);
+    const previous = this.#electorates.get(electorate.serial - 1);
+    if (previous === undefined) return;
     this.exercise.electorateChanges += 1;
-    if (!majoritiesIntersect(before, set))
-      this.#fail(
-        'majorities of neighbouring electorates intersect',
+    if (!majoritiesIntersect(previous, electorate))
+      this.#report(
+        'majorities of consecutive electorates intersect',
         at,
-        `${memberNames(before).join()} and ${memberNames(set).join()}`,
+        `${memberNames(previous).join()} and ${memberNames(electorate).join()}`,
       );
-    const informed = this.#informedVoters.get(before.serial) ?? new Set();
-    const active = before.members.filter((one) => informed.has(one.node)).length;
-    if (before.serial > 0 && active <= before.members.length / 2)
-      this.#fail(
-        'an electorate changes only when the one before is active',
+    const activeVoters = this.#activeVoters.get(previous.serial) ?? new Set();
+    const activeCount = previous.members.filter((member) => activeVoters.has(member.node)).length;
+    if (previous.serial > 0 && activeCount <= previous.members.length / 2)
+      this.#report(
+        'an electorate changes only after the previous one is active',
         at,
-        `${node} writes serial ${set.serial}; ${active} of ${before.members.length} know ${before.serial}`,
+        `${node} writes serial ${electorate.serial}; ${activeCount} of ${previous.members.length} voters use serial ${previous.serial}`,
       );
   }
 
-  /** A voter acts under an electorate. */
-  onVoter(node: NodeId, electorate: Electorate | undefined): void {
+  /** Records the electorate that a voter uses. */
+  onVoterUpdate(node: NodeId, electorate: Electorate | undefined): void {
     if (electorate === undefined) return;
-    const informed = this.#informedVoters.get(electorate.serial);
-    if (informed === undefined) this.#informedVoters.set(electorate.serial, new Set([node]));
-    else informed.add(node);
+    const activeVoters = this.#activeVoters.get(electorate.serial);
+    if (activeVoters === undefined) this.#activeVoters.set(electorate.serial, new Set([node]));
+    else activeVoters.add(node);
   }
 }
--- a/packages/model-checker/src/cluster/links.ts
+++ b/packages/model-checker/src/cluster/links.ts
@@ -1,17 +1,17 @@
-/** The links between machines: partitions that stand, and faults of single messages. */
+/** Links between machines: network partitions and faults of single messages. */
 
 import type { Cut, Endpoint, MessageFault } from '../schedule/deviation.js';
 
-/** How long a message takes within a machine. */
+/** Delay of a message within a machine. */
 const localLatencyMs = 1;
-/** How long a message takes between two machines. */
+/** Delay of a message between two machines. */
 export const networkLatencyMs = 2;
 
-/** A cut that stands: whose messages it stops, in which way, and until when. */
+/** Network partition with the time at which it ends. */
 interface ActiveCut {
   readonly machine: number;
   readonly peer: number | 'all';
-  readonly way: 'both' | 'inbound' | 'outbound';
+  readonly direction: 'both' | 'inbound' | 'outbound';
   readonly messages: 'lost' | 'held';
   readonly until: number;
 }
@@ -19,10 +19,10 @@
 const isBlocking = (cut: ActiveCut, from: number, to: number): boolean => {
   const outbound = cut.machine === from && (cut.peer === 'all' || cut.peer === to);
   const inbound = cut.machine === to && (cut.peer === 'all' || cut.peer === from);
-  return (outbound && cut.way !== 'inbound') || (inbound && cut.way !== 'outbound');
+  return (outbound && cut.direction !== 'inbound') || (inbound && cut.direction !== 'outbound');
 };
 
-/** The cut that a message meets now, the longest first. */
+/** Returns the active cut that blocks a message; the one that ends last, if there are several. */
 const cutBetween = (
   cuts: readonly ActiveCut[],
   from: number,
@@ -30,13 +30,12 @@
   now: number,
 ): ActiveCut | undefined =>
   cuts
-    .filter((one) => now < one.until && isBlocking(one, from, to))
-    .sort((one, two) => two.until - one.until)[0];
+    .filter((cut) => now < cut.until && isBlocking(cut, from, to))
+    .sort((left, right) => right.until - left.until)[0];
 
-const sameEndpoint = (one: Endpoint, two: Endpoint): boolean =>
-  one.machine === two.machine && one.role === two.role;
+const isSameEndpoint = (left: Endpoint, right: Endpoint): boolean =>
+  left.machine === right.machine && left.role === right.role;
 
-/** Whether a fault is meant for this message. */
 const faultApplies = (
   fault: MessageFault,
   frame: string,
@@ -46,15 +45,15 @@
 ): boolean =>
   now >= fault.at &&
   fault.frame === frame &&
-  sameEndpoint(fault.from, from) &&
-  sameEndpoint(fault.to, to);
+  isSameEndpoint(fault.from, from) &&
+  isSameEndpoint(fault.to, to);
 
-/** Partitions and message faults of one run. A clone goes its own way. */
+/** Network partitions and message faults of one run. */
 export class Links {
   #cuts: readonly ActiveCut[] = [];
   #messageFaults: readonly MessageFault[] = [];
 
-  /** An independent copy. */
+  /** Returns an independent copy. */
   clone(): Links {
     const copy = new Links();
     copy.#cuts = this.#cuts;
@@ -62,11 +61,11 @@
     return copy;
   }
 
-  /** Begins a partition; those that ended longer ago than `rememberMs` are forgotten. */
+  /** Starts a partition, and drops the records of those that ended more than `rememberMs` ago. */
   addCut(cut: Cut, now: number, rememberMs: number): void {
     this.#cuts = [
-      ...this.#cuts.filter((one) => now - one.until < rememberMs),
-      { ...cut, until: now + cut.forMs },
+      ...this.#cuts.filter((ended) => now - ended.until < rememberMs),
+      { ...cut, until: now + cut.durationMs },
     ];
   }
 
@@ -74,28 +73,30 @@
     this.#messageFaults = [...this.#messageFaults, fault];
   }
 
-  /** Whether messages from one machine to the other do not pass now. */
+  /** Whether messages from one machine to the other are blocked now. */
   isCut(from: number, to: number, now: number): boolean {
     return cutBetween(this.#cuts, from, to, now) !== undefined;
   }
 
-  /** Whether a machine was cut off, wholly or from one other, at some time within a span up to now. */
+  /** Whether a machine was partitioned from any other within the last `durationMs`. */
   wasCutWithin(machine: number, durationMs: number, now: number): boolean {
     return this.#cuts.some(
       (cut) => (cut.machine === machine || cut.peer === machine) && now - cut.until < durationMs,
     );
   }
 
-  /** After how long each copy of a message arrives: none if it is lost, several if it is repeated. */
+  /** Returns the delay of each delivery of a message: none if it is lost, two if it is repeated. */
   deliveryDelays(frame: string, from: Endpoint, to: Endpoint, now: number): readonly number[] {
     const cut = cutBetween(this.#cuts, from.machine, to.machine, now);
     if (cut?.messages === 'lost') return [];
     const latencyMs = from.machine === to.machine ? localLatencyMs : networkLatencyMs;
     const delayMs = cut === undefined ? latencyMs : cut.until - now + latencyMs;
-    const fault = this.#messageFaults.find((one) => faultApplies(one, frame, from, to, now));
+    const fault = this.#messageFaults.find((candidate) =>
+      faultApplies(candidate, frame, from, to, now),
+    );
     if (fault === undefined) return [delayMs];
-    this.#messageFaults = this.#messageFaults.filter((one) => one !== fault);
-    switch (fault.action.action) {
+    this.#messageFaults = this.#messageFaults.filter((other) => other !== fault);
+    switch (fault.action.kind) {
       case 'drop':
         return [];
       case 'delay':
--- a/packages/model-checker/src/cluster/machine.ts
+++ b/packages/model-checker/src/cluster/machine.ts
@@ -1,6 +1,5 @@
 /**
- * One machine with a registry, a store and a disk: how its processes start and stop, and its own
- * clock.
+ * Machine with a registry, a store, a disk and a clock, and the start and stop of its processes.
  */
 
 import {
@@ -24,12 +23,12 @@
 import type { DiskImage } from './disk.js';
 import { addressOf, nodeOf } from './endpoints.js';
 
-/** A machine with its processes' states; never changed in place. */
+/** Immutable state of a machine and its processes. */
 export interface Machine {
   readonly index: number;
   readonly isRunning: boolean;
   readonly isPaused: boolean;
-  /** How often it was started; 0 if it never was. */
+  /** Number of starts; 0 before the first. */
   readonly incarnation: number;
   readonly clockOffset: number;
   readonly clockRate: number;
@@ -37,22 +36,22 @@
   readonly store: StoreState | undefined;
   readonly disk: DiskImage | undefined;
   readonly diskFault: 'none' | 'stalled' | 'full';
-  /** When the last fault here was over; -Infinity if there was none. */
+  /** Time at which its last fault ended; -Infinity if there was none. */
   readonly faultedUntil: number;
-  /** When it last ran again after a crash. */
+  /** Time of its last restart after a crash; -Infinity if there was none. */
   readonly crashedUntil: number;
 }
 
-const firstClockReading = 5000;
-const clockReadingStep = 1117;
+const firstClockOffsetMs = 5000;
+const clockOffsetStepMs = 1117;
 
-/** A machine that was never started, with a blank disk. */
+/** Creates a machine that was never started, with an empty disk. */
 export const newMachine = (layout: ClusterLayout, index: number): Machine => ({
   index,
   isRunning: false,
   isPaused: false,
   incarnation: 0,
-  clockOffset: firstClockReading + clockReadingStep * index,
+  clockOffset: firstClockOffsetMs + clockOffsetStepMs * index,
   clockRate: layout.clockRates[index] ?? 1,
   registry: undefined,
   store: undefined,
@@ -62,7 +61,7 @@
   crashedUntil: -Infinity,
 });
 
-/** A machine's own clock at a moment of true time. */
+/** Converts simulated time to the time of a machine's clock. */
 export const clockOf = (machine: Machine, at: number): Timestamp =>
   toTimestamp(machine.clockOffset + at * machine.clockRate);
 
@@ -74,21 +73,21 @@
   incarnation: toIncarnation(machine.incarnation),
 });
 
-/** A process of a machine as its peers know it. */
+/** Returns a process of a machine as its peers identify it. */
 export const peerOf = (machine: Machine, role: Role): Peer => {
   const { node, address, incarnation } = memberOf(machine, role);
   return { node, address, incarnation };
 };
 
-const foundersOf = (layout: ClusterLayout): readonly number[] =>
-  Array.from({ length: layout.founders }, (_, index) => index);
+const initialMachinesOf = (layout: ClusterLayout): readonly number[] =>
+  Array.from({ length: layout.initialMachineCount }, (_, index) => index);
 
 const seedsOf = (layout: ClusterLayout): readonly Address[] =>
-  foundersOf(layout).map((machine) => addressOf({ machine, role: 'registry' }));
+  initialMachinesOf(layout).map((machine) => addressOf({ machine, role: 'registry' }));
 
 const proposalOf = (layout: ClusterLayout): ClusterProposal => ({
   fleet: toFleetId('checked'),
-  stores: foundersOf(layout)
+  stores: initialMachinesOf(layout)
     .slice(0, layout.copies)
     .map((machine) => ({
       node: nodeOf({ machine, role: 'store' }),
@@ -96,14 +95,14 @@
     })),
   electorate: {
     serial: noSeq,
-    members: foundersOf(layout).map((machine) => ({
+    members: initialMachinesOf(layout).map((machine) => ({
       node: nodeOf({ machine, role: 'registry' }),
       address: addressOf({ machine, role: 'registry' }),
     })),
   },
 });
 
-/** Starts the processes of a machine; only a founder's first incarnation may found the cluster. */
+/** Starts the processes of a machine; only the first start of an initial machine may bootstrap the cluster. */
 export const startMachine = (machine: Machine, layout: ClusterLayout, at: number): Machine => {
   const next: Machine = {
     ...machine,
@@ -111,14 +110,14 @@
     isRunning: true,
     isPaused: false,
   };
-  const founds = next.incarnation === 1 && machine.index < layout.founders;
+  const mayBootstrap = next.incarnation === 1 && machine.index < layout.initialMachineCount;
   const seed = (layout.seed * 7919 + machine.index * 104_729 + next.incarnation * 1_299_709) >>> 0;
   const registry = newRegistryState(
     memberOf(next, 'registry'),
     seedsOf(layout),
     clockOf(next, at),
     { seed },
-    founds ? proposalOf(layout) : undefined,
+    mayBootstrap ? proposalOf(layout) : undefined,
     true,
   );
   const { copies, tolerate } = layout;
@@ -127,12 +126,12 @@
     seedsOf(layout),
     { seed: seed ^ 0x2545f491 },
     { copies, tolerate, electorateFollowsRegistries: true },
-    founds,
+    mayBootstrap,
   );
   return { ...next, registry, store };
 };
 
-/** Ends the processes of a machine. */
+/** Stops the processes of a machine; its disk is kept. */
 export const stopMachine = (machine: Machine): Machine => ({
   ...machine,
   isRunning: false,
--- a/packages/model-checker/src/cluster/occurrence.ts
+++ b/packages/model-checker/src/cluster/occurrence.ts
@@ -1,8 +1,8 @@
-/** What a run of the simulation reports to whoever observes it. */
+/** Notifications of a simulation to its observer. */
 
 import type { Endpoint } from '../schedule/deviation.js';
 
-/** What happened, for those who choose where to deviate from it. */
+/** Event or message of a run, beside which a deviation can be placed. */
 export interface Occurrence {
   readonly at: number;
   readonly kind: 'message' | 'event';
--- a/packages/model-checker/src/cluster/operator-session.ts
+++ b/packages/model-checker/src/cluster/operator-session.ts
@@ -1,4 +1,4 @@
-/** An operator's requests under way, and the judgement of their replies. */
+/** Pending requests of an operator, and the check of their replies against the invariants. */
 
 import type { InvariantMonitor } from './invariants.js';
 import {
@@ -12,57 +12,71 @@
 
 const httpOk = 200;
 
-/** A request with its number and what had been confirmed when it was made. */
+/** Request with its correlation id and the lower bound for its result. */
 export interface NumberedRequest {
-  readonly ref: number;
-  readonly call: OperatorRequest;
-  /** The highest number that was confirmed before. */
-  readonly floor: number;
+  readonly correlationId: number;
+  readonly operatorRequest: OperatorRequest;
+  /** Highest generation confirmed before the request was sent; a read must not return a lower one. */
+  readonly minGeneration: number;
 }
 
-/** The operator of one run. A clone goes its own way. */
+/** Operator of one run. */
 export class OperatorSession {
   #operator: Operator = newOperator;
-  #lastRequest = 0;
+  #lastCorrelationId = 0;
   #pending = new Map<number, NumberedRequest>();
 
-  /** An independent copy. */
+  /** Returns an independent copy. */
   clone(): OperatorSession {
     const copy = new OperatorSession();
     copy.#operator = this.#operator;
-    copy.#lastRequest = this.#lastRequest;
+    copy.#lastCorrelationId = this.#lastCorrelationId;
     copy.#pending = new Map(this.#pending);
     return copy;
   }
 
-  /** One turn of the operator: what it requests. */
-  takeTurn(machines: number, highestConfirmed: number, now: number): readonly NumberedRequest[] {
-    const [operator, calls] = operatorTurn(this.#operator, machines, now);
+  /** Runs one turn of the operator and returns its requests. */
+  takeTurn(
+    machineCount: number,
+    highestConfirmed: number,
+    now: number,
+  ): readonly NumberedRequest[] {
+    const [operator, requests] = operatorTurn(this.#operator, machineCount, now);
     this.#operator = operator;
-    return calls.map((call) => {
-      this.#lastRequest += 1;
-      return { ref: this.#lastRequest, call, floor: highestConfirmed };
+    return requests.map((operatorRequest) => {
+      this.#lastCorrelationId += 1;
+      return {
+        correlationId: this.#lastCorrelationId,
+        operatorRequest,
+        minGeneration: highestConfirmed,
+      };
     });
   }
 
-  /** A registry takes a request: only from then on a reply can come. */
+  /** Records that a registry received a request; replies are matched from then on. */
   onRequestReceived(request: NumberedRequest): void {
-    this.#pending.set(request.ref, request);
+    this.#pending.set(request.correlationId, request);
   }
 
-  /** Judges a reply by what its request expected. */
-  onReply(ref: number, status: number, body: string, monitor: InvariantMonitor, now: number): void {
-    const request = this.#pending.get(ref);
+  /** Checks a reply against the expectation of its request. */
+  onReply(
+    correlationId: number,
+    status: number,
+    body: string,
+    monitor: InvariantMonitor,
+    now: number,
+  ): void {
+    const request = this.#pending.get(correlationId);
     if (request === undefined) return;
-    this.#pending.delete(ref);
+    this.#pending.delete(correlationId);
     if (status !== httpOk) return;
-    const { expected } = request.call;
+    const { expected } = request.operatorRequest;
     const reply = parseReply(body);
     if (expected.kind === 'read') {
-      monitor.onRead(reply.generation, request.floor, now);
+      monitor.onRead(reply.generation, request.minGeneration, now);
       return;
     }
-    this.#operator = closeWrite(this.#operator, expected.number);
-    monitor.onAcknowledged(expected.number, expected.hash, reply.kind === 'accepted', now);
+    this.#operator = closeWrite(this.#operator, expected.generation);
+    monitor.onAcknowledged(expected.generation, expected.hash, reply.kind === 'accepted', now);
   }
 }
--- a/packages/model-checker/src/cluster/operator.ts
+++ b/packages/model-checker/src/cluster/operator.ts
@@ -1,110 +1,112 @@
 /**
- * The operator of a run: which writes and reads it requests when. It draws nothing; replies are
- * judged by operator-session.
+ * Deterministic operator of a run, which submits writes and reads; operator-session checks the
+ * replies.
  */
 
 import { type CommandId, type Hash, toCommandId, toGeneration } from '@switchwheel/types';
 import type { ExternalRequest } from '@switchwheel/membership';
 import { configurationHash, contentHash } from '@switchwheel/configuration';
 
-/** How often the operator acts. */
+/** Interval between the turns of the operator. */
 export const operatorIntervalMs = 110;
-/** How long it waits for an answer before it asks another machine, with the same id. */
+/** Time without a reply after which a write is retried with the same id at another machine. */
 const retryAfterMs = 1300;
-/** How often a write is sent again at most. */
+/** Maximum number of attempts of a write. */
 const maxAttempts = 4;
-/** How many writes it has under way at most. */
+/** Maximum number of unanswered writes. */
 const maxOpenWrites = 6;
 
-/** A call that a registry is to be given, and what the operator keeps to judge the answer. */
+/** Request to the registry of a machine, with the expectation for its reply. */
 export interface OperatorRequest {
   readonly machine: number;
-  readonly call: ExternalRequest;
+  readonly request: ExternalRequest;
   readonly expected:
-    | { readonly kind: 'write'; readonly number: number; readonly hash: Hash }
+    | { readonly kind: 'write'; readonly generation: number; readonly hash: Hash }
     | { readonly kind: 'read' };
 }
 
 interface OpenWrite {
-  readonly number: number;
+  readonly generation: number;
   readonly sentAt: number;
   readonly attempts: number;
 }
 
-/** Two operators hand in different contents under some numbers: one of them is refused. */
+/** Author of a write; for some generations both authors submit different contents, and one is refused. */
 type Author = 'write' | 'rival';
 const turnsPerRival = 6;
 
-const writeCall = (
-  number: number,
+const writeCommand = (
+  generation: number,
   author: Author,
   id: CommandId,
 ): ExternalRequest & { verb: 'apply' } => {
-  const text = JSON.stringify({ author, content: number });
-  const piece = contentHash(text);
+  const text = JSON.stringify({ author, content: generation });
+  const chunkHash = contentHash(text);
   return {
     verb: 'apply',
     id,
     baseGeneration: undefined,
-    requestedGeneration: toGeneration(number),
-    hash: configurationHash([piece]),
-    chunkHashes: [piece],
-    chunks: new Map([[piece, text]]),
+    requestedGeneration: toGeneration(generation),
+    hash: configurationHash([chunkHash]),
+    chunkHashes: [chunkHash],
+    chunks: new Map([[chunkHash, text]]),
   };
 };
 
-/** Writes numbered configurations, repeats those without an answer, and reads. Never changed in place. */
+/** Immutable state of the operator, which writes consecutive generations, retries writes without a reply, and reads. */
 export interface Operator {
   readonly turn: number;
-  readonly nextNumber: number;
-  readonly open: readonly OpenWrite[];
+  readonly nextGeneration: number;
+  readonly openWrites: readonly OpenWrite[];
 }
-/** An operator that has requested nothing yet. */
-export const newOperator: Operator = { turn: 0, nextNumber: 1, open: [] };
+/** Operator before its first turn. */
+export const newOperator: Operator = { turn: 0, nextGeneration: 1, openWrites: [] };
 
 const writeRequest = (
-  number: number,
+  generation: number,
   machine: number,
   author: Author = 'write',
 ): OperatorRequest => {
-  const call = writeCall(number, author, toCommandId(`${author}-${number}`));
-  return { machine, call, expected: { kind: 'write', number, hash: call.hash } };
+  const request = writeCommand(generation, author, toCommandId(`${author}-${generation}`));
+  return { machine, request, expected: { kind: 'write', generation, hash: request.hash } };
 };
 
-/** One turn: what it asks of which machines. */
+/** Runs one turn: returns the next state and the requests to send. */
 export const operatorTurn = (
   operator: Operator,
-  machines: number,
+  machineCount: number,
   now: number,
 ): readonly [Operator, readonly OperatorRequest[]] => {
-  const calls: OperatorRequest[] = [];
-  const due = operator.open.filter((one) => now - one.sentAt >= retryAfterMs);
-  const waiting = operator.open.filter((one) => now - one.sentAt < retryAfterMs);
-  const repeated = due.filter((one) => one.attempts < maxAttempts);
-  for (const one of repeated)
-    calls.push(writeRequest(one.number, (one.number + one.attempts) % machines));
-  const open = [
+  const requests: OperatorRequest[] = [];
+  const due = operator.openWrites.filter((write) => now - write.sentAt >= retryAfterMs);
+  const waiting = operator.openWrites.filter((write) => now - write.sentAt < retryAfterMs);
+  const retried = due.filter((write) => write.attempts < maxAttempts);
+  for (const write of retried)
+    requests.push(
+      writeRequest(write.generation, (write.generation + write.attempts) % machineCount),
+    );
+  const openWrites = [
     ...waiting,
-    ...repeated.map((one) => ({ ...one, sentAt: now, attempts: one.attempts + 1 })),
+    ...retried.map((write) => ({ ...write, sentAt: now, attempts: write.attempts + 1 })),
   ];
-  let nextNumber = operator.nextNumber;
-  if (operator.turn % 2 === 0 && open.length < maxOpenWrites) {
-    calls.push(writeRequest(nextNumber, nextNumber % machines));
-    open.push({ number: nextNumber, sentAt: now, attempts: 1 });
-    nextNumber += 1;
+  let nextGeneration = operator.nextGeneration;
+  if (operator.turn % 2 === 0 && openWrites.length < maxOpenWrites) {
+    requests.push(writeRequest(nextGeneration, nextGeneration % machineCount));
+    openWrites.push({ generation: nextGeneration, sentAt: now, attempts: 1 });
+    nextGeneration += 1;
   }
   if (operator.turn % turnsPerRival === 1)
-    calls.push(writeRequest(nextNumber - 1, operator.turn % machines, 'rival'));
-  calls.push({
-    machine: operator.turn % machines,
-    call: { verb: 'view', id: toCommandId(`read-${operator.turn}`), viewName: 'description' },
+    requests.push(writeRequest(nextGeneration - 1, operator.turn % machineCount, 'rival'));
+  requests.push({
+    machine: operator.turn % machineCount,
+    request: { verb: 'view', id: toCommandId(`read-${operator.turn}`), viewName: 'description' },
     expected: { kind: 'read' },
   });
-  return [{ turn: operator.turn + 1, nextNumber, open }, calls];
+  return [{ turn: operator.turn + 1, nextGeneration, openWrites }, requests];
 };
 
-/** A write was answered for good. */
-export const closeWrite = (operator: Operator, number: number): Operator => ({
+/** Removes an answered write, so that it is not retried. */
+export const closeWrite = (operator: Operator, generation: number): Operator => ({
   ...operator,
-  open: operator.open.filter((one) => one.number !== number),
+  openWrites: operator.openWrites.filter((write) => write.generation !== generation),
 });
--- a/packages/model-checker/src/cluster/scheduled-event.ts
+++ b/packages/model-checker/src/cluster/scheduled-event.ts
@@ -1,4 +1,4 @@
-/** What the simulation of a cluster does at a moment of virtual time. */
+/** Events of a simulated cluster. */
 
 import type { Timestamp } from '@switchwheel/types';
 import type { Frame, Peer } from '@switchwheel/transport';
@@ -6,7 +6,7 @@
 import type { Deviation, Endpoint } from '../schedule/deviation.js';
 import type { OperatorRequest } from './operator.js';
 
-/** One thing that is to happen; `incarnation` bounds it to the machine's processes of that start. */
+/** Event at a point of simulated time; one with an incarnation is dropped if the machine has restarted since. */
 export type ScheduledEvent =
   | { readonly kind: 'tick'; readonly target: Endpoint; readonly incarnation: number }
   | {
@@ -16,50 +16,50 @@
       readonly to: Endpoint;
       readonly frame: Frame;
     }
-  | { readonly kind: 'gone'; readonly of: Endpoint; readonly to: Endpoint }
-  | { readonly kind: 'read disk'; readonly machine: number; readonly incarnation: number }
+  | { readonly kind: 'peerDisconnected'; readonly of: Endpoint; readonly to: Endpoint }
+  | { readonly kind: 'readDisk'; readonly machine: number; readonly incarnation: number }
   | {
-      readonly kind: 'disk write';
+      readonly kind: 'diskWrite';
       readonly machine: number;
       readonly incarnation: number;
       readonly write: DiskWrite;
     }
   | {
-      readonly kind: 'store event';
+      readonly kind: 'storeEvent';
       readonly machine: number;
       readonly incarnation: number;
       readonly event: (now: Timestamp) => StoreEvent;
     }
   | {
-      readonly kind: 'call';
-      readonly call: OperatorRequest;
-      readonly floor: number;
-      readonly ref: number;
+      readonly kind: 'operatorRequest';
+      readonly operatorRequest: OperatorRequest;
+      readonly minGeneration: number;
+      readonly correlationId: number;
     }
-  | { readonly kind: 'operator' }
-  | { readonly kind: 'start'; readonly machine: number }
-  | { readonly kind: 'wake'; readonly machine: number }
-  | { readonly kind: 'disk well'; readonly machine: number }
+  | { readonly kind: 'operatorTurn' }
+  | { readonly kind: 'startMachine'; readonly machine: number }
+  | { readonly kind: 'resumeMachine'; readonly machine: number }
+  | { readonly kind: 'recoverDisk'; readonly machine: number }
   | { readonly kind: 'deviation'; readonly deviation: Deviation };
 
-/** A message on its way between two processes. */
+/** Message in flight between two processes. */
 export type MessageEvent = Extract<ScheduledEvent, { kind: 'message' }>;
 
-/** A write that a store has given to its disk. */
-export type DiskWriteEvent = Extract<ScheduledEvent, { kind: 'disk write' }>;
+/** Write that a store has submitted to its disk. */
+export type DiskWriteEvent = Extract<ScheduledEvent, { kind: 'diskWrite' }>;
 
-/** The machine whose processes act on an event; undefined if it is not one of processes. */
+/** Returns the index of the machine whose processes handle an event; undefined if no process does. */
 export const machineIndexOf = (event: ScheduledEvent): number | undefined => {
   switch (event.kind) {
     case 'tick':
       return event.target.machine;
     case 'message':
-    case 'gone':
+    case 'peerDisconnected':
       return event.to.machine;
-    case 'call':
-      return event.call.machine;
-    case 'read disk':
-    case 'store event':
+    case 'operatorRequest':
+      return event.operatorRequest.machine;
+    case 'readDisk':
+    case 'storeEvent':
       return event.machine;
     default:
       return undefined;
--- a/packages/model-checker/src/cluster/simulation.ts
+++ b/packages/model-checker/src/cluster/simulation.ts
@@ -1,6 +1,6 @@
 /**
- * A cluster in virtual time: runs what is due, lets the operator act, and brings about the deviations
- * of a schedule. What the processes themselves do is the cluster's matter.
+ * Simulation of a cluster: runs due events, the operator and the deviations of a schedule. The
+ * cluster runs the processes themselves.
  */
 
 import type { DiskWrite } from '@switchwheel/replicated-store';
@@ -14,12 +14,12 @@
 import { operatorIntervalMs } from './operator.js';
 import { type ScheduledEvent, machineIndexOf } from './scheduled-event.js';
 
-/** How long the machines must have been healthy for a lost disk to be one loss at a time. */
+/** Time without faults after which a machine counts as recovered; disks are lost only one at a time. */
 const recoveryMs = 5000;
-/** Founders start one after another. */
+/** Interval between the starts of the initial machines. */
 const startIntervalMs = 2;
 
-/** The whole cluster in virtual time. A clone goes its own way from there. */
+/** Cluster in simulated time. */
 export class Simulation {
   readonly #cluster: Cluster;
   #isDiskLost = false;
@@ -28,12 +28,12 @@
     this.#cluster = cluster ?? new Cluster(layout);
     if (cluster !== undefined) return;
     const { timeline } = this.#cluster;
-    for (let index = 0; index < layout.founders; index += 1)
-      timeline.scheduleAt(index * startIntervalMs, { kind: 'start', machine: index });
-    timeline.scheduleAt(operatorIntervalMs, { kind: 'operator' });
+    for (let index = 0; index < layout.initialMachineCount; index += 1)
+      timeline.scheduleAt(index * startIntervalMs, { kind: 'startMachine', machine: index });
+    timeline.scheduleAt(operatorIntervalMs, { kind: 'operatorTurn' });
   }
 
-  /** An independent copy, without the observer. */
+  /** Returns an independent copy, without the observer. */
   clone(): Simulation {
     const copy = new Simulation(this.layout, this.#cluster.clone());
     copy.#isDiskLost = this.#isDiskLost;
@@ -44,12 +44,12 @@
     return this.#cluster.layout;
   }
 
-  /** True time, in milliseconds since the run began. */
+  /** Simulated time in milliseconds since the start of the run. */
   get now(): number {
     return this.#cluster.timeline.now;
   }
 
-  /** How many events were acted on. */
+  /** Number of events handled by processes. */
   get steps(): number {
     return this.#cluster.steps;
   }
@@ -62,23 +62,23 @@
     return this.#cluster.machines;
   }
 
-  /** Sees each event that a process acted on, and each message sent. */
+  /** Sets the callback for each event handled by a process and each message sent. */
   set observer(observer: ((occurrence: Occurrence) => void) | undefined) {
     this.#cluster.observer = observer;
   }
 
-  /** Stops judging some invariants from here on. */
+  /** Disables the check of some invariants from now on. */
   ignore(ignored: ReadonlySet<Invariant>): void {
     this.#cluster.ignore(ignored);
   }
 
-  /** Adds a deviation that is still to come. */
+  /** Schedules a deviation. */
   deviate(deviation: Deviation): void {
     if (deviation.kind === 'message') this.#cluster.links.addMessageFault(deviation);
     else this.#cluster.timeline.scheduleAt(deviation.at, { kind: 'deviation', deviation });
   }
 
-  /** Runs until a moment, or until an invariant does not hold. */
+  /** Runs until a time, or until an invariant is violated. */
   runUntil(end: number): void {
     const { timeline } = this.#cluster;
     while (this.monitor.violation === undefined) {
@@ -91,22 +91,22 @@
 
   #runEvent(event: ScheduledEvent): void {
     switch (event.kind) {
-      case 'operator':
+      case 'operatorTurn':
         this.#runOperator();
         return;
       case 'deviation':
         this.#runDeviation(event.deviation);
         return;
-      case 'start':
+      case 'startMachine':
         this.#cluster.startMachine(event.machine);
         return;
-      case 'wake':
+      case 'resumeMachine':
         this.#resume(event.machine);
         return;
-      case 'disk well':
+      case 'recoverDisk':
         this.#recoverDisk(event.machine);
         return;
-      case 'disk write':
+      case 'diskWrite':
         this.#cluster.writeDisk(event);
         return;
       default:
@@ -116,16 +116,20 @@
 
   #runOperator(): void {
     const { operator, timeline, layout, monitor } = this.#cluster;
-    const requests = operator.takeTurn(layout.founders, monitor.highestConfirmed, this.now);
+    const requests = operator.takeTurn(
+      layout.initialMachineCount,
+      monitor.highestConfirmed,
+      this.now,
+    );
     for (const request of requests)
-      timeline.schedule(networkLatencyMs, { kind: 'call', ...request });
-    timeline.schedule(operatorIntervalMs, { kind: 'operator' });
+      timeline.schedule(networkLatencyMs, { kind: 'operatorRequest', ...request });
+    timeline.schedule(operatorIntervalMs, { kind: 'operatorTurn' });
   }
 
   #recoverDisk(index: number): void {
     this.#cluster.updateMachine(index, { diskFault: 'none', faultedUntil: this.now });
     this.#cluster.timeline.releaseHeld(
-      (event) => event.kind === 'disk write' && event.machine === index,
+      (event) => event.kind === 'diskWrite' && event.machine === index,
     );
   }
 
@@ -133,7 +137,7 @@
     const { timeline } = this.#cluster;
     if (this.#cluster.machineAt(index)?.isPaused !== true) return;
     this.#cluster.updateMachine(index, { isPaused: false, faultedUntil: this.now });
-    // A process that was stopped in its wait for sockets may read all of them before its timers.
+    // A resumed process may read its sockets before it runs its timers.
     timeline.releaseHeld((event) => machineIndexOf(event) === index && event.kind !== 'tick');
     timeline.releaseHeld((event) => machineIndexOf(event) === index, tickIntervalMs);
   }
@@ -147,8 +151,8 @@
         const machine = this.#cluster.machineAt(deviation.machine);
         if (machine?.isRunning !== true || machine.isPaused) break;
         this.#cluster.updateMachine(deviation.machine, { isPaused: true });
-        this.#cluster.timeline.schedule(deviation.forMs, {
-          kind: 'wake',
+        this.#cluster.timeline.schedule(deviation.durationMs, {
+          kind: 'resumeMachine',
           machine: deviation.machine,
         });
         break;
@@ -157,9 +161,9 @@
         this.#cluster.links.addCut(deviation, this.now, recoveryMs);
         break;
       case 'disk':
-        this.#cluster.updateMachine(deviation.machine, { diskFault: deviation.trouble });
-        this.#cluster.timeline.schedule(deviation.forMs, {
-          kind: 'disk well',
+        this.#cluster.updateMachine(deviation.machine, { diskFault: deviation.fault });
+        this.#cluster.timeline.schedule(deviation.durationMs, {
+          kind: 'recoverDisk',
           machine: deviation.machine,
         });
         break;
@@ -171,47 +175,54 @@
     }
   }
 
-  /** Whether losing this disk now is a single loss: no other machine down lately, at most one unhealthy. */
+  /** Whether no disk was lost before, no other machine was down recently and at most one is unhealthy. */
   #isSingleLoss(index: number): boolean {
-    const others = this.machines.filter((one) => one.index !== index && one.incarnation > 0);
-    const down = others.some((one) => !one.isRunning || this.now - one.crashedUntil < recoveryMs);
-    const troubled = others.filter((one) => !this.#cluster.isHealthyFor(one, recoveryMs)).length;
-    return !this.#isDiskLost && !down && troubled <= 1;
+    const others = this.machines.filter((other) => other.index !== index && other.incarnation > 0);
+    const isAnyDown = others.some(
+      (other) => !other.isRunning || this.now - other.crashedUntil < recoveryMs,
+    );
+    const unhealthyCount = others.filter(
+      (other) => !this.#cluster.isHealthyFor(other, recoveryMs),
+    ).length;
+    return !this.#isDiskLost && !isAnyDown && unhealthyCount <= 1;
   }
 
   #crash(deviation: Crash): void {
     const machine = this.#cluster.machineAt(deviation.machine);
     if (machine?.isRunning !== true) return;
-    const lost = deviation.disk === 'lost' && this.#isSingleLoss(machine.index);
+    const isDiskLost = deviation.disk === 'lost' && this.#isSingleLoss(machine.index);
     const pending = this.#takePendingWrite(machine);
     if (deviation.disk === 'kept with pending write' && pending !== undefined)
       this.#cluster.storeWrite(machine, pending);
     const current = this.#cluster.machineAt(deviation.machine) ?? machine;
     this.#cluster.updateMachine(machine.index, {
       ...stopMachine(current),
-      disk: lost ? undefined : current.disk,
+      disk: isDiskLost ? undefined : current.disk,
     });
-    this.#isDiskLost ||= lost;
+    this.#isDiskLost ||= isDiskLost;
     this.#cluster.timeline.dropHeld((event) => machineIndexOf(event) === machine.index);
     for (const other of this.machines)
-      if (other.index !== machine.index && other.isRunning) this.#announceEnd(machine, other);
-    if (Number.isFinite(deviation.forMs))
-      this.#cluster.timeline.schedule(deviation.forMs, { kind: 'start', machine: machine.index });
+      if (other.index !== machine.index && other.isRunning) this.#disconnectPeers(machine, other);
+    if (Number.isFinite(deviation.durationMs))
+      this.#cluster.timeline.schedule(deviation.durationMs, {
+        kind: 'startMachine',
+        machine: machine.index,
+      });
   }
 
-  /** The first write that the disk had in hand, unless the disk takes none. */
+  /** Removes the pending writes of a disk and returns the first; undefined if the disk has a fault. */
   #takePendingWrite(machine: Machine): DiskWrite | undefined {
-    const first = this.#cluster.timeline.takeFirstWrite(machine.index, machine.incarnation);
-    return machine.diskFault === 'none' ? first : undefined;
+    const write = this.#cluster.timeline.takeFirstWrite(machine.index, machine.incarnation);
+    return machine.diskFault === 'none' ? write : undefined;
   }
 
-  /** The other machine's processes see that their connections to this one ended. */
-  #announceEnd(machine: Machine, other: Machine): void {
+  /** Notifies the processes of another machine that their connections to a machine closed. */
+  #disconnectPeers(machine: Machine, other: Machine): void {
     if (this.#cluster.links.isCut(machine.index, other.index, this.now)) return;
     for (const of of ['registry', 'store'] as const)
       for (const role of ['registry', 'store'] as const)
         this.#cluster.timeline.schedule(networkLatencyMs, {
-          kind: 'gone',
+          kind: 'peerDisconnected',
           of: { machine: machine.index, role: of },
           to: { machine: other.index, role },
         });
--- a/packages/model-checker/src/cluster/timeline.ts
+++ b/packages/model-checker/src/cluster/timeline.ts
@@ -1,16 +1,16 @@
-/** Virtual time: what is due when, and what is held until a machine or a disk goes on. */
+/** Simulated time: scheduled events, and events held until a machine or a disk recovers. */
 
 import type { DiskWrite } from '@switchwheel/replicated-store';
 import { EventQueue } from './event-queue.js';
 import type { ScheduledEvent } from './scheduled-event.js';
 
-/** The events of one run. A clone goes its own way. */
+/** Events of one run. */
 export class Timeline {
   #now = 0;
   #queue = new EventQueue<ScheduledEvent>();
   #held: ScheduledEvent[] = [];
 
-  /** An independent copy. */
+  /** Returns an independent copy. */
   clone(): Timeline {
     const copy = new Timeline();
     copy.#now = this.#now;
@@ -19,7 +19,7 @@
     return copy;
   }
 
-  /** True time, in milliseconds since the run began. */
+  /** Simulated time in milliseconds since the start of the run. */
   get now(): number {
     return this.#now;
   }
@@ -32,7 +32,7 @@
     this.#queue.add(this.#now + delayMs, event);
   }
 
-  /** Takes the next event that is due by then, and sets the time to its own. */
+  /** Removes the next event that is due by `end` and advances the time to it; undefined if there is none. */
   takeDue(end: number): ScheduledEvent | undefined {
     const next = this.#queue.nextAt;
     if (next === undefined || next > end) return undefined;
@@ -46,12 +46,12 @@
     this.#now = Math.max(this.#now, at);
   }
 
-  /** Keeps an event back until it is released. */
+  /** Holds an event until it is released or dropped. */
   hold(event: ScheduledEvent): void {
     this.#held.push(event);
   }
 
-  /** Schedules the held events that match, in their order. */
+  /** Schedules the matching held events, in order. */
   releaseHeld(matches: (event: ScheduledEvent) => boolean, delayMs = 0): void {
     for (const event of this.#takeHeld(matches)) this.schedule(delayMs, event);
   }
@@ -60,17 +60,17 @@
     this.#takeHeld(matches);
   }
 
-  /** Takes a disk's writes out of the queue, not out of what is held; gives the first of both. */
+  /** Removes a disk's scheduled writes, but not its held ones; returns the first of both, held ones first. */
   takeFirstWrite(machine: number, incarnation: number): DiskWrite | undefined {
     const matches = (event: ScheduledEvent): boolean =>
-      event.kind === 'disk write' && event.machine === machine && event.incarnation === incarnation;
+      event.kind === 'diskWrite' && event.machine === machine && event.incarnation === incarnation;
     const [first] = [...this.#held.filter(matches), ...this.#queue.extract(matches)];
-    return first?.kind === 'disk write' ? first.write : undefined;
+    return first?.kind === 'diskWrite' ? first.write : undefined;
   }
 
   #takeHeld(matches: (event: ScheduledEvent) => boolean): readonly ScheduledEvent[] {
-    const taken = this.#held.filter(matches);
+    const matching = this.#held.filter(matches);
     this.#held = this.#held.filter((event) => !matches(event));
-    return taken;
+    return matching;
   }
 }
--- a/packages/model-checker/src/digest/digest.test.ts
+++ b/packages/model-checker/src/digest/digest.test.ts
@@ -1,4 +1,4 @@
-/** A few of the recorded searches; all of them are compared by `npm run digests`. */
+/** Guards against unintended changes of behaviour, by some of the recorded runs; `npm run digests` compares all. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -7,11 +7,11 @@
 import { digestRuns } from './suites.js';
 
 for (const suite of [walkSuite, corpusSuite])
-  void test(`runs of the ${suite.name} suite are the ones that were recorded`, () => {
+  void test(`runs of the ${suite.name} suite equal the recorded ones`, () => {
     assert.deepEqual(replayInTests(suite), []);
   });
 
-void test('every run of every suite has a recorded digest, and nothing else has one', () => {
+void test('the recorded digests are exactly those of the runs of all suites', () => {
   assert.deepEqual(
     [...readReference().keys()],
     digestRuns.map((run) => run.name),
--- a/packages/model-checker/src/digest/main.ts
+++ b/packages/model-checker/src/digest/main.ts
@@ -1,4 +1,4 @@
-/** Replays all recorded runs in a few processes, and compares or records their digests. */
+/** Entry point of `npm run digests`: replays all recorded runs in child processes, and compares or records their digests. */
 
 import { spawn } from 'node:child_process';
 import { fileURLToPath } from 'node:url';
@@ -17,14 +17,14 @@
   Usage
     $ npm run digests -- [flags]
 
-  Replays all recorded runs and names those whose digests differ.
+  Replays all recorded runs and lists those whose digests differ.
 
   Flags
-    --record REVISION   write the data file anew; its header names the revision
-    --processes N       how many processes work at once (4)
+    --record REVISION   overwrite the recorded digests; the file header names the revision
+    --processes N       number of parallel processes (4)
 
   Exit codes
-    0  all digests are equal    1  some differ    2  wrong use
+    0  all digests are equal    1  some differ    2  invalid command line
 `,
   {
     importMeta: import.meta,
@@ -36,12 +36,12 @@
   },
 );
 
-const say = (text: string): void => {
+const print = (text: string): void => {
   process.stdout.write(`${text}\n`);
 };
 const workerFile = fileURLToPath(new URL('worker.js', import.meta.url));
 
-/** What one process found for its share of the runs. */
+/** Runs a child process for every `stride`-th run and returns their digests. */
 const runWorker = (first: number, stride: number): Promise<Digests> =>
   new Promise((resolve, reject) => {
     const child = spawn(process.execPath, [workerFile, String(first), String(stride)], {
@@ -54,38 +54,41 @@
     child.on('error', reject);
     child.on('close', (code) => {
       if (code === 0) resolve(parseDigests(output));
-      else reject(new Error(`worker ${first} of ${stride} ended with ${String(code)}`));
+      else
+        reject(new Error(`digest worker ${first} of ${stride} exited with code ${String(code)}`));
     });
   });
 
-/** The digests of all runs, in the order of the suites. */
-const digestAll = async (processes: number): Promise<Digests> => {
-  const shares = Array.from({ length: processes }, (_, first) => runWorker(first, processes));
-  const digests = new Map((await Promise.all(shares)).flatMap((share) => [...share]));
+/** Computes the digests of all runs, in the order of the suites. */
+const digestAll = async (processCount: number): Promise<Digests> => {
+  const workers = Array.from({ length: processCount }, (_, first) =>
+    runWorker(first, processCount),
+  );
+  const digests = new Map((await Promise.all(workers)).flatMap((results) => [...results]));
   return new Map(digestRuns.map(({ name }) => [name, digests.get(name) ?? '']));
 };
 
 const compare = (digests: Digests): void => {
   const differing = differingRuns(readReference(), digests);
-  for (const name of differing) say(`differs: ${name}`);
-  say(`${digests.size} runs, ${differing.length} differ`);
+  for (const name of differing) print(`differs: ${name}`);
+  print(`${digests.size} runs, ${differing.length} differ`);
   process.exitCode = differing.length > 0 ? 1 : 0;
 };
 
 const { record, processes } = cli.flags;
-const wrongUse = [
+const usageErrors = [
   ...(Number.isSafeInteger(processes) && processes >= 1
     ? []
-    : ['--processes: a whole number from 1']),
-  ...(record === '' ? ['--record: name the revision whose behaviour is recorded'] : []),
+    : ['--processes: must be a positive integer']),
+  ...(record === '' ? ['--record: must name the revision whose behaviour is recorded'] : []),
 ];
-if (wrongUse.length > 0) {
-  for (const line of wrongUse) process.stderr.write(`digests: ${line}\n`);
+if (usageErrors.length > 0) {
+  for (const line of usageErrors) process.stderr.write(`digests: ${line}\n`);
   process.exit(2);
 }
 const digests = await digestAll(processes);
 if (record === undefined) compare(digests);
 else {
   writeReference(digests, record);
-  say(`${digests.size} runs recorded for ${record}`);
+  print(`${digests.size} runs recorded for ${record}`);
 }
--- a/packages/model-checker/src/digest/searches.ts
+++ b/packages/model-checker/src/digest/searches.ts
@@ -1,4 +1,4 @@
-/** Digests of the model checker's searches: how many states each went through, and which events. */
+/** Digests of the model checker's searches: the number of states and, for single runs, the events. */
 
 import { type DigestSuite, RunDigest, seedRange } from '@switchwheel/simulator/digest';
 import { exploreExhaustively } from '../explore/exhaustive.js';
@@ -16,7 +16,7 @@
   digest.add(result.reads, result.leasesWon, result.electorateChanges);
 };
 
-/** Replays a schedule and adds each event and message: when, at which machine, from which to which. */
+/** Replays a schedule and adds time, machine, sender and receiver of each event and message to a digest. */
 const addEvents = (digest: RunDigest, { layout, deviations }: Scenario): void => {
   const simulation = formedCluster(layout);
   for (const deviation of deviations) simulation.deviate(deviation);
@@ -34,7 +34,7 @@
   return `${result.states} states, ${digest.finish()}`;
 };
 
-/** Random walks, one a seed. */
+/** Random walks, one for each seed. */
 export const walkSuite: DigestSuite = {
   name: 'random walk',
   seeds: seedRange(1, 60),
@@ -54,7 +54,7 @@
   return `${states} states, ${runs} runs, ${confirmedWrites} writes, ${String(complete)}, ${found.length} found`;
 };
 
-/** All placements of one deviation; the seed is the number of machines. */
+/** All placements of one deviation; the seed is the cluster size. */
 export const placementSuite: DigestSuite = {
   name: 'placements by members',
   seeds: [3, 4, 5],
@@ -68,7 +68,7 @@
   return `${states} states, ${placements} placements, ${walks} walks, ${confirmedWrites} writes, ${found.length} found`;
 };
 
-/** Whole searches as the command runs them, within small bounds. */
+/** Complete searches as run by the command, within small bounds. */
 export const searchSuite: DigestSuite = {
   name: 'search',
   seeds: [1, 2, 3],
@@ -76,16 +76,16 @@
   digest: digestSearch,
 };
 
-const digestCorpus = (number: number): string => {
+const digestCorpus = (index: number): string => {
   const digest = new RunDigest();
-  const scenario = corpus[number]?.scenario;
-  if (scenario === undefined) throw new Error(`no schedule ${number} in the corpus`);
+  const scenario = corpus[index]?.scenario;
+  if (scenario === undefined) throw new Error(`no schedule has index ${index} in the corpus`);
   addResult(digest, runScenario(scenario));
   addEvents(digest, scenario);
   return digest.finish();
 };
 
-/** The schedules that every search begins with; the seed is the place in their list. */
+/** Schedules of the corpus; the seed is the index. */
 export const corpusSuite: DigestSuite = {
   name: 'corpus',
   seeds: [...corpus.keys()],
--- a/packages/model-checker/src/digest/suites.ts
+++ b/packages/model-checker/src/digest/suites.ts
@@ -1,4 +1,4 @@
-/** Every recorded suite, in the order of the data file. */
+/** Recorded suites, in the order of the file of digests. */
 
 import {
   type DigestSuite,
@@ -19,13 +19,13 @@
   searchSuite,
 ];
 
-/** One seed of one suite. */
+/** Run of one seed of a suite. */
 export interface DigestRun {
   readonly name: string;
   readonly digest: () => string;
 }
 
-/** Every run of every suite. */
+/** Runs of all suites. */
 export const digestRuns: readonly DigestRun[] = suites.flatMap((suite) =>
   suite.seeds.map((seed) => ({ name: runName(suite, seed), digest: () => suite.digest(seed) })),
 );
--- a/packages/model-checker/src/explore/bounded.test.ts
+++ b/packages/model-checker/src/explore/bounded.test.ts
@@ -1,11 +1,10 @@
-/** A search within bounds that fit into CI. */
+/** Guards the invariants by a search within bounds that fit into CI. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { knownViolations } from '../known-violations.js';
 import { printScenario, search } from './search.js';
 
-/** About a quarter of a minute on a machine of its own. */
 const bounds = {
   states: 240_000,
   depth: 120,
@@ -16,15 +15,15 @@
   stopAtFirst: true,
 };
 
-void test('no schedule within the bounds breaks an invariant', (context) => {
+void test('no schedule within the bounds violates an invariant', (context) => {
   const report = search(bounds);
   context.diagnostic(
-    `${report.states} states, ${report.placements} placements, ${report.walks} random walks, ${report.confirmedWrites} confirmed writes; deviations within ${bounds.depth} ms, at most ${bounds.faults}`,
+    `${report.states} states, ${report.placements} placements, ${report.walks} random walks, ${report.confirmedWrites} confirmed writes; deviations start within ${bounds.depth} ms, at most ${bounds.faults} in a walk`,
   );
   assert.deepEqual(
-    report.found.map((one) => `${one.violation.text}: ${printScenario(one.scenario)}`),
+    report.found.map((found) => `${found.violation.text}: ${printScenario(found.scenario)}`),
     [],
   );
-  assert.ok(report.walks > 20, 'random walks had their part');
-  assert.ok(report.confirmedWrites > 1000, 'there was something to lose');
+  assert.ok(report.walks > 20, 'the search did too few random walks');
+  assert.ok(report.confirmedWrites > 1000, 'the search confirmed too few writes');
 });
--- a/packages/model-checker/src/explore/candidates.ts
+++ b/packages/model-checker/src/explore/candidates.ts
@@ -1,7 +1,4 @@
-/**
- * Which deviations are worth placing beside what happened in a run, so that alike schedules are
- * tried once.
- */
+/** Candidate deviations beside the events of a run, reduced so that equivalent schedules are tried once. */
 
 import { holdsLease } from '@switchwheel/election';
 import { clockOf } from '../cluster/machine.js';
@@ -9,7 +6,7 @@
 import type { Simulation } from '../cluster/simulation.js';
 import type { Deviation } from '../schedule/deviation.js';
 
-/** Messages that the protocols of election, replication and membership rest on. */
+/** Frame kinds of the election, replication and membership protocols beside which deviations are placed. */
 const protocolFrames: ReadonlySet<string> = new Set([
   'vote-request',
   'vote',
@@ -23,61 +20,89 @@
 ]);
 
 const shortDelayMs = 400;
-/** More than a lease. */
+/** Longer than a lease. */
 const longDelayMs = 1400;
 const restartMs = 5;
-/** A fault is set after the event that sent the message beside it. */
+/** Places a machine fault after the event that sent the message. */
 const afterEventMs = 0.5;
 
-const messageDeviations = (one: Occurrence): readonly Deviation[] => {
-  const { at, frame, from, to } = one;
+const messageDeviations = (occurrence: Occurrence): readonly Deviation[] => {
+  const { at, frame, from, to } = occurrence;
   if (frame === undefined || from === undefined || to === undefined) return [];
   const base = { kind: 'message', at, frame, from, to } as const;
   return [
-    { ...base, action: { action: 'drop' } },
-    { ...base, action: { action: 'delay', byMs: shortDelayMs } },
-    { ...base, action: { action: 'delay', byMs: longDelayMs } },
-    { ...base, action: { action: 'repeat', afterMs: longDelayMs } },
+    { ...base, action: { kind: 'drop' } },
+    { ...base, action: { kind: 'delay', byMs: shortDelayMs } },
+    { ...base, action: { kind: 'delay', byMs: longDelayMs } },
+    { ...base, action: { kind: 'repeat', afterMs: longDelayMs } },
   ];
 };
 
 const machineDeviations = (machine: number, sentAt: number): readonly Deviation[] => {
   const at = sentAt + afterEventMs;
   return [
-    { kind: 'crash', at, machine, forMs: restartMs, disk: 'kept' },
-    { kind: 'crash', at, machine, forMs: restartMs, disk: 'lost' },
-    { kind: 'crash', at, machine, forMs: longDelayMs, disk: 'kept with pending write' },
-    { kind: 'pause', at, machine, forMs: shortDelayMs * 2 },
-    { kind: 'pause', at, machine, forMs: longDelayMs },
-    { kind: 'cut', at, machine, peer: 'all', way: 'both', messages: 'lost', forMs: longDelayMs },
-    { kind: 'cut', at, machine, peer: 'all', way: 'both', messages: 'held', forMs: longDelayMs },
-    { kind: 'cut', at, machine, peer: 'all', way: 'inbound', messages: 'lost', forMs: longDelayMs },
-    { kind: 'disk', at, machine, trouble: 'stalled', forMs: longDelayMs },
-    { kind: 'disk', at, machine, trouble: 'full', forMs: longDelayMs },
+    { kind: 'crash', at, machine, durationMs: restartMs, disk: 'kept' },
+    { kind: 'crash', at, machine, durationMs: restartMs, disk: 'lost' },
+    { kind: 'crash', at, machine, durationMs: longDelayMs, disk: 'kept with pending write' },
+    { kind: 'pause', at, machine, durationMs: shortDelayMs * 2 },
+    { kind: 'pause', at, machine, durationMs: longDelayMs },
+    {
+      kind: 'cut',
+      at,
+      machine,
+      peer: 'all',
+      direction: 'both',
+      messages: 'lost',
+      durationMs: longDelayMs,
+    },
+    {
+      kind: 'cut',
+      at,
+      machine,
+      peer: 'all',
+      direction: 'both',
+      messages: 'held',
+      durationMs: longDelayMs,
+    },
+    {
+      kind: 'cut',
+      at,
+      machine,
+      peer: 'all',
+      direction: 'inbound',
+      messages: 'lost',
+      durationMs: longDelayMs,
+    },
+    { kind: 'disk', at, machine, fault: 'stalled', durationMs: longDelayMs },
+    { kind: 'disk', at, machine, fault: 'full', durationMs: longDelayMs },
   ];
 };
 
 /**
- * Machines of which one stands for all that are alike: the leader, and of the followers the first
- * with a copy and the first without one.
+ * Returns one machine for each set of equivalent ones: the primary, the first other machine with a
+ * copy and the first without one.
  */
 const representatives = (simulation: Simulation): ReadonlySet<number> => {
-  const leader = simulation.machines.find(
-    (one) =>
-      one.store !== undefined && holdsLease(one.store.candidate, clockOf(one, simulation.now)),
+  const primary = simulation.machines.find(
+    (machine) =>
+      machine.store !== undefined &&
+      holdsLease(machine.store.candidate, clockOf(machine, simulation.now)),
   );
-  const others = simulation.machines.filter((one) => one.isRunning && one !== leader);
-  const withCopy = others.find((one) => one.disk !== undefined);
-  const without = others.find((one) => one.disk === undefined);
+  const others = simulation.machines.filter((machine) => machine.isRunning && machine !== primary);
+  const withCopy = others.find((machine) => machine.disk !== undefined);
+  const withoutCopy = others.find((machine) => machine.disk === undefined);
   return new Set(
-    [leader, withCopy, without].flatMap((one) => (one === undefined ? [] : [one.index])),
+    [primary, withCopy, withoutCopy].flatMap((machine) =>
+      machine === undefined ? [] : [machine.index],
+    ),
   );
 };
 
 /**
- * The deviations that are worth trying beside what happened. A fault of a machine commutes with
- * all that other machines do, so it is only placed right after an event of that machine that sent
- * something the protocols rest on: at any other moment it leads to a state that is reached anyway.
+ * Returns the deviations to try beside occurrences after `after` and up to `until`. A fault of a
+ * machine commutes with the events of other machines, so it is only placed right after an event
+ * of that machine that sent a protocol message; at other times it leads to states reached anyway.
+ * With `reduceTo`, faults are placed only on one of several equivalent machines.
  */
 export const candidateDeviations = (
   occurrences: readonly Occurrence[],
@@ -85,15 +110,22 @@
   until: number,
   reduceTo?: Simulation,
 ): readonly Deviation[] => {
-  const chosen = reduceTo === undefined ? undefined : representatives(reduceTo);
-  const placed = new Set<string>();
-  return occurrences.flatMap((one) => {
-    if (one.at <= after || one.at > until || !protocolFrames.has(one.frame ?? '')) return [];
-    const place = `${one.machine} ${one.at}`;
-    const again = placed.has(place);
-    placed.add(place);
+  const chosenMachines = reduceTo === undefined ? undefined : representatives(reduceTo);
+  const placements = new Set<string>();
+  return occurrences.flatMap((occurrence) => {
+    if (
+      occurrence.at <= after ||
+      occurrence.at > until ||
+      !protocolFrames.has(occurrence.frame ?? '')
+    )
+      return [];
+    const placement = `${occurrence.machine} ${occurrence.at}`;
+    const isRepeated = placements.has(placement);
+    placements.add(placement);
     const ofMachine =
-      again || chosen?.has(one.machine) === false ? [] : machineDeviations(one.machine, one.at);
-    return [...messageDeviations(one), ...ofMachine];
+      isRepeated || chosenMachines?.has(occurrence.machine) === false
+        ? []
+        : machineDeviations(occurrence.machine, occurrence.at);
+    return [...messageDeviations(occurrence), ...ofMachine];
   });
 };
--- a/packages/model-checker/src/explore/exhaustive.ts
+++ b/packages/model-checker/src/explore/exhaustive.ts
@@ -1,4 +1,4 @@
-/** Depth-first search over all placements of a few deviations, on clones of a formed cluster. */
+/** Depth-first search over all placements of a few deviations, from clones of a running cluster. */
 
 import type { Invariant, Violation } from '../cluster/invariants.js';
 import type { Simulation } from '../cluster/simulation.js';
@@ -7,38 +7,38 @@
 import { candidateDeviations } from './candidates.js';
 import { checkpointBefore, formedAtMs, formedCluster, runEnd, traceFrom } from './run.js';
 
-/** Bounds of a search over all placements of deviations. */
+/** Bounds of an exhaustive search. */
 export interface ExhaustiveBounds {
-  /** How many deviations at most. */
+  /** Maximum number of deviations in a schedule. */
   readonly faults: number;
-  /** Within how many milliseconds they begin. */
+  /** Length of the window in which deviations start, in milliseconds. */
   readonly depth: number;
-  /** How many states at most. */
+  /** Number of states after which no further schedule is tried. */
   readonly states: number;
   readonly ignored: ReadonlySet<Invariant>;
-  /** Whether to end with the first violation. */
+  /** Whether to stop at the first violation. */
   readonly stopAtFirst: boolean;
 }
 
-/** An invariant that failed, with the schedule that brings it about. */
+/** Violation of an invariant with the schedule that leads to it. */
 export interface FoundViolation {
   readonly scenario: Scenario;
   readonly violation: Violation;
-  /** How many states had been looked at by then. */
+  /** Number of states explored until then. */
   readonly states: number;
 }
 
-/** What was looked at. */
+/** Result and coverage of an exhaustive search. */
 export interface ExhaustiveResult {
   readonly found: readonly FoundViolation[];
   readonly states: number;
   readonly runs: number;
   readonly confirmedWrites: number;
-  /** Whether every placement was tried, or the bound of states came first. */
+  /** Whether every placement was tried; false if the bound on states was reached. */
   readonly complete: boolean;
 }
 
-/** Tries every placement of up to so many deviations in a window of the default schedule. */
+/** Recursive search; each call runs one schedule and extends it by one deviation. */
 class ExhaustiveSearch {
   readonly found: FoundViolation[] = [];
   states = 0;
@@ -61,8 +61,8 @@
     }
     const windowEnd = formedAtMs + this.#bounds.depth;
     const last = chosen.at(-1);
-    const goesOn = chosen.length < this.#bounds.faults;
-    const trace = traceFrom(start, last, goesOn ? windowEnd : start.now, runEnd(chosen));
+    const canExtend = chosen.length < this.#bounds.faults;
+    const trace = traceFrom(start, last, canExtend ? windowEnd : start.now, runEnd(chosen));
     this.runs += 1;
     this.states += trace.result.states;
     this.confirmedWrites += trace.result.confirmedWrites;
@@ -72,12 +72,12 @@
       this.found.push({ scenario, violation, states: this.states });
       return;
     }
-    if (!goesOn) return;
+    if (!canExtend) return;
     const reduceTo = chosen.length === 0 && this.#bounds.faults > 1 ? start : undefined;
     const after = last?.at ?? formedAtMs;
-    for (const one of candidateDeviations(trace.occurrences, after, windowEnd, reduceTo)) {
-      const checkpoint = checkpointBefore(trace, one.at);
-      if (checkpoint !== undefined) this.explore(checkpoint, [...chosen, one]);
+    for (const deviation of candidateDeviations(trace.occurrences, after, windowEnd, reduceTo)) {
+      const checkpoint = checkpointBefore(trace, deviation.at);
+      if (checkpoint !== undefined) this.explore(checkpoint, [...chosen, deviation]);
     }
   }
 }
--- a/packages/model-checker/src/explore/random-choices.ts
+++ b/packages/model-checker/src/explore/random-choices.ts
@@ -1,8 +1,8 @@
-/** Random choices of a walk, all from one seed. */
+/** Seeded random source of random walks. */
 
 import { type RandomState, nextRandom } from '@switchwheel/types';
 
-/** Random choices from one seed. */
+/** Random source whose choices depend only on the seed. */
 export class RandomChoices {
   #state: RandomState;
 
@@ -10,21 +10,21 @@
     this.#state = { seed: Math.imul(seed + 1, 0x9e3779b1) >>> 0 };
   }
 
-  /** From 0 up to 1. */
+  /** Returns a number from 0 up to, but not including, 1. */
   next(): number {
-    const [value, dice] = nextRandom(this.#state);
-    this.#state = dice;
+    const [value, nextState] = nextRandom(this.#state);
+    this.#state = nextState;
     return value;
   }
 
-  /** A whole number, both ends among the possible. */
+  /** Returns an integer from `low` to `high`, both inclusive. */
   integer(low: number, high: number): number {
     return low + Math.floor(this.next() * (high - low + 1));
   }
 
   pick<T>(first: T, ...others: readonly T[]): T {
-    const all = [first, ...others];
-    return all[Math.floor(this.next() * all.length)] ?? first;
+    const options = [first, ...others];
+    return options[Math.floor(this.next() * options.length)] ?? first;
   }
 
   happens(probability: number): boolean {
--- a/packages/model-checker/src/explore/random-walk.ts
+++ b/packages/model-checker/src/explore/random-walk.ts
@@ -1,6 +1,4 @@
-/**
- * Random walks: schedules of several deviations that are set beside messages while a run goes on.
- */
+/** Random walks: runs during which several deviations are placed beside messages at random. */
 
 import { holdsLease } from '@switchwheel/election';
 import type { Invariant } from '../cluster/invariants.js';
@@ -15,15 +13,16 @@
 
 /** Bounds of a random walk. */
 export interface WalkBounds {
+  /** Cluster sizes to choose from. */
   readonly members: readonly number[];
-  /** How many deviations at most. */
+  /** Maximum number of deviations. */
   readonly faults: number;
-  /** Within how many milliseconds they begin. */
+  /** Length of the window in which deviations start, in milliseconds. */
   readonly depth: number;
   readonly ignored: ReadonlySet<Invariant>;
 }
 
-/** What a walk went through, as a schedule that repeats it, and what came of it. */
+/** Result of a random walk, with the schedule that repeats it. */
 export interface Walk {
   readonly scenario: Scenario;
   readonly result: RunResult;
@@ -42,9 +41,9 @@
   'pause',
   'disk',
 ];
-/** Between two events: a schedule that is replayed has its deviations at the same place in their order. */
+/** Places a deviation between two events, so that a replayed schedule has it at the same place in their order. */
 const afterOccurrenceMs = 0.5;
-/** How likely a message of a kind has a deviation set beside it. */
+/** Probability of a deviation beside a message, by frame kind. */
 const deviationProbabilities: Readonly<Record<string, number>> = {
   'vote-request': 0.05,
   vote: 0.05,
@@ -72,32 +71,32 @@
   kind: Exclude<DeviationKind, 'message' | 'join'>,
   at: number,
   machine: number,
-  founders: number,
+  initialMachineCount: number,
 ): Deviation => {
-  const forMs = randomDurationMs(choose);
+  const durationMs = randomDurationMs(choose);
   switch (kind) {
     case 'crash':
       return {
         kind,
         at,
         machine,
-        forMs: choose.pick(5, choose.integer(5, 200), forMs),
+        durationMs: choose.pick(5, choose.integer(5, 200), durationMs),
         disk: choose.pick('kept', 'kept', 'kept with pending write', 'lost'),
       };
     case 'pause':
-      return { kind, at, machine, forMs };
+      return { kind, at, machine, durationMs };
     case 'disk':
-      return { kind, at, machine, trouble: choose.pick('stalled', 'full'), forMs };
+      return { kind, at, machine, fault: choose.pick('stalled', 'full'), durationMs };
     case 'cut': {
-      const peer = choose.integer(0, founders - 1);
+      const peer = choose.integer(0, initialMachineCount - 1);
       return {
         kind,
         at,
         machine,
         peer: peer === machine || choose.happens(0.6) ? 'all' : peer,
-        way: choose.pick('both', 'both', 'inbound', 'outbound'),
+        direction: choose.pick('both', 'both', 'inbound', 'outbound'),
         messages: choose.pick('lost', 'held'),
-        forMs,
+        durationMs,
       };
     }
   }
@@ -105,34 +104,41 @@
 
 const messageAction = (choose: RandomChoices): MessageFault['action'] =>
   choose.pick<MessageFault['action']>(
-    { action: 'drop' },
-    { action: 'delay', byMs: randomDurationMs(choose) },
-    { action: 'repeat', afterMs: randomDurationMs(choose) },
+    { kind: 'drop' },
+    { kind: 'delay', byMs: randomDurationMs(choose) },
+    { kind: 'repeat', afterMs: randomDurationMs(choose) },
   );
 
-/** The deviation beside an occurrence: of its message, or of one of the two machines. */
+/** Returns a deviation beside a message: of the message itself, or of the sending or receiving machine. */
 const deviationAt = (
   choose: RandomChoices,
   kind: DeviationKind,
   occurrence: Occurrence,
-  founders: number,
+  initialMachineCount: number,
 ): Deviation => {
   const { at, frame, from, to } = occurrence;
   if (kind === 'message' && frame !== undefined && from !== undefined && to !== undefined)
     return { kind, at, frame, from, to, action: messageAction(choose) };
   const machine = choose.happens(0.5) ? occurrence.machine : (to?.machine ?? occurrence.machine);
   const machineKind = kind === 'message' || kind === 'join' ? 'crash' : kind;
-  return machineDeviation(choose, machineKind, at + afterOccurrenceMs, machine, founders);
+  return machineDeviation(
+    choose,
+    machineKind,
+    at + afterOccurrenceMs,
+    machine,
+    initialMachineCount,
+  );
 };
 
-/** The machine whose store holds the lease now. */
-const leaderOf = (simulation: Simulation): number =>
+/** Returns the machine of the primary; 0 if no store holds the lease. */
+const primaryOf = (simulation: Simulation): number =>
   simulation.machines.find(
-    (one) =>
-      one.store !== undefined && holdsLease(one.store.candidate, clockOf(one, simulation.now)),
+    (machine) =>
+      machine.store !== undefined &&
+      holdsLease(machine.store.candidate, clockOf(machine, simulation.now)),
   )?.index ?? 0;
 
-/** Sets deviations beside messages that matter, as they are sent. */
+/** Places deviations beside messages as they are sent. */
 class Walker {
   readonly deviations: Deviation[] = [];
   readonly #simulation: Simulation;
@@ -153,20 +159,20 @@
     this.#maxDeviations = choose.integer(1, bounds.faults);
   }
 
-  /** Begins with what moves the duty, or with a machine that joins. */
+  /** Adds initial deviations: often a fault that moves the primary lease, sometimes a machine that joins. */
   start(): void {
     const choose = this.#random;
-    const { founders } = this.#simulation.layout;
+    const { initialMachineCount } = this.#simulation.layout;
     const at = formedAtMs + choose.integer(1, 300);
-    if (choose.happens(0.15)) this.add({ kind: 'join', at, machine: founders });
+    if (choose.happens(0.15)) this.add({ kind: 'join', at, machine: initialMachineCount });
     if (choose.happens(0.2)) return;
-    const leader = leaderOf(this.#simulation);
-    const machine = choose.happens(0.7) ? leader : choose.integer(0, founders - 1);
+    const primary = primaryOf(this.#simulation);
+    const machine = choose.happens(0.7) ? primary : choose.integer(0, initialMachineCount - 1);
     const kind = choose.pick<'crash' | 'pause' | 'cut'>('crash', 'pause', 'cut', 'cut');
-    this.add(machineDeviation(choose, kind, at, machine, founders));
+    this.add(machineDeviation(choose, kind, at, machine, initialMachineCount));
   }
 
-  /** Adds a deviation to the schedule. */
+  /** Adds a deviation to the schedule and to the running simulation. */
   add(deviation: Deviation): void {
     this.deviations.push(deviation);
     this.#simulation.deviate(deviation);
@@ -177,7 +183,9 @@
     if (occurrence.at > formedAtMs + this.#bounds.depth) return;
     if (!this.#random.happens(deviationProbabilities[occurrence.frame ?? ''] ?? 0)) return;
     const kind = this.#random.pick(...this.#deviationKinds);
-    this.add(deviationAt(this.#random, kind, occurrence, this.#simulation.layout.founders));
+    this.add(
+      deviationAt(this.#random, kind, occurrence, this.#simulation.layout.initialMachineCount),
+    );
   }
 }
 
@@ -186,40 +194,43 @@
   clockRates: clockVariants[choose.integer(0, clockVariants.length - 1)] ?? [],
 });
 
-const corpusShare = 0.25;
-const jitter = 120;
+const corpusProbability = 0.25;
+const jitterMs = 120;
 
-/** Now and then a schedule of the corpus, its times moved a little, to deviate from further. */
+/** Returns the schedule that a walk extends: an empty one, or one of the corpus with its times shifted. */
 const baseOf = (choose: RandomChoices, seed: number, bounds: WalkBounds): Scenario => {
   const [first, ...others] = corpus;
-  if (first === undefined || !choose.happens(corpusShare))
+  if (first === undefined || !choose.happens(corpusProbability))
     return { layout: layoutOf(choose, seed, bounds), deviations: [] };
   const { layout, deviations } = choose.pick(first, ...others).scenario;
   return {
     layout: { ...layout, seed: 1 + choose.integer(0, 5) },
-    deviations: deviations.map((one) => ({ ...one, at: one.at + choose.integer(-jitter, jitter) })),
+    deviations: deviations.map((deviation) => ({
+      ...deviation,
+      at: deviation.at + choose.integer(-jitterMs, jitterMs),
+    })),
   };
 };
 
-/** Walks from the formed cluster, deviating at random from the default schedule. */
+/** Runs one random walk from the running cluster; the seed determines it completely. */
 export const randomWalk = (seed: number, bounds: WalkBounds): Walk => {
   const choose = new RandomChoices(seed);
   const { layout, deviations } = baseOf(choose, seed, bounds);
   const simulation = formedCluster(layout, bounds.ignored);
-  const before = simulation.steps;
+  const stepsBefore = simulation.steps;
   const walker = new Walker(simulation, choose, bounds);
   if (deviations.length === 0) walker.start();
-  else for (const one of deviations) walker.add(one);
+  else for (const deviation of deviations) walker.add(deviation);
   simulation.observer = (occurrence) => {
     walker.observe(occurrence);
   };
   simulation.runUntil(formedAtMs + bounds.depth);
   simulation.observer = undefined;
-  // What is over by then needs no further run than it takes to settle.
+  // Once all deviations have ended, only the time to settle is simulated.
   const last = Math.max(...walker.deviations.map(deviationEnd).filter(Number.isFinite), formedAtMs);
   simulation.runUntil(Math.min(runEnd(walker.deviations), last + 4000));
   return {
     scenario: { layout, deviations: walker.deviations },
-    result: resultOf(simulation, before),
+    result: resultOf(simulation, stepsBefore),
   };
 };
--- a/packages/model-checker/src/explore/run.ts
+++ b/packages/model-checker/src/explore/run.ts
@@ -1,6 +1,4 @@
-/**
- * Runs one schedule from a formed cluster to its end, with checkpoints for those that branch off.
- */
+/** Runs of one schedule from a running cluster to its end, with checkpoints from which others branch off. */
 
 import type { Invariant, Violation } from '../cluster/invariants.js';
 import type { Occurrence } from '../cluster/occurrence.js';
@@ -8,16 +6,16 @@
 import { type Deviation, deviationEnd } from '../schedule/deviation.js';
 import type { ClusterLayout, Scenario } from '../schedule/scenario.js';
 
-/** When the cluster stands and is written to: deviations begin here. */
+/** Time at which the cluster has formed and takes writes; deviations start after it. */
 export const formedAtMs = 2500;
-/** How long a run goes on after its last deviation is over. */
+/** Duration of a run after its last deviation has ended. */
 export const settleMs = 3200;
 const checkpointIntervalMs = 100;
 
-/** What one run came to. */
+/** Result of one run. */
 export interface RunResult {
   readonly violation: Violation | undefined;
-  /** The events acted on after the deviations began. */
+  /** Number of events handled since the start of the run. */
   readonly states: number;
   readonly confirmedWrites: number;
   readonly reads: number;
@@ -30,20 +28,20 @@
   return Number.isFinite(end) ? end : deviation.at;
 };
 
-/** When a run with these deviations is over. */
+/** Returns the end time of a run with these deviations. */
 export const runEnd = (deviations: readonly Deviation[]): number =>
   Math.max(formedAtMs, ...deviations.map(finiteEnd)) + settleMs;
 
 const formedClusters = new Map<string, Simulation>();
 
-/** A cluster that stands, from which runs of this layout begin. */
+/** Returns a clone of the formed cluster of a layout, from which runs start. */
 export const formedCluster = (
   layout: ClusterLayout,
   ignored: ReadonlySet<Invariant> = new Set(),
 ): Simulation => {
   const key = JSON.stringify([layout, [...ignored].sort()]);
-  const known = formedClusters.get(key);
-  if (known !== undefined) return known.clone();
+  const cached = formedClusters.get(key);
+  if (cached !== undefined) return cached.clone();
   const simulation = new Simulation(layout);
   simulation.ignore(ignored);
   simulation.runUntil(formedAtMs);
@@ -51,10 +49,10 @@
   return simulation.clone();
 };
 
-/** What a run came to, that had acted on so many events before. */
-export const resultOf = (simulation: Simulation, before: number): RunResult => ({
+/** Returns the result of a run that started after `stepsBefore` handled events. */
+export const resultOf = (simulation: Simulation, stepsBefore: number): RunResult => ({
   violation: simulation.monitor.violation,
-  states: simulation.steps - before,
+  states: simulation.steps - stepsBefore,
   ...simulation.monitor.exercise,
 });
 
@@ -64,20 +62,20 @@
   ignored: ReadonlySet<Invariant> = new Set(),
 ): RunResult => {
   const simulation = formedCluster(layout, ignored);
-  const before = simulation.steps;
-  for (const one of deviations) simulation.deviate(one);
+  const stepsBefore = simulation.steps;
+  for (const deviation of deviations) simulation.deviate(deviation);
   simulation.runUntil(runEnd(deviations));
-  return resultOf(simulation, before);
+  return resultOf(simulation, stepsBefore);
 };
 
-/** A run with the states it went through now and then, and what happened in it. */
+/** Run with periodic checkpoints and its occurrences. */
 export interface Trace {
   readonly checkpoints: readonly Simulation[];
   readonly occurrences: readonly Occurrence[];
   readonly result: RunResult;
 }
 
-/** Runs on from a state, keeping clones on the way: deviations that come later begin from there. */
+/** Continues from a state with a deviation, and keeps checkpoints from which later deviations branch off. */
 export const traceFrom = (
   start: Simulation,
   deviation: Deviation | undefined,
@@ -85,20 +83,20 @@
   end: number,
 ): Trace => {
   const simulation = start.clone();
-  const before = simulation.steps;
+  const stepsBefore = simulation.steps;
   if (deviation !== undefined) simulation.deviate(deviation);
   const checkpoints: Simulation[] = [simulation.clone()];
   const occurrences: Occurrence[] = [];
-  simulation.observer = (one) => occurrences.push(one);
+  simulation.observer = (occurrence) => occurrences.push(occurrence);
   for (let at = simulation.now + checkpointIntervalMs; at < windowEnd; at += checkpointIntervalMs) {
     simulation.runUntil(at);
     checkpoints.push(simulation.clone());
   }
   simulation.observer = undefined;
   simulation.runUntil(end);
-  return { checkpoints, occurrences, result: resultOf(simulation, before) };
+  return { checkpoints, occurrences, result: resultOf(simulation, stepsBefore) };
 };
 
-/** The last state that was kept before a moment. */
+/** Returns the last checkpoint before a time. */
 export const checkpointBefore = (trace: Trace, at: number): Simulation | undefined =>
-  trace.checkpoints.findLast((one) => one.now < at);
+  trace.checkpoints.findLast((checkpoint) => checkpoint.now < at);
--- a/packages/model-checker/src/explore/schedules.test.ts
+++ b/packages/model-checker/src/explore/schedules.test.ts
@@ -1,4 +1,4 @@
-/** Schedules that once broke an invariant, as the checker printed them, shrunk. */
+/** Guards against the return of invariant violations that the checker found, by their shrunk schedules. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
--- a/packages/model-checker/src/explore/search.ts
+++ b/packages/model-checker/src/explore/search.ts
@@ -1,4 +1,4 @@
-/** A whole search: the corpus, then all placements of one deviation, then random walks. */
+/** Complete search: the corpus, then all placements of one deviation, then random walks. */
 
 import type { Invariant } from '../cluster/invariants.js';
 import { type Scenario, platformLayout } from '../schedule/scenario.js';
@@ -7,34 +7,35 @@
 import { corpus } from '../schedule/corpus.js';
 import { runScenario } from './run.js';
 
-/** Bounds of a whole search: first all placements of few deviations, then random walks with more. */
+/** Bounds of a complete search. */
 export interface SearchBounds {
-  /** How many states at most, half of them for the placements. */
+  /** Approximate maximum number of states; half of them are for the placements. */
   readonly states: number;
-  /** Within how many milliseconds deviations begin. */
+  /** Length of the window in which deviations start, in milliseconds. */
   readonly depth: number;
-  /** How many deviations a random walk has at most. */
+  /** Maximum number of deviations in a random walk. */
   readonly faults: number;
+  /** Cluster sizes to search. */
   readonly members: readonly number[];
   readonly seed: number;
   readonly ignored: ReadonlySet<Invariant>;
   readonly stopAtFirst: boolean;
 }
 
-/** What a search came to. */
+/** Result and coverage of a complete search. */
 export interface SearchReport {
   readonly states: number;
   readonly placements: number;
-  /** Of each size of cluster, whether all placements within the bounds were tried. */
+  /** Whether all placements within the bounds were tried, by cluster size. */
   readonly complete: ReadonlyMap<number, boolean>;
   readonly walks: number;
   readonly confirmedWrites: number;
   readonly found: readonly FoundViolation[];
 }
 
-const placementShare = 0.5;
+const placementFraction = 0.5;
 
-/** Searches within the bounds. */
+/** Runs a complete search within the bounds. */
 export const search = (bounds: SearchBounds): SearchReport => {
   const found: FoundViolation[] = [];
   const complete = new Map<number, boolean>();
@@ -54,12 +55,17 @@
     const result = exploreExhaustively(platformLayout(members, bounds.seed), {
       faults: 1,
       depth: bounds.depth,
-      states: (bounds.states * placementShare) / bounds.members.length,
+      states: (bounds.states * placementFraction) / bounds.members.length,
       ignored: bounds.ignored,
       stopAtFirst: bounds.stopAtFirst,
     });
-    const before = states;
-    found.push(...result.found.map((one) => ({ ...one, states: before + one.states })));
+    const statesBefore = states;
+    found.push(
+      ...result.found.map((violation) => ({
+        ...violation,
+        states: statesBefore + violation.states,
+      })),
+    );
     states += result.states;
     placements += result.runs;
     confirmedWrites += result.confirmedWrites;
@@ -77,5 +83,5 @@
   return { states, placements, complete, walks, confirmedWrites, found };
 };
 
-/** A scenario as a literal for a test. */
+/** Formats a scenario as a JSON literal for a test. */
 export const printScenario = (scenario: Scenario): string => JSON.stringify(scenario);
--- a/packages/model-checker/src/explore/shrink.ts
+++ b/packages/model-checker/src/explore/shrink.ts
@@ -1,19 +1,17 @@
-/**
- * Shrinks a schedule that breaks an invariant to a small one that still does (delta debugging).
- */
+/** Reduction of a schedule that violates an invariant to a small one that still does (delta debugging). */
 
 import type { Deviation } from '../schedule/deviation.js';
 import type { Scenario } from '../schedule/scenario.js';
 import { type Invariant, invariants } from '../cluster/invariants.js';
 import { runScenario } from './run.js';
 
-/** Whether this invariant fails, whatever becomes of the others. */
-const fails = (scenario: Scenario, invariant: Invariant): boolean => {
-  const others = new Set(invariants.filter((one) => one !== invariant));
+/** Whether a scenario violates the invariant; other invariants are ignored. */
+const violates = (scenario: Scenario, invariant: Invariant): boolean => {
+  const others = new Set(invariants.filter((other) => other !== invariant));
   return runScenario(scenario, others).violation !== undefined;
 };
 
-/** Leaves out every part of the schedule without which the invariant still fails: large parts first. */
+/** Removes every part of the schedule without which the invariant is still violated, large parts first. */
 const removeDeviations = (scenario: Scenario, invariant: Invariant): Scenario => {
   let current = scenario;
   for (
@@ -21,12 +19,14 @@
     size >= 1;
     size = Math.floor(size / 2)
   ) {
-    let from = 0;
-    while (from < current.deviations.length) {
-      const deviations = current.deviations.filter((_, at) => at < from || at >= from + size);
+    let start = 0;
+    while (start < current.deviations.length) {
+      const deviations = current.deviations.filter(
+        (_, index) => index < start || index >= start + size,
+      );
       const smaller: Scenario = { ...current, deviations };
-      if (fails(smaller, invariant)) current = smaller;
-      else from += size;
+      if (violates(smaller, invariant)) current = smaller;
+      else start += size;
     }
   }
   return current;
@@ -34,27 +34,31 @@
 
 const roundTo = (value: number, unit: number): number => Math.round(value / unit) * unit;
 
-/** The same deviation, simpler: a shorter span, a rounder time. */
-const simplerOnes = (one: Deviation): readonly Deviation[] => {
+/** Returns simpler variants of a deviation: shorter durations, then rounder start times. */
+const simplerVariants = (deviation: Deviation): readonly Deviation[] => {
   const rounded = [100, 10]
-    .map((unit) => roundTo(one.at, unit))
-    .filter((at) => at !== one.at)
-    .map((at): Deviation => ({ ...one, at }));
-  if (!('forMs' in one) || !Number.isFinite(one.forMs)) return rounded;
-  const spans = [one.forMs / 2, roundTo(one.forMs, 100), roundTo(one.forMs, 10)]
-    .filter((span) => span >= 10 && span < one.forMs)
-    .map((forMs): Deviation => ({ ...one, forMs: Math.round(forMs) }));
-  return [...spans, ...rounded];
+    .map((unit) => roundTo(deviation.at, unit))
+    .filter((at) => at !== deviation.at)
+    .map((at): Deviation => ({ ...deviation, at }));
+  if (!('durationMs' in deviation) || !Number.isFinite(deviation.durationMs)) return rounded;
+  const shortened = [
+    deviation.durationMs / 2,
+    roundTo(deviation.durationMs, 100),
+    roundTo(deviation.durationMs, 10),
+  ]
+    .filter((shorterMs) => shorterMs >= 10 && shorterMs < deviation.durationMs)
+    .map((durationMs): Deviation => ({ ...deviation, durationMs: Math.round(durationMs) }));
+  return [...shortened, ...rounded];
 };
 
 const simplifyDeviations = (scenario: Scenario, invariant: Invariant): Scenario => {
   let current = scenario;
-  for (const [place] of scenario.deviations.entries()) {
-    const one = current.deviations[place];
-    if (one === undefined) continue;
-    for (const simpler of simplerOnes(one)) {
-      const next: Scenario = { ...current, deviations: current.deviations.with(place, simpler) };
-      if (!fails(next, invariant)) continue;
+  for (const [index] of scenario.deviations.entries()) {
+    const deviation = current.deviations[index];
+    if (deviation === undefined) continue;
+    for (const simpler of simplerVariants(deviation)) {
+      const next: Scenario = { ...current, deviations: current.deviations.with(index, simpler) };
+      if (!violates(next, invariant)) continue;
       current = next;
       break;
     }
@@ -64,19 +68,19 @@
 
 const simplifyLayout = (scenario: Scenario, invariant: Invariant): Scenario => {
   const { layout } = scenario;
-  const joins = scenario.deviations.some((one) => one.kind === 'join');
+  const hasJoin = scenario.deviations.some((deviation) => deviation.kind === 'join');
   const candidates = [
-    { ...layout, clockRates: [], spares: joins ? layout.spares : 0 },
+    { ...layout, clockRates: [], joiningMachineCount: hasJoin ? layout.joiningMachineCount : 0 },
     { ...layout, clockRates: [] },
   ];
-  for (const one of candidates) {
-    const next: Scenario = { ...scenario, layout: one };
-    if (fails(next, invariant)) return next;
+  for (const candidate of candidates) {
+    const next: Scenario = { ...scenario, layout: candidate };
+    if (violates(next, invariant)) return next;
   }
   return scenario;
 };
 
-/** Shrinks a scenario for as long as the same invariant fails (delta debugging). */
+/** Shrinks a scenario as long as it violates the same invariant. */
 export const shrink = (scenario: Scenario, invariant: Invariant): Scenario => {
   let current = simplifyLayout(removeDeviations(scenario, invariant), invariant);
   for (let round = 0; round < 3; round += 1) {
--- a/packages/model-checker/src/index.ts
+++ b/packages/model-checker/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * A model checker over the state machines of stores and registries: searches schedules of faults
- * for one that breaks an invariant. Proxies and origins are the simulator's matter.
+ * Model checker for the state machines of stores and registries: searches schedules of faults for
+ * one that violates an invariant. The simulator covers proxies and origins.
  */
 
 export * from './schedule/deviation.js';
--- a/packages/model-checker/src/known-violations.ts
+++ b/packages/model-checker/src/known-violations.ts
@@ -1,9 +1,6 @@
-/** What is known to be broken, so that searches find what is not. */
+/** Known violations, which searches ignore. */
 
 import type { Invariant } from './cluster/invariants.js';
 
-/**
- * Invariants that the code does not keep today: searches go past them, and each has a schedule of
- * its own in the tests. An entry goes as soon as its fault is mended.
- */
+/** Invariants that the code is known to violate; an entry is removed once its fault is fixed. */
 export const knownViolations: ReadonlySet<Invariant> = new Set<Invariant>();
--- a/packages/model-checker/src/main.ts
+++ b/packages/model-checker/src/main.ts
@@ -1,4 +1,4 @@
-/** The command line of the model checker. */
+/** Entry point of `npm run model-check`: parses the command line, runs a search and prints its report. */
 
 import meow from 'meow';
 import { type Invariant, invariants } from './cluster/invariants.js';
@@ -13,26 +13,26 @@
   Usage
     $ npm run model-check -- [flags]
 
-  Searches schedules of the control side for one that breaks an invariant, shrinks and prints it.
+  Searches schedules of faults in the control plane for violations of invariants, shrinks and prints them.
 
   Flags
-    --states N      how many states at most (1000000)
-    --depth N       within how many milliseconds deviations begin (800)
-    --faults N      how many deviations a random walk has at most (6)
-    --members A..B  how many machines the cluster has (3..5)
-    --seed N        where the random choices begin (1)
-    --ignore TEXT   an invariant that is not judged; repeat for more
-    --first         end with the first violation
-    --bugs          take the guards of the list out one by one, and search without each
-    --only TEXT     with --bugs: only those with this in their name
+    --states N      approximate maximum number of states (1000000)
+    --depth N       length in milliseconds of the window in which deviations start (800)
+    --faults N      maximum number of deviations in a random walk (6)
+    --members A..B  cluster sizes (3..5)
+    --seed N        seed of the random source (1)
+    --ignore TEXT   name of an invariant that is not checked; may be repeated
+    --first         stop at the first violation
+    --bugs          search with each of the seeded bugs in turn
+    --only TEXT     with --bugs: only bugs whose name contains this text
     --part I/N      with --bugs: only the I-th of N parts of the list
 
   Exit codes
-    0  nothing found (with --bugs: each found)    1  otherwise    2  wrong use
+    0  no violation found (with --bugs: every bug found)    1  otherwise    2  invalid command line
 `,
   {
     importMeta: import.meta,
-    description: 'A model checker over the state machines of stores and registries.',
+    description: 'Model checker for the state machines of stores and registries.',
     flags: {
       states: { type: 'number', default: 1_000_000 },
       depth: { type: 'number', default: 800 },
@@ -48,43 +48,45 @@
   },
 );
 
-const say = (text: string): void => {
+const print = (text: string): void => {
   process.stdout.write(`${text}\n`);
 };
 
 const membersOf = (text: string): readonly number[] => {
   const [low, high] = text.split('..').map(Number);
-  const from = low ?? 3;
-  const to = high ?? from;
-  return Array.from({ length: to - from + 1 }, (_, at) => from + at);
+  const min = low ?? 3;
+  const max = high ?? min;
+  return Array.from({ length: max - min + 1 }, (_, index) => min + index);
 };
 
-const ignoredOf = (texts: readonly string[]): ReadonlySet<Invariant> =>
-  new Set(invariants.filter((one) => texts.includes(one)));
+const ignoredOf = (names: readonly string[]): ReadonlySet<Invariant> =>
+  new Set(invariants.filter((invariant) => names.includes(invariant)));
 
 const printReport = (report: SearchReport, ignored: ReadonlySet<Invariant>): void => {
   const { flags } = cli;
-  say(
-    `bounds: ${flags.states} states, deviations within ${flags.depth} ms, at most ${flags.faults} at once, ${flags.members} members, seed ${flags.seed}`,
+  print(
+    `bounds: ${flags.states} states, deviations start within ${flags.depth} ms, at most ${flags.faults} in a walk, ${flags.members} members, seed ${flags.seed}`,
   );
   for (const [members, complete] of report.complete)
-    say(
-      `single deviations with ${members} members: ${complete ? 'every placement tried' : 'bound of states reached'}`,
+    print(
+      `single deviations with ${members} members: ${complete ? 'every placement tried' : 'bound on states reached'}`,
     );
-  say(`runs: ${report.placements} placements, ${report.walks} random walks`);
-  say(`confirmed writes judged: ${report.confirmedWrites}`);
-  for (const one of ignored) say(`not judged: ${one}`);
-  const seen = new Set<Invariant>();
+  print(`runs: ${report.placements} placements, ${report.walks} random walks`);
+  print(`confirmed writes checked: ${report.confirmedWrites}`);
+  for (const invariant of ignored) print(`not checked: ${invariant}`);
+  const printed = new Set<Invariant>();
   for (const { scenario, violation, states } of report.found) {
-    if (seen.has(violation.invariant)) continue;
-    seen.add(violation.invariant);
+    if (printed.has(violation.invariant)) continue;
+    printed.add(violation.invariant);
     const smallest = shrink(scenario, violation.invariant);
-    const others = new Set(invariants.filter((one) => one !== violation.invariant));
-    say(`found after ${states} states: ${runScenario(smallest, others).violation?.text ?? ''}`);
-    say(`violated: ${violation.invariant}`);
-    say(`schedule: ${printScenario(smallest)}`);
+    const others = new Set(invariants.filter((invariant) => invariant !== violation.invariant));
+    print(
+      `violation after ${states} states: ${runScenario(smallest, others).violation?.text ?? ''}`,
+    );
+    print(`violated: ${violation.invariant}`);
+    print(`schedule: ${printScenario(smallest)}`);
   }
-  say(`states: ${report.found[0]?.states ?? report.states}`);
+  print(`states: ${report.found[0]?.states ?? report.states}`);
 };
 
 const boundArguments = (): readonly string[] => {
@@ -92,23 +94,23 @@
   return [
     ...['--states', String(flags.states), '--depth', String(flags.depth)],
     ...['--faults', String(flags.faults), '--members', flags.members, '--seed', String(flags.seed)],
-    ...(flags.ignore ?? []).flatMap((one) => ['--ignore', one]),
+    ...(flags.ignore ?? []).flatMap((name) => ['--ignore', name]),
   ];
 };
 
 const hunt = async (): Promise<void> => {
-  const [part = 1, parts = 1] = cli.flags.part.split('/').map(Number);
-  const chosen = seededBugs.filter(
-    (one, at) => one.name.includes(cli.flags.only) && at % parts === part - 1,
+  const [part = 1, partCount = 1] = cli.flags.part.split('/').map(Number);
+  const bugs = seededBugs.filter(
+    (bug, index) => bug.name.includes(cli.flags.only) && index % partCount === part - 1,
   );
-  let missed = 0;
-  await huntSeededBugs(chosen, boundArguments(), ({ bug, invariant, states, scenario }) => {
-    if (invariant === undefined) missed += 1;
-    say(`${bug.name} | ${invariant ?? 'NOT FOUND'} | ${states} states`);
-    if (scenario !== undefined) say(`  ${scenario}`);
+  let missedCount = 0;
+  await huntSeededBugs(bugs, boundArguments(), ({ bug, invariant, states, scenario }) => {
+    if (invariant === undefined) missedCount += 1;
+    print(`${bug.name} | ${invariant ?? 'NOT FOUND'} | ${states} states`);
+    if (scenario !== undefined) print(`  ${scenario}`);
   });
-  say(`${chosen.length - missed} of ${chosen.length} seeded bugs found`);
-  process.exitCode = missed > 0 ? 1 : 0;
+  print(`${bugs.length - missedCount} of ${bugs.length} seeded bugs found`);
+  process.exitCode = missedCount > 0 ? 1 : 0;
 };
 
 if (cli.flags.bugs) await hunt();
--- a/packages/model-checker/src/schedule/corpus.ts
+++ b/packages/model-checker/src/schedule/corpus.ts
@@ -1,39 +1,34 @@
-/** Schedules that every search begins with. */
+/** Corpus of schedules with which every search begins. */
 
 import { type ClusterLayout, type Scenario, platformLayout } from './scenario.js';
 import type { Crash, Cut, Deviation, Endpoint, MessageFault } from './deviation.js';
 
-/**
- * Schedules that once broke an invariant, or that are built to. Every search begins with them, and
- * some of its random walks vary their times.
- */
-
-const formed: ClusterLayout = { ...platformLayout(3), spares: 0 };
-const leader: Endpoint = { machine: 0, role: 'store' };
+const threeMachines: ClusterLayout = { ...platformLayout(3), joiningMachineCount: 0 };
+const primary: Endpoint = { machine: 0, role: 'store' };
 const voter: Endpoint = { machine: 1, role: 'registry' };
 
 const delayedRenewal = (at: number, byMs: number): MessageFault => ({
   kind: 'message',
   at,
   frame: 'vote-request',
-  from: leader,
+  from: primary,
   to: voter,
-  action: { action: 'delay', byMs },
+  action: { kind: 'delay', byMs },
 });
-const cutOff = (machine: number, at: number, forMs: number): Cut => ({
+const cutOff = (machine: number, at: number, durationMs: number): Cut => ({
   kind: 'cut',
   at,
   machine,
   peer: 'all',
-  way: 'both',
+  direction: 'both',
   messages: 'lost',
-  forMs,
+  durationMs,
 });
-const restart = (machine: number, at: number, forMs: number, disk: Crash['disk']): Crash => ({
+const restart = (machine: number, at: number, durationMs: number, disk: Crash['disk']): Crash => ({
   kind: 'crash',
   at,
   machine,
-  forMs,
+  durationMs,
   disk,
 });
 
@@ -45,7 +40,7 @@
   restart(1, 4000, 20, 'kept'),
 ];
 
-/** As above, but the renewals arrive after the restarted voter's abstention. */
+/** Variant of lateRenewals in which they arrive after the restarted voter's abstention. */
 const laterRenewals: readonly Deviation[] = [
   delayedRenewal(2600, 2450),
   delayedRenewal(2800, 2450),
@@ -55,30 +50,30 @@
 ];
 
 const heldRenewals: readonly Deviation[] = [
-  { ...cutOff(1, 2600, 2370), way: 'outbound', messages: 'held' },
+  { ...cutOff(1, 2600, 2370), direction: 'outbound', messages: 'held' },
   cutOff(1, 3300, 900),
   restart(2, 4000, 19, 'lost'),
   { ...cutOff(0, 4200, 1200), messages: 'held' },
 ];
 
-/** A schedule with what it is about. */
+/** Schedule with the property that it checks. */
 export interface NamedScenario {
   readonly name: string;
   readonly scenario: Scenario;
 }
 
-/** The schedules, each with the property that it once broke. */
+/** Schedules that once violated an invariant; random walks also vary their times. */
 export const corpus: readonly NamedScenario[] = [
   {
-    name: 'two late renewals of a former holder do not make a restarted voter sure of its epoch',
-    scenario: { layout: formed, deviations: lateRenewals },
+    name: 'two late renewals from a former lease holder do not confirm the epoch of a restarted voter',
+    scenario: { layout: threeMachines, deviations: lateRenewals },
   },
   {
-    name: 'two renewals of a former holder prove nothing to a voter that is past its abstention',
-    scenario: { layout: formed, deviations: laterRenewals },
+    name: 'two renewals from a former lease holder do not confirm the epoch of a voter past its abstention',
+    scenario: { layout: threeMachines, deviations: laterRenewals },
   },
   {
-    name: 'renewals that a cut held back bring a restarted voter no second primary of an epoch',
+    name: 'renewals delayed by a network partition do not lead to a second primary of an epoch',
     scenario: {
       layout: { ...platformLayout(3, 2), clockRates: [0.98, 1.02, 1.02] },
       deviations: heldRenewals,
--- a/packages/model-checker/src/schedule/deviation.ts
+++ b/packages/model-checker/src/schedule/deviation.ts
@@ -1,64 +1,64 @@
 /**
- * Deviations from the default schedule. A schedule is a list of them: everything that is not named
- * in it happens in order, on time and once.
+ * Deviations from the default schedule, in which every message is delivered in order, on time and
+ * exactly once, and no fault occurs. A schedule is a list of deviations.
  */
 
-/** A process of a machine. */
+/** Kind of a process on a machine. */
 export type Role = 'registry' | 'store';
 
-/** A process, by its machine's number and its role. */
+/** Process, identified by the index of its machine and its role. */
 export interface Endpoint {
   readonly machine: number;
   readonly role: Role;
 }
 
-/** A machine's processes end, and start again after a while. */
+/** Crash of all processes of a machine, with a restart after `durationMs`; never if that is infinite. */
 export interface Crash {
   readonly kind: 'crash';
   readonly at: number;
   readonly machine: number;
-  readonly forMs: number;
-  /** Whether the disk is still there, and if so whether the write in hand made it. */
+  readonly durationMs: number;
+  /** State of the disk at the restart: intact, with or without the pending write, or empty. */
   readonly disk: 'kept' | 'kept with pending write' | 'lost';
 }
 
-/** A machine's processes do nothing for a while; what reaches them waits, and their clock goes on. */
+/** Pause of all processes of a machine: events wait, and the clock continues. */
 export interface Pause {
   readonly kind: 'pause';
   readonly at: number;
   readonly machine: number;
-  readonly forMs: number;
+  readonly durationMs: number;
 }
 
-/** Messages between a machine and the others (or one of them) do not pass for a while. */
+/** Network partition between a machine and one peer or all others. */
 export interface Cut {
   readonly kind: 'cut';
   readonly at: number;
   readonly machine: number;
   readonly peer: number | 'all';
-  readonly way: 'both' | 'inbound' | 'outbound';
-  /** Whether what is sent meanwhile is lost, or delivered when the cut ends. */
+  readonly direction: 'both' | 'inbound' | 'outbound';
+  /** Whether messages sent during the partition are lost, or delivered when it ends. */
   readonly messages: 'lost' | 'held';
-  readonly forMs: number;
+  readonly durationMs: number;
 }
 
-/** A disk takes nothing for a while: it stalls, or refuses as it is full. */
+/** Disk that accepts no writes for a time: they stall, or fail as the disk is full. */
 export interface DiskFault {
   readonly kind: 'disk';
   readonly at: number;
   readonly machine: number;
-  readonly trouble: 'stalled' | 'full';
-  readonly forMs: number;
+  readonly fault: 'stalled' | 'full';
+  readonly durationMs: number;
 }
 
-/** A machine that was not there before joins the cluster. */
+/** Start of a machine that joins the cluster. */
 export interface Join {
   readonly kind: 'join';
   readonly at: number;
   readonly machine: number;
 }
 
-/** What happens to the first message of a kind that is sent on a link from a time on. */
+/** Fault of the first message of a frame kind that is sent on a link at or after a time. */
 export interface MessageFault {
   readonly kind: 'message';
   readonly at: number;
@@ -66,15 +66,15 @@
   readonly from: Endpoint;
   readonly to: Endpoint;
   readonly action:
-    | { readonly action: 'drop' }
-    | { readonly action: 'delay'; readonly byMs: number }
-    | { readonly action: 'repeat'; readonly afterMs: number };
+    | { readonly kind: 'drop' }
+    | { readonly kind: 'delay'; readonly byMs: number }
+    | { readonly kind: 'repeat'; readonly afterMs: number };
 }
 
 /** Any deviation from the default schedule. */
 export type Deviation = Crash | Pause | Cut | DiskFault | Join | MessageFault;
 
-/** When the last consequence that a schedule itself brings about is over. */
+/** Returns the time at which the direct effect of a deviation ends; Infinity if it never does. */
 export const deviationEnd = (deviation: Deviation): number => {
   switch (deviation.kind) {
     case 'join':
@@ -82,13 +82,13 @@
     case 'message':
       return (
         deviation.at +
-        (deviation.action.action === 'delay'
+        (deviation.action.kind === 'delay'
           ? deviation.action.byMs
-          : deviation.action.action === 'repeat'
+          : deviation.action.kind === 'repeat'
             ? deviation.action.afterMs
             : 0)
       );
     default:
-      return deviation.at + deviation.forMs;
+      return deviation.at + deviation.durationMs;
   }
 };
--- a/packages/model-checker/src/schedule/scenario.ts
+++ b/packages/model-checker/src/schedule/scenario.ts
@@ -1,31 +1,31 @@
-/** What a run is made of: a cluster's layout and the deviations from the default schedule. */
+/** Layout of a cluster and the deviations that make up a run. */
 
 import type { Deviation } from './deviation.js';
 
-/** The cluster that a run begins with. */
+/** Cluster of a run and its settings. */
 export interface ClusterLayout {
-  /** Machines that found the cluster. */
-  readonly founders: number;
-  /** Machines that may join later. */
-  readonly spares: number;
+  /** Number of machines that bootstrap the cluster. */
+  readonly initialMachineCount: number;
+  /** Number of machines that may join later. */
+  readonly joiningMachineCount: number;
   readonly copies: number;
   readonly tolerate: number;
-  /** How fast each machine's clock runs against true time; 1 for the others. */
+  /** Clock rate of each machine relative to simulated time; 1 for machines without an entry. */
   readonly clockRates: readonly number[];
-  /** The seed of the processes' own random choices. */
+  /** Seed of the processes' random sources. */
   readonly seed: number;
 }
 
-/** A run that can be repeated: print it, and paste it into a test. */
+/** Reproducible run; its JSON can be pasted into a test. */
 export interface Scenario {
   readonly layout: ClusterLayout;
   readonly deviations: readonly Deviation[];
 }
 
-/** The layout of the platform for so many machines: one more copy than it takes to bear the losses, and one more. */
-export const platformLayout = (founders: number, seed = 1): ClusterLayout => ({
-  founders,
-  spares: 1,
+/** Returns the platform's layout for a number of machines: three copies that tolerate the loss of one. */
+export const platformLayout = (initialMachineCount: number, seed = 1): ClusterLayout => ({
+  initialMachineCount,
+  joiningMachineCount: 1,
   copies: 3,
   tolerate: 1,
   clockRates: [],
--- a/packages/model-checker/src/seeded-bugs/hunt.ts
+++ b/packages/model-checker/src/seeded-bugs/hunt.ts
@@ -1,6 +1,4 @@
-/**
- * Takes guards out of a built copy one by one, and lets the model checker look for what breaks.
- */
+/** Search for seeded bugs: removes guards from a built copy one at a time and runs the model checker on it. */
 
 import { spawn } from 'node:child_process';
 import { join } from 'node:path';
@@ -9,23 +7,23 @@
 
 const root = fileURLToPath(new URL('../../../..', import.meta.url));
 
-/** What a hunt for one seeded bug came to: what the checker printed last. */
+/** Result of the search for one seeded bug. */
 export interface HuntResult {
   readonly bug: Guard;
-  /** The invariant that failed; undefined if none did within the bounds. */
+  /** Violated invariant; undefined if none was within the bounds. */
   readonly invariant: string | undefined;
   readonly states: number;
   readonly scenario: string | undefined;
 }
 
-/** The lines that the checker prints for other programs. */
-export interface MachineReadable {
+/** Values parsed from the output of the checker. */
+export interface CheckerReport {
   readonly states: number;
   readonly invariant: string | undefined;
   readonly scenario: string | undefined;
 }
 
-const readReport = (output: string): MachineReadable => {
+const parseReport = (output: string): CheckerReport => {
   const line = (name: string): string | undefined =>
     new RegExp(`^${name}: (.*)$`, 'm').exec(output)?.[1];
   return {
@@ -35,23 +33,23 @@
   };
 };
 
-const runChecker = (copyRoot: string, args: readonly string[]): Promise<MachineReadable> =>
-  new Promise((done) => {
+const runChecker = (copyRoot: string, args: readonly string[]): Promise<CheckerReport> =>
+  new Promise((resolve) => {
     const main = join(copyRoot, 'packages', 'model-checker', 'dist', 'main.js');
     const child = spawn(process.execPath, [main, '--first', ...args], {
       cwd: copyRoot,
       stdio: ['ignore', 'pipe', 'inherit'],
     });
     let output = '';
-    child.stdout.on('data', (part: Buffer) => {
-      output += part.toString();
+    child.stdout.on('data', (chunk: Buffer) => {
+      output += chunk.toString();
     });
     child.on('close', () => {
-      done(readReport(output));
+      resolve(parseReport(output));
     });
   });
 
-/** Takes one guard after the other out of a built copy, and lets the checker look for what it breaks. */
+/** Runs the checker on a built copy with each guard removed in turn; throws if a guard is not found in its file. */
 export const huntSeededBugs = async (
   bugs: readonly Guard[],
   args: readonly string[],
@@ -60,11 +58,11 @@
   const copy = copyBuilt(root);
   try {
     for (const bug of bugs) {
-      const fault = guardError(copy.root, bug);
-      if (fault !== undefined) throw new Error(fault);
-      const putBack = removeGuard(copy, bug);
+      const error = guardError(copy.root, bug);
+      if (error !== undefined) throw new Error(error);
+      const restoreGuard = removeGuard(copy, bug);
       const result = await runChecker(copy.root, args);
-      putBack();
+      restoreGuard();
       report({ bug, ...result });
     }
   } finally {
--- a/packages/model-checker/src/seeded-bugs/list.test.ts
+++ b/packages/model-checker/src/seeded-bugs/list.test.ts
@@ -1,4 +1,4 @@
-/** The list of seeded bugs fits the built files, and one of them is found. */
+/** Guards against outdated quotations in the list, and against a checker that no longer finds a seeded bug. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -10,19 +10,23 @@
 
 const root = fileURLToPath(new URL('../../../..', import.meta.url));
 
-void test('the text of each seeded bug stands once in its built file', () => {
-  const faults = seededBugs.map((one) => guardError(root, one)).filter((one) => one !== undefined);
-  assert.deepEqual(faults, []);
+void test('the quoted code of each seeded bug occurs exactly once in its built file', () => {
+  const errors = seededBugs
+    .map((bug) => guardError(root, bug))
+    .filter((error) => error !== undefined);
+  assert.deepEqual(errors, []);
 });
 
-void test('the checker finds a guard that is taken out, and prints a short schedule', async () => {
-  const bugs = seededBugs.filter((one) => one.name === 'a lease that stands is respected');
-  const found: HuntResult[] = [];
-  const ignored = [...knownViolations].flatMap((one) => ['--ignore', one]);
+void test('the checker finds the violation after a guard is removed', async () => {
+  const bugs = seededBugs.filter(
+    (bug) => bug.name === 'a voter refuses others while a granted lease is valid',
+  );
+  const results: HuntResult[] = [];
+  const ignored = [...knownViolations].flatMap((name) => ['--ignore', name]);
   const bounds = ['--states', '100000', '--depth', '300', '--members', '3..3', '--seed', '1'];
-  await huntSeededBugs(bugs, [...bounds, ...ignored], (result) => found.push(result));
+  await huntSeededBugs(bugs, [...bounds, ...ignored], (result) => results.push(result));
   assert.deepEqual(
-    found.map((one) => one.invariant),
+    results.map((result) => result.invariant),
     ['one valid lease'],
   );
 });
