--- a/packages/model-checker/src/explore/candidates.ts
+++ b/packages/model-checker/src/explore/candidates.ts
@@ -92,9 +92,7 @@
   const withCopy = others.find((machine) => machine.disk !== undefined);
   const withoutCopy = others.find((machine) => machine.disk === undefined);
   return new Set(
-    [primary, withCopy, withoutCopy].flatMap((machine) =>
-      machine === undefined ? [] : [machine.index],
-    ),
+    [primary, withCopy, withoutCopy].flatMap((node) => (node === undefined ? [] : [node.index])),
   );
 };
 
