--- a/packages/devfleet/src/run/scenarios/operator.ts
+++ b/packages/devfleet/src/run/scenarios/operator.ts
@@ -80,8 +80,8 @@
   const { registries } = context.fleet;
   const targets = [registries.slice(0, 1), registries.slice(1, 2)];
   const files = [
-    writeChangedConfiguration(context.plan, context.folder, 'one.json', 341),
-    writeChangedConfiguration(context.plan, context.folder, 'two.json', 342),
+    writeChangedConfiguration(context.plan, context.folder, 'conflicting-1.json', 341),
+    writeChangedConfiguration(context.plan, context.folder, 'conflicting-2.json', 342),
   ];
   const replies = await Promise.all(
     targets.map((target, index) =>
