--- a/packages/model-checker/src/cluster/cluster.ts
+++ b/packages/model-checker/src/cluster/cluster.ts
@@ -160,7 +160,7 @@
         this.#deliver(machine, event.to.role, {
           kind: 'peerDisconnected',
           now,
-          address: addressOf(event.of),
+          address: addressOf(event.peer),
         });
         break;
       case 'readDisk':
--- a/packages/model-checker/src/cluster/operator.ts
+++ b/packages/model-checker/src/cluster/operator.ts
@@ -33,7 +33,7 @@
 
 /** Author of a write; for some generations both authors submit different contents, and one is refused. */
 type Author = 'write' | 'rival';
-const turnsPerRival = 6;
+const turnsPerRivalWrite = 6;
 
 const writeCommand = (
   generation: number,
@@ -95,7 +95,7 @@
     openWrites.push({ generation: nextGeneration, sentAt: now, attempts: 1 });
     nextGeneration += 1;
   }
-  if (operator.turn % turnsPerRival === 1)
+  if (operator.turn % turnsPerRivalWrite === 1)
     requests.push(writeRequest(nextGeneration - 1, operator.turn % machineCount, 'rival'));
   requests.push({
     machine: operator.turn % machineCount,
--- a/packages/model-checker/src/cluster/scheduled-event.ts
+++ b/packages/model-checker/src/cluster/scheduled-event.ts
@@ -16,7 +16,7 @@
       readonly to: Endpoint;
       readonly frame: Frame;
     }
-  | { readonly kind: 'peerDisconnected'; readonly of: Endpoint; readonly to: Endpoint }
+  | { readonly kind: 'peerDisconnected'; readonly peer: Endpoint; readonly to: Endpoint }
   | { readonly kind: 'readDisk'; readonly machine: number; readonly incarnation: number }
   | {
       readonly kind: 'diskWrite';
--- a/packages/model-checker/src/cluster/simulation.ts
+++ b/packages/model-checker/src/cluster/simulation.ts
@@ -219,11 +219,11 @@
   /** Notifies the processes of another machine that their connections to a machine closed. */
   #disconnectPeers(machine: Machine, other: Machine): void {
     if (this.#cluster.links.isCut(machine.index, other.index, this.now)) return;
-    for (const of of ['registry', 'store'] as const)
+    for (const peerRole of ['registry', 'store'] as const)
       for (const role of ['registry', 'store'] as const)
         this.#cluster.timeline.schedule(networkLatencyMs, {
           kind: 'peerDisconnected',
-          of: { machine: machine.index, role: of },
+          peer: { machine: machine.index, role: peerRole },
           to: { machine: other.index, role },
         });
   }
--- a/packages/model-checker/src/explore/random-walk.ts
+++ b/packages/model-checker/src/explore/random-walk.ts
@@ -58,71 +58,71 @@
 };
 const clockVariants: readonly (readonly number[])[] = [[], [0.98, 1.02, 1.02], [1.02, 0.98, 0.98]];
 
-const randomDurationMs = (choose: RandomChoices): number =>
-  choose.pick(
-    choose.integer(20, 300),
-    choose.integer(300, 900),
-    choose.integer(900, 1500),
-    choose.integer(1500, 3000),
+const randomDurationMs = (random: RandomChoices): number =>
+  random.pick(
+    random.integer(20, 300),
+    random.integer(300, 900),
+    random.integer(900, 1500),
+    random.integer(1500, 3000),
   );
 
 const machineDeviation = (
-  choose: RandomChoices,
+  random: RandomChoices,
   kind: Exclude<DeviationKind, 'message' | 'join'>,
   at: number,
   machine: number,
   initialMachineCount: number,
 ): Deviation => {
-  const durationMs = randomDurationMs(choose);
+  const durationMs = randomDurationMs(random);
   switch (kind) {
     case 'crash':
       return {
         kind,
         at,
         machine,
-        durationMs: choose.pick(5, choose.integer(5, 200), durationMs),
-        disk: choose.pick('kept', 'kept', 'kept with pending write', 'lost'),
+        durationMs: random.pick(5, random.integer(5, 200), durationMs),
+        disk: random.pick('kept', 'kept', 'kept with pending write', 'lost'),
       };
     case 'pause':
       return { kind, at, machine, durationMs };
     case 'disk':
-      return { kind, at, machine, fault: choose.pick('stalled', 'full'), durationMs };
+      return { kind, at, machine, fault: random.pick('stalled', 'full'), durationMs };
     case 'cut': {
-      const peer = choose.integer(0, initialMachineCount - 1);
+      const peer = random.integer(0, initialMachineCount - 1);
       return {
         kind,
         at,
         machine,
-        peer: peer === machine || choose.happens(0.6) ? 'all' : peer,
-        direction: choose.pick('both', 'both', 'inbound', 'outbound'),
-        messages: choose.pick('lost', 'held'),
+        peer: peer === machine || random.happens(0.6) ? 'all' : peer,
+        direction: random.pick('both', 'both', 'inbound', 'outbound'),
+        messages: random.pick('lost', 'held'),
         durationMs,
       };
     }
   }
 };
 
-const messageAction = (choose: RandomChoices): MessageFault['action'] =>
-  choose.pick<MessageFault['action']>(
+const messageAction = (random: RandomChoices): MessageFault['action'] =>
+  random.pick<MessageFault['action']>(
     { kind: 'drop' },
-    { kind: 'delay', byMs: randomDurationMs(choose) },
-    { kind: 'repeat', afterMs: randomDurationMs(choose) },
+    { kind: 'delay', byMs: randomDurationMs(random) },
+    { kind: 'repeat', afterMs: randomDurationMs(random) },
   );
 
 /** Returns a deviation beside a message: of the message itself, or of the sending or receiving machine. */
 const deviationAt = (
-  choose: RandomChoices,
+  random: RandomChoices,
   kind: DeviationKind,
   occurrence: Occurrence,
   initialMachineCount: number,
 ): Deviation => {
   const { at, frame, from, to } = occurrence;
   if (kind === 'message' && frame !== undefined && from !== undefined && to !== undefined)
-    return { kind, at, frame, from, to, action: messageAction(choose) };
-  const machine = choose.happens(0.5) ? occurrence.machine : (to?.machine ?? occurrence.machine);
+    return { kind, at, frame, from, to, action: messageAction(random) };
+  const machine = random.happens(0.5) ? occurrence.machine : (to?.machine ?? occurrence.machine);
   const machineKind = kind === 'message' || kind === 'join' ? 'crash' : kind;
   return machineDeviation(
-    choose,
+    random,
     machineKind,
     at + afterOccurrenceMs,
     machine,
@@ -147,29 +147,29 @@
   readonly #maxDeviations: number;
   readonly #bounds: WalkBounds;
 
-  constructor(simulation: Simulation, choose: RandomChoices, bounds: WalkBounds) {
+  constructor(simulation: Simulation, random: RandomChoices, bounds: WalkBounds) {
     this.#simulation = simulation;
-    this.#random = choose;
+    this.#random = random;
     this.#bounds = bounds;
     this.#deviationKinds = [
-      choose.pick(...deviationKinds),
-      choose.pick(...deviationKinds),
-      choose.pick(...deviationKinds),
+      random.pick(...deviationKinds),
+      random.pick(...deviationKinds),
+      random.pick(...deviationKinds),
     ];
-    this.#maxDeviations = choose.integer(1, bounds.faults);
+    this.#maxDeviations = random.integer(1, bounds.faults);
   }
 
   /** Adds initial deviations: often a fault that moves the primary lease, sometimes a machine that joins. */
   start(): void {
-    const choose = this.#random;
+    const random = this.#random;
     const { initialMachineCount } = this.#simulation.layout;
-    const at = formedAtMs + choose.integer(1, 300);
-    if (choose.happens(0.15)) this.add({ kind: 'join', at, machine: initialMachineCount });
-    if (choose.happens(0.2)) return;
+    const at = formedAtMs + random.integer(1, 300);
+    if (random.happens(0.15)) this.add({ kind: 'join', at, machine: initialMachineCount });
+    if (random.happens(0.2)) return;
     const primary = primaryOf(this.#simulation);
-    const machine = choose.happens(0.7) ? primary : choose.integer(0, initialMachineCount - 1);
-    const kind = choose.pick<'crash' | 'pause' | 'cut'>('crash', 'pause', 'cut', 'cut');
-    this.add(machineDeviation(choose, kind, at, machine, initialMachineCount));
+    const machine = random.happens(0.7) ? primary : random.integer(0, initialMachineCount - 1);
+    const kind = random.pick<'crash' | 'pause' | 'cut'>('crash', 'pause', 'cut', 'cut');
+    this.add(machineDeviation(random, kind, at, machine, initialMachineCount));
   }
 
   /** Adds a deviation to the schedule and to the running simulation. */
@@ -189,36 +189,36 @@
   }
 }
 
-const layoutOf = (choose: RandomChoices, seed: number, bounds: WalkBounds): ClusterLayout => ({
-  ...platformLayout(bounds.members[seed % bounds.members.length] ?? 3, 1 + choose.integer(0, 1)),
-  clockRates: clockVariants[choose.integer(0, clockVariants.length - 1)] ?? [],
+const layoutOf = (random: RandomChoices, seed: number, bounds: WalkBounds): ClusterLayout => ({
+  ...platformLayout(bounds.members[seed % bounds.members.length] ?? 3, 1 + random.integer(0, 1)),
+  clockRates: clockVariants[random.integer(0, clockVariants.length - 1)] ?? [],
 });
 
 const corpusProbability = 0.25;
 const jitterMs = 120;
 
 /** Returns the schedule that a walk extends: an empty one, or one of the corpus with its times shifted. */
-const baseOf = (choose: RandomChoices, seed: number, bounds: WalkBounds): Scenario => {
+const baseOf = (random: RandomChoices, seed: number, bounds: WalkBounds): Scenario => {
   const [first, ...others] = corpus;
-  if (first === undefined || !choose.happens(corpusProbability))
-    return { layout: layoutOf(choose, seed, bounds), deviations: [] };
-  const { layout, deviations } = choose.pick(first, ...others).scenario;
+  if (first === undefined || !random.happens(corpusProbability))
+    return { layout: layoutOf(random, seed, bounds), deviations: [] };
+  const { layout, deviations } = random.pick(first, ...others).scenario;
   return {
-    layout: { ...layout, seed: 1 + choose.integer(0, 5) },
+    layout: { ...layout, seed: 1 + random.integer(0, 5) },
     deviations: deviations.map((deviation) => ({
       ...deviation,
-      at: deviation.at + choose.integer(-jitterMs, jitterMs),
+      at: deviation.at + random.integer(-jitterMs, jitterMs),
     })),
   };
 };
 
 /** Runs one random walk from the running cluster; the seed determines it completely. */
 export const randomWalk = (seed: number, bounds: WalkBounds): Walk => {
-  const choose = new RandomChoices(seed);
-  const { layout, deviations } = baseOf(choose, seed, bounds);
+  const random = new RandomChoices(seed);
+  const { layout, deviations } = baseOf(random, seed, bounds);
   const simulation = formedCluster(layout, bounds.ignored);
   const stepsBefore = simulation.steps;
-  const walker = new Walker(simulation, choose, bounds);
+  const walker = new Walker(simulation, random, bounds);
   if (deviations.length === 0) walker.start();
   else for (const deviation of deviations) walker.add(deviation);
   simulation.observer = (occurrence) => {
