--- a/packages/devfleet/src/main.ts
+++ b/packages/devfleet/src/main.ts
@@ -140,7 +140,7 @@
 
 const [command, file] = cli.input;
 if (!commands.has(command)) cli.showHelp(2);
-else if (file === undefined) exitWithUsageError('FILE: the deployment file is missing');
+else if (file === undefined) exitWithUsageError('FILE is required: name a deployment file');
 else {
   const invalidFlag = flagError();
   if (invalidFlag !== undefined) exitWithUsageError(invalidFlag);
