--- a/packages/model-checker/src/main.ts
+++ b/packages/model-checker/src/main.ts
@@ -5,7 +5,7 @@
 import { runScenario } from './explore/run.js';
 import { type SearchReport, printScenario, search } from './explore/search.js';
 import { shrink } from './explore/shrink.js';
-import { huntSeededBugs } from './seeded-bugs/hunt.js';
+import { searchForSeededBugs } from './seeded-bugs/hunt.js';
 import { seededBugs } from './seeded-bugs/list.js';
 
 const cli = meow(
@@ -98,13 +98,13 @@
   ];
 };
 
-const hunt = async (): Promise<void> => {
+const checkSeededBugs = async (): Promise<void> => {
   const [part = 1, partCount = 1] = cli.flags.part.split('/').map(Number);
   const bugs = seededBugs.filter(
     (bug, index) => bug.name.includes(cli.flags.only) && index % partCount === part - 1,
   );
   let missedCount = 0;
-  await huntSeededBugs(bugs, boundArguments(), ({ bug, invariant, states, scenario }) => {
+  await searchForSeededBugs(bugs, boundArguments(), ({ bug, invariant, states, scenario }) => {
     if (invariant === undefined) missedCount += 1;
     print(`${bug.name} | ${invariant ?? 'NOT FOUND'} | ${states} states`);
     if (scenario !== undefined) print(`  ${scenario}`);
@@ -113,7 +113,7 @@
   process.exitCode = missedCount > 0 ? 1 : 0;
 };
 
-if (cli.flags.bugs) await hunt();
+if (cli.flags.bugs) await checkSeededBugs();
 else {
   const { states, depth, faults, members, seed, first } = cli.flags;
   const ignored = ignoredOf(cli.flags.ignore ?? []);
--- a/packages/model-checker/src/seeded-bugs/hunt.ts
+++ b/packages/model-checker/src/seeded-bugs/hunt.ts
@@ -8,7 +8,7 @@
 const root = fileURLToPath(new URL('../../../..', import.meta.url));
 
 /** Result of the search for one seeded bug. */
-export interface HuntResult {
+export interface SeededBugResult {
   readonly bug: Guard;
   /** Violated invariant; undefined if none was within the bounds. */
   readonly invariant: string | undefined;
@@ -50,10 +50,10 @@
   });
 
 /** Runs the checker on a built copy with each guard removed in turn; throws if a guard is not found in its file. */
-export const huntSeededBugs = async (
+export const searchForSeededBugs = async (
   bugs: readonly Guard[],
   args: readonly string[],
-  report: (result: HuntResult) => void,
+  report: (result: SeededBugResult) => void,
 ): Promise<void> => {
   const copy = copyBuilt(root);
   try {
--- a/packages/model-checker/src/seeded-bugs/list.test.ts
+++ b/packages/model-checker/src/seeded-bugs/list.test.ts
@@ -5,7 +5,7 @@
 import { fileURLToPath } from 'node:url';
 import { guardError } from '@switchwheel/simulator/guard';
 import { knownViolations } from '../known-violations.js';
-import { type HuntResult, huntSeededBugs } from './hunt.js';
+import { type SeededBugResult, searchForSeededBugs } from './hunt.js';
 import { seededBugs } from './list.js';
 
 const root = fileURLToPath(new URL('../../../..', import.meta.url));
@@ -21,10 +21,10 @@
   const bugs = seededBugs.filter(
     (bug) => bug.name === 'a voter refuses others while a granted lease is valid',
   );
-  const results: HuntResult[] = [];
+  const results: SeededBugResult[] = [];
   const ignored = [...knownViolations].flatMap((name) => ['--ignore', name]);
   const bounds = ['--states', '100000', '--depth', '300', '--members', '3..3', '--seed', '1'];
-  await huntSeededBugs(bugs, [...bounds, ...ignored], (result) => results.push(result));
+  await searchForSeededBugs(bugs, [...bounds, ...ignored], (result) => results.push(result));
   assert.deepEqual(
     results.map((result) => result.invariant),
     ['one valid lease'],
