--- a/packages/model-checker/src/explore/random-walk.ts
+++ b/packages/model-checker/src/explore/random-walk.ts
@@ -1,6 +1,4 @@
-/**
- * Random walks: schedules of several deviations that are set beside messages while a run goes on.
- */
+/** Random walks: runs during which several deviations are placed beside messages at random. */
 
 import { holdsLease } from '@switchwheel/election';
 import type { Invariant } from '../cluster/invariants.js';
@@ -15,15 +13,16 @@
 
 /** Bounds of a random walk. */
 export interface WalkBounds {
+  /** Cluster sizes to choose from. */
   readonly members: readonly number[];
-  /** How many deviations at most. */
+  /** Maximum number of deviations. */
   readonly faults: number;
-  /** Within how many milliseconds they begin. */
+  /** Length of the window in which deviations start, in milliseconds. */
   readonly depth: number;
   readonly ignored: ReadonlySet<Invariant>;
 }
 
-/** What a walk went through, as a schedule that repeats it, and what came of it. */
+/** Result of a random walk, with the schedule that repeats it. */
 export interface Walk {
   readonly scenario: Scenario;
   readonly result: RunResult;
@@ -42,9 +41,9 @@
   'pause',
   'disk',
 ];
-/** Between two events: a schedule that is replayed has its deviations at the same place in their order. */
+/** Places a deviation between two events, so that a replayed schedule has it at the same place in their order. */
 const afterOccurrenceMs = 0.5;
-/** How likely a message of a kind has a deviation set beside it. */
+/** Probability of a deviation beside a message, by frame kind. */
 const deviationProbabilities: Readonly<Record<string, number>> = {
   'vote-request': 0.05,
   vote: 0.05,
@@ -59,80 +58,87 @@
 };
 const clockVariants: readonly (readonly number[])[] = [[], [0.98, 1.02, 1.02], [1.02, 0.98, 0.98]];
 
-const randomDurationMs = (choose: RandomChoices): number =>
-  choose.pick(
-    choose.integer(20, 300),
-    choose.integer(300, 900),
-    choose.integer(900, 1500),
-    choose.integer(1500, 3000),
+const randomDurationMs = (random: RandomChoices): number =>
+  random.pick(
+    random.integer(20, 300),
+    random.integer(300, 900),
+    random.integer(900, 1500),
+    random.integer(1500, 3000),
   );
 
 const machineDeviation = (
-  choose: RandomChoices,
+  random: RandomChoices,
   kind: Exclude<DeviationKind, 'message' | 'join'>,
   at: number,
   machine: number,
-  founders: number,
+  initialMachineCount: number,
 ): Deviation => {
-  const forMs = randomDurationMs(choose);
+  const durationMs = randomDurationMs(random);
   switch (kind) {
     case 'crash':
       return {
         kind,
         at,
         machine,
-        forMs: choose.pick(5, choose.integer(5, 200), forMs),
-        disk: choose.pick('kept', 'kept', 'kept with pending write', 'lost'),
+        durationMs: random.pick(5, random.integer(5, 200), durationMs),
+        disk: random.pick('kept', 'kept', 'kept with pending write', 'lost'),
       };
     case 'pause':
-      return { kind, at, machine, forMs };
+      return { kind, at, machine, durationMs };
     case 'disk':
-      return { kind, at, machine, trouble: choose.pick('stalled', 'full'), forMs };
+      return { kind, at, machine, fault: random.pick('stalled', 'full'), durationMs };
     case 'cut': {
-      const peer = choose.integer(0, founders - 1);
+      const peer = random.integer(0, initialMachineCount - 1);
       return {
         kind,
         at,
         machine,
-        peer: peer === machine || choose.happens(0.6) ? 'all' : peer,
-        way: choose.pick('both', 'both', 'inbound', 'outbound'),
-        messages: choose.pick('lost', 'held'),
-        forMs,
+        peer: peer === machine || random.happens(0.6) ? 'all' : peer,
+        direction: random.pick('both', 'both', 'inbound', 'outbound'),
+        messages: random.pick('lost', 'held'),
+        durationMs,
       };
     }
   }
 };
 
-const messageAction = (choose: RandomChoices): MessageFault['action'] =>
-  choose.pick<MessageFault['action']>(
-    { action: 'drop' },
-    { action: 'delay', byMs: randomDurationMs(choose) },
-    { action: 'repeat', afterMs: randomDurationMs(choose) },
+const messageAction = (random: RandomChoices): MessageFault['action'] =>
+  random.pick<MessageFault['action']>(
+    { kind: 'drop' },
+    { kind: 'delay', byMs: randomDurationMs(random) },
+    { kind: 'repeat', afterMs: randomDurationMs(random) },
   );
 
-/** The deviation beside an occurrence: of its message, or of one of the two machines. */
+/** Returns a deviation beside a message: of the message itself, or of the sending or receiving machine. */
 const deviationAt = (
-  choose: RandomChoices,
+  random: RandomChoices,
   kind: DeviationKind,
   occurrence: Occurrence,
-  founders: number,
+  initialMachineCount: number,
 ): Deviation => {
   const { at, frame, from, to } = occurrence;
   if (kind === 'message' && frame !== undefined && from !== undefined && to !== undefined)
-    return { kind, at, frame, from, to, action: messageAction(choose) };
-  const machine = choose.happens(0.5) ? occurrence.machine : (to?.machine ?? occurrence.machine);
+    return { kind, at, frame, from, to, action: messageAction(random) };
+  const machine = random.happens(0.5) ? occurrence.machine : (to?.machine ?? occurrence.machine);
   const machineKind = kind === 'message' || kind === 'join' ? 'crash' : kind;
-  return machineDeviation(choose, machineKind, at + afterOccurrenceMs, machine, founders);
+  return machineDeviation(
+    random,
+    machineKind,
+    at + afterOccurrenceMs,
+    machine,
+    initialMachineCount,
+  );
 };
 
-/** The machine whose store holds the lease now. */
-const leaderOf = (simulation: Simulation): number =>
+/** Returns the machine of the primary; 0 if no store holds the lease. */
+const primaryOf = (simulation: Simulation): number =>
   simulation.machines.find(
-    (one) =>
-      one.store !== undefined && holdsLease(one.store.candidate, clockOf(one, simulation.now)),
+    (machine) =>
+      machine.store !== undefined &&
+      holdsLease(machine.store.candidate, clockOf(machine, simulation.now)),
   )?.index ?? 0;
 
-/** Sets deviations beside messages that matter, as they are sent. */
+/** Places deviations beside messages as they are sent. */
 class Walker {
   readonly deviations: Deviation[] = [];
   readonly #simulation: Simulation;
@@ -141,32 +147,32 @@
   readonly #maxDeviations: number;
   readonly #bounds: WalkBounds;
 
-  constructor(simulation: Simulation, choose: RandomChoices, bounds: WalkBounds) {
+  constructor(simulation: Simulation, random: RandomChoices, bounds: WalkBounds) {
     this.#simulation = simulation;
-    this.#random = choose;
+    this.#random = random;
     this.#bounds = bounds;
     this.#deviationKinds = [
-      choose.pick(...deviationKinds),
-      choose.pick(...deviationKinds),
-      choose.pick(...deviationKinds),
+      random.pick(...deviationKinds),
+      random.pick(...deviationKinds),
+      random.pick(...deviationKinds),
     ];
-    this.#maxDeviations = choose.integer(1, bounds.faults);
+    this.#maxDeviations = random.integer(1, bounds.faults);
   }
 
-  /** Begins with what moves the duty, or with a machine that joins. */
+  /** Adds initial deviations: often a fault that moves the primary lease, sometimes a machine that joins. */
   start(): void {
-    const choose = this.#random;
-    const { founders } = this.#simulation.layout;
-    const at = formedAtMs + choose.integer(1, 300);
-    if (choose.happens(0.15)) this.add({ kind: 'join', at, machine: founders });
-    if (choose.happens(0.2)) return;
-    const leader = leaderOf(this.#simulation);
-    const machine = choose.happens(0.7) ? leader : choose.integer(0, founders - 1);
-    const kind = choose.pick<'crash' | 'pause' | 'cut'>('crash', 'pause', 'cut', 'cut');
-    this.add(machineDeviation(choose, kind, at, machine, founders));
+    const random = this.#random;
+    const { initialMachineCount } = this.#simulation.layout;
+    const at = formedAtMs + random.integer(1, 300);
+    if (random.happens(0.15)) this.add({ kind: 'join', at, machine: initialMachineCount });
+    if (random.happens(0.2)) return;
+    const primary = primaryOf(this.#simulation);
+    const machine = random.happens(0.7) ? primary : random.integer(0, initialMachineCount - 1);
+    const kind = random.pick<'crash' | 'pause' | 'cut'>('crash', 'pause', 'cut', 'cut');
+    this.add(machineDeviation(random, kind, at, machine, initialMachineCount));
   }
 
-  /** Adds a deviation to the schedule. */
+  /** Adds a deviation to the schedule and to the running simulation. */
   add(deviation: Deviation): void {
     this.deviations.push(deviation);
     this.#simulation.deviate(deviation);
@@ -177,49 +183,54 @@
     if (occurrence.at > formedAtMs + this.#bounds.depth) return;
     if (!this.#random.happens(deviationProbabilities[occurrence.frame ?? ''] ?? 0)) return;
     const kind = this.#random.pick(...this.#deviationKinds);
-    this.add(deviationAt(this.#random, kind, occurrence, this.#simulation.layout.founders));
+    this.add(
+      deviationAt(this.#random, kind, occurrence, this.#simulation.layout.initialMachineCount),
+    );
   }
 }
 
-const layoutOf = (choose: RandomChoices, seed: number, bounds: WalkBounds): ClusterLayout => ({
-  ...platformLayout(bounds.members[seed % bounds.members.length] ?? 3, 1 + choose.integer(0, 1)),
-  clockRates: clockVariants[choose.integer(0, clockVariants.length - 1)] ?? [],
+const layoutOf = (random: RandomChoices, seed: number, bounds: WalkBounds): ClusterLayout => ({
+  ...platformLayout(bounds.members[seed % bounds.members.length] ?? 3, 1 + random.integer(0, 1)),
+  clockRates: clockVariants[random.integer(0, clockVariants.length - 1)] ?? [],
 });
 
-const corpusShare = 0.25;
-const jitter = 120;
+const corpusProbability = 0.25;
+const jitterMs = 120;
 
-/** Now and then a schedule of the corpus, its times moved a little, to deviate from further. */
-const baseOf = (choose: RandomChoices, seed: number, bounds: WalkBounds): Scenario => {
+/** Returns the schedule that a walk extends: an empty one, or one of the corpus with its times shifted. */
+const baseOf = (random: RandomChoices, seed: number, bounds: WalkBounds): Scenario => {
   const [first, ...others] = corpus;
-  if (first === undefined || !choose.happens(corpusShare))
-    return { layout: layoutOf(choose, seed, bounds), deviations: [] };
-  const { layout, deviations } = choose.pick(first, ...others).scenario;
+  if (first === undefined || !random.happens(corpusProbability))
+    return { layout: layoutOf(random, seed, bounds), deviations: [] };
+  const { layout, deviations } = random.pick(first, ...others).scenario;
   return {
-    layout: { ...layout, seed: 1 + choose.integer(0, 5) },
-    deviations: deviations.map((one) => ({ ...one, at: one.at + choose.integer(-jitter, jitter) })),
+    layout: { ...layout, seed: 1 + random.integer(0, 5) },
+    deviations: deviations.map((deviation) => ({
+      ...deviation,
+      at: deviation.at + random.integer(-jitterMs, jitterMs),
+    })),
   };
 };
 
-/** Walks from the formed cluster, deviating at random from the default schedule. */
+/** Runs one random walk from the running cluster; the seed determines it completely. */
 export const randomWalk = (seed: number, bounds: WalkBounds): Walk => {
-  const choose = new RandomChoices(seed);
-  const { layout, deviations } = baseOf(choose, seed, bounds);
+  const random = new RandomChoices(seed);
+  const { layout, deviations } = baseOf(random, seed, bounds);
   const simulation = formedCluster(layout, bounds.ignored);
-  const before = simulation.steps;
-  const walker = new Walker(simulation, choose, bounds);
+  const stepsBefore = simulation.steps;
+  const walker = new Walker(simulation, random, bounds);
   if (deviations.length === 0) walker.start();
-  else for (const one of deviations) walker.add(one);
+  else for (const deviation of deviations) walker.add(deviation);
   simulation.observer = (occurrence) => {
     walker.observe(occurrence);
   };
   simulation.runUntil(formedAtMs + bounds.depth);
   simulation.observer = undefined;
-  // What is over by then needs no further run than it takes to settle.
+  // Once all deviations have ended, only the time to settle is simulated.
   const last = Math.max(...walker.deviations.map(deviationEnd).filter(Number.isFinite), formedAtMs);
   simulation.runUntil(Math.min(runEnd(walker.deviations), last + 4000));
   return {
     scenario: { layout, deviations: walker.deviations },
-    result: resultOf(simulation, before),
+    result: resultOf(simulation, stepsBefore),
   };
 };
