--- a/packages/proxy/src/settings/settings.ts
+++ b/packages/proxy/src/settings/settings.ts
@@ -1,4 +1,4 @@
-/** Settings of the `proxy` command, from the command line and the environment. */
+/** Settings of the `proxy` program and its help text. The names of the settings are a public interface. */
 
 import * as v from 'valibot';
 import { address } from '@switchwheel/types';
@@ -22,18 +22,18 @@
   ],
 };
 
-/** Schema of the settings; unknown ones are rejected. */
+/** Schema of the settings; each message is printed after the setting's name. */
 export const settingsSchema = v.strictObject({
   ...commonSettingsSchema,
-  role: v.picklist(['edge', 'shield'], 'edge or shield'),
+  role: v.picklist(['edge', 'shield'], 'must be edge or shield'),
   door: address,
   admin: address,
   cache: v.optional(
     v.pipe(
-      v.number('a number'),
-      v.integer('a whole number'),
-      v.minValue(1, 'at least 1'),
-      v.maxValue(65_536, 'at most 65536'),
+      v.number('must be a number'),
+      v.integer('must be an integer'),
+      v.minValue(1, 'must be at least 1'),
+      v.maxValue(65_536, 'must be at most 65536'),
     ),
     256,
   ),
--- a/packages/registry/src/settings.ts
+++ b/packages/registry/src/settings.ts
@@ -25,22 +25,16 @@
 };
 
 /** Schema of the settings; each message is printed after the setting's name. `limit` is in mebibytes. */
-export const settingsSchema = v.strictObject(
-  {
-    ...commonSettingsSchema,
-    door: address,
-    limit: v.optional(
-      v.pipe(
-        v.number('must be a number'),
-        v.integer('must be an integer'),
-        v.minValue(1, 'must be at least 1'),
-        v.maxValue(1024, 'must be at most 1024'),
-      ),
-      64,
+export const settingsSchema = v.strictObject({
+  ...commonSettingsSchema,
+  door: address,
+  limit: v.optional(
+    v.pipe(
+      v.number('must be a number'),
+      v.integer('must be an integer'),
+      v.minValue(1, 'must be at least 1'),
+      v.maxValue(1024, 'must be at most 1024'),
     ),
-  },
-  (issue) =>
-    issue.expected === 'never'
-      ? 'no such setting'
-      : `the required setting ${issue.expected} is missing; give it as a flag or in the --boot file`,
-);
+    64,
+  ),
+});
--- a/packages/runtime/src/settings/settings.ts
+++ b/packages/runtime/src/settings/settings.ts
@@ -119,7 +119,29 @@
   return settings;
 };
 
-/** Reads settings from the file and the flags; fails with one line per error. */
+/** Definition of the required setting that an issue reports as missing; undefined for any other issue. */
+const missingSetting = (
+  program: ProgramDefinition,
+  issue: v.BaseIssue<unknown>,
+): SettingDefinition | undefined =>
+  issue.type === 'strict_object' && issue.expected !== 'never'
+    ? program.settings.find(({ name }) => name === v.getDotPath(issue))
+    : undefined;
+
+const issueLine = (program: ProgramDefinition, issue: v.BaseIssue<unknown>): string => {
+  const path = v.getDotPath(issue) ?? 'settings';
+  if (issue.type === 'strict_object' && issue.expected === 'never')
+    return `${path}: no such setting`;
+  const missing = missingSetting(program, issue);
+  return missing === undefined
+    ? `${path}: ${issue.message}`
+    : `${path}: required setting is missing; give it as --${path} or in the --boot file: ${missing.help}`;
+};
+
+/**
+ * Reads settings from the file and the flags. Fails with one line per error; if a required setting is
+ * missing, a last line points to `--help`.
+ */
 export const readSettings = <T>(
   program: ProgramDefinition,
   schema: v.GenericSchema<unknown, T>,
@@ -138,10 +160,13 @@
   ]);
   const parsed = v.safeParse(schema, Object.fromEntries(settings));
   if (parsed.success && errors.length === 0) return ok(parsed.output);
-  const issues = parsed.success
-    ? []
-    : parsed.issues.map((issue) => `${v.getDotPath(issue) ?? 'settings'}: ${issue.message}`);
-  return err([...new Set([...errors, ...issues])]);
+  const issues = parsed.issues ?? [];
+  const lines = [...errors, ...issues.map((issue) => issueLine(program, issue))];
+  const isSettingMissing = issues.some((issue) => missingSetting(program, issue) !== undefined);
+  return err([
+    ...new Set(lines),
+    ...(isSettingMissing ? [`run ${program.name} --help for all settings`] : []),
+  ]);
 };
 
 /** Reads settings; on errors prints one line for each to standard error and exits with code 2. */
--- a/packages/store/src/settings.ts
+++ b/packages/store/src/settings.ts
@@ -32,36 +32,30 @@
 };
 
 /** Schema of the settings; each message is printed after the setting's name. */
-export const settingsSchema = v.strictObject(
-  {
-    ...commonSettingsSchema,
-    data: v.pipe(
-      v.string('must be the path of a folder'),
-      v.minLength(1, 'must be the path of a folder'),
+export const settingsSchema = v.strictObject({
+  ...commonSettingsSchema,
+  data: v.pipe(
+    v.string('must be the path of a folder'),
+    v.minLength(1, 'must be the path of a folder'),
+  ),
+  admin: address,
+  copies: v.optional(
+    v.pipe(
+      v.number('must be a number'),
+      v.integer('must be an integer'),
+      v.minValue(1, 'must be at least 1'),
+      v.maxValue(15, 'must be at most 15'),
     ),
-    admin: address,
-    copies: v.optional(
-      v.pipe(
-        v.number('must be a number'),
-        v.integer('must be an integer'),
-        v.minValue(1, 'must be at least 1'),
-        v.maxValue(15, 'must be at most 15'),
-      ),
-      2,
+    2,
+  ),
+  tolerate: v.optional(
+    v.pipe(
+      v.number('must be a number'),
+      v.integer('must be an integer'),
+      v.minValue(0, 'must be at least 0'),
+      v.maxValue(14, 'must be at most 14'),
     ),
-    tolerate: v.optional(
-      v.pipe(
-        v.number('must be a number'),
-        v.integer('must be an integer'),
-        v.minValue(0, 'must be at least 0'),
-        v.maxValue(14, 'must be at most 14'),
-      ),
-      1,
-    ),
-    electorate: v.optional(v.picklist(['fixed', 'follows'], 'must be fixed or follows'), 'fixed'),
-  },
-  (issue) =>
-    issue.expected === 'never'
-      ? 'no such setting'
-      : `the required setting ${issue.expected} is missing; give it as a flag or in the --boot file`,
-);
+    1,
+  ),
+  electorate: v.optional(v.picklist(['fixed', 'follows'], 'must be fixed or follows'), 'fixed'),
+});
