--- a/packages/membership/src/registry/transition.ts
+++ b/packages/membership/src/registry/transition.ts
@@ -94,10 +94,12 @@
     case 'frameReceived':
       return onFrame(state, event.from, event.frame, event.now);
     case 'peerDisconnected':
+      // A node may reconnect: its session ends by missing heartbeats, not with its connection.
       return transition(state);
     case 'requestReceived':
       return onExternalRequest(state, event.correlationId, event.request, event.now);
     case 'stopRequested':
+      // The subscription tells the primary at once that this registry's voter is leaving.
       return subscribe({ ...state, isStopping: true }, event.now);
   }
 };
--- a/packages/proxy-core/src/service-leader/attempt-result.ts
+++ b/packages/proxy-core/src/service-leader/attempt-result.ts
@@ -34,6 +34,7 @@
 const latencyWeight = 0.05;
 /** Retry delay suggested to the client of a request that certainly did not run. */
 const notRunRetryAfterMs = 500;
+/** Id that no request has: looking it up finds no active request. */
 const noRequest: RequestId = toRequestId('none');
 
 const cancelAttempt = (attempt: Attempt): ServiceLeaderEffect => ({
@@ -207,6 +208,7 @@
       ...state,
       activeRequests: withEntry(state.activeRequests, requestId, {
         ...request,
+        // Together these rule out any further retry or hedge, whatever the outcome of the streaming attempt.
         isIdempotent: false,
         attemptCount: maxAttempts,
       }),
--- a/packages/replicated-store/src/commands/operator-commands.ts
+++ b/packages/replicated-store/src/commands/operator-commands.ts
@@ -154,6 +154,7 @@
 
 /** Reply with the stored outcome of an earlier command, or status 404 if none is stored. */
 const outcomeReply = (state: StoreState, id: string): ImmediateReply => {
+  // A scan instead of a lookup: `id` is unvalidated text, which the type of the map's keys does not admit.
   const entry = [...state.control.commandOutcomes].find(([commandId]) => commandId === id);
   if (entry !== undefined) return { status: entry[1].status, body: entry[1].body };
   return {
--- a/packages/routing/src/router/ports.ts
+++ b/packages/routing/src/router/ports.ts
@@ -107,6 +107,10 @@
   readonly target: string;
   readonly fields: HeaderFields;
   readonly body: Buffer;
+  /**
+   * Time left until the request's deadline. Origin clients don't enforce it: the router's tick ends requests
+   * whose deadline has passed.
+   */
   readonly timeoutMs: number;
   /** Whether to open a new connection, so that a refused connection proves that the request was not sent. */
   readonly needsNewConnection: boolean;
