--- a/packages/proxy-core/src/request-handler/edge-request-handler.ts
+++ b/packages/proxy-core/src/request-handler/edge-request-handler.ts
@@ -65,14 +65,14 @@
   /** Id of the forwarded request; undefined until it is forwarded. */
   readonly forwarded: { id: RequestId | undefined };
 }
-type Filter = (context: FilterContext, next: (context: FilterContext) => void) => void;
+type Filter = (filterContext: FilterContext, next: (filterContext: FilterContext) => void) => void;
 
 /**
  * Runs the first filter, which replies to the request or calls `next` to run the remaining ones.
  */
-const runFilters = (filters: readonly Filter[], context: FilterContext): void => {
+const runFilters = (filters: readonly Filter[], filterContext: FilterContext): void => {
   const [first, ...rest] = filters;
-  first?.(context, (next) => runFilters(rest, next));
+  first?.(filterContext, (next) => runFilters(rest, next));
 };
 
 /** Appends the client's address to X-Forwarded-For. */
@@ -199,51 +199,61 @@
     client.reply(reply);
   }
 
-  #replyFromCache(context: FilterContext, cacheable: CacheableRequest, source: string): boolean {
+  #replyFromCache(
+    filterContext: FilterContext,
+    cacheable: CacheableRequest,
+    source: string,
+  ): boolean {
     const now = this.#context.now();
     const { nodeAgent } = this.#context.state();
     const entry = this.#cacheLookup.find(cacheable, nodeAgent, noSeq, now);
-    if (entry !== undefined) this.#reply(context, { kind: 'cached', entry, servedAt: now, source });
+    if (entry !== undefined)
+      this.#reply(filterContext, { kind: 'cached', entry, servedAt: now, source });
     return entry !== undefined;
   }
 
-  #cacheFilter(context: FilterContext, next: (context: FilterContext) => void): void {
-    const { cacheable } = context;
-    if (cacheable === undefined || !this.#replyFromCache(context, cacheable, 'edge')) next(context);
+  #cacheFilter(filterContext: FilterContext, next: (filterContext: FilterContext) => void): void {
+    const { cacheable } = filterContext;
+    if (cacheable === undefined || !this.#replyFromCache(filterContext, cacheable, 'edge'))
+      next(filterContext);
   }
 
-  #coalescingFilter(context: FilterContext, next: (context: FilterContext) => void): void {
-    const { cacheable } = context;
+  #coalescingFilter(
+    filterContext: FilterContext,
+    next: (filterContext: FilterContext) => void,
+  ): void {
+    const { cacheable } = filterContext;
     if (cacheable === undefined) {
-      next(context);
+      next(filterContext);
       return;
     }
     const joinResult = this.#coalescing.join(cacheable.coalescingKey, (outcome) => {
-      if (this.#replyFromCache(context, cacheable, 'edge')) return;
-      if (outcome.kind === 'failure') this.#reply(context, outcome);
-      else if (this.#context.now() >= context.deadline)
+      if (this.#replyFromCache(filterContext, cacheable, 'edge')) return;
+      if (outcome.kind === 'failure') this.#reply(filterContext, outcome);
+      else if (this.#context.now() >= filterContext.deadline)
         this.#reply(
-          context,
+          filterContext,
           failureReply('rejected', 'what it waited for came too late', rejectionRetryAfterMs),
         );
-      else next(context);
+      else next(filterContext);
     });
     if (joinResult === 'joined') this.count('joined');
     else if (joinResult === 'full')
       this.#reply(
-        context,
+        filterContext,
         failureReply('rejected', 'too many wait for results under way', rejectionRetryAfterMs),
       );
-    else next({ ...context, finishFetch: this.#coalescing.startFetch(cacheable.coalescingKey) });
+    else
+      next({ ...filterContext, finishFetch: this.#coalescing.startFetch(cacheable.coalescingKey) });
   }
 
-  #forwardingFilter(context: FilterContext): void {
-    const { request, client, cacheable, finishFetch } = context;
+  #forwardingFilter(filterContext: FilterContext): void {
+    const { request, client, cacheable, finishFetch } = filterContext;
     this.#forwardedCount += 1;
     const id = toRequestId(`${this.#idPrefix}.${this.#forwardedCount}`);
     const sentAt = this.#context.now();
     const purgeSeq = this.#cacheLookup.cache.lastPurgeSeq;
-    context.forwarded.id = id;
+    filterContext.forwarded.id = id;
     this.#forwarded.add(
       new ForwardedRequestState({
         id,
@@ -253,18 +263,18 @@
         isStale: (fields) =>
           cacheable !== undefined && this.#isStale(cacheable, fields, sentAt, purgeSeq),
         onOutcome: (outcome) => {
-          this.#onOutcome(context, sentAt, outcome);
+          this.#onOutcome(filterContext, sentAt, outcome);
           finishFetch?.(outcome);
         },
       }),
     );
-    const newForward = this.#newForward(context, id, purgeSeq);
+    const newForward = this.#newForward(filterContext, id, purgeSeq);
     this.#context.dispatch((now) => ({ kind: 'requestAccepted', now, request: newForward }));
   }
 
-  #newForward(context: FilterContext, id: RequestId, requiredPurgeSeq: Seq): NewForward {
-    const { request, route, deadline } = context;
-    const isCacheable = context.cacheable !== undefined;
+  #newForward(filterContext: FilterContext, id: RequestId, requiredPurgeSeq: Seq): NewForward {
+    const { request, route, deadline } = filterContext;
+    const isCacheable = filterContext.cacheable !== undefined;
     const { compiledConfiguration } = this.#context.state().nodeAgent;
     return {
       id,
@@ -283,35 +293,35 @@
     };
   }
 
-  #onOutcome(context: FilterContext, sentAt: Timestamp, outcome: ForwardOutcome): void {
+  #onOutcome(filterContext: FilterContext, sentAt: Timestamp, outcome: ForwardOutcome): void {
     switch (outcome.kind) {
       case 'failure':
-        this.#reply(context, outcome);
+        this.#reply(filterContext, outcome);
         break;
       case 'streamed':
         this.count('from_stream');
         break;
       case 'complete':
-        this.#onComplete(context, sentAt, outcome);
+        this.#onComplete(filterContext, sentAt, outcome);
         break;
     }
   }
 
   /** Stores a response in the cache if permitted, and replies with it. */
   #onComplete(
-    context: FilterContext,
+    filterContext: FilterContext,
     sentAt: Timestamp,
     response: Extract<ForwardOutcome, { kind: 'complete' }>,
   ): void {
-    const { cacheable } = context;
+    const { cacheable } = filterContext;
     const { status, fields, body, digest, ageMs, purgeSeqAtFetch, source } = response;
     if (cacheable !== undefined) {
       const createdAt = creationTime(sentAt, ageMs);
       const fetched = { status, fields, body, digest, createdAt, purgeSeqAtFetch };
       this.#cacheLookup.store(cacheable, fetched, this.#context.now());
-      if (this.#replyFromCache(context, cacheable, source)) return;
+      if (this.#replyFromCache(filterContext, cacheable, source)) return;
     }
-    this.#reply(context, { kind: 'complete', status, fields, body, source });
+    this.#reply(filterContext, { kind: 'complete', status, fields, body, source });
   }
 
   /**
--- a/packages/query-shell/src/snapshot/collect.ts
+++ b/packages/query-shell/src/snapshot/collect.ts
@@ -29,7 +29,7 @@
   readonly ageMs: number;
 }
 
-interface RegistryReply {
+interface RegistryFleet {
   readonly address: string;
   readonly fleet: FleetState;
 }
@@ -39,10 +39,10 @@
   registries: readonly Address[],
   timeoutMs: number,
   unresponsive: string[],
-): Promise<readonly RegistryReply[]> => {
+): Promise<readonly RegistryFleet[]> => {
   const addresses = new Set<string>(registries);
   const queried = new Set<string>();
-  const replies: RegistryReply[] = [];
+  const replies: RegistryFleet[] = [];
   for (;;) {
     const next = [...addresses].filter((address) => !queried.has(address));
     if (next.length === 0) return replies;
@@ -94,11 +94,11 @@
 
 /** Fetches stored parts through registries, starting with the one that has the most recent update from the primary. */
 const collectStored = async (
-  replies: readonly RegistryReply[],
+  replies: readonly RegistryFleet[],
   sources: ReadonlySet<string>,
   timeoutMs: number,
 ): Promise<StoredState> => {
-  const feedAgeMs = ({ fleet }: RegistryReply): number => fleet.feedAgeMs ?? Infinity;
+  const feedAgeMs = ({ fleet }: RegistryFleet): number => fleet.feedAgeMs ?? Infinity;
   const addresses = [...replies]
     .sort((left, right) => feedAgeMs(left) - feedAgeMs(right))
     .map(({ address }) => address);
--- a/packages/replicated-store/src/leadership/electorate.ts
+++ b/packages/replicated-store/src/leadership/electorate.ts
@@ -22,7 +22,7 @@
 import type { Subscriber } from '../state/peers.js';
 import type { StoreState } from '../state/state.js';
 
-type Member = Electorate['members'][number];
+type ElectorateMember = Electorate['members'][number];
 
 /** Silence after which a registry no longer counts as live. */
 const contactTimeoutMs = 1000;
@@ -116,7 +116,10 @@
 };
 
 /** Number of live voters left after the loss of the largest tolerated failure domains. */
-const votersAfterDomainLoss = (live: readonly Member[], registries: Registries): number => {
+const votersAfterDomainLoss = (
+  live: readonly ElectorateMember[],
+  registries: Registries,
+): number => {
   const sizes = new Map<string, number>();
   for (const { node } of live) {
     const domain = registries.domainOf(node);
@@ -127,7 +130,7 @@
   return lost.reduce((left, size) => left - size, live.length);
 };
 
-const resilienceOf = (members: readonly Member[], registries: Registries): Resilience => {
+const resilienceOf = (members: readonly ElectorateMember[], registries: Registries): Resilience => {
   const live = members.filter(({ node }) => registries.isLive(node));
   const dead = members.filter(({ node }) => registries.isDead(node));
   const needed = quorumSize(members.length);
@@ -148,11 +151,11 @@
 
 /** Electorates that differ from the given one by a single member. */
 const singleMemberChanges = (
-  members: readonly Member[],
-  joinable: readonly Member[],
+  members: readonly ElectorateMember[],
+  joinable: readonly ElectorateMember[],
   registries: Registries,
-): readonly (readonly Member[])[] => {
-  const mayRemove = ({ node }: Member): boolean =>
+): readonly (readonly ElectorateMember[])[] => {
+  const mayRemove = ({ node }: ElectorateMember): boolean =>
     registries.isDead(node) || registries.toleratedDomains > 0;
   const removals =
     members.length > minElectorate
@@ -166,15 +169,15 @@
 
 interface Proposal {
   /** Electorate after the change. */
-  readonly members: readonly Member[];
+  readonly members: readonly ElectorateMember[];
   /** Best resilience reachable by this change, or by one further change with look-ahead. */
   readonly reachableResilience: Resilience;
 }
 
 /** Most resilient single-member change; with `looksAhead` also considers one further change. */
 const bestChange = (
-  members: readonly Member[],
-  joinable: readonly Member[],
+  members: readonly ElectorateMember[],
+  joinable: readonly ElectorateMember[],
   registries: Registries,
   looksAhead: boolean,
 ): Proposal | undefined => {
--- a/packages/switchwheel/src/command/apply.ts
+++ b/packages/switchwheel/src/command/apply.ts
@@ -11,13 +11,14 @@
   usageError,
 } from './command-result.js';
 import { readJsonFile } from './json-file.js';
-import { listMember, memberOf, toText } from './json-text.js';
+import { listProperty, propertyOf, toText } from './json-text.js';
 import { resultOfError, noResponse } from './registry-request.js';
 
 const pollIntervalMs = 50;
 
 const isConnectedProxy = (node: unknown): boolean =>
-  memberOf(node, 'open') === true && ['edge', 'shield'].includes(toText(memberOf(node, 'role')));
+  propertyOf(node, 'open') === true &&
+  ['edge', 'shield'].includes(toText(propertyOf(node, 'role')));
 
 const delay = (ms: number): Promise<void> =>
   new Promise((resolve) => {
@@ -30,10 +31,12 @@
   let pendingNodes: readonly string[] = [];
   while (performance.now() - startedAt < options.waitMs) {
     const reply = await callRegistry(options.target, { method: 'GET', path: '/v1/fleet' });
-    const nodes = reply.isOk ? listMember(reply.value.body, 'nodes').filter(isConnectedProxy) : [];
+    const nodes = reply.isOk
+      ? listProperty(reply.value.body, 'nodes').filter(isConnectedProxy)
+      : [];
     pendingNodes = nodes
-      .filter((node) => Number(memberOf(node, 'generation')) < generation)
-      .map((node) => toText(memberOf(node, 'node')));
+      .filter((node) => Number(propertyOf(node, 'generation')) < generation)
+      .map((node) => toText(propertyOf(node, 'node')));
     if (nodes.length > 0 && pendingNodes.length === 0)
       return `in force on ${nodes.length} nodes after ${Math.round(performance.now() - startedAt)} ms`;
     await delay(pollIntervalMs);
@@ -50,7 +53,7 @@
   const reply = await callRegistry(options.target, { method: 'GET', path: '/v1/store' });
   if (reply.isErr) return err(noResponse(reply.error));
   if (reply.value.status !== 200) return err(resultOfError(options, reply.value));
-  return ok(Number(memberOf(reply.value.body, 'generation')));
+  return ok(Number(propertyOf(reply.value.body, 'generation')));
 };
 
 /** Runs `apply FILE`: submits a configuration as the next generation. */
@@ -74,7 +77,7 @@
   });
   if (reply.isErr) return failure(`no registry responded; retry with --id ${id}: ${reply.error}`);
   if (reply.value.status !== 200) return resultOfError(options, reply.value);
-  const generation = Number(memberOf(reply.value.body, 'generation'));
+  const generation = Number(propertyOf(reply.value.body, 'generation'));
   const rolloutSummary = options.waitMs > 0 ? await waitUntilInForce(options, generation) : '';
   if (options.json)
     return success(
--- a/packages/switchwheel/src/command/diff-command.ts
+++ b/packages/switchwheel/src/command/diff-command.ts
@@ -4,7 +4,7 @@
 import { type CommandOptions, type CommandResult, success, usageError } from './command-result.js';
 import { diffConfigurations, formatDiff } from './diff.js';
 import { readJsonFile } from './json-file.js';
-import { memberOf } from './json-text.js';
+import { propertyOf } from './json-text.js';
 import { resultOfError, noResponse } from './registry-request.js';
 
 /** Runs `diff FILE`: shows what applying the file would change. */
@@ -18,12 +18,12 @@
   if (current.isErr) return noResponse(current.error);
   if (current.value.status !== 200) return resultOfError(options, current.value);
   const changes = diffConfigurations(
-    memberOf(current.value.body, 'description'),
+    propertyOf(current.value.body, 'description'),
     configuration.value,
   );
   return success(
     options.json
-      ? JSON.stringify({ generation: memberOf(current.value.body, 'generation'), changes })
+      ? JSON.stringify({ generation: propertyOf(current.value.body, 'generation'), changes })
       : formatDiff(changes),
   );
 };
--- a/packages/switchwheel/src/command/diff.ts
+++ b/packages/switchwheel/src/command/diff.ts
@@ -1,6 +1,6 @@
 /** Comparison of two configurations, and the text form of the differences. */
 
-import { memberOf, isObject, listMember, toText } from './json-text.js';
+import { propertyOf, isObject, listProperty, toText } from './json-text.js';
 
 interface Change {
   readonly path: string;
@@ -21,14 +21,14 @@
 const isEqualJson = (left: unknown, right: unknown): boolean =>
   JSON.stringify(withSortedKeys(left)) === JSON.stringify(withSortedKeys(right));
 const byName = (list: readonly unknown[]): ReadonlyMap<string, unknown> =>
-  new Map(list.map((entry) => [toText(memberOf(entry, 'name')), entry]));
+  new Map(list.map((entry) => [toText(propertyOf(entry, 'name')), entry]));
 
 /** Differences of classes, services, routes (matched by name) and the rollout settings. */
 export const diffConfigurations = (before: unknown, after: unknown): readonly Change[] => {
   const changes: Change[] = [];
   for (const section of ['classes', 'services', 'routes']) {
-    const oldByName = byName(listMember(before, section));
-    const newByName = byName(listMember(after, section));
+    const oldByName = byName(listProperty(before, section));
+    const newByName = byName(listProperty(after, section));
     for (const [name, from] of oldByName)
       if (!newByName.has(name))
         changes.push({ path: `${section}.${name}`, change: 'removed', from, to: undefined });
@@ -40,12 +40,12 @@
         changes.push({ path: `${section}.${name}`, change: 'changed', from, to });
     }
   }
-  if (!isEqualJson(memberOf(before, 'rollout'), memberOf(after, 'rollout')))
+  if (!isEqualJson(propertyOf(before, 'rollout'), propertyOf(after, 'rollout')))
     changes.push({
       path: 'rollout',
       change: 'changed',
-      from: memberOf(before, 'rollout'),
-      to: memberOf(after, 'rollout'),
+      from: propertyOf(before, 'rollout'),
+      to: propertyOf(after, 'rollout'),
     });
   return changes;
 };
--- a/packages/switchwheel/src/command/fleet.ts
+++ b/packages/switchwheel/src/command/fleet.ts
@@ -2,7 +2,7 @@
 
 import { randomUUID } from 'node:crypto';
 import { type CommandOptions, type CommandResult, usageError } from './command-result.js';
-import { listMember, memberOf, toText } from './json-text.js';
+import { listProperty, propertyOf, toText } from './json-text.js';
 import { requestAndFormat } from './registry-request.js';
 
 /** Characters of a random UUID that are appended to the name of a fleet to make it unique. */
@@ -21,8 +21,8 @@
     voters: options.voters,
   });
   return requestAndFormat(options, { method: 'POST', path: '/v1/fleet', body }, (reply) => {
-    const stores = listMember(reply, 'stores').map(toText).join(' and ');
-    const voters = listMember(reply, 'voters').map(toText).join(', ');
+    const stores = listProperty(reply, 'stores').map(toText).join(' and ');
+    const voters = listProperty(reply, 'voters').map(toText).join(', ');
     return `bootstrapped on ${stores}; voters ${voters}`;
   });
 };
@@ -44,7 +44,7 @@
     ...(options.id === undefined ? {} : { id: options.id }),
   });
   return requestAndFormat(options, { method: 'POST', path: '/v1/electorate', body }, (reply) => {
-    const members = listMember(memberOf(reply, 'electorate'), 'members');
-    return `accepted; voters ${members.map((member) => toText(memberOf(member, 'node'))).join(', ')}`;
+    const members = listProperty(propertyOf(reply, 'electorate'), 'members');
+    return `accepted; voters ${members.map((member) => toText(propertyOf(member, 'node'))).join(', ')}`;
   });
 };
--- a/packages/switchwheel/src/command/json-text.ts
+++ b/packages/switchwheel/src/command/json-text.ts
@@ -1,4 +1,4 @@
-/** Reads members of parsed JSON of unverified form, and formats them as text. */
+/** Reads properties of parsed JSON of unverified form, and formats them as text. */
 
 import { formatColumns } from '@switchwheel/types';
 
@@ -6,13 +6,13 @@
 export const isObject = (value: unknown): value is object =>
   typeof value === 'object' && value !== null;
 
-/** Returns a member of an object; undefined if the value is no object or has no such member. */
-export const memberOf = (value: unknown, name: string): unknown =>
+/** Returns a property of an object; undefined if the value is no object or has no such property. */
+export const propertyOf = (value: unknown, name: string): unknown =>
   isObject(value) ? new Map<string, unknown>(Object.entries(value)).get(name) : undefined;
-/** Returns a member that is an array; an empty array if it is absent or of another type. */
-export const listMember = (value: unknown, name: string): readonly unknown[] => {
-  const member = memberOf(value, name);
-  return Array.isArray(member) ? member : [];
+/** Returns a property that is an array; an empty array if it is absent or of another type. */
+export const listProperty = (value: unknown, name: string): readonly unknown[] => {
+  const property = propertyOf(value, name);
+  return Array.isArray(property) ? property : [];
 };
 /** Formats a value for a cell of a table; `-` if there is none. */
 export const toText = (value: unknown): string => {
@@ -26,9 +26,9 @@
         : '-';
 };
 
-/** Formats several members of an object for the cells of a row. */
-export const memberTexts = (value: unknown, names: readonly string[]): readonly string[] =>
-  names.map((name) => toText(memberOf(value, name)));
+/** Formats several properties of an object for the cells of a row. */
+export const propertyTexts = (value: unknown, names: readonly string[]): readonly string[] =>
+  names.map((name) => toText(propertyOf(value, name)));
 
 /** Formats rows under column titles, with aligned columns. */
 export const formatTable = (
@@ -37,13 +37,13 @@
 ): string => formatColumns([titles, ...rows]);
 
 const faultLines = (body: unknown): readonly string[] =>
-  listMember(body, 'faults').map(
-    (fault) => `  ${toText(memberOf(fault, 'path'))}: ${toText(memberOf(fault, 'text'))}`,
+  listProperty(body, 'faults').map(
+    (fault) => `  ${toText(propertyOf(fault, 'path'))}: ${toText(propertyOf(fault, 'text'))}`,
   );
 
 /** Formats the body of an error response: its kind and text, then one line for each fault. */
 export const errorText = (body: unknown): string =>
   [
-    `${toText(memberOf(body, 'kind'))}: ${toText(memberOf(body, 'text'))}`,
+    `${toText(propertyOf(body, 'kind'))}: ${toText(propertyOf(body, 'text'))}`,
     ...faultLines(body),
   ].join('\n');
--- a/packages/switchwheel/src/command/purge.ts
+++ b/packages/switchwheel/src/command/purge.ts
@@ -2,7 +2,7 @@
 
 import { randomUUID } from 'node:crypto';
 import { type CommandOptions, type CommandResult, usageError } from './command-result.js';
-import { memberOf, toText } from './json-text.js';
+import { propertyOf, toText } from './json-text.js';
 import { requestAndFormat } from './registry-request.js';
 
 /** Runs `purge`: invalidates cached objects on all nodes by path, by tag, or all of them. */
@@ -29,6 +29,6 @@
     options,
     { method: 'POST', path: '/v1/purges', body: JSON.stringify({ id, aims: targets }) },
     (body) =>
-      `accepted as purge ${toText(memberOf(body, 'purge'))} of ${toText(memberOf(body, 'aims'))} targets (id ${id})`,
+      `accepted as purge ${toText(propertyOf(body, 'purge'))} of ${toText(propertyOf(body, 'aims'))} targets (id ${id})`,
   );
 };
--- a/packages/switchwheel/src/command/releases.ts
+++ b/packages/switchwheel/src/command/releases.ts
@@ -3,7 +3,7 @@
 import { randomUUID } from 'node:crypto';
 import { callRegistry } from '../registry-client/registry-client.js';
 import { type CommandOptions, type CommandResult, usageError } from './command-result.js';
-import { formatTable, listMember, memberOf, memberTexts, toText } from './json-text.js';
+import { formatTable, listProperty, propertyOf, propertyTexts, toText } from './json-text.js';
 import { requestAndFormat, noResponse } from './registry-request.js';
 
 const toSeconds = (ms: unknown): number => Math.round(Number(ms) / 1000);
@@ -11,10 +11,10 @@
 const releaseRequestTable = (body: unknown): string =>
   formatTable(
     ['service', 'settled', 'target', 'phase', 'share', 'spent', 'reason'],
-    listMember(body, 'releases').map((request) => [
-      ...memberTexts(request, ['service', 'settled', 'target', 'phase', 'share']),
-      `${toSeconds(memberOf(request, 'spentMs'))}/${toSeconds(memberOf(request, 'spanMs'))} s`,
-      toText(memberOf(request, 'text')),
+    listProperty(body, 'releases').map((request) => [
+      ...propertyTexts(request, ['service', 'settled', 'target', 'phase', 'share']),
+      `${toSeconds(propertyOf(request, 'spentMs'))}/${toSeconds(propertyOf(request, 'spanMs'))} s`,
+      toText(propertyOf(request, 'text')),
     ]),
   );
 
@@ -22,14 +22,14 @@
   const countLiveOrigins = (result: unknown): number =>
     origins.filter(
       (origin) =>
-        memberOf(origin, 'service') === memberOf(result, 'service') &&
-        memberOf(origin, 'release') === memberOf(result, 'release') &&
-        memberOf(origin, 'state') === 'up',
+        propertyOf(origin, 'service') === propertyOf(result, 'service') &&
+        propertyOf(origin, 'release') === propertyOf(result, 'release') &&
+        propertyOf(origin, 'state') === 'up',
     ).length;
   return formatTable(
     ['service', 'release', 'result', 'spent', 'bad', 'origins up'],
-    listMember(body, 'verdicts').map((result) => [
-      ...memberTexts(result, ['service', 'release', 'state', 'spent', 'bad']),
+    listProperty(body, 'verdicts').map((result) => [
+      ...propertyTexts(result, ['service', 'release', 'state', 'spent', 'bad']),
       String(countLiveOrigins(result)),
     ]),
   );
@@ -39,7 +39,7 @@
 export const showReleases = async (options: CommandOptions): Promise<CommandResult> => {
   const fleet = await callRegistry(options.target, { method: 'GET', path: '/v1/fleet' });
   if (fleet.isErr) return noResponse(fleet.error);
-  const origins = listMember(fleet.value.body, 'origins');
+  const origins = listProperty(fleet.value.body, 'origins');
   const requests = await callRegistry(options.target, { method: 'GET', path: '/v1/releases' });
   const requestTable =
     requests.isOk && requests.value.status === 200 && !options.json
@@ -81,6 +81,6 @@
     options,
     { method: 'POST', path: '/v1/releases', body: JSON.stringify({ id, service, target, spanMs }) },
     (body) =>
-      `accepted: ${toText(memberOf(body, 'service'))} moves to release ${toText(memberOf(body, 'target'))} (id ${id})`,
+      `accepted: ${toText(propertyOf(body, 'service'))} moves to release ${toText(propertyOf(body, 'target'))} (id ${id})`,
   );
 };
--- a/packages/switchwheel/src/command/run.ts
+++ b/packages/switchwheel/src/command/run.ts
@@ -6,7 +6,7 @@
 import { diffAgainstCurrent } from './diff-command.js';
 import { changeVoter, bootstrapFleet } from './fleet.js';
 import { importFile } from './import.js';
-import { memberOf } from './json-text.js';
+import { propertyOf } from './json-text.js';
 import { purge } from './purge.js';
 import { requestAndFormat } from './registry-request.js';
 import { requestRelease, showReleases } from './releases.js';
@@ -15,7 +15,7 @@
 
 const showConfiguration = (options: CommandOptions): Promise<CommandResult> =>
   requestAndFormat(options, { method: 'GET', path: '/v1/description' }, (body) =>
-    JSON.stringify(memberOf(body, 'description'), null, 2),
+    JSON.stringify(propertyOf(body, 'description'), null, 2),
   );
 
 const showCommandOutcome = (
--- a/packages/types/src/testing/schema-lines.ts
+++ b/packages/types/src/testing/schema-lines.ts
@@ -1,23 +1,23 @@
 /** Schemas as lines of text with their messages, for snapshots of what operators and clients see. */
 
-/** Returns a member of a schema object, whose type depends on the kind of schema. */
-const memberOf = (raw: unknown, name: string): unknown =>
+/** Returns a property of a schema object, whose type depends on the kind of schema. */
+const propertyOf = (raw: unknown, name: string): unknown =>
   typeof raw === 'object' && raw !== null ? Reflect.get(raw, name) : undefined;
 const listOf = (raw: unknown, name: string): readonly unknown[] => {
-  const list = memberOf(raw, name);
+  const list = propertyOf(raw, name);
   return Array.isArray(list) ? list : [];
 };
-const isSchema = (raw: unknown): boolean => memberOf(raw, 'kind') === 'schema';
+const isSchema = (raw: unknown): boolean => propertyOf(raw, 'kind') === 'schema';
 const textOf = (raw: unknown): string => {
   if (raw instanceof RegExp) return String(raw);
   return typeof raw === 'function' ? 'function' : JSON.stringify(raw);
 };
 
 const checkText = (check: unknown): string => {
-  const requirement = memberOf(check, 'requirement');
-  const message = memberOf(check, 'message');
+  const requirement = propertyOf(check, 'requirement');
+  const message = propertyOf(check, 'message');
   return [
-    textOf(memberOf(check, 'type')),
+    textOf(propertyOf(check, 'type')),
     ...(requirement === undefined ? [] : [textOf(requirement)]),
     ...(typeof message === 'string' ? [`(${message})`] : []),
   ].join(' ');
@@ -26,16 +26,16 @@
 const wrappers: ReadonlySet<unknown> = new Set(['optional', 'nullish', 'nullable']);
 
 const linesOf = (schema: unknown, path: string, presence: string): readonly string[] => {
-  const type = memberOf(schema, 'type');
+  const type = propertyOf(schema, 'type');
   if (wrappers.has(type)) {
-    const fallback = memberOf(schema, 'default');
+    const fallback = propertyOf(schema, 'default');
     const defaultText = fallback === undefined ? '' : `, default ${textOf(fallback)}`;
-    return linesOf(memberOf(schema, 'wrapped'), path, `${String(type)}${defaultText}`);
+    return linesOf(propertyOf(schema, 'wrapped'), path, `${String(type)}${defaultText}`);
   }
   const [, ...checks] = listOf(schema, 'pipe');
-  const message = memberOf(schema, 'message');
-  const literal = memberOf(schema, 'literal');
-  const key = memberOf(schema, 'key');
+  const message = propertyOf(schema, 'message');
+  const literal = propertyOf(schema, 'literal');
+  const key = propertyOf(schema, 'key');
   const head = [
     `${path}: ${String(type)}, ${presence}`,
     ...(literal === undefined ? [] : [textOf(literal)]),
@@ -43,7 +43,7 @@
     ...(typeof message === 'string' ? [`(${message})`] : []),
     ...checks.map((check) => `| ${checkText(check)}`),
   ].join(' ');
-  const entries = memberOf(schema, 'entries');
+  const entries = propertyOf(schema, 'entries');
   const members = typeof entries === 'object' && entries !== null ? Object.entries(entries) : [];
   const choices = listOf(schema, 'options');
   const areSchemas = choices.some(isSchema);
@@ -57,7 +57,7 @@
       linesOf(item, `${path}[${index}]`, 'required'),
     ),
     ...['item', 'key', 'value'].flatMap((part) => {
-      const inner = memberOf(schema, part);
+      const inner = propertyOf(schema, part);
       return isSchema(inner) ? linesOf(inner, `${path}.{${part}}`, 'each') : [];
     }),
   ];
