--- a/packages/configuration/src/release/release-rollout.ts
+++ b/packages/configuration/src/release/release-rollout.ts
@@ -40,6 +40,7 @@
   /** Times since the start of the rollout at which the shift and the load probe began. */
   movedMs: v.number(),
   probedMs: v.number(),
+  /** Number of the rollout among those of the service; called `rolloutNumber` outside stored and sent records. */
   order: types.seq,
   serial: types.seq,
   /** Requests of the service since the rollout began, and those of them sent to the target, as last written. */
