--- a/packages/configuration/src/compiled/compile.ts
+++ b/packages/configuration/src/compiled/compile.ts
@@ -124,15 +124,15 @@
   identity: ConfigurationIdentity,
 ): Compilation<CompiledConfiguration | undefined> {
   const [headerText, ...chunks] = texts;
-  const kept = new Set(chunks);
-  if (headerText !== before.headerText || kept.size !== chunks.length) return undefined;
+  const newChunks = new Set(chunks);
+  if (headerText !== before.headerText || newChunks.size !== chunks.length) return undefined;
   const added = chunks.filter((text) => !before.routesByChunk.has(text));
   if (added.length > chunks.length * maxPatchedFraction) return undefined;
   const state = newCompilation(before);
   for (const [text, routes] of before.routesByChunk)
-    if (!kept.has(text)) for (const route of routes) removeRoute(state, route);
+    if (!newChunks.has(text)) for (const route of routes) removeRoute(state, route);
   yield undefined;
-  const routesByChunk = new Map([...before.routesByChunk].filter(([text]) => kept.has(text)));
+  const routesByChunk = new Map([...before.routesByChunk].filter(([text]) => newChunks.has(text)));
   for (const text of added)
     routesByChunk.set(text, (yield* compileChunk(state, before, text, 0)).routes);
   const compiled = toCompiledConfiguration(state, { ...before, routesByChunk }, identity);
--- a/packages/configuration/src/compiled/route-index.ts
+++ b/packages/configuration/src/compiled/route-index.ts
@@ -50,8 +50,8 @@
   methods: readonly string[],
 ): ReadonlySet<string> => {
   const key = methods.join(' ');
-  const known = state.methodSets.get(key);
-  if (known !== undefined) return known;
+  const existing = state.methodSets.get(key);
+  if (existing !== undefined) return existing;
   const added = new Set(methods);
   state.methodSets.set(key, added);
   return added;
@@ -83,8 +83,8 @@
   builder: RouteIndexBuilder,
   host: string,
 ): Map<string, readonly CompiledRoute[]> => {
-  const known = builder.copiedHosts.get(host);
-  if (known !== undefined) return known;
+  const existingCopy = builder.copiedHosts.get(host);
+  if (existingCopy !== undefined) return existingCopy;
   const copy = new Map(builder.routesByHost.get(host));
   builder.copiedHosts.set(host, copy);
   builder.routesByHost.set(host, copy);
@@ -96,8 +96,8 @@
   const { route, host, path, isExact } = indexed;
   const builder = isExact ? state.exactRoutes : state.prefixRoutes;
   const routesByPath = writableRoutesOf(builder, host);
-  const rest = (routesByPath.get(path) ?? []).filter((other) => other !== route);
-  if (rest.length > 0) routesByPath.set(path, rest);
+  const remainingRoutes = (routesByPath.get(path) ?? []).filter((other) => other !== route);
+  if (remainingRoutes.length > 0) routesByPath.set(path, remainingRoutes);
   else routesByPath.delete(path);
   if (routesByPath.size === 0) {
     builder.routesByHost.delete(host);
--- a/packages/configuration/src/control-state/control-state.ts
+++ b/packages/configuration/src/control-state/control-state.ts
@@ -151,10 +151,10 @@
   data === null ? types.withoutEntry(table, key) : types.withEntry(table, key, parse(schema, data));
 
 const withPurge = (list: readonly Purge[], seq: number, data: string | null): readonly Purge[] => {
-  const rest = list.filter((batch) => batch.seq !== seq);
+  const otherBatches = list.filter((batch) => batch.seq !== seq);
   return data === null
-    ? rest
-    : [...rest, parse(purge, data)].sort((left, right) => left.seq - right.seq);
+    ? otherBatches
+    : [...otherBatches, parse(purge, data)].sort((left, right) => left.seq - right.seq);
 };
 
 /** Applies a row of one kind: `name` is the part of the key after its prefix, and null data deletes the row. */
--- a/packages/configuration/src/document/checks.ts
+++ b/packages/configuration/src/document/checks.ts
@@ -39,8 +39,8 @@
     if (next === to) return [from, next];
     if (visited.has(next)) continue;
     visited.add(next);
-    const rest = lendingPath(classes, next, to, visited);
-    if (rest !== undefined) return [from, ...rest];
+    const remainingPath = lendingPath(classes, next, to, visited);
+    if (remainingPath !== undefined) return [from, ...remainingPath];
   }
   return undefined;
 };
--- a/packages/configuration/src/release/canary-counts.ts
+++ b/packages/configuration/src/release/canary-counts.ts
@@ -80,8 +80,8 @@
 ): RolloutWatch => {
   if (frame.order !== watch.rolloutNumber) return watch;
   const key = edgeKey(frame.node, frame.incarnation);
-  const known = watch.edges.get(key);
-  const earlier = known?.recentReports ?? [];
+  const previous = watch.edges.get(key);
+  const earlier = previous?.recentReports ?? [];
   // Frames of one edge may arrive out of order.
   if (totalSentOf(frame.rows) < totalSentOf(earlier.at(-1)?.rows ?? [])) return watch;
   const report: CountReport = { receivedAt: now, rows: frame.rows };
@@ -92,7 +92,7 @@
     receivedAt: now,
     serial: frame.serial,
     inFlightOld: frame.inFlightOld,
-    firstReport: known?.firstReport ?? report,
+    firstReport: previous?.firstReport ?? report,
     recentReports: [...earlier.slice(Math.max(0, firstKept)), report],
   };
   return {
--- a/packages/configuration/src/release/release-rollout.test.ts
+++ b/packages/configuration/src/release/release-rollout.test.ts
@@ -270,16 +270,16 @@
 });
 
 void test('a bounded number of earlier rollouts is kept per service', () => {
-  let known = settledRollout(service, oldRelease);
+  let latest = settledRollout(service, oldRelease);
   for (let index = 0; index < 100; index += 1) {
     const next = openedRollout(
-      requestReleaseRollout(known, oldRelease, toRelease(`v${index}`), 1000, 1),
+      requestReleaseRollout(latest, oldRelease, toRelease(`v${index}`), 1000, 1),
     );
-    known = { ...next, phase: 'good' };
+    latest = { ...next, phase: 'good' };
   }
-  assert.equal(known.earlier.length, 16);
+  assert.equal(latest.earlier.length, 16);
   assert.equal(
-    requestReleaseRollout(known, oldRelease, toRelease('v90'), 1000, 1).kind,
+    requestReleaseRollout(latest, oldRelease, toRelease('v90'), 1000, 1).kind,
     'alreadyAccepted',
   );
 });
--- a/packages/configuration/src/release/release-rollout.ts
+++ b/packages/configuration/src/release/release-rollout.ts
@@ -111,25 +111,25 @@
 
 /** Whether a request repeats the one that started the current rollout. */
 const isSameRequest = (
-  known: ReleaseRollout,
+  latest: ReleaseRollout,
   target: types.Release,
   elapsedMs: number,
   duplicateWindowMs: number,
 ): boolean =>
-  known.target === target &&
-  (isInProgress(known) ||
-    known.phase === 'good' ||
-    elapsedMs < Math.max(known.spanMs, duplicateWindowMs));
+  latest.target === target &&
+  (isInProgress(latest) ||
+    latest.phase === 'good' ||
+    elapsedMs < Math.max(latest.spanMs, duplicateWindowMs));
 
 /** Rollouts, the current one included, whose requests may still be repeated when the next one starts. */
 const earlierRolloutsOf = (
-  known: ReleaseRollout,
+  latest: ReleaseRollout,
   elapsedMs: number,
   duplicateWindowMs: number,
 ): readonly EarlierRollout[] => {
-  const { target, spanMs, order } = known;
+  const { target, spanMs, order } = latest;
   const current = target === undefined ? [] : [{ target, spanMs, order, ageMs: 0 }];
-  return [...known.earlier, ...current]
+  return [...latest.earlier, ...current]
     .map((earlier) => ({ ...earlier, ageMs: earlier.ageMs + elapsedMs }))
     .filter(({ ageMs }) => ageMs < duplicateWindowMs)
     .slice(-maxKeptEarlier);
@@ -140,35 +140,35 @@
  * rollouts were accepted in between; a new one conflicts with a rollout in progress.
  */
 export const requestReleaseRollout = (
-  known: ReleaseRollout,
+  latest: ReleaseRollout,
   settled: types.Release | undefined,
   target: types.Release,
   spanMs: number,
   elapsedMs: number,
   duplicateWindowMs: number = releaseSettings.duplicateWindowMs,
 ): RolloutRequestResult => {
-  if (isSameRequest(known, target, elapsedMs, duplicateWindowMs))
-    return { kind: 'alreadyAccepted', rolloutNumber: known.order };
-  const repeated = known.earlier.find(
+  if (isSameRequest(latest, target, elapsedMs, duplicateWindowMs))
+    return { kind: 'alreadyAccepted', rolloutNumber: latest.order };
+  const repeated = latest.earlier.find(
     (earlier) =>
       earlier.target === target &&
       earlier.spanMs === spanMs &&
       earlier.ageMs + elapsedMs < duplicateWindowMs,
   );
   if (repeated !== undefined) return { kind: 'alreadyAccepted', rolloutNumber: repeated.order };
-  if (isInProgress(known)) return { kind: 'conflict', target: known.target };
+  if (isInProgress(latest)) return { kind: 'conflict', target: latest.target };
   return {
     kind: 'opened',
     rollout: {
-      ...settledRollout(known.service, settled),
+      ...settledRollout(latest.service, settled),
       prior: settled,
       target,
       phase: settled === target ? 'good' : 'trial',
       share: settled === target ? 0 : initialCanaryShare,
       spanMs,
-      order: types.nextSeq(known.order),
-      serial: types.nextSeq(known.serial),
-      earlier: [...earlierRolloutsOf(known, elapsedMs, duplicateWindowMs)],
+      order: types.nextSeq(latest.order),
+      serial: types.nextSeq(latest.serial),
+      earlier: [...earlierRolloutsOf(latest, elapsedMs, duplicateWindowMs)],
     },
   };
 };
--- a/packages/configuration/src/rollout/planner.ts
+++ b/packages/configuration/src/rollout/planner.ts
@@ -119,9 +119,13 @@
   const version = configVersionOf(control.configuration.offer);
   const { puts, outdatedNodes } = assign(control, version);
   const superseding = supersede(control, version);
-  const known = control.rollouts.get(version.generation);
-  if (known !== undefined && (outdatedNodes.length === 0 || isActive(known)))
-    return [...puts, ...superseding, ...joinRollout(control, known, outdatedNodes)];
+  const existingRollout = control.rollouts.get(version.generation);
+  if (existingRollout !== undefined && (outdatedNodes.length === 0 || isActive(existingRollout)))
+    return [...puts, ...superseding, ...joinRollout(control, existingRollout, outdatedNodes)];
   if (outdatedNodes.length === 0) return [...puts, ...superseding];
-  return [...puts, ...superseding, ...startRollout(version, policy, known, outdatedNodes)];
+  return [
+    ...puts,
+    ...superseding,
+    ...startRollout(version, policy, existingRollout, outdatedNodes),
+  ];
 };
--- a/packages/configuration/src/rollout/progress.ts
+++ b/packages/configuration/src/rollout/progress.ts
@@ -125,8 +125,8 @@
   statusSince: StatusSince,
   now: Timestamp,
 ): TargetProgress => {
-  const known = statusSince.get(key);
-  const since = known?.status === target.status ? known.at : now;
+  const previous = statusSince.get(key);
+  const since = previous?.status === target.status ? previous.at : now;
   const record = control.nodes.get(target.node);
   const [status, text] = nextTargetStatus(target, record, rollout, now - since);
   if (status === target.status) return { target, since, puts: [] };
@@ -136,7 +136,7 @@
 };
 
 /**
- * Advances the rollout after its targets. Exceeding the failure threshold only marks the rollout and
+ * Advances the rollout itself, once its targets are advanced. Exceeding the failure threshold only marks the rollout and
  * does not stop it; the next wave starts at the latest when the gate time is over, whatever the nodes
  * report.
  */
--- a/packages/model-checker/src/seeded-bugs/list.ts
+++ b/packages/model-checker/src/seeded-bugs/list.ts
@@ -156,7 +156,7 @@
     name: 'a number that is taken keeps its content',
     rule: 'one content by number',
     file: apply,
-    from: 'if (taken !== undefined && taken !== command.hash)',
+    from: 'if (boundHash !== undefined && boundHash !== command.hash)',
     to: 'if (false)',
   },
 ];
--- a/packages/replicated-store/src/commands/apply-configuration.test.ts
+++ b/packages/replicated-store/src/commands/apply-configuration.test.ts
@@ -70,7 +70,7 @@
   }
 }
 
-void test('keeps the contents of the newest generations up to the limit', () => {
+void test('the contents of the newest generations are recorded up to the limit', () => {
   const uploads = new Uploads();
   const newest = maxKeptGenerations + 200;
   for (let generation = 1; generation <= newest; generation += 1)
@@ -81,14 +81,14 @@
   assert.equal(Math.min(...uploads.control.hashByGeneration.keys()), oldestKept);
   assert.equal(uploads.send(oldestKept, contentAt(oldestKept + 1)), 409);
   assert.equal(uploads.send(oldestKept, contentAt(oldestKept)), 200);
-  // The content of a generation below all kept ones is unknown: it is acknowledged and not recorded.
+  // The content of a generation below all recorded ones is unknown: an upload is acknowledged and not recorded.
   assert.equal(uploads.send(oldestKept - 1, contentAt(oldestKept)), 200);
   assert.equal(uploads.control.hashByGeneration.has(toGeneration(oldestKept - 1)), false);
   assert.equal(uploads.control.hashByGeneration.size, maxKeptGenerations);
   assert.equal(uploads.control.configuration?.offer.generation, newest);
 });
 
-void test('binds generations that the store assigns itself to one content too', () => {
+void test('a generation that the store assigns itself is bound to one content too', () => {
   const uploads = new Uploads();
   assert.equal(uploads.send(undefined, contentAt(0)), 200);
   assert.equal(uploads.send(undefined, contentAt(1)), 200);
@@ -97,7 +97,7 @@
   assert.equal(uploads.send(1, contentAt(0)), 200);
 });
 
-void test('binds the current generation to the content in force when its record was not kept', () => {
+void test('without a record, the current generation is bound to the content in force', () => {
   const uploads = new Uploads();
   uploads.send(5, contentAt(0));
   uploads.control = { ...uploads.control, hashByGeneration: new Map() };
@@ -105,7 +105,7 @@
   assert.equal(uploads.send(5, contentAt(0)), 200);
 });
 
-void test('binds each generation to one content and puts the highest in force, in any order of arrival', () => {
+void test('each generation is bound to one content and the highest is in force, in any order of arrival', () => {
   for (let seed = 1; seed <= 50; seed += 1) {
     const uploads = new Uploads();
     const confirmed = new Map<number, Hash>();
--- a/packages/replicated-store/src/commands/apply-configuration.ts
+++ b/packages/replicated-store/src/commands/apply-configuration.ts
@@ -31,8 +31,8 @@
 
 /** Returns the content that a generation is bound to; undefined if it is not recorded. */
 const contentOf = (control: ControlState, generation: Generation): Hash | undefined => {
-  const kept = control.hashByGeneration.get(generation);
-  if (kept !== undefined) return kept;
+  const recordedHash = control.hashByGeneration.get(generation);
+  if (recordedHash !== undefined) return recordedHash;
   const manifest = control.configuration?.offer;
   return manifest?.generation === generation ? manifest.hash : undefined;
 };
@@ -50,7 +50,7 @@
     .sort((first, second) => first - second)
     .slice(0, surplus);
   const newestDropped = oldest.at(-1) ?? noGeneration;
-  // The record of a generation below all kept ones would be dropped at once.
+  // A record of a lower generation than a dropped one would itself exceed the limit.
   if (generation < newestDropped) return [];
   return [
     putRecord(controlKeys.generation(generation), { hash }),
@@ -82,14 +82,18 @@
 });
 
 /** Refusal of a generation that is bound to another content; sent once the write that bound it is committed. */
-const generationTaken = (command: ApplyCommand, generation: Generation, taken: Hash): Decision => ({
+const generationTaken = (
+  command: ApplyCommand,
+  generation: Generation,
+  boundHash: Hash,
+): Decision => ({
   ...noChange,
   repliesAfterWrite: [
     commandReply(command, 409, {
       kind: 'stale',
-      text: `number ${generation} was taken by the configuration ${taken}; this one is ${command.hash}`,
+      text: `number ${generation} was taken by the configuration ${boundHash}; this one is ${command.hash}`,
       generation,
-      taken,
+      taken: boundHash,
       offered: command.hash,
     }),
   ],
@@ -182,9 +186,9 @@
   const { requestedGeneration } = command;
   if (requestedGeneration === undefined)
     return accept(state, control, command, nextGeneration(current), seq);
-  const taken = contentOf(control, requestedGeneration);
-  if (taken !== undefined && taken !== command.hash)
-    return generationTaken(command, requestedGeneration, taken);
+  const boundHash = contentOf(control, requestedGeneration);
+  if (boundHash !== undefined && boundHash !== command.hash)
+    return generationTaken(command, requestedGeneration, boundHash);
   if (requestedGeneration <= current)
     return alreadySuperseded(control, command, requestedGeneration);
   return accept(state, control, command, requestedGeneration, seq);
--- a/packages/replicated-store/src/commands/chunks.ts
+++ b/packages/replicated-store/src/commands/chunks.ts
@@ -19,13 +19,13 @@
 
 /** Copies the chunks that an upload needs from the table, so that it no longer depends on the table. */
 export const holdChunks = (state: StoreState, hashes: readonly Hash[]): StoreState => {
-  const held = hashes.flatMap((hash) => {
+  const copiedChunks = hashes.flatMap((hash) => {
     const data = state.heldChunks.has(hash) ? undefined : state.control.chunks.get(hash);
     return data === undefined ? [] : [[hash, data] as const];
   });
-  return held.length === 0
+  return copiedChunks.length === 0
     ? state
-    : { ...state, heldChunks: new Map([...state.heldChunks, ...held]) };
+    : { ...state, heldChunks: new Map([...state.heldChunks, ...copiedChunks]) };
 };
 
 /** Chunks of an upload that are not held and must be requested. */
@@ -86,14 +86,14 @@
   control: ControlState,
   command: ApplyCommand,
 ): readonly TableMutation[] => {
-  const waiting = state.commandQueue.flatMap(chunksOf);
-  const kept = new Set([
+  const queuedHashes = state.commandQueue.flatMap(chunksOf);
+  const neededHashes = new Set([
     ...command.chunkHashes,
     ...(control.configuration?.offer.pieces ?? []),
-    ...waiting,
+    ...queuedHashes,
   ]);
   return [...control.chunks.keys()]
-    .filter((hash) => !kept.has(hash))
+    .filter((hash) => !neededHashes.has(hash))
     .map((hash) => deleteRecord(controlKeys.chunk(hash)));
 };
 
@@ -104,10 +104,10 @@
     ...[...state.awaitingChunks.values()].map((upload) => upload.command),
     ...[...state.compiling.values()].flat(),
   ];
-  const needed = new Set([
+  const neededHashes = new Set([
     ...uploads.flatMap((command) => command.chunkHashes),
     ...state.commandQueue.flatMap(chunksOf),
   ]);
-  const heldChunks = filterEntries(state.heldChunks, (_, hash) => needed.has(hash));
+  const heldChunks = filterEntries(state.heldChunks, (_, hash) => neededHashes.has(hash));
   return heldChunks === state.heldChunks ? state : { ...state, heldChunks };
 };
--- a/packages/replicated-store/src/commands/command-bodies.test.ts
+++ b/packages/replicated-store/src/commands/command-bodies.test.ts
@@ -218,7 +218,7 @@
     assert.deepEqual(repliesTo('view', name), [[200, { ...viewHeader, ...rows }]], name);
 });
 
-void test('a query for an unknown command is answered that sending it again is safe', () => {
+void test('the reply to a query for an unknown command states that sending it again is safe', () => {
   assert.deepEqual(repliesTo('ask', 'call-0'), [
     [
       404,
--- a/packages/replicated-store/src/commands/configuration-upload.ts
+++ b/packages/replicated-store/src/commands/configuration-upload.ts
@@ -119,8 +119,8 @@
 ): StoreTransition => {
   if (state.heldChunks.has(chunk.hash) || contentHash(chunk.data) !== chunk.hash)
     return transition(state);
-  const held = { ...state, heldChunks: withEntry(state.heldChunks, chunk.hash, chunk.data) };
-  let next = storeMissingChunk(held, chunk.hash);
+  const withChunk = { ...state, heldChunks: withEntry(state.heldChunks, chunk.hash, chunk.data) };
+  let next = storeMissingChunk(withChunk, chunk.hash);
   for (const [id, upload] of state.awaitingChunks) {
     if (!upload.command.chunkHashes.includes(chunk.hash)) continue;
     if (upload.outstandingChunks > 1) {
--- a/packages/replicated-store/src/commands/electorate-command.ts
+++ b/packages/replicated-store/src/commands/electorate-command.ts
@@ -16,10 +16,10 @@
   current: Electorate,
   body: v.InferOutput<typeof electorateBody>,
 ): Electorate | undefined => {
-  const kept = current.members.filter(
+  const retainedMembers = current.members.filter(
     (member) => member.node !== body.remove && member.node !== body.add?.node,
   );
-  const members = body.add === undefined ? kept : [...kept, body.add];
+  const members = body.add === undefined ? retainedMembers : [...retainedMembers, body.add];
   const difference = members.length - current.members.length;
   const isMoved = body.add !== undefined && difference === 0;
   if (members.length === 0 || (difference === 0 && !isMoved)) return undefined;
--- a/packages/replicated-store/src/leadership/candidacy.ts
+++ b/packages/replicated-store/src/leadership/candidacy.ts
@@ -44,7 +44,7 @@
 const hasConsistentTable = (state: StoreState): boolean =>
   !isSameLogPosition(state.logPosition, noLogPosition);
 
-/** Whether this store holds every committed write, to its own knowledge. */
+/** Whether this store knows that it holds every committed write. */
 export const isInSync = (state: StoreState): boolean =>
   state.metadata !== undefined &&
   hasConsistentTable(state) &&
@@ -109,8 +109,8 @@
     now - state.startedAt < lostDiskWaitMs
   )
     return false;
-  // A store that lost its disk was in no later in-sync set. A silent one may have been, but only if that set replaced
-  // all reachable members at once, which exceeds the tolerated losses.
+  // A store that lost its disk was in no later in-sync set. A silent store may have been, but only if that set
+  // replaced all reachable members at once, which would take more losses than are tolerated.
   const silent = others.filter(({ evidence }) => evidence === 'silent');
   const same = 1 + others.filter(({ evidence }) => evidence === 'same').length;
   return (
--- a/packages/replicated-store/src/leadership/electorate-changes.ts
+++ b/packages/replicated-store/src/leadership/electorate-changes.ts
@@ -25,8 +25,8 @@
 
 /** Queues the next change that adapts the electorate to the live registries, one member at a time. */
 export const followRegistries = (before: StoreState, now: Timestamp): StoreTransition => {
-  const noted = recordPolledElectorate(before, now);
-  const state = noted === before ? before : renewLeaseSoon(noted);
+  const recorded = recordPolledElectorate(before, now);
+  const state = recorded === before ? before : renewLeaseSoon(recorded);
   const isChanging =
     state.primaryWrite !== undefined ||
     state.commandQueue.some(
--- a/packages/replicated-store/src/leadership/electorate.ts
+++ b/packages/replicated-store/src/leadership/electorate.ts
@@ -124,7 +124,7 @@
   }
   const largestFirst = [...sizes.values()].sort((first, second) => second - first);
   const lost = largestFirst.slice(0, registries.toleratedDomains);
-  return lost.reduce((left, size) => left - size, live.length);
+  return lost.reduce((remaining, size) => remaining - size, live.length);
 };
 
 const resilienceOf = (members: readonly Member[], registries: Registries): Resilience => {
@@ -183,12 +183,12 @@
     const ownResilience = resilienceOf(changed, registries);
     // Without a live majority of the new electorate the lease would end with the change.
     if (ownResilience.spareVoters < 0) continue;
-    const further = looksAhead
+    const furtherResilience = looksAhead
       ? bestChange(changed, joinable, registries, false)?.reachableResilience
       : undefined;
     const reachableResilience =
-      further !== undefined && compareResilience(further, ownResilience) > 0
-        ? further
+      furtherResilience !== undefined && compareResilience(furtherResilience, ownResilience) > 0
+        ? furtherResilience
         : ownResilience;
     if (best === undefined || compareResilience(reachableResilience, best.reachableResilience) > 0)
       best = { members: changed, reachableResilience };
--- a/packages/replicated-store/src/leadership/hand-over.ts
+++ b/packages/replicated-store/src/leadership/hand-over.ts
@@ -1,5 +1,5 @@
 /**
- * End of a lease, released or lost: pending commands and writes end with it.
+ * End of a store's leadership, when its lease is released or lost: pending commands and the open write are dropped.
  */
 
 import { type Timestamp, clockOrigin, prependEffects } from '@switchwheel/types';
@@ -25,14 +25,14 @@
     shortageSince: undefined,
   });
 
-/** Releases the lease with all pending work, and does not campaign for `durationMs`. */
+/** Releases the lease, drops all pending work, and does not campaign for `durationMs`. */
 export const handOverLeadership = (
   state: StoreState,
   durationMs: number,
   now: Timestamp,
 ): StoreTransition => {
   const resigned = resignLease(state, durationMs, now);
-  // Makes the next status due, so that the peers learn of it at once.
+  // Makes the next status due, so that the peers are notified at once.
   return prependEffects(
     resigned.effects,
     endLeadership({ ...resigned.state, statusSentAt: clockOrigin }),
--- a/packages/replicated-store/src/leadership/primary-sightings.ts
+++ b/packages/replicated-store/src/leadership/primary-sightings.ts
@@ -1,5 +1,5 @@
 /**
- * Observation of a primary from its frames.
+ * Record of the last contact with a primary, derived from the metadata in its frames.
  */
 
 import type { Timestamp } from '@switchwheel/types';
--- a/packages/replicated-store/src/leadership/replica-placement.ts
+++ b/packages/replicated-store/src/leadership/replica-placement.ts
@@ -79,11 +79,11 @@
 /** Adds stores to a set until it has the wanted size and is sufficient, or no store improves it any more. */
 export const chooseReplicas = (
   state: StoreState,
-  kept: readonly NodeId[],
+  initialSet: readonly NodeId[],
   stores: readonly NodeId[],
 ): readonly NodeId[] => {
   const wantedSize = Math.max(state.settings.copies, state.settings.tolerate + 1);
-  const set = [...kept];
+  const set = [...initialSet];
   let remaining = stores.filter((node) => !set.includes(node));
   while (set.length < wantedSize || !hasEnoughReplicas(state, set)) {
     const inOtherDomain = inNewDomain(state, set, remaining);
--- a/packages/replicated-store/src/log-write/backup-replacement.ts
+++ b/packages/replicated-store/src/log-write/backup-replacement.ts
@@ -113,9 +113,9 @@
   now: Timestamp,
 ): StoreTransition => {
   if (state.metadata === undefined || !holdsLease(state.candidate, now)) return transition(state);
-  const kept = state.candidate.inSyncSet.filter((node) => !lost.includes(node));
-  const learners = caughtUpLearners(state, [...kept, ...lost], now);
-  const inSyncSet = chooseReplicas(state, kept, learners);
+  const remaining = state.candidate.inSyncSet.filter((node) => !lost.includes(node));
+  const learners = caughtUpLearners(state, [...remaining, ...lost], now);
+  const inSyncSet = chooseReplicas(state, remaining, learners);
   const isEnough = hasEnoughReplicas(state, inSyncSet);
   if (!isEnough && mayGainReplica(state, inSyncSet, lost, now))
     return transition(recordShortage(state, now));
--- a/packages/replicated-store/src/log-write/backup-write.ts
+++ b/packages/replicated-store/src/log-write/backup-write.ts
@@ -55,8 +55,8 @@
 const continueReplication = (state: StoreState, now: Timestamp): StoreTransition => {
   const [next, ...rest] = state.replicationQueue;
   if (next === undefined || state.backupWrite !== undefined) return transition(state);
-  const taken = onReplicate({ ...state, replicationQueue: rest }, next.from, next.frame, now);
-  return prependEffects(taken.effects, continueReplication(taken.state, now));
+  const replicated = onReplicate({ ...state, replicationQueue: rest }, next.from, next.frame, now);
+  return prependEffects(replicated.effects, continueReplication(replicated.state, now));
 };
 
 /** Handles a replicated write: accepts it if it directly follows the last write of this store. */
@@ -147,7 +147,7 @@
   if (purpose === 'bootstrap')
     return transition(
       state,
-      log('info', 'bootstrapped', ['fleet', metadata.fleet]),
+      log('info', 'fleet bootstrapped on this store', ['fleet', metadata.fleet]),
       ...bootstrapReply(state, backupWrite, true, ''),
     );
   const next: StoreState = {
--- a/packages/replicated-store/src/releases/release-progress.ts
+++ b/packages/replicated-store/src/releases/release-progress.ts
@@ -72,8 +72,12 @@
       continue;
     watches = withEntry(watches, service, newRolloutWatch(rollout.order, rollout.spentMs, now));
   }
-  const kept = filterEntries(watches, (_, service) => state.control.releases.has(service));
-  return kept === state.releaseWatches ? state : { ...state, releaseWatches: kept };
+  const recordedWatches = filterEntries(watches, (_, service) =>
+    state.control.releases.has(service),
+  );
+  return recordedWatches === state.releaseWatches
+    ? state
+    : { ...state, releaseWatches: recordedWatches };
 };
 
 /** Whether a change of a service's rollout record is queued or being written. */
--- a/packages/simulator/src/guard/list.ts
+++ b/packages/simulator/src/guard/list.ts
@@ -172,14 +172,14 @@
     name: 'a number has one content',
     rule: 'generation',
     file: applyConfiguration,
-    from: 'if (taken !== undefined && taken !== command.hash)',
+    from: 'if (boundHash !== undefined && boundHash !== command.hash)',
     to: 'if (false)',
   },
   {
     name: 'a number keeps its content once another is in force',
     rule: 'generation',
     file: applyConfiguration,
-    from: 'if (kept !== undefined) return kept;',
+    from: 'if (recordedHash !== undefined) return recordedHash;',
     to: '',
   },
   {
@@ -200,8 +200,8 @@
     name: 'an order that was judged bad is known again after its term',
     rule: 'order',
     file: releaseRollout,
-    from: 'elapsedMs < Math.max(known.spanMs, duplicateWindowMs)',
-    to: 'elapsedMs < known.spanMs',
+    from: 'elapsedMs < Math.max(latest.spanMs, duplicateWindowMs)',
+    to: 'elapsedMs < latest.spanMs',
   },
   {
     name: 'a call is answered once',
