--- a/packages/routing/src/attempt-state/attempt-state.ts
+++ b/packages/routing/src/attempt-state/attempt-state.ts
@@ -143,7 +143,7 @@
     ...(outcome === undefined ? [] : [{ kind: 'finishRequest' as const, outcome }]),
   );
 
-/** Returns the outcome without a response; `rejected` states that no origin has run or will run the request. */
+/** Returns the outcome when no further response is expected: the fallback if there is one, otherwise a failure. */
 const finalOutcome = (
   request: RequestState,
   text: string,
@@ -210,7 +210,7 @@
   if (response.isUnprocessed)
     return retryOrFinish(remaining, 'origins turn requests away', unprocessedRetryMs);
   const processed: RequestState = { ...remaining, mayHaveRun: true };
-  // From such a status a client would conclude that the request was not run, which the origin did not state.
+  // The client would conclude from the status that the request was not run, which the origin did not state.
   const isMisleading = !request.isIdempotent && unprocessedStatuses.has(response.status);
   if (response.status < 500)
     return finish(
--- a/packages/routing/src/endpoint/endpoint-table.ts
+++ b/packages/routing/src/endpoint/endpoint-table.ts
@@ -29,7 +29,7 @@
   warmingUpUntil: Timestamp;
   /** Attempts of this edge in flight to the instance. */
   inFlight: number;
-  /** Exponentially weighted moving average of the time until the complete response. */
+  /** Exponentially weighted moving average of the time until a complete response is received. */
   latencyEwmaMs: number;
   responseCount: number;
   consecutiveFailures: number;
@@ -114,7 +114,7 @@
     );
     const untried = available.filter(({ instance }) => !triedInstances.has(instance));
     const candidates = untried.filter(({ ejectedUntil }) => ejectedUntil <= now);
-    // If all are ejected or tried, falls back to the one whose ejection ends first.
+    // If all endpoints are ejected or tried, falls back to the one whose ejection ends first.
     if (candidates.length === 0) return soonestAvailable(untried.length > 0 ? untried : available);
     return this.#pickOfTwo(candidates, policy, now);
   }
--- a/packages/routing/src/object-sharing/object-sharing.test.ts
+++ b/packages/routing/src/object-sharing/object-sharing.test.ts
@@ -142,8 +142,8 @@
   /** Returns the owner of an object and the other edges. */
   ownerAndOthers(target: string): { readonly owner: Edge; readonly others: readonly Edge[] } {
     const probe = new ZoneFixture();
-    const [first] = probe.edges;
-    first?.request(target);
+    const [requester] = probe.edges;
+    requester?.request(target);
     probe.deliver();
     const ownerIndex = probe.edges.indexOf(
       probe.fetches[0]?.edge ?? probe.edges[0] ?? throwMissingEdge(),
@@ -295,12 +295,12 @@
   owner.request('/clips/1');
   zone.respond(0, 'old');
   zone.advance(lifetimeMs - 100);
-  const [first] = others;
-  first?.request('/clips/1');
+  const [requester] = others;
+  requester?.request('/clips/1');
   zone.deliver();
-  assert.deepEqual(first?.bodies(), ['old'], 'shared within its lifetime');
+  assert.deepEqual(requester?.bodies(), ['old'], 'shared within its lifetime');
   zone.advance(100);
-  first.request('/clips/1');
+  requester.request('/clips/1');
   zone.deliver();
   assert.equal(zone.fetches.length, 2, 'not shared after its lifetime');
 });
@@ -310,23 +310,23 @@
   const { owner, others } = zone.ownerAndOthers('/clips/1');
   owner.request('/clips/1');
   zone.respond(0, 'old');
-  const [first, second] = others;
-  first?.purge(1, '/clips/1');
-  first?.request('/clips/1');
+  const [requester, otherRequester] = others;
+  requester?.purge(1, '/clips/1');
+  requester?.request('/clips/1');
   zone.deliver();
   assert.equal(zone.fetches.length, 2, 'the edge sends the request to an origin itself');
   zone.respond(1, 'new');
-  assert.deepEqual(first?.bodies(), ['new']);
+  assert.deepEqual(requester?.bodies(), ['new']);
   // An edge that has not applied the purge yet may serve the object, and removes it with the purge.
-  second?.request('/clips/1');
+  otherRequester?.request('/clips/1');
   zone.deliver();
-  second?.purge(1, '/clips/1');
+  otherRequester?.purge(1, '/clips/1');
   owner.purge(1, '/clips/1');
-  second?.request('/clips/1');
+  otherRequester?.request('/clips/1');
   zone.deliver();
   assert.equal(zone.fetches.length, 3);
   zone.respond(2, 'new');
-  assert.deepEqual(second?.bodies(), ['old', 'new']);
+  assert.deepEqual(otherRequester?.bodies(), ['old', 'new']);
 });
 
 void test('an owner that may have missed purges shares nothing from its cache', () => {
@@ -347,16 +347,16 @@
   const zone = new ZoneFixture();
   const { owner, others } = zone.ownerAndOthers('/clips/1');
   zone.unreachable.add(owner.member.address);
-  const [first] = others;
-  first?.request('/clips/1');
+  const [requester] = others;
+  requester?.request('/clips/1');
   zone.deliver();
   assert.equal(zone.fetches.length, 0);
   zone.advance(430);
   assert.equal(zone.fetches.length, 1, 'the edge sends the request to an origin itself');
   zone.respond(0);
-  assert.deepEqual(first?.kinds(), ['cached']);
-  first.request('/clips/2');
-  first.request('/clips/3');
+  assert.deepEqual(requester?.kinds(), ['cached']);
+  requester.request('/clips/2');
+  requester.request('/clips/3');
   zone.advance(60);
   assert.ok(zone.fetches.length >= 2);
 });
@@ -368,16 +368,16 @@
   owner.request('/edit/1', 'POST');
   owner.request('/edit/2', 'POST');
   const fetchCount = zone.fetches.length;
-  const [first, second] = others;
-  first?.request('/clips/1');
+  const [requester, otherRequester] = others;
+  requester?.request('/clips/1');
   zone.deliver();
   assert.equal(zone.fetches.length, fetchCount + 1);
-  assert.equal(zone.fetches.at(-1)?.edge, first);
-  second?.request('/edit/3', 'POST');
-  second?.request('/clips/1');
+  assert.equal(zone.fetches.at(-1)?.edge, requester);
+  otherRequester?.request('/edit/3', 'POST');
+  otherRequester?.request('/clips/1');
   zone.deliver();
   assert.equal(
-    second?.kinds().at(-1),
+    otherRequester?.kinds().at(-1),
     'rejected',
     'with no quota share left the request is rejected',
   );
@@ -388,28 +388,28 @@
   const { owner, others } = zone.ownerAndOthers('/clips/1');
   owner.request('/clips/1');
   zone.respond(0, 'from the old configuration');
-  const [first] = others;
-  assert.ok(first !== undefined);
-  first.nodeAgent = { ...first.nodeAgent, compiledConfiguration: configurationOf(2) };
-  first.request('/clips/1');
+  const [requester] = others;
+  assert.ok(requester !== undefined);
+  requester.nodeAgent = { ...requester.nodeAgent, compiledConfiguration: configurationOf(2) };
+  requester.request('/clips/1');
   zone.deliver();
-  assert.equal(zone.fetches.at(-1)?.edge, first);
+  assert.equal(zone.fetches.at(-1)?.edge, requester);
 });
 
 void test('uncacheable requests are never sent to another edge', () => {
   const zone = new ZoneFixture();
-  const [first] = zone.edges;
-  first?.request('/edit/1', 'POST');
+  const [requester] = zone.edges;
+  requester?.request('/edit/1', 'POST');
   assert.equal(zone.fetches.length, 1);
   zone.advance(2100);
-  first?.request('/clips/1', 'GET', [['authorization', 'x']]);
+  requester?.request('/clips/1', 'GET', [['authorization', 'x']]);
   assert.equal(zone.fetches.length, 2);
 });
 
 void test('an edge does not forward a request from another edge, whatever members it sees', () => {
   const zone = new ZoneFixture();
   const { owner, others } = zone.ownerAndOthers('/clips/1');
-  const [first] = others;
+  const [requester] = others;
   const { nodeSession } = owner.nodeAgent;
   const visibleMembers = members.filter((member) => member !== owner.member);
   owner.nodeAgent = {
@@ -417,7 +417,7 @@
     nodeSession: { ...nodeSession, members: visibleMembers },
   };
   owner.router.updateFleet(owner.nodeAgent);
-  first?.request('/clips/1');
+  requester?.request('/clips/1');
   zone.deliver();
   assert.equal(zone.fetches.length, 1);
   assert.equal(zone.fetches[0]?.edge, owner);
--- a/packages/routing/src/object-sharing/peer-bandwidth.ts
+++ b/packages/routing/src/object-sharing/peer-bandwidth.ts
@@ -20,7 +20,7 @@
   #refilledAt: Timestamp = clockOrigin;
   #objectBytesEwma = initialObjectBytes;
 
-  /** Bandwidth of the link in bytes per second; infinite if unknown, which disables the limit. */
+  /** An infinite `linkBytesPerSecond` (unknown bandwidth) disables the limit. */
   constructor(linkBytesPerSecond: number) {
     this.#bytesPerMs = (peerShareOfLink * linkBytesPerSecond) / 1000;
     this.#availableBytes = this.#capacityBytes;
--- a/packages/routing/src/quota/quota-share.test.ts
+++ b/packages/routing/src/quota/quota-share.test.ts
@@ -30,10 +30,10 @@
 /** Returns the highest number of events in any window. */
 const maxInWindow = (times: readonly number[], windowMs: number): number => {
   let highest = 0;
-  let first = 0;
-  times.forEach((at, last) => {
-    while (at - (times[first] ?? 0) >= windowMs) first += 1;
-    highest = Math.max(highest, last - first + 1);
+  let firstIndex = 0;
+  times.forEach((at, lastIndex) => {
+    while (at - (times[firstIndex] ?? 0) >= windowMs) firstIndex += 1;
+    highest = Math.max(highest, lastIndex - firstIndex + 1);
   });
   return highest;
 };
@@ -62,16 +62,17 @@
         }
       }
       const { extraAttemptWindowMs, extraAttemptRatio, extraAttemptSlack } = defaultEdgeLimits;
-      let first = 0;
+      let firstIndex = 0;
       let windowStart = 0;
-      extraAttemptTimes.forEach((at, last) => {
-        while (at - (extraAttemptTimes[first] ?? 0) >= extraAttemptWindowMs) first += 1;
+      extraAttemptTimes.forEach((at, lastIndex) => {
+        while (at - (extraAttemptTimes[firstIndex] ?? 0) >= extraAttemptWindowMs) firstIndex += 1;
         while ((requestTimes[windowStart] ?? 0) <= at - extraAttemptWindowMs) windowStart += 1;
         let windowEnd = windowStart;
         while (windowEnd < requestTimes.length && (requestTimes[windowEnd] ?? 0) <= at)
           windowEnd += 1;
         assert.ok(
-          last - first + 1 <= extraAttemptRatio * (windowEnd - windowStart) + extraAttemptSlack,
+          lastIndex - firstIndex + 1 <=
+            extraAttemptRatio * (windowEnd - windowStart) + extraAttemptSlack,
           'at most the ratio of the requests plus the slack',
         );
       });
--- a/packages/routing/src/quota/quota-share.ts
+++ b/packages/routing/src/quota/quota-share.ts
@@ -29,10 +29,10 @@
 /** Lowest rate, in fetches per second, at which one edge can fill its cache alone. */
 const minCacheFillPerSecond = 5;
 
-/** Fractions used of the extra-attempt limits; the rest is a safety margin. */
+/** Fractions of the extra-attempt limits that the edges use; the rest is a safety margin. */
 const extraAttemptRatioUtilization = 0.75;
 const extraAttemptSlackUtilization = 0.4;
-/** Fractions used of a service's rate limit, of its permitted overage and of its connections; the rest is a margin. */
+/** Fractions of a service's rate limit, of its permitted overage and of its connections that the edges use. */
 const serviceRateUtilization = 0.97;
 const overageUtilization = 0.8;
 const connectionUtilization = 0.9;
--- a/packages/routing/src/rollout/rollout-counters.ts
+++ b/packages/routing/src/rollout/rollout-counters.ts
@@ -89,7 +89,7 @@
     counts.sumMs += durationMs;
   }
 
-  /** Returns the counts of a rollout; undefined if this edge counts for another rollout of the service. */
+  /** Returns the counts of a rollout; undefined if this edge does not count for that rollout. */
   report(rollout: RolloutState, now: Timestamp): RolloutReport | undefined {
     const { service, order, serial } = rollout;
     const counts = this.#rollouts.get(service);
--- a/packages/routing/src/router/coalesced-fetches.ts
+++ b/packages/routing/src/router/coalesced-fetches.ts
@@ -35,7 +35,7 @@
   readonly #maxAgeMs: number;
   #purgeEpoch = 0;
 
-  /** Limits the age of joinable fetches also to half of the maximum purge lag, in milliseconds. */
+  /** Fetches older than half of the maximum purge lag can't be joined either. */
   constructor(maxPurgeLagMs: number) {
     this.#maxAgeMs = Math.min(maxJoinAgeMs, maxPurgeLagMs / 2);
   }
--- a/packages/routing/src/router/edge-router.test.ts
+++ b/packages/routing/src/router/edge-router.test.ts
@@ -522,7 +522,7 @@
   assert.equal(fixture.sent.length, 1);
 });
 
-void test('the cache of a superseded configuration is not used after that time either', () => {
+void test('cached responses of a superseded configuration are refused after the time limit too', () => {
   const fixture = new RouterFixture(twoOrigins);
   fixture.request('/clips/1');
   fixture.respond(0);
--- a/packages/routing/src/router/edge-router.ts
+++ b/packages/routing/src/router/edge-router.ts
@@ -243,12 +243,12 @@
     request: IncomingRequest,
     reply: ReplyCallback,
     route: CompiledRoute,
-    { deadline: givenDeadline, isForPeer }: AcceptOptions,
+    { deadline: originalDeadline, isForPeer }: AcceptOptions,
     now: Timestamp,
   ): () => void {
     const service = pickService(route, this.#random.next());
-    if (givenDeadline === undefined && !isForPeer) this.#quota.recordRequest(service, now);
-    const deadline = givenDeadline ?? deadlineOf(request, route, now);
+    if (originalDeadline === undefined && !isForPeer) this.#quota.recordRequest(service, now);
+    const deadline = originalDeadline ?? deadlineOf(request, route, now);
     const cacheable = this.#responseCache.cacheable(route, request);
     if (cacheable !== undefined && this.#replyFromCache(cacheable, reply, now)) return doNothing;
     // The response to a HEAD request has no body, so it can be neither cached nor shared.
--- a/packages/routing/src/router/request-runner.ts
+++ b/packages/routing/src/router/request-runner.ts
@@ -45,7 +45,7 @@
   readonly peerObjects: PeerObjects;
   readonly selector: EndpointSelector;
   readonly counts: Map<string, number>;
-  /** Accepts a waiter again whose fetch gave no shareable response; returns the callback for a disconnect of its client. */
+  /** Resubmits a waiter whose fetch gave no shareable response; returns the callback for a disconnect of its client. */
   readonly resubmit: (waiter: Waiter) => () => void;
 }
 
