--- a/packages/election/src/voter/voter.test.ts
+++ b/packages/election/src/voter/voter.test.ts
@@ -90,7 +90,11 @@
   }
   const echoOfEarlierIncarnation = request({ renew: true, voterLife: toIncarnation(6) });
   voter = handleVoteRequest(voter, echoOfEarlierIncarnation, after(maxLeaseMs + 50))[0];
-  assert.equal(voter.isRecovering, true, 'an echo of an earlier incarnation');
+  assert.equal(
+    voter.isRecovering,
+    true,
+    'an echo of an earlier incarnation does not end the recovery',
+  );
   const [next, vote] = handleVoteRequest(
     voter,
     request({ renew: true, voterLife: incarnation }),
@@ -102,7 +106,11 @@
 
 void test("peers' records end the recovery only if made after the abstention period", () => {
   assert.ok(second !== undefined && third !== undefined);
-  const [known] = handleVoteRequest(restarted(), request({ renew: true }), after(maxLeaseMs));
+  const [recoveringVoter] = handleVoteRequest(
+    restarted(),
+    request({ renew: true }),
+    after(maxLeaseMs),
+  );
   const peerGrants = (from: typeof second, at: number, heardIncarnation = incarnation) => ({
     from,
     isRecovering: false,
@@ -112,23 +120,31 @@
   const now = after(maxLeaseMs + 300);
   const recoveredFromBoth = (...heard: readonly [number, number]): Voter =>
     recoverGrants(
-      recoverGrants(known, peerGrants(second, heard[0]), now),
+      recoverGrants(recoveringVoter, peerGrants(second, heard[0]), now),
       peerGrants(third, heard[1]),
       now,
     );
-  assert.equal(recoveredFromBoth(900, 1000).isRecovering, true, 'one record was made too early');
+  assert.equal(
+    recoveredFromBoth(900, 1000).isRecovering,
+    true,
+    'one peer made its records before the abstention period ended',
+  );
   assert.equal(recoveredFromBoth(1000, 1000).isRecovering, false);
   assert.equal(
     recoveredFromBoth(900, 900).grants.get(primaryLease)?.epoch,
     6,
-    'the epoch is adopted nevertheless',
+    'the epoch of an early record is adopted',
   );
   const fromEarlierIncarnation = recoverGrants(
-    known,
+    recoveringVoter,
     peerGrants(second, 1000, toIncarnation(6)),
     now,
   );
-  assert.equal(fromEarlierIncarnation.recoveredFrom.size, 0, 'records for an earlier incarnation');
+  assert.equal(
+    fromEarlierIncarnation.recoveredFrom.size,
+    0,
+    'records for an earlier incarnation of the voter do not count',
+  );
 });
 
 void test('an abandoned election restores the in-sync set; one that may have been won does not', () => {
--- a/packages/membership/src/registry/departures.ts
+++ b/packages/membership/src/registry/departures.ts
@@ -119,13 +119,13 @@
       }),
     );
   }
-  const known = state.origins.get(origin.instance);
-  if (known !== undefined && known.state !== 'up' && origin.state === 'up') {
+  const knownOrigin = state.origins.get(origin.instance);
+  if (knownOrigin !== undefined && knownOrigin.state !== 'up' && origin.state === 'up') {
     return transition(
       state,
       reply(correlationId, 409, {
         kind: 'stale',
-        text: `instance ${origin.instance} is ${known.state} for good; a new run takes a new instance id`,
+        text: `instance ${origin.instance} is ${knownOrigin.state} for good; a new run takes a new instance id`,
       }),
     );
   }
--- a/packages/membership/src/registry/disk-hints.ts
+++ b/packages/membership/src/registry/disk-hints.ts
@@ -13,7 +13,7 @@
 /** Maximum age of a usable hint. */
 const maxHintAgeMs = 1000;
 
-/** A hint of a store that has a configuration. */
+/** Disk hint of a store that has a configuration on its disk. */
 export type ProvenHint = FrameOf<'hint'> & { readonly offer: ConfigManifest };
 
 /** Records a hint if it is the newest one of its store. */
@@ -23,11 +23,11 @@
   now: Timestamp,
 ): RegistryState => {
   if (state.fleet !== undefined && state.fleet !== hint.metadata.fleet) return state;
-  const known = state.diskHints.get(hint.node)?.frame;
+  const previousHint = state.diskHints.get(hint.node)?.frame;
   const isOutdated =
-    known !== undefined &&
-    (hint.incarnation < known.incarnation ||
-      (hint.incarnation === known.incarnation && hint.at < known.at));
+    previousHint !== undefined &&
+    (hint.incarnation < previousHint.incarnation ||
+      (hint.incarnation === previousHint.incarnation && hint.at < previousHint.at));
   if (isOutdated) return state;
   const diskHints = withEntry(state.diskHints, hint.node, { frame: hint, heardAt: now });
   return { ...state, diskHints };
@@ -62,14 +62,18 @@
   const hints = freshHints(state, now);
   const metadata = newestMetadata(hints);
   if (metadata === undefined) return undefined;
-  const known = state.electorate;
+  const knownElectorate = state.electorate;
   const electorate =
-    known !== undefined && known.serial > metadata.electorate.serial ? known : metadata.electorate;
+    knownElectorate !== undefined && knownElectorate.serial > metadata.electorate.serial
+      ? knownElectorate
+      : metadata.electorate;
   if (!hasMajorityContact({ ...state, electorate }, now)) return undefined;
   const inSync = hints
     .map((hint) => hint.frame)
     .filter((frame) => metadata.inSyncSet.includes(frame.node));
   const offers = inSync.filter(hasOffer);
   if (offers.length < metadata.inSyncSet.length) return undefined;
-  return offers.reduce((low, hint) => (hint.offer.generation < low.offer.generation ? hint : low));
+  return offers.reduce((lowest, hint) =>
+    hint.offer.generation < lowest.offer.generation ? hint : lowest,
+  );
 };
--- a/packages/membership/src/registry/gossip.ts
+++ b/packages/membership/src/registry/gossip.ts
@@ -40,15 +40,15 @@
   now: Timestamp,
 ): PeerContact | undefined => {
   const { incarnation } = gossip.from;
-  const known = state.peers.get(gossip.from.node);
-  const isSameIncarnation = known?.incarnation === incarnation;
-  if (known !== undefined && incarnation < known.incarnation) return undefined;
-  if (isSameIncarnation && gossip.at <= known.gossipSentAt) return undefined;
+  const previous = state.peers.get(gossip.from.node);
+  const isSameIncarnation = previous?.incarnation === incarnation;
+  if (previous !== undefined && incarnation < previous.incarnation) return undefined;
+  if (isSameIncarnation && gossip.at <= previous.gossipSentAt) return undefined;
   const echoedAt = echoOf(state, gossip)?.at;
   return {
     incarnation,
     gossipSentAt: gossip.at,
-    gossipEchoedAt: echoedAt ?? (isSameIncarnation ? known.gossipEchoedAt : undefined),
+    gossipEchoedAt: echoedAt ?? (isSameIncarnation ? previous.gossipEchoedAt : undefined),
     primaryAsOf: gossip.feedAge === undefined ? undefined : subtractMs(now, gossip.feedAge),
   };
 };
--- a/packages/membership/src/registry/operator-commands.ts
+++ b/packages/membership/src/registry/operator-commands.ts
@@ -117,8 +117,8 @@
 
 /** Handles a tick for all requests that wait for stores: commands, then bootstraps. */
 export const tickPendingCommands = (state: RegistryState, now: Timestamp): RegistryTransition => {
-  const done = tickCommands(state, now);
-  return prependEffects(done.effects, expireBootstraps(done.state, now));
+  const ticked = tickCommands(state, now);
+  return prependEffects(ticked.effects, expireBootstraps(ticked.state, now));
 };
 
 /** Adds a repeated command to the pending one; rejects a repeated read, or other content with the same id. */
--- a/packages/membership/src/registry/primary-feed.ts
+++ b/packages/membership/src/registry/primary-feed.ts
@@ -25,8 +25,8 @@
 
 /** Merges a frame into the feed; a frame without desired rows keeps the known ones. */
 const mergeFeed = (feed: Feed, frame: FrameOf<'feed'>, now: Timestamp): Feed => {
-  const known = new Set(feed.purges.map((purge) => purge.seq));
-  const added = frame.purges.filter((purge) => !known.has(purge.seq));
+  const knownSeqs = new Set(feed.purges.map((purge) => purge.seq));
+  const added = frame.purges.filter((purge) => !knownSeqs.has(purge.seq));
   const isNewer =
     frame.current !== undefined && frame.current.generation > generationOf(feed.current);
   const desired =
--- a/packages/membership/src/registry/queries.ts
+++ b/packages/membership/src/registry/queries.ts
@@ -46,14 +46,14 @@
 
 /** Addresses of the other registries: those with a session, the voters, and the seeds. */
 export const peerAddresses = (state: RegistryState, now: Timestamp): readonly Address[] => {
-  const known = [...state.sessions.values()]
+  const withSession = [...state.sessions.values()]
     .filter(
       (session) =>
         session.member.role === 'registry' && now - session.lastHeardAt < peerRetentionMs,
     )
     .map((session) => session.member.address);
   const voters = state.electorate?.members.map((voter) => voter.address) ?? [];
-  return [...new Set([...known, ...voters, ...state.seeds])].filter(
+  return [...new Set([...withSession, ...voters, ...state.seeds])].filter(
     (address) => address !== state.member.address,
   );
 };
@@ -80,9 +80,9 @@
 
 /** Whether a peer has a newer feed of the primary than this registry, by more than `feedLeadMs`. */
 export const onlyPeersHearPrimary = (state: RegistryState): boolean => {
-  const own = state.feed.asOf ?? -Infinity;
+  const ownAsOf = state.feed.asOf ?? -Infinity;
   return [...state.peers.values()].some(
-    (peer) => peer.primaryAsOf !== undefined && peer.primaryAsOf > own + feedLeadMs,
+    (peer) => peer.primaryAsOf !== undefined && peer.primaryAsOf > ownAsOf + feedLeadMs,
   );
 };
 
--- a/packages/membership/src/registry/releases.test.ts
+++ b/packages/membership/src/registry/releases.test.ts
@@ -107,9 +107,9 @@
 
 void test('an unsettled record is sent with every reply, and all records once its span has ended', () => {
   const state = stateWith([inCanary, record('acts')]);
-  const known = releasesDigest([inCanary, record('acts')]);
+  const knownDigest = releasesDigest([inCanary, record('acts')]);
   assert.deepEqual(
-    receive(state, edge, heartbeat(1, known), 1010).services,
+    receive(state, edge, heartbeat(1, knownDigest), 1010).services,
     ['clips'],
     'in the canary phase',
   );
@@ -133,12 +133,12 @@
   );
 });
 
-void test('a push holds no known records, and all records after one has changed', () => {
-  const known = releasesDigest([record('clips'), record('acts')]);
+void test('a push of a purge holds no records that the node knows, and a push of a changed record holds all', () => {
+  const knownDigest = releasesDigest([record('clips'), record('acts')]);
   const state = receive(
     stateWith([record('clips'), record('acts')]),
     edge,
-    heartbeat(1, known),
+    heartbeat(1, knownDigest),
     1010,
   ).state;
   const purged = receive(state, store, feed([record('clips'), record('acts')], 2, 1), 1020);
@@ -153,8 +153,8 @@
 });
 
 void test('a feed without desired rows is pushed too, and one that arrives out of order is ignored', () => {
-  const known = releasesDigest([record('clips')]);
-  const state = receive(stateWith([record('clips')]), edge, heartbeat(1, known), 1010).state;
+  const knownDigest = releasesDigest([record('clips')]);
+  const state = receive(stateWith([record('clips')]), edge, heartbeat(1, knownDigest), 1010).state;
   const next = record('clips', { settled: toRelease('r2'), serial: toSeq(2) });
   const changed = receive(state, store, feedWithoutDesired([next], 5), 1020);
   assert.deepEqual(changed.services, ['clips']);
--- a/packages/membership/src/session/node-session.ts
+++ b/packages/membership/src/session/node-session.ts
@@ -104,10 +104,10 @@
 
 /** Addresses of all registries that this node knows: those in the member list, then the seeds. */
 export const knownRegistries = (nodeSession: NodeSession): readonly Address[] => {
-  const known = nodeSession.members
+  const listedAddresses = nodeSession.members
     .filter((member) => member.role === 'registry')
     .map((member) => member.address);
-  return [...new Set([...known, ...nodeSession.seeds])];
+  return [...new Set([...listedAddresses, ...nodeSession.seeds])];
 };
 
 const switchRegistry = (nodeSession: NodeSession, now: Timestamp): NodeSession => {
@@ -285,8 +285,8 @@
   holders: ReadonlyMap<LeaseName, LeaseHolder>,
   holder: LeaseHolder,
 ): ReadonlyMap<LeaseName, LeaseHolder> => {
-  const known = holders.get(holder.duty);
-  return known !== undefined && known.epoch >= holder.epoch
+  const currentHolder = holders.get(holder.duty);
+  return currentHolder !== undefined && currentHolder.epoch >= holder.epoch
     ? holders
     : withEntry(holders, holder.duty, holder);
 };
@@ -336,7 +336,7 @@
 ): NodeSession => {
   const link = linkFor(nodeSession, from, reply, now);
   if (link === undefined) return nodeSession;
-  const known = nodeSession.electorate;
+  const currentElectorate = nodeSession.electorate;
   const next = reply.electorate;
   const fleet = reply.fleet ?? nodeSession.fleet;
   const staleSince =
@@ -346,7 +346,10 @@
     registryHeardAt: now,
     registryLink: { ...link, lastHeardAt: now, staleSince },
     electorate:
-      next !== undefined && (known === undefined || next.serial > known.serial) ? next : known,
+      next !== undefined &&
+      (currentElectorate === undefined || next.serial > currentElectorate.serial)
+        ? next
+        : currentElectorate,
     fleet,
   };
 };
