--- a/packages/proxy-core/src/forwarding/state.ts
+++ b/packages/proxy-core/src/forwarding/state.ts
@@ -40,7 +40,7 @@
   readonly isIdempotent: boolean;
   readonly isCacheable: boolean;
   readonly deadline: Timestamp;
-  /** A cache must have applied all purges up to this one to respond. */
+  /** Last purge that a cache must have applied to respond to this request. */
   readonly requiredPurgeSeq: Seq;
   readonly phase: ForwardPhase;
   /** Whether an attempt may have run it; if so, it is never reported as rejected. */
--- a/packages/proxy-core/src/node-agent/config-freshness.ts
+++ b/packages/proxy-core/src/node-agent/config-freshness.ts
@@ -50,40 +50,40 @@
  * recent contact to the primary and is ignored.
  */
 export const updateConfigFreshness = (
-  known: ConfigFreshness,
+  previous: ConfigFreshness,
   reply: FrameOf<'heartbeat-reply'>,
   running: Generation,
   now: Timestamp,
 ): ConfigFreshness => {
-  if (reply.age === undefined) return known;
-  const isNewer = reply.newest > known.newestGeneration;
-  const newestGeneration = isNewer ? reply.newest : known.newestGeneration;
+  if (reply.age === undefined) return previous;
+  const isNewer = reply.newest > previous.newestGeneration;
+  const newestGeneration = isNewer ? reply.newest : previous.newestGeneration;
   const isPending =
     isNewer &&
     newestGeneration > running &&
-    known.pendingGenerations.length < maxPendingGenerations;
+    previous.pendingGenerations.length < maxPendingGenerations;
   const pending = { generation: newestGeneration, confirmedAt: subtractMs(now, reply.newestAge) };
   const updated: ConfigFreshness = {
-    ...known,
+    ...previous,
     newestGeneration,
     pendingGenerations: isPending
-      ? [...known.pendingGenerations, pending]
-      : known.pendingGenerations,
+      ? [...previous.pendingGenerations, pending]
+      : previous.pendingGenerations,
   };
-  // A registry that lags behind confirms nothing, and neither does a reply that answers no
-  // heartbeat.
-  if (reply.newest < known.newestGeneration || reply.at === clockOrigin) return updated;
-  const confirmedAsOf = Math.max(reply.at - reply.age, known.confirmedAsOf ?? clockOrigin);
+  // Neither a registry that lags behind nor a push, which echoes no heartbeat, confirms that the
+  // generation is the newest.
+  if (reply.newest < previous.newestGeneration || reply.at === clockOrigin) return updated;
+  const confirmedAsOf = Math.max(reply.at - reply.age, previous.confirmedAsOf ?? clockOrigin);
   return { ...updated, confirmedAsOf: toTimestamp(confirmedAsOf) };
 };
 
 /** Drops the pending generations up to the running one. */
 export const dropAppliedGenerations = (
-  known: ConfigFreshness,
+  previous: ConfigFreshness,
   running: Generation,
 ): ConfigFreshness => ({
-  ...known,
-  pendingGenerations: known.pendingGenerations.filter(({ generation }) => generation > running),
+  ...previous,
+  pendingGenerations: previous.pendingGenerations.filter(({ generation }) => generation > running),
 });
 
 /** Whether the primary confirmed the newest generation less than `limitMs` ago. */
--- a/packages/proxy-core/src/node-agent/heartbeat-reply.ts
+++ b/packages/proxy-core/src/node-agent/heartbeat-reply.ts
@@ -47,15 +47,15 @@
 
 /** Merges rollout states by service; the highest serial wins, whichever registry sent it. */
 const mergeReleaseStates = (
-  known: NodeAgent['releaseStates'],
+  previous: NodeAgent['releaseStates'],
   received: readonly RolloutState[],
 ): NodeAgent['releaseStates'] => {
   const newerStates = received.filter(
-    (rollout) => rollout.serial >= (known.get(rollout.service)?.serial ?? 0),
+    (rollout) => rollout.serial >= (previous.get(rollout.service)?.serial ?? 0),
   );
   return newerStates.length === 0
-    ? known
-    : new Map([...known, ...newerStates.map((rollout) => [rollout.service, rollout] as const)]);
+    ? previous
+    : new Map([...previous, ...newerStates.map((rollout) => [rollout.service, rollout] as const)]);
 };
 
 /**
--- a/packages/proxy-core/src/node-agent/leader-candidacy.ts
+++ b/packages/proxy-core/src/node-agent/leader-candidacy.ts
@@ -44,7 +44,7 @@
   const holder = leaseHolder(state, service);
   const vacantSince = state.vacantSince.get(serviceLeaseOf(service));
   if (vacantSince === undefined) return false;
-  // The failed holder is left out of the order.
+  // The previous holder has failed or resigned, so it is excluded from the order.
   const shields = shieldMembers(state).filter(
     (shield) => shield.node === self || holder?.node !== shield.node,
   );
@@ -97,10 +97,13 @@
   context: ElectionContext,
   now: Timestamp,
 ): AgentTransition => {
-  const known = candidateOf(state, service);
-  const candidate = observeEpoch(known, highestEpoch(state.nodeSession, serviceLeaseOf(service)));
-  if (known.phase.phase === 'holdingLease' && candidate.highestEpoch > heldEpoch(known))
-    return resignFencedLease(state, service, { before: known, after: candidate }, context, now);
+  const previous = candidateOf(state, service);
+  const candidate = observeEpoch(
+    previous,
+    highestEpoch(state.nodeSession, serviceLeaseOf(service)),
+  );
+  if (previous.phase.phase === 'holdingLease' && candidate.highestEpoch > heldEpoch(previous))
+    return resignFencedLease(state, service, { before: previous, after: candidate }, context, now);
   const ticked = tickCandidate(
     candidate,
     context,
@@ -159,9 +162,10 @@
   vote: FrameOf<'vote'>,
   now: Timestamp,
 ): AgentTransition => {
-  const known = before.nodeSession.electorate;
+  const currentElectorate = before.nodeSession.electorate;
   const isNewer =
-    vote.electorate !== undefined && (known === undefined || vote.electorate.serial > known.serial);
+    vote.electorate !== undefined &&
+    (currentElectorate === undefined || vote.electorate.serial > currentElectorate.serial);
   const nodeSession = isNewer
     ? { ...before.nodeSession, electorate: vote.electorate }
     : before.nodeSession;
--- a/packages/proxy-core/src/proxy/epoch-history.ts
+++ b/packages/proxy-core/src/proxy/epoch-history.ts
@@ -28,20 +28,20 @@
 ): EpochHistory => {
   let next = history;
   for (const [lease, { epoch }] of holders) {
-    const known = next.get(lease) ?? [];
-    const last = known.at(-1);
+    const seenEpochs = next.get(lease) ?? [];
+    const last = seenEpochs.at(-1);
     if (last !== undefined && last.epoch >= epoch) continue;
-    // Of the epochs before the time span only the newest is needed.
-    const newestBeforeWindow = known.filter((seen) => isBeforeWindow(seen, now)).slice(-1);
-    const recent = known.filter((seen) => !isBeforeWindow(seen, now));
+    // Of the epochs before the window, only the newest is needed.
+    const newestBeforeWindow = seenEpochs.filter((seen) => isBeforeWindow(seen, now)).slice(-1);
+    const recent = seenEpochs.filter((seen) => !isBeforeWindow(seen, now));
     next = withEntry(next, lease, [...newestBeforeWindow, ...recent, { epoch, seenAt: now }]);
   }
   return next;
 };
 
 /**
- * Returns the maximum number of holders that a lease may have had in the last ten seconds, up to
- * the one of `epoch`. Epochs that this node never saw count as well.
+ * Returns the maximum number of holders that a lease may have had within the window, up to and
+ * including the holder of `epoch`. Epochs that this node never saw count as well.
  */
 export const recentHolderCount = (
   history: EpochHistory,
--- a/packages/proxy-core/src/request-handler/inbound-requests.ts
+++ b/packages/proxy-core/src/request-handler/inbound-requests.ts
@@ -102,7 +102,7 @@
           this.#extendWindow(received.id, received.bytes);
           break;
         default:
-          channel.terminate(`foreign: ${received.kind} on a data channel`);
+          channel.terminate(`foreign: unexpected frame ${received.kind} on a data channel`);
       }
     };
     const onClosed = (): void => {
--- a/packages/proxy-core/src/request-handler/leader-channels.ts
+++ b/packages/proxy-core/src/request-handler/leader-channels.ts
@@ -61,7 +61,7 @@
       },
       onFrame: (frame) => {
         if (!this.#handlers.onFrame(to, frame))
-          entry.channel?.terminate(`foreign: ${frame.kind} on a data channel`);
+          entry.channel?.terminate(`foreign: unexpected frame ${frame.kind} on a data channel`);
       },
       onClosed: () => {
         if (this.#channels.get(to) === entry) this.#channels.delete(to);
--- a/packages/proxy-core/src/service-leader/admission.ts
+++ b/packages/proxy-core/src/service-leader/admission.ts
@@ -46,17 +46,18 @@
   capacity: number,
   usedSlots: ReadonlyMap<ServiceClassName, number>,
 ): number => {
-  let sum = 0;
+  let slotCount = 0;
   for (const [otherName, other] of state.classes) {
     if (otherName === className) continue;
     const share = shareOfSlots(other.share, capacity);
-    const idle = Math.max(0, share - (usedSlots.get(otherName) ?? 0));
+    const idleSlots = Math.max(0, share - (usedSlots.get(otherName) ?? 0));
     const isWaiting = (state.queues.get(otherName)?.length ?? 0) > 0;
-    // A lender with an empty queue keeps one idle slot back, so that its next request can start at
-    // once.
-    sum += other.lendsTo.includes(className) && !isWaiting ? Math.min(1, idle) : idle;
+    // A lending class with an empty queue reserves one idle slot, so that its next request
+    // starts without delay.
+    slotCount +=
+      other.lendsTo.includes(className) && !isWaiting ? Math.min(1, idleSlots) : idleSlots;
   }
-  return sum;
+  return slotCount;
 };
 
 /**
@@ -69,8 +70,8 @@
   now: Timestamp,
 ): boolean => {
   const capacity = totalCapacity(state, now);
-  const free = capacity - state.attempts.size;
-  if (free <= 0) return false;
+  const freeSlots = capacity - state.attempts.size;
+  if (freeSlots <= 0) return false;
   const ownClass = state.classes.get(className);
   const usedSlots = attemptsByClass(state);
   if (
@@ -78,7 +79,7 @@
     (usedSlots.get(className) ?? 0) < Math.max(1, shareOfSlots(ownClass.share, capacity))
   )
     return true;
-  return free > reservedSlots(state, className, capacity, usedSlots);
+  return freeSlots > reservedSlots(state, className, capacity, usedSlots);
 };
 
 /** Whether any attempt may start: the leader is not closing and the rate limit has a token left. */
--- a/packages/proxy-core/src/service-leader/canary.ts
+++ b/packages/proxy-core/src/service-leader/canary.ts
@@ -118,10 +118,10 @@
   let canaries = state.canaries;
   for (const stored of results) {
     if (stored.service !== state.service) continue;
-    const known = canaries.get(stored.release);
+    const current = canaries.get(stored.release);
     const next =
-      known === undefined ? canaryFromStore(state, stored, now) : mergeStored(known, stored);
-    if (next !== known) canaries = withEntry(canaries, stored.release, next);
+      current === undefined ? canaryFromStore(state, stored, now) : mergeStored(current, stored);
+    if (next !== current) canaries = withEntry(canaries, stored.release, next);
   }
   return withCanaries(state, canaries);
 };
@@ -264,11 +264,11 @@
   outcome: AttemptOutcome,
   now: Timestamp,
 ): LeaderTransition => {
-  const known = state.canaries.get(release);
+  const previous = state.canaries.get(release);
   const { kind } = outcome;
-  if (known === undefined || kind === 'notRun' || kind === 'notSent' || kind === 'cancelled')
+  if (previous === undefined || kind === 'notRun' || kind === 'notSent' || kind === 'cancelled')
     return transition(state);
-  const counted = withOutcome(known, kind !== 'succeeded');
+  const counted = withOutcome(previous, kind !== 'succeeded');
   const decision = canaryDecision(state, counted, now);
   const canary = decision === undefined ? counted : { ...counted, state: decision };
   const next = { ...state, canaries: withEntry(state.canaries, release, canary) };
--- a/packages/proxy-core/src/service-leader/endpoints.ts
+++ b/packages/proxy-core/src/service-leader/endpoints.ts
@@ -30,19 +30,19 @@
   const endpoints = new Map<InstanceId, Endpoint>();
   for (const origin of origins.values()) {
     if (origin.service !== state.service) continue;
-    const known = state.endpoints.get(origin.instance);
+    const existing = state.endpoints.get(origin.instance);
     const isLive = isLiveOrigin(origin, now);
-    if (!isLive && known === undefined) continue;
+    if (!isLive && existing === undefined) continue;
     endpoints.set(origin.instance, {
       instance: origin.instance,
       address: origin.address,
       release: origin.release,
       slots: origin.slots,
-      activeAttempts: known?.activeAttempts ?? 0,
-      lastAttemptId: known?.lastAttemptId ?? 0,
-      lastCheckedAt: known?.lastCheckedAt,
+      activeAttempts: existing?.activeAttempts ?? 0,
+      lastAttemptId: existing?.lastAttemptId ?? 0,
+      lastCheckedAt: existing?.lastCheckedAt,
       isLive,
-      health: known?.health ?? newEndpointHealth(now),
+      health: existing?.health ?? newEndpointHealth(now),
     });
   }
   for (const [id, endpoint] of state.endpoints)
--- a/packages/proxy-core/src/service-leader/queue-wait.ts
+++ b/packages/proxy-core/src/service-leader/queue-wait.ts
@@ -26,22 +26,25 @@
 const maxResponseReserveMs = 50;
 
 /**
- * Returns the expected wait of a request with `ahead` requests of its class before it: the longer
- * of the waits for slots and for the rate limit.
+ * Returns the expected wait of a request with `requestsAhead` requests of its class before it: the
+ * longer of the waits for slots and for the rate limit.
  */
 const queueWaitMs = (
   state: ServiceLeader,
   className: ServiceClassName,
-  ahead: number,
+  requestsAhead: number,
   capacity: number,
 ): number => {
   const share = Math.max(state.classes.get(className)?.share ?? 0, 1 / Math.max(1, capacity));
-  const slotWaitMs = (ahead / Math.max(1, capacity * share)) * state.latencyEwmaMs;
+  const slotWaitMs = (requestsAhead / Math.max(1, capacity * share)) * state.latencyEwmaMs;
   const rate = state.serviceConfiguration.perSecond;
   if (rate === undefined) return slotWaitMs;
   let shares = classShare(state, className);
   for (const name of state.queues.keys()) if (name !== className) shares += classShare(state, name);
-  return Math.max(slotWaitMs, (ahead / ((rate * classShare(state, className)) / shares)) * 1000);
+  return Math.max(
+    slotWaitMs,
+    (requestsAhead / ((rate * classShare(state, className)) / shares)) * 1000,
+  );
 };
 
 /** Returns the expected wait, in milliseconds, of a request of a class that arrives now. */
@@ -50,10 +53,10 @@
   className: ServiceClassName,
   now: Timestamp,
 ): number => {
-  const ahead = state.queues.get(className)?.length ?? 0;
+  const requestsAhead = state.queues.get(className)?.length ?? 0;
   const capacity = totalCapacity(state, now);
-  if (capacity === 0) return ahead === 0 ? 0 : unknownWaitMs;
-  return queueWaitMs(state, className, ahead, capacity);
+  if (capacity === 0) return requestsAhead === 0 ? 0 : unknownWaitMs;
+  return queueWaitMs(state, className, requestsAhead, capacity);
 };
 
 /** Whether no endpoint has been usable for longer than the grace period. */
--- a/packages/proxy-core/src/service-leader/request-arrival.ts
+++ b/packages/proxy-core/src/service-leader/request-arrival.ts
@@ -31,7 +31,7 @@
   const { now, className, remainingMs } = event;
   const waitMs = estimatedWaitMs(state, className, now);
   const retryAfterMs = Math.max(minRetryAfterMs, waitMs);
-  // The limit holds per class, so that a flood in one class does not fill another's queue.
+  // The limit applies per class, so that a burst of one class does not fill the queues of others.
   if ((state.queues.get(className)?.length ?? 0) >= state.serviceConfiguration.waitlist)
     return { errorKind: 'rejected', text: 'the waitlist is full', retryAfterMs };
   if (waitMs + Math.min(state.latencyEwmaMs, remainingMs / 2) > remainingMs)
