--- a/packages/proxy/src/shielded-edge/response.ts
+++ b/packages/proxy/src/shielded-edge/response.ts
@@ -7,11 +7,11 @@
 import type { CacheEntry } from '@switchwheel/proxy-core';
 
 const setFields = (ctx: Koa.Context, fields: HeaderFields): void => {
-  const seen = new Set<string>();
+  const namesSet = new Set<string>();
   for (const [name, value] of fields) {
-    if (seen.has(name)) ctx.append(name, value);
+    if (namesSet.has(name)) ctx.append(name, value);
     else ctx.set(name, value);
-    seen.add(name);
+    namesSet.add(name);
   }
 };
 
--- a/packages/registry/src/start-registry.ts
+++ b/packages/registry/src/start-registry.ts
@@ -51,7 +51,7 @@
 export interface RegistryOptions {
   /** Cluster to propose for the bootstrap while there is none. */
   readonly proposal?: ClusterProposal | undefined;
-  /** Whether nodes without a configuration may start on content that the disks are proven to hold; false by default. */
+  /** Whether nodes without a configuration may start with one from disk hints, if proven current; false by default. */
   readonly offersDiskHints?: boolean;
   /** Interval between ticks of the state machine; the event loop's default if undefined. */
   readonly tickIntervalMs?: number;
@@ -59,7 +59,7 @@
 
 /** A registry running in this process. */
 export interface RunningRegistry extends RunningProgram {
-  /** Announces the stop, so that the vote is handed over; until `stop`, the registry is not ready and rejects commands. */
+  /** Announces the stop, so that another voter replaces it; from then on the registry is not ready and rejects commands. */
   readonly leave: () => void;
 }
 
