--- a/packages/configuration/src/compiled/route-index.ts
+++ b/packages/configuration/src/compiled/route-index.ts
@@ -63,11 +63,11 @@
 const compileRoute = (
   state: CompilationState,
   route: Route,
-  first: WeightedService,
+  firstService: WeightedService,
   weightedServices: readonly WeightedService[],
 ): CompiledRoute => ({
   name: route.name,
-  service: first.service,
+  service: firstService.service,
   weightedServices,
   className: route.class,
   methods: internMethods(state, route.methods),
@@ -138,12 +138,12 @@
   const routesByPath = writableRoutesOf(isExact ? state.exactRoutes : state.prefixRoutes, host);
   const others = routesByPath.get(path) ?? [];
   const services = weightedServicesOf(route);
-  const first = services.find((service) => service.weight > 0) ?? services[0];
-  if (first === undefined || (route.service !== undefined && route.split !== undefined)) {
+  const firstService = services.find((service) => service.weight > 0) ?? services[0];
+  if (firstService === undefined || (route.service !== undefined && route.split !== undefined)) {
     state.issues.push(validationIssue(position, 'a route has either a service or a split'));
     return undefined;
   }
-  const compiled = compileRoute(state, route, first, services);
+  const compiled = compileRoute(state, route, firstService, services);
   reportConflicts(state, compiled, others, `${host}${path}`, position);
   routesByPath.set(path, [...others, compiled]);
   state.routesByName.set(compiled.name, compiled);
@@ -151,12 +151,12 @@
 };
 
 const checkName = (state: CompilationState, { name }: Route, index: number): void => {
-  const first = state.indexByName.get(name);
-  if (first === undefined) {
+  const firstIndex = state.indexByName.get(name);
+  if (firstIndex === undefined) {
     state.indexByName.set(name, index);
     return;
   }
-  const text = `the name ${name} is also that of routes.${first}`;
+  const text = `the name ${name} is also that of routes.${firstIndex}`;
   state.issues.push(validationIssue(`routes.${index}.name`, text));
 };
 
--- a/packages/configuration/src/document/checks.ts
+++ b/packages/configuration/src/document/checks.ts
@@ -18,12 +18,12 @@
 ): void => {
   const firstIndex = new Map<string, number>();
   for (const [index, { name }] of list.entries()) {
-    const first = firstIndex.get(name);
-    if (first === undefined) {
+    const earlierIndex = firstIndex.get(name);
+    if (earlierIndex === undefined) {
       firstIndex.set(name, index);
       continue;
     }
-    const text = `the name ${name} is also that of ${listPath}.${first}`;
+    const text = `the name ${name} is also that of ${listPath}.${earlierIndex}`;
     issues.push(validationIssue(`${listPath}.${index}.name`, text));
   }
 };
--- a/packages/configuration/src/release/pick-release.ts
+++ b/packages/configuration/src/release/pick-release.ts
@@ -38,12 +38,12 @@
   fraction: number,
   isFresh = true,
 ): Release | undefined => {
-  const first = [...liveReleases][0];
-  if (state === undefined) return first;
+  const anyRelease = [...liveReleases][0];
+  if (state === undefined) return anyRelease;
   const preferred = preferredRelease(state, className, fraction, isFresh);
   if (preferred !== undefined && liveReleases.has(preferred)) return preferred;
   if (state.settled !== undefined && liveReleases.has(state.settled)) return state.settled;
-  const other = [...liveReleases].find((release) => release !== state.target);
-  if (other !== undefined) return other;
-  return state.phase === 'bad' ? undefined : first;
+  const otherRelease = [...liveReleases].find((release) => release !== state.target);
+  if (otherRelease !== undefined) return otherRelease;
+  return state.phase === 'bad' ? undefined : anyRelease;
 };
--- a/packages/membership/src/origins/origins.ts
+++ b/packages/membership/src/origins/origins.ts
@@ -90,8 +90,8 @@
   const { instance } = announced;
   const known = origins.get(instance);
   if (known === undefined) {
-    const rest = endFormerOwners(origins, announced);
-    return { origins: withEntry(rest, instance, announced), hasChanged: true };
+    const remainingOrigins = endFormerOwners(origins, announced);
+    return { origins: withEntry(remainingOrigins, instance, announced), hasChanged: true };
   }
   const merged = mergeOrigin(known, announced);
   const hasChanged = !isSameOrigin(merged, known);
--- a/packages/membership/src/registry/disk-hints.test.ts
+++ b/packages/membership/src/registry/disk-hints.test.ts
@@ -103,13 +103,13 @@
     ready: generation > 0,
   });
   const frame = heartbeatOf(0, { report });
-  const done = registryTransition(state, {
+  const result = registryTransition(state, {
     kind: 'frameReceived',
     now,
     from: peerOf(edge),
     frame,
   });
-  const generations = repliesToEdge(done).map((reply) => reply.offer?.generation);
+  const generations = repliesToEdge(result).map((reply) => reply.offer?.generation);
   return generations.find((offeredGeneration) => offeredGeneration !== undefined);
 };
 
--- a/packages/membership/src/registry/disk-hints.ts
+++ b/packages/membership/src/registry/disk-hints.ts
@@ -73,7 +73,5 @@
     .filter((frame) => metadata.inSyncSet.includes(frame.node));
   const offers = inSync.filter(hasOffer);
   if (offers.length < metadata.inSyncSet.length) return undefined;
-  return offers.reduce((lowest, hint) =>
-    hint.offer.generation < lowest.offer.generation ? hint : lowest,
-  );
+  return offers.reduce((low, hint) => (hint.offer.generation < low.offer.generation ? hint : low));
 };
--- a/packages/membership/src/registry/newest-offer.test.ts
+++ b/packages/membership/src/registry/newest-offer.test.ts
@@ -50,14 +50,14 @@
   readonly replies: FrameOf<'heartbeat-reply'>[] = [];
 
   receive(sender: Member, frame: FrameOf<'heartbeat'> | FrameOf<'feed'>, now: number): void {
-    const done = registryTransition(this.state, {
+    const result = registryTransition(this.state, {
       kind: 'frameReceived',
       now: toTimestamp(now),
       from: peerOf(sender),
       frame,
     });
-    this.state = done.state;
-    this.replies.push(...repliesToEdge(done));
+    this.state = result.state;
+    this.replies.push(...repliesToEdge(result));
   }
 }
 
--- a/packages/membership/src/registry/releases.test.ts
+++ b/packages/membership/src/registry/releases.test.ts
@@ -66,16 +66,16 @@
   frame: FrameOf<'heartbeat'> | FrameOf<'feed'>,
   now: number,
 ): Received => {
-  const done = registryTransition(state, {
+  const result = registryTransition(state, {
     kind: 'frameReceived',
     now: toTimestamp(now),
     from: peerOf(sender),
     frame,
   });
-  const services = repliesToEdge(done)
+  const services = repliesToEdge(result)
     .at(-1)
     ?.releases.map((release) => release.service);
-  return { state: done.state, services };
+  return { state: result.state, services };
 };
 const stateWith = (releases: RolloutState[]): RegistryState =>
   receive(
--- a/packages/proxy-core/src/proxy/epoch-history.ts
+++ b/packages/proxy-core/src/proxy/epoch-history.ts
@@ -29,8 +29,8 @@
   let next = history;
   for (const [lease, { epoch }] of holders) {
     const seenEpochs = next.get(lease) ?? [];
-    const last = seenEpochs.at(-1);
-    if (last !== undefined && last.epoch >= epoch) continue;
+    const newestSeen = seenEpochs.at(-1);
+    if (newestSeen !== undefined && newestSeen.epoch >= epoch) continue;
     // Of the epochs before the window, only the newest is needed.
     const newestBeforeWindow = seenEpochs.filter((seen) => isBeforeWindow(seen, now)).slice(-1);
     const recent = seenEpochs.filter((seen) => !isBeforeWindow(seen, now));
--- a/packages/proxy-core/src/request-handler/edge-request-handler.ts
+++ b/packages/proxy-core/src/request-handler/edge-request-handler.ts
@@ -71,8 +71,8 @@
  * Runs the first filter, which replies to the request or calls `next` to run the remaining ones.
  */
 const runFilters = (filters: readonly Filter[], context: FilterContext): void => {
-  const [first, ...rest] = filters;
-  first?.(context, (next) => runFilters(rest, next));
+  const [filter, ...remainingFilters] = filters;
+  filter?.(context, (next) => runFilters(remainingFilters, next));
 };
 
 /** Appends the client's address to X-Forwarded-For. */
--- a/packages/proxy-core/src/request-handler/response-verifier.ts
+++ b/packages/proxy-core/src/request-handler/response-verifier.ts
@@ -184,9 +184,9 @@
   /** Passes chunks to the sink, each one after it is ready for more. */
   #writeToSink(chunks: Buffer[], onReady: () => void): void {
     const next = (): void => {
-      const first = chunks.shift();
-      if (first === undefined) onReady();
-      else if (!this.#isEnded && !this.#sink.write(first, next))
+      const chunk = chunks.shift();
+      if (chunk === undefined) onReady();
+      else if (!this.#isEnded && !this.#sink.write(chunk, next))
         this.#distrust('the caller is gone');
     };
     next();
--- a/packages/replicated-store/src/leadership/electorate.ts
+++ b/packages/replicated-store/src/leadership/electorate.ts
@@ -44,7 +44,7 @@
   /** Live voters beyond a majority: the number that may fail in addition to those already lost. */
   readonly spareVoters: number;
   readonly live: number;
-  /** Dead voters beyond one; a single dead voter costs nothing in an odd electorate. */
+  /** Number of dead voters beyond the first; removing a single one from an electorate of odd size gains nothing. */
   readonly surplusDead: number;
 }
 
--- a/packages/replicated-store/src/log-write/primary-write.ts
+++ b/packages/replicated-store/src/log-write/primary-write.ts
@@ -62,9 +62,9 @@
   };
   const batch = decideBatch(state, metadata, commands, logPosition.seq, now);
   const { puts, replies, canaryReports, control: controlAfter, electorate } = batch;
-  const noted = recordViolations(batch.state, batch.violations);
-  const next: StoreState = { ...noted.state, commandQueue: [...batch.undecided, ...rest] };
-  const effects = [...noted.effects, ...batch.immediateReplies.map(sendReply)];
+  const recorded = recordViolations(batch.state, batch.violations);
+  const next: StoreState = { ...recorded.state, commandQueue: [...batch.undecided, ...rest] };
+  const effects = [...recorded.effects, ...batch.immediateReplies.map(sendReply)];
   if (changesNothing(batch, metadata))
     return transition(
       next,
--- a/packages/replicated-store/src/resync/peer-status.ts
+++ b/packages/replicated-store/src/resync/peer-status.ts
@@ -46,14 +46,16 @@
     digests: status.digests.length > 0 ? status.digests : (before?.digests ?? []),
     progressAt: lastProgressAt(before, status, now),
   };
-  const noted =
+  const observed =
     status.primary && status.metadata !== undefined
       ? observePrimary(state, status.metadata, now)
       : state;
   const hasReleasedLease = !status.primary && before?.isPrimary === true;
   return {
-    ...noted,
-    primaryHeardAt: hasReleasedLease ? toTimestamp(now - primaryTimeoutMs) : noted.primaryHeardAt,
+    ...observed,
+    primaryHeardAt: hasReleasedLease
+      ? toTimestamp(now - primaryTimeoutMs)
+      : observed.primaryHeardAt,
     peers: new Map([...state.peers, [status.node, peer]]),
   };
 };
--- a/packages/replicated-store/src/resync/primary-resync.ts
+++ b/packages/replicated-store/src/resync/primary-resync.ts
@@ -40,19 +40,19 @@
   status: FrameOf<'replica-status'>,
   now: Timestamp,
 ): StoreTransition => {
-  const noted = recordPeerStatus(state, from, status, now);
+  const recorded = recordPeerStatus(state, from, status, now);
   const { metadata } = state;
-  if (metadata === undefined || !isPrimary(state, now)) return transition(noted);
+  if (metadata === undefined || !isPrimary(state, now)) return transition(recorded);
   if (status.metadata !== undefined && status.metadata.fleet !== metadata.fleet)
-    return transition(noted);
+    return transition(recorded);
   // An in-sync store without metadata has lost its disk: it is replaced at once, then resynced.
   if (metadata.inSyncSet.includes(status.node) && status.metadata === undefined)
-    return replaceBackups(noted, [status.node], now);
+    return replaceBackups(recorded, [status.node], now);
   if (metadata.inSyncSet.includes(status.node) || status.digests.length === 0)
-    return transition(noted);
-  if (isFollowing(state, status.stamp) && !mayPromote(noted, status.node, now))
-    return transition(endResyncOf(noted, status.node));
-  return resyncLearner(selectLearner(noted, metadata, now), from, status, metadata, now);
+    return transition(recorded);
+  if (isFollowing(state, status.stamp) && !mayPromote(recorded, status.node, now))
+    return transition(endResyncOf(recorded, status.node));
+  return resyncLearner(selectLearner(recorded, metadata, now), from, status, metadata, now);
 };
 
 /**
--- a/packages/routing/src/object-sharing/object-sharing.ts
+++ b/packages/routing/src/object-sharing/object-sharing.ts
@@ -50,7 +50,7 @@
   readonly left: DurationMs;
 }
 
-/** An object received from its owner. `createdAt`, by this edge's clock, is never later than the object's fetch. */
+/** An object received from its owner. `createdAt` is by this edge's clock and never later than the object's fetch. */
 export interface SharedObject {
   readonly createdAt: Timestamp;
   /** Latest purge that is known not to have removed the object. */
--- a/packages/transport/src/channel/frame-decoder.ts
+++ b/packages/transport/src/channel/frame-decoder.ts
@@ -46,17 +46,17 @@
 
   /** Returns a buffer that starts with the next `size` bytes, which must have been received. */
   #peek(size: number): Buffer {
-    const first = this.#chunks[0] ?? Buffer.alloc(0);
-    if (first.length >= size) return first;
+    const firstChunk = this.#chunks[0] ?? Buffer.alloc(0);
+    if (firstChunk.length >= size) return firstChunk;
     const joined = Buffer.concat(this.#chunks);
     this.#chunks.splice(0, this.#chunks.length, joined);
     return joined;
   }
 
   #consume(size: number): void {
-    const first = this.#peek(size);
+    const buffer = this.#peek(size);
     this.#bufferedBytes -= size;
-    if (first.length === size) this.#chunks.shift();
-    else this.#chunks[0] = first.subarray(size);
+    if (buffer.length === size) this.#chunks.shift();
+    else this.#chunks[0] = buffer.subarray(size);
   }
 }
--- a/packages/types/src/table/immutable-map.ts
+++ b/packages/types/src/table/immutable-map.ts
@@ -20,6 +20,6 @@
   map: ReadonlyMap<K, V>,
   keep: (value: V, key: K) => boolean,
 ): ReadonlyMap<K, V> => {
-  const kept = [...map].filter(([key, value]) => keep(value, key));
-  return kept.length === map.size ? map : new Map(kept);
+  const entries = [...map].filter(([key, value]) => keep(value, key));
+  return entries.length === map.size ? map : new Map(entries);
 };
