--- a/packages/proxy-core/src/request-handler/edge-request-handler.ts
+++ b/packages/proxy-core/src/request-handler/edge-request-handler.ts
@@ -43,8 +43,8 @@
 import { type RouteLookup, lookUpRoute } from './route-lookup.js';
 
 /**
- * Responses that took longer than this are checked against purges. A faster one is newer than any
- * purge that must have been applied by the time it arrives.
+ * Duration above which a response is checked against purges: a slower response may predate a purge
+ * that must have been applied by the time it arrives.
  */
 const purgeCheckThresholdMs = 1800;
 /** Suggested retry delay for requests rejected for lack of capacity or time. */
--- a/packages/replicated-store/src/log-write/write-batch.ts
+++ b/packages/replicated-store/src/log-write/write-batch.ts
@@ -21,7 +21,7 @@
 interface WriteBatch {
   readonly commands: readonly Command[];
   readonly rest: readonly Command[];
-  /** Whether operators' commands are held back: there are too few replicas, and a store may soon become one. */
+  /** Whether operators' commands are held back until a learner joins, because there are too few replicas. */
   readonly lacksReplicas: boolean;
 }
 
