--- a/packages/configuration/src/compiled/route-index.ts
+++ b/packages/configuration/src/compiled/route-index.ts
@@ -50,8 +50,8 @@
   methods: readonly string[],
 ): ReadonlySet<string> => {
   const key = methods.join(' ');
-  const known = state.methodSets.get(key);
-  if (known !== undefined) return known;
+  const existing = state.methodSets.get(key);
+  if (existing !== undefined) return existing;
   const added = new Set(methods);
   state.methodSets.set(key, added);
   return added;
@@ -63,11 +63,11 @@
 const compileRoute = (
   state: CompilationState,
   route: Route,
-  first: WeightedService,
+  firstService: WeightedService,
   weightedServices: readonly WeightedService[],
 ): CompiledRoute => ({
   name: route.name,
-  service: first.service,
+  service: firstService.service,
   weightedServices,
   className: route.class,
   methods: internMethods(state, route.methods),
@@ -83,8 +83,8 @@
   builder: RouteIndexBuilder,
   host: string,
 ): Map<string, readonly CompiledRoute[]> => {
-  const known = builder.copiedHosts.get(host);
-  if (known !== undefined) return known;
+  const existingCopy = builder.copiedHosts.get(host);
+  if (existingCopy !== undefined) return existingCopy;
   const copy = new Map(builder.routesByHost.get(host));
   builder.copiedHosts.set(host, copy);
   builder.routesByHost.set(host, copy);
@@ -96,8 +96,8 @@
   const { route, host, path, isExact } = indexed;
   const builder = isExact ? state.exactRoutes : state.prefixRoutes;
   const routesByPath = writableRoutesOf(builder, host);
-  const rest = (routesByPath.get(path) ?? []).filter((other) => other !== route);
-  if (rest.length > 0) routesByPath.set(path, rest);
+  const remainingRoutes = (routesByPath.get(path) ?? []).filter((other) => other !== route);
+  if (remainingRoutes.length > 0) routesByPath.set(path, remainingRoutes);
   else routesByPath.delete(path);
   if (routesByPath.size === 0) {
     builder.routesByHost.delete(host);
@@ -138,12 +138,12 @@
   const routesByPath = writableRoutesOf(isExact ? state.exactRoutes : state.prefixRoutes, host);
   const others = routesByPath.get(path) ?? [];
   const services = weightedServicesOf(route);
-  const first = services.find((service) => service.weight > 0) ?? services[0];
-  if (first === undefined || (route.service !== undefined && route.split !== undefined)) {
+  const firstService = services.find((service) => service.weight > 0) ?? services[0];
+  if (firstService === undefined || (route.service !== undefined && route.split !== undefined)) {
     state.issues.push(validationIssue(position, 'a route has either a service or a split'));
     return undefined;
   }
-  const compiled = compileRoute(state, route, first, services);
+  const compiled = compileRoute(state, route, firstService, services);
   reportConflicts(state, compiled, others, `${host}${path}`, position);
   routesByPath.set(path, [...others, compiled]);
   state.routesByName.set(compiled.name, compiled);
@@ -151,12 +151,12 @@
 };
 
 const checkName = (state: CompilationState, { name }: Route, index: number): void => {
-  const first = state.indexByName.get(name);
-  if (first === undefined) {
+  const firstIndex = state.indexByName.get(name);
+  if (firstIndex === undefined) {
     state.indexByName.set(name, index);
     return;
   }
-  const text = `the name ${name} is also that of routes.${first}`;
+  const text = `the name ${name} is also that of routes.${firstIndex}`;
   state.issues.push(validationIssue(`routes.${index}.name`, text));
 };
 
--- a/packages/replicated-store/src/leadership/electorate.ts
+++ b/packages/replicated-store/src/leadership/electorate.ts
@@ -44,7 +44,7 @@
   /** Live voters beyond a majority: the number that may fail in addition to those already lost. */
   readonly spareVoters: number;
   readonly live: number;
-  /** Dead voters beyond one; a single dead voter costs nothing in an odd electorate. */
+  /** Number of dead voters beyond the first; removing a single one from an electorate of odd size gains nothing. */
   readonly surplusDead: number;
 }
 
@@ -127,7 +127,7 @@
   }
   const largestFirst = [...sizes.values()].sort((first, second) => second - first);
   const lost = largestFirst.slice(0, registries.toleratedDomains);
-  return lost.reduce((left, size) => left - size, live.length);
+  return lost.reduce((remaining, size) => remaining - size, live.length);
 };
 
 const resilienceOf = (members: readonly ElectorateMember[], registries: Registries): Resilience => {
@@ -186,12 +186,12 @@
     const ownResilience = resilienceOf(changed, registries);
     // Without a live majority of the new electorate the lease would end with the change.
     if (ownResilience.spareVoters < 0) continue;
-    const further = looksAhead
+    const furtherResilience = looksAhead
       ? bestChange(changed, joinable, registries, false)?.reachableResilience
       : undefined;
     const reachableResilience =
-      further !== undefined && compareResilience(further, ownResilience) > 0
-        ? further
+      furtherResilience !== undefined && compareResilience(furtherResilience, ownResilience) > 0
+        ? furtherResilience
         : ownResilience;
     if (best === undefined || compareResilience(reachableResilience, best.reachableResilience) > 0)
       best = { members: changed, reachableResilience };
