--- a/packages/simulator/src/run/bounded-state.test.ts
+++ b/packages/simulator/src/run/bounded-state.test.ts
@@ -13,12 +13,12 @@
 const rounds = 4;
 const changesPerRound = 600;
 /** Every sixth change is a configuration, the others are purges. */
-const descriptionEvery = 6;
+const changesPerConfiguration = 6;
 /** Every tenth configuration has 1,500 routes more. */
-const largeEvery = 60;
-const changeInterval = 12;
+const changesPerLargeConfiguration = 60;
+const changeIntervalMs = 12;
 /** By how much a size may differ from one round to another: what just moves. */
-const slack = 12;
+const allowedGrowth = 12;
 
 type Sizes = ReadonlyMap<string, number>;
 
@@ -36,7 +36,7 @@
     return size === undefined ? [] : [[`${name}.${key}`, size] as const];
   });
 
-const measure = (world: World): Sizes => {
+const measureSizes = (world: World): Sizes => {
   const sizes = new Map<string, number>();
   for (const store of world.stores) {
     const state = store.state;
@@ -47,15 +47,15 @@
       ...sizesOf(`${name}.session`, state?.session),
     ])
       sizes.set(key, size);
-    const numbers = state?.control.hashByGeneration.size ?? 0;
-    assert.ok(numbers <= maxKeptGenerations, `${numbers} numbers are kept`);
+    const generationCount = state?.control.hashByGeneration.size ?? 0;
+    assert.ok(generationCount <= maxKeptGenerations, `${generationCount} numbers are kept`);
     // Which content a number has is kept for longer than these runs: it is bounded by a count.
     const entries = [...(state?.table ?? [])].filter(([key]) => !key.startsWith('number/'));
     sizes.delete(`${name}.control.hashByGeneration`);
     sizes.set(`${name}.table`, entries.length);
     sizes.set(
       `${name} table bytes`,
-      entries.reduce((sum, [key, one]) => sum + key.length + one.data.length, 0),
+      entries.reduce((sum, [key, row]) => sum + key.length + row.data.length, 0),
     );
   }
   for (const registry of world.registries) {
@@ -73,12 +73,12 @@
 /** What grew from one measure to another by more than it may. */
 const growth = (before: Sizes, after: Sizes): readonly string[] =>
   [...after].flatMap(([name, size]) => {
-    const was = before.get(name) ?? 0;
-    const limit = name.endsWith('bytes') ? was * 1.05 : was + slack;
-    return size > limit ? [`${name}: ${was}, then ${size}`] : [];
+    const previousSize = before.get(name) ?? 0;
+    const limit = name.endsWith('bytes') ? previousSize * 1.05 : previousSize + allowedGrowth;
+    return size > limit ? [`${name}: ${previousSize}, then ${size}`] : [];
   });
 
-const formed = (seed: number): World => {
+const createWorld = (seed: number): World => {
   const world = new World({
     seed,
     edges: 1,
@@ -96,57 +96,61 @@
   return world;
 };
 
-const orderRound = (world: World, from: number): void => {
-  for (let at = from; at < from + changesPerRound; at += 1) {
-    if (at % descriptionEvery === 0)
-      world.apply(1000 + at, undefined, at % largeEvery === 0 ? 'huge' : 'plain');
-    else world.purge([], [{ by: 'tag', tag: `tag-${at}` }]);
-    world.runFor(changeInterval);
+const runRound = (world: World, firstChange: number): void => {
+  for (let change = firstChange; change < firstChange + changesPerRound; change += 1) {
+    if (change % changesPerConfiguration === 0)
+      world.apply(
+        1000 + change,
+        undefined,
+        change % changesPerLargeConfiguration === 0 ? 'huge' : 'plain',
+      );
+    else world.purge([], [{ by: 'tag', tag: `tag-${change}` }]);
+    world.runFor(changeIntervalMs);
   }
   // The round ends on a plain configuration, so that rounds are alike.
-  world.apply(900_000 + from);
+  world.apply(900_000 + firstChange);
   world.runFor(4000);
 };
 
 void test('400 descriptions and 2,000 purges: no map of a store or registry, and not the table, grows once it is full', () => {
-  const world = formed(71);
-  const line: Sizes[] = [];
+  const world = createWorld(71);
+  const sizesByRound: Sizes[] = [];
   for (let round = 0; round < rounds; round += 1) {
-    orderRound(world, round * changesPerRound);
-    line.push(measure(world));
+    runRound(world, round * changesPerRound);
+    sizesByRound.push(measureSizes(world));
   }
-  const told = world.writes.filter((one) => one.reply?.status === 200);
+  const acknowledged = world.writes.filter((write) => write.reply?.status === 200);
   assert.ok(
-    told.length > 0.95 * rounds * changesPerRound,
-    `${told.length} of ${world.writes.length} taken`,
+    acknowledged.length > 0.95 * rounds * changesPerRound,
+    `${acknowledged.length} of ${world.writes.length} taken`,
   );
-  const [, second, third, fourth] = line;
+  const [, second, third, fourth] = sizesByRound;
   assert.ok(second !== undefined && third !== undefined && fourth !== undefined);
   assert.deepEqual(growth(second, third), []);
   assert.deepEqual(growth(second, fourth), []);
 });
 
 void test('500 origins come and go: a minute later nothing is left of them, in registries, stores and nodes', () => {
-  const world = formed(72);
+  const world = createWorld(72);
   world.runFor(3000);
-  const before = measure(world);
-  for (let turn = 0; turn < 10; turn += 1) {
-    const fresh = Array.from({ length: 50 }, () => world.addOrigin(clips, 2));
+  const before = measureSizes(world);
+  for (let batch = 0; batch < 10; batch += 1) {
+    const newOrigins = Array.from({ length: 50 }, () => world.addOrigin(clips, 2));
     world.runFor(1500);
     // Half of them say that they leave, the others are silent from now on.
-    for (const [at, origin] of fresh.entries()) {
-      if (at % 2 === 0) origin.crash();
+    for (const [index, origin] of newOrigins.entries()) {
+      if (index % 2 === 0) origin.crash();
       else origin.leave('gone');
     }
     world.runFor(1500);
-    for (const origin of fresh) origin.crash();
+    for (const origin of newOrigins) origin.crash();
   }
-  const busy = measure(world);
+  const peakSizes = measureSizes(world);
   world.runFor(75_000);
-  assert.deepEqual(growth(before, measure(world)), []);
-  assert.ok([...busy].some(([name, size]) => name.endsWith('.origins') && size > 300));
+  assert.deepEqual(growth(before, measureSizes(world)), []);
+  assert.ok([...peakSizes].some(([name, size]) => name.endsWith('.origins') && size > 300));
   for (const proxy of world.proxies) {
-    const known = proxy.state?.nodeAgent.nodeSession.origins.size ?? 0;
-    assert.ok(known < slack, `${proxy.node} knows ${known} origins`);
+    const originCount = proxy.state?.nodeAgent.nodeSession.origins.size ?? 0;
+    assert.ok(originCount < allowedGrowth, `${proxy.node} knows ${originCount} origins`);
   }
 });
--- a/packages/simulator/src/run/calm.test.ts
+++ b/packages/simulator/src/run/calm.test.ts
@@ -27,9 +27,9 @@
   callers.stop();
   world.runFor(4000);
   assert.deepEqual(rules.finish(), []);
-  const failed = callers.requests.filter((one) => one.result?.kind !== 'result');
+  const failed = callers.requests.filter((request) => request.result?.kind !== 'result');
   assert.deepEqual(
-    failed.map((one) => [one.id, one.path, Math.round(one.sentAt), one.result]),
+    failed.map((request) => [request.id, request.path, Math.round(request.sentAt), request.result]),
     [],
   );
   assert.ok(callers.requests.length > 500);
--- a/packages/simulator/src/run/concurrent-rollouts.test.ts
+++ b/packages/simulator/src/run/concurrent-rollouts.test.ts
@@ -16,91 +16,103 @@
 import { type Fixture, finishRun, createFixture } from './fixture.js';
 
 /** How long a confirmed configuration may take to be in force on every node. */
-const inForceLimit = 1500;
+const inForceLimitMs = 1500;
 /** Orders of a pair leave this far apart, in milliseconds: the second comes in at each stage of the first. */
-const offsets = [0, 1, 2, 3, 4, 6, 8, 10, 12, 15, 18, 22, 26, 30];
-const firstMark = 10;
-const secondMark = 11;
-const racingMark = 12;
+const offsetsMs = [0, 1, 2, 3, 4, 6, 8, 10, 12, 15, 18, 22, 26, 30];
+const firstMarker = 10;
+const secondMarker = 11;
+const racingMarker = 12;
 
-const bundleOf = (run: Fixture, mark: number): ChunkedConfiguration => {
-  const bundle = runToCompletion(splitIntoChunks(createConfiguration(run.world.layout, mark)));
-  if (bundle.isErr) throw new Error(JSON.stringify(bundle.error));
-  return bundle.value;
+const splitMarkedConfiguration = (run: Fixture, marker: number): ChunkedConfiguration => {
+  const result = runToCompletion(splitIntoChunks(createConfiguration(run.world.layout, marker)));
+  if (result.isErr) throw new Error(JSON.stringify(result.error));
+  return result.value;
 };
 
 /** A rollout request under way, and its reply. */
-interface Order {
-  readonly number: Generation;
-  told: RegistryReply | undefined;
+interface RolloutRequest {
+  readonly generation: Generation;
+  reply: RegistryReply | undefined;
 }
 
-const send = (run: Fixture, registry: SimulatedRegistry, number: number, mark: number): Order => {
-  const order: Order = { number: toGeneration(number), told: undefined };
-  const id = toCommandId(`order-${number}`);
-  const { hash, chunkHashes: pieces, chunks: texts } = bundleOf(run, mark);
+const sendRequest = (
+  run: Fixture,
+  registry: SimulatedRegistry,
+  generation: number,
+  marker: number,
+): RolloutRequest => {
+  const request: RolloutRequest = { generation: toGeneration(generation), reply: undefined };
+  const id = toCommandId(`order-${generation}`);
+  const { hash, chunkHashes, chunks } = splitMarkedConfiguration(run, marker);
   registry.handleRequest(
     {
       verb: 'apply',
       id,
       baseGeneration: undefined,
-      requestedGeneration: order.number,
+      requestedGeneration: request.generation,
       hash,
-      chunkHashes: pieces,
-      chunks: texts,
+      chunkHashes,
+      chunks,
     },
-    (told) => {
-      order.told = told;
+    (reply) => {
+      request.reply = reply;
     },
   );
-  return order;
+  return request;
 };
 
-const registryAt = (run: Fixture, at: number): SimulatedRegistry => {
-  const found = run.world.registries[at % run.world.registries.length];
-  if (found === undefined) throw new Error('no registry');
-  return found;
+const registryAt = (run: Fixture, index: number): SimulatedRegistry => {
+  const registry = run.world.registries[index % run.world.registries.length];
+  if (registry === undefined) throw new Error('no registry');
+  return registry;
 };
 
-const apply = (run: Fixture, number: number, mark: number): void => {
-  const order = send(run, registryAt(run, 0), number, mark);
-  run.world.runUntil(5000, () => order.told !== undefined);
-  assert.equal(order.told?.status, 200, `order ${number}`);
+const apply = (run: Fixture, generation: number, marker: number): void => {
+  const request = sendRequest(run, registryAt(run, 0), generation, marker);
+  run.world.runUntil(5000, () => request.reply !== undefined);
+  assert.equal(request.reply?.status, 200, `order ${generation}`);
 };
 
 /** Whether every proxy runs a generation. */
-const isInForce = (run: Fixture, number: number): boolean =>
+const isInForce = (run: Fixture, generation: number): boolean =>
   run.world.proxies.every(
-    (one) => one.state?.nodeAgent.compiledConfiguration?.generation === number,
+    (proxy) => proxy.state?.nodeAgent.compiledConfiguration?.generation === generation,
   );
 
-const missingPieces = (run: Fixture): number => {
+const missingChunkCount = (run: Fixture): number => {
   const control = run.world.primary()?.state?.control;
   assert.ok(control?.configuration !== undefined);
-  return control.configuration.offer.pieces.filter((one) => !control.chunks.has(one)).length;
+  return control.configuration.offer.pieces.filter((hash) => !control.chunks.has(hash)).length;
 };
 
-for (const offset of offsets) {
-  void test(`an order that returns to an earlier content, ${offset} ms after one that drops it, is in force in time`, () => {
-    const run = createFixture(700 + offset, 2, {
+for (const offsetMs of offsetsMs) {
+  void test(`an order that returns to an earlier content, ${offsetMs} ms after one that drops it, is in force in time`, () => {
+    const run = createFixture(700 + offsetMs, 2, {
       edges: 3,
       shields: 2,
       stores: 3,
       replication: { copies: 3, tolerate: 1, electorateFollowsRegistries: false },
     });
-    apply(run, 2, firstMark);
-    assert.ok(run.world.runUntil(inForceLimit, () => isInForce(run, 2)));
-    apply(run, 3, secondMark);
-    assert.ok(run.world.runUntil(inForceLimit, () => isInForce(run, 3)));
-    const dropping = send(run, registryAt(run, 0), 4, racingMark);
-    run.world.runFor(offset);
-    const returning = send(run, registryAt(run, 1), 5, firstMark);
-    run.world.runUntil(5000, () => dropping.told !== undefined && returning.told !== undefined);
-    assert.equal(returning.told?.status, 200);
-    assert.equal(dropping.told?.status, 200);
-    assert.equal(missingPieces(run), 0, 'the table holds each piece of the description in force');
+    apply(run, 2, firstMarker);
+    assert.ok(run.world.runUntil(inForceLimitMs, () => isInForce(run, 2)));
+    apply(run, 3, secondMarker);
+    assert.ok(run.world.runUntil(inForceLimitMs, () => isInForce(run, 3)));
+    const replacingRequest = sendRequest(run, registryAt(run, 0), 4, racingMarker);
+    run.world.runFor(offsetMs);
+    const revertingRequest = sendRequest(run, registryAt(run, 1), 5, firstMarker);
+    run.world.runUntil(
+      5000,
+      () => replacingRequest.reply !== undefined && revertingRequest.reply !== undefined,
+    );
+    assert.equal(revertingRequest.reply?.status, 200);
+    assert.equal(replacingRequest.reply?.status, 200);
+    assert.equal(
+      missingChunkCount(run),
+      0,
+      'the table holds each piece of the description in force',
+    );
     assert.ok(
-      run.world.runUntil(inForceLimit, () => isInForce(run, 5)),
+      run.world.runUntil(inForceLimitMs, () => isInForce(run, 5)),
       'in force in time',
     );
     assert.deepEqual(finishRun(run), []);
--- a/packages/simulator/src/run/configuration-repair.test.ts
+++ b/packages/simulator/src/run/configuration-repair.test.ts
@@ -10,7 +10,7 @@
 import { type Fixture, createFixture } from './fixture.js';
 
 const generation = 2;
-const inForceLimit = 2500;
+const inForceLimitMs = 2500;
 
 const offerOf = (
   run: Fixture,
@@ -21,25 +21,25 @@
 };
 
 /** Takes a chunk off every disk, as if it had never been written. */
-const erasePiece = (run: Fixture, hash: Hash): void => {
+const eraseChunk = (run: Fixture, hash: Hash): void => {
   const key = controlKeys.chunk(hash);
   for (const { disk } of run.world.stores) {
-    const kept = disk.synced.map((write) => ({
+    const remainingWrites = disk.synced.map((write) => ({
       ...write,
-      entries: write.entries.filter((one) => one.key !== key),
+      entries: write.entries.filter((entry) => entry.key !== key),
     }));
-    disk.synced.splice(0, disk.synced.length, ...kept);
+    disk.synced.splice(0, disk.synced.length, ...remainingWrites);
   }
 };
 
-const runsEverywhere = (run: Fixture): boolean =>
+const isInForceEverywhere = (run: Fixture): boolean =>
   run.world.proxies.every(
-    (one) => one.state?.nodeAgent.compiledConfiguration?.generation === generation,
+    (proxy) => proxy.state?.nodeAgent.compiledConfiguration?.generation === generation,
   );
 
-const violations = (run: Fixture): number =>
+const violationCount = (run: Fixture): number =>
   run.world.stores.reduce(
-    (sum, one) => sum + (one.state?.violations.get('description-whole') ?? 0),
+    (sum, store) => sum + (store.state?.violations.get('description-whole') ?? 0),
     0,
   );
 
@@ -52,24 +52,25 @@
       replication: { copies: 3, tolerate: 1, electorateFollowsRegistries: false },
     });
     run.world.apply(11);
-    assert.ok(run.world.runUntil(3000, () => runsEverywhere(run)));
-    const lost = offerOf(run).pieces.at(-1);
-    assert.ok(lost !== undefined);
-    assert.equal(violations(run), 0);
+    assert.ok(run.world.runUntil(3000, () => isInForceEverywhere(run)));
+    const missingChunk = offerOf(run).pieces.at(-1);
+    assert.ok(missingChunk !== undefined);
+    assert.equal(violationCount(run), 0);
     for (const store of run.world.stores) store.kill();
-    erasePiece(run, lost);
+    eraseChunk(run, missingChunk);
     for (const store of run.world.stores) store.start();
     assert.ok(
-      run.world.runUntil(5000, () => violations(run) > 0),
+      run.world.runUntil(5000, () => violationCount(run) > 0),
       'the violation is counted',
     );
-    const isWhole = (): boolean => run.world.primary()?.state?.control.chunks.has(lost) === true;
-    assert.ok(run.world.runUntil(8000, isWhole), 'the piece is in the table again');
+    const isChunkRestored = (): boolean =>
+      run.world.primary()?.state?.control.chunks.has(missingChunk) === true;
+    assert.ok(run.world.runUntil(8000, isChunkRestored), 'the piece is in the table again');
     const [edge] = run.world.edges;
     edge?.kill();
     edge?.start();
     assert.ok(
-      run.world.runUntil(inForceLimit, () => runsEverywhere(run)),
+      run.world.runUntil(inForceLimitMs, () => isInForceEverywhere(run)),
       'a new start runs it',
     );
   });
--- a/packages/simulator/src/run/failures.test.ts
+++ b/packages/simulator/src/run/failures.test.ts
@@ -15,7 +15,7 @@
 } from './fixture.js';
 
 /** From now on everyone gets a result, and no rule was broken to the end. */
-const servesOn = (run: Fixture): void => {
+const assertServing = (run: Fixture): void => {
   const from = run.world.eventQueue.now;
   run.world.runFor(3000);
   assert.deepEqual(finishRun(run), []);
@@ -42,10 +42,10 @@
     run.callers.start();
     run.world.runFor(8000);
     assert.deepEqual(finishRun(run), []);
-    const told = countOutcomes(run.callers);
+    const outcomes = countOutcomes(run.callers);
     assert.ok(
-      (told.get('lost') ?? 0) > 0 && (told.get('result') ?? 0) > 100,
-      JSON.stringify([...told]),
+      (outcomes.get('lost') ?? 0) > 0 && (outcomes.get('result') ?? 0) > 100,
+      JSON.stringify([...outcomes]),
     );
   }
 });
@@ -54,18 +54,18 @@
   for (const seed of seedRange(4)) {
     const run = createFixture(seed, 80);
     run.callers.start();
-    for (let turn = 0; turn < 6; turn += 1) {
+    for (let round = 0; round < 6; round += 1) {
       run.world.runFor(1700);
-      const keeper = run.world.serviceLeaderOf(turn % 2 === 0 ? acts : clips);
-      if (keeper === undefined) continue;
-      if (turn % 3 === 0) {
-        keeper.kill();
-        run.world.eventQueue.schedule(500, () => keeper.start());
-      } else if (turn % 3 === 1) {
-        keeper.freeze();
-        run.world.eventQueue.schedule(2500, () => keeper.resume());
+      const serviceLeader = run.world.serviceLeaderOf(round % 2 === 0 ? acts : clips);
+      if (serviceLeader === undefined) continue;
+      if (round % 3 === 0) {
+        serviceLeader.kill();
+        run.world.eventQueue.schedule(500, () => serviceLeader.start());
+      } else if (round % 3 === 1) {
+        serviceLeader.freeze();
+        run.world.eventQueue.schedule(2500, () => serviceLeader.resume());
       } else {
-        run.faults.isolate(run.faults.processesOnMachineOf(keeper), 'both');
+        run.faults.isolate(run.faults.processesOnMachineOf(serviceLeader), 'both');
         run.world.eventQueue.schedule(1500, () => run.world.network.heal());
       }
     }
@@ -75,13 +75,13 @@
 });
 
 void test('R4, R5: the primary dies at any moment after it accepted: in force everywhere all the same', () => {
-  for (const wait of [0, 1, 3, 6, 10, 20, 40, 80, 200, 500]) {
-    const run = createFixture(300 + wait, 20);
+  for (const delayMs of [0, 1, 3, 6, 10, 20, 40, 80, 200, 500]) {
+    const run = createFixture(300 + delayMs, 20);
     run.callers.start();
     run.world.runFor(1500);
     const write = run.world.apply(77);
     assert.ok(run.world.runUntil(1000, () => write.reply !== undefined));
-    run.world.runFor(wait);
+    run.world.runFor(delayMs);
     const primary = run.world.primary();
     assert.ok(primary !== undefined);
     primary.kill();
@@ -96,11 +96,11 @@
   for (const seed of seedRange(6)) {
     const run = createFixture(seed, 5);
     const base = run.world.primary()?.state?.control.configuration?.offer.generation;
-    const pair = [run.world.apply(10, base), run.world.apply(11, base)];
-    assert.ok(run.world.runUntil(2000, () => pair.every((one) => one.reply !== undefined)));
-    assert.deepEqual(pair.map((one) => one.reply?.status).sort(), [200, 409]);
-    const [won, lost] = pair[0]?.reply?.status === 200 ? pair : [pair[1], pair[0]];
-    assert.equal(lost?.reply?.generation, won?.reply?.generation);
+    const writes = [run.world.apply(10, base), run.world.apply(11, base)];
+    assert.ok(run.world.runUntil(2000, () => writes.every((write) => write.reply !== undefined)));
+    assert.deepEqual(writes.map((write) => write.reply?.status).sort(), [200, 409]);
+    const [accepted, rejected] = writes[0]?.reply?.status === 200 ? writes : [writes[1], writes[0]];
+    assert.equal(rejected?.reply?.generation, accepted?.reply?.generation);
     run.world.runFor(4000);
     assert.deepEqual(finishRun(run), []);
   }
@@ -112,36 +112,36 @@
     run.callers.start();
     run.world.runFor(2000);
     const write = run.world.apply(5);
-    const [paths, aims] = purgeOf('/clips/read/3');
-    const purge = run.world.purge(paths, aims);
+    const [paths, targets] = purgeOf('/clips/read/3');
+    const purge = run.world.purge(paths, targets);
     assert.ok(
       run.world.runUntil(2000, () => write.reply !== undefined && purge.reply !== undefined),
     );
-    const verdicts = run.world.primary()?.state?.control.canaryResults.size ?? 0;
-    assert.ok(verdicts >= 2);
-    for (const actor of run.world.allProcesses) {
-      actor.kill();
-      run.world.eventQueue.schedule(run.world.random.uniform(10, 1000), () => actor.start());
+    const canaryResultCount = run.world.primary()?.state?.control.canaryResults.size ?? 0;
+    assert.ok(canaryResultCount >= 2);
+    for (const process of run.world.allProcesses) {
+      process.kill();
+      run.world.eventQueue.schedule(run.world.random.uniform(10, 1000), () => process.start());
     }
-    const back = run.world.eventQueue.now;
+    const restartedAt = run.world.eventQueue.now;
     assert.ok(
       run.world.runUntil(
         15_000,
         () =>
-          run.world.edges.every((one) => one.isReady) &&
-          [clips, acts].every((one) => run.world.serviceLeaderOf(one) !== undefined),
+          run.world.edges.every((edge) => edge.isReady) &&
+          [clips, acts].every((service) => run.world.serviceLeaderOf(service) !== undefined),
       ),
     );
-    run.world.runFor(Math.max(0, 15_000 - (run.world.eventQueue.now - back)));
+    run.world.runFor(Math.max(0, 15_000 - (run.world.eventQueue.now - restartedAt)));
     const from = run.world.eventQueue.now;
     run.world.runFor(3000);
     assert.deepEqual(finishRun(run), []);
-    const told = countOutcomes(run.callers, from);
-    assert.deepEqual([...told.keys()], ['result']);
+    const outcomes = countOutcomes(run.callers, from);
+    assert.deepEqual([...outcomes.keys()], ['result']);
     const control = run.world.primary()?.state?.control;
     assert.ok(
       control !== undefined &&
-        control.canaryResults.size >= verdicts &&
+        control.canaryResults.size >= canaryResultCount &&
         control.purges.length === 1,
     );
   }
@@ -150,24 +150,24 @@
 void test('each store in turn loses its disk, fills, stalls and tears: no confirmed write is lost and writing goes on', () => {
   for (const seed of seedRange(2)) {
     const run = createFixture(seed, 10);
-    let mark = 100;
-    for (const trouble of ['wipe', 'full', 'stalled', 'torn'] as const) {
+    let marker = 100;
+    for (const diskFault of ['wipe', 'full', 'stalled', 'torn'] as const) {
       for (const store of run.world.stores) {
-        if (trouble === 'wipe' || trouble === 'torn') {
+        if (diskFault === 'wipe' || diskFault === 'torn') {
           store.kill();
-          if (trouble === 'wipe') store.disk.wipe();
+          if (diskFault === 'wipe') store.disk.wipe();
           else store.disk.isTorn = true;
           run.world.eventQueue.schedule(800, () => store.start());
-        } else store.disk.condition = trouble;
+        } else store.disk.condition = diskFault;
         // Within a few seconds writes are taken again, while the fault goes on.
-        let taken = false;
-        for (let turn = 0; turn < 8 && !taken; turn += 1) {
-          mark += 1;
-          const write = run.world.apply(mark);
+        let isAccepted = false;
+        for (let round = 0; round < 8 && !isAccepted; round += 1) {
+          marker += 1;
+          const write = run.world.apply(marker);
           run.world.runUntil(9000, () => write.reply !== undefined);
-          taken = write.reply?.status === 200;
+          isAccepted = write.reply?.status === 200;
         }
-        assert.ok(taken, `${trouble} at ${store.node}`);
+        assert.ok(isAccepted, `${diskFault} at ${store.node}`);
         store.disk.isTorn = false;
         store.disk.recover();
         assert.ok(
@@ -175,7 +175,7 @@
             15_000,
             () => run.world.primary()?.state?.metadata?.inSyncSet.length === 2,
           ),
-          `${trouble} at ${store.node}: in sync again`,
+          `${diskFault} at ${store.node}: in sync again`,
         );
       }
     }
@@ -184,14 +184,14 @@
 });
 
 void test('a backup that comes back with an empty disk is mended though nothing is written meanwhile', () => {
-  for (const trouble of ['wipe', 'torn'] as const) {
+  for (const diskFault of ['wipe', 'torn'] as const) {
     const run = createFixture(31, 5);
     run.world.runFor(3000);
-    const backup = run.world.stores.find((one) => one !== run.world.primary());
+    const backup = run.world.stores.find((store) => store !== run.world.primary());
     assert.ok(backup !== undefined);
     const entries = backup.state?.table.size ?? 0;
     backup.kill();
-    if (trouble === 'wipe') backup.disk.wipe();
+    if (diskFault === 'wipe') backup.disk.wipe();
     else backup.disk.isTorn = true;
     backup.start();
     run.world.runFor(4000);
@@ -213,8 +213,8 @@
     run.callers.start();
     run.world.runFor(1000);
     for (const store of run.world.stores) store.disk.condition = 'full';
-    for (let turn = 0; turn < 4; turn += 1) {
-      const write = run.world.apply(50 + turn);
+    for (let round = 0; round < 4; round += 1) {
+      const write = run.world.apply(50 + round);
       run.world.runUntil(9000, () => write.reply !== undefined);
       assert.ok(
         write.reply?.status === 503 || write.reply?.status === 504,
@@ -243,21 +243,23 @@
   for (const seed of seedRange(4)) {
     const run = createFixture(seed, 80);
     run.callers.start();
-    for (let turn = 0; turn < 5; turn += 1) {
+    for (let round = 0; round < 5; round += 1) {
       run.world.runFor(1500);
       const leaving = run.world.origins.find(
-        (one) =>
-          one.isAlive && one.state === 'up' && one.service === (turn % 2 === 0 ? clips : acts),
+        (origin) =>
+          origin.isAlive &&
+          origin.state === 'up' &&
+          origin.service === (round % 2 === 0 ? clips : acts),
       );
       if (leaving === undefined) continue;
       run.world.addOrigin(leaving.service, leaving.slots);
-      const registry = run.world.registries[turn % run.world.registries.length];
+      const registry = run.world.registries[round % run.world.registries.length];
       run.faults.isolate(registry === undefined ? [] : [registry], 'both');
-      leaving.leave(turn % 2 === 0 ? 'leaving' : 'gone');
+      leaving.leave(round % 2 === 0 ? 'leaving' : 'gone');
       run.world.eventQueue.schedule(4000, () => run.world.network.heal());
-      const keeper = run.world.serviceLeaderOf(leaving.service);
-      if (turn === 2) keeper?.kill();
-      run.world.eventQueue.schedule(1000, () => keeper?.start());
+      const serviceLeader = run.world.serviceLeaderOf(leaving.service);
+      if (round === 2) serviceLeader?.kill();
+      run.world.eventQueue.schedule(1000, () => serviceLeader?.start());
       run.world.eventQueue.schedule(2500, () => {
         leaving.crash();
         run.world.addOrigin(leaving.service === clips ? acts : clips, 4, 'r1', leaving.address);
@@ -267,7 +269,9 @@
     run.world.network.heal();
     run.world.runFor(4000);
     assert.deepEqual(finishRun(run), []);
-    assert.ok(run.world.origins.filter((one) => one.departureKnownAt !== undefined).length >= 4);
+    assert.ok(
+      run.world.origins.filter((origin) => origin.departureKnownAt !== undefined).length >= 4,
+    );
   }
 });
 
@@ -282,18 +286,18 @@
     run.faults.isolate([edge], seed % 2 === 0 ? 'in' : 'both');
     shield.freeze();
     run.world.eventQueue.schedule(2600, () => shield.resume());
-    for (let at = 0; at < 20; at += 1)
-      for (const service of [clips, acts]) run.world.purge(...purgeOf(`/${service}/read/${at}`));
+    for (let index = 0; index < 20; index += 1)
+      for (const service of [clips, acts]) run.world.purge(...purgeOf(`/${service}/read/${index}`));
     // The cut-off edge is asked all the same, as by a client that was sent there before.
-    for (let turn = 0; turn < 200; turn += 1)
-      run.world.eventQueue.schedule(turn * 40, () => {
+    for (let round = 0; round < 200; round += 1)
+      run.world.eventQueue.schedule(round * 40, () => {
         run.callers.send({ edge, kind: 'read' });
       });
     run.world.runFor(8000);
     run.world.network.heal();
     run.world.runFor(5000);
     assert.deepEqual(finishRun(run), []);
-    assert.ok(run.callers.requests.some((one) => one.result?.source === 'edge'));
+    assert.ok(run.callers.requests.some((request) => request.result?.source === 'edge'));
   }
 });
 
@@ -305,10 +309,13 @@
   run.world.serviceLeaderOf(clips)?.kill();
   run.world.runFor(8000);
   assert.deepEqual(finishRun(run), []);
-  const tries = run.world.origins.flatMap((one) => one.attempts).length;
+  const attemptCount = run.world.origins.flatMap((origin) => origin.attempts).length;
   assert.ok(
-    tries >
-      new Set(run.world.origins.flatMap((one) => one.attempts.map((row) => row.request))).size + 50,
+    attemptCount >
+      new Set(
+        run.world.origins.flatMap((origin) => origin.attempts.map((attempt) => attempt.request)),
+      ).size +
+        50,
     'extra tries were made at all',
   );
 });
@@ -324,17 +331,17 @@
     // The first one spends what it has, in a few seconds.
     for (const origin of run.world.origins) origin.lossProbability = 0.9;
     run.world.runFor(3500);
-    let keepers = 0;
-    for (let turn = 0; turn < 9; turn += 1) {
+    let leaderCount = 0;
+    for (let round = 0; round < 9; round += 1) {
       run.world.runFor(800);
-      const keeper = run.world.serviceLeaderOf(clips);
-      if (keeper === undefined) continue;
-      keepers += 1;
-      keeper.kill();
-      run.world.eventQueue.schedule(300, () => keeper.start());
+      const serviceLeader = run.world.serviceLeaderOf(clips);
+      if (serviceLeader === undefined) continue;
+      leaderCount += 1;
+      serviceLeader.kill();
+      run.world.eventQueue.schedule(300, () => serviceLeader.start());
     }
     run.world.runFor(3000);
-    assert.ok(keepers >= 6, `${keepers} keepers`);
+    assert.ok(leaderCount >= 6, `${leaderCount} keepers`);
     assert.deepEqual(finishRun(run), []);
   }
 });
@@ -347,13 +354,13 @@
     run.callers.floodedUntil.set(`/acts/${kind}/`, Infinity);
   run.callers.start();
   run.world.runFor(7000);
-  const keeper = run.world.serviceLeaderOf(acts);
-  keeper?.kill();
+  const serviceLeader = run.world.serviceLeaderOf(acts);
+  serviceLeader?.kill();
   run.world.runFor(7000);
   assert.deepEqual(finishRun(run), []);
-  const arrivals = run.world.origins.flatMap((one) => one.arrivalTimes).length;
+  const arrivals = run.world.origins.flatMap((origin) => origin.arrivalTimes).length;
   assert.ok(
-    run.world.origins.flatMap((one) => one.receiveTimes).length > arrivals,
+    run.world.origins.flatMap((origin) => origin.receiveTimes).length > arrivals,
     'health checks were sent too',
   );
   assert.ok(arrivals > 80 * 8, `${arrivals} requests let through: the ceiling is used`);
@@ -364,37 +371,40 @@
     const run = createFixture(seed, 120);
     run.callers.start();
     run.world.runFor(3000);
-    const bad = run.world.addOrigin(clips, 8, 'r2');
-    bad.failureProbability = 0.6;
+    const badOrigin = run.world.addOrigin(clips, 8, 'r2');
+    badOrigin.failureProbability = 0.6;
     run.ruleChecker.badReleases.add(toRelease('r2'));
-    const good = run.world.addOrigin(acts, 4, 'r3');
+    const goodOrigin = run.world.addOrigin(acts, 4, 'r3');
     run.world.runFor(600);
-    const keeper = run.world.serviceLeaderOf(clips);
-    keeper?.kill();
-    run.world.eventQueue.schedule(1500, () => keeper?.start());
+    const serviceLeader = run.world.serviceLeaderOf(clips);
+    serviceLeader?.kill();
+    run.world.eventQueue.schedule(1500, () => serviceLeader?.start());
     run.world.runFor(20_000);
-    const verdict = (release: string): string | undefined =>
+    const canaryState = (release: string): string | undefined =>
       [...(run.world.primary()?.state?.control.canaryResults.values() ?? [])].find(
-        (one) => one.release === release,
+        (result) => result.release === release,
       )?.state;
-    assert.equal(verdict('r2'), 'bad');
-    assert.equal(verdict('r3'), 'good');
-    assert.ok(good.arrivalTimes.length > 50);
+    assert.equal(canaryState('r2'), 'bad');
+    assert.equal(canaryState('r3'), 'good');
+    assert.ok(goodOrigin.arrivalTimes.length > 50);
     // A release that goes bad after it earned its traffic is judged as well.
-    good.failureProbability = 0.7;
+    goodOrigin.failureProbability = 0.7;
     run.world.runFor(12_000);
-    assert.equal(verdict('r3'), 'bad');
-    const fiftieth = good.failureTimes[49];
-    assert.ok(fiftieth === undefined || good.arrivalTimes.every((at) => at <= fiftieth + 5000));
-    for (const actor of run.world.allProcesses) {
-      actor.kill();
-      run.world.eventQueue.schedule(200, () => actor.start());
+    assert.equal(canaryState('r3'), 'bad');
+    const fiftiethFailureAt = goodOrigin.failureTimes[49];
+    assert.ok(
+      fiftiethFailureAt === undefined ||
+        goodOrigin.arrivalTimes.every((arrivedAt) => arrivedAt <= fiftiethFailureAt + 5000),
+    );
+    for (const process of run.world.allProcesses) {
+      process.kill();
+      run.world.eventQueue.schedule(200, () => process.start());
     }
     run.world.runFor(10_000);
-    assert.equal(verdict('r2'), 'bad');
-    const before = bad.arrivalTimes.length;
+    assert.equal(canaryState('r2'), 'bad');
+    const before = badOrigin.arrivalTimes.length;
     run.world.runFor(4000);
-    assert.equal(bad.arrivalTimes.length, before);
+    assert.equal(badOrigin.arrivalTimes.length, before);
     assert.deepEqual(finishRun(run), []);
   }
 });
@@ -410,11 +420,11 @@
     }
     run.world.runFor(3000);
     assert.deepEqual(finishRun(run), []);
-    const all = countOutcomes(run.callers);
-    assert.equal(all.get('silent') ?? 0, 0, JSON.stringify([...all]));
+    const outcomes = countOutcomes(run.callers);
+    assert.equal(outcomes.get('silent') ?? 0, 0, JSON.stringify([...outcomes]));
     assert.ok(
-      (all.get('result') ?? 0) > 0.99 * run.callers.requests.length,
-      JSON.stringify([...all]),
+      (outcomes.get('result') ?? 0) > 0.99 * run.callers.requests.length,
+      JSON.stringify([...outcomes]),
     );
   }
 });
@@ -425,20 +435,20 @@
     run.callers.start();
     run.world.runFor(1000);
     // Keepers move a few times, so that the edges remember high epochs.
-    for (let turn = 0; turn < 3; turn += 1) {
+    for (let round = 0; round < 3; round += 1) {
       for (const service of [clips, acts]) {
-        const keeper = run.world.serviceLeaderOf(service);
-        keeper?.kill();
-        run.world.eventQueue.schedule(500, () => keeper?.start());
+        const serviceLeader = run.world.serviceLeaderOf(service);
+        serviceLeader?.kill();
+        run.world.eventQueue.schedule(500, () => serviceLeader?.start());
       }
       run.world.runFor(3500);
     }
-    for (const actor of [...run.world.registries, ...run.world.shields]) {
-      actor.kill();
-      run.world.eventQueue.schedule(run.world.random.uniform(10, 600), () => actor.start());
+    for (const process of [...run.world.registries, ...run.world.shields]) {
+      process.kill();
+      run.world.eventQueue.schedule(run.world.random.uniform(10, 600), () => process.start());
     }
     run.world.runFor(8000);
-    servesOn(run);
+    assertServing(run);
   }
 });
 
@@ -446,24 +456,24 @@
   for (const seed of seedRange(2)) {
     const run = createFixture(seed, 30);
     run.callers.start();
-    const old = [...run.world.registries];
-    for (const [at, gone] of old.entries()) {
-      const fresh = run.world.addRegistry(`new-${at + 1}`, at + 1);
+    const oldRegistries = [...run.world.registries];
+    for (const [index, removed] of oldRegistries.entries()) {
+      const added = run.world.addRegistry(`new-${index + 1}`, index + 1);
       run.world.runFor(1500);
       for (const change of [
-        { add: fresh.node, remove: undefined },
-        { add: undefined, remove: gone.node },
+        { add: added.node, remove: undefined },
+        { add: undefined, remove: removed.node },
       ]) {
         let status = 0;
-        for (let turn = 0; turn < 5 && status !== 200; turn += 1) {
-          fresh.handleRequest(
+        for (let round = 0; round < 5 && status !== 200; round += 1) {
+          added.handleRequest(
             {
               verb: 'electorate',
-              id: toCommandId(`swap-${at}-${change.add ?? 'x'}-${turn}`),
+              id: toCommandId(`swap-${index}-${change.add ?? 'x'}-${round}`),
               ...change,
             },
-            (told) => {
-              status = told.status;
+            (reply) => {
+              status = reply.status;
             },
           );
           run.world.runUntil(4500, () => status !== 0);
@@ -472,12 +482,15 @@
         assert.equal(status, 200);
         run.world.runFor(600);
       }
-      run.world.removeRegistry(gone);
+      run.world.removeRegistry(removed);
       run.world.runFor(1200);
     }
-    const seats =
-      run.world.primary()?.state?.metadata?.electorate.members.map((one) => one.node) ?? [];
-    assert.deepEqual([...seats].sort(), run.world.registries.map((one) => one.node).sort());
+    const voters =
+      run.world.primary()?.state?.metadata?.electorate.members.map((member) => member.node) ?? [];
+    assert.deepEqual(
+      [...voters].sort(),
+      run.world.registries.map((registry) => registry.node).sort(),
+    );
     run.world.primary()?.kill();
     run.world.runFor(2500);
     const write = run.world.apply(8);
@@ -487,7 +500,7 @@
     edge?.kill();
     edge?.start();
     assert.ok(run.world.runUntil(4000, () => edge?.isReady === true));
-    servesOn(run);
+    assertServing(run);
   }
 });
 
@@ -496,20 +509,20 @@
     const run = createFixture(seed, 50);
     run.callers.start();
     run.world.runFor(1500);
-    const lost = run.world.allProcesses.filter((one) => one.zone === 'two');
+    const zoneProcesses = run.world.allProcesses.filter((process) => process.zone === 'two');
     assert.ok(
-      lost.some((one) => one.node.startsWith('store')) &&
-        lost.some((one) => one.node.startsWith('shield')),
+      zoneProcesses.some((process) => process.node.startsWith('store')) &&
+        zoneProcesses.some((process) => process.node.startsWith('shield')),
     );
-    for (const actor of lost) actor.kill();
+    for (const process of zoneProcesses) process.kill();
     run.world.runFor(2500);
     const write = run.world.apply(6);
     assert.ok(run.world.runUntil(5000, () => write.reply?.status === 200));
     const from = run.world.eventQueue.now;
     run.world.runFor(2500);
-    const during = countOutcomes(run.callers, from, run.world.eventQueue.now - 1000);
-    assert.deepEqual([...during.keys()], ['result']);
-    for (const actor of lost) actor.start();
+    const outcomes = countOutcomes(run.callers, from, run.world.eventQueue.now - 1000);
+    assert.deepEqual([...outcomes.keys()], ['result']);
+    for (const process of zoneProcesses) process.start();
     run.world.runFor(6000);
     assert.equal(run.world.primary()?.state?.metadata?.inSyncSet.length, 2);
     assert.deepEqual(finishRun(run), []);
@@ -521,17 +534,18 @@
     const run = createFixture(seed, 60);
     run.callers.start();
     run.world.runFor(1500);
-    const side = run.world.registries
-      .filter((_, at) => (at + seed) % 3 === 0)
-      .flatMap((one) => run.faults.processesOnMachineOf(one));
-    run.faults.isolate(side, 'both');
+    const isolated = run.world.registries
+      .filter((_, index) => (index + seed) % 3 === 0)
+      .flatMap((registry) => run.faults.processesOnMachineOf(registry));
+    run.faults.isolate(isolated, 'both');
     run.world.runFor(3000);
     const from = run.world.eventQueue.now;
     run.world.runFor(3000);
-    const during = countOutcomes(run.callers, from, run.world.eventQueue.now - 1000);
+    const outcomes = countOutcomes(run.callers, from, run.world.eventQueue.now - 1000);
     assert.ok(
-      (during.get('result') ?? 0) > 0.8 * [...during.values()].reduce((sum, one) => sum + one, 0),
-      JSON.stringify([...during]),
+      (outcomes.get('result') ?? 0) >
+        0.8 * [...outcomes.values()].reduce((sum, count) => sum + count, 0),
+      JSON.stringify([...outcomes]),
     );
     run.world.network.heal();
     run.world.runFor(6000);
@@ -548,28 +562,28 @@
   const from = run.world.eventQueue.now;
   // Far more bulk than the origins can take, for four seconds.
   run.callers.floodedUntil.set('/clips/plain/', Infinity);
-  for (let at = 0; at < 6000; at += 1)
-    run.world.eventQueue.schedule(at * 0.66, () => {
+  for (let index = 0; index < 6000; index += 1)
+    run.world.eventQueue.schedule(index * 0.66, () => {
       run.callers.send({ kind: 'plain', service: 'clips', isFlood: true });
     });
   run.world.runFor(7000);
-  const acting = run.callers.requests.filter(
-    (one) => one.isUnsafe && one.sentAt >= from && one.sentAt < from + 4000,
+  const unsafeRequests = run.callers.requests.filter(
+    (request) => request.isUnsafe && request.sentAt >= from && request.sentAt < from + 4000,
   );
-  const times = acting
-    .flatMap((one) =>
-      one.result?.kind === 'result' && one.answeredAt !== undefined
-        ? [one.answeredAt - one.sentAt]
+  const latenciesMs = unsafeRequests
+    .flatMap((request) =>
+      request.result?.kind === 'result' && request.answeredAt !== undefined
+        ? [request.answeredAt - request.sentAt]
         : [],
     )
-    .sort((one, two) => one - two);
+    .sort((left, right) => left - right);
   assert.ok(
-    times.length === acting.length && times.length > 10,
-    `${times.length} of ${acting.length} writes got a result`,
+    latenciesMs.length === unsafeRequests.length && latenciesMs.length > 10,
+    `${latenciesMs.length} of ${unsafeRequests.length} writes got a result`,
   );
   assert.ok(
-    (times[Math.floor(times.length * 0.99)] ?? Infinity) < 400,
-    `the promise is 400 ms: ${times.slice(-3).map(Math.round).join(', ')}`,
+    (latenciesMs[Math.floor(latenciesMs.length * 0.99)] ?? Infinity) < 400,
+    `the promise is 400 ms: ${latenciesMs.slice(-3).map(Math.round).join(', ')}`,
   );
   assert.ok(
     (countOutcomes(run.callers, from).get('rejected') ?? 0) > 1000,
@@ -586,19 +600,25 @@
   run.world.runFor(3000);
   // So slow that second attempts go out while the first have not begun to answer, and often overtake them.
   for (const origin of run.world.origins) origin.workMs = 60;
-  for (let at = 0; at < 300; at += 1)
-    run.world.eventQueue.schedule(at * 20, () => {
+  for (let index = 0; index < 300; index += 1)
+    run.world.eventQueue.schedule(index * 20, () => {
       run.callers.send({ kind: 'plain', service: 'clips', object: 4, isFlood: true });
     });
   run.world.runFor(8000);
   assert.deepEqual(finishRun(run), []);
-  const streamed = run.callers.requests.filter((one) => one.result?.source === 'stream').length;
-  const tries = run.world.origins.flatMap((one) => one.attempts);
+  const streamedCount = run.callers.requests.filter(
+    (request) => request.result?.source === 'stream',
+  ).length;
+  const attempts = run.world.origins.flatMap((origin) => origin.attempts);
   assert.ok(
-    streamed > 200 && tries.length > new Set(tries.map((one) => one.request)).size + 20,
-    `${streamed} streamed, second legs among ${tries.length}`,
+    streamedCount > 200 &&
+      attempts.length > new Set(attempts.map((attempt) => attempt.request)).size + 20,
+    `${streamedCount} streamed, second legs among ${attempts.length}`,
+  );
+  assert.equal(
+    run.callers.requests.filter((request) => request.result?.kind === 'broken').length,
+    0,
   );
-  assert.equal(run.callers.requests.filter((one) => one.result?.kind === 'broken').length, 0);
 });
 
 void test('R7: a result fetched before a purge is not told two seconds after it, nor one past its lifetime, by whoever was slow or slept', () => {
@@ -606,19 +626,19 @@
     const run = createFixture(seed, 120);
     run.callers.start();
     run.world.runFor(3000);
-    const sleeper =
+    const frozenProxy =
       seed % 3 === 0
         ? undefined
         : seed % 3 === 1
           ? run.world.edges[0]
           : run.world.serviceLeaderOf(clips);
     for (const origin of run.world.origins)
-      origin.extraLatencyMs = sleeper === undefined ? 2400 : 300;
-    run.world.runFor(sleeper === undefined ? 300 : 1500);
-    for (let at = 0; at < 20; at += 1)
-      for (const service of [clips, acts]) run.world.purge(...purgeOf(`/${service}/read/${at}`));
-    sleeper?.freeze();
-    run.world.eventQueue.schedule(4500, () => sleeper?.resume());
+      origin.extraLatencyMs = frozenProxy === undefined ? 2400 : 300;
+    run.world.runFor(frozenProxy === undefined ? 300 : 1500);
+    for (let index = 0; index < 20; index += 1)
+      for (const service of [clips, acts]) run.world.purge(...purgeOf(`/${service}/read/${index}`));
+    frozenProxy?.freeze();
+    run.world.eventQueue.schedule(4500, () => frozenProxy?.resume());
     run.world.runFor(2000);
     for (const origin of run.world.origins) origin.extraLatencyMs = 0;
     run.world.runFor(6000);
@@ -633,7 +653,7 @@
     run.callers.start();
     run.world.runFor(1500);
     const primary = run.world.primary();
-    const backup = run.world.stores.find((one) => one !== primary);
+    const backup = run.world.stores.find((store) => store !== primary);
     assert.ok(primary !== undefined && backup !== undefined);
     backup.kill();
     const write = run.world.apply(70);
@@ -645,37 +665,37 @@
     primary.start();
     run.world.eventQueue.schedule(3000, () => backup.start());
     run.world.runFor(9000);
-    const kept = run.world.primary()?.hasResultOf(write.id) === true;
+    const isStored = run.world.primary()?.hasResultOf(write.id) === true;
     assert.ok(
-      write.reply?.status === 504 || !kept,
-      `told ${write.reply?.status ?? 0}, in the store: ${kept}`,
+      write.reply?.status === 504 || !isStored,
+      `told ${write.reply?.status ?? 0}, in the store: ${isStored}`,
     );
     assert.deepEqual(finishRun(run), []);
   }
 });
 
 void test('lost write: a store that was left out never serves what it has, neither while voters remember nor when all of them forgot', () => {
-  for (const forget of [false, true]) {
+  for (const losesVoterState of [false, true]) {
     for (const seed of seedRange(2)) {
       const run = createFixture(seed, 10);
       run.callers.start();
       run.world.runFor(1500);
       const primary = run.world.primary();
-      const backup = run.world.stores.find((one) => one !== primary);
+      const backup = run.world.stores.find((store) => store !== primary);
       assert.ok(primary !== undefined && backup !== undefined);
       // The backup hears nothing of being left out.
-      if (forget) backup.kill();
+      if (losesVoterState) backup.kill();
       else run.faults.isolate([backup], 'both');
       run.world.runFor(300);
       const write = run.world.apply(80);
       assert.ok(run.world.runUntil(4000, () => write.reply?.status === 200));
       primary.kill();
-      if (forget) for (const one of run.world.registries) one.kill();
+      if (losesVoterState) for (const registry of run.world.registries) registry.kill();
       run.world.network.heal();
       run.world.runFor(200);
-      for (const one of run.world.registries) one.start();
+      for (const registry of run.world.registries) registry.start();
       backup.start();
-      for (let turn = 0; turn < 80; turn += 1) {
+      for (let round = 0; round < 80; round += 1) {
         run.world.runFor(100);
         assert.equal(run.world.primary(), undefined, 'nobody serves without the last write');
       }
@@ -694,40 +714,42 @@
     run.callers.start();
     run.world.runFor(1000);
     const before = run.world.primary()?.state?.control.configuration?.offer;
-    for (const mark of [10, 11]) {
-      const bad = run.world.apply(mark, undefined, 'invalid');
-      assert.ok(run.world.runUntil(4000, () => bad.reply !== undefined));
-      assert.equal(bad.reply?.status, 422);
+    for (const marker of [10, 11]) {
+      const invalid = run.world.apply(marker, undefined, 'invalid');
+      assert.ok(run.world.runUntil(4000, () => invalid.reply !== undefined));
+      assert.equal(invalid.reply?.status, 422);
     }
     assert.equal(run.world.primary()?.state?.control.configuration?.offer, before);
     const first = run.world.apply(12);
     assert.ok(run.world.runUntil(4000, () => first.reply !== undefined));
     // Asked twice at once, at two registries.
-    const one = run.world.apply(14);
-    const twin = run.world.apply(14, undefined, 'plain', one);
-    assert.ok(run.world.runUntil(4000, () => one.reply !== undefined && twin.reply !== undefined));
-    assert.equal(one.reply?.generation, twin.reply?.generation);
-    run.world.writes.splice(run.world.writes.indexOf(twin), 1);
+    const original = run.world.apply(14);
+    const duplicate = run.world.apply(14, undefined, 'plain', original);
+    assert.ok(
+      run.world.runUntil(4000, () => original.reply !== undefined && duplicate.reply !== undefined),
+    );
+    assert.equal(original.reply?.generation, duplicate.reply?.generation);
+    run.world.writes.splice(run.world.writes.indexOf(duplicate), 1);
     assert.equal(
       run.world.primary()?.state?.control.configuration?.offer.generation,
-      one.reply?.generation,
+      original.reply?.generation,
     );
     // The operator heard nothing and asks again, after another one was taken, and after the primary moved.
-    const other = run.world.apply(13);
-    assert.ok(run.world.runUntil(4000, () => other.reply !== undefined));
+    const later = run.world.apply(13);
+    assert.ok(run.world.runUntil(4000, () => later.reply !== undefined));
     run.world.primary()?.kill();
     assert.ok(run.world.runUntil(4000, () => run.world.primary() !== undefined));
-    const again = run.world.apply(12, undefined, 'plain', first);
-    assert.ok(run.world.runUntil(8000, () => again.reply !== undefined));
+    const repeated = run.world.apply(12, undefined, 'plain', first);
+    assert.ok(run.world.runUntil(8000, () => repeated.reply !== undefined));
     assert.deepEqual(
-      [again.reply?.status, again.reply?.generation],
+      [repeated.reply?.status, repeated.reply?.generation],
       [200, first.reply?.generation],
     );
     assert.equal(
       run.world.primary()?.state?.control.configuration?.offer.generation,
-      other.reply?.generation,
+      later.reply?.generation,
     );
-    run.world.writes.splice(run.world.writes.indexOf(again), 1);
+    run.world.writes.splice(run.world.writes.indexOf(repeated), 1);
     for (const store of run.world.stores) store.start();
     run.world.runFor(5000);
     assert.deepEqual(finishRun(run), []);
--- a/packages/simulator/src/run/large-configuration.test.ts
+++ b/packages/simulator/src/run/large-configuration.test.ts
@@ -27,7 +27,7 @@
 };
 
 /** Frames that bear chunks of a configuration, or all of it. */
-const weighed: ReadonlySet<Frame['kind']> = new Set([
+const measuredFrameKinds: ReadonlySet<Frame['kind']> = new Set([
   'call',
   'called',
   'piece',
@@ -36,55 +36,55 @@
 ]);
 
 /** A world that weighs the frames which bear chunks. */
-class WeighingWorld extends World {
+class FrameMeasuringWorld extends World {
   largestFrame = 0;
   override readonly frameObserver: FrameObserver = {
     frameSent: (_from, _to, frame) => {
-      if (weighed.has(frame.kind))
+      if (measuredFrameKinds.has(frame.kind))
         this.largestFrame = Math.max(this.largestFrame, serializeFrame(frame).length);
     },
   };
 }
 
 /** A configuration of many routes, each padded to a length. */
-const descriptionOf = (routes: number, pathLength: number): object => ({
+const createLargeConfiguration = (routes: number, pathLength: number): object => ({
   ...createConfiguration(layout, 1),
-  routes: Array.from({ length: routes }, (_, at) => ({
-    name: `route-${at}`,
-    path: `/objects/${at}/`.padEnd(pathLength, 'x'),
+  routes: Array.from({ length: routes }, (_, index) => ({
+    name: `route-${index}`,
+    path: `/objects/${index}/`.padEnd(pathLength, 'x'),
     service: 'clips',
     class: 'bulk',
   })),
 });
 
-const bundleOf = (description: object): ChunkedConfiguration => {
-  const made = runToCompletion(splitIntoChunks(description));
-  if (made.isErr) throw new Error(JSON.stringify(made.error));
-  return made.value;
+const splitConfiguration = (configuration: object): ChunkedConfiguration => {
+  const result = runToCompletion(splitIntoChunks(configuration));
+  if (result.isErr) throw new Error(JSON.stringify(result.error));
+  return result.value;
 };
 
-const settled = (
+const awaitReply = (
   world: World,
-  spanMs: number,
-  begin: (done: (told: RegistryReply) => void) => void,
+  timeoutMs: number,
+  sendRequest: (done: (reply: RegistryReply) => void) => void,
 ): RegistryReply | undefined => {
-  let told: RegistryReply | undefined;
-  begin((answer) => {
-    told = answer;
+  let reply: RegistryReply | undefined;
+  sendRequest((received) => {
+    reply = received;
   });
-  world.runUntil(spanMs, () => told !== undefined);
-  return told;
+  world.runUntil(timeoutMs, () => reply !== undefined);
+  return reply;
 };
 
 const apply = (
   world: World,
   registry: SimulatedRegistry,
   id: string,
-  bundle: ChunkedConfiguration,
+  chunked: ChunkedConfiguration,
 ): RegistryReply | undefined =>
-  settled(world, 15_000, (done) => {
+  awaitReply(world, 15_000, (done) => {
     registry.handleRequest(
-      { verb: 'apply', id: toCommandId(id), baseGeneration: undefined, ...bundle },
+      { verb: 'apply', id: toCommandId(id), baseGeneration: undefined, ...chunked },
       done,
     );
   });
@@ -94,60 +94,63 @@
   registry: SimulatedRegistry,
   id: string,
 ): RegistryReply | undefined =>
-  settled(world, 25_000, (done) => {
+  awaitReply(world, 25_000, (done) => {
     registry.handleRequest({ verb: 'view', id: toCommandId(id), viewName: 'description' }, done);
   });
 
-const assertEqualDescription = (told: RegistryReply | undefined, description: object): void => {
-  assert.ok(told?.status === 200, told?.body.slice(0, 200));
-  const held: unknown = JSON.parse(told.body);
-  assert.ok(typeof held === 'object' && held !== null && 'description' in held);
-  assert.deepEqual(held.description, description);
+const assertEqualConfiguration = (
+  reply: RegistryReply | undefined,
+  configuration: object,
+): void => {
+  assert.ok(reply?.status === 200, reply?.body.slice(0, 200));
+  const body: unknown = JSON.parse(reply.body);
+  assert.ok(typeof body === 'object' && body !== null && 'description' in body);
+  assert.deepEqual(body.description, configuration);
 };
 
 const sizes = [
-  { routes: 12_000, pathLength: 40, least: 1_000_000 },
-  { routes: 15_000, pathLength: 640, least: maxFrameBytes + 1 },
+  { routes: 12_000, pathLength: 40, minBytes: 1_000_000 },
+  { routes: 15_000, pathLength: 640, minBytes: maxFrameBytes + 1 },
 ] as const;
 
-for (const { routes, pathLength, least } of sizes) {
+for (const { routes, pathLength, minBytes } of sizes) {
   void test(`${routes} routes of ${pathLength} signs are applied, read back equal from each registry, and get to a new store, in frames of bounded size`, (context) => {
-    const world = new WeighingWorld(layout);
+    const world = new FrameMeasuringWorld(layout);
     world.bootstrap();
-    const description = descriptionOf(routes, pathLength);
-    const bundle = bundleOf(description);
-    const bytes = [...bundle.chunks.values()].reduce((sum, one) => sum + one.length, 0);
-    assert.ok(bytes >= least, `${bytes} bytes`);
+    const configuration = createLargeConfiguration(routes, pathLength);
+    const chunked = splitConfiguration(configuration);
+    const bytes = [...chunked.chunks.values()].reduce((sum, chunk) => sum + chunk.length, 0);
+    assert.ok(bytes >= minBytes, `${bytes} bytes`);
     const [first] = world.registries;
     assert.ok(first !== undefined);
-    const appliedFrom = world.eventQueue.now;
-    assert.equal(apply(world, first, 'large', bundle)?.status, 200);
+    const requestedAt = world.eventQueue.now;
+    assert.equal(apply(world, first, 'large', chunked)?.status, 200);
     const acknowledgedAt = world.eventQueue.now;
     assert.ok(
       world.runUntil(5000, () =>
         world.edges.every(
-          (edge) => edge.state?.nodeAgent.compiledConfiguration?.hash === bundle.hash,
+          (edge) => edge.state?.nodeAgent.compiledConfiguration?.hash === chunked.hash,
         ),
       ),
       'in force at each edge',
     );
     context.diagnostic(
-      `${bytes} bytes: acknowledged after ${Math.round(acknowledgedAt - appliedFrom)} ms, in force ${Math.round(world.eventQueue.now - acknowledgedAt)} ms later (simulated time)`,
+      `${bytes} bytes: acknowledged after ${Math.round(acknowledgedAt - requestedAt)} ms, in force ${Math.round(world.eventQueue.now - acknowledgedAt)} ms later (simulated time)`,
     );
     world.runFor(2000);
-    for (const [at, registry] of world.registries.entries())
-      assertEqualDescription(readBack(world, registry, `read-${at}`), description);
+    for (const [index, registry] of world.registries.entries())
+      assertEqualConfiguration(readBack(world, registry, `read-${index}`), configuration);
     const inSync = (): readonly string[] => world.primary()?.state?.metadata?.inSyncSet ?? [];
     assert.ok(
       world.runUntil(5000, () => inSync().length === 3),
       'all stores took the write',
     );
-    const gone = world.stores.find((one) => one !== world.primary());
-    assert.ok(gone !== undefined);
-    world.removeStore(gone);
-    const fresh = world.addStore('store-9', 9);
+    const removed = world.stores.find((store) => store !== world.primary());
+    assert.ok(removed !== undefined);
+    world.removeStore(removed);
+    const added = world.addStore('store-9', 9);
     assert.ok(
-      world.runUntil(8000, () => inSync().includes(fresh.node)),
+      world.runUntil(8000, () => inSync().includes(added.node)),
       'a new store got all of it',
     );
     assert.ok(world.largestFrame <= maxFrameBytes, `a frame of ${world.largestFrame} bytes`);
@@ -157,37 +160,39 @@
 void test('a description is read back while others are put in force 20 times a second: what is read was in force meanwhile', () => {
   const world = new World(layout);
   world.bootstrap();
-  const large = [0, 1].map((at) => bundleOf({ ...descriptionOf(2000 + at, 40) }));
-  let serial = 0;
-  let working = true;
-  const change = (): void => {
-    if (!working) return;
-    serial += 1;
-    const bundle = large[serial % 2];
-    if (bundle !== undefined)
+  const alternatives = [0, 1].map((index) =>
+    splitConfiguration({ ...createLargeConfiguration(2000 + index, 40) }),
+  );
+  let changeCount = 0;
+  let isRunning = true;
+  const submitChange = (): void => {
+    if (!isRunning) return;
+    changeCount += 1;
+    const chunked = alternatives[changeCount % 2];
+    if (chunked !== undefined)
       world.registries[0]?.handleRequest(
         {
           verb: 'apply',
-          id: toCommandId(`change-${serial}`),
+          id: toCommandId(`change-${changeCount}`),
           baseGeneration: undefined,
-          ...bundle,
+          ...chunked,
         },
         () => undefined,
       );
-    world.eventQueue.schedule(50, change);
+    world.eventQueue.schedule(50, submitChange);
   };
-  change();
+  submitChange();
   world.runFor(2000);
-  for (let turn = 0; turn < 10; turn += 1) {
+  for (let round = 0; round < 10; round += 1) {
     const before = world.primary()?.state?.control.configuration?.offer.generation ?? noGeneration;
-    const registry = world.registries[1 + (turn % (world.registries.length - 1))];
+    const registry = world.registries[1 + (round % (world.registries.length - 1))];
     assert.ok(registry !== undefined);
-    const told = readBack(world, registry, `amid-${turn}`);
+    const reply = readBack(world, registry, `amid-${round}`);
     const after = world.primary()?.state?.control.configuration?.offer.generation ?? noGeneration;
-    assert.ok(told?.status === 200, told?.body.slice(0, 200));
-    const generation = Number(/"generation":(\d+)/.exec(told.body)?.[1]);
+    assert.ok(reply?.status === 200, reply?.body.slice(0, 200));
+    const generation = Number(/"generation":(\d+)/.exec(reply.body)?.[1]);
     assert.ok(generation >= before && generation <= after, `${before} ${generation} ${after}`);
     world.runFor(70);
   }
-  working = false;
+  isRunning = false;
 });
--- a/packages/simulator/src/run/many-changes.test.ts
+++ b/packages/simulator/src/run/many-changes.test.ts
@@ -10,20 +10,20 @@
 import { type Fixture, finishRun, createFixture } from './fixture.js';
 
 /** Changes come this often, in milliseconds: 20 a second. */
-const changeInterval = 50;
+const changeIntervalMs = 50;
 /** In which time a restarted store is in sync again, however many changes there were and go on. */
-const catchUpLimit = 2500;
+const resyncLimitMs = 2500;
 const copies = 3;
 
 /** How the disk of a store looks when its process starts again. */
-type Disk = 'its own disk' | 'an old disk' | 'a torn disk' | 'no disk';
-const disks: readonly Disk[] = ['its own disk', 'an old disk', 'a torn disk', 'no disk'];
+type DiskState = 'its own disk' | 'an old disk' | 'a torn disk' | 'no disk';
+const diskStates: readonly DiskState[] = ['its own disk', 'an old disk', 'a torn disk', 'no disk'];
 
 const inSyncSet = (run: Fixture): readonly string[] =>
   run.world.primary()?.state?.metadata?.inSyncSet ?? [];
 
 /** A formed fleet of three stores, all of them in sync. */
-const fleet = (seed: number): Fixture => {
+const createFleet = (seed: number): Fixture => {
   const run = createFixture(seed, 2, {
     edges: 1,
     shields: 2,
@@ -39,40 +39,40 @@
 class Operators {
   readonly writes: OperatorWrite[] = [];
   readonly #run: Fixture;
-  #working = true;
+  #isRunning = true;
 
   constructor(run: Fixture) {
     this.#run = run;
-    this.#next();
+    this.#submitNext();
   }
 
   stop(): void {
-    this.#working = false;
+    this.#isRunning = false;
   }
 
   get confirmed(): readonly OperatorWrite[] {
-    return this.writes.filter((one) => one.reply?.status === 200);
+    return this.writes.filter((write) => write.reply?.status === 200);
   }
 
-  #next(): void {
-    if (!this.#working) return;
+  #submitNext(): void {
+    if (!this.#isRunning) return;
     const { world } = this.#run;
-    const serial = this.writes.length + 1;
+    const changeNumber = this.writes.length + 1;
     this.writes.push(
-      serial % 4 === 0
-        ? world.apply(1000 + serial)
-        : world.purge([], [{ by: 'tag', tag: `tag-${serial}` }]),
+      changeNumber % 4 === 0
+        ? world.apply(1000 + changeNumber)
+        : world.purge([], [{ by: 'tag', tag: `tag-${changeNumber}` }]),
     );
-    world.eventQueue.schedule(changeInterval, () => this.#next());
+    world.eventQueue.schedule(changeIntervalMs, () => this.#submitNext());
   }
 }
 
-const changeDisk = (store: SimulatedStore, disk: Disk, since: number): void => {
-  switch (disk) {
+const replaceDisk = (store: SimulatedStore, diskState: DiskState, syncedCount: number): void => {
+  switch (diskState) {
     case 'its own disk':
       break;
     case 'an old disk':
-      store.disk.synced.splice(since);
+      store.disk.synced.splice(syncedCount);
       break;
     case 'a torn disk':
       store.disk.isTorn = true;
@@ -84,18 +84,18 @@
 };
 
 /** Restarts a backup after a span of changes that go on; tells how long it took to be in sync again. */
-const catchUp = (run: Fixture, disk: Disk, awayMs: number): number => {
+const measureResync = (run: Fixture, diskState: DiskState, downtimeMs: number): number => {
   const { world } = run;
   const backup = world.stores.find(
-    (one) => one !== world.primary() && inSyncSet(run).includes(one.node),
+    (store) => store !== world.primary() && inSyncSet(run).includes(store.node),
   );
   assert.ok(backup !== undefined);
-  const oldest = backup.disk.synced.length;
+  const syncedCount = backup.disk.synced.length;
   world.runFor(1000);
   backup.kill();
-  world.runFor(awayMs);
+  world.runFor(downtimeMs);
   assert.ok(!inSyncSet(run).includes(backup.node), 'it was left out');
-  changeDisk(backup, disk, oldest);
+  replaceDisk(backup, diskState, syncedCount);
   const startedAt = world.eventQueue.now;
   backup.start();
   world.runUntil(20_000, () => inSyncSet(run).includes(backup.node));
@@ -103,63 +103,69 @@
 };
 
 /** Whatever was confirmed is what the primary holds: the newest generation and the newest purge. */
-const keepsNewest = (run: Fixture, operators: Operators, what: string): void => {
+const assertNewestKept = (run: Fixture, operators: Operators, context: string): void => {
   const control = run.world.primary()?.state?.control;
   const confirmed = operators.confirmed;
-  const generation = Math.max(...confirmed.map((one) => one.reply?.generation ?? 0));
-  const purge = Math.max(...confirmed.map((one) => one.reply?.purge ?? 0));
-  assert.ok((control?.configuration?.offer.generation ?? 0) >= generation, `${what}: generation`);
-  assert.ok((control?.purges.at(-1)?.seq ?? 0) >= purge, `${what}: purge`);
+  const generation = Math.max(...confirmed.map((write) => write.reply?.generation ?? 0));
+  const purge = Math.max(...confirmed.map((write) => write.reply?.purge ?? 0));
+  assert.ok(
+    (control?.configuration?.offer.generation ?? 0) >= generation,
+    `${context}: generation`,
+  );
+  assert.ok((control?.purges.at(-1)?.seq ?? 0) >= purge, `${context}: purge`);
 };
 
-for (const disk of disks) {
-  void test(`amid changes that never stop a store that restarts with ${disk} is in sync within ${catchUpLimit} ms, after 2 s of changes as after 15 s`, () => {
-    for (const [at, awayMs] of [2000, 15_000].entries()) {
-      const run = fleet(500 + at);
+for (const diskState of diskStates) {
+  void test(`amid changes that never stop a store that restarts with ${diskState} is in sync within ${resyncLimitMs} ms, after 2 s of changes as after 15 s`, () => {
+    for (const [index, downtimeMs] of [2000, 15_000].entries()) {
+      const run = createFleet(500 + index);
       const operators = new Operators(run);
       run.world.runFor(1000);
-      const took = catchUp(run, disk, awayMs);
-      const before = operators.confirmed.length;
+      const resyncMs = measureResync(run, diskState, downtimeMs);
+      const confirmedBefore = operators.confirmed.length;
       run.world.runFor(2000);
       operators.stop();
       run.world.runFor(3000);
-      assert.ok(took <= catchUpLimit, `away ${awayMs} ms: in sync after ${Math.round(took)} ms`);
       assert.ok(
-        operators.confirmed.length - before > 30,
-        `away ${awayMs} ms: writes were confirmed all the while`,
+        resyncMs <= resyncLimitMs,
+        `away ${downtimeMs} ms: in sync after ${Math.round(resyncMs)} ms`,
+      );
+      assert.ok(
+        operators.confirmed.length - confirmedBefore > 30,
+        `away ${downtimeMs} ms: writes were confirmed all the while`,
       );
-      keepsNewest(run, operators, `away ${awayMs} ms`);
+      assertNewestKept(run, operators, `away ${downtimeMs} ms`);
       assert.deepEqual(finishRun(run), []);
     }
   });
 }
 
 void test('a store that was away for 300 changes and restarts as the primary dies never leads with what its disk held', () => {
-  for (const disk of ['its own disk', 'an old disk'] as const) {
-    const run = fleet(520);
+  for (const diskState of ['its own disk', 'an old disk'] as const) {
+    const run = createFleet(520);
     const { world } = run;
     const operators = new Operators(run);
-    const old = world.stores.find((one) => one !== world.primary());
-    assert.ok(old !== undefined);
-    const oldest = old.disk.synced.length;
+    const staleStore = world.stores.find((store) => store !== world.primary());
+    assert.ok(staleStore !== undefined);
+    const syncedCount = staleStore.disk.synced.length;
     world.runFor(1000);
-    old.kill();
+    staleStore.kill();
     world.runFor(15_000);
-    changeDisk(old, disk, oldest);
-    const led = world.primary();
-    led?.kill();
-    old.start();
+    replaceDisk(staleStore, diskState, syncedCount);
+    const formerPrimary = world.primary();
+    formerPrimary?.kill();
+    staleStore.start();
     assert.ok(
       world.runUntil(5000, () => world.primary() !== undefined),
       'a primary',
     );
-    assert.notEqual(world.primary()?.node, old.node);
-    keepsNewest(run, operators, disk);
+    assert.notEqual(world.primary()?.node, staleStore.node);
+    assertNewestKept(run, operators, diskState);
     world.runFor(2000);
-    led?.start();
+    formerPrimary?.start();
     operators.stop();
     world.runFor(5000);
-    keepsNewest(run, operators, disk);
+    assertNewestKept(run, operators, diskState);
     assert.deepEqual(finishRun(run), []);
   }
 });
--- a/packages/simulator/src/run/network-partition.test.ts
+++ b/packages/simulator/src/run/network-partition.test.ts
@@ -10,21 +10,21 @@
 import type { SimulatedProcess } from '../world/process.js';
 import { type Fixture, finishRun, createFixture, seedRange } from './fixture.js';
 
-const cutSpan = 20_000;
+const partitionMs = 20_000;
 /** How long a registry may take to know that it is cut off, and a call to be answered there. */
-const knownAfter = 1300;
-const answerLimit = 1000;
+const detectionLimitMs = 1300;
+const replyLimitMs = 1000;
 /** How long after its acknowledgement a node may still start on the configuration before. */
-const spreadLimit = 2000;
+const propagationLimitMs = 2000;
 
 /** The machine that is cut off: a store with its registry. */
 interface Machine {
   readonly store: SimulatedStore;
   readonly registry: SimulatedRegistry;
-  readonly actors: readonly SimulatedProcess[];
+  readonly processes: readonly SimulatedProcess[];
 }
 
-const fleet = (seed: number): Fixture => {
+const createFleet = (seed: number): Fixture => {
   const run = createFixture(seed, 20, {
     edges: 3,
     shields: 2,
@@ -40,95 +40,97 @@
 const primaryMachine = (run: Fixture): Machine => {
   const store = run.world.primary();
   assert.ok(store !== undefined);
-  const registry = run.world.registries.find((one) => one.node === `${store.node}-registry`);
+  const registry = run.world.registries.find(
+    (registry) => registry.node === `${store.node}-registry`,
+  );
   assert.ok(registry !== undefined);
-  return { store, registry, actors: run.faults.processesOnMachineOf(store) };
+  return { store, registry, processes: run.faults.processesOnMachineOf(store) };
 };
 
 /** One way to lose a machine: what is done to each direction of each of its links. */
-interface Cut {
+interface LinkFault {
   readonly name: string;
-  readonly link: (
+  readonly inject: (
     run: Fixture,
     from: SimulatedProcess,
     to: SimulatedProcess,
-    outward: boolean,
+    isOutbound: boolean,
   ) => void;
 }
 
-const reset = (one: SimulatedProcess, other: SimulatedProcess): void => {
-  if (one.isAlive) one.execute(() => one.peerDisconnected(other.address));
+const resetConnection = (process: SimulatedProcess, other: SimulatedProcess): void => {
+  if (process.isAlive) process.execute(() => process.peerDisconnected(other.address));
 };
-const cutWays: readonly Cut[] = [
-  { name: 'silent', link: (run, from, to) => run.world.network.cut(from.node, to.node) },
-  { name: 'stalled', link: (run, from, to) => run.world.network.stall(from.node, to.node) },
-  { name: 'refused', link: (run, from, to) => run.world.network.refuse(from.node, to.node) },
+const linkFaults: readonly LinkFault[] = [
+  { name: 'silent', inject: (run, from, to) => run.world.network.cut(from.node, to.node) },
+  { name: 'stalled', inject: (run, from, to) => run.world.network.stall(from.node, to.node) },
+  { name: 'refused', inject: (run, from, to) => run.world.network.refuse(from.node, to.node) },
   {
     name: 'reset',
-    link: (run, from, to) => {
+    inject: (run, from, to) => {
       run.world.network.cut(from.node, to.node);
-      reset(from, to);
+      resetConnection(from, to);
     },
   },
   {
     name: 'outward only',
-    link: (run, from, to, outward) => {
-      if (outward) run.world.network.cut(from.node, to.node);
+    inject: (run, from, to, isOutbound) => {
+      if (isOutbound) run.world.network.cut(from.node, to.node);
     },
   },
   {
     name: 'inward only',
-    link: (run, from, to, outward) => {
-      if (!outward) run.world.network.stall(from.node, to.node);
+    inject: (run, from, to, isOutbound) => {
+      if (!isOutbound) run.world.network.stall(from.node, to.node);
     },
   },
 ];
 
 /** Cuts a machine off from all others but those of its own side. */
-const cutOff = (
+const isolateMachine = (
   run: Fixture,
   machine: Machine,
-  way: Cut,
-  side: readonly SimulatedProcess[] = [],
+  linkFault: LinkFault,
+  sameSide: readonly SimulatedProcess[] = [],
 ): void => {
-  const inner = [...machine.actors, ...side];
-  for (const one of inner) {
-    for (const other of run.world.allProcesses) {
-      if (inner.includes(other)) continue;
-      way.link(run, one, other, true);
-      way.link(run, other, one, false);
+  const isolated = [...machine.processes, ...sameSide];
+  for (const inside of isolated) {
+    for (const outside of run.world.allProcesses) {
+      if (isolated.includes(outside)) continue;
+      linkFault.inject(run, inside, outside, true);
+      linkFault.inject(run, outside, inside, false);
     }
   }
 };
 
 /** Asks a registry now and then, and keeps what it answers. */
-interface Asked {
+interface Probe {
   readonly at: number;
   readonly verb: 'purge' | 'view';
-  told: (RegistryReply & { readonly at: number }) | undefined;
+  reply: (RegistryReply & { readonly at: number }) | undefined;
 }
 
-let serial = 0;
-const ask = (run: Fixture, registry: SimulatedRegistry, verb: Asked['verb']): Asked => {
-  serial += 1;
-  const id = toCommandId(`cut-off-${serial}`);
-  const asked: Asked = { at: run.world.eventQueue.now, verb, told: undefined };
+let probeCount = 0;
+const sendProbe = (run: Fixture, registry: SimulatedRegistry, verb: Probe['verb']): Probe => {
+  probeCount += 1;
+  const id = toCommandId(`cut-off-${probeCount}`);
+  const probe: Probe = { at: run.world.eventQueue.now, verb, reply: undefined };
   registry.handleRequest(
     verb === 'view'
       ? { verb, id, viewName: 'description' }
-      : { verb, id, targets: [{ by: 'tag', tag: `none-${serial}` }] },
-    (told) => {
-      asked.told = { ...told, at: run.world.eventQueue.now };
+      : { verb, id, targets: [{ by: 'tag', tag: `none-${probeCount}` }] },
+    (reply) => {
+      probe.reply = { ...reply, at: run.world.eventQueue.now };
     },
   );
-  return asked;
+  return probe;
 };
 
 /** Applies a configuration, with as many tries as it takes; gives its generation. */
-const applied = (run: Fixture, mark: number): number => {
-  for (let turn = 0; turn < 30; turn += 1) {
+const applyAccepted = (run: Fixture, marker: number): number => {
+  for (let attempt = 0; attempt < 30; attempt += 1) {
     const before = run.world.highestAcknowledgedGeneration();
-    const write = run.world.apply(mark * 100 + turn);
+    const write = run.world.apply(marker * 100 + attempt);
     run.world.runUntil(1500, () => write.reply !== undefined);
     if (write.reply?.status === 200 && run.world.highestAcknowledgedGeneration() > before)
       return run.world.highestAcknowledgedGeneration();
@@ -137,162 +139,183 @@
 };
 
 /** What the cut-off registry said: no command confirmed, no reply after the lease, each within a second. */
-const judgeAnswers = (
-  since: number,
+const assertProbeReplies = (
+  partitionedAt: number,
   restartedAt: number,
-  asked: readonly Asked[],
-  name: string,
+  probes: readonly Probe[],
+  label: string,
 ): void => {
-  for (const one of asked) {
-    const told = one.told;
-    const what = `${name}: ${one.verb} ${Math.round(one.at - since)} ms after the cut: ${told?.status}`;
-    assert.ok(told !== undefined, `${what}: no answer`);
-    assert.ok(told.at - one.at <= answerLimit, `${what} in ${told.at - one.at} ms`);
+  for (const probe of probes) {
+    const reply = probe.reply;
+    const context = `${label}: ${probe.verb} ${Math.round(probe.at - partitionedAt)} ms after the cut: ${reply?.status}`;
+    assert.ok(reply !== undefined, `${context}: no answer`);
+    assert.ok(reply.at - probe.at <= replyLimitMs, `${context} in ${reply.at - probe.at} ms`);
     // A primary on this side may tell what is stored for as long as its lease stands: nobody else can change it.
-    if (one.verb === 'view' && told.at - since <= maxLeaseMs) continue;
-    assert.ok(told.status === 503 || told.status === 504, what);
+    if (probe.verb === 'view' && reply.at - partitionedAt <= maxLeaseMs) continue;
+    assert.ok(reply.status === 503 || reply.status === 504, context);
     // One that has just been cut off, or restarted, may have passed an order on before it knew.
-    const known = [since, restartedAt].every((at) => one.at < at || one.at - at > knownAfter);
-    if (one.verb === 'view' || known) assert.equal(told.status, 503, what);
+    const isDetected = [partitionedAt, restartedAt].every(
+      (at) => probe.at < at || probe.at - at > detectionLimitMs,
+    );
+    if (probe.verb === 'view' || isDetected) assert.equal(reply.status, 503, context);
   }
 };
 
 /** No node came to run a configuration that an acknowledged one had replaced. */
-const judgeAdopted = (
-  acks: readonly { readonly generation: number; readonly at: number }[],
+const assertNoStaleActivation = (
+  acknowledged: readonly { readonly generation: number; readonly at: number }[],
   nodes: readonly SimulatedProxy[],
-  name: string,
+  label: string,
 ): void => {
   for (const node of nodes) {
-    for (const one of node.activations) {
+    for (const activation of node.activations) {
       const newest = Math.max(
         0,
-        ...acks.filter((ack) => ack.at + spreadLimit < one.at).map((ack) => ack.generation),
+        ...acknowledged
+          .filter((earlier) => earlier.at + propagationLimitMs < activation.at)
+          .map((earlier) => earlier.generation),
       );
       assert.ok(
-        one.generation >= newest,
-        `${name}: ${node.node} took ${one.generation} though ${newest} had been confirmed`,
+        activation.generation >= newest,
+        `${label}: ${node.node} took ${activation.generation} though ${newest} had been confirmed`,
       );
     }
   }
 };
 
-interface CutRun {
+interface PartitionOptions {
   /** Which nodes are on the side that is cut off. */
   readonly side?: (run: Fixture) => readonly SimulatedProcess[];
   /** What happens in the midst of the cut. */
-  readonly midway?: (run: Fixture, machine: Machine) => void;
+  readonly duringPartition?: (run: Fixture, machine: Machine) => void;
 }
 
 /** The whole course: a cut of the primary's machine, orders on both sides, starts of edges, the healing. */
-const play = (seed: number, way: Cut, { side, midway }: CutRun = {}): Fixture => {
-  const run = fleet(seed);
+const runPartition = (
+  seed: number,
+  linkFault: LinkFault,
+  { side, duringPartition: duringPartition }: PartitionOptions = {},
+): Fixture => {
+  const run = createFleet(seed);
   const { world } = run;
   const machine = primaryMachine(run);
   const { registry } = machine;
-  const name = `${way.name}, seed ${seed}`;
-  const since = world.eventQueue.now;
-  cutOff(run, machine, way, side?.(run));
-  const asked: Asked[] = [];
-  const look = (until: number): void => {
-    while (world.eventQueue.now - since < until) {
-      if (registry.isAlive) asked.push(ask(run, registry, 'view'), ask(run, registry, 'purge'));
+  const label = `${linkFault.name}, seed ${seed}`;
+  const partitionedAt = world.eventQueue.now;
+  isolateMachine(run, machine, linkFault, side?.(run));
+  const probes: Probe[] = [];
+  const probeUntil = (untilMs: number): void => {
+    while (world.eventQueue.now - partitionedAt < untilMs) {
+      if (registry.isAlive)
+        probes.push(sendProbe(run, registry, 'view'), sendProbe(run, registry, 'purge'));
       world.runFor(250);
     }
   };
   // The first calls come after the last answer of the primary that was under way.
   world.runFor(100);
-  look(4000);
-  const acks: { readonly generation: number; readonly at: number }[] = [];
-  for (let turn = 0; turn < 3; turn += 1) {
-    const generation = applied(run, 50 + turn);
-    acks.push({ generation, at: world.eventQueue.now });
+  probeUntil(4000);
+  const acknowledged: { readonly generation: number; readonly at: number }[] = [];
+  for (let round = 0; round < 3; round += 1) {
+    const generation = applyAccepted(run, 50 + round);
+    acknowledged.push({ generation, at: world.eventQueue.now });
   }
   // Edges with an empty memory: one knows the cut-off registry among others, one nothing else.
-  const others = world.registries.filter((one) => one !== registry).map((one) => one.address);
-  const fresh = world.addEdge('fresh-edge', 1, [registry.address, ...others.slice(0, 2)]);
-  const lost = world.addEdge('lost-edge', 2, [registry.address]);
+  const otherAddresses = world.registries
+    .filter((other) => other !== registry)
+    .map((registry) => registry.address);
+  const newEdge = world.addEdge('fresh-edge', 1, [registry.address, ...otherAddresses.slice(0, 2)]);
+  const isolatedEdge = world.addEdge('lost-edge', 2, [registry.address]);
   for (const other of world.allProcesses) {
-    if (machine.actors.includes(other) || other === lost) continue;
-    world.network.cut(lost.node, other.node);
-    world.network.cut(other.node, lost.node);
+    if (machine.processes.includes(other) || other === isolatedEdge) continue;
+    world.network.cut(isolatedEdge.node, other.node);
+    world.network.cut(other.node, isolatedEdge.node);
   }
-  const started = world.eventQueue.now;
+  const startedAt = world.eventQueue.now;
   const newest = world.highestAcknowledgedGeneration();
   if (side === undefined)
     assert.ok(
-      world.runUntil(1500, () => fresh.activations.at(-1)?.generation === newest),
-      `${name}: the fresh edge runs ${JSON.stringify(fresh.activations)} of ${newest}`,
+      world.runUntil(1500, () => newEdge.activations.at(-1)?.generation === newest),
+      `${label}: the fresh edge runs ${JSON.stringify(newEdge.activations)} of ${newest}`,
     );
   const restartedAt = world.eventQueue.now;
-  midway?.(run, machine);
-  look(Math.max(cutSpan, started - since + 3000));
-  assert.deepEqual(lost.activations, [], `${name}: an edge met the cut-off registry alone`);
-  judgeAnswers(
-    since,
+  duringPartition?.(run, machine);
+  probeUntil(Math.max(partitionMs, startedAt - partitionedAt + 3000));
+  assert.deepEqual(
+    isolatedEdge.activations,
+    [],
+    `${label}: an edge met the cut-off registry alone`,
+  );
+  assertProbeReplies(
+    partitionedAt,
     restartedAt,
-    asked.filter((one) => one.at < world.eventQueue.now - answerLimit),
-    name,
+    probes.filter((probe) => probe.at < world.eventQueue.now - replyLimitMs),
+    label,
   );
-  const cutEnd = world.eventQueue.now;
+  const healedAt = world.eventQueue.now;
   world.network.heal();
   world.runFor(3000);
-  judgeAdopted(acks, world.proxies, name);
+  assertNoStaleActivation(acknowledged, world.proxies, label);
   assert.ok(
-    world.runUntil(5000, () => world.proxies.every((one) => one.isReady)),
-    `${name}: all are ready again`,
+    world.runUntil(5000, () => world.proxies.every((proxy) => proxy.isReady)),
+    `${label}: all are ready again`,
   );
-  const last = applied(run, 90);
+  const finalGeneration = applyAccepted(run, 90);
   assert.ok(
     world.runUntil(3000, () =>
-      world.proxies.every((one) => one.activations.at(-1)?.generation === last),
+      world.proxies.every((proxy) => proxy.activations.at(-1)?.generation === finalGeneration),
     ),
-    `${name}: ${last} is in force ${Math.round(world.eventQueue.now - cutEnd)} ms after the cut`,
+    `${label}: ${finalGeneration} is in force ${Math.round(world.eventQueue.now - healedAt)} ms after the cut`,
   );
   return run;
 };
 
-for (const way of cutWays)
-  void test(`the primary's machine is cut off for twenty seconds, ${way.name}`, () => {
-    for (const seed of seedRange(2)) assert.deepEqual(finishRun(play(seed, way)), []);
+for (const linkFault of linkFaults)
+  void test(`the primary's machine is cut off for twenty seconds, ${linkFault.name}`, () => {
+    for (const seed of seedRange(2)) assert.deepEqual(finishRun(runPartition(seed, linkFault)), []);
   });
 
-const silent: Cut = {
+const silentCut: LinkFault = {
   name: 'silent',
-  link: (run, from, to) => run.world.network.cut(from.node, to.node),
+  inject: (run, from, to) => run.world.network.cut(from.node, to.node),
 };
 
 void test('processes of the cut-off machine restart there: they hand out and confirm nothing', () => {
   for (const seed of seedRange(2)) {
-    const midway = (run: Fixture, machine: Machine): void => {
-      for (const one of machine.actors) {
-        one.kill();
-        run.world.eventQueue.schedule(200, () => one.start());
+    const duringPartition = (run: Fixture, machine: Machine): void => {
+      for (const process of machine.processes) {
+        process.kill();
+        run.world.eventQueue.schedule(200, () => process.start());
       }
     };
-    assert.deepEqual(finishRun(play(seed, silent, { midway })), []);
+    assert.deepEqual(
+      finishRun(runPartition(seed, silentCut, { duringPartition: duringPartition })),
+      [],
+    );
   }
 });
 
 void test('the primary is cut off with its clients: an edge on its side takes nothing old and starts on nothing', () => {
   for (const seed of seedRange(2)) {
     const side = (run: Fixture): readonly SimulatedProcess[] => run.world.edges.slice(0, 1);
-    const midway = (run: Fixture): void => {
+    const duringPartition = (run: Fixture): void => {
       const edge = run.world.edges[0];
       edge?.kill();
       run.world.eventQueue.schedule(100, () => edge?.start());
     };
-    assert.deepEqual(finishRun(play(seed, silent, { side, midway })), []);
+    assert.deepEqual(
+      finishRun(runPartition(seed, silentCut, { side, duringPartition: duringPartition })),
+      [],
+    );
   }
 });
 
 void test('a registry that is cut off from the stores alone, or from the voters alone, answers within a second', () => {
   for (const seed of seedRange(2)) {
     for (const role of ['stores', 'registries'] as const) {
-      const run = fleet(seed);
+      const run = createFleet(seed);
       const { world } = run;
       const primary = primaryMachine(run);
-      const registry = world.registries.find((one) => one !== primary.registry);
+      const registry = world.registries.find((registry) => registry !== primary.registry);
       assert.ok(registry !== undefined);
       for (const other of world[role]) {
         if (other === registry) continue;
@@ -300,17 +323,17 @@
         world.network.cut(other.node, registry.node);
       }
       world.runFor(100);
-      const asked: Asked[] = [];
-      for (let at = 0; at < cutSpan; at += 250) {
-        asked.push(ask(run, registry, 'view'), ask(run, registry, 'purge'));
+      const probes: Probe[] = [];
+      for (let elapsedMs = 0; elapsedMs < partitionMs; elapsedMs += 250) {
+        probes.push(sendProbe(run, registry, 'view'), sendProbe(run, registry, 'purge'));
         world.runFor(250);
       }
-      world.runFor(answerLimit);
-      for (const one of asked) {
-        const what = `cut off from ${role}, seed ${seed}: ${one.verb} ${one.told?.status}`;
-        assert.ok(one.told !== undefined && one.told.at - one.at <= answerLimit, what);
+      world.runFor(replyLimitMs);
+      for (const probe of probes) {
+        const context = `cut off from ${role}, seed ${seed}: ${probe.verb} ${probe.reply?.status}`;
+        assert.ok(probe.reply !== undefined && probe.reply.at - probe.at <= replyLimitMs, context);
         // While it still reaches the primary it may pass calls on; those are confirmed there.
-        if (role === 'stores') assert.ok([503, 504].includes(one.told.status), what);
+        if (role === 'stores') assert.ok([503, 504].includes(probe.reply.status), context);
       }
       world.network.heal();
       world.runFor(3000);
--- a/packages/simulator/src/run/operators.test.ts
+++ b/packages/simulator/src/run/operators.test.ts
@@ -14,126 +14,139 @@
 
 const r2 = toRelease('r2');
 const r3 = toRelease('r3');
-const releaseSpan = 8000;
-const answerSpan = 9000;
+const releaseSpanMs = 8000;
+const replyTimeoutMs = 9000;
 
-let callCount = 0;
-const freshCall = (): ReturnType<typeof toCommandId> => {
-  callCount += 1;
-  return toCommandId(`operator-${callCount}`);
+let commandCount = 0;
+const nextCommandId = (): ReturnType<typeof toCommandId> => {
+  commandCount += 1;
+  return toCommandId(`operator-${commandCount}`);
 };
 
-const bundleOf = (run: Fixture, mark: number): ChunkedConfiguration => {
-  const bundle = runToCompletion(splitIntoChunks(createConfiguration(run.world.layout, mark)));
-  if (bundle.isErr) throw new Error(JSON.stringify(bundle.error));
-  return bundle.value;
+const splitMarkedConfiguration = (run: Fixture, marker: number): ChunkedConfiguration => {
+  const result = runToCompletion(splitIntoChunks(createConfiguration(run.world.layout, marker)));
+  if (result.isErr) throw new Error(JSON.stringify(result.error));
+  return result.value;
 };
-const hashOfMark = (run: Fixture, mark: number): string => bundleOf(run, mark).hash;
+const hashOfMarker = (run: Fixture, marker: number): string =>
+  splitMarkedConfiguration(run, marker).hash;
 
 /** Sends a numbered configuration through one registry; the answer comes into the box. */
 const send = (
   run: Fixture,
   registry: SimulatedRegistry,
-  number: number,
-  mark: number,
-): { answer: RegistryReply | undefined } => {
-  const box: { answer: RegistryReply | undefined } = { answer: undefined };
-  const { hash, chunkHashes, chunks } = bundleOf(run, mark);
+  generation: number,
+  marker: number,
+): { reply: RegistryReply | undefined } => {
+  const response: { reply: RegistryReply | undefined } = { reply: undefined };
+  const { hash, chunkHashes, chunks } = splitMarkedConfiguration(run, marker);
   registry.handleRequest(
     {
       verb: 'apply',
-      id: freshCall(),
+      id: nextCommandId(),
       baseGeneration: undefined,
-      requestedGeneration: toGeneration(number),
+      requestedGeneration: toGeneration(generation),
       hash,
       chunkHashes,
       chunks,
     },
-    (told) => {
-      box.answer = told;
+    (reply) => {
+      response.reply = reply;
     },
   );
-  return box;
+  return response;
 };
 
-const registryAt = (run: Fixture, at: number): SimulatedRegistry => {
-  const alive = run.world.registries.filter((one) => one.isAlive);
-  const found = alive[at % alive.length];
-  if (found === undefined) throw new Error('no registry lives');
-  return found;
+const registryAt = (run: Fixture, index: number): SimulatedRegistry => {
+  const alive = run.world.registries.filter((registry) => registry.isAlive);
+  const registry = alive[index % alive.length];
+  if (registry === undefined) throw new Error('no registry lives');
+  return registry;
 };
 
-const isClear = (told: RegistryReply | undefined): told is RegistryReply =>
-  told !== undefined && told.status < 500;
+const isDefinite = (reply: RegistryReply | undefined): reply is RegistryReply =>
+  reply !== undefined && reply.status < 500;
 
 /** Sends a numbered configuration again and again, each time to another registry, until it has a clear answer. */
-const submit = (run: Fixture, number: number, mark: number, first = 0): RegistryReply => {
-  for (let turn = 0; turn < 8; turn += 1) {
-    const box = send(run, registryAt(run, first + turn), number, mark);
-    run.world.runUntil(answerSpan, () => box.answer !== undefined);
-    if (isClear(box.answer)) return box.answer;
+const submit = (
+  run: Fixture,
+  generation: number,
+  marker: number,
+  firstIndex = 0,
+): RegistryReply => {
+  for (let attempt = 0; attempt < 8; attempt += 1) {
+    const response = send(run, registryAt(run, firstIndex + attempt), generation, marker);
+    run.world.runUntil(replyTimeoutMs, () => response.reply !== undefined);
+    if (isDefinite(response.reply)) return response.reply;
     run.world.runFor(500);
   }
   throw new Error('no clear answer');
 };
 
-const orderRelease = (run: Fixture, target: Release, first = 0): RegistryReply => {
-  for (let turn = 0; turn < 8; turn += 1) {
-    let answer: RegistryReply | undefined;
-    registryAt(run, first + turn).handleRequest(
-      { verb: 'release', id: freshCall(), service: clips, target, spanMs: releaseSpan },
-      (told) => {
-        answer = told;
+const requestRelease = (run: Fixture, target: Release, firstIndex = 0): RegistryReply => {
+  for (let attempt = 0; attempt < 8; attempt += 1) {
+    let pendingReply: RegistryReply | undefined;
+    registryAt(run, firstIndex + attempt).handleRequest(
+      { verb: 'release', id: nextCommandId(), service: clips, target, spanMs: releaseSpanMs },
+      (reply) => {
+        pendingReply = reply;
       },
     );
-    run.world.runUntil(answerSpan, () => answer !== undefined);
-    if (isClear(answer)) return answer;
+    run.world.runUntil(replyTimeoutMs, () => pendingReply !== undefined);
+    if (isDefinite(pendingReply)) return pendingReply;
     run.world.runFor(500);
   }
   throw new Error('no clear answer');
 };
 
-const stored = (run: Fixture): { readonly generation: number; readonly hash: string } | undefined =>
+const storedConfiguration = (
+  run: Fixture,
+): { readonly generation: number; readonly hash: string } | undefined =>
   run.world.primary()?.state?.control.configuration?.offer;
-const releaseRecord = (
+const releaseRollout = (
   run: Fixture,
 ): { readonly order: number; readonly phase: string } | undefined =>
   run.world.primary()?.state?.control.releases.get(clips);
 
-const killAll = (run: Fixture): void => {
-  for (const actor of run.world.allProcesses) {
-    actor.kill();
-    run.world.eventQueue.schedule(200, () => actor.start());
+const restartAll = (run: Fixture): void => {
+  for (const process of run.world.allProcesses) {
+    process.kill();
+    run.world.eventQueue.schedule(200, () => process.start());
   }
   run.world.runFor(12_000);
 };
 
-const takeOver = (run: Fixture): void => {
-  const lost = run.world.primary();
-  lost?.kill();
-  run.world.eventQueue.schedule(3000, () => lost?.start());
-  const moved = run.world.runUntil(8000, () => {
-    const now = run.world.primary();
-    return now !== undefined && now !== lost;
+const failOver = (run: Fixture): void => {
+  const formerPrimary = run.world.primary();
+  formerPrimary?.kill();
+  run.world.eventQueue.schedule(3000, () => formerPrimary?.start());
+  const hasFailedOver = run.world.runUntil(8000, () => {
+    const current = run.world.primary();
+    return current !== undefined && current !== formerPrimary;
   });
-  assert.ok(moved, 'a backup takes over');
+  assert.ok(hasFailedOver, 'a backup takes over');
 };
 
 void test('two operators race under one number: one is confirmed, the other refused with both hashes named', () => {
   for (const seed of seedRange(6)) {
     const run = createFixture(seed, 10);
-    const boxes = [11, 12].map((mark, at) => send(run, registryAt(run, at), 7, mark));
-    run.world.runUntil(answerSpan, () => boxes.every((one) => one.answer !== undefined));
-    const statuses = boxes.map((one) => one.answer?.status).sort();
-    assert.deepEqual(statuses, [200, 409], JSON.stringify(boxes));
-    const refused = boxes.find((one) => one.answer?.status === 409)?.answer?.body ?? '';
-    assert.ok(refused.includes(hashOfMark(run, 11)) && refused.includes(hashOfMark(run, 12)));
-    const won = boxes[0]?.answer?.status === 200 ? 11 : 12;
-    assert.deepEqual([stored(run)?.generation, stored(run)?.hash], [7, hashOfMark(run, won)]);
+    const responses = [11, 12].map((marker, index) => send(run, registryAt(run, index), 7, marker));
+    run.world.runUntil(replyTimeoutMs, () =>
+      responses.every((response) => response.reply !== undefined),
+    );
+    const statuses = responses.map((response) => response.reply?.status).sort();
+    assert.deepEqual(statuses, [200, 409], JSON.stringify(responses));
+    const refused = responses.find((response) => response.reply?.status === 409)?.reply?.body ?? '';
+    assert.ok(refused.includes(hashOfMarker(run, 11)) && refused.includes(hashOfMarker(run, 12)));
+    const acceptedMarker = responses[0]?.reply?.status === 200 ? 11 : 12;
+    assert.deepEqual(
+      [storedConfiguration(run)?.generation, storedConfiguration(run)?.hash],
+      [7, hashOfMarker(run, acceptedMarker)],
+    );
     // The loser sends again, to each registry: never confirmed; the winner always is.
-    for (let at = 0; at < 3; at += 1) {
-      assert.equal(submit(run, 7, won === 11 ? 12 : 11, at).status, 409);
-      assert.equal(submit(run, 7, won, at).status, 200);
+    for (let index = 0; index < 3; index += 1) {
+      assert.equal(submit(run, 7, acceptedMarker === 11 ? 12 : 11, index).status, 409);
+      assert.equal(submit(run, 7, acceptedMarker, index).status, 200);
     }
     assert.deepEqual(finishRun(run), []);
   }
@@ -144,18 +157,21 @@
     const run = createFixture(seed, 10);
     assert.equal(submit(run, 5, 21).status, 200);
     assert.equal(submit(run, 9, 22).status, 200);
-    const holds = (when: string): void => {
+    const assertNumbersKept = (when: string): void => {
       assert.equal(submit(run, 5, 23).status, 409, `other content under a taken number ${when}`);
       assert.equal(submit(run, 9, 23).status, 409, `other content under the newest ${when}`);
       assert.equal(submit(run, 5, 21).status, 200, `the same content again ${when}`);
       assert.equal(submit(run, 9, 22).status, 200, `the newest again ${when}`);
-      assert.deepEqual([stored(run)?.generation, stored(run)?.hash], [9, hashOfMark(run, 22)]);
+      assert.deepEqual(
+        [storedConfiguration(run)?.generation, storedConfiguration(run)?.hash],
+        [9, hashOfMarker(run, 22)],
+      );
     };
-    holds('at once');
-    takeOver(run);
-    holds('after a takeover');
-    killAll(run);
-    holds('after a full loss');
+    assertNumbersKept('at once');
+    failOver(run);
+    assertNumbersKept('after a takeover');
+    restartAll(run);
+    assertNumbersKept('after a full loss');
     assert.deepEqual(finishRun(run), []);
   }
 });
@@ -165,27 +181,35 @@
   assert.equal(submit(run, 9, 31).status, 200);
   assert.equal(submit(run, 4, 32).status, 200);
   assert.equal(submit(run, 4, 33).status, 409);
-  killAll(run);
+  restartAll(run);
   assert.equal(submit(run, 4, 33).status, 409);
   assert.equal(submit(run, 4, 32).status, 200);
-  assert.deepEqual([stored(run)?.generation, stored(run)?.hash], [9, hashOfMark(run, 31)]);
+  assert.deepEqual(
+    [storedConfiguration(run)?.generation, storedConfiguration(run)?.hash],
+    [9, hashOfMarker(run, 31)],
+  );
   assert.deepEqual(finishRun(run), []);
 });
 
 void test('a lower number that comes while a higher one is written is acknowledged and alters nothing', () => {
   for (const seed of seedRange(6)) {
     const run = createFixture(seed, 10);
-    const boxes = [
+    const responses = [
       send(run, registryAt(run, 0), 20, 41),
       send(run, registryAt(run, 1), 15, 42),
       send(run, registryAt(run, 2), 20, 41),
     ];
-    run.world.runUntil(answerSpan, () => boxes.every((one) => one.answer !== undefined));
+    run.world.runUntil(replyTimeoutMs, () =>
+      responses.every((response) => response.reply !== undefined),
+    );
     assert.deepEqual(
-      boxes.map((one) => one.answer?.status),
+      responses.map((response) => response.reply?.status),
       [200, 200, 200],
     );
-    assert.deepEqual([stored(run)?.generation, stored(run)?.hash], [20, hashOfMark(run, 41)]);
+    assert.deepEqual(
+      [storedConfiguration(run)?.generation, storedConfiguration(run)?.hash],
+      [20, hashOfMarker(run, 41)],
+    );
     assert.deepEqual(finishRun(run), []);
   }
 });
@@ -193,19 +217,25 @@
 void test('a configuration whose answer is lost with the primary is acknowledged again, everywhere', () => {
   for (const seed of seedRange(6)) {
     const run = createFixture(seed, 10);
-    const box = send(run, registryAt(run, 0), 7, 51);
+    const response = send(run, registryAt(run, 0), 7, 51);
     const primary = run.world.primary();
     // The write lasts on the primary's disk or on both when it dies: whichever, the same order is acknowledged.
     run.world.runUntil(
       2000,
       () => primary?.writePhase === (seed % 2 === 0 ? 'writingToDisk' : 'replicating'),
     );
-    takeOver(run);
-    run.world.runUntil(answerSpan, () => box.answer !== undefined);
-    assert.ok(box.answer === undefined || box.answer.status !== 409, JSON.stringify(box.answer));
-    for (let at = 0; at < 3; at += 1) assert.equal(submit(run, 7, 51, at).status, 200);
+    failOver(run);
+    run.world.runUntil(replyTimeoutMs, () => response.reply !== undefined);
+    assert.ok(
+      response.reply === undefined || response.reply.status !== 409,
+      JSON.stringify(response.reply),
+    );
+    for (let index = 0; index < 3; index += 1) assert.equal(submit(run, 7, 51, index).status, 200);
     assert.equal(submit(run, 7, 52).status, 409);
-    assert.deepEqual([stored(run)?.generation, stored(run)?.hash], [7, hashOfMark(run, 51)]);
+    assert.deepEqual(
+      [storedConfiguration(run)?.generation, storedConfiguration(run)?.hash],
+      [7, hashOfMarker(run, 51)],
+    );
     assert.deepEqual(finishRun(run), []);
   }
 });
@@ -217,23 +247,23 @@
     run.world.addOrigin(clips, 8, 'r2');
     run.world.addOrigin(clips, 8, 'r3');
     run.world.runFor(1500);
-    assert.equal(orderRelease(run, r2).status, 200);
-    assert.ok(run.world.runUntil(12_000, () => releaseRecord(run)?.phase === 'good'));
-    assert.equal(orderRelease(run, r3).status, 200);
-    const second = releaseRecord(run)?.order;
+    assert.equal(requestRelease(run, r2).status, 200);
+    assert.ok(run.world.runUntil(12_000, () => releaseRollout(run)?.phase === 'good'));
+    assert.equal(requestRelease(run, r3).status, 200);
+    const secondRolloutNumber = releaseRollout(run)?.order;
     assert.equal(
-      orderRelease(run, r2, 1).status,
+      requestRelease(run, r2, 1).status,
       200,
       'the first again while the second is under way',
     );
-    assert.equal(releaseRecord(run)?.order, second);
-    assert.ok(run.world.runUntil(12_000, () => releaseRecord(run)?.phase === 'good'));
-    assert.equal(orderRelease(run, r2, 2).status, 200, 'the first again after the second');
-    assert.equal(releaseRecord(run)?.order, second);
-    killAll(run);
-    assert.equal(orderRelease(run, r2).status, 200, 'the first again after a full loss');
-    assert.equal(orderRelease(run, r3).status, 200, 'the second again after a full loss');
-    assert.equal(releaseRecord(run)?.order, second);
+    assert.equal(releaseRollout(run)?.order, secondRolloutNumber);
+    assert.ok(run.world.runUntil(12_000, () => releaseRollout(run)?.phase === 'good'));
+    assert.equal(requestRelease(run, r2, 2).status, 200, 'the first again after the second');
+    assert.equal(releaseRollout(run)?.order, secondRolloutNumber);
+    restartAll(run);
+    assert.equal(requestRelease(run, r2).status, 200, 'the first again after a full loss');
+    assert.equal(requestRelease(run, r3).status, 200, 'the second again after a full loss');
+    assert.equal(releaseRollout(run)?.order, secondRolloutNumber);
     assert.deepEqual(finishRun(run), []);
   }
 });
@@ -244,15 +274,15 @@
     run.callers.start();
     run.world.runFor(1500);
     // No origin of this release stands: it is judged bad at its term.
-    assert.equal(orderRelease(run, r2).status, 200);
-    assert.ok(run.world.runUntil(12_000, () => releaseRecord(run)?.phase === 'bad'));
-    const first = releaseRecord(run)?.order;
+    assert.equal(requestRelease(run, r2).status, 200);
+    assert.ok(run.world.runUntil(12_000, () => releaseRollout(run)?.phase === 'bad'));
+    const rolloutNumber = releaseRollout(run)?.order;
     run.world.runFor(2000);
-    assert.equal(orderRelease(run, r2, 1).status, 200);
-    assert.equal(releaseRecord(run)?.order, first);
-    killAll(run);
-    assert.equal(orderRelease(run, r2, 2).status, 200);
-    assert.equal(releaseRecord(run)?.order, first);
+    assert.equal(requestRelease(run, r2, 1).status, 200);
+    assert.equal(releaseRollout(run)?.order, rolloutNumber);
+    restartAll(run);
+    assert.equal(requestRelease(run, r2, 2).status, 200);
+    assert.equal(releaseRollout(run)?.order, rolloutNumber);
     assert.deepEqual(finishRun(run), []);
   }
 });
@@ -262,22 +292,23 @@
   const origin = run.world.origins[0];
   assert.ok(origin !== undefined);
   const { service, instance, address, release, slots } = origin;
-  const announce = (state: 'leaving' | 'gone', at: number): number => {
+  const announce = (state: 'leaving' | 'gone', index: number): number => {
     let status = 0;
-    registryAt(run, at).handleRequest(
+    registryAt(run, index).handleRequest(
       { verb: 'announce', origin: { service, instance, address, release, slots, state } },
-      (told) => {
-        status = told.status;
+      (reply) => {
+        status = reply.status;
       },
     );
     run.world.runUntil(2000, () => status !== 0);
     return status;
   };
   for (const state of ['leaving', 'leaving', 'gone', 'leaving', 'gone'] as const)
-    for (let at = 0; at < 3; at += 1) assert.equal(announce(state, at), 200, `${state} at ${at}`);
-  killAll(run);
+    for (let index = 0; index < 3; index += 1)
+      assert.equal(announce(state, index), 200, `${state} at ${index}`);
+  restartAll(run);
   for (const state of ['gone', 'leaving'] as const)
-    for (let at = 0; at < 3; at += 1)
-      assert.equal(announce(state, at), 200, `${state} at ${at} after a full loss`);
+    for (let index = 0; index < 3; index += 1)
+      assert.equal(announce(state, index), 200, `${state} at ${index} after a full loss`);
   assert.deepEqual(finishRun(run), []);
 });
--- a/packages/simulator/src/run/origin-departure.test.ts
+++ b/packages/simulator/src/run/origin-departure.test.ts
@@ -6,25 +6,27 @@
 import type { SimulatedRegistry, RegistryReply } from '../processes/registry.js';
 import { type Fixture, clips, finishRun, createFixture, seedRange } from './fixture.js';
 
-const busy = (seed: number): Fixture => {
+const createLoadedFleet = (seed: number): Fixture => {
   const run = createFixture(seed, 80);
   run.callers.start();
   run.world.runFor(2000);
   return run;
 };
 
-const leaver = (run: Fixture): SimulatedOrigin => {
-  const found = run.world.origins.find((one) => one.service === clips && one.state === 'up');
-  if (found === undefined) throw new Error('no origin');
-  run.world.addOrigin(clips, found.slots);
-  return found;
+const pickDepartingOrigin = (run: Fixture): SimulatedOrigin => {
+  const departing = run.world.origins.find(
+    (origin) => origin.service === clips && origin.state === 'up',
+  );
+  if (departing === undefined) throw new Error('no origin');
+  run.world.addOrigin(clips, departing.slots);
+  return departing;
 };
 
 const announce = (
   registry: SimulatedRegistry,
   origin: SimulatedOrigin,
   state: 'leaving' | 'gone',
-  done: (told: RegistryReply) => void,
+  done: (reply: RegistryReply) => void,
 ): void => {
   const { service, instance, address, release, slots } = origin;
   registry.handleRequest(
@@ -33,32 +35,36 @@
   );
 };
 
-const knowing = (run: Fixture, origin: SimulatedOrigin): number =>
-  run.world.registries.filter((one) => one.state?.origins.get(origin.instance)?.state === 'leaving')
-    .length;
+const informedRegistryCount = (run: Fixture, origin: SimulatedOrigin): number =>
+  run.world.registries.filter(
+    (registry) => registry.state?.origins.get(origin.instance)?.state === 'leaving',
+  ).length;
 
 void test('R6: the registry loses power as it confirms that an origin leaves, with all that it had under way: nothing reaches the origin two seconds on', () => {
   for (const seed of seedRange(6)) {
-    const run = busy(seed);
-    const origin = leaver(run);
-    const at = run.world.eventQueue.now;
+    const run = createLoadedFleet(seed);
+    const origin = pickDepartingOrigin(run);
+    const requestedAt = run.world.eventQueue.now;
     origin.leave('leaving');
     assert.ok(run.world.runUntil(1000, () => origin.departureKnownAt !== undefined));
     const registry = run.world.registries.find(
-      (one) => one.state?.departures.has(origin.instance) === true,
+      (registry) => registry.state?.departures.has(origin.instance) === true,
+    );
+    assert.ok(
+      registry !== undefined && run.world.eventQueue.now - requestedAt < 100,
+      'it is known soon',
     );
-    assert.ok(registry !== undefined && run.world.eventQueue.now - at < 100, 'it is known soon');
     const machine = run.faults.processesOnMachineOf(registry);
     // What it sent and has not arrived is lost too.
     run.faults.isolate(machine, 'both');
-    for (const actor of machine) actor.kill();
+    for (const process of machine) process.kill();
     assert.ok(
-      knowing(run, origin) >= Math.floor(run.world.registries.length / 2),
-      `${knowing(run, origin)} others know`,
+      informedRegistryCount(run, origin) >= Math.floor(run.world.registries.length / 2),
+      `${informedRegistryCount(run, origin)} others know`,
     );
     run.world.runFor(4000);
     run.world.network.heal();
-    for (const actor of machine) actor.start();
+    for (const process of machine) process.start();
     run.world.runFor(3000);
     assert.deepEqual(finishRun(run), []);
   }
@@ -66,39 +72,41 @@
 
 void test('R6: a registry on the lesser side of a fresh cut confirms nothing, and says so within a second; the other side confirms at once', () => {
   for (const seed of seedRange(4)) {
-    const run = busy(seed);
-    const origin = leaver(run);
-    const half = run.world.registries.filter((_, at) => at < run.world.registries.length / 2);
-    const [near] = half;
-    const far = run.world.registries.at(-1);
-    assert.ok(near !== undefined && far !== undefined);
-    const lesser = run.world.registries.length % 2 === 0 ? half : half.slice(0, -1);
+    const run = createLoadedFleet(seed);
+    const origin = pickDepartingOrigin(run);
+    const firstHalf = run.world.registries.filter(
+      (_, index) => index < run.world.registries.length / 2,
+    );
+    const [minorityRegistry] = firstHalf;
+    const majorityRegistry = run.world.registries.at(-1);
+    assert.ok(minorityRegistry !== undefined && majorityRegistry !== undefined);
+    const minority = run.world.registries.length % 2 === 0 ? firstHalf : firstHalf.slice(0, -1);
     run.faults.isolate(
-      lesser.flatMap((one) => run.faults.processesOnMachineOf(one)),
+      minority.flatMap((registry) => run.faults.processesOnMachineOf(registry)),
       'both',
     );
-    let told: RegistryReply | undefined;
-    announce(near, origin, 'leaving', (one) => {
-      told = one;
+    let reply: RegistryReply | undefined;
+    announce(minorityRegistry, origin, 'leaving', (received) => {
+      reply = received;
     });
     assert.ok(
-      run.world.runUntil(1000, () => told !== undefined),
+      run.world.runUntil(1000, () => reply !== undefined),
       'it is told in time',
     );
-    assert.equal(told?.status, 503);
+    assert.equal(reply?.status, 503);
     run.world.network.heal();
     run.world.runFor(1500);
-    const times: number[] = [];
-    for (let turn = 0; turn < 2; turn += 1) {
+    const confirmationTimesMs: number[] = [];
+    for (let round = 0; round < 2; round += 1) {
       const from = run.world.eventQueue.now;
-      let done = false;
-      announce(far, origin, 'leaving', ({ status }) => {
-        done = status === 200;
+      let isConfirmed = false;
+      announce(majorityRegistry, origin, 'leaving', ({ status }) => {
+        isConfirmed = status === 200;
       });
-      assert.ok(run.world.runUntil(500, () => done));
-      times.push(run.world.eventQueue.now - from);
+      assert.ok(run.world.runUntil(500, () => isConfirmed));
+      confirmationTimesMs.push(run.world.eventQueue.now - from);
     }
-    assert.equal(times[1], 0, 'what is confirmed is told again at once');
+    assert.equal(confirmationTimesMs[1], 0, 'what is confirmed is told again at once');
     origin.state = 'leaving';
     origin.departureKnownAt ??= run.world.eventQueue.now;
     run.world.runFor(3000);
--- a/packages/simulator/src/run/random-faults.test.ts
+++ b/packages/simulator/src/run/random-faults.test.ts
@@ -12,7 +12,7 @@
 import { seedRange } from './fixture.js';
 import { runRandomFaults } from './random-faults.js';
 
-const tried = new Map<CoverageGoal, number>();
+const coverage = new Map<CoverageGoal, number>();
 
 for (const seed of seedRange(10)) {
   void test(`a storm of twenty-five faults of all kinds, seed ${seed}: every rule holds and the fleet serves again`, () => {
@@ -22,14 +22,14 @@
       namePrefixes: [],
       skippedFaults: new Set(),
     });
-    addCounts(tried, report.coverage);
+    addCounts(coverage, report.coverage);
     assert.deepEqual(report.violations, []);
     assert.ok(report.causedFaults.length === 25 && report.results > 500);
   });
 }
 
 /** Storms of a few faults each, for what comes about rarely by chance. */
-const narrow: readonly (readonly [string, readonly string[]])[] = [
+const faultMixes: readonly (readonly [string, readonly string[]])[] = [
   [
     'power and disks lost amid writes',
     ['power lost', 'disk lost', 'fill disk', 'stall disk', 'freeze store', 'apply'],
@@ -48,23 +48,23 @@
   ],
   ['primaries frozen amid writes', ['freeze store', 'apply', 'purge']],
 ];
-for (const [at, [name, only]] of narrow.entries()) {
+for (const [index, [name, faultNames]] of faultMixes.entries()) {
   void test(`a storm of ${name}`, () => {
-    for (const seed of [500 + at, 600 + at, 700 + at]) {
+    for (const seed of [500 + index, 600 + index, 700 + index]) {
       const report = runRandomFaults({
         seed,
         faultCount: 25,
-        namePrefixes: only,
+        namePrefixes: faultNames,
         skippedFaults: new Set(),
       });
-      addCounts(tried, report.coverage);
+      addCounts(coverage, report.coverage);
       assert.deepEqual(report.violations, []);
     }
   });
 }
 
 /** Runs in which operators race under one number, repeat commands and read back, beside one kind of fault. */
-const operatorTrouble: readonly (readonly [string, readonly string[]])[] = [
+const operatorFaultMixes: readonly (readonly [string, readonly string[]])[] = [
   [
     'stores that are lost',
     ['kill store', 'freeze store', 'wipe store', 'power lost', 'stall disk'],
@@ -75,31 +75,31 @@
   ],
   ['full losses', ['kill everything', 'lose an area', 'fill disk', 'apply', 'purge']],
 ];
-const orders: readonly string[] = ['numbered', 'order a release'];
-const historyTried = new Map<HistoryCoverageGoal, number>();
-for (const [at, [name, only]] of operatorTrouble.entries()) {
+const operatorFaults: readonly string[] = ['numbered', 'order a release'];
+const historyCoverage = new Map<HistoryCoverageGoal, number>();
+for (const [index, [name, faultNames]] of operatorFaultMixes.entries()) {
   void test(`a storm of operators' orders beside ${name}: their history is linearizable`, () => {
-    for (const seed of [540 + at, 640 + at, 740 + at]) {
+    for (const seed of [540 + index, 640 + index, 740 + index]) {
       const report = runRandomFaults({
         seed,
         faultCount: 40,
-        namePrefixes: [...orders, ...only],
+        namePrefixes: [...operatorFaults, ...faultNames],
         skippedFaults: new Set(),
       });
-      for (const [point, many] of report.historyCoverage) increment(historyTried, point, many);
+      for (const [goal, count] of report.historyCoverage) increment(historyCoverage, goal, count);
       assert.deepEqual(report.violations, []);
     }
   });
 }
 
-void test('the storms of orders put every point of the history to the test', (t) => {
-  for (const point of historyCoverageGoals)
-    t.diagnostic(`${historyTried.get(point) ?? 0}  ${point}`);
-  assert.deepEqual(unmetHistoryGoals(historyTried), []);
+void test('the storms of orders put every point of the history to the test', (context) => {
+  for (const goal of historyCoverageGoals)
+    context.diagnostic(`${historyCoverage.get(goal) ?? 0}  ${goal}`);
+  assert.deepEqual(unmetHistoryGoals(historyCoverage), []);
 });
 
 void test('the storms before put every rule to the test', () => {
-  assert.deepEqual(unmetGoals(tried), []);
+  assert.deepEqual(unmetGoals(coverage), []);
 });
 
 void test('one seed is one run', () => {
--- a/packages/simulator/src/run/registry-link.test.ts
+++ b/packages/simulator/src/run/registry-link.test.ts
@@ -10,10 +10,13 @@
   proxy.state?.nodeAgent.nodeSession.registryLink?.address;
 
 /** Lets time pass and counts how often each node changes its registry; its session must stand all the while. */
-const watch = (run: Fixture, span: number): ReadonlyMap<SimulatedProxy, readonly number[]> => {
-  const moves = new Map<SimulatedProxy, number[]>();
-  const last = new Map(run.world.proxies.map((one) => [one, registryOf(one)]));
-  for (let at = 0; at < span; at += 5) {
+const watchRegistryChanges = (
+  run: Fixture,
+  spanMs: number,
+): ReadonlyMap<SimulatedProxy, readonly number[]> => {
+  const changeTimes = new Map<SimulatedProxy, number[]>();
+  const lastRegistry = new Map(run.world.proxies.map((proxy) => [proxy, registryOf(proxy)]));
+  for (let elapsedMs = 0; elapsedMs < spanMs; elapsedMs += 5) {
     run.world.runFor(5);
     for (const proxy of run.world.proxies) {
       const { state } = proxy;
@@ -21,13 +24,13 @@
         state !== undefined && isConnected(state.nodeAgent.nodeSession, proxy.clock),
         `the session of ${proxy.node} stands`,
       );
-      const now = registryOf(proxy);
-      if (now !== last.get(proxy))
-        moves.set(proxy, [...(moves.get(proxy) ?? []), run.world.eventQueue.now]);
-      last.set(proxy, now);
+      const currentRegistry = registryOf(proxy);
+      if (currentRegistry !== lastRegistry.get(proxy))
+        changeTimes.set(proxy, [...(changeTimes.get(proxy) ?? []), run.world.eventQueue.now]);
+      lastRegistry.set(proxy, currentRegistry);
     }
   }
-  return moves;
+  return changeTimes;
 };
 
 void test('a registry that no longer hears the primary is left by its nodes, though it answers; what is applied then is in force everywhere', () => {
@@ -37,7 +40,7 @@
     run.world.runFor(2000);
     const edge = run.world.edges[0];
     const registry = run.world.registries.find(
-      (one) => edge !== undefined && one.address === registryOf(edge),
+      (registry) => edge !== undefined && registry.address === registryOf(edge),
     );
     assert.ok(edge !== undefined && registry !== undefined);
     for (const store of run.world.stores) {
@@ -45,19 +48,19 @@
       run.world.network.cut(registry.node, store.node);
     }
     // What it knows of the primary counts for 1.2 s, half a second later nodes go.
-    watch(run, 2200);
+    watchRegistryChanges(run, 2200);
     // An operator whose call gets no answer, as it came to the registry that is cut off, sends another to whichever comes.
     let write = run.world.apply(50);
     for (
-      let tries = 1;
-      tries < 4 && !run.world.runUntil(1000, () => write.reply !== undefined);
-      tries += 1
+      let attempt = 1;
+      attempt < 4 && !run.world.runUntil(1000, () => write.reply !== undefined);
+      attempt += 1
     )
-      write = run.world.apply(50 + tries);
+      write = run.world.apply(50 + attempt);
     assert.ok(run.world.runUntil(1000, () => write.reply !== undefined));
-    watch(run, 1500);
+    watchRegistryChanges(run, 1500);
     assert.ok(
-      run.world.proxies.every((one) => registryOf(one) !== registry.address),
+      run.world.proxies.every((proxy) => registryOf(proxy) !== registry.address),
       'nobody stays or comes back',
     );
     run.world.network.heal();
@@ -72,15 +75,15 @@
     run.callers.start();
     run.world.runFor(2000);
     for (const store of run.world.stores) store.kill();
-    const moves = watch(run, 6000);
-    assert.equal(moves.size, run.world.proxies.length, 'everyone looks around');
-    for (const times of moves.values())
-      for (const [at, time] of times.entries())
-        assert.ok(at === 0 || time - (times[at - 1] ?? 0) >= 490, times.join(', '));
+    const changeTimes = watchRegistryChanges(run, 6000);
+    assert.equal(changeTimes.size, run.world.proxies.length, 'everyone looks around');
+    for (const changedAt of changeTimes.values())
+      for (const [index, time] of changedAt.entries())
+        assert.ok(index === 0 || time - (changedAt[index - 1] ?? 0) >= 490, changedAt.join(', '));
     for (const store of run.world.stores) store.start();
     run.world.runFor(6000);
-    const after = watch(run, 1500);
-    assert.equal(after.size, 0, 'with a primary everyone stays');
+    const laterChanges = watchRegistryChanges(run, 1500);
+    assert.equal(laterChanges.size, 0, 'with a primary everyone stays');
     assert.deepEqual(finishRun(run), []);
   }
 });
--- a/packages/simulator/src/run/replication.test.ts
+++ b/packages/simulator/src/run/replication.test.ts
@@ -6,38 +6,38 @@
 import type { OperatorWrite } from '../world/world.js';
 import { type Fixture, finishRun, createFixture, seedRange } from './fixture.js';
 
-const fleet = (
+const createFleet = (
   seed: number,
   change: {
     readonly stores?: number;
     readonly copies?: number;
     readonly tolerate?: number;
-    readonly follow?: boolean;
+    readonly followsRegistries?: boolean;
     readonly shields?: number;
   } = {},
 ): Fixture => {
-  const { stores = 3, copies = 3, tolerate = 1, follow = false, shields = 2 } = change;
+  const { stores = 3, copies = 3, tolerate = 1, followsRegistries = false, shields = 2 } = change;
   const run = createFixture(seed, 5, {
     edges: 2,
     shields,
     stores,
-    replication: { copies, tolerate, electorateFollowsRegistries: follow },
+    replication: { copies, tolerate, electorateFollowsRegistries: followsRegistries },
   });
   run.callers.start();
   assert.ok(
-    run.world.runUntil(10_000, () => inSync(run).length === copies),
-    `in sync at first: ${inSync(run).join(', ')}`,
+    run.world.runUntil(10_000, () => inSyncSet(run).length === copies),
+    `in sync at first: ${inSyncSet(run).join(', ')}`,
   );
   return run;
 };
 
-const inSync = (run: Fixture): readonly string[] =>
+const inSyncSet = (run: Fixture): readonly string[] =>
   run.world.primary()?.state?.metadata?.inSyncSet ?? [];
 
 /** A write that was confirmed, with nothing having happened since. */
-const confirmed = (run: Fixture, mark: number): OperatorWrite => {
-  for (let turn = 0; turn < 6; turn += 1) {
-    const write = run.world.apply(mark * 10 + turn);
+const applyConfirmed = (run: Fixture, marker: number): OperatorWrite => {
+  for (let round = 0; round < 6; round += 1) {
+    const write = run.world.apply(marker * 10 + round);
     run.world.runUntil(9000, () => write.reply !== undefined);
     if (write.reply?.status === 200) return write;
   }
@@ -45,56 +45,59 @@
 };
 
 /** The machine of a store loses power, and its disk if it is said. */
-const powerOff = (run: Fixture, store: SimulatedStore, wiped: boolean): void => {
-  for (const actor of run.faults.processesOnMachineOf(store)) actor.kill();
-  if (wiped) store.disk.wipe();
+const powerOff = (run: Fixture, store: SimulatedStore, wipesDisk: boolean): void => {
+  for (const process of run.faults.processesOnMachineOf(store)) process.kill();
+  if (wipesDisk) store.disk.wipe();
 };
 
-const powerOn = (run: Fixture, store: SimulatedStore, wait: number): void => {
-  for (const actor of run.faults.processesOnMachineOf(store))
-    run.world.eventQueue.schedule(wait, () => actor.start());
+const powerOn = (run: Fixture, store: SimulatedStore, delayMs: number): void => {
+  for (const process of run.faults.processesOnMachineOf(store))
+    run.world.eventQueue.schedule(delayMs, () => process.start());
 };
 
-const allOff = (run: Fixture): void => {
-  for (const actor of run.world.allProcesses) actor.kill();
+const killAll = (run: Fixture): void => {
+  for (const process of run.world.allProcesses) process.kill();
 };
-const allOn = (run: Fixture): void => {
-  for (const actor of run.world.allProcesses)
-    run.world.eventQueue.schedule(run.world.random.uniform(10, 1000), () => actor.start());
+const startAll = (run: Fixture): void => {
+  for (const process of run.world.allProcesses)
+    run.world.eventQueue.schedule(run.world.random.uniform(10, 1000), () => process.start());
 };
 
 /** What was confirmed is there, and the fleet takes writes and is whole again. */
-const keptAll = (
+const assertAllKept = (
   run: Fixture,
   writes: readonly OperatorWrite[],
   copies: number,
-  what: string,
+  context: string,
 ): void => {
   assert.ok(
     run.world.runUntil(15_000, () => run.world.primary() !== undefined),
-    `${what}: a primary`,
+    `${context}: a primary`,
   );
-  for (const one of writes)
-    assert.ok(run.world.primary()?.hasResultOf(one.id) === true, `${what}: ${one.id} is lost`);
-  confirmed(run, 9000 + run.faults.nextSerial());
+  for (const write of writes)
+    assert.ok(
+      run.world.primary()?.hasResultOf(write.id) === true,
+      `${context}: ${write.id} is lost`,
+    );
+  applyConfirmed(run, 9000 + run.faults.nextSerial());
   assert.ok(
-    run.world.runUntil(10_000, () => inSync(run).length === copies),
-    `${what}: in sync again: ${inSync(run).join(', ')}`,
+    run.world.runUntil(10_000, () => inSyncSet(run).length === copies),
+    `${context}: in sync again: ${inSyncSet(run).join(', ')}`,
   );
-  for (const one of writes)
+  for (const write of writes)
     assert.ok(
-      run.world.primary()?.hasResultOf(one.id) === true,
-      `${what}: ${one.id} is lost later`,
+      run.world.primary()?.hasResultOf(write.id) === true,
+      `${context}: ${write.id} is lost later`,
     );
 };
 
 void test('three copies: a write is told only when each store in sync has it', () => {
   for (const seed of seedRange(3)) {
-    const run = fleet(seed);
-    for (let turn = 0; turn < 5; turn += 1) {
-      const write = confirmed(run, 100 + turn);
+    const run = createFleet(seed);
+    for (let round = 0; round < 5; round += 1) {
+      const write = applyConfirmed(run, 100 + round);
       assert.deepEqual(
-        run.world.stores.map((one) => one.hasResultOf(write.id)),
+        run.world.stores.map((store) => store.hasResultOf(write.id)),
         [true, true, true],
       );
       run.world.runFor(300);
@@ -105,8 +108,8 @@
 
 void test('the primary is killed right after it told: one of the two others goes on, with the write', () => {
   for (const seed of seedRange(6)) {
-    const run = fleet(seed);
-    const write = confirmed(run, 100);
+    const run = createFleet(seed);
+    const write = applyConfirmed(run, 100);
     const primary = run.world.primary();
     assert.ok(primary !== undefined);
     powerOff(run, primary, seed % 2 === 0);
@@ -115,27 +118,28 @@
       'two candidates come to terms',
     );
     powerOn(run, primary, 500);
-    keptAll(run, [write], 3, `seed ${seed}`);
+    assertAllKept(run, [write], 3, `seed ${seed}`);
     assert.deepEqual(finishRun(run), []);
   }
 });
 
 void test('each disk and each pair of disks lost right after a write was told, while the others run on or lose power too', () => {
-  const sets = [[0], [1], [2], [0, 1], [0, 2], [1, 2]];
+  const lostIndexSets = [[0], [1], [2], [0, 1], [0, 2], [1, 2]];
   for (const power of ['on', 'off'] as const) {
-    for (const [at, lost] of sets.entries()) {
-      const run = fleet(200 + at, { tolerate: 2 });
-      const write = confirmed(run, 100);
-      if (power === 'off') allOff(run);
-      for (const one of lost) {
-        const store = run.world.stores[one];
+    for (const [index, lostIndexes] of lostIndexSets.entries()) {
+      const run = createFleet(200 + index, { tolerate: 2 });
+      const write = applyConfirmed(run, 100);
+      if (power === 'off') killAll(run);
+      for (const lostIndex of lostIndexes) {
+        const store = run.world.stores[lostIndex];
         assert.ok(store !== undefined);
         powerOff(run, store, true);
       }
-      if (power === 'off') allOn(run);
+      if (power === 'off') startAll(run);
       else
-        for (const one of run.world.stores) powerOn(run, one, run.world.random.uniform(100, 900));
-      keptAll(run, [write], 3, `power ${power}, lost ${lost.join(' and ')}`);
+        for (const store of run.world.stores)
+          powerOn(run, store, run.world.random.uniform(100, 900));
+      assertAllKept(run, [write], 3, `power ${power}, lost ${lostIndexes.join(' and ')}`);
       assert.deepEqual(finishRun(run), []);
     }
   }
@@ -143,13 +147,13 @@
 
 void test('everything is killed at once, again and again: what was told is there', () => {
   for (const seed of seedRange(3)) {
-    const run = fleet(seed);
+    const run = createFleet(seed);
     const writes: OperatorWrite[] = [];
-    for (let turn = 0; turn < 3; turn += 1) {
-      writes.push(confirmed(run, 100 + turn));
-      allOff(run);
-      allOn(run);
-      keptAll(run, writes, 3, `turn ${turn}`);
+    for (let round = 0; round < 3; round += 1) {
+      writes.push(applyConfirmed(run, 100 + round));
+      killAll(run);
+      startAll(run);
+      assertAllKept(run, writes, 3, `turn ${round}`);
       run.world.runFor(1000);
     }
     assert.deepEqual(finishRun(run), []);
@@ -157,75 +161,78 @@
 });
 
 void test('a machine is gone for good as all others lose power: the rest stands without it, and a new one takes its place', () => {
-  for (const gone of [0, 1, 2]) {
-    const run = fleet(300 + gone);
-    const write = confirmed(run, 100);
-    const store = run.world.stores[gone];
+  for (const removedIndex of [0, 1, 2]) {
+    const run = createFleet(300 + removedIndex);
+    const write = applyConfirmed(run, 100);
+    const store = run.world.stores[removedIndex];
     assert.ok(store !== undefined);
-    allOff(run);
+    killAll(run);
     run.world.removeStore(store);
-    allOn(run);
+    startAll(run);
     assert.ok(
       run.world.runUntil(15_000, () => run.world.primary()?.hasResultOf(write.id) === true),
     );
-    const fresh = run.world.addStore('store-9', 9);
+    const added = run.world.addStore('store-9', 9);
     assert.ok(
-      run.world.runUntil(5000, () => inSync(run).includes(fresh.node)),
+      run.world.runUntil(5000, () => inSyncSet(run).includes(added.node)),
       'the new one is in sync',
     );
     assert.ok(
       run.world.runUntil(20_000, () => {
         run.world.runFor(500);
         return (
-          run.world.primary()?.state?.metadata?.stores.some((one) => one.node === store.node) ===
-          false
+          run.world
+            .primary()
+            ?.state?.metadata?.stores.some((member) => member.node === store.node) === false
         );
-      }) || inSync(run).length === 3,
+      }) || inSyncSet(run).length === 3,
     );
-    keptAll(run, [write], 3, `without ${store.node}`);
+    assertAllKept(run, [write], 3, `without ${store.node}`);
     assert.deepEqual(finishRun(run), []);
   }
 });
 
 void test('machines are replaced one after the other by new ones: three copies again within four seconds of each, the state outlives all of the first', () => {
   for (const seed of seedRange(2)) {
-    const run = fleet(seed);
-    const write = confirmed(run, 100);
-    for (const [at, old] of [...run.world.stores].entries()) {
-      run.world.removeStore(old);
-      const fresh = run.world.addStore(`store-${at + 11}`, at + 11);
+    const run = createFleet(seed);
+    const write = applyConfirmed(run, 100);
+    for (const [index, replaced] of [...run.world.stores].entries()) {
+      run.world.removeStore(replaced);
+      const added = run.world.addStore(`store-${index + 11}`, index + 11);
       assert.ok(
         run.world.runUntil(
           4000,
           () =>
-            inSync(run).includes(fresh.node) &&
-            inSync(run).length === 3 &&
-            !inSync(run).includes(old.node),
+            inSyncSet(run).includes(added.node) &&
+            inSyncSet(run).length === 3 &&
+            !inSyncSet(run).includes(replaced.node),
         ),
-        `${fresh.node}: ${inSync(run).join(', ')}`,
+        `${added.node}: ${inSyncSet(run).join(', ')}`,
       );
     }
-    keptAll(run, [write], 3, `seed ${seed}`);
+    assertAllKept(run, [write], 3, `seed ${seed}`);
     assert.deepEqual(finishRun(run), []);
   }
 });
 
 void test('a primary is frozen past its lease and wakes: what the others confirmed stays, and it follows them', () => {
   for (const seed of seedRange(4)) {
-    const run = fleet(seed);
-    const before = confirmed(run, 100);
+    const run = createFleet(seed);
+    const before = applyConfirmed(run, 100);
     const frozen = run.world.primary();
     assert.ok(frozen !== undefined);
-    const caught = run.world.apply(500);
+    const pending = run.world.apply(500);
     run.world.runFor(seed % 2 === 0 ? 3 : 12);
     frozen.freeze();
     run.world.runFor(2500);
     assert.ok(run.world.primary() !== frozen);
-    const after = confirmed(run, 101);
+    const after = applyConfirmed(run, 101);
     frozen.resume();
     run.world.runFor(3000);
-    assert.ok(caught.reply?.status !== 200 || run.world.primary()?.hasResultOf(caught.id) === true);
-    keptAll(run, [before, after], 3, `seed ${seed}`);
+    assert.ok(
+      pending.reply?.status !== 200 || run.world.primary()?.hasResultOf(pending.id) === true,
+    );
+    assertAllKept(run, [before, after], 3, `seed ${seed}`);
     assert.ok(frozen.hasResultOf(after.id), 'it has what was written while it slept');
     assert.deepEqual(finishRun(run), []);
   }
@@ -233,26 +240,27 @@
 
 void test('a backup dies: a spare takes its place within four seconds, and one by one the disks of all who had it at first may go', () => {
   for (const seed of seedRange(3)) {
-    const run = fleet(seed, { stores: 5, copies: 2 });
-    const write = confirmed(run, 100);
-    for (let turn = 0; turn < 4; turn += 1) {
+    const run = createFleet(seed, { stores: 5, copies: 2 });
+    const write = applyConfirmed(run, 100);
+    for (let round = 0; round < 4; round += 1) {
       const lost = run.world.stores.find(
-        (one) =>
-          inSync(run).includes(one.node) && (turn % 2 === 0) === (one === run.world.primary()),
+        (store) =>
+          inSyncSet(run).includes(store.node) &&
+          (round % 2 === 0) === (store === run.world.primary()),
       );
       assert.ok(lost !== undefined);
       powerOff(run, lost, true);
       assert.ok(
         run.world.runUntil(
           4000,
-          () => inSync(run).length === 2 && !inSync(run).includes(lost.node),
+          () => inSyncSet(run).length === 2 && !inSyncSet(run).includes(lost.node),
         ),
-        `turn ${turn}: ${inSync(run).join(', ')}`,
+        `turn ${round}: ${inSyncSet(run).join(', ')}`,
       );
       assert.ok(run.world.primary()?.hasResultOf(write.id) === true);
       powerOn(run, lost, 100);
     }
-    keptAll(run, [write], 2, `seed ${seed}`);
+    assertAllKept(run, [write], 2, `seed ${seed}`);
     assert.deepEqual(finishRun(run), []);
   }
 });
@@ -260,23 +268,23 @@
 void test('a spare in an area without a copy is mended first', () => {
   for (const seed of seedRange(2)) {
     // Areas go round by four: the fifth store stands in the area of the first.
-    const run = fleet(seed, { stores: 5, copies: 3 });
-    for (let turn = 0; turn < 3; turn += 1) {
+    const run = createFleet(seed, { stores: 5, copies: 3 });
+    for (let round = 0; round < 3; round += 1) {
       const lost = run.world.stores.find(
-        (one) => inSync(run).includes(one.node) && one !== run.world.primary(),
+        (store) => inSyncSet(run).includes(store.node) && store !== run.world.primary(),
       );
       assert.ok(lost !== undefined);
       powerOff(run, lost, false);
       assert.ok(
         run.world.runUntil(
           4000,
-          () => inSync(run).length === 3 && !inSync(run).includes(lost.node),
+          () => inSyncSet(run).length === 3 && !inSyncSet(run).includes(lost.node),
         ),
       );
-      const areas = run.world.stores
-        .filter((one) => inSync(run).includes(one.node))
-        .map((one) => one.zone);
-      assert.equal(new Set(areas).size, 3, areas.join(', '));
+      const zones = run.world.stores
+        .filter((store) => inSyncSet(run).includes(store.node))
+        .map((store) => store.zone);
+      assert.equal(new Set(zones).size, 3, zones.join(', '));
       powerOn(run, lost, 100);
       run.world.runFor(1500);
     }
@@ -285,60 +293,62 @@
 });
 
 void test('a spare whose disk takes nothing does not keep the others from being mended', () => {
-  for (const mood of ['stalled', 'full'] as const) {
-    const run = fleet(401, { stores: 4, copies: 2 });
-    const [sick, well] = run.world.stores.filter((one) => !inSync(run).includes(one.node));
-    assert.ok(sick !== undefined && well !== undefined);
-    sick.disk.condition = mood;
+  for (const diskCondition of ['stalled', 'full'] as const) {
+    const run = createFleet(401, { stores: 4, copies: 2 });
+    const [faulty, healthy] = run.world.stores.filter(
+      (store) => !inSyncSet(run).includes(store.node),
+    );
+    assert.ok(faulty !== undefined && healthy !== undefined);
+    faulty.disk.condition = diskCondition;
     const lost = run.world.stores.find(
-      (one) => inSync(run).includes(one.node) && one !== run.world.primary(),
+      (store) => inSyncSet(run).includes(store.node) && store !== run.world.primary(),
     );
     assert.ok(lost !== undefined);
     powerOff(run, lost, false);
     assert.ok(
-      run.world.runUntil(10_000, () => inSync(run).includes(well.node)),
-      `${mood}: ${inSync(run).join(', ')}`,
+      run.world.runUntil(10_000, () => inSyncSet(run).includes(healthy.node)),
+      `${diskCondition}: ${inSyncSet(run).join(', ')}`,
     );
-    sick.disk.recover();
+    faulty.disk.recover();
     assert.deepEqual(finishRun(run), []);
   }
 });
 
 void test('lost write: a backup that was left out does not stand while one that was not may still speak, though no voter remembers', () => {
   for (const seed of seedRange(3)) {
-    const run = fleet(seed);
+    const run = createFleet(seed);
     const primary = run.world.primary();
-    const [left, stayed] = run.world.stores.filter((one) => one !== primary);
-    assert.ok(primary !== undefined && left !== undefined && stayed !== undefined);
-    run.faults.isolate(run.faults.processesOnMachineOf(left), 'both');
-    const write = confirmed(run, 100);
-    assert.ok(inSync(run).length === 2);
-    allOff(run);
+    const [removed, remaining] = run.world.stores.filter((store) => store !== primary);
+    assert.ok(primary !== undefined && removed !== undefined && remaining !== undefined);
+    run.faults.isolate(run.faults.processesOnMachineOf(removed), 'both');
+    const write = applyConfirmed(run, 100);
+    assert.ok(inSyncSet(run).length === 2);
+    killAll(run);
     run.world.network.heal();
-    for (const actor of run.world.allProcesses)
-      if (actor !== primary && actor !== stayed)
-        run.world.eventQueue.schedule(run.world.random.uniform(10, 1000), () => actor.start());
-    for (let turn = 0; turn < 80; turn += 1) {
+    for (const process of run.world.allProcesses)
+      if (process !== primary && process !== remaining)
+        run.world.eventQueue.schedule(run.world.random.uniform(10, 1000), () => process.start());
+    for (let round = 0; round < 80; round += 1) {
       run.world.runFor(100);
       assert.equal(run.world.primary(), undefined, 'nobody serves without the last write');
     }
     // One of the two that have it is enough, and the other's disk is gone.
     primary.disk.wipe();
     primary.start();
-    stayed.start();
-    assert.ok(run.world.runUntil(8000, () => run.world.primary() === stayed));
-    keptAll(run, [write], 3, `seed ${seed}`);
+    remaining.start();
+    assert.ok(run.world.runUntil(8000, () => run.world.primary() === remaining));
+    assertAllKept(run, [write], 3, `seed ${seed}`);
     assert.deepEqual(finishRun(run), []);
   }
 });
 
 void test('a long row of losses, one after the other: no confirmed write is ever lost', () => {
   for (const seed of seedRange(4)) {
-    const run = fleet(seed, { stores: 5, copies: 3, tolerate: 2 });
+    const run = createFleet(seed, { stores: 5, copies: 3, tolerate: 2 });
     const writes: OperatorWrite[] = [];
-    for (let turn = 0; turn < 12; turn += 1) {
-      writes.push(confirmed(run, 100 + turn));
-      const what =
+    for (let round = 0; round < 12; round += 1) {
+      writes.push(applyConfirmed(run, 100 + round));
+      const failure =
         run.world.random.pick([
           'kill',
           'wipe',
@@ -350,131 +360,132 @@
           'all',
           'all and wipe',
         ] as const) ?? 'kill';
-      const members = run.world.stores.filter((one) => inSync(run).includes(one.node));
-      const one = run.world.random.pick(members);
-      const two = run.world.random.pick(members.filter((other) => other !== one));
-      assert.ok(one !== undefined && two !== undefined);
+      const members = run.world.stores.filter((store) => inSyncSet(run).includes(store.node));
+      const first = run.world.random.pick(members);
+      const second = run.world.random.pick(members.filter((other) => other !== first));
+      assert.ok(first !== undefined && second !== undefined);
       run.world.runFor(run.world.random.uniform(0, 20));
-      if (what === 'kill' || what === 'wipe' || what === 'pair') {
-        powerOff(run, one, what !== 'kill');
-        if (what === 'pair') powerOff(run, two, true);
-      } else if (what === 'freeze') {
-        one.freeze();
-        run.world.eventQueue.schedule(run.world.random.uniform(300, 4000), () => one.resume());
-      } else if (what === 'cut') {
-        run.faults.isolate(run.faults.processesOnMachineOf(one), 'both');
+      if (failure === 'kill' || failure === 'wipe' || failure === 'pair') {
+        powerOff(run, first, failure !== 'kill');
+        if (failure === 'pair') powerOff(run, second, true);
+      } else if (failure === 'freeze') {
+        first.freeze();
+        run.world.eventQueue.schedule(run.world.random.uniform(300, 4000), () => first.resume());
+      } else if (failure === 'cut') {
+        run.faults.isolate(run.faults.processesOnMachineOf(first), 'both');
         run.world.eventQueue.schedule(run.world.random.uniform(300, 4000), () =>
           run.world.network.heal(),
         );
-      } else if (what === 'stall' || what === 'full') {
-        one.disk.condition = what === 'stall' ? 'stalled' : 'full';
+      } else if (failure === 'stall' || failure === 'full') {
+        first.disk.condition = failure === 'stall' ? 'stalled' : 'full';
         run.world.eventQueue.schedule(run.world.random.uniform(300, 4000), () =>
-          one.disk.recover(),
+          first.disk.recover(),
         );
       } else {
-        allOff(run);
-        if (what === 'all and wipe') for (const store of [one, two]) store.disk.wipe();
-        allOn(run);
+        killAll(run);
+        if (failure === 'all and wipe') for (const store of [first, second]) store.disk.wipe();
+        startAll(run);
       }
       run.world.runFor(run.world.random.uniform(100, 900));
       for (const store of run.world.stores)
         if (!store.isAlive) powerOn(run, store, run.world.random.uniform(10, 2000));
       run.world.runFor(4500);
-      keptAll(run, writes, 3, `seed ${seed}, turn ${turn}, ${what}`);
+      assertAllKept(run, writes, 3, `seed ${seed}, turn ${round}, ${failure}`);
     }
     assert.deepEqual(finishRun(run), []);
   }
 });
 
-const seats = (run: Fixture): readonly string[] =>
+const voters = (run: Fixture): readonly string[] =>
   [
-    ...(run.world.primary()?.state?.metadata?.electorate.members.map((one) => one.node) ?? []),
+    ...(run.world.primary()?.state?.metadata?.electorate.members.map((member) => member.node) ??
+      []),
   ].sort();
 
 void test('the electorate follows the registries: all are replaced one after the other without an operator, and the new ones elect', () => {
   for (const seed of seedRange(2)) {
-    const run = fleet(seed, { follow: true });
-    const write = confirmed(run, 100);
-    const before = seats(run);
-    for (const [at, gone] of [...run.world.registries].entries()) {
-      const fresh = run.world.addRegistry(`new-${at + 1}`, at + 1);
+    const run = createFleet(seed, { followsRegistries: true });
+    const write = applyConfirmed(run, 100);
+    const before = voters(run);
+    for (const [index, removed] of [...run.world.registries].entries()) {
+      const added = run.world.addRegistry(`new-${index + 1}`, index + 1);
       assert.ok(
-        run.world.runUntil(4000, () => seats(run).includes(fresh.node)),
-        `${fresh.node} has a seat`,
+        run.world.runUntil(4000, () => voters(run).includes(added.node)),
+        `${added.node} has a seat`,
       );
-      run.world.removeRegistry(gone);
+      run.world.removeRegistry(removed);
       assert.ok(
         run.world.runUntil(
           4000,
-          () => seats(run).length === before.length && !seats(run).includes(gone.node),
+          () => voters(run).length === before.length && !voters(run).includes(removed.node),
         ),
-        `${gone.node} has none: ${seats(run).join(', ')}`,
+        `${removed.node} has none: ${voters(run).join(', ')}`,
       );
     }
-    assert.deepEqual(seats(run), run.world.registries.map((one) => one.node).sort());
+    assert.deepEqual(voters(run), run.world.registries.map((registry) => registry.node).sort());
     const primary = run.world.primary();
     primary?.kill();
     assert.ok(run.world.runUntil(2500, () => run.world.primary() !== undefined));
     primary?.start();
-    keptAll(run, [write], 3, `seed ${seed}`);
+    assertAllKept(run, [write], 3, `seed ${seed}`);
     assert.deepEqual(finishRun(run), []);
   }
 });
 
 void test('the electorate stays as it is without the setting, whoever comes or is away', () => {
-  const run = fleet(500);
-  const before = seats(run);
-  const [away] = run.world.registries;
-  assert.ok(away !== undefined);
+  const run = createFleet(500);
+  const before = voters(run);
+  const [absent] = run.world.registries;
+  assert.ok(absent !== undefined);
   run.world.addRegistry('new-1', 1);
-  away.kill();
-  for (let turn = 0; turn < 20; turn += 1) {
+  absent.kill();
+  for (let round = 0; round < 20; round += 1) {
     run.world.runFor(1000);
-    assert.deepEqual(seats(run), before);
+    assert.deepEqual(voters(run), before);
   }
-  away.start();
+  absent.start();
   run.world.runFor(6000);
-  assert.deepEqual(seats(run), before);
+  assert.deepEqual(voters(run), before);
   assert.deepEqual(finishRun(run), []);
 });
 
 void test('a dead voter of an odd electorate keeps its seat, as nothing is won without it; of two dead ones both lose theirs within four seconds, and each has one again four seconds after it is back', () => {
-  const run = fleet(501, { follow: true });
-  const before = seats(run);
+  const run = createFleet(501, { followsRegistries: true });
+  const before = voters(run);
   assert.equal(before.length, 5);
   const [first, second] = run.world.registries;
   assert.ok(first !== undefined && second !== undefined);
   first.kill();
-  for (let turn = 0; turn < 20; turn += 1) {
+  for (let round = 0; round < 20; round += 1) {
     run.world.runFor(1000);
-    assert.deepEqual(seats(run), before);
+    assert.deepEqual(voters(run), before);
   }
   second.kill();
   run.world.runFor(4000);
-  const without = before.filter((one) => one !== first.node && one !== second.node);
-  assert.deepEqual(seats(run), without);
-  for (const one of [first, second]) {
-    one.start();
+  const without = before.filter((node) => node !== first.node && node !== second.node);
+  assert.deepEqual(voters(run), without);
+  for (const registry of [first, second]) {
+    registry.start();
     run.world.runFor(4000);
-    assert.ok(seats(run).includes(one.node), `${one.node} votes again`);
+    assert.ok(voters(run).includes(registry.node), `${registry.node} votes again`);
   }
-  assert.deepEqual(seats(run), before);
+  assert.deepEqual(voters(run), before);
   assert.deepEqual(finishRun(run), []);
 });
 
 void test('a voter that is away for less than a second and a half keeps its seat, whatever the size of the electorate', () => {
   for (const shields of [1, 2]) {
-    const run = fleet(502 + shields, { follow: true, shields });
-    const before = seats(run);
-    const [away] = run.world.registries;
-    assert.ok(away !== undefined);
-    for (let turn = 0; turn < 3; turn += 1) {
-      away.freeze();
+    const run = createFleet(502 + shields, { followsRegistries: true, shields });
+    const before = voters(run);
+    const [absent] = run.world.registries;
+    assert.ok(absent !== undefined);
+    for (let round = 0; round < 3; round += 1) {
+      absent.freeze();
       run.world.runFor(1200);
-      assert.deepEqual(seats(run), before);
-      away.resume();
+      assert.deepEqual(voters(run), before);
+      absent.resume();
       run.world.runFor(1500);
-      assert.deepEqual(seats(run), before);
+      assert.deepEqual(voters(run), before);
     }
     assert.deepEqual(finishRun(run), []);
   }
--- a/packages/simulator/src/run/request-deadlines.test.ts
+++ b/packages/simulator/src/run/request-deadlines.test.ts
@@ -7,50 +7,64 @@
 import { clips, type Fixture, finishRun, createFixture } from './fixture.js';
 
 /** Routes give three seconds: what is replied to by half of it was not held back for its deadline. */
-const half = 1500;
+const halfDeadlineMs = 1500;
 
-const spent = (asked: CallerRequest): number => (asked.answeredAt ?? Infinity) - asked.sentAt;
+const latencyMs = (request: CallerRequest): number =>
+  (request.answeredAt ?? Infinity) - request.sentAt;
 
 /** Sends requests for a while and gives those that got no result, once all have a reply. */
-const refused = (run: Fixture, span: number, edge?: SimulatedProxy): readonly CallerRequest[] => {
-  const list: CallerRequest[] = [];
-  for (let at = 0; at < span; at += 10) {
-    run.world.eventQueue.schedule(at, () => {
-      const asked = run.callers.send({ edge, service: 'clips', isFlood: true });
-      if (asked !== undefined) list.push(asked);
+const sendAndCollectFailures = (
+  run: Fixture,
+  spanMs: number,
+  edge?: SimulatedProxy,
+): readonly CallerRequest[] => {
+  const sent: CallerRequest[] = [];
+  for (let offsetMs = 0; offsetMs < spanMs; offsetMs += 10) {
+    run.world.eventQueue.schedule(offsetMs, () => {
+      const request = run.callers.send({ edge, service: 'clips', isFlood: true });
+      if (request !== undefined) sent.push(request);
     });
   }
-  run.world.runFor(span + 3500);
+  run.world.runFor(spanMs + 3500);
   assert.ok(
-    list.every((one) => one.result !== undefined),
+    sent.every((request) => request.result !== undefined),
     'everyone is told',
   );
-  return list.filter((one) => one.result?.kind !== 'result');
+  return sent.filter((request) => request.result?.kind !== 'result');
 };
 
-const toldAtOnce = (list: readonly CallerRequest[], most: number, many: number): void => {
-  assert.ok(list.length >= many, `${list.length} given up`);
-  const slow = list.filter((one) => spent(one) > most);
+const assertPromptReplies = (
+  failures: readonly CallerRequest[],
+  limitMs: number,
+  minCount: number,
+): void => {
+  assert.ok(failures.length >= minCount, `${failures.length} given up`);
+  const slow = failures.filter((request) => latencyMs(request) > limitMs);
   assert.deepEqual(
     slow
       .slice(0, 3)
-      .map((one) => [one.path, Math.round(spent(one)), one.result?.kind, one.result?.text]),
+      .map((request) => [
+        request.path,
+        Math.round(latencyMs(request)),
+        request.result?.kind,
+        request.result?.text,
+      ]),
     [],
-    `${slow.length} of ${list.length} were held`,
+    `${slow.length} of ${failures.length} were held`,
   );
-  const mute = list.filter(
-    (one) =>
-      (one.result?.kind === 'rejected' || one.result?.kind === 'unready') &&
-      one.result.retryAfterMs <= 0,
+  const withoutRetryAfter = failures.filter(
+    (request) =>
+      (request.result?.kind === 'rejected' || request.result?.kind === 'unready') &&
+      request.result.retryAfterMs <= 0,
   );
   assert.deepEqual(
-    mute.slice(0, 3).map((one) => one.result),
+    withoutRetryAfter.slice(0, 3).map((request) => request.result),
     [],
     'each is told when to come back',
   );
 };
 
-const calm = (seed: number, change: Parameters<typeof createFixture>[2] = {}): Fixture => {
+const createFleet = (seed: number, change: Parameters<typeof createFixture>[2] = {}): Fixture => {
   const run = createFixture(seed, 30, change);
   run.callers.start();
   run.world.runFor(3000);
@@ -58,130 +72,149 @@
 };
 
 void test('no keeper: once a service has had none for two seconds everyone is told at once', () => {
-  const run = calm(701);
+  const run = createFleet(701);
   for (const shield of run.world.shields) shield.kill();
-  refused(run, 3000);
-  toldAtOnce(refused(run, 3000), 150, 250);
+  sendAndCollectFailures(run, 3000);
+  assertPromptReplies(sendAndCollectFailures(run, 3000), 150, 250);
   for (const shield of run.world.shields) shield.start();
   run.world.runFor(5000);
-  assert.deepEqual(refused(run, 1000), [], 'and served again as soon as there is one');
+  assert.deepEqual(
+    sendAndCollectFailures(run, 1000),
+    [],
+    'and served again as soon as there is one',
+  );
   assert.deepEqual(finishRun(run), []);
 });
 
 void test('no origin: after one second without any everyone is told at once', () => {
-  const run = calm(702);
+  const run = createFleet(702);
   for (const origin of run.world.origins) if (origin.service === clips) origin.leave('gone');
   run.world.runFor(3000);
-  toldAtOnce(refused(run, 3000), 60, 100);
+  assertPromptReplies(sendAndCollectFailures(run, 3000), 60, 100);
   run.world.addOrigin(clips, 8);
   run.world.runFor(1500);
   assert.deepEqual(
-    refused(run, 1000).filter((one) => one.result?.text === 'no origin for a while'),
+    sendAndCollectFailures(run, 1000).filter(
+      (request) => request.result?.text === 'no origin for a while',
+    ),
     [],
   );
   assert.deepEqual(finishRun(run), []);
 });
 
 void test('a full waitlist, and a waitlist too long for the deadline: told at once', () => {
-  const run = calm(703, {
+  const run = createFleet(703, {
     services: [{ name: clips, origins: 1, slots: 2, perSecond: undefined }],
   });
   for (const origin of run.world.origins) origin.extraLatencyMs = 300;
-  for (let at = 0; at < 1500; at += 1)
-    run.world.eventQueue.schedule(at * 2, () => {
+  for (let index = 0; index < 1500; index += 1)
+    run.world.eventQueue.schedule(index * 2, () => {
       run.callers.send({ service: 'clips', kind: 'plain', isFlood: true });
     });
   run.world.runFor(7000);
-  const list = run.callers.requests.filter((one) => one.isFlood && one.result?.kind === 'rejected');
-  const late = list.filter((one) => spent(one) > half);
-  toldAtOnce(
-    list.filter((one) => spent(one) <= half),
-    half,
+  const failures = run.callers.requests.filter(
+    (request) => request.isFlood && request.result?.kind === 'rejected',
+  );
+  const slow = failures.filter((request) => latencyMs(request) > halfDeadlineMs);
+  assertPromptReplies(
+    failures.filter((request) => latencyMs(request) <= halfDeadlineMs),
+    halfDeadlineMs,
     800,
   );
   assert.ok(
-    late.length < list.length / 20,
-    `${late.length} of ${list.length} waited in hope of a slot for more than half of their time`,
+    slow.length < failures.length / 20,
+    `${slow.length} of ${failures.length} waited in hope of a slot for more than half of their time`,
   );
   assert.deepEqual(finishRun(run), []);
 });
 
 void test('a ceiling: what does not fit under it in time is told at once', () => {
-  const run = calm(704, { services: [{ name: clips, origins: 3, slots: 20, perSecond: 40 }] });
+  const run = createFleet(704, {
+    services: [{ name: clips, origins: 3, slots: 20, perSecond: 40 }],
+  });
   for (const kind of ['read', 'plain', 'act'])
     run.callers.floodedUntil.set(`/clips/${kind}/`, Infinity);
-  for (let at = 0; at < 1500; at += 1)
-    run.world.eventQueue.schedule(at * 2, () => {
+  for (let index = 0; index < 1500; index += 1)
+    run.world.eventQueue.schedule(index * 2, () => {
       run.callers.send({ service: 'clips', kind: 'act', isFlood: true });
     });
   run.world.runFor(7000);
-  const list = run.callers.requests.filter((one) => one.isFlood && one.result?.kind === 'rejected');
-  const late = list.filter((one) => spent(one) > half);
-  toldAtOnce(
-    list.filter((one) => spent(one) <= half),
-    half,
+  const failures = run.callers.requests.filter(
+    (request) => request.isFlood && request.result?.kind === 'rejected',
+  );
+  const slow = failures.filter((request) => latencyMs(request) > halfDeadlineMs);
+  assertPromptReplies(
+    failures.filter((request) => latencyMs(request) <= halfDeadlineMs),
+    halfDeadlineMs,
     800,
   );
   assert.ok(
-    late.length < list.length / 20,
-    `${late.length} of ${list.length} waited for more than half of their time`,
+    slow.length < failures.length / 20,
+    `${slow.length} of ${failures.length} waited for more than half of their time`,
   );
   assert.deepEqual(finishRun(run), []);
 });
 
 void test('only a release on trial is left: what it may not have is told at once, and it earns its traffic', () => {
-  const run = calm(705);
-  const old = run.world.origins.filter((one) => one.service === clips);
+  const run = createFleet(705);
+  const oldOrigins = run.world.origins.filter((origin) => origin.service === clips);
   run.world.addOrigin(clips, 8, 'r2').workMs = 30;
-  for (const origin of old) origin.leave('gone');
-  const list = refused(run, 8000);
-  toldAtOnce(list, half, 0);
-  assert.deepEqual(refused(run, 1000), [], 'a release that answers well serves alone');
+  for (const origin of oldOrigins) origin.leave('gone');
+  const failures = sendAndCollectFailures(run, 8000);
+  assertPromptReplies(failures, halfDeadlineMs, 0);
+  assert.deepEqual(
+    sendAndCollectFailures(run, 1000),
+    [],
+    'a release that answers well serves alone',
+  );
   assert.deepEqual(finishRun(run), []);
 });
 
 void test('an edge that is cut off: what comes is told at once, and what waits is given up', () => {
-  for (const way of ['both', 'in', 'out'] as const) {
-    const run = calm(706);
+  for (const direction of ['both', 'in', 'out'] as const) {
+    const run = createFleet(706);
     const edge = run.world.edges[0];
     assert.ok(edge !== undefined);
-    run.faults.isolate([edge], way);
+    run.faults.isolate([edge], direction);
     run.world.runFor(4500);
-    toldAtOnce(refused(run, 2000, edge), 30, 150);
+    assertPromptReplies(sendAndCollectFailures(run, 2000, edge), 30, 150);
     run.world.network.heal();
     run.world.runFor(3000);
-    assert.deepEqual(refused(run, 1000, edge), []);
+    assert.deepEqual(sendAndCollectFailures(run, 1000, edge), []);
     assert.deepEqual(finishRun(run), []);
   }
 });
 
 void test('an edge that stops: nobody is held', () => {
-  const run = calm(707);
+  const run = createFleet(707);
   const edge = run.world.edges[0];
   assert.ok(edge !== undefined);
-  for (let at = 0; at < 300; at += 1)
-    run.world.eventQueue.schedule(at * 10, () => {
+  for (let index = 0; index < 300; index += 1)
+    run.world.eventQueue.schedule(index * 10, () => {
       run.callers.send({ edge, service: 'acts', isFlood: true });
     });
   run.world.eventQueue.schedule(500, () => edge.stop(() => undefined));
   run.world.runFor(7000);
-  const list = run.callers.requests.filter((one) => one.edge === edge && one.isFlood);
+  const failures = run.callers.requests.filter(
+    (request) => request.edge === edge && request.isFlood,
+  );
   assert.ok(
-    list.every((one) => one.result !== undefined) && list.every((one) => spent(one) < half),
+    failures.every((request) => request.result !== undefined) &&
+      failures.every((request) => latencyMs(request) < halfDeadlineMs),
   );
   assert.ok(
-    list.some((one) => one.result?.kind === 'result') &&
-      list.some((one) => one.result?.kind === 'unready'),
+    failures.some((request) => request.result?.kind === 'result') &&
+      failures.some((request) => request.result?.kind === 'unready'),
   );
   assert.deepEqual(finishRun(run), []);
 });
 
 void test('a result that takes longer than a stop may take breaks off visibly', () => {
-  const run = calm(708);
+  const run = createFleet(708);
   const edge = run.world.edges[0];
   assert.ok(edge !== undefined);
   for (const origin of run.world.origins) origin.extraChunkMs = 900;
-  const asked = run.callers.send({
+  const request = run.callers.send({
     edge,
     service: 'clips',
     kind: 'long',
@@ -191,23 +224,25 @@
   run.world.runFor(1000);
   edge.stop(() => undefined);
   run.world.runFor(9000);
-  assert.equal(edge.terminationOf(asked?.edgeIncarnation ?? 0), 'planned');
+  assert.equal(edge.terminationOf(request?.edgeIncarnation ?? 0), 'planned');
   assert.ok(
-    asked?.result?.kind === 'broken' || asked?.result?.kind === 'unknown',
-    JSON.stringify(asked?.result),
+    request?.result?.kind === 'broken' || request?.result?.kind === 'unknown',
+    JSON.stringify(request?.result),
   );
   for (const origin of run.world.origins) origin.extraChunkMs = 0;
   assert.deepEqual(finishRun(run), []);
 });
 
 void test('too many wait for one fetch: the others are told at once', () => {
-  const run = calm(709);
+  const run = createFleet(709);
   const edge = run.world.edges[0];
   for (const origin of run.world.origins) origin.extraLatencyMs = 1000;
-  for (let at = 0; at < 200; at += 1)
+  for (let index = 0; index < 200; index += 1)
     run.callers.send({ edge, service: 'clips', kind: 'read', object: 7, isFlood: true });
   run.world.runFor(4000);
-  const list = run.callers.requests.filter((one) => one.isFlood && one.result?.kind === 'rejected');
-  toldAtOnce(list, 30, 100);
+  const failures = run.callers.requests.filter(
+    (request) => request.isFlood && request.result?.kind === 'rejected',
+  );
+  assertPromptReplies(failures, 30, 100);
   assert.deepEqual(finishRun(run), []);
 });
--- a/packages/simulator/src/run/steady-traffic.test.ts
+++ b/packages/simulator/src/run/steady-traffic.test.ts
@@ -72,8 +72,8 @@
   world.frameObserver = {
     frameSent: (_from, to, frame) => {
       const bytes = serializeFrame(frame).length + frameHeaderBytes;
-      const known = byKind.get(frame.kind) ?? { messages: 0, bytes: 0 };
-      byKind.set(frame.kind, { messages: known.messages + 1, bytes: known.bytes + bytes });
+      const previous = byKind.get(frame.kind) ?? { messages: 0, bytes: 0 };
+      byKind.set(frame.kind, { messages: previous.messages + 1, bytes: previous.bytes + bytes });
       if (edges.has(to.node)) edgeBytes += bytes;
     },
   };
@@ -234,7 +234,9 @@
 const hasAllSessions = (world: World): boolean =>
   world.proxies.every((proxy) => {
     const link = proxy.state?.nodeAgent.nodeSession.registryLink;
-    const registry = world.registries.find((one) => one.isAlive && one.address === link?.address);
+    const registry = world.registries.find(
+      (registry) => registry.isAlive && registry.address === link?.address,
+    );
     return (
       registry !== undefined &&
       link?.lastHeardAt !== undefined &&
