--- a/packages/simulator/src/run/network-partition.test.ts
+++ b/packages/simulator/src/run/network-partition.test.ts
@@ -194,7 +194,7 @@
 const runPartition = (
   seed: number,
   linkFault: LinkFault,
-  { side, duringPartition: duringPartition }: PartitionOptions = {},
+  { side, duringPartition }: PartitionOptions = {},
 ): Fixture => {
   const run = createFleet(seed);
   const { world } = run;
@@ -287,10 +287,7 @@
         run.world.eventQueue.schedule(200, () => process.start());
       }
     };
-    assert.deepEqual(
-      finishRun(runPartition(seed, silentCut, { duringPartition: duringPartition })),
-      [],
-    );
+    assert.deepEqual(finishRun(runPartition(seed, silentCut, { duringPartition })), []);
   }
 });
 
@@ -302,10 +299,7 @@
       edge?.kill();
       run.world.eventQueue.schedule(100, () => edge?.start());
     };
-    assert.deepEqual(
-      finishRun(runPartition(seed, silentCut, { side, duringPartition: duringPartition })),
-      [],
-    );
+    assert.deepEqual(finishRun(runPartition(seed, silentCut, { side, duringPartition })), []);
   }
 });
 
