--- a/packages/simulator/src/run/failures.test.ts
+++ b/packages/simulator/src/run/failures.test.ts
@@ -572,8 +572,8 @@
   );
   const latenciesMs = unsafeRequests
     .flatMap((request) =>
-      request.result?.kind === 'result' && request.answeredAt !== undefined
-        ? [request.answeredAt - request.sentAt]
+      request.result?.kind === 'result' && request.repliedAt !== undefined
+        ? [request.repliedAt - request.sentAt]
         : [],
     )
     .sort((left, right) => left - right);
--- a/packages/simulator/src/run/replication.test.ts
+++ b/packages/simulator/src/run/replication.test.ts
@@ -79,7 +79,7 @@
       run.world.primary()?.hasResultOf(write.id) === true,
       `${context}: ${write.id} is lost`,
     );
-  applyConfirmed(run, 9000 + run.faults.nextSerial());
+  applyConfirmed(run, 9000 + run.faults.nextNumber());
   assert.ok(
     run.world.runUntil(10_000, () => inSyncSet(run).length === copies),
     `${context}: in sync again: ${inSyncSet(run).join(', ')}`,
--- a/packages/simulator/src/run/request-deadlines.test.ts
+++ b/packages/simulator/src/run/request-deadlines.test.ts
@@ -10,7 +10,7 @@
 const halfDeadlineMs = 1500;
 
 const latencyMs = (request: CallerRequest): number =>
-  (request.answeredAt ?? Infinity) - request.sentAt;
+  (request.repliedAt ?? Infinity) - request.sentAt;
 
 /** Sends requests for a while and gives those that got no result, once all have a reply. */
 const sendAndCollectFailures = (
