--- a/packages/simulator/src/run/bounded-state.test.ts
+++ b/packages/simulator/src/run/bounded-state.test.ts
@@ -1,7 +1,4 @@
-/**
- * What stores and registries keep depends on the fleet as it is, not on how much was ordered: after
- * a first part that fills the bounded records, 400 descriptions and 2,000 purges leave a flat line.
- */
+/** Guards against state of stores and registries that grows with the number of past changes. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -12,12 +9,12 @@
 const clips = toServiceName('clips');
 const rounds = 4;
 const changesPerRound = 600;
-/** Every sixth change is a configuration, the others are purges. */
+/** Every sixth change is a configuration; the others are purges. */
 const changesPerConfiguration = 6;
-/** Every tenth configuration has 1,500 routes more. */
+/** Every tenth configuration has 1,500 additional routes. */
 const changesPerLargeConfiguration = 60;
 const changeIntervalMs = 12;
-/** By how much a size may differ from one round to another: what just moves. */
+/** Tolerated difference of a size between two rounds, for entries that come and go. */
 const allowedGrowth = 12;
 
 type Sizes = ReadonlyMap<string, number>;
@@ -29,7 +26,7 @@
       ? value.length
       : undefined;
 
-/** The size of each map, set and list of a state. */
+/** Sizes of all maps, sets and arrays of a state, by their path. */
 const sizesOf = (name: string, state: object | undefined): readonly (readonly [string, number])[] =>
   Object.entries(state ?? {}).flatMap(([key, value]: [string, unknown]) => {
     const size = sizeOf(value);
@@ -48,8 +45,8 @@
     ])
       sizes.set(key, size);
     const generationCount = state?.control.hashByGeneration.size ?? 0;
-    assert.ok(generationCount <= maxKeptGenerations, `${generationCount} numbers are kept`);
-    // Which content a number has is kept for longer than these runs: it is bounded by a count.
+    assert.ok(generationCount <= maxKeptGenerations, `${generationCount} generations are kept`);
+    // The hash of each generation is bounded by a count that these runs do not reach: excluded here.
     const entries = [...(state?.table ?? [])].filter(([key]) => !key.startsWith('number/'));
     sizes.delete(`${name}.control.hashByGeneration`);
     sizes.set(`${name}.table`, entries.length);
@@ -70,7 +67,7 @@
   return sizes;
 };
 
-/** What grew from one measure to another by more than it may. */
+/** Sizes that grew by more than the tolerated difference between two measurements. */
 const growth = (before: Sizes, after: Sizes): readonly string[] =>
   [...after].flatMap(([name, size]) => {
     const previousSize = before.get(name) ?? 0;
@@ -107,12 +104,12 @@
     else world.purge([], [{ by: 'tag', tag: `tag-${change}` }]);
     world.runFor(changeIntervalMs);
   }
-  // The round ends on a plain configuration, so that rounds are alike.
+  // Each round ends on a plain configuration, so that sizes are comparable.
   world.apply(900_000 + firstChange);
   world.runFor(4000);
 };
 
-void test('400 descriptions and 2,000 purges: no map of a store or registry, and not the table, grows once it is full', () => {
+void test('no collection of a store or registry, nor the store table, keeps growing over 400 configurations and 2,000 purges', () => {
   const world = createWorld(71);
   const sizesByRound: Sizes[] = [];
   for (let round = 0; round < rounds; round += 1) {
@@ -122,7 +119,7 @@
   const acknowledged = world.writes.filter((write) => write.reply?.status === 200);
   assert.ok(
     acknowledged.length > 0.95 * rounds * changesPerRound,
-    `${acknowledged.length} of ${world.writes.length} taken`,
+    `${acknowledged.length} of ${world.writes.length} changes acknowledged`,
   );
   const [, second, third, fourth] = sizesByRound;
   assert.ok(second !== undefined && third !== undefined && fourth !== undefined);
@@ -130,14 +127,14 @@
   assert.deepEqual(growth(second, fourth), []);
 });
 
-void test('500 origins come and go: a minute later nothing is left of them, in registries, stores and nodes', () => {
+void test('registries, stores and nodes drop all state of 500 departed origins within 75 seconds', () => {
   const world = createWorld(72);
   world.runFor(3000);
   const before = measureSizes(world);
   for (let batch = 0; batch < 10; batch += 1) {
     const newOrigins = Array.from({ length: 50 }, () => world.addOrigin(clips, 2));
     world.runFor(1500);
-    // Half of them say that they leave, the others are silent from now on.
+    // Half of them announce that they leave; the others crash.
     for (const [index, origin] of newOrigins.entries()) {
       if (index % 2 === 0) origin.crash();
       else origin.leave('gone');
@@ -151,6 +148,6 @@
   assert.ok([...peakSizes].some(([name, size]) => name.endsWith('.origins') && size > 300));
   for (const proxy of world.proxies) {
     const originCount = proxy.state?.nodeAgent.nodeSession.origins.size ?? 0;
-    assert.ok(originCount < allowedGrowth, `${proxy.node} knows ${originCount} origins`);
+    assert.ok(originCount < allowedGrowth, `${proxy.node} still knows ${originCount} origins`);
   }
 });
--- a/packages/simulator/src/run/calm.test.ts
+++ b/packages/simulator/src/run/calm.test.ts
@@ -1,4 +1,4 @@
-/** A fleet without faults. */
+/** A fleet without faults serves every request. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -7,7 +7,7 @@
 import { RuleChecker } from '../rules/rule-checker.js';
 import { World } from '../world/world.js';
 
-void test('a calm fleet serves everything and goes on doing so for longer than an origin may be silent', () => {
+void test('a fleet without faults serves every request for longer than the origin timeout', () => {
   const world = new World({
     seed: 7,
     edges: 3,
--- a/packages/simulator/src/run/concurrent-rollouts.test.ts
+++ b/packages/simulator/src/run/concurrent-rollouts.test.ts
@@ -1,6 +1,6 @@
 /**
- * Orders that race, and a later one that returns to a content from before: whatever an order was found to have when it
- * came in, it still has when it is put in force. Otherwise the configuration in force lacks a chunk, and no node can run it.
+ * Concurrent rollout requests, the later of which reuses chunks of an earlier configuration. Guards against chunks that
+ * are deleted between the acceptance of a request and its activation: no node could run that configuration.
  */
 
 import assert from 'node:assert/strict';
@@ -15,9 +15,9 @@
 import { createConfiguration } from '../world/configuration.js';
 import { type Fixture, finishRun, createFixture } from './fixture.js';
 
-/** How long a confirmed configuration may take to be in force on every node. */
+/** Maximum time from the acknowledgement of a configuration until every node runs it. */
 const inForceLimitMs = 1500;
-/** Orders of a pair leave this far apart, in milliseconds: the second comes in at each stage of the first. */
+/** Delays between the two requests, so that the second arrives at each stage of the first. */
 const offsetsMs = [0, 1, 2, 3, 4, 6, 8, 10, 12, 15, 18, 22, 26, 30];
 const firstMarker = 10;
 const secondMarker = 11;
@@ -29,7 +29,7 @@
   return result.value;
 };
 
-/** A rollout request under way, and its reply. */
+/** A rollout request and its reply, once there is one. */
 interface RolloutRequest {
   readonly generation: Generation;
   reply: RegistryReply | undefined;
@@ -63,17 +63,21 @@
 
 const registryAt = (run: Fixture, index: number): SimulatedRegistry => {
   const registry = run.world.registries[index % run.world.registries.length];
-  if (registry === undefined) throw new Error('no registry');
+  if (registry === undefined) throw new Error('the fleet has no registry');
   return registry;
 };
 
 const apply = (run: Fixture, generation: number, marker: number): void => {
   const request = sendRequest(run, registryAt(run, 0), generation, marker);
   run.world.runUntil(5000, () => request.reply !== undefined);
-  assert.equal(request.reply?.status, 200, `order ${generation}`);
+  assert.equal(
+    request.reply?.status,
+    200,
+    `status of the rollout request for generation ${generation}`,
+  );
 };
 
-/** Whether every proxy runs a generation. */
+/** Whether every proxy runs the given generation. */
 const isInForce = (run: Fixture, generation: number): boolean =>
   run.world.proxies.every(
     (proxy) => proxy.state?.nodeAgent.compiledConfiguration?.generation === generation,
@@ -86,7 +90,7 @@
 };
 
 for (const offsetMs of offsetsMs) {
-  void test(`an order that returns to an earlier content, ${offsetMs} ms after one that drops it, is in force in time`, () => {
+  void test(`a request that reverts to an earlier configuration ${offsetMs} ms after one that replaces it takes effect in time`, () => {
     const run = createFixture(700 + offsetMs, 2, {
       edges: 3,
       shields: 2,
@@ -109,11 +113,11 @@
     assert.equal(
       missingChunkCount(run),
       0,
-      'the table holds each piece of the description in force',
+      'the store holds every chunk of the active configuration',
     );
     assert.ok(
       run.world.runUntil(inForceLimitMs, () => isInForce(run, 5)),
-      'in force in time',
+      'every node runs the configuration in time',
     );
     assert.deepEqual(finishRun(run), []);
   });
--- a/packages/simulator/src/run/configuration-repair.test.ts
+++ b/packages/simulator/src/run/configuration-repair.test.ts
@@ -1,7 +1,4 @@
-/**
- * A fleet whose disks hold a configuration in force without one of its chunks, as an earlier version could leave them: the
- * invariant finds it, registries give the chunk back, and a node that starts with nothing runs the configuration.
- */
+/** Recovery of an active configuration with a chunk missing on every disk, as earlier versions could leave it. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -20,7 +17,7 @@
   return offer;
 };
 
-/** Takes a chunk off every disk, as if it had never been written. */
+/** Removes a chunk from every disk, as if it had never been written. */
 const eraseChunk = (run: Fixture, hash: Hash): void => {
   const key = controlKeys.chunk(hash);
   for (const { disk } of run.world.stores) {
@@ -44,7 +41,7 @@
   );
 
 for (const seed of [801, 802, 803]) {
-  void test(`a piece that no disk holds is told as a violation and comes back from a registry, seed ${seed}`, () => {
+  void test(`a chunk missing on every disk is reported as a violation and restored from a registry, seed ${seed}`, () => {
     const run = createFixture(seed, 2, {
       edges: 3,
       shields: 2,
@@ -61,17 +58,17 @@
     for (const store of run.world.stores) store.start();
     assert.ok(
       run.world.runUntil(5000, () => violationCount(run) > 0),
-      'the violation is counted',
+      'the missing chunk is counted as a violation',
     );
     const isChunkRestored = (): boolean =>
       run.world.primary()?.state?.control.chunks.has(missingChunk) === true;
-    assert.ok(run.world.runUntil(8000, isChunkRestored), 'the piece is in the table again');
+    assert.ok(run.world.runUntil(8000, isChunkRestored), 'the chunk is in the table again');
     const [edge] = run.world.edges;
     edge?.kill();
     edge?.start();
     assert.ok(
       run.world.runUntil(inForceLimitMs, () => isInForceEverywhere(run)),
-      'a new start runs it',
+      'a restarted edge runs the configuration',
     );
   });
 }
--- a/packages/simulator/src/run/failures.test.ts
+++ b/packages/simulator/src/run/failures.test.ts
@@ -1,4 +1,4 @@
-/** One failure of each kind, and what callers and operators see of it. */
+/** Single failures of each kind and their effect on callers and operators. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -14,7 +14,7 @@
   countOutcomes,
 } from './fixture.js';
 
-/** From now on everyone gets a result, and no rule was broken to the end. */
+/** Asserts that every request from now on gets a result and that no rule is violated by the end of the run. */
 const assertServing = (run: Fixture): void => {
   const from = run.world.eventQueue.now;
   run.world.runFor(3000);
@@ -29,7 +29,7 @@
   [{ by: 'object', path }],
 ];
 
-void test('R1, R2: origins that lose answers after the work never run a write twice, and nothing refused ran', () => {
+void test('R1, R2: no write runs twice and no rejected request runs when origins lose responses after the work', () => {
   for (const seed of seedRange(4)) {
     const run = createFixture(seed, 60);
     for (const origin of run.world.origins) {
@@ -50,7 +50,7 @@
   }
 });
 
-void test('R1, R2: keepers killed, frozen and cut off while writes pass through them', () => {
+void test('R1, R2: writes run at most once while service leaders are killed, frozen and disconnected', () => {
   for (const seed of seedRange(4)) {
     const run = createFixture(seed, 80);
     run.callers.start();
@@ -74,7 +74,7 @@
   }
 });
 
-void test('R4, R5: the primary dies at any moment after it accepted: in force everywhere all the same', () => {
+void test('R4, R5: an accepted configuration takes effect everywhere although the primary is killed at any later moment', () => {
   for (const delayMs of [0, 1, 3, 6, 10, 20, 40, 80, 200, 500]) {
     const run = createFixture(300 + delayMs, 20);
     run.callers.start();
@@ -92,7 +92,7 @@
   }
 });
 
-void test('two operators on one base, at different registries: one is accepted, the other rejected with the generation in force', () => {
+void test('of two operators that change the same base generation through different registries, one is accepted and the other rejected with the active generation', () => {
   for (const seed of seedRange(6)) {
     const run = createFixture(seed, 5);
     const base = run.world.primary()?.state?.control.configuration?.offer.generation;
@@ -106,7 +106,7 @@
   }
 });
 
-void test('R12: every process killed at once: serving again in 15 s, no accepted write, purge or verdict lost', () => {
+void test('R12: a fleet whose processes are all killed at once serves within 15 s and loses no accepted write, purge or canary result', () => {
   for (const seed of seedRange(4)) {
     const run = createFixture(seed, 40);
     run.callers.start();
@@ -147,7 +147,7 @@
   }
 });
 
-void test('each store in turn loses its disk, fills, stalls and tears: no confirmed write is lost and writing goes on', () => {
+void test('no confirmed write is lost and writes go on while each store in turn has a wiped, full, stalled or torn disk', () => {
   for (const seed of seedRange(2)) {
     const run = createFixture(seed, 10);
     let marker = 100;
@@ -159,7 +159,7 @@
           else store.disk.isTorn = true;
           run.world.eventQueue.schedule(800, () => store.start());
         } else store.disk.condition = diskFault;
-        // Within a few seconds writes are taken again, while the fault goes on.
+        // Writes are accepted again within a few seconds, while the fault persists.
         let isAccepted = false;
         for (let round = 0; round < 8 && !isAccepted; round += 1) {
           marker += 1;
@@ -183,7 +183,7 @@
   }
 });
 
-void test('a backup that comes back with an empty disk is mended though nothing is written meanwhile', () => {
+void test('a backup that restarts with an empty or torn disk is resynced without any new write', () => {
   for (const diskFault of ['wipe', 'torn'] as const) {
     const run = createFixture(31, 5);
     run.world.runFor(3000);
@@ -200,14 +200,14 @@
       `${backup.state?.table.size ?? 0} of ${entries} entries`,
     );
     assert.equal(run.world.primary()?.state?.metadata?.inSyncSet.length, 2);
-    // It can take over now.
+    // The resynced backup can take over.
     run.world.primary()?.kill();
     assert.ok(run.world.runUntil(4000, () => run.world.primary() === backup));
     assert.deepEqual(finishRun(run), []);
   }
 });
 
-void test('both disks full at once: writes are rejected and never take effect, reads and pushes go on, and with room again so do writes', () => {
+void test('with both disks full writes are rejected without effect while configurations are still pushed, and writes resume once there is space', () => {
   for (const seed of seedRange(4)) {
     const run = createFixture(seed, 20);
     run.callers.start();
@@ -222,13 +222,13 @@
       );
     }
     run.world.runFor(3000);
-    // A node that starts now still gets the configuration in force, from a primary that only reads.
+    // A restarted node still receives the active configuration from a primary that can't write.
     const edge = run.world.edges[0];
     edge?.kill();
     edge?.start();
     assert.ok(
       run.world.runUntil(4000, () => edge?.isReady === true),
-      'pushes go on',
+      'the edge receives the configuration',
     );
     for (const store of run.world.stores) store.disk.recover();
     run.world.runFor(3000);
@@ -239,7 +239,7 @@
   }
 });
 
-void test('R6: origins that leave, or whose address another service takes, get nothing two seconds on, though registries and keepers fail meanwhile', () => {
+void test('R6: origins that left, or whose address another service reuses, receive no requests after two seconds, although registries and service leaders fail meanwhile', () => {
   for (const seed of seedRange(4)) {
     const run = createFixture(seed, 80);
     run.callers.start();
@@ -275,7 +275,7 @@
   }
 });
 
-void test('R7: purges by object, in storms, with an edge cut off and a shield frozen: nothing purged is served two seconds on', () => {
+void test('R7: purged objects are not served after two seconds, with many purges, a disconnected edge and a frozen shield', () => {
   for (const seed of seedRange(4)) {
     const run = createFixture(seed, 120);
     run.callers.start();
@@ -288,7 +288,7 @@
     run.world.eventQueue.schedule(2600, () => shield.resume());
     for (let index = 0; index < 20; index += 1)
       for (const service of [clips, acts]) run.world.purge(...purgeOf(`/${service}/read/${index}`));
-    // The cut-off edge is asked all the same, as by a client that was sent there before.
+    // Clients that were routed to the disconnected edge before still send requests to it.
     for (let round = 0; round < 200; round += 1)
       run.world.eventQueue.schedule(round * 40, () => {
         run.callers.send({ edge, kind: 'read' });
@@ -301,7 +301,7 @@
   }
 });
 
-void test('R8: when most answers are lost, extra tries stay within a fifth of the traffic and sixty', () => {
+void test('R8: extra attempts stay within a fifth of the traffic plus sixty when most responses are lost', () => {
   const run = createFixture(11, 150);
   for (const origin of run.world.origins) origin.lossProbability = 0.7;
   run.callers.start();
@@ -316,11 +316,11 @@
         run.world.origins.flatMap((origin) => origin.attempts.map((attempt) => attempt.request)),
       ).size +
         50,
-    'extra tries were made at all',
+    'more than 50 extra attempts were made',
   );
 });
 
-void test('R8: keepers that follow each other within seconds do not each spend a budget of their own', () => {
+void test('R8: service leaders that succeed each other within seconds share one retry budget', () => {
   for (const seed of seedRange(2)) {
     const run = createFixture(seed, 30, {
       shields: 7,
@@ -328,7 +328,7 @@
     });
     run.callers.start();
     run.world.runFor(11_000);
-    // The first one spends what it has, in a few seconds.
+    // The first leader spends its budget within a few seconds.
     for (const origin of run.world.origins) origin.lossProbability = 0.9;
     run.world.runFor(3500);
     let leaderCount = 0;
@@ -341,12 +341,12 @@
       run.world.eventQueue.schedule(300, () => serviceLeader.start());
     }
     run.world.runFor(3000);
-    assert.ok(leaderCount >= 6, `${leaderCount} keepers`);
+    assert.ok(leaderCount >= 6, `${leaderCount} service leaders killed`);
     assert.deepEqual(finishRun(run), []);
   }
 });
 
-void test('R9: a flood stays under the ceiling, across a change of keeper', () => {
+void test('R9: a flood stays within the rate limit across a change of the service leader', () => {
   const run = createFixture(12, 400, {
     services: [{ name: acts, origins: 4, slots: 30, perSecond: 80 }],
   });
@@ -361,12 +361,12 @@
   const arrivals = run.world.origins.flatMap((origin) => origin.arrivalTimes).length;
   assert.ok(
     run.world.origins.flatMap((origin) => origin.receiveTimes).length > arrivals,
-    'health checks were sent too',
+    'health checks reach the origins in addition to requests',
   );
-  assert.ok(arrivals > 80 * 8, `${arrivals} requests let through: the ceiling is used`);
+  assert.ok(arrivals > 80 * 8, `only ${arrivals} requests admitted: the rate limit is not used up`);
 });
 
-void test('R10: a bad release is found out, through the loss of its keeper, and its verdict outlives a full loss; a good one earns its traffic', () => {
+void test('R10: a bad release is detected despite the loss of its service leader and stays bad after a full restart, and a good one gets its traffic', () => {
   for (const seed of seedRange(3)) {
     const run = createFixture(seed, 120);
     run.callers.start();
@@ -387,7 +387,7 @@
     assert.equal(canaryState('r2'), 'bad');
     assert.equal(canaryState('r3'), 'good');
     assert.ok(goodOrigin.arrivalTimes.length > 50);
-    // A release that goes bad after it earned its traffic is judged as well.
+    // A release that starts to fail after its canary passed is detected too.
     goodOrigin.failureProbability = 0.7;
     run.world.runFor(12_000);
     assert.equal(canaryState('r3'), 'bad');
@@ -409,7 +409,7 @@
   }
 });
 
-void test('R11: edges and shields stopped in turn under load: every request that was taken gets its answer', () => {
+void test('R11: every accepted request gets a response while edges and shields are stopped in turn under load', () => {
   for (const seed of seedRange(3)) {
     const run = createFixture(seed, 100);
     run.callers.start();
@@ -429,12 +429,12 @@
   }
 });
 
-void test('all registries and shields killed at once while the edges live on: no memory of an older epoch keeps a service away', () => {
+void test('services recover after all registries and shields are killed at once, although running edges remember higher epochs', () => {
   for (const seed of seedRange(4)) {
     const run = createFixture(seed, 40);
     run.callers.start();
     run.world.runFor(1000);
-    // Keepers move a few times, so that the edges remember high epochs.
+    // Service leaders change a few times, so that the edges remember high epochs.
     for (let round = 0; round < 3; round += 1) {
       for (const service of [clips, acts]) {
         const serviceLeader = run.world.serviceLeaderOf(service);
@@ -452,7 +452,7 @@
   }
 });
 
-void test('every registry is replaced one after the other, the seeds among them: the fleet goes on, and a primary is elected by the new voters alone', () => {
+void test('the fleet goes on while all registries are replaced one by one, seeds included, and the new voters alone elect a primary', () => {
   for (const seed of seedRange(2)) {
     const run = createFixture(seed, 30);
     run.callers.start();
@@ -495,7 +495,7 @@
     run.world.runFor(2500);
     const write = run.world.apply(8);
     assert.ok(run.world.runUntil(5000, () => write.reply?.status === 200));
-    // A node that starts now finds the fleet by the new seeds.
+    // A restarted node finds the fleet through the new seeds.
     const edge = run.world.edges[0];
     edge?.kill();
     edge?.start();
@@ -504,7 +504,7 @@
   }
 });
 
-void test('an area lost whole, with a store, a shield, an edge and their registries: the others serve and write on', () => {
+void test('the other zones serve and accept writes after a zone with a store, a shield, an edge and their registries is lost', () => {
   for (const seed of seedRange(3)) {
     const run = createFixture(seed, 50);
     run.callers.start();
@@ -529,7 +529,7 @@
   }
 });
 
-void test('a core split each way: the side without a majority stops in time, the other serves; whole again it all comes back', () => {
+void test('in a network partition of the core the side without a majority stops in time, the other serves, and the fleet recovers once it heals', () => {
   for (const seed of seedRange(4)) {
     const run = createFixture(seed, 60);
     run.callers.start();
@@ -553,14 +553,14 @@
   }
 });
 
-void test('a class that floods does not take the promise of another, and borrowed slots come back', () => {
+void test('a flood of one class does not exceed the guaranteed latency of another, and borrowed slots are returned', () => {
   const run = createFixture(21, 30, {
     services: [{ name: clips, origins: 2, slots: 10, perSecond: undefined }],
   });
   run.callers.start();
   run.world.runFor(1000);
   const from = run.world.eventQueue.now;
-  // Far more bulk than the origins can take, for four seconds.
+  // For four seconds, far more bulk requests than the origins have capacity for.
   run.callers.floodedUntil.set('/clips/plain/', Infinity);
   for (let index = 0; index < 6000; index += 1)
     run.world.eventQueue.schedule(index * 0.66, () => {
@@ -583,22 +583,22 @@
   );
   assert.ok(
     (latenciesMs[Math.floor(latenciesMs.length * 0.99)] ?? Infinity) < 400,
-    `the promise is 400 ms: ${latenciesMs.slice(-3).map(Math.round).join(', ')}`,
+    `p99 latency is not below 400 ms; the slowest: ${latenciesMs.slice(-3).map(Math.round).join(', ')}`,
   );
   assert.ok(
     (countOutcomes(run.callers, from).get('rejected') ?? 0) > 1000,
-    'the flood was rejected',
+    'more than 1,000 requests of the flood are rejected',
   );
   assert.deepEqual(finishRun(run), []);
 });
 
-void test('R3: two legs of one request that both stream never mix on their way to the caller', () => {
+void test('R3: the streams of two attempts of one request are never mixed in the response', () => {
   const run = createFixture(41, 20, {
     services: [{ name: clips, origins: 4, slots: 40, perSecond: undefined, hedgeMs: 5 }],
   });
   run.callers.start();
   run.world.runFor(3000);
-  // So slow that second attempts go out while the first have not begun to answer, and often overtake them.
+  // Slow enough that hedges are sent before the first attempt responds, and often overtake it.
   for (const origin of run.world.origins) origin.workMs = 60;
   for (let index = 0; index < 300; index += 1)
     run.world.eventQueue.schedule(index * 20, () => {
@@ -613,7 +613,7 @@
   assert.ok(
     streamedCount > 200 &&
       attempts.length > new Set(attempts.map((attempt) => attempt.request)).size + 20,
-    `${streamedCount} streamed, second legs among ${attempts.length}`,
+    `${streamedCount} responses streamed, ${attempts.length} attempts including hedges`,
   );
   assert.equal(
     run.callers.requests.filter((request) => request.result?.kind === 'broken').length,
@@ -621,7 +621,7 @@
   );
 });
 
-void test('R7: a result fetched before a purge is not told two seconds after it, nor one past its lifetime, by whoever was slow or slept', () => {
+void test('R7: results fetched before a purge, or past their lifetime, are not served two seconds after it by slow origins or frozen proxies', () => {
   for (const seed of seedRange(3)) {
     const run = createFixture(seed, 120);
     run.callers.start();
@@ -647,7 +647,7 @@
   }
 });
 
-void test('R2: the backup dies amid a write and the disk fills before the primary goes on alone: what already lasts is never told as refused', () => {
+void test('R2: a write that is already durable is never reported as rejected when the backup dies during it and the disk of the primary is full', () => {
   for (const seed of seedRange(4)) {
     const run = createFixture(seed, 10);
     run.callers.start();
@@ -668,13 +668,13 @@
     const isStored = run.world.primary()?.hasResultOf(write.id) === true;
     assert.ok(
       write.reply?.status === 504 || !isStored,
-      `told ${write.reply?.status ?? 0}, in the store: ${isStored}`,
+      `replied ${write.reply?.status ?? 0}, stored: ${isStored}`,
     );
     assert.deepEqual(finishRun(run), []);
   }
 });
 
-void test('lost write: a store that was left out never serves what it has, neither while voters remember nor when all of them forgot', () => {
+void test('a store that was removed from the in-sync set never serves its stale state, whether or not the voters keep their memory', () => {
   for (const losesVoterState of [false, true]) {
     for (const seed of seedRange(2)) {
       const run = createFixture(seed, 10);
@@ -683,7 +683,7 @@
       const primary = run.world.primary();
       const backup = run.world.stores.find((store) => store !== primary);
       assert.ok(primary !== undefined && backup !== undefined);
-      // The backup hears nothing of being left out.
+      // The backup does not learn that it was removed from the in-sync set.
       if (losesVoterState) backup.kill();
       else run.faults.isolate([backup], 'both');
       run.world.runFor(300);
@@ -697,7 +697,11 @@
       backup.start();
       for (let round = 0; round < 80; round += 1) {
         run.world.runFor(100);
-        assert.equal(run.world.primary(), undefined, 'nobody serves without the last write');
+        assert.equal(
+          run.world.primary(),
+          undefined,
+          'no store becomes primary without the last write',
+        );
       }
       primary.start();
       assert.ok(run.world.runUntil(6000, () => run.world.primary() === primary));
@@ -708,7 +712,7 @@
   }
 });
 
-void test('a description is taken whole or refused whole, and a call that is repeated is answered as before and done once', () => {
+void test('a configuration is accepted or rejected as a whole, and a repeated command gets the same reply and runs once', () => {
   for (const seed of seedRange(3)) {
     const run = createFixture(seed, 10);
     run.callers.start();
@@ -722,7 +726,7 @@
     assert.equal(run.world.primary()?.state?.control.configuration?.offer, before);
     const first = run.world.apply(12);
     assert.ok(run.world.runUntil(4000, () => first.reply !== undefined));
-    // Asked twice at once, at two registries.
+    // The same command is sent concurrently to two registries.
     const original = run.world.apply(14);
     const duplicate = run.world.apply(14, undefined, 'plain', original);
     assert.ok(
@@ -734,7 +738,7 @@
       run.world.primary()?.state?.control.configuration?.offer.generation,
       original.reply?.generation,
     );
-    // The operator heard nothing and asks again, after another one was taken, and after the primary moved.
+    // The operator got no reply and repeats the command after another one was accepted and the primary changed.
     const later = run.world.apply(13);
     assert.ok(run.world.runUntil(4000, () => later.reply !== undefined));
     run.world.primary()?.kill();
--- a/packages/simulator/src/run/large-configuration.test.ts
+++ b/packages/simulator/src/run/large-configuration.test.ts
@@ -1,7 +1,4 @@
-/**
- * Whatever configuration can be applied can be read back whole, and no frame on the way is larger
- * than a frame may be.
- */
+/** Guards against large configurations that can't be read back, or that exceed the maximum frame size on the way. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -26,7 +23,7 @@
   services: [{ name: toServiceName('clips'), origins: 1, slots: 4, perSecond: undefined }],
 };
 
-/** Frames that bear chunks of a configuration, or all of it. */
+/** Kinds of frames that carry chunks of a configuration, or all of it. */
 const measuredFrameKinds: ReadonlySet<Frame['kind']> = new Set([
   'call',
   'called',
@@ -35,7 +32,7 @@
   'resync-entries',
 ]);
 
-/** A world that weighs the frames which bear chunks. */
+/** A world that records the size of the largest frame with configuration chunks. */
 class FrameMeasuringWorld extends World {
   largestFrame = 0;
   override readonly frameObserver: FrameObserver = {
@@ -46,7 +43,7 @@
   };
 }
 
-/** A configuration of many routes, each padded to a length. */
+/** Creates a configuration of many routes with paths padded to a length. */
 const createLargeConfiguration = (routes: number, pathLength: number): object => ({
   ...createConfiguration(layout, 1),
   routes: Array.from({ length: routes }, (_, index) => ({
@@ -114,7 +111,7 @@
 ] as const;
 
 for (const { routes, pathLength, minBytes } of sizes) {
-  void test(`${routes} routes of ${pathLength} signs are applied, read back equal from each registry, and get to a new store, in frames of bounded size`, (context) => {
+  void test(`a configuration of ${routes} routes with paths of ${pathLength} characters is applied, read back unchanged from each registry and copied to a new store in frames of bounded size`, (context) => {
     const world = new FrameMeasuringWorld(layout);
     world.bootstrap();
     const configuration = createLargeConfiguration(routes, pathLength);
@@ -132,10 +129,10 @@
           (edge) => edge.state?.nodeAgent.compiledConfiguration?.hash === chunked.hash,
         ),
       ),
-      'in force at each edge',
+      'every edge runs the configuration',
     );
     context.diagnostic(
-      `${bytes} bytes: acknowledged after ${Math.round(acknowledgedAt - requestedAt)} ms, in force ${Math.round(world.eventQueue.now - acknowledgedAt)} ms later (simulated time)`,
+      `${bytes} bytes: acknowledged after ${Math.round(acknowledgedAt - requestedAt)} ms, active on every edge ${Math.round(world.eventQueue.now - acknowledgedAt)} ms later (simulated time)`,
     );
     world.runFor(2000);
     for (const [index, registry] of world.registries.entries())
@@ -143,7 +140,7 @@
     const inSync = (): readonly string[] => world.primary()?.state?.metadata?.inSyncSet ?? [];
     assert.ok(
       world.runUntil(5000, () => inSync().length === 3),
-      'all stores took the write',
+      'all stores are in sync',
     );
     const removed = world.stores.find((store) => store !== world.primary());
     assert.ok(removed !== undefined);
@@ -151,13 +148,13 @@
     const added = world.addStore('store-9', 9);
     assert.ok(
       world.runUntil(8000, () => inSync().includes(added.node)),
-      'a new store got all of it',
+      'the new store is in sync',
     );
-    assert.ok(world.largestFrame <= maxFrameBytes, `a frame of ${world.largestFrame} bytes`);
+    assert.ok(world.largestFrame <= maxFrameBytes, `largest frame has ${world.largestFrame} bytes`);
   });
 }
 
-void test('a description is read back while others are put in force 20 times a second: what is read was in force meanwhile', () => {
+void test('a configuration read back during 20 changes a second was active at some time during the read', () => {
   const world = new World(layout);
   world.bootstrap();
   const alternatives = [0, 1].map((index) =>
@@ -191,7 +188,10 @@
     const after = world.primary()?.state?.control.configuration?.offer.generation ?? noGeneration;
     assert.ok(reply?.status === 200, reply?.body.slice(0, 200));
     const generation = Number(/"generation":(\d+)/.exec(reply.body)?.[1]);
-    assert.ok(generation >= before && generation <= after, `${before} ${generation} ${after}`);
+    assert.ok(
+      generation >= before && generation <= after,
+      `active before: ${before}, read: ${generation}, active after: ${after}`,
+    );
     world.runFor(70);
   }
   isRunning = false;
--- a/packages/simulator/src/run/many-changes.test.ts
+++ b/packages/simulator/src/run/many-changes.test.ts
@@ -1,7 +1,4 @@
-/**
- * Point 4 of the control side's review: changes that never stop, and members that restart amid them.
- * What a restarted store must do to be in sync again may depend on the size of the state only.
- */
+/** Guards against resync times of a restarted store that grow with the number of changes it missed. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -9,20 +6,19 @@
 import type { OperatorWrite } from '../world/world.js';
 import { type Fixture, finishRun, createFixture } from './fixture.js';
 
-/** Changes come this often, in milliseconds: 20 a second. */
 const changeIntervalMs = 50;
-/** In which time a restarted store is in sync again, however many changes there were and go on. */
+/** Maximum time until a restarted store is in sync, independent of the number of changes. */
 const resyncLimitMs = 2500;
 const copies = 3;
 
-/** How the disk of a store looks when its process starts again. */
+/** State of a store's disk when its process restarts. */
 type DiskState = 'its own disk' | 'an old disk' | 'a torn disk' | 'no disk';
 const diskStates: readonly DiskState[] = ['its own disk', 'an old disk', 'a torn disk', 'no disk'];
 
 const inSyncSet = (run: Fixture): readonly string[] =>
   run.world.primary()?.state?.metadata?.inSyncSet ?? [];
 
-/** A formed fleet of three stores, all of them in sync. */
+/** Creates a fleet of three stores that are all in sync. */
 const createFleet = (seed: number): Fixture => {
   const run = createFixture(seed, 2, {
     edges: 1,
@@ -35,7 +31,7 @@
   return run;
 };
 
-/** Operators who hand in a change every 50 ms until they are stopped: three purges to each configuration. */
+/** Operators that submit a change every 50 ms until they are stopped: three purges, then one configuration. */
 class Operators {
   readonly writes: OperatorWrite[] = [];
   readonly #run: Fixture;
@@ -83,7 +79,7 @@
   }
 };
 
-/** Restarts a backup after a span of changes that go on; tells how long it took to be in sync again. */
+/** Restarts a backup during continuous changes and returns the time in milliseconds until it was in sync. */
 const measureResync = (run: Fixture, diskState: DiskState, downtimeMs: number): number => {
   const { world } = run;
   const backup = world.stores.find(
@@ -94,7 +90,10 @@
   world.runFor(1000);
   backup.kill();
   world.runFor(downtimeMs);
-  assert.ok(!inSyncSet(run).includes(backup.node), 'it was left out');
+  assert.ok(
+    !inSyncSet(run).includes(backup.node),
+    'the killed backup was removed from the in-sync set',
+  );
   replaceDisk(backup, diskState, syncedCount);
   const startedAt = world.eventQueue.now;
   backup.start();
@@ -102,7 +101,7 @@
   return world.eventQueue.now - startedAt;
 };
 
-/** Whatever was confirmed is what the primary holds: the newest generation and the newest purge. */
+/** Asserts that the primary holds the newest confirmed generation and purge. */
 const assertNewestKept = (run: Fixture, operators: Operators, context: string): void => {
   const control = run.world.primary()?.state?.control;
   const confirmed = operators.confirmed;
@@ -110,13 +109,16 @@
   const purge = Math.max(...confirmed.map((write) => write.reply?.purge ?? 0));
   assert.ok(
     (control?.configuration?.offer.generation ?? 0) >= generation,
-    `${context}: generation`,
+    `${context}: the newest confirmed generation is lost`,
+  );
+  assert.ok(
+    (control?.purges.at(-1)?.seq ?? 0) >= purge,
+    `${context}: the newest confirmed purge is lost`,
   );
-  assert.ok((control?.purges.at(-1)?.seq ?? 0) >= purge, `${context}: purge`);
 };
 
 for (const diskState of diskStates) {
-  void test(`amid changes that never stop a store that restarts with ${diskState} is in sync within ${resyncLimitMs} ms, after 2 s of changes as after 15 s`, () => {
+  void test(`a store that restarts with ${diskState} during continuous changes is in sync within ${resyncLimitMs} ms, whether it was down for 2 s or 15 s`, () => {
     for (const [index, downtimeMs] of [2000, 15_000].entries()) {
       const run = createFleet(500 + index);
       const operators = new Operators(run);
@@ -128,19 +130,19 @@
       run.world.runFor(3000);
       assert.ok(
         resyncMs <= resyncLimitMs,
-        `away ${downtimeMs} ms: in sync after ${Math.round(resyncMs)} ms`,
+        `down for ${downtimeMs} ms: in sync after ${Math.round(resyncMs)} ms`,
       );
       assert.ok(
         operators.confirmed.length - confirmedBefore > 30,
-        `away ${downtimeMs} ms: writes were confirmed all the while`,
+        `down for ${downtimeMs} ms: writes are confirmed throughout`,
       );
-      assertNewestKept(run, operators, `away ${downtimeMs} ms`);
+      assertNewestKept(run, operators, `down for ${downtimeMs} ms`);
       assert.deepEqual(finishRun(run), []);
     }
   });
 }
 
-void test('a store that was away for 300 changes and restarts as the primary dies never leads with what its disk held', () => {
+void test('a store that missed 300 changes and restarts when the primary dies never becomes primary with its stale state', () => {
   for (const diskState of ['its own disk', 'an old disk'] as const) {
     const run = createFleet(520);
     const { world } = run;
@@ -157,7 +159,7 @@
     staleStore.start();
     assert.ok(
       world.runUntil(5000, () => world.primary() !== undefined),
-      'a primary',
+      'a primary is elected',
     );
     assert.notEqual(world.primary()?.node, staleStore.node);
     assertNewestKept(run, operators, diskState);
--- a/packages/simulator/src/run/network-partition.test.ts
+++ b/packages/simulator/src/run/network-partition.test.ts
@@ -1,4 +1,4 @@
-/** One core machine is cut off from the others for twenty seconds, in each way that it can be. */
+/** Network partitions between one core machine and the rest of the fleet, with each kind of link failure. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -11,13 +11,13 @@
 import { type Fixture, finishRun, createFixture, seedRange } from './fixture.js';
 
 const partitionMs = 20_000;
-/** How long a registry may take to know that it is cut off, and a call to be answered there. */
+/** Maximum time until a registry detects that it is disconnected, and for its reply to a request. */
 const detectionLimitMs = 1300;
 const replyLimitMs = 1000;
-/** How long after its acknowledgement a node may still start on the configuration before. */
+/** Maximum time after an acknowledgement at which a node may still activate an older configuration. */
 const propagationLimitMs = 2000;
 
-/** The machine that is cut off: a store with its registry. */
+/** A core machine: a store with its registry. */
 interface Machine {
   readonly store: SimulatedStore;
   readonly registry: SimulatedRegistry;
@@ -47,7 +47,7 @@
   return { store, registry, processes: run.faults.processesOnMachineOf(store) };
 };
 
-/** One way to lose a machine: what is done to each direction of each of its links. */
+/** A kind of link failure, applied to each direction of each link of the machine. */
 interface LinkFault {
   readonly name: string;
   readonly inject: (
@@ -86,7 +86,7 @@
   },
 ];
 
-/** Cuts a machine off from all others but those of its own side. */
+/** Disconnects a machine from all processes except those on its side of the partition. */
 const isolateMachine = (
   run: Fixture,
   machine: Machine,
@@ -103,7 +103,7 @@
   }
 };
 
-/** Asks a registry now and then, and keeps what it answers. */
+/** A request to a registry during the partition, and its reply. */
 interface Probe {
   readonly at: number;
   readonly verb: 'purge' | 'view';
@@ -126,7 +126,7 @@
   return probe;
 };
 
-/** Applies a configuration, with as many tries as it takes; gives its generation. */
+/** Applies a configuration, retried until it is accepted, and returns its generation. */
 const applyAccepted = (run: Fixture, marker: number): number => {
   for (let attempt = 0; attempt < 30; attempt += 1) {
     const before = run.world.highestAcknowledgedGeneration();
@@ -135,10 +135,10 @@
     if (write.reply?.status === 200 && run.world.highestAcknowledgedGeneration() > before)
       return run.world.highestAcknowledgedGeneration();
   }
-  assert.fail('no description is taken');
+  assert.fail('no configuration was accepted in 30 attempts');
 };
 
-/** What the cut-off registry said: no command confirmed, no reply after the lease, each within a second. */
+/** Asserts that each probe got a timely reply, no command was confirmed and no view returned after the lease. */
 const assertProbeReplies = (
   partitionedAt: number,
   restartedAt: number,
@@ -147,13 +147,16 @@
 ): void => {
   for (const probe of probes) {
     const reply = probe.reply;
-    const context = `${label}: ${probe.verb} ${Math.round(probe.at - partitionedAt)} ms after the cut: ${reply?.status}`;
-    assert.ok(reply !== undefined, `${context}: no answer`);
-    assert.ok(reply.at - probe.at <= replyLimitMs, `${context} in ${reply.at - probe.at} ms`);
-    // A primary on this side may tell what is stored for as long as its lease stands: nobody else can change it.
+    const context = `${label}: ${probe.verb} ${Math.round(probe.at - partitionedAt)} ms after the partition: ${reply?.status}`;
+    assert.ok(reply !== undefined, `${context}: no reply`);
+    assert.ok(
+      reply.at - probe.at <= replyLimitMs,
+      `${context}, replied after ${reply.at - probe.at} ms`,
+    );
+    // A primary on this side may serve reads until its lease expires: no other store can change the state.
     if (probe.verb === 'view' && reply.at - partitionedAt <= maxLeaseMs) continue;
     assert.ok(reply.status === 503 || reply.status === 504, context);
-    // One that has just been cut off, or restarted, may have passed an order on before it knew.
+    // A registry that was just disconnected or restarted may have forwarded a command before it detected that.
     const isDetected = [partitionedAt, restartedAt].every(
       (at) => probe.at < at || probe.at - at > detectionLimitMs,
     );
@@ -161,7 +164,7 @@
   }
 };
 
-/** No node came to run a configuration that an acknowledged one had replaced. */
+/** Asserts that no node activated a configuration older than one acknowledged before. */
 const assertNoStaleActivation = (
   acknowledged: readonly { readonly generation: number; readonly at: number }[],
   nodes: readonly SimulatedProxy[],
@@ -177,20 +180,20 @@
       );
       assert.ok(
         activation.generation >= newest,
-        `${label}: ${node.node} took ${activation.generation} though ${newest} had been confirmed`,
+        `${label}: ${node.node} activated ${activation.generation} after ${newest} had been acknowledged`,
       );
     }
   }
 };
 
 interface PartitionOptions {
-  /** Which nodes are on the side that is cut off. */
+  /** Nodes on the disconnected machine's side of the partition. */
   readonly side?: (run: Fixture) => readonly SimulatedProcess[];
-  /** What happens in the midst of the cut. */
+  /** Faults injected during the partition. */
   readonly duringPartition?: (run: Fixture, machine: Machine) => void;
 }
 
-/** The whole course: a cut of the primary's machine, orders on both sides, starts of edges, the healing. */
+/** Partitions the primary's machine, sends commands on both sides, starts edges, heals the partition. */
 const runPartition = (
   seed: number,
   linkFault: LinkFault,
@@ -211,7 +214,7 @@
       world.runFor(250);
     }
   };
-  // The first calls come after the last answer of the primary that was under way.
+  // Wait for replies of the primary that are still in flight.
   world.runFor(100);
   probeUntil(4000);
   const acknowledged: { readonly generation: number; readonly at: number }[] = [];
@@ -219,7 +222,7 @@
     const generation = applyAccepted(run, 50 + round);
     acknowledged.push({ generation, at: world.eventQueue.now });
   }
-  // Edges with an empty memory: one knows the cut-off registry among others, one nothing else.
+  // Edges without state: one has the disconnected registry among its seeds, the other has no other seed.
   const otherAddresses = world.registries
     .filter((other) => other !== registry)
     .map((registry) => registry.address);
@@ -235,7 +238,7 @@
   if (side === undefined)
     assert.ok(
       world.runUntil(1500, () => newEdge.activations.at(-1)?.generation === newest),
-      `${label}: the fresh edge runs ${JSON.stringify(newEdge.activations)} of ${newest}`,
+      `${label}: the new edge activated ${JSON.stringify(newEdge.activations)}, newest is ${newest}`,
     );
   const restartedAt = world.eventQueue.now;
   duringPartition?.(run, machine);
@@ -243,7 +246,7 @@
   assert.deepEqual(
     isolatedEdge.activations,
     [],
-    `${label}: an edge met the cut-off registry alone`,
+    `${label}: the edge that reaches only the disconnected registry activates nothing`,
   );
   assertProbeReplies(
     partitionedAt,
@@ -257,20 +260,20 @@
   assertNoStaleActivation(acknowledged, world.proxies, label);
   assert.ok(
     world.runUntil(5000, () => world.proxies.every((proxy) => proxy.isReady)),
-    `${label}: all are ready again`,
+    `${label}: every node is ready after the partition`,
   );
   const finalGeneration = applyAccepted(run, 90);
   assert.ok(
     world.runUntil(3000, () =>
       world.proxies.every((proxy) => proxy.activations.at(-1)?.generation === finalGeneration),
     ),
-    `${label}: ${finalGeneration} is in force ${Math.round(world.eventQueue.now - healedAt)} ms after the cut`,
+    `${label}: ${finalGeneration} is not active on every node ${Math.round(world.eventQueue.now - healedAt)} ms after the partition`,
   );
   return run;
 };
 
 for (const linkFault of linkFaults)
-  void test(`the primary's machine is cut off for twenty seconds, ${linkFault.name}`, () => {
+  void test(`the fleet survives a partition of the primary's machine for twenty seconds, links ${linkFault.name}`, () => {
     for (const seed of seedRange(2)) assert.deepEqual(finishRun(runPartition(seed, linkFault)), []);
   });
 
@@ -279,7 +282,7 @@
   inject: (run, from, to) => run.world.network.cut(from.node, to.node),
 };
 
-void test('processes of the cut-off machine restart there: they hand out and confirm nothing', () => {
+void test('processes that restart on the disconnected machine confirm no command and return no state', () => {
   for (const seed of seedRange(2)) {
     const duringPartition = (run: Fixture, machine: Machine): void => {
       for (const process of machine.processes) {
@@ -291,7 +294,7 @@
   }
 });
 
-void test('the primary is cut off with its clients: an edge on its side takes nothing old and starts on nothing', () => {
+void test('an edge partitioned together with the primary activates nothing stale and is not ready after a restart', () => {
   for (const seed of seedRange(2)) {
     const side = (run: Fixture): readonly SimulatedProcess[] => run.world.edges.slice(0, 1);
     const duringPartition = (run: Fixture): void => {
@@ -303,7 +306,7 @@
   }
 });
 
-void test('a registry that is cut off from the stores alone, or from the voters alone, answers within a second', () => {
+void test('a registry disconnected only from the stores, or only from the voters, replies within a second', () => {
   for (const seed of seedRange(2)) {
     for (const role of ['stores', 'registries'] as const) {
       const run = createFleet(seed);
@@ -324,9 +327,9 @@
       }
       world.runFor(replyLimitMs);
       for (const probe of probes) {
-        const context = `cut off from ${role}, seed ${seed}: ${probe.verb} ${probe.reply?.status}`;
+        const context = `disconnected from ${role}, seed ${seed}: ${probe.verb} ${probe.reply?.status}`;
         assert.ok(probe.reply !== undefined && probe.reply.at - probe.at <= replyLimitMs, context);
-        // While it still reaches the primary it may pass calls on; those are confirmed there.
+        // A registry that still reaches the primary may forward commands, and the primary confirms them.
         if (role === 'stores') assert.ok([503, 504].includes(probe.reply.status), context);
       }
       world.network.heal();
--- a/packages/simulator/src/run/operators.test.ts
+++ b/packages/simulator/src/run/operators.test.ts
@@ -1,4 +1,4 @@
-/** Operators that number their configurations, repeat their commands and race. */
+/** Concurrent and repeated commands of operators that choose the generation numbers. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -31,7 +31,7 @@
 const hashOfMarker = (run: Fixture, marker: number): string =>
   splitMarkedConfiguration(run, marker).hash;
 
-/** Sends a numbered configuration through one registry; the answer comes into the box. */
+/** Sends a configuration under a generation number to a registry; the reply is set on the result once it arrives. */
 const send = (
   run: Fixture,
   registry: SimulatedRegistry,
@@ -60,14 +60,14 @@
 const registryAt = (run: Fixture, index: number): SimulatedRegistry => {
   const alive = run.world.registries.filter((registry) => registry.isAlive);
   const registry = alive[index % alive.length];
-  if (registry === undefined) throw new Error('no registry lives');
+  if (registry === undefined) throw new Error('no registry is alive');
   return registry;
 };
 
 const isDefinite = (reply: RegistryReply | undefined): reply is RegistryReply =>
   reply !== undefined && reply.status < 500;
 
-/** Sends a numbered configuration again and again, each time to another registry, until it has a clear answer. */
+/** Sends a configuration under a generation number to registries in turn until a status is below 500. */
 const submit = (
   run: Fixture,
   generation: number,
@@ -80,7 +80,7 @@
     if (isDefinite(response.reply)) return response.reply;
     run.world.runFor(500);
   }
-  throw new Error('no clear answer');
+  throw new Error('no definite reply in 8 attempts');
 };
 
 const requestRelease = (run: Fixture, target: Release, firstIndex = 0): RegistryReply => {
@@ -96,7 +96,7 @@
     if (isDefinite(pendingReply)) return pendingReply;
     run.world.runFor(500);
   }
-  throw new Error('no clear answer');
+  throw new Error('no definite reply in 8 attempts');
 };
 
 const storedConfiguration = (
@@ -127,7 +127,7 @@
   assert.ok(hasFailedOver, 'a backup takes over');
 };
 
-void test('two operators race under one number: one is confirmed, the other refused with both hashes named', () => {
+void test('of two operators that use one generation number, one is confirmed and the other rejected with both hashes', () => {
   for (const seed of seedRange(6)) {
     const run = createFixture(seed, 10);
     const responses = [11, 12].map((marker, index) => send(run, registryAt(run, index), 7, marker));
@@ -143,7 +143,7 @@
       [storedConfiguration(run)?.generation, storedConfiguration(run)?.hash],
       [7, hashOfMarker(run, acceptedMarker)],
     );
-    // The loser sends again, to each registry: never confirmed; the winner always is.
+    // A repeated command has the same outcome at each registry.
     for (let index = 0; index < 3; index += 1) {
       assert.equal(submit(run, 7, acceptedMarker === 11 ? 12 : 11, index).status, 409);
       assert.equal(submit(run, 7, acceptedMarker, index).status, 200);
@@ -152,16 +152,24 @@
   }
 });
 
-void test('a number keeps its content through newer numbers, a takeover and a full loss', () => {
+void test('a generation number keeps its configuration through newer generations, a failover and a full restart', () => {
   for (const seed of seedRange(3)) {
     const run = createFixture(seed, 10);
     assert.equal(submit(run, 5, 21).status, 200);
     assert.equal(submit(run, 9, 22).status, 200);
     const assertNumbersKept = (when: string): void => {
-      assert.equal(submit(run, 5, 23).status, 409, `other content under a taken number ${when}`);
-      assert.equal(submit(run, 9, 23).status, 409, `other content under the newest ${when}`);
-      assert.equal(submit(run, 5, 21).status, 200, `the same content again ${when}`);
-      assert.equal(submit(run, 9, 22).status, 200, `the newest again ${when}`);
+      assert.equal(
+        submit(run, 5, 23).status,
+        409,
+        `other configuration under a used number ${when}`,
+      );
+      assert.equal(
+        submit(run, 9, 23).status,
+        409,
+        `other configuration under the newest number ${when}`,
+      );
+      assert.equal(submit(run, 5, 21).status, 200, `the same configuration repeated ${when}`);
+      assert.equal(submit(run, 9, 22).status, 200, `the newest configuration repeated ${when}`);
       assert.deepEqual(
         [storedConfiguration(run)?.generation, storedConfiguration(run)?.hash],
         [9, hashOfMarker(run, 22)],
@@ -169,14 +177,14 @@
     };
     assertNumbersKept('at once');
     failOver(run);
-    assertNumbersKept('after a takeover');
+    assertNumbersKept('after a failover');
     restartAll(run);
-    assertNumbersKept('after a full loss');
+    assertNumbersKept('after a full restart');
     assert.deepEqual(finishRun(run), []);
   }
 });
 
-void test('a number below the newest that nobody took is acknowledged, alters nothing, and has one content from then on', () => {
+void test('an unused generation number below the newest is acknowledged, changes nothing and keeps its configuration from then on', () => {
   const run = createFixture(100, 10);
   assert.equal(submit(run, 9, 31).status, 200);
   assert.equal(submit(run, 4, 32).status, 200);
@@ -191,7 +199,7 @@
   assert.deepEqual(finishRun(run), []);
 });
 
-void test('a lower number that comes while a higher one is written is acknowledged and alters nothing', () => {
+void test('a lower generation number sent while a higher one is being written is acknowledged and changes nothing', () => {
   for (const seed of seedRange(6)) {
     const run = createFixture(seed, 10);
     const responses = [
@@ -214,12 +222,12 @@
   }
 });
 
-void test('a configuration whose answer is lost with the primary is acknowledged again, everywhere', () => {
+void test('a configuration whose reply is lost with the primary is acknowledged by every registry when it is repeated', () => {
   for (const seed of seedRange(6)) {
     const run = createFixture(seed, 10);
     const response = send(run, registryAt(run, 0), 7, 51);
     const primary = run.world.primary();
-    // The write lasts on the primary's disk or on both when it dies: whichever, the same order is acknowledged.
+    // The primary dies with the write on its own disk only, or on both: a retry is acknowledged either way.
     run.world.runUntil(
       2000,
       () => primary?.writePhase === (seed % 2 === 0 ? 'writingToDisk' : 'replicating'),
@@ -240,7 +248,7 @@
   }
 });
 
-void test('an order of a release that was accepted is acknowledged again after another one, and not begun twice', () => {
+void test('a release request that was accepted is acknowledged when it is repeated after another one, and starts no second rollout', () => {
   for (const seed of seedRange(2)) {
     const run = createFixture(seed, 40);
     run.callers.start();
@@ -251,29 +259,25 @@
     assert.ok(run.world.runUntil(12_000, () => releaseRollout(run)?.phase === 'good'));
     assert.equal(requestRelease(run, r3).status, 200);
     const secondRolloutNumber = releaseRollout(run)?.order;
-    assert.equal(
-      requestRelease(run, r2, 1).status,
-      200,
-      'the first again while the second is under way',
-    );
+    assert.equal(requestRelease(run, r2, 1).status, 200, 'the first repeated during the second');
     assert.equal(releaseRollout(run)?.order, secondRolloutNumber);
     assert.ok(run.world.runUntil(12_000, () => releaseRollout(run)?.phase === 'good'));
-    assert.equal(requestRelease(run, r2, 2).status, 200, 'the first again after the second');
+    assert.equal(requestRelease(run, r2, 2).status, 200, 'the first repeated after the second');
     assert.equal(releaseRollout(run)?.order, secondRolloutNumber);
     restartAll(run);
-    assert.equal(requestRelease(run, r2).status, 200, 'the first again after a full loss');
-    assert.equal(requestRelease(run, r3).status, 200, 'the second again after a full loss');
+    assert.equal(requestRelease(run, r2).status, 200, 'the first repeated after a full restart');
+    assert.equal(requestRelease(run, r3).status, 200, 'the second repeated after a full restart');
     assert.equal(releaseRollout(run)?.order, secondRolloutNumber);
     assert.deepEqual(finishRun(run), []);
   }
 });
 
-void test('an order whose release was judged bad is acknowledged again after its term, and not begun twice', () => {
+void test('a release request whose rollout ended as bad is acknowledged when it is repeated, and starts no second rollout', () => {
   for (const seed of seedRange(2)) {
     const run = createFixture(seed, 40);
     run.callers.start();
     run.world.runFor(1500);
-    // No origin of this release stands: it is judged bad at its term.
+    // No origin runs this release: the rollout ends as bad after its span.
     assert.equal(requestRelease(run, r2).status, 200);
     assert.ok(run.world.runUntil(12_000, () => releaseRollout(run)?.phase === 'bad'));
     const rolloutNumber = releaseRollout(run)?.order;
@@ -287,7 +291,7 @@
   }
 });
 
-void test('an origin that leaves tells so again, to any registry, and is acknowledged each time', () => {
+void test('repeated leave announcements of an origin are acknowledged by every registry', () => {
   const run = createFixture(100, 10);
   const origin = run.world.origins[0];
   assert.ok(origin !== undefined);
@@ -305,10 +309,14 @@
   };
   for (const state of ['leaving', 'leaving', 'gone', 'leaving', 'gone'] as const)
     for (let index = 0; index < 3; index += 1)
-      assert.equal(announce(state, index), 200, `${state} at ${index}`);
+      assert.equal(announce(state, index), 200, `${state} at registry ${index}`);
   restartAll(run);
   for (const state of ['gone', 'leaving'] as const)
     for (let index = 0; index < 3; index += 1)
-      assert.equal(announce(state, index), 200, `${state} at ${index} after a full loss`);
+      assert.equal(
+        announce(state, index),
+        200,
+        `${state} at registry ${index} after a full restart`,
+      );
   assert.deepEqual(finishRun(run), []);
 });
--- a/packages/simulator/src/run/origin-departure.test.ts
+++ b/packages/simulator/src/run/origin-departure.test.ts
@@ -1,4 +1,4 @@
-/** Origins that leave. */
+/** Departures of origins while registries fail: an origin that was told it may stop must get no more requests. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -17,7 +17,7 @@
   const departing = run.world.origins.find(
     (origin) => origin.service === clips && origin.state === 'up',
   );
-  if (departing === undefined) throw new Error('no origin');
+  if (departing === undefined) throw new Error('no origin of clips is up');
   run.world.addOrigin(clips, departing.slots);
   return departing;
 };
@@ -40,7 +40,7 @@
     (registry) => registry.state?.origins.get(origin.instance)?.state === 'leaving',
   ).length;
 
-void test('R6: the registry loses power as it confirms that an origin leaves, with all that it had under way: nothing reaches the origin two seconds on', () => {
+void test('R6: a departed origin receives no requests after two seconds although the registry that confirmed its departure lost power', () => {
   for (const seed of seedRange(6)) {
     const run = createLoadedFleet(seed);
     const origin = pickDepartingOrigin(run);
@@ -52,15 +52,15 @@
     );
     assert.ok(
       registry !== undefined && run.world.eventQueue.now - requestedAt < 100,
-      'it is known soon',
+      'a registry knows the departure within 100 ms',
     );
     const machine = run.faults.processesOnMachineOf(registry);
-    // What it sent and has not arrived is lost too.
+    // Messages of the machine that are still in flight are lost too.
     run.faults.isolate(machine, 'both');
     for (const process of machine) process.kill();
     assert.ok(
       informedRegistryCount(run, origin) >= Math.floor(run.world.registries.length / 2),
-      `${informedRegistryCount(run, origin)} others know`,
+      `only ${informedRegistryCount(run, origin)} registries know the departure`,
     );
     run.world.runFor(4000);
     run.world.network.heal();
@@ -70,7 +70,7 @@
   }
 });
 
-void test('R6: a registry on the lesser side of a fresh cut confirms nothing, and says so within a second; the other side confirms at once', () => {
+void test('R6: a registry on the minority side of a partition rejects a departure within a second, and the majority side confirms it', () => {
   for (const seed of seedRange(4)) {
     const run = createLoadedFleet(seed);
     const origin = pickDepartingOrigin(run);
@@ -91,7 +91,7 @@
     });
     assert.ok(
       run.world.runUntil(1000, () => reply !== undefined),
-      'it is told in time',
+      'the minority registry replies within a second',
     );
     assert.equal(reply?.status, 503);
     run.world.network.heal();
@@ -106,7 +106,11 @@
       assert.ok(run.world.runUntil(500, () => isConfirmed));
       confirmationTimesMs.push(run.world.eventQueue.now - from);
     }
-    assert.equal(confirmationTimesMs[1], 0, 'what is confirmed is told again at once');
+    assert.equal(
+      confirmationTimesMs[1],
+      0,
+      'a confirmed departure is acknowledged again without delay',
+    );
     origin.state = 'leaving';
     origin.departureKnownAt ??= run.world.eventQueue.now;
     run.world.runFor(3000);
--- a/packages/simulator/src/run/random-faults.test.ts
+++ b/packages/simulator/src/run/random-faults.test.ts
@@ -1,4 +1,4 @@
-/** Random faults of all kinds, from fixed seeds. */
+/** Random fault injection with fixed seeds: every rule must hold, and every rule must be exercised. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -15,7 +15,7 @@
 const coverage = new Map<CoverageGoal, number>();
 
 for (const seed of seedRange(10)) {
-  void test(`a storm of twenty-five faults of all kinds, seed ${seed}: every rule holds and the fleet serves again`, () => {
+  void test(`every rule holds and the fleet recovers from twenty-five random faults of all kinds, seed ${seed}`, () => {
     const report = runRandomFaults({
       seed,
       faultCount: 25,
@@ -28,28 +28,34 @@
   });
 }
 
-/** Storms of a few faults each, for what comes about rarely by chance. */
+/** Sets of few fault kinds each, for combinations that are rare among faults of all kinds. */
 const faultMixes: readonly (readonly [string, readonly string[]])[] = [
   [
-    'power and disks lost amid writes',
+    'power and disk losses during writes',
     ['power lost', 'disk lost', 'fill disk', 'stall disk', 'freeze store', 'apply'],
   ],
-  ['releases under lost keepers', ['bad release', 'good release', 'kill proxy', 'freeze proxy']],
-  ['ailing origins under lost keepers', ['losing origin', 'crash origin', 'kill proxy', 'flood']],
   [
-    'origins that leave a core that is cut',
+    'releases and lost service leaders',
+    ['bad release', 'good release', 'kill proxy', 'freeze proxy'],
+  ],
+  [
+    'failing origins and lost service leaders',
+    ['losing origin', 'crash origin', 'kill proxy', 'flood'],
+  ],
+  [
+    'origin departures during network partitions',
     ['replace origin', 'reuse address', 'isolate machine', 'split core'],
   ],
-  ['origins that die at work', ['crash origin', 'slow origin', 'losing origin']],
-  ['purges and cuts', ['purge', 'slow origin', 'isolate machine', 'freeze proxy']],
+  ['origins that crash during requests', ['crash origin', 'slow origin', 'losing origin']],
+  ['purges and network partitions', ['purge', 'slow origin', 'isolate machine', 'freeze proxy']],
   [
-    'places lost and replaced',
+    'lost zones and replaced registries',
     ['lose an area', 'replace a registry', 'kill everything', 'stop all in turn', 'apply'],
   ],
-  ['primaries frozen amid writes', ['freeze store', 'apply', 'purge']],
+  ['primaries frozen during writes', ['freeze store', 'apply', 'purge']],
 ];
 for (const [index, [name, faultNames]] of faultMixes.entries()) {
-  void test(`a storm of ${name}`, () => {
+  void test(`every rule holds under random faults: ${name}`, () => {
     for (const seed of [500 + index, 600 + index, 700 + index]) {
       const report = runRandomFaults({
         seed,
@@ -63,22 +69,16 @@
   });
 }
 
-/** Runs in which operators race under one number, repeat commands and read back, beside one kind of fault. */
+/** Fault kinds combined with concurrent, repeated and read commands of operators. */
 const operatorFaultMixes: readonly (readonly [string, readonly string[]])[] = [
-  [
-    'stores that are lost',
-    ['kill store', 'freeze store', 'wipe store', 'power lost', 'stall disk'],
-  ],
-  [
-    'registries that are lost',
-    ['kill registry', 'freeze registry', 'isolate machine', 'split core'],
-  ],
-  ['full losses', ['kill everything', 'lose an area', 'fill disk', 'apply', 'purge']],
+  ['lost stores', ['kill store', 'freeze store', 'wipe store', 'power lost', 'stall disk']],
+  ['lost registries', ['kill registry', 'freeze registry', 'isolate machine', 'split core']],
+  ['full restarts', ['kill everything', 'lose an area', 'fill disk', 'apply', 'purge']],
 ];
 const operatorFaults: readonly string[] = ['numbered', 'order a release'];
 const historyCoverage = new Map<HistoryCoverageGoal, number>();
 for (const [index, [name, faultNames]] of operatorFaultMixes.entries()) {
-  void test(`a storm of operators' orders beside ${name}: their history is linearizable`, () => {
+  void test(`the history of operators' commands is linearizable under random faults: ${name}`, () => {
     for (const seed of [540 + index, 640 + index, 740 + index]) {
       const report = runRandomFaults({
         seed,
@@ -92,17 +92,17 @@
   });
 }
 
-void test('the storms of orders put every point of the history to the test', (context) => {
+void test('the runs with commands of operators reach every coverage goal of the history checker', (context) => {
   for (const goal of historyCoverageGoals)
     context.diagnostic(`${historyCoverage.get(goal) ?? 0}  ${goal}`);
   assert.deepEqual(unmetHistoryGoals(historyCoverage), []);
 });
 
-void test('the storms before put every rule to the test', () => {
+void test('the runs with random faults reach every coverage goal of the rules', () => {
   assert.deepEqual(unmetGoals(coverage), []);
 });
 
-void test('one seed is one run', () => {
+void test('runs with the same seed are identical', () => {
   const traces = [0, 1].map(() => {
     const lines: string[] = [];
     const report = runRandomFaults({
--- a/packages/simulator/src/run/registry-link.test.ts
+++ b/packages/simulator/src/run/registry-link.test.ts
@@ -1,4 +1,4 @@
-/** A node's link to its registry. */
+/** Changes of a node's registry when the registry, or the whole fleet, loses the primary. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -9,7 +9,7 @@
 const registryOf = (proxy: SimulatedProxy): string | undefined =>
   proxy.state?.nodeAgent.nodeSession.registryLink?.address;
 
-/** Lets time pass and counts how often each node changes its registry; its session must stand all the while. */
+/** Returns when each node changed its registry during a span; asserts that all sessions last throughout. */
 const watchRegistryChanges = (
   run: Fixture,
   spanMs: number,
@@ -22,7 +22,7 @@
       const { state } = proxy;
       assert.ok(
         state !== undefined && isConnected(state.nodeAgent.nodeSession, proxy.clock),
-        `the session of ${proxy.node} stands`,
+        `${proxy.node} is connected`,
       );
       const currentRegistry = registryOf(proxy);
       if (currentRegistry !== lastRegistry.get(proxy))
@@ -33,7 +33,7 @@
   return changeTimes;
 };
 
-void test('a registry that no longer hears the primary is left by its nodes, though it answers; what is applied then is in force everywhere', () => {
+void test('nodes leave a registry that replies but is disconnected from the primary, and later configurations take effect everywhere', () => {
   for (const seed of seedRange(4)) {
     const run = createFixture(seed, 40);
     run.callers.start();
@@ -47,9 +47,9 @@
       run.world.network.cut(store.node, registry.node);
       run.world.network.cut(registry.node, store.node);
     }
-    // What it knows of the primary counts for 1.2 s, half a second later nodes go.
+    // A registry's knowledge of the primary expires after 1.2 s, and nodes leave it half a second later.
     watchRegistryChanges(run, 2200);
-    // An operator whose call gets no answer, as it came to the registry that is cut off, sends another to whichever comes.
+    // Commands sent to the disconnected registry get no reply; the operator retries with other registries.
     let write = run.world.apply(50);
     for (
       let attempt = 1;
@@ -61,7 +61,7 @@
     watchRegistryChanges(run, 1500);
     assert.ok(
       run.world.proxies.every((proxy) => registryOf(proxy) !== registry.address),
-      'nobody stays or comes back',
+      'no node stays at the disconnected registry',
     );
     run.world.network.heal();
     run.world.runFor(3000);
@@ -69,21 +69,21 @@
   }
 });
 
-void test('with no primary at all nodes look around, each at most twice a second, and their sessions stand', () => {
+void test('without a primary nodes change their registry at most twice a second and keep their sessions', () => {
   for (const seed of seedRange(2)) {
     const run = createFixture(seed, 20);
     run.callers.start();
     run.world.runFor(2000);
     for (const store of run.world.stores) store.kill();
     const changeTimes = watchRegistryChanges(run, 6000);
-    assert.equal(changeTimes.size, run.world.proxies.length, 'everyone looks around');
+    assert.equal(changeTimes.size, run.world.proxies.length, 'every node tries other registries');
     for (const changedAt of changeTimes.values())
       for (const [index, time] of changedAt.entries())
         assert.ok(index === 0 || time - (changedAt[index - 1] ?? 0) >= 490, changedAt.join(', '));
     for (const store of run.world.stores) store.start();
     run.world.runFor(6000);
     const laterChanges = watchRegistryChanges(run, 1500);
-    assert.equal(laterChanges.size, 0, 'with a primary everyone stays');
+    assert.equal(laterChanges.size, 0, 'nodes keep their registry once there is a primary');
     assert.deepEqual(finishRun(run), []);
   }
 });
--- a/packages/simulator/src/run/releases.test.ts
+++ b/packages/simulator/src/run/releases.test.ts
@@ -1,4 +1,4 @@
-/** Releases of origins: canaries, and bad ones that are found. */
+/** Release rollouts that survive a change of the primary and full restarts. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -32,7 +32,7 @@
   readonly body: string;
 }
 
-/** Gives an order, and again under the same id until it is answered. */
+/** Requests a release rollout, retried under the same command id until the status is below 500. */
 const requestRelease = (
   run: Fixture,
   id: string,
@@ -75,7 +75,7 @@
   run.world.runFor(12_000);
 };
 
-void test('a service settles on the release that most of its origins bear', () => {
+void test('a service settles on the release that most of its origins run', () => {
   const run = createFixture(100, 20);
   run.world.addOrigin(clips, 8, 'r2');
   run.world.runFor(2000);
@@ -91,7 +91,7 @@
   assert.deepEqual(finishRun(run), []);
 });
 
-void test('an order goes on where it was as the primary changes, and what was told good stays through a full loss', () => {
+void test('a rollout continues after a change of the primary, and a good result survives a full restart', () => {
   for (const seed of seedRange(2)) {
     const run = createFixture(seed, 40);
     run.callers.start();
@@ -105,7 +105,7 @@
     assert.ok(
       openedRollout !== undefined && openedRollout.phase === 'trial' && openedRollout.target === r2,
     );
-    // The same order again, under its own id or another, is answered and changes nothing; another target has to wait.
+    // The repeated request is acknowledged under any command id and changes nothing; another target is rejected.
     assert.equal(requestRelease(run, 'o1', clips, r2, 12_000).body, reply.body);
     assert.equal(requestRelease(run, 'o2', clips, r2, 12_000).status, 200);
     assert.equal(rolloutOf(run, clips)?.order, openedRollout.order);
@@ -130,7 +130,7 @@
       JSON.stringify(resumedRollout),
     );
     assert.ok(run.world.runUntil(12_000, () => rolloutOf(run, clips)?.phase === 'good'));
-    // Without edges that tell the time, what the dead primary had not written is lost, and the time until the next one.
+    // No edge reports elapsed time here: unwritten progress and the time without a primary are lost.
     const delayMs = run.world.eventQueue.now - from - 12_000;
     assert.ok(delayMs < 3000, String(delayMs));
     run.world.runFor(1500);
@@ -151,7 +151,7 @@
   }
 });
 
-void test('a release that an edge shows to be bad is told bad, everywhere, and stays bad through a full loss', () => {
+void test('a release that fails at an edge is marked bad at every registry and stays bad after a full restart', () => {
   for (const seed of seedRange(2)) {
     const run = createFixture(seed, 40);
     run.callers.start();
@@ -193,7 +193,7 @@
     assert.ok(run.world.runUntil(1000, () => rolloutOf(run, acts)?.phase === 'bad'));
     assert.ok(
       (rolloutOf(run, acts)?.spentMs ?? 0) >= 2500,
-      'the edge tells how much of the span is over',
+      'the elapsed time reported by the edge is counted',
     );
     run.world.runFor(500);
     assert.ok(
--- a/packages/simulator/src/run/replacement-replicas.test.ts
+++ b/packages/simulator/src/run/replacement-replicas.test.ts
@@ -1,4 +1,4 @@
-/** A new store takes the place of a lost one. */
+/** Replacement of a failed store: guards against writes acknowledged on fewer disks than required. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -8,7 +8,7 @@
 import type { OperatorWrite } from '../world/world.js';
 import { type Fixture, finishRun, createFixture, seedRange } from './fixture.js';
 
-/** How long an order may take until it is acknowledged. */
+/** Maximum time until a command is acknowledged. */
 const acknowledgeLimitMs = 4000;
 
 type SettingsChange = Partial<ReplicationSettings>;
@@ -16,7 +16,7 @@
 const inSyncSet = (run: Fixture): readonly string[] =>
   run.world.primary()?.state?.metadata?.inSyncSet ?? [];
 
-/** A fleet whose spares, too, hold what the primary holds. */
+/** Creates a fleet whose spare stores have also caught up with the primary. */
 const createFleet = (seed: number, stores: number, change: SettingsChange = {}): Fixture => {
   const settings: ReplicationSettings = {
     copies: 2,
@@ -29,7 +29,7 @@
   const expectedSize = Math.min(stores, settings.copies);
   assert.ok(
     run.world.runUntil(10_000, () => inSyncSet(run).length >= expectedSize),
-    `in sync at first: ${inSyncSet(run).join(', ')}`,
+    `initial in-sync set: ${inSyncSet(run).join(', ')}`,
   );
   run.world.runFor(3000);
   return run;
@@ -37,7 +37,7 @@
 
 const primaryOf = (run: Fixture): SimulatedStore => {
   const primary = run.world.primary();
-  assert.ok(primary !== undefined, 'a primary');
+  assert.ok(primary !== undefined, 'there is a primary');
   return primary;
 };
 
@@ -53,14 +53,14 @@
 
 const firstOf = (stores: readonly SimulatedStore[]): SimulatedStore => {
   const [store] = stores;
-  assert.ok(store !== undefined, 'a store');
+  assert.ok(store !== undefined, 'there is a store');
   return store;
 };
 
-type StoreFault = 'frozen' | 'cut off' | 'stalled' | 'slow' | 'full';
-const faults: readonly StoreFault[] = ['frozen', 'cut off', 'stalled', 'slow', 'full'];
+type StoreFault = 'frozen' | 'disconnected' | 'stalled' | 'slow' | 'full';
+const faults: readonly StoreFault[] = ['frozen', 'disconnected', 'stalled', 'slow', 'full'];
 
-/** A slow disk: it makes one short step a second. */
+/** Slows a disk down: it stalls for 900 ms of each second. */
 const slowDisk = (run: Fixture, store: SimulatedStore): void => {
   store.disk.condition = 'stalled';
   run.world.eventQueue.schedule(900, () => {
@@ -74,7 +74,7 @@
     case 'frozen':
       store.freeze();
       break;
-    case 'cut off':
+    case 'disconnected':
       run.faults.isolate([store], 'both');
       break;
     case 'stalled':
@@ -89,7 +89,7 @@
   }
 };
 
-/** The machine of a store loses power and its disk. */
+/** Kills all processes on the machine of a store and wipes its disk. */
 const wipeMachine = (run: Fixture, store: SimulatedStore): void => {
   for (const process of run.faults.processesOnMachineOf(store)) process.kill();
   store.disk.wipe();
@@ -100,12 +100,12 @@
     run.world.eventQueue.schedule(delayMs, () => process.start());
 };
 
-/** A command that was acknowledged in time. */
+/** Applies a configuration and asserts that it is acknowledged in time. */
 const applyAcknowledged = (run: Fixture, marker: number, context: string): OperatorWrite => {
   const write = run.world.apply(marker);
   assert.ok(
     run.world.runUntil(acknowledgeLimitMs, () => write.reply !== undefined),
-    `${context}: no answer`,
+    `${context}: no reply`,
   );
   assert.equal(write.reply?.status, 200, `${context}: ${JSON.stringify(write.reply)}`);
   return write;
@@ -116,20 +116,20 @@
     syncedWrite.entries.some((entry) => entry.key === `call/${write.id}`),
   );
 
-/** The stores on whose disks an order is. */
+/** Stores whose disk holds a write. */
 const storesHolding = (run: Fixture, write: OperatorWrite): readonly SimulatedStore[] =>
   run.world.stores.filter((store) => isOnDisk(store, write));
 
 const assertKept = (run: Fixture, write: OperatorWrite, context: string): void => {
   assert.ok(
     run.world.runUntil(8000, () => run.world.primary() !== undefined),
-    `${context}: a primary`,
+    `${context}: a primary is elected`,
   );
   assert.ok(primaryOf(run).hasResultOf(write.id), `${context}: ${write.id} is lost`);
 };
 
 for (const fault of faults)
-  void test(`a backup is ${fault}: an order is told on two disks at least, and the primary's may be wiped`, () => {
+  void test(`a command acknowledged while a backup is ${fault} is on at least two disks and survives a wipe of the primary`, () => {
     for (const stores of [3, 4, 7])
       for (const [index, delayMs] of [0, 60, 350, 700].entries()) {
         const run = createFleet(1000 + stores * 10 + index, stores);
@@ -139,13 +139,13 @@
         injectFault(run, faulty, fault);
         run.world.runFor(delayMs);
         const write = applyAcknowledged(run, 100, context);
-        assert.ok(storesHolding(run, write).length >= 2, `${context}: on one disk`);
+        assert.ok(storesHolding(run, write).length >= 2, `${context}: on fewer than two disks`);
         wipeMachine(run, primary);
         assertKept(run, write, context);
       }
   });
 
-void test('the primary is wiped at each moment while a backup is replaced: a primary comes, with all that was told', () => {
+void test('a primary with all acknowledged writes is elected when the old one is wiped at any moment while a backup is replaced', () => {
   for (let index = 0; index < 24; index += 1) {
     const run = createFleet(2000 + index, 4);
     const write = applyAcknowledged(run, 100, 'before');
@@ -156,32 +156,33 @@
     run.world.runFor(390 + index * 6);
     const isAcknowledged = pending.reply?.status === 200;
     wipeMachine(run, primary);
-    // Before another epoch was asked for, the stalled disk is the only one that is known to have all.
+    // Until the replacement is recorded in a new epoch, the stalled backup is the only store known to be in sync.
     run.world.eventQueue.schedule(4000, () => backup.disk.recover());
-    assertKept(run, write, `at ${index}`);
-    if (isAcknowledged) assertKept(run, pending, `at ${index}`);
+    assertKept(run, write, `step ${index}`);
+    if (isAcknowledged) assertKept(run, pending, `step ${index}`);
   }
 });
 
-void test('a spare that is behind is brought up while the order is open', () => {
+void test('a spare store that lags behind catches up while a command is pending', () => {
   for (const seed of seedRange(4)) {
     const run = createFleet(seed, 3);
     const spare = firstOf(sparesOf(run));
     run.faults.isolate([spare], 'both');
-    for (let marker = 0; marker < 4; marker += 1) applyAcknowledged(run, 100 + marker, 'behind');
+    for (let marker = 0; marker < 4; marker += 1)
+      applyAcknowledged(run, 100 + marker, 'while the spare is disconnected');
     const primary = primaryOf(run);
     const write = run.world.apply(200);
     firstOf(backupsOf(run)).freeze();
     run.world.network.heal();
     assert.ok(run.world.runUntil(acknowledgeLimitMs, () => write.reply !== undefined));
     assert.equal(write.reply?.status, 200);
-    assert.ok(storesHolding(run, write).length >= 2, `seed ${seed}: on one disk`);
+    assert.ok(storesHolding(run, write).length >= 2, `seed ${seed}: on fewer than two disks`);
     wipeMachine(run, primary);
     assertKept(run, write, `seed ${seed}`);
   }
 });
 
-void test('a spare dies while it is taken in: the next one is', () => {
+void test('the next spare store joins the in-sync set when the first dies while it joins', () => {
   for (const [index, delayMs] of [395, 410, 425, 440, 460].entries()) {
     const run = createFleet(3000 + index, 5);
     const primary = primaryOf(run);
@@ -195,22 +196,25 @@
         primary.state?.candidate.inSyncSet.includes(store.node) === true,
     );
     const isConfirmed = primary.hasResultOf(write.id);
-    // Its registry runs on: the order may have been handed to it.
+    // The registry on its machine keeps running: it may be the one that handles the command.
     const killed = joining ?? firstOf(sparesOf(run));
     killed.kill();
     killed.disk.wipe();
     assert.ok(run.world.runUntil(acknowledgeLimitMs, () => write.reply !== undefined));
     assert.equal(write.reply?.status, 200);
-    // The disk that was lost after the confirmation is the one loss that is tolerated.
+    // A disk lost after the confirmation is already the one tolerated loss.
     if (!isConfirmed) {
-      assert.ok(storesHolding(run, write).length >= 2, `moment ${delayMs}: on one disk`);
+      assert.ok(
+        storesHolding(run, write).length >= 2,
+        `killed after ${delayMs} ms: on fewer than two disks`,
+      );
       wipeMachine(run, primary);
     }
-    assertKept(run, write, `moment ${delayMs}`);
+    assertKept(run, write, `killed after ${delayMs} ms`);
   }
 });
 
-void test('two backups of three copies are in trouble, one after the other: three copies again before an order is told', () => {
+void test('a command is acknowledged on three disks although two backups of three copies fail one after the other', () => {
   for (const [index, fault] of faults.entries()) {
     const run = createFleet(4000 + index, 6, { copies: 3, tolerate: 2 });
     const primary = primaryOf(run);
@@ -237,7 +241,7 @@
 const zonesHolding = (run: Fixture, write: OperatorWrite): ReadonlySet<string> =>
   new Set(storesHolding(run, write).map((store) => store.zone));
 
-void test('zones and regions are counted: a replacement stands where a copy is lacking', () => {
+void test('a replacement is chosen in a zone or region that has no copy', () => {
   const regions = new Map<ZoneName, string>(
     (['one', 'two', 'three', 'four'] as const).map((zone) => [
       toZoneName(zone),
@@ -262,23 +266,23 @@
       for (const store of run.world.stores)
         if (domain(store) === domain(primary)) wipeMachine(run, store);
       if (storesHolding(run, write).every((store) => !store.isAlive))
-        assert.fail(`seed ${seed}: all lost`);
+        assert.fail(`seed ${seed}: no store that holds the write is alive`);
     }
 });
 
-void test('a domain that is lacking is not made up for by more copies in the others', () => {
+void test('a missing failure domain is not compensated by additional copies in the others', () => {
   const domainOfZone = new Map<ZoneName, string>(
     (['one', 'two', 'three', 'four'] as const).map((zone) => [toZoneName(zone), 'same']),
   );
   const run = createFleet(5000, 6, { copies: 3, failureDomains: { tolerate: 1, domainOfZone } });
-  // At first the operator names all stores; one loss later there are as many as are wanted.
+  // The initial in-sync set holds all stores; after a loss it is reduced to the configured number of copies.
   for (const backup of backupsOf(run).slice(0, -1)) backup.freeze();
   applyAcknowledged(run, 100, 'one region');
   run.world.runFor(4000);
   assert.equal(inSyncSet(run).length, 3, inSyncSet(run).join(', '));
 });
 
-void test("only the primary's disk works: it goes on alone, says so, and takes the others in again", () => {
+void test('a primary with the only working disk continues alone, logs the reduced in-sync set and takes the others back in', () => {
   for (const seed of seedRange(3)) {
     const run = createFleet(seed, 4, { copies: 3 });
     const primary = primaryOf(run);
@@ -289,7 +293,7 @@
     assert.deepEqual(inSyncSet(run), [primary.node]);
     assert.ok(
       run.world.logs.some((line) => line.includes('in-sync set reduced')),
-      'it says so',
+      'the reduced in-sync set is logged',
     );
     for (const store of others) store.disk.recover();
     assert.ok(run.world.runUntil(6000, () => inSyncSet(run).length >= 3));
@@ -298,7 +302,7 @@
   }
 });
 
-void test('a backup returns with an empty disk: no order is told before two others have it', () => {
+void test('no command is acknowledged on fewer than two disks after a backup restarts with an empty disk', () => {
   for (const seed of seedRange(4)) {
     const run = createFleet(seed, 4);
     const primary = primaryOf(run);
@@ -307,7 +311,7 @@
     restartMachine(run, lost, 100);
     run.world.runFor(run.world.random.uniform(50, 600));
     const write = applyAcknowledged(run, 100, `seed ${seed}`);
-    assert.ok(storesHolding(run, write).length >= 2, `seed ${seed}: on one disk`);
+    assert.ok(storesHolding(run, write).length >= 2, `seed ${seed}: on fewer than two disks`);
     wipeMachine(run, primary);
     assertKept(run, write, `seed ${seed}`);
   }
--- a/packages/simulator/src/run/replication.test.ts
+++ b/packages/simulator/src/run/replication.test.ts
@@ -1,4 +1,4 @@
-/** Replicas of a write: how many there are when it is acknowledged, and what losses they bear. */
+/** Durability of acknowledged writes through losses of stores and disks, and membership of the electorate. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -26,7 +26,7 @@
   run.callers.start();
   assert.ok(
     run.world.runUntil(10_000, () => inSyncSet(run).length === copies),
-    `in sync at first: ${inSyncSet(run).join(', ')}`,
+    `initial in-sync set: ${inSyncSet(run).join(', ')}`,
   );
   return run;
 };
@@ -34,17 +34,19 @@
 const inSyncSet = (run: Fixture): readonly string[] =>
   run.world.primary()?.state?.metadata?.inSyncSet ?? [];
 
-/** A write that was confirmed, with nothing having happened since. */
+/** Applies a configuration, retried until it is confirmed, and returns right after the confirmation. */
 const applyConfirmed = (run: Fixture, marker: number): OperatorWrite => {
   for (let round = 0; round < 6; round += 1) {
     const write = run.world.apply(marker * 10 + round);
     run.world.runUntil(9000, () => write.reply !== undefined);
     if (write.reply?.status === 200) return write;
   }
-  throw new Error(`no write was taken: ${run.world.logs.slice(-5).join('; ')}`);
+  throw new Error(
+    `no write was confirmed in 6 attempts; last log lines: ${run.world.logs.slice(-5).join('; ')}`,
+  );
 };
 
-/** The machine of a store loses power, and its disk if it is said. */
+/** Kills all processes on the machine of a store, and optionally wipes its disk. */
 const powerOff = (run: Fixture, store: SimulatedStore, wipesDisk: boolean): void => {
   for (const process of run.faults.processesOnMachineOf(store)) process.kill();
   if (wipesDisk) store.disk.wipe();
@@ -63,7 +65,7 @@
     run.world.eventQueue.schedule(run.world.random.uniform(10, 1000), () => process.start());
 };
 
-/** What was confirmed is there, and the fleet takes writes and is whole again. */
+/** Asserts that all confirmed writes are kept, that writes are accepted and that the in-sync set is complete again. */
 const assertAllKept = (
   run: Fixture,
   writes: readonly OperatorWrite[],
@@ -72,7 +74,7 @@
 ): void => {
   assert.ok(
     run.world.runUntil(15_000, () => run.world.primary() !== undefined),
-    `${context}: a primary`,
+    `${context}: a primary is elected`,
   );
   for (const write of writes)
     assert.ok(
@@ -82,16 +84,16 @@
   applyConfirmed(run, 9000 + run.faults.nextNumber());
   assert.ok(
     run.world.runUntil(10_000, () => inSyncSet(run).length === copies),
-    `${context}: in sync again: ${inSyncSet(run).join(', ')}`,
+    `${context}: in-sync set is incomplete: ${inSyncSet(run).join(', ')}`,
   );
   for (const write of writes)
     assert.ok(
       run.world.primary()?.hasResultOf(write.id) === true,
-      `${context}: ${write.id} is lost later`,
+      `${context}: ${write.id} is lost after the resync`,
     );
 };
 
-void test('three copies: a write is told only when each store in sync has it', () => {
+void test('a write is acknowledged only once all three stores in sync have it', () => {
   for (const seed of seedRange(3)) {
     const run = createFleet(seed);
     for (let round = 0; round < 5; round += 1) {
@@ -106,7 +108,7 @@
   }
 });
 
-void test('the primary is killed right after it told: one of the two others goes on, with the write', () => {
+void test('a backup that has the write takes over when the primary is killed right after the acknowledgement', () => {
   for (const seed of seedRange(6)) {
     const run = createFleet(seed);
     const write = applyConfirmed(run, 100);
@@ -115,7 +117,7 @@
     powerOff(run, primary, seed % 2 === 0);
     assert.ok(
       run.world.runUntil(2500, () => run.world.primary() !== undefined),
-      'two candidates come to terms',
+      'one of two candidates is elected',
     );
     powerOn(run, primary, 500);
     assertAllKept(run, [write], 3, `seed ${seed}`);
@@ -123,7 +125,7 @@
   }
 });
 
-void test('each disk and each pair of disks lost right after a write was told, while the others run on or lose power too', () => {
+void test('an acknowledged write survives the loss of any one or two disks, whether or not all machines lose power', () => {
   const lostIndexSets = [[0], [1], [2], [0, 1], [0, 2], [1, 2]];
   for (const power of ['on', 'off'] as const) {
     for (const [index, lostIndexes] of lostIndexSets.entries()) {
@@ -145,7 +147,7 @@
   }
 });
 
-void test('everything is killed at once, again and again: what was told is there', () => {
+void test('acknowledged writes survive repeated kills of all processes', () => {
   for (const seed of seedRange(3)) {
     const run = createFleet(seed);
     const writes: OperatorWrite[] = [];
@@ -153,14 +155,14 @@
       writes.push(applyConfirmed(run, 100 + round));
       killAll(run);
       startAll(run);
-      assertAllKept(run, writes, 3, `turn ${round}`);
+      assertAllKept(run, writes, 3, `round ${round}`);
       run.world.runFor(1000);
     }
     assert.deepEqual(finishRun(run), []);
   }
 });
 
-void test('a machine is gone for good as all others lose power: the rest stands without it, and a new one takes its place', () => {
+void test('a cluster that loses a machine for good during a power loss restarts without it and takes in a new one', () => {
   for (const removedIndex of [0, 1, 2]) {
     const run = createFleet(300 + removedIndex);
     const write = applyConfirmed(run, 100);
@@ -175,7 +177,7 @@
     const added = run.world.addStore('store-9', 9);
     assert.ok(
       run.world.runUntil(5000, () => inSyncSet(run).includes(added.node)),
-      'the new one is in sync',
+      'the new store is in sync',
     );
     assert.ok(
       run.world.runUntil(20_000, () => {
@@ -192,7 +194,7 @@
   }
 });
 
-void test('machines are replaced one after the other by new ones: three copies again within four seconds of each, the state outlives all of the first', () => {
+void test('three copies are restored within four seconds of each replacement, and the state survives the replacement of all machines', () => {
   for (const seed of seedRange(2)) {
     const run = createFleet(seed);
     const write = applyConfirmed(run, 100);
@@ -215,7 +217,7 @@
   }
 });
 
-void test('a primary is frozen past its lease and wakes: what the others confirmed stays, and it follows them', () => {
+void test('a primary that resumes after its lease follows its successor, and writes confirmed meanwhile are kept', () => {
   for (const seed of seedRange(4)) {
     const run = createFleet(seed);
     const before = applyConfirmed(run, 100);
@@ -233,12 +235,15 @@
       pending.reply?.status !== 200 || run.world.primary()?.hasResultOf(pending.id) === true,
     );
     assertAllKept(run, [before, after], 3, `seed ${seed}`);
-    assert.ok(frozen.hasResultOf(after.id), 'it has what was written while it slept');
+    assert.ok(
+      frozen.hasResultOf(after.id),
+      'the resumed store has the write made while it was frozen',
+    );
     assert.deepEqual(finishRun(run), []);
   }
 });
 
-void test('a backup dies: a spare takes its place within four seconds, and one by one the disks of all who had it at first may go', () => {
+void test('a spare store replaces a lost one within four seconds, and writes survive the loss of all original disks one by one', () => {
   for (const seed of seedRange(3)) {
     const run = createFleet(seed, { stores: 5, copies: 2 });
     const write = applyConfirmed(run, 100);
@@ -255,7 +260,7 @@
           4000,
           () => inSyncSet(run).length === 2 && !inSyncSet(run).includes(lost.node),
         ),
-        `turn ${round}: ${inSyncSet(run).join(', ')}`,
+        `round ${round}: ${inSyncSet(run).join(', ')}`,
       );
       assert.ok(run.world.primary()?.hasResultOf(write.id) === true);
       powerOn(run, lost, 100);
@@ -265,9 +270,9 @@
   }
 });
 
-void test('a spare in an area without a copy is mended first', () => {
+void test('a spare store in a zone without a copy is resynced first', () => {
   for (const seed of seedRange(2)) {
-    // Areas go round by four: the fifth store stands in the area of the first.
+    // Stores are spread over four zones in turn: the fifth is in the zone of the first.
     const run = createFleet(seed, { stores: 5, copies: 3 });
     for (let round = 0; round < 3; round += 1) {
       const lost = run.world.stores.find(
@@ -292,7 +297,7 @@
   }
 });
 
-void test('a spare whose disk takes nothing does not keep the others from being mended', () => {
+void test('a spare store whose disk rejects writes does not prevent the resync of others', () => {
   for (const diskCondition of ['stalled', 'full'] as const) {
     const run = createFleet(401, { stores: 4, copies: 2 });
     const [faulty, healthy] = run.world.stores.filter(
@@ -314,7 +319,7 @@
   }
 });
 
-void test('lost write: a backup that was left out does not stand while one that was not may still speak, though no voter remembers', () => {
+void test('a backup removed from the in-sync set is not elected while a store in sync may still return, although all voters lost their memory', () => {
   for (const seed of seedRange(3)) {
     const run = createFleet(seed);
     const primary = run.world.primary();
@@ -330,9 +335,13 @@
         run.world.eventQueue.schedule(run.world.random.uniform(10, 1000), () => process.start());
     for (let round = 0; round < 80; round += 1) {
       run.world.runFor(100);
-      assert.equal(run.world.primary(), undefined, 'nobody serves without the last write');
+      assert.equal(
+        run.world.primary(),
+        undefined,
+        'no store becomes primary without the last write',
+      );
     }
-    // One of the two that have it is enough, and the other's disk is gone.
+    // One of the two stores that had the write has it still; the disk of the other is wiped.
     primary.disk.wipe();
     primary.start();
     remaining.start();
@@ -342,7 +351,7 @@
   }
 });
 
-void test('a long row of losses, one after the other: no confirmed write is ever lost', () => {
+void test('no confirmed write is lost over twelve random failures in a row', () => {
   for (const seed of seedRange(4)) {
     const run = createFleet(seed, { stores: 5, copies: 3, tolerate: 2 });
     const writes: OperatorWrite[] = [];
@@ -390,7 +399,7 @@
       for (const store of run.world.stores)
         if (!store.isAlive) powerOn(run, store, run.world.random.uniform(10, 2000));
       run.world.runFor(4500);
-      assertAllKept(run, writes, 3, `seed ${seed}, turn ${round}, ${failure}`);
+      assertAllKept(run, writes, 3, `seed ${seed}, round ${round}, ${failure}`);
     }
     assert.deepEqual(finishRun(run), []);
   }
@@ -402,7 +411,7 @@
       []),
   ].sort();
 
-void test('the electorate follows the registries: all are replaced one after the other without an operator, and the new ones elect', () => {
+void test('an electorate that follows the registries survives the replacement of all of them, and the new voters elect a primary', () => {
   for (const seed of seedRange(2)) {
     const run = createFleet(seed, { followsRegistries: true });
     const write = applyConfirmed(run, 100);
@@ -411,7 +420,7 @@
       const added = run.world.addRegistry(`new-${index + 1}`, index + 1);
       assert.ok(
         run.world.runUntil(4000, () => voters(run).includes(added.node)),
-        `${added.node} has a seat`,
+        `${added.node} is a voter`,
       );
       run.world.removeRegistry(removed);
       assert.ok(
@@ -419,7 +428,7 @@
           4000,
           () => voters(run).length === before.length && !voters(run).includes(removed.node),
         ),
-        `${removed.node} has none: ${voters(run).join(', ')}`,
+        `${removed.node} is still a voter: ${voters(run).join(', ')}`,
       );
     }
     assert.deepEqual(voters(run), run.world.registries.map((registry) => registry.node).sort());
@@ -432,7 +441,7 @@
   }
 });
 
-void test('the electorate stays as it is without the setting, whoever comes or is away', () => {
+void test('an electorate that does not follow the registries never changes when registries join or fail', () => {
   const run = createFleet(500);
   const before = voters(run);
   const [absent] = run.world.registries;
@@ -449,7 +458,7 @@
   assert.deepEqual(finishRun(run), []);
 });
 
-void test('a dead voter of an odd electorate keeps its seat, as nothing is won without it; of two dead ones both lose theirs within four seconds, and each has one again four seconds after it is back', () => {
+void test('one dead voter of an odd electorate stays a member; two are removed within four seconds and return within four seconds of their restart', () => {
   const run = createFleet(501, { followsRegistries: true });
   const before = voters(run);
   assert.equal(before.length, 5);
@@ -467,13 +476,13 @@
   for (const registry of [first, second]) {
     registry.start();
     run.world.runFor(4000);
-    assert.ok(voters(run).includes(registry.node), `${registry.node} votes again`);
+    assert.ok(voters(run).includes(registry.node), `${registry.node} is a voter again`);
   }
   assert.deepEqual(voters(run), before);
   assert.deepEqual(finishRun(run), []);
 });
 
-void test('a voter that is away for less than a second and a half keeps its seat, whatever the size of the electorate', () => {
+void test('a voter that is frozen for less than a second and a half stays a member in electorates of any size', () => {
   for (const shields of [1, 2]) {
     const run = createFleet(502 + shields, { followsRegistries: true, shields });
     const before = voters(run);
--- a/packages/simulator/src/run/request-deadlines.test.ts
+++ b/packages/simulator/src/run/request-deadlines.test.ts
@@ -1,4 +1,4 @@
-/** Requests that are given up: when callers get a reply, and that it says when to come back. */
+/** Failing requests get an early response with a retry delay instead of waiting for their deadline. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -6,13 +6,13 @@
 import type { SimulatedProxy } from '../processes/proxy.js';
 import { clips, type Fixture, finishRun, createFixture } from './fixture.js';
 
-/** Routes give three seconds: what is replied to by half of it was not held back for its deadline. */
+/** Half of the routes' deadline of 3 s: a response before it was not held until the deadline. */
 const halfDeadlineMs = 1500;
 
 const latencyMs = (request: CallerRequest): number =>
   (request.repliedAt ?? Infinity) - request.sentAt;
 
-/** Sends requests for a while and gives those that got no result, once all have a reply. */
+/** Sends requests for a span, waits for all responses and returns the requests that failed. */
 const sendAndCollectFailures = (
   run: Fixture,
   spanMs: number,
@@ -28,7 +28,7 @@
   run.world.runFor(spanMs + 3500);
   assert.ok(
     sent.every((request) => request.result !== undefined),
-    'everyone is told',
+    'every request gets a response',
   );
   return sent.filter((request) => request.result?.kind !== 'result');
 };
@@ -38,7 +38,7 @@
   limitMs: number,
   minCount: number,
 ): void => {
-  assert.ok(failures.length >= minCount, `${failures.length} given up`);
+  assert.ok(failures.length >= minCount, `only ${failures.length} requests failed`);
   const slow = failures.filter((request) => latencyMs(request) > limitMs);
   assert.deepEqual(
     slow
@@ -50,7 +50,7 @@
         request.result?.text,
       ]),
     [],
-    `${slow.length} of ${failures.length} were held`,
+    `${slow.length} of ${failures.length} failed requests were held too long`,
   );
   const withoutRetryAfter = failures.filter(
     (request) =>
@@ -60,7 +60,7 @@
   assert.deepEqual(
     withoutRetryAfter.slice(0, 3).map((request) => request.result),
     [],
-    'each is told when to come back',
+    'every rejection has a retry delay',
   );
 };
 
@@ -71,7 +71,7 @@
   return run;
 };
 
-void test('no keeper: once a service has had none for two seconds everyone is told at once', () => {
+void test('requests fail at once when a service has had no leader for two seconds', () => {
   const run = createFleet(701);
   for (const shield of run.world.shields) shield.kill();
   sendAndCollectFailures(run, 3000);
@@ -81,12 +81,12 @@
   assert.deepEqual(
     sendAndCollectFailures(run, 1000),
     [],
-    'and served again as soon as there is one',
+    'requests are served once there is a service leader',
   );
   assert.deepEqual(finishRun(run), []);
 });
 
-void test('no origin: after one second without any everyone is told at once', () => {
+void test('requests fail at once when a service has had no origin for one second', () => {
   const run = createFleet(702);
   for (const origin of run.world.origins) if (origin.service === clips) origin.leave('gone');
   run.world.runFor(3000);
@@ -102,7 +102,7 @@
   assert.deepEqual(finishRun(run), []);
 });
 
-void test('a full waitlist, and a waitlist too long for the deadline: told at once', () => {
+void test('requests fail at once when the queue is full or too long for their deadline', () => {
   const run = createFleet(703, {
     services: [{ name: clips, origins: 1, slots: 2, perSecond: undefined }],
   });
@@ -123,12 +123,12 @@
   );
   assert.ok(
     slow.length < failures.length / 20,
-    `${slow.length} of ${failures.length} waited in hope of a slot for more than half of their time`,
+    `${slow.length} of ${failures.length} rejected requests waited for a slot for more than half of their deadline`,
   );
   assert.deepEqual(finishRun(run), []);
 });
 
-void test('a ceiling: what does not fit under it in time is told at once', () => {
+void test('requests that the rate limit does not admit before their deadline fail at once', () => {
   const run = createFleet(704, {
     services: [{ name: clips, origins: 3, slots: 20, perSecond: 40 }],
   });
@@ -150,12 +150,12 @@
   );
   assert.ok(
     slow.length < failures.length / 20,
-    `${slow.length} of ${failures.length} waited for more than half of their time`,
+    `${slow.length} of ${failures.length} rejected requests waited for more than half of their deadline`,
   );
   assert.deepEqual(finishRun(run), []);
 });
 
-void test('only a release on trial is left: what it may not have is told at once, and it earns its traffic', () => {
+void test('requests beyond the share of a canary fail at once when no other release is left, and a good canary gets all traffic', () => {
   const run = createFleet(705);
   const oldOrigins = run.world.origins.filter((origin) => origin.service === clips);
   run.world.addOrigin(clips, 8, 'r2').workMs = 30;
@@ -165,12 +165,12 @@
   assert.deepEqual(
     sendAndCollectFailures(run, 1000),
     [],
-    'a release that answers well serves alone',
+    'a good release serves all requests alone',
   );
   assert.deepEqual(finishRun(run), []);
 });
 
-void test('an edge that is cut off: what comes is told at once, and what waits is given up', () => {
+void test('requests to a disconnected edge fail at once', () => {
   for (const direction of ['both', 'in', 'out'] as const) {
     const run = createFleet(706);
     const edge = run.world.edges[0];
@@ -185,7 +185,7 @@
   }
 });
 
-void test('an edge that stops: nobody is held', () => {
+void test('no request is held when an edge stops', () => {
   const run = createFleet(707);
   const edge = run.world.edges[0];
   assert.ok(edge !== undefined);
@@ -209,7 +209,7 @@
   assert.deepEqual(finishRun(run), []);
 });
 
-void test('a result that takes longer than a stop may take breaks off visibly', () => {
+void test('a response that takes longer than the grace period of a stopping edge is visibly broken off', () => {
   const run = createFleet(708);
   const edge = run.world.edges[0];
   assert.ok(edge !== undefined);
@@ -233,7 +233,7 @@
   assert.deepEqual(finishRun(run), []);
 });
 
-void test('too many wait for one fetch: the others are told at once', () => {
+void test('requests beyond the maximum number of waiters for one fetch fail at once', () => {
   const run = createFleet(709);
   const edge = run.world.edges[0];
   for (const origin of run.world.origins) origin.extraLatencyMs = 1000;
--- a/packages/simulator/src/run/second-loss.test.ts
+++ b/packages/simulator/src/run/second-loss.test.ts
@@ -1,4 +1,4 @@
-/** A second store is lost after the fleet has recovered from the first loss. */
+/** Loss of a further machine once the recovery window after a replacement is over. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -8,7 +8,7 @@
 import type { SimulatedStore } from '../processes/store.js';
 import { World, type OperatorWrite } from '../world/world.js';
 
-/** Within which span of a replacement the next loss is borne, and an order is acknowledged. */
+/** Time after a replacement from which the next loss is tolerated, and limit of an acknowledgement. */
 const recoveryWindowMs = 4000;
 const acknowledgeLimitMs = 4000;
 const graceMs = 5000;
@@ -22,7 +22,7 @@
 type Loss = 'killed' | 'power off' | 'disk wiped' | 'frozen';
 const losses: readonly Loss[] = ['killed', 'power off', 'disk wiped', 'frozen'];
 
-/** A core whose machines are replaced and lost. */
+/** A fleet of core machines that are replaced and lost. */
 class CoreFleet {
   readonly world: World;
   readonly machines: Machine[] = [];
@@ -59,17 +59,17 @@
       this.machines.push({ registry, store });
     }
     this.world.runFor(6000);
-    this.applyAcknowledged('at first');
+    this.applyAcknowledged('initially');
   }
 
   get primaryMachine(): Machine {
     const primary = this.world.primary();
     const machine = this.machines.find((machine) => machine.store === primary);
-    assert.ok(machine !== undefined, 'a primary');
+    assert.ok(machine !== undefined, 'there is a primary');
     return machine;
   }
 
-  /** The machine that is not the primary's, by its place among these. */
+  /** A live machine that does not run the primary, by its index (modulo their number). */
   backupMachine(index: number): Machine {
     const primary = this.primaryMachine;
     const others = this.machines.filter((machine) => machine !== primary && machine.store.isAlive);
@@ -83,7 +83,7 @@
     return members.map((member) => member.node);
   }
 
-  /** An order is acknowledged in time, sent again as operators do, and all earlier ones are kept. */
+  /** Asserts that a command, retried as operators do, is acknowledged in time and that all earlier ones are kept. */
   applyAcknowledged(context: string): void {
     const from = this.world.eventQueue.now;
     this.#marker += 1;
@@ -98,7 +98,7 @@
     const isInTime = this.world.runUntil(acknowledgeLimitMs, isAcknowledged);
     assert.ok(
       isInTime,
-      `${context}: no acknowledgement ${Math.round(this.world.eventQueue.now - from)} ms on; electorate ${this.electorate.join(', ')}`,
+      `${context}: no acknowledgement after ${Math.round(this.world.eventQueue.now - from)} ms; electorate ${this.electorate.join(', ')}`,
     );
     this.#acknowledgedWrites.push(write);
     this.assertKept(context);
@@ -110,7 +110,7 @@
       assert.ok(primary?.hasResultOf(write.id) === true, `${context}: ${write.id} is lost`);
   }
 
-  /** A new machine with an empty disk. */
+  /** Adds a machine with an empty disk. */
   add(zone: string): Machine {
     this.#addedCount += 1;
     const name = `new-${this.#addedCount}`;
@@ -121,21 +121,21 @@
     return machine;
   }
 
-  /** A machine is gone for good, without notice. */
+  /** Removes a machine for good, without notice. */
   remove(machine: Machine): void {
     this.machines.splice(this.machines.indexOf(machine), 1);
     this.world.removeRegistry(machine.registry);
     this.world.removeStore(machine.store);
   }
 
-  /** A machine is asked to stop, ends by itself and goes for good; says how long that took. */
+  /** Stops a machine gracefully and removes it; returns the time in milliseconds that this took. */
   leave(machine: Machine): number {
     const from = this.world.eventQueue.now;
     machine.registry.stop();
     machine.store.stop(graceMs);
     assert.ok(
       this.world.runUntil(graceMs + 100, () => !machine.store.isAlive),
-      `${machine.store.node} ends within its grace`,
+      `${machine.store.node} ends within its grace period`,
     );
     this.remove(machine);
     return this.world.eventQueue.now - from;
@@ -148,7 +148,7 @@
     if (loss === 'disk wiped') machine.store.disk.wipe();
   }
 
-  /** A machine comes back as it is left by its loss. */
+  /** Restarts or resumes a lost machine. */
   restore(machine: Machine, loss: Loss): void {
     for (const process of [machine.store, machine.registry])
       if (loss === 'frozen') process.resume();
@@ -175,7 +175,7 @@
 
 for (const [size, tolerate] of sizes) {
   for (const planned of [false, true]) {
-    void test(`${size} core machines, ${tolerate} may be lost: ${planned ? 'planned' : 'unplanned'} replacement of a backup or the primary, then as many losses as are tolerated once the span is over`, () => {
+    void test(`${size} core machines survive ${tolerate} lost after the recovery window of a ${planned ? 'planned' : 'unplanned'} replacement`, () => {
       for (const [index, loss] of losses.entries()) {
         const core = new CoreFleet(100 + size * 10 + index, size, tolerate);
         const replaced = index % 2 === 0 ? core.backupMachine(index) : core.primaryMachine;
@@ -199,7 +199,7 @@
   }
 }
 
-void test('three core machines: two replacements, one planned and one not, 17 s apart, then a freeze of a third', () => {
+void test('three core machines survive a frozen machine after a planned and an unplanned replacement', () => {
   for (const seed of [1, 2, 3, 4, 5, 6]) {
     const core = new CoreFleet(seed, 3, 1);
     replace(core, core.backupMachine(seed), seed % 2 === 0);
@@ -212,11 +212,11 @@
     core.world.runFor(8000);
     core.restore(frozen, 'frozen');
     core.world.runFor(recoveryWindowMs);
-    core.applyAcknowledged('thawed');
+    core.applyAcknowledged('resumed');
   }
 });
 
-void test('all machines leave in turn, each as soon as its predecessor has had the span: no order waits for a lease to end', () => {
+void test('no command waits for a lease to expire while all machines leave in turn, one recovery window apart', () => {
   for (const [size, tolerate] of sizes.slice(0, 5)) {
     const core = new CoreFleet(40 + size, size, tolerate);
     for (const replaced of [...core.machines]) {
@@ -226,11 +226,11 @@
       core.world.runFor(recoveryWindowMs);
     }
     core.injectLoss(core.primaryMachine, 'power off');
-    core.applyAcknowledged(`${size}: power off after the roll`);
+    core.applyAcknowledged(`${size}: power off after all replacements`);
   }
 });
 
-void test('a primary that leaves hands over at once: a successor serves within 300 ms', () => {
+void test('a successor serves within 300 ms after a primary is asked to stop', () => {
   for (const seed of [11, 12, 13, 14]) {
     const core = new CoreFleet(seed, 3, 1);
     const replaced = core.primaryMachine;
@@ -248,7 +248,7 @@
   }
 });
 
-void test('a machine that holds the only copy leaves when another one has it', () => {
+void test('a machine with the only copy leaves once another machine has a copy', () => {
   for (const seed of [21, 22]) {
     const core = new CoreFleet(seed, 3, 1);
     const departing = core.primaryMachine;
@@ -257,10 +257,10 @@
       machine.store.kill();
       machine.store.disk.wipe();
     }
-    core.applyAcknowledged('on one copy');
+    core.applyAcknowledged('with only one copy');
     for (const machine of others) machine.store.start();
     core.leave(departing);
-    core.applyAcknowledged('without the one that had the only copy');
+    core.applyAcknowledged('after the machine with the only copy left');
   }
 });
 
@@ -307,7 +307,7 @@
     ['region-0', 'region-1', 'region-2'],
   ],
 ] as const) {
-  void test(`${domainKind}: after a replacement any one of them may be lost once the span is over, and another one once it is back`, () => {
+  void test(`the loss of any of the ${domainKind} is tolerated after the recovery window of a replacement, and of another once it is restored`, () => {
     for (const [index, domain] of domains.entries()) {
       const core = new CoreFleet(300 + index, zones.length, 1, zones, {
         tolerate: 1,
--- a/packages/simulator/src/run/steady-traffic.test.ts
+++ b/packages/simulator/src/run/steady-traffic.test.ts
@@ -1,7 +1,6 @@
 /**
- * What a fleet in which nothing happens sends over its control channels, and that a change, a purge
- * and the loss of registries come to an end. The rates bound what each further node costs the
- * registries; `docs/CAPACITY.md` reckons with them.
+ * Bounds the control traffic of an idle fleet per node, on which `docs/CAPACITY.md` relies. Changes,
+ * purges and lost registries must still be handled.
  */
 
 import assert from 'node:assert/strict';
@@ -11,7 +10,7 @@
 import type { SimulatedProxy } from '../processes/proxy.js';
 import { World } from '../world/world.js';
 
-/** What a fleet is made of; of its nodes one is a shield, as each shield brings a registry. */
+/** Size of a fleet. One node is a shield, as each shield brings a registry. */
 interface FleetSize {
   readonly nodes: number;
   readonly origins: number;
@@ -20,17 +19,17 @@
 
 const stores = 2;
 const shields = 1;
-/** One beside each shield and each store. */
+/** Each shield and each store has a registry on its machine. */
 const registries = shields + stores;
-/** Each registry gossips to each other one. */
+/** Each registry gossips to all others. */
 const registryLinks = registries * (registries - 1);
 const smallFleet: FleetSize = { nodes: 6, origins: 4, services: 2 };
 
 const settleMs = 2000;
 const windowMs = 2000;
-/** How long a change, a purge or a reconnection may take. */
+/** Maximum time of a change, a purge or a reconnection. */
 const completionLimitMs = 20_000;
-/** The length and the checksum that a channel puts before each frame. */
+/** Length and checksum that a channel puts before each frame. */
 const frameHeaderBytes = 8;
 
 interface FrameCount {
@@ -38,14 +37,14 @@
   readonly bytes: number;
 }
 
-/** Control traffic of one window, as counts and bytes a second. */
+/** Control traffic of one window, in messages and bytes a second. */
 interface Traffic {
   readonly byKind: ReadonlyMap<Frame['kind'], FrameCount>;
-  /** Bytes that arrived at one edge, the mean of all edges. */
+  /** Bytes a second received by an edge, the mean of all edges. */
   readonly bytesPerEdge: number;
 }
 
-/** A formed fleet in which nothing goes on. */
+/** Creates a fleet without requests or changes. */
 const calmFleet = ({ nodes, origins, services }: FleetSize): World => {
   const world = new World({
     seed: 1,
@@ -64,7 +63,7 @@
   return world;
 };
 
-/** Counts all control frames of one window. */
+/** Measures all control frames of one window. */
 const measureTraffic = (world: World): Traffic => {
   const byKind = new Map<Frame['kind'], FrameCount>();
   const edges = new Set<string>(world.edges.map((edge) => edge.node));
@@ -93,7 +92,7 @@
 
 const trafficOf = (size: FleetSize): Traffic => measureTraffic(calmFleet(size));
 
-/** The same while purges come evenly over the window. */
+/** Measures the traffic with purges spread evenly over the window. */
 const trafficWithPurges = (size: FleetSize, purgesPerSecond: number): Traffic => {
   const world = calmFleet(size);
   const count = (purgesPerSecond * windowMs) / 1000;
@@ -115,7 +114,7 @@
   return count.bytes / count.messages;
 };
 
-/** Each node and each store heartbeats at most four times a second, and is replied to as often. */
+/** Asserts three to four and a half heartbeats a second from each node and each store. */
 const assertHeartbeatRate = (traffic: Traffic, nodes: number): void => {
   const heartbeats = messagesPerSecond(traffic, 'heartbeat');
   const senders = nodes + stores;
@@ -123,42 +122,42 @@
   assert.ok(heartbeats <= senders * 4.5, `${heartbeats} heartbeats of ${senders} processes`);
 };
 
-void test('each process heartbeats three to four and a half times a second, whatever the fleet', () => {
+void test('each process sends three to four and a half heartbeats a second in a fleet of any size', () => {
   assertHeartbeatRate(trafficOf(smallFleet), 6);
   assertHeartbeatRate(trafficOf({ ...smallFleet, nodes: 12 }), 12);
 });
 
-void test('each heartbeat of a calm fleet is replied to once', () => {
+void test('each heartbeat in an idle fleet gets one reply', () => {
   const traffic = trafficOf(smallFleet);
   const unanswered =
     messagesPerSecond(traffic, 'heartbeat') - messagesPerSecond(traffic, 'heartbeat-reply');
   assert.ok(Math.abs(unanswered) <= 2, `${unanswered} heartbeats a second without a reply`);
 });
 
-void test('only registries gossip, and no more of it with more nodes', () => {
+void test('gossip among registries does not grow with the number of nodes', () => {
   for (const nodes of [6, 12]) {
     const gossip = messagesPerSecond(trafficOf({ ...smallFleet, nodes }), 'gossip');
     assert.ok(gossip <= registryLinks * 3.5, `${gossip} frames of gossip with ${nodes} nodes`);
   }
 });
 
-void test('a calm process is sent the list of members at most one and a half times a second', () => {
+void test('a process in an idle fleet receives at most one and a half member lists a second', () => {
   const nodes = 12;
   const lists = messagesPerSecond(trafficOf({ ...smallFleet, nodes }), 'member-list');
   assert.ok(lists <= (nodes + stores) * 1.5, `${lists} member lists`);
 });
 
-void test('an edge hears at most twice as much in a fleet of twice as many nodes', () => {
+void test('the bytes an edge receives at most double when the number of nodes doubles', () => {
   const six = trafficOf(smallFleet).bytesPerEdge;
   const twelve = trafficOf({ ...smallFleet, nodes: 12 }).bytesPerEdge;
   assert.ok(six > 0 && twelve < 2 * six + 2500, `${six} and ${twelve} bytes a second`);
 });
 
-void test('the same seed sends the same frames', () => {
+void test('runs with the same seed send the same frames', () => {
   assert.deepEqual([...trafficOf(smallFleet).byKind], [...trafficOf(smallFleet).byKind]);
 });
 
-/** Bytes of a heartbeat's reply, the mean of a window, without the results of canaries. */
+/** Mean size in bytes of a heartbeat reply over a window, without the canary results. */
 const replyBytes = (size: FleetSize, isReceiver: (node: string) => boolean): number => {
   const world = calmFleet(size);
   let count = 0;
@@ -175,13 +174,13 @@
   return bytes / count;
 };
 
-/** What the record of one release takes in a reply. */
+/** Size of the record of one release in a reply. */
 const releaseRecordBytes = 82;
 const fewServices: FleetSize = { ...smallFleet, origins: 12 };
 const manyServices: FleetSize = { ...fewServices, services: 12 };
 const moreServices = manyServices.services - fewServices.services;
 
-void test('the releases of each service are told again to the stores alone', () => {
+void test('heartbeat replies repeat the releases of each service to the stores only', () => {
   const isAny = (): boolean => true;
   const few = replyBytes(fewServices, isAny);
   const many = replyBytes(manyServices, isAny);
@@ -191,7 +190,7 @@
   );
 });
 
-void test('a reply to a calm edge does not grow with the number of services', () => {
+void test('a heartbeat reply to an idle edge does not grow with the number of services', () => {
   const isEdge = (node: string): boolean => node.startsWith('edge-');
   const few = replyBytes(fewServices, isEdge);
   const many = replyBytes(manyServices, isEdge);
@@ -207,7 +206,7 @@
 const adoptedGeneration = (proxy: SimulatedProxy): number =>
   proxy.state?.nodeAgent.compiledConfiguration?.generation ?? 0;
 
-void test('a change of the configuration comes into force on every node', () => {
+void test('a configuration change takes effect on every node', () => {
   const world = calmFleet(smallFleet);
   world.apply(2);
   const isInForce = (): boolean => world.proxies.every((proxy) => adoptedGeneration(proxy) >= 2);
@@ -230,7 +229,7 @@
   assert.ok(world.runUntil(completionLimitMs, isDone));
 });
 
-/** Whether every node has its session at a registry that lives and knows of it. */
+/** Whether every node has a session with a live registry that knows of it. */
 const hasAllSessions = (world: World): boolean =>
   world.proxies.every((proxy) => {
     const link = proxy.state?.nodeAgent.nodeSession.registryLink;
@@ -244,7 +243,7 @@
     );
   });
 
-void test('the nodes of a lost registry find another one', () => {
+void test('the nodes of a lost registry connect to another one', () => {
   const world = calmFleet(smallFleet);
   const nodeRegistry = world.edges[0]?.state?.nodeAgent.nodeSession.registryLink?.address;
   const lost = world.registries.find((registry) => registry.address === nodeRegistry);
