--- a/packages/simulator/src/run/calm.test.ts
+++ b/packages/simulator/src/run/calm.test.ts
@@ -18,7 +18,7 @@
     ],
   });
   const callers = new SimulatedCallers(world, 60);
-  const rules = new RuleChecker(world, callers);
+  const ruleChecker = new RuleChecker(world, callers);
   world.bootstrap();
   callers.start();
   world.runFor(14_000);
@@ -26,7 +26,7 @@
   world.runFor(4000);
   callers.stop();
   world.runFor(4000);
-  assert.deepEqual(rules.finish(), []);
+  assert.deepEqual(ruleChecker.finish(), []);
   const failed = callers.requests.filter((request) => request.result?.kind !== 'result');
   assert.deepEqual(
     failed.map((request) => [request.id, request.path, Math.round(request.sentAt), request.result]),
--- a/packages/simulator/src/run/concurrent-rollouts.test.ts
+++ b/packages/simulator/src/run/concurrent-rollouts.test.ts
@@ -1,7 +1,4 @@
-/**
- * Concurrent rollout requests, the later of which reuses chunks of an earlier configuration. Guards against chunks that
- * are deleted between the acceptance of a request and its activation: no node could run that configuration.
- */
+/** Guards against chunks of an accepted rollout request that are deleted before its configuration is activated. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
--- a/packages/simulator/src/run/failures.test.ts
+++ b/packages/simulator/src/run/failures.test.ts
@@ -553,7 +553,7 @@
   }
 });
 
-void test('a flood of one class does not exceed the guaranteed latency of another, and borrowed slots are returned', () => {
+void test('a flood of one class does not raise the latency of another above its guarantee, and borrowed slots are returned', () => {
   const run = createFixture(21, 30, {
     services: [{ name: clips, origins: 2, slots: 10, perSecond: undefined }],
   });
@@ -621,7 +621,7 @@
   );
 });
 
-void test('R7: results fetched before a purge, or past their lifetime, are not served two seconds after it by slow origins or frozen proxies', () => {
+void test('R7: results fetched before a purge are not served two seconds after it, nor expired ones, despite slow origins or a frozen proxy', () => {
   for (const seed of seedRange(3)) {
     const run = createFixture(seed, 120);
     run.callers.start();
--- a/packages/simulator/src/run/network-partition.test.ts
+++ b/packages/simulator/src/run/network-partition.test.ts
@@ -273,7 +273,7 @@
 };
 
 for (const linkFault of linkFaults)
-  void test(`the fleet survives a partition of the primary's machine for twenty seconds, links ${linkFault.name}`, () => {
+  void test(`the fleet survives a partition of the primary's machine for twenty seconds (${linkFault.name})`, () => {
     for (const seed of seedRange(2)) assert.deepEqual(finishRun(runPartition(seed, linkFault)), []);
   });
 
@@ -294,7 +294,7 @@
   }
 });
 
-void test('an edge partitioned together with the primary activates nothing stale and is not ready after a restart', () => {
+void test('an edge partitioned together with the primary activates no stale configuration, even after a restart', () => {
   for (const seed of seedRange(2)) {
     const side = (run: Fixture): readonly SimulatedProcess[] => run.world.edges.slice(0, 1);
     const duringPartition = (run: Fixture): void => {
--- a/packages/simulator/src/run/origin-departure.test.ts
+++ b/packages/simulator/src/run/origin-departure.test.ts
@@ -1,4 +1,4 @@
-/** Departures of origins while registries fail: an origin that was told it may stop must get no more requests. */
+/** Guards against requests to an origin whose departure was confirmed, while registries fail. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
--- a/packages/simulator/src/run/replacement-replicas.test.ts
+++ b/packages/simulator/src/run/replacement-replicas.test.ts
@@ -202,7 +202,7 @@
     killed.disk.wipe();
     assert.ok(run.world.runUntil(acknowledgeLimitMs, () => write.reply !== undefined));
     assert.equal(write.reply?.status, 200);
-    // A disk lost after the confirmation is already the one tolerated loss.
+    // If the write was confirmed before the kill, this disk is already the one tolerated loss.
     if (!isConfirmed) {
       assert.ok(
         storesHolding(run, write).length >= 2,
@@ -306,9 +306,9 @@
   for (const seed of seedRange(4)) {
     const run = createFleet(seed, 4);
     const primary = primaryOf(run);
-    const lost = firstOf(backupsOf(run));
-    wipeMachine(run, lost);
-    restartMachine(run, lost, 100);
+    const restarted = firstOf(backupsOf(run));
+    wipeMachine(run, restarted);
+    restartMachine(run, restarted, 100);
     run.world.runFor(run.world.random.uniform(50, 600));
     const write = applyAcknowledged(run, 100, `seed ${seed}`);
     assert.ok(storesHolding(run, write).length >= 2, `seed ${seed}: on fewer than two disks`);
--- a/packages/simulator/src/run/second-loss.test.ts
+++ b/packages/simulator/src/run/second-loss.test.ts
@@ -175,7 +175,7 @@
 
 for (const [size, tolerate] of sizes) {
   for (const planned of [false, true]) {
-    void test(`${size} core machines survive ${tolerate} lost after the recovery window of a ${planned ? 'planned' : 'unplanned'} replacement`, () => {
+    void test(`${size} core machines survive the loss of ${tolerate} after the recovery window of a ${planned ? 'planned' : 'unplanned'} replacement`, () => {
       for (const [index, loss] of losses.entries()) {
         const core = new CoreFleet(100 + size * 10 + index, size, tolerate);
         const replaced = index % 2 === 0 ? core.backupMachine(index) : core.primaryMachine;
--- a/packages/simulator/src/run/steady-traffic.test.ts
+++ b/packages/simulator/src/run/steady-traffic.test.ts
@@ -1,7 +1,4 @@
-/**
- * Bounds the control traffic of an idle fleet per node, on which `docs/CAPACITY.md` relies. Changes,
- * purges and lost registries must still be handled.
- */
+/** Guards against control traffic per node of an idle fleet that exceeds the rates in `docs/CAPACITY.md`. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -148,9 +145,12 @@
 });
 
 void test('the bytes an edge receives at most double when the number of nodes doubles', () => {
-  const six = trafficOf(smallFleet).bytesPerEdge;
-  const twelve = trafficOf({ ...smallFleet, nodes: 12 }).bytesPerEdge;
-  assert.ok(six > 0 && twelve < 2 * six + 2500, `${six} and ${twelve} bytes a second`);
+  const sixNodesBytes = trafficOf(smallFleet).bytesPerEdge;
+  const twelveNodesBytes = trafficOf({ ...smallFleet, nodes: 12 }).bytesPerEdge;
+  assert.ok(
+    sixNodesBytes > 0 && twelveNodesBytes < 2 * sixNodesBytes + 2500,
+    `${sixNodesBytes} and ${twelveNodesBytes} bytes a second`,
+  );
 });
 
 void test('runs with the same seed send the same frames', () => {
@@ -182,25 +182,34 @@
 
 void test('heartbeat replies repeat the releases of each service to the stores only', () => {
   const isAny = (): boolean => true;
-  const few = replyBytes(fewServices, isAny);
-  const many = replyBytes(manyServices, isAny);
+  const fewServicesBytes = replyBytes(fewServices, isAny);
+  const manyServicesBytes = replyBytes(manyServices, isAny);
   assert.ok(
-    many < few + moreServices * releaseRecordBytes * 0.4,
-    `${few} and ${many} bytes in a reply`,
+    manyServicesBytes < fewServicesBytes + moreServices * releaseRecordBytes * 0.4,
+    `${fewServicesBytes} and ${manyServicesBytes} bytes in a reply`,
   );
 });
 
 void test('a heartbeat reply to an idle edge does not grow with the number of services', () => {
   const isEdge = (node: string): boolean => node.startsWith('edge-');
-  const few = replyBytes(fewServices, isEdge);
-  const many = replyBytes(manyServices, isEdge);
-  assert.ok(many < few + releaseRecordBytes, `${few} and ${many} bytes in a reply`);
+  const fewServicesBytes = replyBytes(fewServices, isEdge);
+  const manyServicesBytes = replyBytes(manyServices, isEdge);
+  assert.ok(
+    manyServicesBytes < fewServicesBytes + releaseRecordBytes,
+    `${fewServicesBytes} and ${manyServicesBytes} bytes in a reply`,
+  );
 });
 
 void test('a feed with a purge does not grow with the number of nodes', () => {
-  const six = bytesPerMessage(trafficWithPurges(smallFleet, 10), 'feed');
-  const twelve = bytesPerMessage(trafficWithPurges({ ...smallFleet, nodes: 12 }, 10), 'feed');
-  assert.ok(twelve < six + 20, `${six} and ${twelve} bytes in a feed`);
+  const sixNodesBytes = bytesPerMessage(trafficWithPurges(smallFleet, 10), 'feed');
+  const twelveNodesBytes = bytesPerMessage(
+    trafficWithPurges({ ...smallFleet, nodes: 12 }, 10),
+    'feed',
+  );
+  assert.ok(
+    twelveNodesBytes < sixNodesBytes + 20,
+    `${sixNodesBytes} and ${twelveNodesBytes} bytes in a feed`,
+  );
 });
 
 const adoptedGeneration = (proxy: SimulatedProxy): number =>
