--- a/packages/simulator/src/run/random-faults.test.ts
+++ b/packages/simulator/src/run/random-faults.test.ts
@@ -1,4 +1,4 @@
-/** Random faults of all kinds, from fixed seeds. */
+/** Random fault injection with fixed seeds: every rule must hold, and every rule must be exercised. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -12,97 +12,97 @@
 import { seedRange } from './fixture.js';
 import { runRandomFaults } from './random-faults.js';
 
-const tried = new Map<CoverageGoal, number>();
+const coverage = new Map<CoverageGoal, number>();
 
 for (const seed of seedRange(10)) {
-  void test(`a storm of twenty-five faults of all kinds, seed ${seed}: every rule holds and the fleet serves again`, () => {
+  void test(`every rule holds and the fleet recovers from twenty-five random faults of all kinds, seed ${seed}`, () => {
     const report = runRandomFaults({
       seed,
       faultCount: 25,
       namePrefixes: [],
       skippedFaults: new Set(),
     });
-    addCounts(tried, report.coverage);
+    addCounts(coverage, report.coverage);
     assert.deepEqual(report.violations, []);
     assert.ok(report.causedFaultNumbers.length === 25 && report.resultCount > 500);
   });
 }
 
-/** Storms of a few faults each, for what comes about rarely by chance. */
-const narrow: readonly (readonly [string, readonly string[]])[] = [
+/** Sets of few fault kinds each, for combinations that are rare among faults of all kinds. */
+const faultMixes: readonly (readonly [string, readonly string[]])[] = [
   [
-    'power and disks lost amid writes',
+    'power and disk losses during writes',
     ['power lost', 'disk lost', 'fill disk', 'stall disk', 'freeze store', 'apply'],
   ],
-  ['releases under lost keepers', ['bad release', 'good release', 'kill proxy', 'freeze proxy']],
-  ['ailing origins under lost keepers', ['losing origin', 'crash origin', 'kill proxy', 'flood']],
   [
-    'origins that leave a core that is cut',
+    'releases and lost service leaders',
+    ['bad release', 'good release', 'kill proxy', 'freeze proxy'],
+  ],
+  [
+    'failing origins and lost service leaders',
+    ['losing origin', 'crash origin', 'kill proxy', 'flood'],
+  ],
+  [
+    'origin departures during network partitions',
     ['replace origin', 'reuse address', 'isolate machine', 'split core'],
   ],
-  ['origins that die at work', ['crash origin', 'slow origin', 'losing origin']],
-  ['purges and cuts', ['purge', 'slow origin', 'isolate machine', 'freeze proxy']],
+  ['origins that crash during requests', ['crash origin', 'slow origin', 'losing origin']],
+  ['purges and network partitions', ['purge', 'slow origin', 'isolate machine', 'freeze proxy']],
   [
-    'places lost and replaced',
+    'lost zones and replaced registries',
     ['lose an area', 'replace a registry', 'kill everything', 'stop all in turn', 'apply'],
   ],
-  ['primaries frozen amid writes', ['freeze store', 'apply', 'purge']],
+  ['primaries frozen during writes', ['freeze store', 'apply', 'purge']],
 ];
-for (const [at, [name, only]] of narrow.entries()) {
-  void test(`a storm of ${name}`, () => {
-    for (const seed of [500 + at, 600 + at, 700 + at]) {
+for (const [index, [name, faultNames]] of faultMixes.entries()) {
+  void test(`every rule holds under random faults: ${name}`, () => {
+    for (const seed of [500 + index, 600 + index, 700 + index]) {
       const report = runRandomFaults({
         seed,
         faultCount: 25,
-        namePrefixes: only,
+        namePrefixes: faultNames,
         skippedFaults: new Set(),
       });
-      addCounts(tried, report.coverage);
+      addCounts(coverage, report.coverage);
       assert.deepEqual(report.violations, []);
     }
   });
 }
 
-/** Runs in which operators race under one number, repeat commands and read back, beside one kind of fault. */
-const operatorTrouble: readonly (readonly [string, readonly string[]])[] = [
-  [
-    'stores that are lost',
-    ['kill store', 'freeze store', 'wipe store', 'power lost', 'stall disk'],
-  ],
-  [
-    'registries that are lost',
-    ['kill registry', 'freeze registry', 'isolate machine', 'split core'],
-  ],
-  ['full losses', ['kill everything', 'lose an area', 'fill disk', 'apply', 'purge']],
+/** Fault kinds combined with concurrent, repeated and read commands of operators. */
+const operatorFaultMixes: readonly (readonly [string, readonly string[]])[] = [
+  ['lost stores', ['kill store', 'freeze store', 'wipe store', 'power lost', 'stall disk']],
+  ['lost registries', ['kill registry', 'freeze registry', 'isolate machine', 'split core']],
+  ['full restarts', ['kill everything', 'lose an area', 'fill disk', 'apply', 'purge']],
 ];
-const orders: readonly string[] = ['numbered', 'order a release'];
-const historyTried = new Map<HistoryCoverageGoal, number>();
-for (const [at, [name, only]] of operatorTrouble.entries()) {
-  void test(`a storm of operators' orders beside ${name}: their history is linearizable`, () => {
-    for (const seed of [540 + at, 640 + at, 740 + at]) {
+const operatorFaults: readonly string[] = ['numbered', 'order a release'];
+const historyCoverage = new Map<HistoryCoverageGoal, number>();
+for (const [index, [name, faultNames]] of operatorFaultMixes.entries()) {
+  void test(`the history of operators' commands is linearizable under random faults: ${name}`, () => {
+    for (const seed of [540 + index, 640 + index, 740 + index]) {
       const report = runRandomFaults({
         seed,
         faultCount: 40,
-        namePrefixes: [...orders, ...only],
+        namePrefixes: [...operatorFaults, ...faultNames],
         skippedFaults: new Set(),
       });
-      for (const [point, many] of report.historyCoverage) increment(historyTried, point, many);
+      for (const [goal, count] of report.historyCoverage) increment(historyCoverage, goal, count);
       assert.deepEqual(report.violations, []);
     }
   });
 }
 
-void test('the storms of orders put every point of the history to the test', (t) => {
-  for (const point of historyCoverageGoals)
-    t.diagnostic(`${historyTried.get(point) ?? 0}  ${point}`);
-  assert.deepEqual(unmetHistoryGoals(historyTried), []);
+void test('the runs with commands of operators reach every coverage goal of the history checker', (context) => {
+  for (const goal of historyCoverageGoals)
+    context.diagnostic(`${historyCoverage.get(goal) ?? 0}  ${goal}`);
+  assert.deepEqual(unmetHistoryGoals(historyCoverage), []);
 });
 
-void test('the storms before put every rule to the test', () => {
-  assert.deepEqual(unmetGoals(tried), []);
+void test('the runs with random faults reach every coverage goal of the rules', () => {
+  assert.deepEqual(unmetGoals(coverage), []);
 });
 
-void test('one seed is one run', () => {
+void test('runs with the same seed are identical', () => {
   const traces = [0, 1].map(() => {
     const lines: string[] = [];
     const report = runRandomFaults({
--- a/packages/simulator/src/run/steady-traffic.test.ts
+++ b/packages/simulator/src/run/steady-traffic.test.ts
@@ -1,8 +1,4 @@
-/**
- * What a fleet in which nothing happens sends over its control channels, and that a change, a purge
- * and the loss of registries come to an end. The rates bound what each further node costs the
- * registries; `docs/CAPACITY.md` reckons with them.
- */
+/** Guards against control traffic per node of an idle fleet that exceeds the rates in `docs/CAPACITY.md`. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -11,7 +7,7 @@
 import type { SimulatedProxy } from '../processes/proxy.js';
 import { World } from '../world/world.js';
 
-/** What a fleet is made of; of its nodes one is a shield, as each shield brings a registry. */
+/** Size of a fleet. One node is a shield, as each shield brings a registry. */
 interface FleetSize {
   readonly nodes: number;
   readonly origins: number;
@@ -20,17 +16,17 @@
 
 const stores = 2;
 const shields = 1;
-/** One beside each shield and each store. */
+/** Each shield and each store has a registry on its machine. */
 const registries = shields + stores;
-/** Each registry gossips to each other one. */
+/** Each registry gossips to all others. */
 const registryLinks = registries * (registries - 1);
 const smallFleet: FleetSize = { nodes: 6, origins: 4, services: 2 };
 
 const settleMs = 2000;
 const windowMs = 2000;
-/** How long a change, a purge or a reconnection may take. */
+/** Maximum time of a change, a purge or a reconnection. */
 const completionLimitMs = 20_000;
-/** The length and the checksum that a channel puts before each frame. */
+/** Length and checksum that a channel puts before each frame. */
 const frameHeaderBytes = 8;
 
 interface FrameCount {
@@ -38,14 +34,14 @@
   readonly bytes: number;
 }
 
-/** Control traffic of one window, as counts and bytes a second. */
+/** Control traffic of one window, in messages and bytes a second. */
 interface Traffic {
   readonly byKind: ReadonlyMap<Frame['kind'], FrameCount>;
-  /** Bytes that arrived at one edge, the mean of all edges. */
+  /** Bytes a second received by an edge, the mean of all edges. */
   readonly bytesPerEdge: number;
 }
 
-/** A formed fleet in which nothing goes on. */
+/** Creates a fleet without requests or changes. */
 const calmFleet = ({ nodes, origins, services }: FleetSize): World => {
   const world = new World({
     seed: 1,
@@ -64,7 +60,7 @@
   return world;
 };
 
-/** Counts all control frames of one window. */
+/** Measures all control frames of one window. */
 const measureTraffic = (world: World): Traffic => {
   const byKind = new Map<Frame['kind'], FrameCount>();
   const edges = new Set<string>(world.edges.map((edge) => edge.node));
@@ -72,8 +68,8 @@
   world.frameObserver = {
     frameSent: (_from, to, frame) => {
       const bytes = serializeFrame(frame).length + frameHeaderBytes;
-      const known = byKind.get(frame.kind) ?? { messages: 0, bytes: 0 };
-      byKind.set(frame.kind, { messages: known.messages + 1, bytes: known.bytes + bytes });
+      const previous = byKind.get(frame.kind) ?? { messages: 0, bytes: 0 };
+      byKind.set(frame.kind, { messages: previous.messages + 1, bytes: previous.bytes + bytes });
       if (edges.has(to.node)) edgeBytes += bytes;
     },
   };
@@ -93,7 +89,7 @@
 
 const trafficOf = (size: FleetSize): Traffic => measureTraffic(calmFleet(size));
 
-/** The same while purges come evenly over the window. */
+/** Measures the traffic with purges spread evenly over the window. */
 const trafficWithPurges = (size: FleetSize, purgesPerSecond: number): Traffic => {
   const world = calmFleet(size);
   const count = (purgesPerSecond * windowMs) / 1000;
@@ -115,7 +111,7 @@
   return count.bytes / count.messages;
 };
 
-/** Each node and each store heartbeats at most four times a second, and is replied to as often. */
+/** Asserts three to four and a half heartbeats a second from each node and each store. */
 const assertHeartbeatRate = (traffic: Traffic, nodes: number): void => {
   const heartbeats = messagesPerSecond(traffic, 'heartbeat');
   const senders = nodes + stores;
@@ -123,42 +119,45 @@
   assert.ok(heartbeats <= senders * 4.5, `${heartbeats} heartbeats of ${senders} processes`);
 };
 
-void test('each process heartbeats three to four and a half times a second, whatever the fleet', () => {
+void test('each process sends three to four and a half heartbeats a second in a fleet of any size', () => {
   assertHeartbeatRate(trafficOf(smallFleet), 6);
   assertHeartbeatRate(trafficOf({ ...smallFleet, nodes: 12 }), 12);
 });
 
-void test('each heartbeat of a calm fleet is replied to once', () => {
+void test('each heartbeat in an idle fleet gets one reply', () => {
   const traffic = trafficOf(smallFleet);
   const unanswered =
     messagesPerSecond(traffic, 'heartbeat') - messagesPerSecond(traffic, 'heartbeat-reply');
   assert.ok(Math.abs(unanswered) <= 2, `${unanswered} heartbeats a second without a reply`);
 });
 
-void test('only registries gossip, and no more of it with more nodes', () => {
+void test('gossip among registries does not grow with the number of nodes', () => {
   for (const nodes of [6, 12]) {
     const gossip = messagesPerSecond(trafficOf({ ...smallFleet, nodes }), 'gossip');
     assert.ok(gossip <= registryLinks * 3.5, `${gossip} frames of gossip with ${nodes} nodes`);
   }
 });
 
-void test('a calm process is sent the list of members at most one and a half times a second', () => {
+void test('a process in an idle fleet receives at most one and a half member lists a second', () => {
   const nodes = 12;
   const lists = messagesPerSecond(trafficOf({ ...smallFleet, nodes }), 'member-list');
   assert.ok(lists <= (nodes + stores) * 1.5, `${lists} member lists`);
 });
 
-void test('an edge hears at most twice as much in a fleet of twice as many nodes', () => {
-  const six = trafficOf(smallFleet).bytesPerEdge;
-  const twelve = trafficOf({ ...smallFleet, nodes: 12 }).bytesPerEdge;
-  assert.ok(six > 0 && twelve < 2 * six + 2500, `${six} and ${twelve} bytes a second`);
+void test('the bytes an edge receives at most double when the number of nodes doubles', () => {
+  const sixNodesBytes = trafficOf(smallFleet).bytesPerEdge;
+  const twelveNodesBytes = trafficOf({ ...smallFleet, nodes: 12 }).bytesPerEdge;
+  assert.ok(
+    sixNodesBytes > 0 && twelveNodesBytes < 2 * sixNodesBytes + 2500,
+    `${sixNodesBytes} and ${twelveNodesBytes} bytes a second`,
+  );
 });
 
-void test('the same seed sends the same frames', () => {
+void test('runs with the same seed send the same frames', () => {
   assert.deepEqual([...trafficOf(smallFleet).byKind], [...trafficOf(smallFleet).byKind]);
 });
 
-/** Bytes of a heartbeat's reply, the mean of a window, without the results of canaries. */
+/** Mean size in bytes of a heartbeat reply over a window, without the canary results. */
 const replyBytes = (size: FleetSize, isReceiver: (node: string) => boolean): number => {
   const world = calmFleet(size);
   let count = 0;
@@ -175,39 +174,48 @@
   return bytes / count;
 };
 
-/** What the record of one release takes in a reply. */
+/** Size of the record of one release in a reply. */
 const releaseRecordBytes = 82;
 const fewServices: FleetSize = { ...smallFleet, origins: 12 };
 const manyServices: FleetSize = { ...fewServices, services: 12 };
 const moreServices = manyServices.services - fewServices.services;
 
-void test('the releases of each service are told again to the stores alone', () => {
+void test('heartbeat replies repeat the releases of each service to the stores only', () => {
   const isAny = (): boolean => true;
-  const few = replyBytes(fewServices, isAny);
-  const many = replyBytes(manyServices, isAny);
+  const fewServicesBytes = replyBytes(fewServices, isAny);
+  const manyServicesBytes = replyBytes(manyServices, isAny);
   assert.ok(
-    many < few + moreServices * releaseRecordBytes * 0.4,
-    `${few} and ${many} bytes in a reply`,
+    manyServicesBytes < fewServicesBytes + moreServices * releaseRecordBytes * 0.4,
+    `${fewServicesBytes} and ${manyServicesBytes} bytes in a reply`,
   );
 });
 
-void test('a reply to a calm edge does not grow with the number of services', () => {
+void test('a heartbeat reply to an idle edge does not grow with the number of services', () => {
   const isEdge = (node: string): boolean => node.startsWith('edge-');
-  const few = replyBytes(fewServices, isEdge);
-  const many = replyBytes(manyServices, isEdge);
-  assert.ok(many < few + releaseRecordBytes, `${few} and ${many} bytes in a reply`);
+  const fewServicesBytes = replyBytes(fewServices, isEdge);
+  const manyServicesBytes = replyBytes(manyServices, isEdge);
+  assert.ok(
+    manyServicesBytes < fewServicesBytes + releaseRecordBytes,
+    `${fewServicesBytes} and ${manyServicesBytes} bytes in a reply`,
+  );
 });
 
 void test('a feed with a purge does not grow with the number of nodes', () => {
-  const six = bytesPerMessage(trafficWithPurges(smallFleet, 10), 'feed');
-  const twelve = bytesPerMessage(trafficWithPurges({ ...smallFleet, nodes: 12 }, 10), 'feed');
-  assert.ok(twelve < six + 20, `${six} and ${twelve} bytes in a feed`);
+  const sixNodesBytes = bytesPerMessage(trafficWithPurges(smallFleet, 10), 'feed');
+  const twelveNodesBytes = bytesPerMessage(
+    trafficWithPurges({ ...smallFleet, nodes: 12 }, 10),
+    'feed',
+  );
+  assert.ok(
+    twelveNodesBytes < sixNodesBytes + 20,
+    `${sixNodesBytes} and ${twelveNodesBytes} bytes in a feed`,
+  );
 });
 
 const adoptedGeneration = (proxy: SimulatedProxy): number =>
   proxy.state?.nodeAgent.compiledConfiguration?.generation ?? 0;
 
-void test('a change of the configuration comes into force on every node', () => {
+void test('a configuration change takes effect on every node', () => {
   const world = calmFleet(smallFleet);
   world.apply(2);
   const isInForce = (): boolean => world.proxies.every((proxy) => adoptedGeneration(proxy) >= 2);
@@ -230,11 +238,13 @@
   assert.ok(world.runUntil(completionLimitMs, isDone));
 });
 
-/** Whether every node has its session at a registry that lives and knows of it. */
+/** Whether every node has a session with a live registry that knows of it. */
 const hasAllSessions = (world: World): boolean =>
   world.proxies.every((proxy) => {
     const link = proxy.state?.nodeAgent.nodeSession.registryLink;
-    const registry = world.registries.find((one) => one.isAlive && one.address === link?.address);
+    const registry = world.registries.find(
+      (registry) => registry.isAlive && registry.address === link?.address,
+    );
     return (
       registry !== undefined &&
       link?.lastHeardAt !== undefined &&
@@ -242,7 +252,7 @@
     );
   });
 
-void test('the nodes of a lost registry find another one', () => {
+void test('the nodes of a lost registry connect to another one', () => {
   const world = calmFleet(smallFleet);
   const nodeRegistry = world.edges[0]?.state?.nodeAgent.nodeSession.registryLink?.address;
   const lost = world.registries.find((registry) => registry.address === nodeRegistry);
