--- a/packages/simulator/src/digest/digest.test.ts
+++ b/packages/simulator/src/digest/digest.test.ts
@@ -1,4 +1,4 @@
-/** A few of the recorded runs; all of them are compared by `npm run digests`. */
+/** A change of behaviour shows in the digests of recorded runs. `npm run digests` compares all of them. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -7,11 +7,11 @@
 import { differingRuns, formatDigests, parseDigests, replayInTests } from './reference.js';
 
 for (const suite of [fleetSuite, operatorSuite, directEdgeSuite])
-  void test(`runs of the ${suite.name} suite are the ones that were recorded`, () => {
+  void test(`runs of the ${suite.name} suite match their recorded digests`, () => {
     assert.deepEqual(replayInTests(suite), []);
   });
 
-void test('a digest that differs, is missing or is new is named', () => {
+void test('digests that differ, are missing or are new are reported', () => {
   const expected = new Map([
     ['fleet 1', 'aa'],
     ['fleet 2', 'bb'],
--- a/packages/simulator/src/digest/direct-edge.ts
+++ b/packages/simulator/src/digest/direct-edge.ts
@@ -1,4 +1,4 @@
-/** Digests of an edge that sends straight to origins. */
+/** Digests of runs of a direct edge. */
 
 import { type CallerRecord, bodyOf, statusOf } from '../direct/request-rules.js';
 import { runDirectEdge } from '../direct/run.js';
--- a/packages/simulator/src/digest/fleet.ts
+++ b/packages/simulator/src/digest/fleet.ts
@@ -14,14 +14,14 @@
 
 const faultsPerRun = 10;
 
-const outcomes: readonly Outcome[] = ['acknowledged', 'refused', 'unknown'];
+const outcomes: readonly Outcome[] = ['acknowledged', 'rejected', 'unknown'];
 
-/** What happened, as a number: the first value of each line that is added while a run goes on. */
+/** Kind of an observed event: the first value of its line in the digest. */
 const sentEvent = 1;
 const deliveredEvent = 2;
 const processedEvent = 3;
 
-/** Adds every message as it is sent and delivered, and every event that a process acted on. */
+/** Adds each message sent or delivered and each event processed, with its virtual time. */
 const observeRun = (world: World, digest: RunDigest): void => {
   world.network.observer = {
     sent: (from, to) => digest.add(sentEvent, world.eventQueue.now, from, to),
@@ -40,13 +40,13 @@
   digest.add(reply?.at, reply?.status, reply?.generation, reply?.purge, reply?.hash);
 };
 
-/** The numbers that an operation of an operator was sent with and ended with. */
+/** The version, rollout or purge that an operation names. */
 const versionOf = (operation: Operation): readonly (string | number | undefined)[] => {
   switch (operation.kind) {
     case 'write':
     case 'read':
       return [operation.version?.number, operation.version?.hash];
-    case 'release':
+    case 'rollout':
       return [operation.key, operation.rolloutNumber];
     case 'purge':
       return [operation.number];
@@ -74,7 +74,7 @@
   digest.add(...origin.failureTimes);
 };
 
-/** The kind of a result as a number: an error by its place in the list of errors. */
+/** Kind of a result as a number: an error by its index in the list of error kinds. */
 const resultNumber = (kind: CallerResult['kind']): number => {
   if (kind === 'result') return -1;
   return kind === 'broken' ? -2 : errorKinds.indexOf(kind);
@@ -102,7 +102,7 @@
   digest.add(result.request, result.createdAt, result.source, result.retryAfterMs);
 };
 
-/** Adds what operators, origins and callers wrote down, and where the random numbers have got to. */
+/** Adds the records of operators, origins and callers, and the state of the random source. */
 const addRecords = (digest: RunDigest, world: World, callers: SimulatedCallers): void => {
   for (const write of world.writes) addWrite(digest, write);
   for (const operation of world.history.operations) addOperation(digest, operation);
@@ -129,7 +129,7 @@
   return digest.finish();
 };
 
-/** Fleets under faults of all kinds. */
+/** Fleets under all default faults. */
 export const fleetSuite: DigestSuite = {
   name: 'fleet',
   seeds: seedRange(1001, 60),
@@ -139,7 +139,7 @@
 
 const everyFault = [...allFaults, ...numberedCommandFaults].map((fault) => fault.name);
 
-/** The same, with operators that race, repeat their commands and read back what is in force. */
+/** Fleets under all faults, with operators that send concurrent and repeated commands. */
 export const operatorSuite: DigestSuite = {
   name: 'operators',
   seeds: seedRange(2001, 20),
--- a/packages/simulator/src/digest/reference.ts
+++ b/packages/simulator/src/digest/reference.ts
@@ -1,18 +1,18 @@
-/** The digests that runs are compared with, as they were recorded. */
+/** The recorded digests that runs are compared with. */
 
 import { readFileSync, writeFileSync } from 'node:fs';
 import type { DigestSuite } from './suite.js';
 
-/** The digest of each seed, by the name of its suite and the seed. */
+/** Digests by run name. */
 export type Digests = ReadonlyMap<string, string>;
 
 const referenceFile = new URL('../../fixtures/digests.txt', import.meta.url);
 const commentPrefix = '#';
 
-/** Names a run in the file and in what is printed. */
+/** Name of a run in the data file and in output. */
 export const runName = (suite: DigestSuite, seed: number): string => `${suite.name} ${seed}`;
 
-/** One run a line, its digest last. */
+/** Parses the data file: one run per line, its digest last. */
 export const parseDigests = (text: string): Digests =>
   new Map(
     text
@@ -26,14 +26,14 @@
   return [line.slice(0, end), line.slice(end + 2)];
 };
 
-/** Digests as lines of the data file. */
+/** Formats digests as lines of the data file. */
 export const formatDigests = (digests: Digests): string =>
   [...digests].map(([name, digest]) => `${name}: ${digest}\n`).join('');
 
-/** The recorded digests. */
+/** Reads the recorded digests. */
 export const readReference = (): Digests => parseDigests(readFileSync(referenceFile, 'utf8'));
 
-/** Records digests; the header says which sources they belong to. */
+/** Writes the data file; `revision` names the sources that the digests belong to. */
 export const writeReference = (digests: Digests, revision: string): void => {
   const header = [
     `${commentPrefix} Digests of deterministic runs, one seed a line.`,
@@ -42,13 +42,13 @@
   writeFileSync(referenceFile, `${header.join('\n')}\n${formatDigests(digests)}`);
 };
 
-/** Names of runs that one of the two lacks, or whose digests differ. */
+/** Names of runs whose digests differ or exist on one side only. */
 export const differingRuns = (expected: Digests, actual: Digests): readonly string[] =>
   [...new Set([...expected.keys(), ...actual.keys()])].filter(
     (name) => expected.get(name) !== actual.get(name),
   );
 
-/** Replays those seeds of a suite that are replayed with the other tests; names the ones that differ. */
+/** Replays the seeds of a suite that belong to the tests; returns the names of runs that differ. */
 export const replayInTests = (suite: DigestSuite): readonly string[] => {
   const reference = readReference();
   return suite.seeds
--- a/packages/simulator/src/digest/run-digest.ts
+++ b/packages/simulator/src/digest/run-digest.ts
@@ -1,14 +1,14 @@
-/** A digest of one run: numbers and identifiers of its data, and no name that the code gives to anything. */
+/** Digest of one run. It holds only data of the run, no names from the code, so that renames do not change it. */
 
 import { createHash } from 'node:crypto';
 
-/** What a digest is made of; something absent has its place too. */
+/** A value in a digest; an absent value is hashed as `undefined`. */
 export type DigestValue = string | number | boolean | undefined;
 
-/** How many characters are gathered before they are hashed. */
+/** Number of characters that are collected before they are hashed. */
 const maxBufferedCharacters = 65_536;
 
-/** Hashes one line after the other. */
+/** Incremental hash of a sequence of lines. */
 export class RunDigest {
   readonly #hash = createHash('sha256');
   #buffered = '';
@@ -18,7 +18,7 @@
     if (this.#buffered.length > maxBufferedCharacters) this.#flush();
   }
 
-  /** The digest of all lines, in hexadecimal. */
+  /** Returns the digest of all lines in hexadecimal. */
   finish(): string {
     this.#flush();
     return this.#hash.digest('hex');
--- a/packages/simulator/src/digest/suite.ts
+++ b/packages/simulator/src/digest/suite.ts
@@ -1,15 +1,15 @@
-/** Families of recorded runs. */
+/** Suites of recorded runs. */
 
-/** A family of runs, each made from one seed alone. */
+/** A suite of runs, each determined by its seed. */
 export interface DigestSuite {
   readonly name: string;
   readonly seeds: readonly number[];
-  /** How many of the seeds, from the first, are replayed with the other tests. */
+  /** Number of seeds, from the first, that the tests replay. */
   readonly seedsInTests: number;
-  /** Plays one seed; the same behaviour gives the same text. */
+  /** Runs one seed and returns its digest; equal behaviour gives equal digests. */
   readonly digest: (seed: number) => string;
 }
 
-/** Seeds one after the other. */
+/** Returns consecutive seeds. */
 export const seedRange = (first: number, count: number): readonly number[] =>
   Array.from({ length: count }, (_, offset) => first + offset);
--- a/packages/simulator/src/direct/direct.test.ts
+++ b/packages/simulator/src/direct/direct.test.ts
@@ -1,4 +1,4 @@
-/** The direct edge under random faults of its origins and callers. */
+/** A direct edge breaks a rule of requests under random faults of origins and callers. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -6,7 +6,7 @@
 
 const seedCount = 40;
 
-void test('the direct edge keeps the rules of requests, whatever its origins and callers do', () => {
+void test('the direct edge keeps the rules of requests under random faults of origins and callers', () => {
   const counts = new Map<string, number>();
   let requests = 0;
   for (let seed = 1; seed <= seedCount; seed += 1) {
--- a/packages/simulator/src/direct/origin-client.ts
+++ b/packages/simulator/src/direct/origin-client.ts
@@ -1,6 +1,6 @@
 /**
- * The upstream port of a simulated direct edge: carries attempts to simulated origins with all
- * their faults.
+ * Origin client of a simulated direct edge: sends attempts to simulated origins and injects their
+ * faults.
  */
 
 import type { Address } from '@switchwheel/types';
@@ -15,23 +15,23 @@
 import type { SeededRandom } from '../world/seeded-random.js';
 import type { OriginBehaviour, OriginFleet, DirectOrigin } from './origin.js';
 
-/** What stands in the body of an object at a revision. */
+/** Body of an object at a revision. */
 export const objectBody = (target: string, revision: number): string => `${target}@${revision}`;
 
-/** One attempt of a request, as it left the edge. */
+/** One attempt of a request, as the edge sent it. */
 export interface SentAttempt {
   readonly at: number;
   readonly id: string;
   readonly address: Address;
 }
 
-/** How late a late answer is, in milliseconds: sometimes after the request's deadline. */
+/** Delay of a late response in milliseconds; the upper part is past the request's deadline. */
 const lateResponseRangeMs = [300, 2600] as const;
 
-/** Statuses that promise that nothing ran, given here by origins that did run the request. */
+/** Statuses that mean "not executed", returned here by origins that executed the request. */
 const misleadingStatuses = [408, 429, 503] as const;
 
-/** Carries requests to simulated origins in the way that the socket port reports them. */
+/** Sends requests to simulated origins, and reports outcomes as the socket client does. */
 export class SimulatedOriginClient implements OriginClient {
   readonly sentAttempts: SentAttempt[] = [];
   readonly #eventQueue: EventQueue;
@@ -52,14 +52,14 @@
   }
 
   closeIdleConnections(): void {
-    // Idle connections bear nothing here: bytes left on them are among the conducts.
+    // There are no simulated connections; leftover bytes on one are the behaviour `other id`.
   }
 
   send(request: AttemptRequest, handlers: AttemptHandlers): () => void {
     this.sentAttempts.push({ at: this.#eventQueue.now, id: request.id, address: request.address });
     let isCancelled = false;
     const behaviour = this.#fleet.pickBehaviour();
-    // What is cut on its way may arrive all the same.
+    // A cancelled request may arrive nevertheless.
     const arrivesAnyway = this.#random.happens(0.5);
     const report = (deliver: () => void): void => {
       if (!isCancelled) deliver();
@@ -68,7 +68,7 @@
       if (isCancelled && !arrivesAnyway) return;
       const origin = this.#fleet.originAt(request.address);
       if (behaviour === 'unopened' || origin === undefined)
-        report(() => handlers.onFailure(false, 'the connection did not open'));
+        report(() => handlers.onFailure(false, 'connection refused'));
       else if (!isAddressedTo(request, origin))
         report(() => handlers.onResponse({ ...createResponse(421, ''), isUnprocessed: true }));
       else this.#executeRequest(request, origin, behaviour, handlers, report);
@@ -106,7 +106,7 @@
         report(() => handlers.onResponse(createResponse(200, body)));
       else if (behaviour === 'failure')
         report(() => handlers.onResponse(createResponse(500, 'failed')));
-      else if (behaviour === 'false promise') {
+      else if (behaviour === 'misleading status') {
         const status = this.#random.pick(misleadingStatuses) ?? 503;
         report(() => handlers.onResponse(createResponse(status, 'failed')));
       } else failConnection();
@@ -114,7 +114,7 @@
   }
 }
 
-/** Whether the request names this origin, or none: only then does it run. */
+/** Whether the request names this origin or none; an origin executes no other requests. */
 const isAddressedTo = (request: AttemptRequest, origin: DirectOrigin): boolean => {
   const targetInstance = request.fields.find(
     ([name]) => name === defaultHeaderNames.targetInstance,
--- a/packages/simulator/src/direct/origin.ts
+++ b/packages/simulator/src/direct/origin.ts
@@ -1,30 +1,30 @@
-/** Origins that a direct edge sends to: how each behaves to a request, and what it ran. */
+/** Origins of a simulated direct edge: their behaviour per request, and records of executions. */
 
 import type { Address, InstanceId, ServiceName } from '@switchwheel/types';
 import type { AttemptRequest } from '@switchwheel/routing';
 import type { SeededRandom } from '../world/seeded-random.js';
 
-/** What a simulated origin, or the way to it, does with one request. */
+/** Behaviour of a simulated origin, or of the connection to it, for one request. */
 export type OriginBehaviour =
   | 'answer'
   | 'late'
   | 'silent'
   | 'full'
   | 'failure'
-  | 'false promise'
+  | 'misleading status'
   | 'short'
   | 'other id'
   | 'unopened'
   | 'reset before'
   | 'reset after';
 
-/** The troubles of origins, besides a plain answer. */
+/** All behaviours except a normal response. */
 export const faultyBehaviours: readonly OriginBehaviour[] = [
   'late',
   'silent',
   'full',
   'failure',
-  'false promise',
+  'misleading status',
   'short',
   'other id',
   'unopened',
@@ -32,7 +32,7 @@
   'reset after',
 ];
 
-/** One run of a request, as the origin itself writes it down. */
+/** One execution of a request, as recorded by the origin. */
 export interface ExecutionRecord {
   readonly id: string;
   readonly method: string;
@@ -42,26 +42,26 @@
   readonly service: ServiceName;
 }
 
-/** A simulated origin: it works on what names it, and writes down what it ran. */
+/** A simulated origin instance. */
 export interface DirectOrigin {
   readonly instance: InstanceId;
   readonly service: ServiceName;
   readonly address: Address;
 }
 
-/** The simulated origins, by the address at which they are reached now, and what they ran. */
+/** The simulated origins by their current addresses, and the record of executions. */
 export class OriginFleet {
   readonly executions: ExecutionRecord[] = [];
   readonly #byAddress = new Map<Address, DirectOrigin>();
   readonly #random: SeededRandom;
-  /** The share of requests that meet a fault. */
+  /** Probability that a request meets a fault. */
   faultProbability = 0.3;
 
   constructor(random: SeededRandom) {
     this.#random = random;
   }
 
-  /** Starts an origin at an address; whoever had the address before is gone. */
+  /** Starts an origin; it replaces any other at the same address. */
   start(origin: DirectOrigin): void {
     this.#byAddress.set(origin.address, origin);
   }
--- a/packages/simulator/src/direct/request-rules.ts
+++ b/packages/simulator/src/direct/request-rules.ts
@@ -1,15 +1,22 @@
-/** Rules of requests through a direct edge, judged from the records of origins and callers. */
+/** Rules of requests through a direct edge, checked on the records of origins and callers. */
 
 import { errorResponseFor } from '@switchwheel/types';
 import type { ClientReply } from '@switchwheel/routing';
 import type { ExecutionRecord } from './origin.js';
 import { objectBody } from './origin-client.js';
 
-/** The rules of requests that are judged here. */
+/** Name of a violation of the rules of requests. */
 export type RequestRule =
-  'TWICE' | 'REFUSED' | 'MIXED' | 'UNASKED' | 'ROUTE' | 'LOST' | 'STALE' | 'RETRY';
+  | 'executed twice'
+  | 'rejected after execution'
+  | 'wrong response'
+  | 'unknown request'
+  | 'wrong service'
+  | 'no timely reply'
+  | 'stale response'
+  | 'missing retry-after';
 
-/** A request as its caller sent it, and what the caller saw. */
+/** A request and the replies that its caller got. */
 export interface CallerRecord {
   readonly id: string;
   readonly method: string;
@@ -17,7 +24,7 @@
   readonly body: string;
   readonly sentAt: number;
   readonly deadline: number;
-  /** The revision that the object had at the last purge before the request. */
+  /** Revision of the object at the last purge before the request. */
   readonly minRevision: number;
   hasDisconnected: boolean;
   readonly replies: { readonly at: number; readonly reply: ClientReply }[];
@@ -30,18 +37,18 @@
   readonly text: string;
 }
 
-/** Statuses that promise that a request has not run and never will. */
+/** Statuses that mean that a request has not been executed and will not be. */
 const notExecutedStatuses: ReadonlySet<number> = new Set([408, 421, 429, 503]);
-/** How far past its deadline a request may be replied to: one tick. */
+/** Tolerated delay of a reply past the deadline: about one tick. */
 const replyMarginMs = 40;
 
-/** The status that a caller is answered with. */
+/** Response status that a reply gives the caller. */
 export const statusOf = (reply: ClientReply): number => {
   if (reply.kind === 'failure') return errorResponseFor(reply.errorKind).status;
   return reply.kind === 'cached' ? reply.entry.status : reply.response.status;
 };
 
-/** The body that a caller is answered with; empty for a failure. */
+/** Response body that a reply gives the caller; empty for a failure. */
 export const bodyOf = (reply: ClientReply): string => {
   if (reply.kind === 'failure') return '';
   return (reply.kind === 'cached' ? reply.entry.body : reply.response.body).toString();
@@ -53,18 +60,18 @@
     violations.push({ rule, id: record.id, text });
   };
   const [firstReply] = record.replies;
-  if (record.replies.length > 1) add('MIXED', 'told more than once');
+  if (record.replies.length > 1) add('wrong response', 'more than one reply');
   if (firstReply === undefined) {
-    if (!record.hasDisconnected) add('LOST', 'never told');
+    if (!record.hasDisconnected) add('no timely reply', 'no reply');
     return violations;
   }
   if (firstReply.at > record.deadline + replyMarginMs)
-    add('LOST', `told ${firstReply.at - record.deadline} ms late`);
+    add('no timely reply', `replied ${firstReply.at - record.deadline} ms late`);
   const status = statusOf(firstReply.reply);
   if (record.method !== 'GET' && wasExecuted && notExecutedStatuses.has(status))
-    add('REFUSED', `told ${status}`);
+    add('rejected after execution', `replied ${status}`);
   if (firstReply.reply.kind === 'failure' && status === 503 && firstReply.reply.retryAfterMs <= 0)
-    add('RETRY', 'not told when to come back');
+    add('missing retry-after', 'status 503 without retry-after');
   if (status === 200) checkBody(record, bodyOf(firstReply.reply), add);
   return violations;
 };
@@ -75,15 +82,16 @@
   add: (rule: RequestRule, text: string) => void,
 ): void => {
   if (record.method !== 'GET') {
-    if (body !== `done ${record.id}`) add('MIXED', body);
+    if (body !== `done ${record.id}`) add('wrong response', body);
     return;
   }
   const revision = Number(body.split('@')[1]);
-  if (body !== objectBody(record.target, revision)) add('MIXED', body);
-  else if (revision < record.minRevision) add('STALE', `${body}, purged at ${record.minRevision}`);
+  if (body !== objectBody(record.target, revision)) add('wrong response', body);
+  else if (revision < record.minRevision)
+    add('stale response', `served ${body}, purged at revision ${record.minRevision}`);
 };
 
-/** Judges a run from what the origins wrote down and what the callers got. */
+/** Checks the records of a run. `mayExecute` decides whether a service may execute a target. */
 export const checkRequests = (
   callers: ReadonlyMap<string, CallerRecord>,
   executions: readonly ExecutionRecord[],
@@ -100,18 +108,22 @@
       caller.target !== execution.target ||
       caller.body !== execution.body
     )
-      violations.push({ rule: 'UNASKED', id: execution.id, text: execution.target });
+      violations.push({ rule: 'unknown request', id: execution.id, text: execution.target });
     if (!mayExecute(execution.target, execution.service))
       violations.push({
-        rule: 'ROUTE',
+        rule: 'wrong service',
         id: execution.id,
-        text: `${execution.target} ran at ${execution.service}`,
+        text: `${execution.target} was executed by service ${execution.service}`,
       });
   }
   for (const record of callers.values()) {
     const executionCount = counts.get(record.id) ?? 0;
     if (record.method !== 'GET' && executionCount > 1)
-      violations.push({ rule: 'TWICE', id: record.id, text: `ran ${executionCount} times` });
+      violations.push({
+        rule: 'executed twice',
+        id: record.id,
+        text: `executed ${executionCount} times`,
+      });
     violations.push(...checkCaller(record, executionCount > 0));
   }
   return violations;
--- a/packages/simulator/src/direct/run.ts
+++ b/packages/simulator/src/direct/run.ts
@@ -1,7 +1,4 @@
-/**
- * One direct edge with callers and origins, run from a seed. What is judged stands in
- * request-rules.
- */
+/** Simulation of one direct edge with callers and origins, from a seed. */
 
 import {
   type InstanceId,
@@ -31,17 +28,17 @@
 import { OriginFleet, type ExecutionRecord, type DirectOrigin } from './origin.js';
 import { type CallerRecord, type Violation, checkRequests } from './request-rules.js';
 
-/** What a run brought about. */
+/** Records and violations of one run. */
 export interface DirectRun {
   readonly violations: readonly Violation[];
   readonly requests: number;
   readonly executions: number;
   readonly counts: ReadonlyMap<string, number>;
-  /** Every request, with all replies that its caller got. */
+  /** All requests, with the replies that their callers got. */
   readonly callerRecords: readonly CallerRecord[];
-  /** What the origins ran, in their order. */
+  /** Executions at all origins, in order. */
   readonly executionRecords: readonly ExecutionRecord[];
-  /** What the edge sent to origins, in its order. */
+  /** Attempts that the edge sent, in order. */
   readonly sentAttempts: readonly SentAttempt[];
 }
 
@@ -49,11 +46,11 @@
 const requestTimeoutMs = 1500;
 const tickIntervalMs = 30;
 const runDurationMs = 20_000;
-/** Of a stop, how long what is under way may go on. */
+/** Time that requests in progress get to finish during a stop. */
 const drainTimeoutMs = 4000;
 const services = [toServiceName('clips'), toServiceName('edits')] as const;
 
-/** One configuration: both routes of the service named. */
+/** Compiled configuration whose edit route leads to the given service. */
 const buildTestConfiguration = (
   service: ServiceName,
   generation: number,
@@ -86,15 +83,15 @@
       ],
     }),
   );
-  if (!bundle.isOk) throw new Error('the description is not valid');
+  if (!bundle.isOk) throw new Error('the test configuration is not valid');
   const { hash, chunkHashes, chunks } = bundle.value;
   const texts = chunkHashes.map((chunkHash) => chunks.get(chunkHash) ?? '');
   const compiled = runToCompletion(buildConfiguration(texts, toGeneration(generation), hash));
-  if (!compiled.isOk) throw new Error('the table was not built');
+  if (!compiled.isOk) throw new Error('the test configuration did not compile');
   return compiled.value;
 };
 
-/** An edge that sends straight to origins, with callers and origins in all their troubles, from one seed. */
+/** An edge that sends directly to origins, with faulty origins and callers that may disconnect. */
 class DirectWorld {
   readonly eventQueue = new EventQueue();
   readonly random: SeededRandom;
@@ -197,14 +194,14 @@
       this.#nodeAgent = { ...this.#nodeAgent, compiledConfiguration: configuration };
   }
 
-  /** An origin starts at an address that another one, perhaps of another service, may have had. */
+  /** Starts an origin at an address that another one, perhaps of another service, may have used. */
   #startOrigin(slot: number): void {
     this.#originCount += 1;
     const address = toAddress(`10.0.1.${slot + 1}:80`);
     const service = this.random.happens(0.5) ? services[0] : services[1];
     const origin = { instance: toInstanceId(`o${this.#originCount}`), service, address };
     this.fleet.start(origin);
-    // The edge hears of it some time later.
+    // The edge learns of the origin after a random delay.
     this.eventQueue.schedule(this.random.uniform(0, 800), () => {
       for (const other of [...this.#knownOrigins.values()])
         if (other.address === address) this.#knownOrigins.delete(other.instance);
@@ -232,7 +229,7 @@
     return this.#revisions.get(target) ?? 0;
   }
 
-  /** An object changes, and its old revisions are purged. */
+  /** Changes an object and purges its old revisions. */
   #changeObject(): void {
     const target = `/clips/${this.random.integer(1, 3)}`;
     this.#revisions.set(target, this.#revisionOf(target) + 1);
@@ -287,7 +284,7 @@
   }
 }
 
-/** Plays one seed and judges it. */
+/** Runs one seed and checks all rules. */
 export const runDirectEdge = (seed: number): DirectRun => {
   const world = new DirectWorld(seed);
   world.run();
--- a/packages/simulator/src/fault/all-faults.ts
+++ b/packages/simulator/src/fault/all-faults.ts
@@ -1,4 +1,4 @@
-/** Every fault that a run causes unless it names its own. */
+/** The faults that a run injects by default. */
 
 import { callerFaults } from './caller-faults.js';
 import type { Fault } from './fault.js';
@@ -9,7 +9,7 @@
 import { storeFaults } from './store-faults.js';
 import { zoneFaults } from './zone-faults.js';
 
-/** All faults but the numbered commands, in the order in which they are picked from. */
+/** All faults except numbered commands. The order determines what a seed picks. */
 export const allFaults: readonly Fault[] = [
   ...storeFaults,
   ...processFaults,
--- a/packages/simulator/src/fault/caller-faults.ts
+++ b/packages/simulator/src/fault/caller-faults.ts
@@ -1,14 +1,14 @@
-/** Callers that ask more than they should. */
+/** Faults of callers: immediate retries and floods of requests. */
 
 import type { Fault } from './fault.js';
 
-/** Floods and impatient callers. */
+/** All faults of callers. */
 export const callerFaults: readonly Fault[] = [
   {
-    name: 'impatient callers',
+    name: 'immediate retries',
     weight: 1,
     cause: (context) => {
-      context.log('callers ask again at once');
+      context.log('callers retry immediately');
       context.callers.maxImmediateRetries = 4;
       context.world.eventQueue.schedule(context.randomMs(2000, 8000), () => {
         context.callers.maxImmediateRetries = 0;
@@ -23,7 +23,7 @@
       const service = world.random.pick(world.layout.services)?.name;
       if (service === undefined) return;
       const kind = world.random.pick(['plain', 'act'] as const) ?? 'plain';
-      context.log(`flood of ${kind} at ${service}`);
+      context.log(`flood of ${kind} requests to ${service}`);
       context.callers.floodedUntil.set(`/${service}/${kind}/`, world.eventQueue.now + 8000);
       for (let index = 0; index < 900; index += 1)
         world.eventQueue.schedule(index * 2.5, () => {
--- a/packages/simulator/src/fault/fault-context.ts
+++ b/packages/simulator/src/fault/fault-context.ts
@@ -1,4 +1,4 @@
-/** What all faults of one run share: the fleet, and which faults must not be there at once. */
+/** State shared by all faults of one run: the fleet, and which faults must not coincide. */
 
 import type { SimulatedCallers } from '../processes/callers.js';
 import type { SimulatedStore } from '../processes/store.js';
@@ -7,19 +7,19 @@
 import type { World } from '../world/world.js';
 import type { RuleChecker } from '../rules/rule-checker.js';
 
-/** How long after a fault of the core the next one may come. */
+/** Minimum time between the end of one fault of the core and the next. */
 const coreRecoveryMs = 3000;
 
-/** The context on which faults are caused: what they share and must not do at once. */
+/** The fleet that faults act on, and reservations that keep certain faults from coinciding. */
 export class FaultContext {
   readonly world: World;
   readonly ruleChecker: RuleChecker;
-  /** When the last fault of a machine with a disk is over, and of the whole core. */
+  /** Times from which the next fault of a disk machine, and of the whole core, is allowed. */
   #diskFaultsAllowedAt = 0;
   #coreFaultsAllowedAt = 0;
   #lastRelease = 1;
   trace: ((text: string) => void) | undefined;
-  /** Operators whose orders are recorded and judged; only where a run has them. */
+  /** Operators whose commands are recorded in the history; only in runs that have them. */
   operators: SimulatedOperators | undefined;
 
   readonly callers: SimulatedCallers;
@@ -44,7 +44,7 @@
     return this.world.random.uniform(low, high);
   }
 
-  /** Reserves a fault of one machine with a disk: one at a time, and the next only once both stores are in sync again. */
+  /** Reserves a fault of one store: at most one at a time, and only while both stores run and are in sync. */
   reserveDiskFault(durationMs: number): SimulatedStore | undefined {
     const { world } = this;
     if (
@@ -62,7 +62,7 @@
     return world.random.pick(world.stores);
   }
 
-  /** Reserves a fault of the whole core: one at a time. */
+  /** Reserves a fault of the whole core; at most one at a time. */
   reserveCoreFault(durationMs: number): boolean {
     if (
       this.world.eventQueue.now < this.#coreFaultsAllowedAt ||
@@ -73,7 +73,7 @@
     return true;
   }
 
-  /** Reserves a fault of a whole zone, which befalls a disk and the core at once. */
+  /** Reserves a fault of a whole zone, which affects a store and the core at once. */
   reserveZoneFault(durationMs: number): SimulatedStore | undefined {
     const store = this.reserveDiskFault(durationMs);
     if (store !== undefined)
@@ -86,7 +86,7 @@
     return `r${this.#lastRelease}`;
   }
 
-  /** Everything on one machine. */
+  /** All processes on the machine of a process. */
   processesOnMachineOf(process: SimulatedProcess): readonly SimulatedProcess[] {
     const machine = process.node.replace(/-registry$/, '');
     return this.world.allProcesses.filter(
@@ -94,7 +94,7 @@
     );
   }
 
-  /** Cuts some processes off from all others, both ways or one. */
+  /** Cuts the links between some processes and all others, in one direction or both. */
   isolate(processes: readonly SimulatedProcess[], direction: 'both' | 'out' | 'in'): void {
     for (const process of processes) {
       for (const other of this.world.allProcesses) {
--- a/packages/simulator/src/fault/fault.ts
+++ b/packages/simulator/src/fault/fault.ts
@@ -1,16 +1,16 @@
-/** One fault that a run may cause, and the choice among several by their weights. */
+/** Faults that a run may inject, and the weighted choice among them. */
 
 import type { FaultContext } from './fault-context.js';
 
-/** What a run may do to a fleet. */
+/** A fault, or another event, that a run injects. */
 export interface Fault {
   readonly name: string;
-  /** How often it is picked beside the others. */
+  /** Relative frequency. */
   readonly weight: number;
   readonly cause: (context: FaultContext) => void;
 }
 
-/** Picks faults by their weights. */
+/** Picks a fault at random by the weights of the candidates. */
 export const pickFault = (
   context: FaultContext,
   candidates: readonly Fault[],
--- a/packages/simulator/src/fault/network-faults.ts
+++ b/packages/simulator/src/fault/network-faults.ts
@@ -1,4 +1,4 @@
-/** Faults of the network between processes: partitions, slow links and lossy links. */
+/** Faults of the network between processes: partitions, and slow or lossy links. */
 
 import { SimulatedProxy } from '../processes/proxy.js';
 import {
@@ -12,11 +12,11 @@
 
 const healLater = (context: FaultContext, durationMs: number): void =>
   context.world.eventQueue.schedule(durationMs, () => {
-    context.log('heal');
+    context.log('heal network');
     context.world.network.heal();
   });
 
-/** Gives all links other conditions for a while. */
+/** Changes the conditions of all links for 1 to 6 s. */
 const changeConditions = (
   context: FaultContext,
   text: string,
@@ -31,7 +31,7 @@
   });
 };
 
-/** Partitions and bad links. */
+/** All faults of the network. */
 export const networkFaults: readonly Fault[] = [
   {
     name: 'isolate machine',
@@ -60,19 +60,19 @@
         .filter(() => context.world.random.happens(0.5))
         .flatMap((registry) => context.processesOnMachineOf(registry));
       context.log(
-        `split ${side.map((process) => process.node).join(' ')} for ${Math.round(durationMs)}`,
+        `split core: ${side.map((process) => process.node).join(' ')} for ${Math.round(durationMs)}`,
       );
       context.isolate(side, 'both');
       healLater(context, durationMs);
     },
   },
   {
-    name: 'cut core off from edges',
+    name: 'partition edges from core',
     weight: 1,
     cause: (context) => {
       const durationMs = context.randomMs(500, 4000);
       if (!context.reserveCoreFault(durationMs)) return;
-      context.log(`cut edges off for ${Math.round(durationMs)}`);
+      context.log(`partition edges from core for ${Math.round(durationMs)}`);
       for (const edge of context.world.edges) {
         for (const other of context.world.allProcesses) {
           if (other instanceof SimulatedProxy && other.role === 'edge') continue;
@@ -91,7 +91,7 @@
       const process = context.world.random.pick(context.world.allProcesses);
       if (process === undefined) return;
       const machine = context.processesOnMachineOf(process);
-      context.log(`flap ${machine.map((process) => process.node).join(' ')}`);
+      context.log(`flap links of ${machine.map((process) => process.node).join(' ')}`);
       for (let round = 0; round < 8; round += 1) {
         context.world.eventQueue.schedule(round * 700, () => context.isolate(machine, 'both'));
         context.world.eventQueue.schedule(round * 700 + context.randomMs(50, 600), () =>
@@ -107,7 +107,7 @@
     cause: (context) => changeConditions(context, 'slow links', slowConditions),
   },
   {
-    name: 'rough weather',
+    name: 'lossy links',
     weight: 2,
     cause: (context) => changeConditions(context, 'lossy links', lossyConditions),
   },
--- a/packages/simulator/src/fault/operator-commands.ts
+++ b/packages/simulator/src/fault/operator-commands.ts
@@ -1,8 +1,8 @@
-/** Commands of operators that come among the faults: configurations, purges and rollouts. */
+/** Commands of operators that run among the faults: configurations, purges and rollouts. */
 
 import type { Fault } from './fault.js';
 
-/** Configurations and purges, valid and not, alone and many at once. */
+/** Configurations and purges: valid, invalid, concurrent and in bulk. */
 export const operatorFaults: readonly Fault[] = [
   {
     name: 'apply',
@@ -12,31 +12,31 @@
     },
   },
   {
-    name: 'apply an invalid one',
+    name: 'apply an invalid configuration',
     weight: 1,
     cause: (context) => {
-      context.log('apply an invalid description');
-      context.world.coverage.record('R4: an invalid description came');
+      context.log('apply an invalid configuration');
+      context.world.coverage.record('R4: an invalid configuration was submitted');
       context.world.apply(context.world.random.integer(1, 1_000_000), undefined, 'invalid');
     },
   },
   {
-    name: 'apply a huge one',
+    name: 'apply a very large configuration',
     weight: 1,
     cause: (context) => {
-      context.log('apply a huge description');
-      context.world.coverage.record('R4: a huge description came');
+      context.log('apply a very large configuration');
+      context.world.coverage.record('R4: a very large configuration was submitted');
       context.world.apply(context.world.random.integer(1, 1_000_000), undefined, 'huge');
     },
   },
   {
-    name: 'collide',
+    name: 'concurrent applies',
     weight: 2,
     cause: (context) => {
       const base = context.world.primary()?.state?.control.configuration?.offer.generation;
       if (base === undefined) return;
-      context.log(`collide on ${base}`);
-      context.world.coverage.record('R4: two descriptions collided');
+      context.log(`apply two configurations to generation ${base}`);
+      context.world.coverage.record('R4: two configurations were applied to the same base');
       context.world.apply(context.world.random.integer(1, 1_000_000), base);
       context.world.apply(context.world.random.integer(1, 1_000_000), base);
     },
@@ -68,13 +68,13 @@
   },
 ];
 
-/** Commands of operators that number their configurations; caused only where a run asks for them by name. */
+/** Commands of operators that number their configurations; only for runs that select them by name. */
 export const numberedCommandFaults: readonly Fault[] = [
   {
     name: 'numbered race',
     weight: 3,
     cause: (context) => {
-      context.log('two operators race under one number');
+      context.log('two operators apply different configurations under one number');
       context.operators?.applyConcurrently();
     },
   },
--- a/packages/simulator/src/fault/origin-faults.ts
+++ b/packages/simulator/src/fault/origin-faults.ts
@@ -1,11 +1,11 @@
-/** Faults and releases of origins. */
+/** Faults of origins, and new releases. */
 
 import { type Address, toRelease } from '@switchwheel/types';
 import type { SimulatedOrigin } from '../processes/origin.js';
 import type { World } from '../world/world.js';
 import type { Fault } from './fault.js';
 
-/** Starts another instance of the same release, with the same faults. */
+/** Starts another instance of the same release, with the same failure probability. */
 const addReplacementOrigin = (
   world: World,
   origin: SimulatedOrigin,
@@ -15,7 +15,7 @@
     origin.failureProbability;
 };
 
-/** Crashes, replacements, bad answers and bad releases of origins. */
+/** Crashes, replacements, faulty responses and bad releases of origins. */
 export const originFaults: readonly Fault[] = [
   {
     name: 'crash origin',
@@ -67,7 +67,7 @@
         world.layout.services.filter((service) => service.name !== origin?.service),
       );
       if (origin === undefined || other === undefined) return;
-      world.coverage.record('R6: an address was taken by another service');
+      world.coverage.record('R6: an address was reused by another service');
       context.log(`reuse ${origin.address} of ${origin.instance} for ${other.name}`);
       addReplacementOrigin(world, origin, undefined);
       origin.crash();
@@ -85,7 +85,7 @@
       );
       if (origin === undefined) return;
       origin.extraLatencyMs = context.randomMs(50, 1500);
-      context.log(`slow ${origin.instance} by ${Math.round(origin.extraLatencyMs)}`);
+      context.log(`slow ${origin.instance} by ${Math.round(origin.extraLatencyMs)} ms`);
       context.world.eventQueue.schedule(context.randomMs(1000, 6000), () => {
         origin.extraLatencyMs = 0;
       });
@@ -99,7 +99,7 @@
         context.world.origins.filter((other) => other.isAlive),
       );
       if (origin === undefined) return;
-      context.log(`lossy ${origin.instance}`);
+      context.log(`faulty responses of ${origin.instance}`);
       origin.lossProbability = context.randomMs(0.05, 0.6);
       origin.corruptionProbability = context.randomMs(0, 0.3);
       origin.truncationProbability = context.randomMs(0, 0.2);
@@ -120,7 +120,7 @@
       const origin = world.addOrigin(service.name, service.slots, release);
       origin.failureProbability = context.randomMs(0.3, 1);
       context.ruleChecker.badReleases.add(toRelease(release));
-      world.coverage.record('R10: a bad release came');
+      world.coverage.record('R10: a bad release was started');
       context.log(`bad release ${release} of ${service.name}`);
       world.eventQueue.schedule(20_000, () => origin.leave('leaving'));
     },
--- a/packages/simulator/src/fault/process-actions.ts
+++ b/packages/simulator/src/fault/process-actions.ts
@@ -1,4 +1,4 @@
-/** What faults do to single processes: end, freeze, stop and restart them, and note what that puts to the test. */
+/** Actions of faults on single processes: kill, freeze, stop and restart, with coverage records. */
 
 import { windowSum } from '@switchwheel/proxy-core';
 import { SimulatedProxy } from '../processes/proxy.js';
@@ -6,7 +6,7 @@
 import type { SimulatedProcess } from '../world/process.js';
 import type { FaultContext } from './fault-context.js';
 
-/** Starts a process again after a while. */
+/** Restarts a process after a delay. */
 export const restartAfter = (
   context: FaultContext,
   target: SimulatedProcess,
@@ -17,7 +17,7 @@
 export const hasUnansweredWrite = ({ world }: FaultContext, store: SimulatedStore): boolean =>
   world.writes.some((write) => write.reply === undefined && store.hasResultOf(write.id));
 
-/** Records which coverage goals losing a process just now reaches. */
+/** Records the coverage goals that are met by losing a process now. */
 const recordLossCoverage = (context: FaultContext, target: SimulatedProcess): void => {
   const { world } = context;
   if (target instanceof SimulatedStore) {
@@ -26,26 +26,26 @@
       (write) => write.reply?.status === 200 && world.eventQueue.now - write.reply.at < 1000,
     );
     if (isPrimary && hasRecentWrite)
-      world.coverage.record('R4: a primary was lost just after it accepted');
+      world.coverage.record('R4: a primary was lost just after accepting a write');
     if (target.writePhase === 'writingToDisk')
-      world.coverage.record('a write was cut before its sync');
+      world.coverage.record('a store was lost before it synced a write');
     if (target.writePhase === 'replicating')
-      world.coverage.record('a write was cut between the two disks');
+      world.coverage.record('a primary was lost while replicating a write');
     if (isPrimary && hasUnansweredWrite(context, target))
-      world.coverage.record('a write was cut before its answer');
+      world.coverage.record('a primary was lost before replying to a write');
   }
   if (!(target instanceof SimulatedProxy)) return;
   for (const leaderName of target.state?.activeLeaders.values() ?? []) {
     const leader = target.state?.leaders.get(leaderName);
     if (leader === undefined) continue;
     if ([...leader.canaries.values()].some((canary) => canary.state === 'trial'))
-      world.coverage.record('R10: a keeper was lost during a trial');
+      world.coverage.record('R10: a service leader was lost during a canary');
     if (windowSum(leader.recentExtraAttempts, target.clock) > 5)
-      world.coverage.record('R8: a keeper was lost with extra legs just sent');
+      world.coverage.record('R8: a service leader was lost just after sending extra attempts');
   }
 };
 
-/** Kills a process and starts it again after a while. */
+/** Kills a process and restarts it after a delay. */
 export const killFor = (
   context: FaultContext,
   target: SimulatedProcess,
@@ -57,7 +57,7 @@
   restartAfter(context, target, durationMs);
 };
 
-/** Freezes a process for a while; its clock goes on. */
+/** Freezes a process for a while; its clock keeps running. */
 export const freezeFor = (
   context: FaultContext,
   target: SimulatedProcess,
@@ -69,7 +69,7 @@
   context.world.eventQueue.schedule(durationMs, () => target.resume());
 };
 
-/** A planned stop: a warning, then the platform's hard stop six seconds later. */
+/** Stops a proxy gracefully and restarts it; the platform kills it if it still runs after 6 s. */
 export const stopProxy = (context: FaultContext, proxy: SimulatedProxy): void => {
   if (!proxy.isAlive || proxy.isFrozen) return;
   context.log(`stop ${proxy.node}`);
--- a/packages/simulator/src/fault/process-faults.ts
+++ b/packages/simulator/src/fault/process-faults.ts
@@ -1,4 +1,4 @@
-/** Faults of proxies and registries, one at a time, many at once or all. */
+/** Faults of processes: one, many or all at once. */
 
 import { SimulatedStore } from '../processes/store.js';
 import type { SimulatedProcess } from '../world/process.js';
@@ -17,7 +17,7 @@
     freezeFor(context, target, context.randomMs(200, 5000));
 };
 
-/** Faults of single processes and of many at once. */
+/** All faults of processes. */
 export const processFaults: readonly Fault[] = [
   {
     name: 'kill proxy',
@@ -48,12 +48,12 @@
     cause: (context) => freezeOneOf(context, context.world.registries),
   },
   {
-    name: 'lame node',
+    name: 'compile failure',
     weight: 1,
     cause: (context) => {
       const proxy = context.world.random.pick(context.world.proxies);
       if (proxy === undefined || proxy.failsToCompile) return;
-      context.log(`lame ${proxy.node}`);
+      context.log(`configurations fail to compile on ${proxy.node}`);
       proxy.failsToCompile = true;
       const durationMs = context.randomMs(1000, 5000);
       context.world.eventQueue.schedule(durationMs, () => {
@@ -67,7 +67,7 @@
     cause: (context) => {
       if (!context.reserveCoreFault(12_000)) return;
       context.log('kill everything');
-      context.world.coverage.record('R12: everything was killed');
+      context.world.coverage.record('R12: all processes were killed at once');
       for (const target of context.world.allProcesses) {
         target.kill();
         restartAfter(context, target, context.randomMs(50, 1500));
--- a/packages/simulator/src/fault/registry-replacement.ts
+++ b/packages/simulator/src/fault/registry-replacement.ts
@@ -1,10 +1,10 @@
-/** A registry is replaced for good: the new one joins the electorate, then the old one leaves it. */
+/** Permanent replacement of a registry: the new one joins the electorate, then the old one leaves it. */
 
 import { toCommandId } from '@switchwheel/types';
 import type { SimulatedRegistry } from '../processes/registry.js';
 import type { FaultContext } from './fault-context.js';
 
-/** How long the new registry runs before it is added to the electorate. */
+/** Time that the new registry runs before it is added to the electorate. */
 const joinDelayMs = 1000;
 const retryDelayMs = 500;
 const replyTimeoutMs = 5000;
@@ -13,7 +13,7 @@
 
 type ElectorateChange = 'add' | 'remove';
 
-/** Replaces one registry of a machine without a disk. */
+/** One replacement of a registry that runs beside no store. */
 class RegistryReplacement {
   readonly #context: FaultContext;
   readonly #departing: SimulatedRegistry;
@@ -31,7 +31,7 @@
     );
   }
 
-  /** Requests one change of the electorate until it is accepted, as an operator would. */
+  /** Requests a change of the electorate, with retries, until it is accepted. */
   #change(change: ElectorateChange, onAccepted: () => void, retries = 0): void {
     const { world } = this.#context;
     const node = change === 'add' ? this.#joining.node : this.#departing.node;
@@ -67,12 +67,12 @@
   #finish(): void {
     const { world } = this.#context;
     world.coverage.record('a voter was replaced');
-    this.#context.log(`${this.#departing.node} is gone for good`);
+    this.#context.log(`${this.#departing.node} is removed permanently`);
     world.removeRegistry(this.#departing);
   }
 }
 
-/** Replaces a registry that runs beside no store, if the core may be disturbed now. */
+/** Replaces a registry that runs beside no store, unless another fault of the core is active. */
 export const replaceRegistry = (context: FaultContext): void => {
   const { world } = context;
   if (!context.reserveCoreFault(5000)) return;
--- a/packages/simulator/src/fault/store-faults.ts
+++ b/packages/simulator/src/fault/store-faults.ts
@@ -6,7 +6,7 @@
 import { freezeFor, hasUnansweredWrite, killFor, restartAfter } from './process-actions.js';
 import type { Fault } from './fault.js';
 
-/** Applies a configuration, waits until its write has come so far at some store, and cuts the power there. */
+/** Applies a configuration, and cuts the power of the first store at which `isDue` holds for its write. */
 const losePowerDuringWrite = (
   context: FaultContext,
   isDue: (store: SimulatedStore) => boolean,
@@ -23,17 +23,17 @@
       world.eventQueue.schedule(0.25, check);
       return;
     }
-    context.log(`power of ${store.node} lost amid ${write.id}`);
+    context.log(`power of ${store.node} lost during write ${write.id}`);
     killFor(context, store, context.randomMs(100, 2500));
     if (world.random.happens(0.3)) {
-      world.coverage.record('a store lost its disk after confirming');
+      world.coverage.record('a store lost its disk after acknowledging a write');
       store.disk.wipe();
     }
   };
   check();
 };
 
-/** Ends a store, damages its disk, and starts the store again after a while. */
+/** Kills a store, damages its disk and restarts it after a delay. */
 const damageDisk = (
   context: FaultContext,
   verb: string,
@@ -47,10 +47,10 @@
   restartAfter(context, store, context.randomMs(200, 2000));
 };
 
-/** Lets a disk take nothing for a while; says whether there was one whose turn it is. */
+/** Makes a disk full or stalled for a while. Returns false if no disk may fail now. */
 const blockDisk = (
   context: FaultContext,
-  condition: Exclude<DiskCondition, 'well'>,
+  condition: Exclude<DiskCondition, 'healthy'>,
   minDurationMs: number,
 ): boolean => {
   const durationMs = context.randomMs(minDurationMs, 6000);
@@ -62,7 +62,7 @@
   return true;
 };
 
-/** Faults of stores; at most one machine with a disk has a fault at a time. */
+/** All faults of stores; at most one store has a fault at a time. */
 export const storeFaults: readonly Fault[] = [
   {
     name: 'kill store',
@@ -87,13 +87,13 @@
       losePowerDuringWrite(context, (store) => store.writePhase === 'writingToDisk'),
   },
   {
-    name: 'power lost between the disks',
+    name: 'power lost during replication',
     weight: 1,
     cause: (context) =>
       losePowerDuringWrite(context, (store) => store.writePhase === 'replicating'),
   },
   {
-    name: 'power lost before the answer',
+    name: 'power lost before the reply',
     weight: 1,
     cause: (context) =>
       losePowerDuringWrite(
@@ -102,7 +102,7 @@
       ),
   },
   {
-    name: 'disk lost after confirming',
+    name: 'disk lost after acknowledging',
     weight: 1,
     cause: (context) => {
       const { world } = context;
@@ -112,8 +112,8 @@
         if (write.reply?.status === 200) {
           const store = context.reserveDiskFault(4000);
           if (store === undefined) return;
-          context.log(`wipe ${store.node} just after ${write.id}`);
-          world.coverage.record('a store lost its disk after confirming');
+          context.log(`wipe disk of ${store.node} just after write ${write.id}`);
+          world.coverage.record('a store lost its disk after acknowledging a write');
           killFor(context, store, context.randomMs(200, 2000));
           store.disk.wipe();
         } else if (world.eventQueue.now < deadline) world.eventQueue.schedule(1, check);
@@ -135,13 +135,13 @@
   {
     name: 'wipe store',
     weight: 2,
-    cause: (context) => damageDisk(context, 'wipe', (store) => store.disk.wipe()),
+    cause: (context) => damageDisk(context, 'wipe disk of', (store) => store.disk.wipe()),
   },
   {
-    name: 'tear store',
+    name: 'tear disk',
     weight: 1,
     cause: (context) =>
-      damageDisk(context, 'tear', (store) => {
+      damageDisk(context, 'tear disk of', (store) => {
         store.disk.isTorn = true;
       }),
   },
--- a/packages/simulator/src/fault/zone-faults.ts
+++ b/packages/simulator/src/fault/zone-faults.ts
@@ -1,10 +1,10 @@
-/** Faults of whole zones and changes of machines: a zone is lost, all proxies are replaced in turn, a registry is replaced. */
+/** Loss of a whole zone, rolling restarts of all proxies, and replacements of registries. */
 
 import { killFor, stopProxy } from './process-actions.js';
 import type { Fault } from './fault.js';
 import { replaceRegistry } from './registry-replacement.js';
 
-/** Faults of many machines at once, and planned changes of machines. */
+/** Faults of whole zones, and planned changes of machines. */
 export const zoneFaults: readonly Fault[] = [
   {
     name: 'lose an area',
@@ -14,8 +14,8 @@
       const store = context.reserveZoneFault(durationMs);
       if (store === undefined) return;
       const affected = context.world.allProcesses.filter((process) => process.zone === store.zone);
-      context.log(`lose area ${store.zone} for ${Math.round(durationMs)}`);
-      context.world.coverage.record('an area was lost');
+      context.log(`lose zone ${store.zone} for ${Math.round(durationMs)}`);
+      context.world.coverage.record('a zone was lost');
       for (const process of affected)
         killFor(context, process, durationMs + context.randomMs(0, 500));
     },
--- a/packages/simulator/src/guard/built-copy.ts
+++ b/packages/simulator/src/guard/built-copy.ts
@@ -1,4 +1,4 @@
-/** Copies of the built workspace, in which the text of one guard is replaced. */
+/** Copies of the built workspace in which guards are removed. */
 
 import {
   cpSync,
@@ -15,13 +15,13 @@
 import { join } from 'node:path';
 import type { Guard } from './list.js';
 
-/** A copy of the built workspace, in which one guard can be taken out. */
+/** A temporary copy of the built workspace. */
 export interface BuiltCopy {
   readonly root: string;
   readonly remove: () => void;
 }
 
-/** Copies the built files of all packages to a temporary folder; whoever copies removes it. */
+/** Copies the built files of all packages to a temporary folder, which the caller removes. */
 export const copyBuilt = (root: string): BuiltCopy => {
   const copyRoot = mkdtempSync(join(tmpdir(), 'guards-'));
   const removeCopy = (): void => rmSync(copyRoot, { recursive: true, force: true });
@@ -43,13 +43,13 @@
   return { root: copyRoot, remove: removeCopy };
 };
 
-/** Where a text stands in another one. */
+/** Position of an occurrence in a text. */
 interface TextRange {
   readonly start: number;
   readonly end: number;
 }
 
-/** Every place where a text stands, white space left out of account on both sides. */
+/** Finds all occurrences of a pattern, ignoring white space on both sides. */
 const occurrencesOf = (text: string, pattern: string): readonly TextRange[] => {
   const offsets = [...text.matchAll(/\S/gu)].map((match) => match.index);
   const compactText = offsets.map((offset) => text.charAt(offset)).join('');
@@ -68,22 +68,24 @@
   return ranges;
 };
 
-/** Why a guard can't be taken out; nothing if it can. */
+/** Reason why a guard can't be removed; undefined if it can. */
 export const guardError = (root: string, guard: Guard): string | undefined => {
   const path = join(root, 'packages', guard.file);
-  if (!existsSync(path)) return `${guard.file}: not there, for the guard "${guard.name}"`;
+  if (!existsSync(path))
+    return `${guard.file}: file not found, needed for the guard "${guard.name}"`;
   const occurrenceCount = occurrencesOf(readFileSync(path, 'utf8'), guard.from).length;
   return occurrenceCount === 1
     ? undefined
-    : `${guard.file}: the text of the guard "${guard.name}" stands there ${occurrenceCount} times, not once`;
+    : `${guard.file}: expected the text of the guard "${guard.name}" once, found it ${occurrenceCount} times`;
 };
 
-/** Takes a guard out of a copy; gives what puts it back. */
+/** Removes a guard from a copy; returns the function that restores it. */
 export const removeGuard = (copy: BuiltCopy, guard: Guard): (() => void) => {
   const path = join(copy.root, 'packages', guard.file);
   const originalText = readFileSync(path, 'utf8');
   const occurrence = occurrencesOf(originalText, guard.from)[0];
-  if (occurrence === undefined) throw new Error(`${guard.name}: its text is not there`);
+  if (occurrence === undefined)
+    throw new Error(`${guard.file}: text of the guard "${guard.name}" not found`);
   writeFileSync(
     path,
     originalText.slice(0, occurrence.start) + guard.to + originalText.slice(occurrence.end),
--- a/packages/simulator/src/guard/index.ts
+++ b/packages/simulator/src/guard/index.ts
@@ -1,4 +1,4 @@
-/** What the model checker shares of the hunt for guards that no test misses. */
+/** Removal of guards from built code, as the model checker uses it for seeded bugs. */
 
 export { type BuiltCopy, copyBuilt, guardError, removeGuard } from './built-copy.js';
 export type { Guard } from './list.js';
--- a/packages/simulator/src/guard/main.ts
+++ b/packages/simulator/src/guard/main.ts
@@ -1,4 +1,4 @@
-/** The command line that takes guards out one by one and names the test that goes red. */
+/** Command line that removes guards one by one and reports the test that fails without each. */
 
 import { spawn } from 'node:child_process';
 import { join } from 'node:path';
@@ -12,20 +12,20 @@
   Usage
     $ npm run guards -- [flags]
 
-  Takes guards out of a built copy one at a time, and tells which tests go red without them.
+  Removes guards from a copy of the built code one at a time, and reports which test fails.
 
   Flags
-    --only TEXT   only guards with this in their name or rule; repeat for more
-    --at-once N   how many copies run side by side (4)
-    --storms      let random storms look too, where nothing else notices (slow)
-    --list        only name them
+    --only TEXT   only guards whose name contains TEXT or whose rule is TEXT; may be repeated
+    --at-once N   number of copies tested in parallel (default: 4)
+    --storms      also run the random fault tests if no other test fails (slow)
+    --list        only list the guards
 
   Exit codes
-    0  every guard is missed by some test    1  one is not    2  wrong use
+    0  every removal is detected by a test    1  some removal is not    2  usage error
 `,
   {
     importMeta: import.meta,
-    description: 'What the tests notice.',
+    description: 'Mutation testing with hand-picked guards.',
     flags: {
       only: { type: 'string', isMultiple: true },
       atOnce: { type: 'number', default: 4 },
@@ -49,14 +49,14 @@
 const usageErrors = [
   ...Object.keys(cli.flags)
     .filter((name) => !knownFlags.has(name))
-    .map((name) => `--${name}: no such flag`),
-  ...cli.input.map((argument) => `${argument}: not a flag`),
+    .map((name) => `--${name}: unknown flag`),
+  ...cli.input.map((argument) => `${argument}: unexpected argument`),
   ...(Number.isSafeInteger(cli.flags.atOnce) && cli.flags.atOnce >= 1 && cli.flags.atOnce <= 64
     ? []
-    : ['--at-once: a whole number from 1 to 64']),
+    : ['--at-once must be an integer from 1 to 64']),
   ...filters
     .filter((text) => !guards.some((guard) => guard.name.includes(text) || guard.rule === text))
-    .map((text) => `--only: no guard is named ${text}`),
+    .map((text) => `--only: no guard has ${text} in its name or as its rule`),
   ...selectedGuards.map((guard) => guardError(root, guard)).filter((error) => error !== undefined),
 ];
 if (usageErrors.length > 0) {
@@ -68,7 +68,7 @@
   process.exit(0);
 }
 
-/** The tests that run without sockets, the quick ones first: those of single machines and the simulator's. */
+/** Test files without sockets, fastest first. */
 const testFiles = [
   'proxy-core/dist/forwarding/forwarding.test.js',
   'proxy-core/dist/service-leader/service-leader.test.js',
@@ -82,7 +82,7 @@
 ];
 const testTimeoutMs = 600_000;
 
-/** Runs one file of tests up to the first that goes red; gives its name. */
+/** Runs a test file up to the first failure; returns the name of the failed test. */
 const runFile = (copy: BuiltCopy, file: string): Promise<string | undefined> =>
   new Promise((resolve) => {
     const child = spawn(
@@ -100,8 +100,11 @@
     });
     child.on('close', () => {
       clearTimeout(timeout);
-      // One that ends no more is noticed as well.
-      resolve(failedTest ?? (output.includes('\n# tests ') ? undefined : `${file} did not end`));
+      // A test file that does not end counts as failed.
+      resolve(
+        failedTest ??
+          (output.includes('\n# tests ') ? undefined : `${file} did not end within 10 min`),
+      );
     });
   });
 
@@ -123,7 +126,7 @@
     restoreGuard();
     if (failedTest === undefined) undetectedGuards.push(guard);
     printLine(
-      `${guard.rule.padEnd(12)} ${guard.name}: ${failedTest === undefined ? 'NOTHING NOTICES' : `red: ${failedTest}`}`,
+      `${guard.rule.padEnd(12)} ${guard.name}: ${failedTest === undefined ? 'NOT DETECTED' : `failed: ${failedTest}`}`,
     );
   }
   copy.remove();
@@ -133,7 +136,7 @@
 );
 printLine(
   undetectedGuards.length === 0
-    ? `all ${selectedGuards.length} guards are missed by some test`
-    : `${undetectedGuards.length} of ${selectedGuards.length} guards are missed by none: ${undetectedGuards.map((guard) => guard.name).join('; ')}`,
+    ? `all ${selectedGuards.length} removals were detected by a test`
+    : `${undetectedGuards.length} of ${selectedGuards.length} removals were not detected: ${undetectedGuards.map((guard) => guard.name).join('; ')}`,
 );
 process.exitCode = undetectedGuards.length > 0 ? 1 : 0;
--- a/packages/simulator/src/history/checker.test.ts
+++ b/packages/simulator/src/history/checker.test.ts
@@ -1,4 +1,4 @@
-/** The checker on histories made by hand, right and wrong ones. */
+/** The checker misses a violation, or reports one in a valid history. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -28,7 +28,7 @@
   outcome,
 });
 
-/** A write to which the control side gives the number. */
+/** A write whose number the control plane assigns. */
 const unnumberedWrite = (...args: Parameters<typeof write>): ConfigurationWrite => ({
   ...write(...args),
   isNumbered: false,
@@ -53,7 +53,7 @@
   startedAt: number,
   outcome: Outcome = 'acknowledged',
 ): RolloutRequest => ({
-  kind: 'release',
+  kind: 'rollout',
   key,
   rolloutNumber,
   startedAt,
@@ -70,7 +70,7 @@
 });
 
 const testViolation = (name: string, text: string, operations: readonly Operation[]): void => {
-  void test(`the checker finds ${name}`, () => {
+  void test(`the checker reports ${name}`, () => {
     const { violations } = checkHistory(operations);
     assert.equal(violations.length, 1, JSON.stringify(violations));
     assert.ok(violations[0]?.includes(text), violations[0]);
@@ -78,153 +78,157 @@
 };
 
 const testAccepted = (name: string, operations: readonly Operation[]): void => {
-  void test(`the checker lets pass ${name}`, () => {
+  void test(`the checker accepts ${name}`, () => {
     assert.deepEqual(checkHistory(operations).violations, []);
   });
 };
 
-testViolation('two contents confirmed under one number', 'one number, two contents', [
+testViolation('two contents acknowledged under one number', 'one number, two contents', [
   write(5, 'a', 0, 10),
   write(5, 'b', 0, 12),
 ]);
-testViolation(
-  'two contents confirmed under one number that lies below the newest',
-  'two contents',
-  [write(9, 'c', 0, 1), write(5, 'a', 2, 3), write(5, 'b', 4, 5)],
-);
-testViolation('another content read than was confirmed', 'one number, two contents', [
+testViolation('two contents acknowledged under one number below the newest', 'two contents', [
+  write(9, 'c', 0, 1),
+  write(5, 'a', 2, 3),
+  write(5, 'b', 4, 5),
+]);
+testViolation('a read of a content other than the acknowledged one', 'one number, two contents', [
   write(5, 'a', 0, 10),
   write(5, 'b', 0, undefined),
   read(5, 'b', 11, 12),
 ]);
-testViolation('an acknowledged number that is lost', '5 was acknowledged, and 4 was read', [
+testViolation('the loss of an acknowledged number', '5 was acknowledged, but 4 was read', [
   write(4, 'a', 0, 1),
   write(5, 'b', 2, 3),
   read(4, 'a', 4, 5),
 ]);
-testViolation(
-  'an acknowledged first number that is lost whole',
-  '4 was acknowledged, and 0 was read',
-  [write(4, 'a', 0, 1), read(0, '', 2, 3)],
-);
-testViolation('a read that goes back behind another read', '5 was read, and 4 was read later', [
+testViolation('the loss of the first acknowledged number', '4 was acknowledged, but 0 was read', [
+  write(4, 'a', 0, 1),
+  read(0, '', 2, 3),
+]);
+testViolation('a read of a lower number than an earlier read', '5 was read, but 4 was read later', [
   write(4, 'a', 0, 1),
   write(5, 'b', 2, undefined),
   read(5, 'b', 3, 4),
   read(4, 'a', 5, 6),
 ]);
-testViolation('an acknowledged order that is refused when sent again', 'sent again, and refused', [
-  write(5, 'a', 0, 1),
-  write(5, 'b', 0, 2, 'refused'),
-  write(5, 'a', 3, 4, 'refused'),
-]);
-testViolation('a refusal although no other content has the number', 'no other has its number', [
-  write(5, 'a', 0, 1, 'refused'),
-  write(5, 'b', 2, 3),
-]);
-testViolation('a read of what was refused', 'was refused to all who sent it', [
-  write(5, 'a', 0, 4, 'refused'),
+testViolation(
+  'the rejection of a repeated write that was acknowledged',
+  'acknowledged, then rejected when sent again',
+  [write(5, 'a', 0, 1), write(5, 'b', 0, 2, 'rejected'), write(5, 'a', 3, 4, 'rejected')],
+);
+testViolation(
+  'a rejection although no other content has the number',
+  'no other content has its number',
+  [write(5, 'a', 0, 1, 'rejected'), write(5, 'b', 2, 3)],
+);
+testViolation('a read of a rejected content', 'every write of it was rejected', [
+  write(5, 'a', 0, 4, 'rejected'),
   write(5, 'b', 0, undefined),
   read(5, 'a', 5, 6),
 ]);
-testViolation('a read of what nobody had sent yet', 'nobody had sent it', [
+testViolation('a read of a content that had not been sent yet', 'before any write had sent it', [
   read(5, 'a', 0, 1),
   write(5, 'a', 2, 3),
 ]);
-testViolation('a release order that was begun twice', 'was begun twice, as 1 and 3', [
+testViolation('a rollout request that was started twice', 'was started twice, as 1 and 3', [
   rollout('r2', 1, 0),
   rollout('r3', 2, 2),
   rollout('r2', 3, 4),
 ]);
 testViolation(
-  'a release order that was refused after it was acknowledged',
-  'sent again, and refused',
-  [rollout('r2', 1, 0), rollout('r2', undefined, 2, 'refused')],
+  'the rejection of a repeated rollout request',
+  'acknowledged, then rejected when sent again',
+  [rollout('r2', 1, 0), rollout('r2', undefined, 2, 'rejected')],
 );
-testViolation('purges that go back', 'purge 4 was acknowledged after purge 4 had been', [
+testViolation('purges whose numbers do not increase', 'purge 4 was acknowledged after purge 4', [
   purge(4, 0),
   purge(4, 2),
 ]);
 
-testViolation('a number that is given twice', '5 (b) was given, and 5 was known before', [
-  write(4, 'a', 0, 1),
-  read(5, 'b', 2, 3),
-  unnumberedWrite(undefined, 'b', 0, undefined),
-  unnumberedWrite(5, 'b', 4, 5),
-]);
+testViolation(
+  'a number that is assigned twice',
+  '5 (b) was assigned after 5 was acknowledged or read',
+  [
+    write(4, 'a', 0, 1),
+    read(5, 'b', 2, 3),
+    unnumberedWrite(undefined, 'b', 0, undefined),
+    unnumberedWrite(5, 'b', 4, 5),
+  ],
+);
 
 testAccepted(
-  'an unknown write without a number that is read, and one that is refused for its base',
+  'a write without a number and with an unknown outcome that is read, beside a rejected one',
   [
     write(4, 'a', 0, 1),
     unnumberedWrite(undefined, 'b', 2, undefined),
-    unnumberedWrite(undefined, 'c', 2, 3, 'refused'),
+    unnumberedWrite(undefined, 'c', 2, 3, 'rejected'),
     read(5, 'b', 4, 5),
   ],
 );
-testAccepted('an unknown write that takes effect late', [
+testAccepted('a write with an unknown outcome that takes effect late', [
   write(4, 'a', 0, 1),
   write(5, 'b', 2, undefined),
   read(4, 'a', 3, 4),
   read(5, 'b', 5, 6),
 ]);
-testAccepted('an unknown write that never takes effect', [
+testAccepted('a write with an unknown outcome that never takes effect', [
   write(4, 'a', 0, 1),
   write(5, 'b', 2, undefined),
   read(4, 'a', 3, 4),
   read(4, 'a', 5, 6),
 ]);
-testAccepted('reads at the same time that differ, beside a write', [
+testAccepted('concurrent reads that differ during a write', [
   write(4, 'a', 0, 1),
   write(5, 'b', 2, 9),
   read(5, 'b', 3, 6),
   read(4, 'a', 5, 8),
 ]);
-testAccepted('a race of which one is refused, and resends of both', [
+testAccepted('two concurrent writes of which one is rejected, and repetitions of both', [
   write(5, 'a', 0, 4),
-  write(5, 'b', 1, 5, 'refused'),
+  write(5, 'b', 1, 5, 'rejected'),
   write(5, 'a', 6, 7),
-  write(5, 'b', 6, 7, 'refused'),
+  write(5, 'b', 6, 7, 'rejected'),
   read(5, 'a', 8, 9),
 ]);
-testAccepted('a race of which one is refused and the other never had an answer', [
+testAccepted('two concurrent writes of which one is rejected and the other gets no reply', [
   write(5, 'a', 0, undefined),
-  write(5, 'b', 1, 5, 'refused'),
+  write(5, 'b', 1, 5, 'rejected'),
   read(5, 'a', 6, 7),
 ]);
-testAccepted('a lower number that is acknowledged and alters nothing', [
+testAccepted('a lower number that is acknowledged without effect', [
   write(5, 'a', 0, 1),
   write(3, 'b', 2, 3),
   read(5, 'a', 4, 5),
 ]);
 
-void test('the counts tell what a history put to the test', () => {
+void test('the counts show which coverage goals a history met', () => {
   const { counts } = checkHistory([
     write(5, 'a', 0, 4),
-    write(5, 'b', 1, 5, 'refused'),
+    write(5, 'b', 1, 5, 'rejected'),
     write(5, 'a', 6, 7),
     write(3, 'c', 8, undefined),
     read(5, 'a', 8, 9),
   ]);
   assert.deepEqual(Object.fromEntries(counts), {
     'a configuration was acknowledged': 2,
-    'a configuration was refused': 1,
-    'a configuration got no clear answer': 1,
+    'a configuration was rejected': 1,
+    'a configuration ended with an unknown outcome': 1,
     'an acknowledged configuration was sent again': 1,
     'a number below an acknowledged one was sent': 1,
-    'two contents were sent under one number at once': 1,
+    'two contents were sent concurrently under one number': 1,
     'a read began after an acknowledgement': 1,
-    'a read ran beside a write': 1,
+    'a read ran concurrently with a write': 1,
   });
 });
 
-void test('an operation ends once, at the time of its first answer', () => {
+void test('an operation ends once, at the time of its first reply', () => {
   let now = 1;
   const history = new History(() => now);
   const operation = history.begin(write(5, 'a', 1, undefined));
   now = 3;
   operation.end({ outcome: 'acknowledged' });
   now = 4;
-  operation.end({ outcome: 'refused' });
+  operation.end({ outcome: 'rejected' });
   assert.deepEqual(history.operations, [write(5, 'a', 1, 3)]);
 });
--- a/packages/simulator/src/history/checker.ts
+++ b/packages/simulator/src/history/checker.ts
@@ -1,9 +1,7 @@
 /**
- * Judges a history of operators' operations. The configuration is a register whose highest number
- * wins: each number has one content, what was acknowledged is never lost, and no read returns less
- * than what was acknowledged or read before it began. For such a register these conditions are
- * those of linearizability: every operation can be placed at one moment between its start and its
- * end so that each read returns the highest number written before it.
+ * Linearizability checker for the history of operators' commands. The configuration is a register
+ * whose highest number wins. It is linearizable if each number has one content, and no read returns
+ * a lower number than one that was acknowledged or read before the read began.
  */
 
 import { increment } from '@switchwheel/types';
@@ -17,25 +15,25 @@
   Version,
 } from './history.js';
 
-/** What a history must hold for its verdict on each point to mean anything. */
+/** Situations that histories must contain for a passed check to be meaningful. */
 export const historyCoverageGoals = [
   'a configuration was acknowledged',
-  'a configuration got no clear answer',
-  'a configuration was refused',
-  'two contents were sent under one number at once',
+  'a configuration ended with an unknown outcome',
+  'a configuration was rejected',
+  'two contents were sent concurrently under one number',
   'an acknowledged configuration was sent again',
   'a number below an acknowledged one was sent',
   'a read began after an acknowledgement',
   'a read began after another read',
-  'a read ran beside a write',
-  'a release order was acknowledged again',
-  'a release order was sent again after another one',
+  'a read ran concurrently with a write',
+  'a repeated rollout request was acknowledged',
+  'a rollout request was repeated after another one',
   'a purge was acknowledged after another one',
 ] as const;
-/** The name of one goal. */
+/** Name of one coverage goal. */
 export type HistoryCoverageGoal = (typeof historyCoverageGoals)[number];
 
-/** What a checker found in a history, and how often each point was put to the test. */
+/** Violations in a history, and how often each coverage goal was met. */
 export interface HistoryVerdict {
   readonly violations: readonly string[];
   readonly counts: ReadonlyMap<HistoryCoverageGoal, number>;
@@ -49,10 +47,10 @@
   `${version.number ?? 'a new number'} (${version.hash.slice(0, 8)})`;
 const sameVersion = (left: SentVersion, right: SentVersion): boolean =>
   left.number === right.number && left.hash === right.hash;
-/** Whether what was sent can be what has this number: the number of an unanswered write may be any. */
+/** Whether a sent configuration can be this version; a write without a reply may have got any number. */
 const mayBeVersion = (sent: SentVersion, version: Version): boolean =>
   sent.hash === version.hash && (sent.number === undefined || sent.number === version.number);
-/** Whether two that were sent may have met under one number with different contents. */
+/** Whether two sent configurations differ in content and may have the same number. */
 const canCollide = (left: SentVersion, right: SentVersion): boolean =>
   left.hash !== right.hash &&
   (left.number === undefined || right.number === undefined || left.number === right.number);
@@ -65,7 +63,7 @@
 const overlap = (left: Operation, right: Operation): boolean =>
   !endsBefore(left, right) && !endsBefore(right, left);
 
-/** One pass over one history. */
+/** Check of one history. */
 class HistoryCheck {
   readonly violations: string[] = [];
   readonly counts = new Map<HistoryCoverageGoal, number>();
@@ -88,7 +86,7 @@
     this.#completedReads = this.#reads.flatMap((read) =>
       read.version === undefined ? [] : [{ ...read, version: read.version }],
     );
-    this.#rolloutRequests = operations.filter((operation) => operation.kind === 'release');
+    this.#rolloutRequests = operations.filter((operation) => operation.kind === 'rollout');
     this.#purges = operations.filter((operation) => operation.kind === 'purge');
   }
 
@@ -116,8 +114,8 @@
     for (const write of this.#writes) {
       if (write.outcome === 'acknowledged')
         this.#recordCoverage('a configuration was acknowledged');
-      else if (write.outcome === 'refused') this.#recordCoverage('a configuration was refused');
-      else this.#recordCoverage('a configuration got no clear answer');
+      else if (write.outcome === 'rejected') this.#recordCoverage('a configuration was rejected');
+      else this.#recordCoverage('a configuration ended with an unknown outcome');
       const earlierWrites = this.#acknowledged.filter((other) => endsBefore(other, write));
       if (earlierWrites.some((other) => sameVersion(other.version, write.version)))
         this.#recordCoverage('an acknowledged configuration was sent again');
@@ -135,11 +133,11 @@
             canCollide(earlier.version, other.version) &&
             overlap(earlier, other),
         );
-      if (collides) this.#recordCoverage('two contents were sent under one number at once');
+      if (collides) this.#recordCoverage('two contents were sent concurrently under one number');
     }
   }
 
-  /** A number that was acknowledged or read has one content. */
+  /** Each number that was acknowledged or read has one content. */
   #checkOneContentPerNumber(): void {
     const contents = new Map<number, Version>();
     for (const { version } of [...this.#acknowledged, ...this.#completedReads]) {
@@ -152,43 +150,43 @@
     }
   }
 
-  /** What was acknowledged is not refused when it is sent again; and what is refused while nothing else has its number. */
+  /** A configuration is not rejected after its acknowledgement, nor while no other content has its number. */
   #checkRefusals(): void {
     for (const write of this.#writes) {
-      if (write.outcome !== 'refused' || !write.isNumbered) continue;
+      if (write.outcome !== 'rejected' || !write.isNumbered) continue;
       const acknowledgedBefore = this.#acknowledged.find(
         (other) => endsBefore(other, write) && sameVersion(other.version, write.version),
       );
       if (acknowledgedBefore !== undefined)
         this.#addViolation(
-          `${formatVersion(write.version)} was acknowledged, sent again, and refused`,
+          `${formatVersion(write.version)} was acknowledged, then rejected when sent again`,
         );
       const hasRival = this.#writes.some(
         (other) => canCollide(write.version, other.version) && !endsBefore(write, other),
       );
       if (!hasRival)
         this.#addViolation(
-          `${formatVersion(write.version)} was refused, and no other has its number`,
+          `${formatVersion(write.version)} was rejected, but no other content has its number`,
         );
     }
   }
 
-  /** What is read was sent before, and not only by those who were refused. */
+  /** Each version that is read was sent before by a write that was not rejected. */
   #checkReadsWereSent(): void {
     for (const read of this.#completedReads) {
       const sent = this.#writes.filter(
         (write) => mayBeVersion(write.version, read.version) && write.startedAt <= read.endedAt,
       );
       if (sent.length === 0)
-        this.#addViolation(`${formatVersion(read.version)} was read, and nobody had sent it`);
-      else if (sent.every((write) => write.outcome === 'refused'))
+        this.#addViolation(`${formatVersion(read.version)} was read before any write had sent it`);
+      else if (sent.every((write) => write.outcome === 'rejected'))
         this.#addViolation(
-          `${formatVersion(read.version)} was read, and was refused to all who sent it`,
+          `${formatVersion(read.version)} was read, but every write of it was rejected`,
         );
     }
   }
 
-  /** A number that the control side gives is above all that were acknowledged or read before. */
+  /** A number assigned by the control plane is above all that were acknowledged or read before. */
   #checkAssignedNumbers(): void {
     for (const write of this.#acknowledged) {
       if (write.isNumbered) continue;
@@ -198,12 +196,12 @@
       const highestNumber = Math.max(0, ...known.map((other) => other.version.number));
       if (write.version.number <= highestNumber)
         this.#addViolation(
-          `${formatVersion(write.version)} was given, and ${highestNumber} was known before`,
+          `${formatVersion(write.version)} was assigned after ${highestNumber} was acknowledged or read`,
         );
     }
   }
 
-  /** No read returns less than what was acknowledged or read before it began. */
+  /** No read returns a lower number than one that was acknowledged or read before it began. */
   #checkReadsAreCurrent(): void {
     for (const read of this.#reads) {
       const number = read.version?.number ?? 0;
@@ -212,37 +210,39 @@
       if (earlierWrites.length > 0) this.#recordCoverage('a read began after an acknowledgement');
       if (earlierReads.length > 0) this.#recordCoverage('a read began after another read');
       if (this.#writes.some((write) => overlap(write, read)))
-        this.#recordCoverage('a read ran beside a write');
+        this.#recordCoverage('a read ran concurrently with a write');
       const highestWritten = Math.max(0, ...earlierWrites.map((write) => write.version.number));
       if (number < highestWritten)
-        this.#addViolation(`${highestWritten} was acknowledged, and ${number} was read later`);
+        this.#addViolation(`${highestWritten} was acknowledged, but ${number} was read later`);
       const highestRead = Math.max(0, ...earlierReads.map((earlier) => earlier.version.number));
       if (number < highestRead)
-        this.#addViolation(`${highestRead} was read, and ${number} was read later`);
+        this.#addViolation(`${highestRead} was read, but ${number} was read later`);
     }
   }
 
-  /** An order that was acknowledged runs once, under one number, and is never refused. */
+  /** An acknowledged rollout request runs once, under one number, and its repetitions are not rejected. */
   #checkRolloutRequests(): void {
     const acknowledged = this.#rolloutRequests.filter(isAcknowledged);
     for (const request of this.#rolloutRequests) {
       const earlierRequests = acknowledged.filter((other) => endsBefore(other, request));
       const accepted = earlierRequests.find((other) => other.key === request.key);
       if (accepted === undefined) continue;
-      if (request.outcome === 'refused')
-        this.#addViolation(`the order ${request.key} was acknowledged, sent again, and refused`);
+      if (request.outcome === 'rejected')
+        this.#addViolation(
+          `rollout request ${request.key} was acknowledged, then rejected when sent again`,
+        );
       if (request.outcome !== 'acknowledged') continue;
-      this.#recordCoverage('a release order was acknowledged again');
+      this.#recordCoverage('a repeated rollout request was acknowledged');
       if (request.rolloutNumber !== accepted.rolloutNumber)
         this.#addViolation(
-          `the order ${request.key} was begun twice, as ${accepted.rolloutNumber} and ${request.rolloutNumber}`,
+          `rollout request ${request.key} was started twice, as ${accepted.rolloutNumber} and ${request.rolloutNumber}`,
         );
       if (earlierRequests.some((other) => other.key !== request.key && endsBefore(accepted, other)))
-        this.#recordCoverage('a release order was sent again after another one');
+        this.#recordCoverage('a rollout request was repeated after another one');
     }
   }
 
-  /** Purges that were acknowledged keep their order: caches hear them in it. */
+  /** Numbers of acknowledged purges increase, since caches apply purges in that order. */
   #checkPurgeOrder(): void {
     const acknowledged = this.#purges.filter(isAcknowledged);
     for (const purge of acknowledged) {
@@ -251,18 +251,16 @@
       this.#recordCoverage('a purge was acknowledged after another one');
       const highestNumber = Math.max(...earlierPurges.map((other) => other.number ?? 0));
       if ((purge.number ?? 0) <= highestNumber)
-        this.#addViolation(
-          `purge ${purge.number} was acknowledged after purge ${highestNumber} had been`,
-        );
+        this.#addViolation(`purge ${purge.number} was acknowledged after purge ${highestNumber}`);
     }
   }
 }
 
-/** Judges a history. */
+/** Checks a history. */
 export const checkHistory = (operations: readonly Operation[]): HistoryVerdict =>
   new HistoryCheck(operations).run();
 
-/** The points that a history never put to the test. */
+/** Goals that no history met. */
 export const unmetHistoryGoals = (
   counts: ReadonlyMap<HistoryCoverageGoal, number>,
 ): readonly HistoryCoverageGoal[] =>
--- a/packages/simulator/src/history/history.ts
+++ b/packages/simulator/src/history/history.ts
@@ -1,68 +1,68 @@
-/** What operators requested of the control side, when, and the replies they got: the record that the checker judges. */
+/** History of operators' commands to the control plane and the replies to them, as input of the checker. */
 
-/** A configuration as its number and the hash of its content. */
+/** A configuration, identified by its number and content hash. */
 export interface Version {
   readonly number: number;
   readonly hash: string;
 }
 
-/** A configuration as it is sent; without a number the control side gives it the next one. */
+/** A configuration as sent; without a number the control plane assigns the next one. */
 export interface SentVersion {
   readonly number: number | undefined;
   readonly hash: string;
 }
 
-/** How an operation ended, as its caller saw it. An unknown one may or may not have taken effect. */
-export type Outcome = 'acknowledged' | 'refused' | 'unknown';
+/** Outcome of an operation as its caller saw it. An unknown one may or may not have taken effect. */
+export type Outcome = 'acknowledged' | 'rejected' | 'unknown';
 
 interface Timed {
   readonly startedAt: number;
-  /** When the answer came; an operation without one has not ended. */
+  /** Time of the reply; undefined while there is none. */
   readonly endedAt: number | undefined;
 }
 
-/** A configuration was handed in. One without a number has it once it is acknowledged. */
+/** A write of a configuration. One without a number gets it with the acknowledgement. */
 export interface ConfigurationWrite extends Timed {
   readonly kind: 'write';
-  /** Whether the operator gave the number. */
+  /** Whether the operator chose the number. */
   readonly isNumbered: boolean;
   readonly version: SentVersion;
   readonly outcome: Outcome;
 }
 
-/** The configuration was read back; undefined if none was there yet. */
+/** A read of the current configuration; the version is undefined if there was none. */
 export interface ConfigurationRead extends Timed {
   readonly kind: 'read';
   readonly outcome: 'acknowledged' | 'unknown';
   readonly version: Version | undefined;
 }
 
-/** An order to move a service to a release; sent again it bears the same key. */
+/** A request to roll out a release of a service. */
 export interface RolloutRequest extends Timed {
-  readonly kind: 'release';
-  /** Names the order itself, whatever often it is sent. */
+  readonly kind: 'rollout';
+  /** Identifies the request; repetitions have the same key. */
   readonly key: string;
   readonly outcome: Outcome;
-  /** The number under which the control side runs it, where it is acknowledged. */
+  /** Number of the rollout, once the request is acknowledged. */
   readonly rolloutNumber: number | undefined;
 }
 
-/** Objects were purged; `number` is that of the purge, where it is acknowledged. */
+/** A purge of objects; `number` is set once it is acknowledged. */
 export interface PurgeWrite extends Timed {
   readonly kind: 'purge';
   readonly outcome: Outcome;
   readonly number: number | undefined;
 }
 
-/** Any operation of an operator. */
+/** Any command of an operator. */
 export type Operation = ConfigurationWrite | ConfigurationRead | RolloutRequest | PurgeWrite;
 
-/** An operation that has no answer yet: ended by exactly one call of `end`. */
+/** An operation without a reply yet; only the first call of `end` has an effect. */
 export interface OpenOperation<O extends Operation> {
   end(change: Partial<Omit<O, 'kind' | 'startedAt' | 'endedAt'>>): void;
 }
 
-/** The history of one run, in the order in which operations began. */
+/** History of one run, ordered by the start of operations. */
 export class History {
   readonly #operations: Operation[] = [];
   readonly #now: () => number;
@@ -75,7 +75,7 @@
     return this.#operations;
   }
 
-  /** Notes that an operation begins: unknown until it is ended. */
+  /** Records the start of an operation. */
   begin<T extends Operation>(operation: T): OpenOperation<T> {
     const index = this.#operations.length;
     this.#operations.push(operation);
--- a/packages/simulator/src/history/operators.ts
+++ b/packages/simulator/src/history/operators.ts
@@ -1,4 +1,4 @@
-/** Operators in the simulation that number their configurations, repeat their commands, and record the replies. */
+/** Simulated operators that number their configurations, repeat commands and record the replies. */
 
 import { type ServiceName, toCommandId, toGeneration, toRelease } from '@switchwheel/types';
 import { splitIntoChunks, runToCompletion } from '@switchwheel/configuration';
@@ -9,20 +9,20 @@
 import type { ConfigurationRead, ConfigurationWrite, History, RolloutRequest } from './history.js';
 import { numberField, outcomeOfStatus, parseVersion } from './replies.js';
 
-/** How long an operator waits for an answer before it sends the same order again. */
+/** Time after which an operator repeats a command without a clear reply. */
 const replyTimeoutMs = 1500;
 const readIntervalMs = 700;
 const rolloutDurationMs = 6000;
-/** By how much an operator's number rises at most. */
+/** Maximum distance of a new number from the highest known one. */
 const maxNumberStep = 5;
 
-/** One order of a configuration, as it can be sent any number of times. */
+/** A configuration with its number, which may be sent several times. */
 interface SentConfiguration {
   readonly number: number;
   readonly marker: number;
 }
 
-/** Operators of one fleet; each command goes to any registry that runs. */
+/** Operators of one fleet; each command goes to a random running registry. */
 export class SimulatedOperators {
   readonly #world: World;
   readonly #history: History;
@@ -40,7 +40,7 @@
     this.#random = world.random.fork();
   }
 
-  /** Reads the configuration back again and again, through any registry, until the run ends. */
+  /** Reads the configuration periodically, through random registries. */
   startReading(): void {
     this.#isReading = true;
     const readNext = (): void => {
@@ -55,7 +55,7 @@
     this.#isReading = false;
   }
 
-  /** Two operators send different configurations under one new number, at once. */
+  /** Sends two different configurations concurrently under one new number. */
   applyConcurrently(): void {
     const number = this.#nextNumber();
     for (let operator = 0; operator < 2; operator += 1) {
@@ -65,7 +65,7 @@
     }
   }
 
-  /** One operator sends a configuration under a new number. */
+  /** Sends a configuration under a new number. */
   apply(): void {
     const configuration = {
       number: this.#nextNumber(),
@@ -75,13 +75,13 @@
     this.#submitConfiguration(configuration, 4);
   }
 
-  /** An order that was sent earlier comes again. */
+  /** Repeats an earlier write of a configuration. */
   repeatConfiguration(): void {
     const configuration = this.#random.pick(this.#sentConfigurations);
     if (configuration !== undefined) this.#submitConfiguration(configuration, 2);
   }
 
-  /** A new release is ordered; origins of it need not stand. */
+  /** Requests the rollout of a new release, which needs no origins to exist. */
   requestRollout(): void {
     const service = this.#random.pick(this.#world.layout.services)?.name;
     if (service === undefined) return;
@@ -91,7 +91,7 @@
     this.#submitRollout(rollout, 3);
   }
 
-  /** An order of a release that was sent lately comes again. */
+  /** Repeats one of the last three rollout requests. */
   repeatRollout(): void {
     const rollout = this.#random.pick(this.#sentRollouts.slice(-3));
     if (rollout !== undefined) this.#submitRollout(rollout, 2);
@@ -134,7 +134,7 @@
     );
   }
 
-  /** Sends an order, and again while it has no clear answer: each time a call of its own, to any registry. */
+  /** Sends a command, and repeats it with a new id, through a random registry, while its outcome is unknown. */
   #sendUntilReplied(
     send: (done: (reply: RegistryReply) => void) => void,
     maxAttempts: number,
@@ -195,7 +195,7 @@
       const registry = this.#pickRegistry();
       if (registry === undefined) return;
       const operation = this.#history.begin<RolloutRequest>({
-        kind: 'release',
+        kind: 'rollout',
         key: `${service} ${target}`,
         rolloutNumber: undefined,
         outcome: 'unknown',
--- a/packages/simulator/src/history/replies.ts
+++ b/packages/simulator/src/history/replies.ts
@@ -1,20 +1,20 @@
-/** What the replies of the control side to operators' commands say, as far as runs are judged by it. */
+/** Parsing of the control plane's replies to operators' commands. */
 
 import type { Outcome, Version } from './history.js';
 
-/** How a status of the control side ends an operation for its caller. */
+/** Outcome of an operation by the HTTP status of its reply. */
 export const outcomeOfStatus = (status: number): Outcome => {
   if (status === 200) return 'acknowledged';
-  return status >= 400 && status < 500 ? 'refused' : 'unknown';
+  return status >= 400 && status < 500 ? 'rejected' : 'unknown';
 };
 
-/** A field of a reply's JSON that is a whole number; undefined if it is not there. */
+/** Reads an integer field of a JSON reply; undefined if it is missing. */
 export const numberField = (body: string, name: string): number | undefined => {
   const digits = new RegExp(`"${name}":(\\d+)`).exec(body)?.[1];
   return digits === undefined ? undefined : Number(digits);
 };
 
-/** The configuration that a read returned; undefined if there is none. */
+/** Parses the version that a read returned; undefined if there is none. */
 export const parseVersion = (body: string): Version | undefined => {
   const number = numberField(body, 'generation');
   const hash = /"hash":"([0-9a-f]+)"/.exec(body)?.[1];
--- a/packages/simulator/src/index.ts
+++ b/packages/simulator/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * A deterministic simulation of a whole fleet: the shipped state machines on a virtual network,
- * virtual disks and virtual time, under random faults, judged by rules.
+ * Deterministic simulation of a whole fleet: the production state machines on a virtual network,
+ * virtual disks and virtual time, under random faults, checked by rules.
  */
 
 export * from './world/world.js';
--- a/packages/simulator/src/processes/caller-result.ts
+++ b/packages/simulator/src/processes/caller-result.ts
@@ -1,4 +1,4 @@
-/** What callers of a simulated fleet send and get, and how a result that comes in parts is put together. */
+/** Requests of callers and their results, and the assembly of streamed results. */
 
 import type { ErrorKind } from '@switchwheel/types';
 import type { HeaderFields } from '@switchwheel/transport';
@@ -6,24 +6,24 @@
 import type { SimulatedProcess } from '../world/process.js';
 import { parseObjectContent } from './object-content.js';
 
-/** What a caller gets in the end. */
+/** Final result of a request, as its caller sees it. */
 export interface CallerResult {
-  /** A result, a fault by its kind, or one that visibly broke off. */
+  /** A response, an error kind, or `broken` for a response that was visibly truncated. */
   readonly kind: 'result' | 'broken' | ErrorKind;
   readonly text: string;
   readonly status: number;
   readonly revision: number;
-  /** The object that the result says it is; empty if its bytes are nobody's. */
+  /** Path of the object in the body; empty if the body is not valid object content. */
   readonly object: string;
-  /** The request that the origin says it answers. */
+  /** Id of the request that the origin executed for this body. */
   readonly request: string;
-  /** When its origin made it. */
+  /** Virtual time at which the origin created the body. */
   readonly createdAt: number;
   readonly source: string;
   readonly retryAfterMs: number;
 }
 
-/** A request as it goes through the simulation. */
+/** A client request in the simulation. */
 export interface SimulatedRequest {
   readonly id: string;
   readonly method: string;
@@ -31,7 +31,7 @@
   readonly fields: HeaderFields;
 }
 
-/** A request that got no whole result. */
+/** Result of a request that got no complete response. */
 export const failedResult = (
   kind: 'broken' | ErrorKind,
   text: string,
@@ -48,7 +48,7 @@
   retryAfterMs,
 });
 
-/** A whole result; what its bytes say of themselves is read from them. */
+/** Result of a complete response, with the metadata parsed from its body. */
 const completeResult = (status: number, body: Buffer, source: string): CallerResult => {
   const content = status === 200 ? parseObjectContent(body) : undefined;
   return {
@@ -64,7 +64,7 @@
   };
 };
 
-/** What a caller makes of a reply that comes whole. */
+/** Converts a reply that is not streamed to the caller's result. */
 export const toCallerResult = (reply: Reply): CallerResult => {
   switch (reply.kind) {
     case 'failure':
@@ -76,7 +76,7 @@
   }
 };
 
-/** A caller that takes a result in parts, and sees whether it is all there. */
+/** Client stream that collects a streamed response and detects truncation. */
 export const streamToCaller = (
   edgeProcess: SimulatedProcess,
   status: number,
@@ -93,7 +93,7 @@
   return {
     write: (bytes, requestMore) => {
       chunks.push(bytes);
-      // Once all the announced bytes are there a result counts as whole, whatever comes after.
+      // The response is complete once all announced bytes have arrived.
       if (length !== undefined && received().length >= length)
         end(completeResult(status, received().subarray(0, length), 'stream'));
       edgeProcess.schedule(edgeProcess.context.random.uniform(0.1, 5), requestMore);
@@ -102,7 +102,7 @@
       end(
         length === undefined
           ? completeResult(status, received(), 'stream')
-          : failedResult('broken', 'shorter than told'),
+          : failedResult('broken', 'response body shorter than its content-length'),
       ),
     abort: (reason) => end(failedResult('broken', reason)),
   };
--- a/packages/simulator/src/processes/callers.ts
+++ b/packages/simulator/src/processes/callers.ts
@@ -1,10 +1,10 @@
-/** Callers of a fleet: which requests they send, and the record of what they got. */
+/** Load generator of a simulated fleet, with a record of all requests and their results. */
 
 import type { World } from '../world/world.js';
 import type { CallerResult } from './caller-result.js';
 import type { SimulatedProxy } from './proxy.js';
 
-/** One request of a caller and what it came to. */
+/** One request of a caller and its result. */
 export interface CallerRequest {
   readonly id: string;
   readonly service: string;
@@ -13,20 +13,20 @@
   readonly edge: SimulatedProxy;
   readonly edgeIncarnation: number;
   readonly sentAt: number;
-  /** Whether it is one of a flood, which nobody owes a result. */
+  /** Whether the request is part of a flood; such requests may be rejected. */
   readonly isFlood: boolean;
-  /** Whether its edge was out of reach of the fleet as it was sent. */
+  /** Whether its edge was disconnected from the fleet when it was sent. */
   readonly wasEdgeUnreachable: boolean;
-  /** For how long a result was owed by then. */
+  /** For how long the service had been available at the edge when the request was sent, in milliseconds. */
   serviceAvailableForMs: number;
   repliedAt: number | undefined;
   result: CallerResult | undefined;
-  /** Whether another reply came after the first. */
+  /** Whether a second reply arrived. */
   hasSecondReply: boolean;
   hasDisconnected: boolean;
 }
 
-/** What a request is to be; whatever is left out is drawn. */
+/** Properties of a request; those left out are drawn at random. */
 export interface RequestOptions {
   readonly edge?: SimulatedProxy | undefined;
   readonly kind?: 'read' | 'plain' | 'act' | 'long';
@@ -35,17 +35,17 @@
   readonly isFlood?: boolean;
 }
 
-/** Callers of a simulated fleet: sent by the platform to edges that report ready. */
+/** Callers of a simulated fleet; the platform routes them to ready edges. */
 export class SimulatedCallers {
   readonly requests: CallerRequest[] = [];
   readonly #world: World;
   #requestCount = 0;
   #isSending = true;
   requestsPerSecond: number;
-  /** How many leave before their result, and how often one that was refused asks again at once. */
+  /** Probability that a caller disconnects early, and the maximum number of immediate retries after an error. */
   disconnectProbability = 0;
   maxImmediateRetries = 0;
-  /** Kinds of requests that come in floods, and until when: only their own class suffers from it. */
+  /** End of the flood by path prefix: only the class of these requests may be affected. */
   readonly floodedUntil = new Map<string, number>();
   onSent: (request: CallerRequest) => void = () => undefined;
   onReply: (request: CallerRequest) => void = () => undefined;
@@ -111,7 +111,7 @@
     return request;
   }
 
-  /** Sends a request to its edge; a refused caller may ask again at once, and some leave early. */
+  /** Sends a request to its edge; the caller may retry immediately after an error, or disconnect early. */
   #serve(request: CallerRequest, retry: () => void, retryCount: number): void {
     const world = this.#world;
     const { id, path, edge } = request;
@@ -124,7 +124,7 @@
         request.repliedAt = world.eventQueue.now;
         this.onReply(request);
         if (result.kind === 'result' || retryCount >= this.maxImmediateRetries) return;
-        world.coverage.record('callers asked again at once');
+        world.coverage.record('callers retried immediately');
         world.eventQueue.schedule(1, () => {
           if (this.#isSending) retry();
         });
@@ -134,7 +134,7 @@
     world.eventQueue.schedule(world.random.uniform(1, 200), () => {
       if (request.result !== undefined) return;
       request.hasDisconnected = true;
-      world.coverage.record('R2: a caller left before its result');
+      world.coverage.record('R2: a caller disconnected before its response');
       disconnect();
     });
   }
--- a/packages/simulator/src/processes/channel.ts
+++ b/packages/simulator/src/processes/channel.ts
@@ -1,4 +1,4 @@
-/** The data channel between an edge and a shield; the simulated form of a socket. */
+/** The data channel between an edge and a shield; replaces a socket in the simulation. */
 
 import {
   type Frame,
@@ -32,7 +32,7 @@
   isClosed: false,
 });
 
-/** A data channel between two processes: it keeps order, loses nothing while it stands, and ends when one side dies or is silent. */
+/** A reliable ordered channel between two processes; closes when one side dies or misses keepalives. */
 export class SimulatedChannel {
   readonly #context: SimulationContext;
   readonly #localEnd: ChannelEnd;
@@ -80,7 +80,7 @@
     return { send: (frame) => this.#send(end, frame), terminate: () => this.#close(end) };
   }
 
-  /** The other side's process is known to be gone. */
+  /** Closes the local end after the remote process has ended. */
   remoteProcessEnded(): void {
     this.#close(this.#localEnd);
   }
--- a/packages/simulator/src/processes/object-content.ts
+++ b/packages/simulator/src/processes/object-content.ts
@@ -1,9 +1,9 @@
 /**
- * The bytes of objects: they say which object, revision and request they are, so that results can
- * be judged.
+ * Content of objects. It names the object, revision and request, so that responses can be
+ * verified.
  */
 
-/** What an object's bytes are, as its origin makes them: the larger ones do not fit where whole results are held. */
+/** Body of an object as its origin creates it; every fifth object is too large to be buffered. */
 export const objectContent = (
   path: string,
   revision: number,
@@ -16,19 +16,19 @@
   return Buffer.from(prefix.padEnd(size, `${path}.${revision}.`));
 };
 
-/** Whether an object is streamed rather than held whole. */
+/** Whether an object is streamed rather than buffered. */
 export const isLargeObject = (path: string): boolean => objectContent(path, 0, '', 0).length > 4000;
 
-/** What an origin's bytes say that they are. */
+/** Metadata of an object's body. */
 export interface ObjectContent {
   readonly revision: number;
   readonly object: string;
   readonly request: string;
-  /** When the origin made it. */
+  /** Virtual time at which the origin created the body. */
   readonly createdAt: number;
 }
 
-/** Reads bytes; nothing if they are not all of an object. */
+/** Parses a body; undefined unless it is the complete content of an object. */
 export const parseObjectContent = (body: Buffer): ObjectContent | undefined => {
   const [revision, object, request, createdAt] = body.toString('latin1').split(' ');
   if (
--- a/packages/simulator/src/processes/origin-attempts.ts
+++ b/packages/simulator/src/processes/origin-attempts.ts
@@ -1,4 +1,4 @@
-/** What a proxy sends to origins over the virtual network: attempts of requests, and health checks. */
+/** Attempts and health checks that a proxy sends to origins over the virtual network. */
 
 import type { Address, Timestamp } from '@switchwheel/types';
 import type {
@@ -10,14 +10,13 @@
 import type { SimulatedProcess } from '../world/process.js';
 import type { SimulatedOrigin } from './origin.js';
 
-/** The network's name for all origins together: ways to them are cut for all at once. */
+/** Network name of all origins together: links to them are cut for all at once. */
 const originsNode = 'origins';
 const minLatencyMs = 0.3;
 const maxLatencyMs = 2;
-/** How soon a refused connection is seen. */
 const refusedConnectionMs = 2;
 
-/** Attempts of one proxy. */
+/** Attempts of one proxy at all origins. */
 export class OriginAttempts {
   readonly #proxy: SimulatedProcess;
   readonly #origins: () => readonly SimulatedOrigin[];
@@ -28,17 +27,17 @@
     this.#origins = origins;
   }
 
-  /** Forgets all cancelled attempts, as the process starts anew. */
+  /** Forgets all cancelled attempts when the process restarts. */
   clear(): void {
     this.#cancelled.clear();
   }
 
-  /** What comes back of an attempt is ignored from now on. */
+  /** Cancels an attempt: its response is ignored from now on. */
   cancel(attemptName: string): void {
     this.#cancelled.add(attemptName);
   }
 
-  /** Checks an origin's health, and gives the event that reports it. */
+  /** Checks an origin's health and passes the event that reports the result. */
   checkHealth(
     { service, instance, address }: Extract<ProxyEffect, { kind: 'checkHealth' }>,
     onChecked: (event: (now: Timestamp) => ProxyEvent) => void,
@@ -57,18 +56,26 @@
     });
   }
 
-  /** Sends a request to its origin; `handlers` see what comes back, in its order. */
+  /** Sends a request to its origin; `handlers` receive the response in order. */
   start(attemptName: string, request: AttemptRequest, handlers: AttemptHandlers): void {
     const { random, eventQueue } = this.#proxy.context;
     const origin = this.#originAt(request.address);
     this.#proxy.schedule(request.timeoutMs, () => {
       if (!this.#cancelled.has(attemptName))
-        handlers.onFailed({ mayHaveBeenSent: true, isTimeout: true, text: 'no result in time' });
+        handlers.onFailed({
+          mayHaveBeenSent: true,
+          isTimeout: true,
+          text: 'no response before the timeout',
+        });
     });
     if (origin === undefined || !this.#isConnected()) {
       this.#proxy.schedule(refusedConnectionMs, () => {
         if (!this.#cancelled.has(attemptName))
-          handlers.onFailed({ mayHaveBeenSent: false, isTimeout: false, text: 'no one listens' });
+          handlers.onFailed({
+            mayHaveBeenSent: false,
+            isTimeout: false,
+            text: 'connection refused',
+          });
       });
       return;
     }
@@ -83,7 +90,7 @@
     );
   }
 
-  /** Brings what an origin sends back to this incarnation of the proxy, in its order. */
+  /** Delivers an origin's response in order to the current incarnation of the proxy. */
   #orderedDelivery(attemptName: string, handlers: AttemptHandlers): (deliver: () => void) => void {
     const { incarnationNumber, context } = this.#proxy;
     let nextFreeAt = 0;
@@ -98,7 +105,7 @@
             handlers.onFailed({
               mayHaveBeenSent: true,
               isTimeout: false,
-              text: 'cut off from the origin',
+              text: 'network to the origin is cut',
             });
         }, incarnationNumber),
       );
--- a/packages/simulator/src/processes/origin.ts
+++ b/packages/simulator/src/processes/origin.ts
@@ -1,4 +1,4 @@
-/** An origin with its faults, and its own record of what it ran. */
+/** A simulated origin with fault injection, and its own record of executed requests. */
 
 import { createHash } from 'node:crypto';
 import {
@@ -19,7 +19,7 @@
 import { objectContent, isLargeObject } from './object-content.js';
 import type { RegistryReply, SimulatedRegistry } from './registry.js';
 
-/** One run of a request at an origin, as the origin itself knows it. */
+/** One execution of a request, as recorded by the origin. */
 export interface Execution {
   readonly requestId: string;
   readonly at: number;
@@ -33,7 +33,7 @@
   text,
 });
 
-/** A stand-in for an origin. */
+/** A simulated origin instance. */
 export class SimulatedOrigin {
   readonly context: SimulationContext;
   readonly service: ServiceName;
@@ -44,14 +44,14 @@
   readonly executions: Execution[] = [];
   readonly arrivalTimes: number[] = [];
   readonly attempts: { readonly request: string; readonly at: number }[] = [];
-  /** Everything it was sent: requests and health checks. */
+  /** Times of all requests and health checks received. */
   readonly receiveTimes: number[] = [];
   usedSlots = 0;
   overloadCount = 0;
   isAlive = true;
   crashedAt = -Infinity;
   state: 'up' | 'leaving' | 'gone' = 'up';
-  /** When a registry first confirmed to know that it is leaving or gone. */
+  /** Time at which a registry first confirmed that this origin is leaving or gone. */
   departureKnownAt: number | undefined;
   extraLatencyMs = 0;
   failureProbability = 0;
@@ -60,7 +60,7 @@
   truncationProbability = 0;
   wrongInstanceProbability = 0;
   workMs = 10;
-  /** How much longer each part of an answer takes. */
+  /** Additional delay before each chunk of a response. */
   extraChunkMs = 0;
   readonly failureTimes: number[] = [];
   readonly #registries: () => readonly SimulatedRegistry[];
@@ -88,7 +88,7 @@
     this.#announce();
   }
 
-  /** Says plainly that it is leaving, to registry after registry until one takes note. */
+  /** Announces the departure to one registry after another until one accepts it. */
   leave(state: 'leaving' | 'gone'): void {
     this.state = state;
     this.#sendAnnouncement();
@@ -99,7 +99,7 @@
     this.crashedAt = this.context.eventQueue.now;
   }
 
-  /** Whether nothing ails it. */
+  /** Whether the origin runs without injected faults. */
   get isHealthy(): boolean {
     return (
       this.isAlive &&
@@ -113,7 +113,7 @@
     );
   }
 
-  /** Answers whole and in its own name again. */
+  /** Ends the faults that affect responses. */
   clearResponseFaults(): void {
     this.lossProbability = 0;
     this.corruptionProbability = 0;
@@ -121,7 +121,7 @@
     this.wrongInstanceProbability = 0;
   }
 
-  /** Whether it works on a request for an object just now. */
+  /** Whether a request for the object is being executed. */
   isWorkingOn(path: string): boolean {
     return (this.#inProgress.get(path) ?? 0) > 0;
   }
@@ -147,9 +147,9 @@
       if (reply.status === 200) {
         if (state === 'up') return;
         if (this.departureKnownAt === undefined)
-          this.context.coverage.record('R6: an origin that leaves was known');
+          this.context.coverage.record('R6: the departure of an origin was confirmed');
         if (this.departureKnownAt === undefined && this.context.network.cutCount > 0)
-          this.context.coverage.record('R6: an origin left while the core was cut');
+          this.context.coverage.record('R6: an origin left during a network partition');
         this.departureKnownAt ??= this.context.eventQueue.now;
       } else if (reply.status === 503 && this.isAlive)
         this.context.eventQueue.schedule(300, () => this.#sendAnnouncement());
@@ -169,18 +169,18 @@
     registry.handleRequest({ verb: 'announce', origin }, onReply);
   }
 
-  /** A health check came. */
+  /** Records a health check and returns whether it passes. */
   answerHealthCheck(instance: InstanceId): boolean {
     this.receiveTimes.push(this.context.eventQueue.now);
     return instance === this.instance && this.state === 'up';
   }
 
-  /** Takes a request and answers it, once and in parts, on the channel that it came on. */
+  /** Executes a request and sends the response in chunks to `response`. */
   handleRequest(request: AttemptRequest, response: AttemptHandlers): void {
     const { eventQueue, random } = this.context;
     if (!this.isAlive) {
       eventQueue.schedule(random.uniform(0.5, 3), () =>
-        response.onFailed({ mayHaveBeenSent: false, isTimeout: false, text: 'refused' }),
+        response.onFailed({ mayHaveBeenSent: false, isTimeout: false, text: 'connection refused' }),
       );
       return;
     }
@@ -218,11 +218,11 @@
       increment(this.#inProgress, request.target, -1);
       if (!this.isAlive) {
         if (isUnsafe)
-          this.context.coverage.record('R1: an origin died with an unsafe request in hand');
-        // It may have died just before or just after the work.
+          this.context.coverage.record('R1: an origin crashed while executing an unsafe request');
+        // The crash may have come just before or just after the execution.
         if (random.happens(0.5))
           this.executions.push({ requestId: id, at: eventQueue.now, isUnsafe });
-        response.onFailed(connectionLost('crashed'));
+        response.onFailed(connectionLost('origin crashed'));
         return;
       }
       this.executions.push({ requestId: id, at: eventQueue.now, isUnsafe });
@@ -242,12 +242,13 @@
   ): void {
     const { random, coverage } = this.context;
     if (random.happens(this.lossProbability)) {
-      if (isUnsafe) coverage.record('R1: an unsafe result was lost after the work');
-      response.onFailed(connectionLost('lost after the work'));
+      if (isUnsafe)
+        coverage.record('R1: the response to an unsafe request was lost after execution');
+      response.onFailed(connectionLost('response lost after execution'));
       return;
     }
     const hasWrongInstance = random.happens(this.wrongInstanceProbability);
-    // Whoever answers in another's name answers what that one was asked.
+    // The wrong instance responds with an object of its own.
     const body = isFailure
       ? Buffer.from('fault')
       : objectContent(
@@ -256,7 +257,7 @@
           id,
           this.context.eventQueue.now,
         );
-    if (hasWrongInstance) coverage.record('R3: a result bore a wrong name');
+    if (hasWrongInstance) coverage.record('R3: a response named the wrong instance');
     const fields: HeaderFields = [
       ['switchwheel-instance', hasWrongInstance ? 'somebody-else' : this.instance],
       ['content-length', String(body.length)],
@@ -268,15 +269,15 @@
       body[byteIndex] = (body[byteIndex] ?? 0) ^ 0x55;
       coverage.record(
         isLargeObject(target) && !isFailure
-          ? 'R3: a streamed result was corrupt'
-          : 'R3: a whole result was corrupt',
+          ? 'R3: a streamed response was corrupt'
+          : 'R3: a buffered response was corrupt',
       );
     }
     const isTruncated = random.happens(this.truncationProbability);
-    // Some end a shortened answer as if it were whole, and tell no digest.
+    // Some origins end a truncated response normally and without a digest.
     const endsNormally = isTruncated && random.happens(0.5);
     if (endsNormally) fields.pop();
-    if (isTruncated) coverage.record('R3: a result was cut amid its body');
+    if (isTruncated) coverage.record('R3: a response body was truncated');
     response.onHead(isFailure ? 500 : 200, fields);
     this.#sendChunks(
       body,
@@ -297,7 +298,7 @@
     const { eventQueue, random } = this.context;
     if (endsNormally && offset >= endOffset) response.onEnd();
     else if (!this.isAlive || (offset >= endOffset && endOffset < body.length))
-      response.onFailed(connectionLost('broke off amid the body'));
+      response.onFailed(connectionLost('connection lost within the response body'));
     else if (offset >= body.length) response.onEnd();
     else
       response.onChunk(body.subarray(offset, Math.min(endOffset, offset + chunkBytes)), () =>
--- a/packages/simulator/src/processes/proxy.ts
+++ b/packages/simulator/src/processes/proxy.ts
@@ -1,4 +1,4 @@
-/** An edge or a shield: the shipped state machine and request handlers on virtual channels. */
+/** An edge or a shield: the production state machine and request handlers on virtual channels. */
 
 import {
   type Address,
@@ -41,7 +41,7 @@
 import type { SimulatedOrigin } from './origin.js';
 import { SimulatedChannel } from './channel.js';
 
-/** Small measures, so that simulated results come in several parts and the larger ones stream. */
+/** Small limits, so that responses have several chunks and the larger objects are streamed. */
 const transferLimits: TransferLimits = {
   maxBufferedBytes: 4000,
   chunkBytes: 900,
@@ -49,7 +49,7 @@
   maxCoalescedWaiters: 64,
 };
 
-/** A proxy in the simulation: all that ships but for sockets, which are virtual. */
+/** A simulated proxy: production code, with virtual sockets. */
 export class SimulatedProxy extends SimulatedProcess {
   readonly role: 'edge' | 'shield';
   readonly #seeds: () => readonly Address[];
@@ -59,11 +59,11 @@
   #shield: ShieldRequestHandler | undefined;
   readonly #channels = new Map<Address, Set<SimulatedChannel>>();
   readonly #originAttempts: OriginAttempts;
-  /** Whether it takes no new callers as it is about to end. */
+  /** Whether new requests are refused because the process is stopping. */
   #isClosedToCallers = false;
-  /** Whether this machine can't apply descriptions: a fault of its own. */
+  /** Injected fault: this node fails to compile every configuration. */
   failsToCompile = false;
-  /** The generations that came into force, when, and in which incarnation. */
+  /** Activated generations, with the time and the incarnation. */
   readonly activations: {
     readonly generation: number;
     readonly at: number;
@@ -109,11 +109,13 @@
       );
     });
     if (this.isFrozen && hasAttemptsPastLease)
-      this.context.coverage.record('a keeper woke past its lease with legs open');
+      this.context.coverage.record(
+        'a service leader resumed past its lease with attempts in progress',
+      );
     super.resume();
   }
 
-  /** Counts of what happened in this incarnation: those of the edge, then of the shield. */
+  /** Counters of this incarnation: those of the edge request handler, then of the shield's. */
   get counts(): ReadonlyMap<string, number> {
     return new Map([...(this.#edge?.counts ?? []), ...(this.#shield?.counts ?? [])]);
   }
@@ -132,7 +134,7 @@
       lastActivation !== undefined &&
       this.context.highestAcknowledgedGeneration() > lastActivation.generation
     )
-      this.context.coverage.record('R5: a node started again under a newer generation');
+      this.context.coverage.record('R5: a node restarted after a newer generation was accepted');
     this.#isClosedToCallers = false;
     this.#originAttempts.clear();
     this.#cache = new Cache(4 * 1024 * 1024);
@@ -171,7 +173,6 @@
     );
   }
 
-  /** Opens a data channel to a shield. */
   #openChannel(to: Address, handlers: DataChannelHandlers): DataChannel {
     const shield = this.context.processes.get(to);
     const channel = new SimulatedChannel(
@@ -221,14 +222,14 @@
     );
   }
 
-  /** A planned stop, as the shipped program goes about it; calls back when the process has ended. */
+  /** Stops the process gracefully, in the phases of the production program; calls back when it has ended. */
   stop(onStopped: (phase: ShutdownPhase) => void): void {
     this.execute(() => {
       const stopRequestedAt = this.clock;
       if (this.#openWorkCount() > 0)
-        this.context.coverage.record('R11: a node was stopped with requests open');
+        this.context.coverage.record('R11: a node was stopped with requests in progress');
       if ((this.state?.activeLeaders.size ?? 0) > 0)
-        this.context.coverage.record('R11: a keeper was stopped');
+        this.context.coverage.record('R11: a service leader was stopped');
       this.#dispatchNow((now) => ({ kind: 'stopRequested', now }));
       const checkPhase = (): void => {
         const phase = shutdownPhase(this.role, stopRequestedAt, this.#openWorkCount(), this.clock);
@@ -259,17 +260,17 @@
     this.#stateMachine?.dispatch(makeEvent(this.clock));
   }
 
-  /** Takes a caller's request; the caller hears nothing if this process dies first. Gives what to call when the caller leaves. */
+  /** Serves a caller's request; there is no result if the process dies first. Returns the function that disconnects the caller. */
   serve(request: SimulatedRequest, onResult: (result: CallerResult) => void): () => void {
     let disconnect = (): void => undefined;
     const { incarnationNumber } = this;
     if (!this.isAlive) {
-      onResult(failedResult('unready', 'nobody listens', 1000));
+      onResult(failedResult('unready', 'connection refused', 1000));
       return disconnect;
     }
     this.execute(() => {
       if (this.#isClosedToCallers) {
-        onResult(failedResult('unready', 'nobody listens', 1000));
+        onResult(failedResult('unready', 'connection refused', 1000));
         return;
       }
       const edge = this.#edge;
@@ -362,13 +363,15 @@
               kind: 'compileFailed',
               now,
               offer: effect.offer,
-              issues: compiled.isOk ? [{ path: '(node)', text: 'lame' }] : compiled.error,
+              issues: compiled.isOk
+                ? [{ path: '(node)', text: 'injected compile failure' }]
+                : compiled.error,
             },
       );
     });
   }
 
-  /** An attempt that is started by a leader past its lease is a violation. */
+  /** Reports a violation if a leader starts an attempt past its lease. */
   #checkLeaderLease(effect: Extract<ProxyEffect, { kind: 'startAttempt' }>): void {
     const state = this.#stateMachine?.state();
     const leader = state?.leaders.get(effect.leader);
@@ -380,7 +383,7 @@
       heldEpoch(candidate) !== leader?.epoch
     )
       this.context.selfReportedViolations.push(
-        `${this.node} sent a leg as ${effect.leader} past its lease at ${Math.round(this.context.eventQueue.now)}`,
+        `${this.node} started an attempt as ${effect.leader} past its lease at ${Math.round(this.context.eventQueue.now)}`,
       );
   }
 }
--- a/packages/simulator/src/processes/registry.ts
+++ b/packages/simulator/src/processes/registry.ts
@@ -1,4 +1,4 @@
-/** A registry: the shipped state machine, and the requests of operators and origins to it. */
+/** A registry: the production state machine, and the requests of operators and origins to it. */
 
 import {
   type Address,
@@ -18,16 +18,16 @@
 } from '@switchwheel/membership';
 import { SimulatedProcess, type SimulationContext } from '../world/process.js';
 
-/** A registry's reply to a request: an HTTP status and a body. */
+/** Reply to an external request: HTTP status and body. */
 export interface RegistryReply {
   readonly status: number;
   readonly body: string;
 }
 
-/** A registry in the simulation. */
+/** A simulated registry process. */
 export class SimulatedRegistry extends SimulatedProcess {
   readonly #seeds: () => readonly Address[];
-  /** Whether nodes that run nothing may start on what disks hold. */
+  /** Whether nodes without a configuration are offered one from disk hints while there is no primary. */
   readonly #offersDiskHints: boolean;
   #stateMachine: StateMachine<RegistryState, RegistryEvent> | undefined;
   #lastCorrelationId = 0;
@@ -89,12 +89,12 @@
     this.#stateMachine?.dispatch(makeEvent(this.clock));
   }
 
-  /** Asks the process to stop: its vote is taken over by others meanwhile. */
+  /** Requests a graceful stop. */
   stop(): void {
     this.execute(() => this.#stateMachine?.dispatch({ kind: 'stopRequested', now: this.clock }));
   }
 
-  /** A call from outside; no answer ever comes if the process dies first. */
+  /** Handles a request of an operator or origin; there is no reply if the process dies first. */
   handleRequest(request: ExternalRequest, onReply: (reply: RegistryReply) => void): void {
     this.execute(() => {
       this.#lastCorrelationId += 1;
--- a/packages/simulator/src/processes/store.ts
+++ b/packages/simulator/src/processes/store.ts
@@ -1,4 +1,4 @@
-/** A store: the shipped state machine on a virtual disk that outlives the process. */
+/** A store: the production state machine on a virtual disk that outlives the process. */
 
 import {
   type Address,
@@ -26,7 +26,7 @@
 import { SimulatedProcess, type SimulationContext } from '../world/process.js';
 import { VirtualDisk } from '../world/virtual-disk.js';
 
-/** A store in the simulation, on a virtual disk that outlives the process. */
+/** A simulated store process with its disk. */
 export class SimulatedStore extends SimulatedProcess {
   readonly disk: VirtualDisk<DiskWrite>;
   readonly #seeds: () => readonly Address[];
@@ -79,7 +79,7 @@
   override resume(): void {
     const { state, clock } = this;
     if (this.isFrozen && state?.isServing === true && !holdsLease(state.candidate, clock))
-      this.context.coverage.record('a primary woke past its lease');
+      this.context.coverage.record('a primary resumed past its lease');
     super.resume();
   }
 
@@ -87,20 +87,20 @@
     this.disk.losePower();
   }
 
-  /** Whether it has the answer to a call. */
+  /** Whether the outcome of a command is stored here. */
   hasResultOf(id: CommandId): boolean {
     return this.state?.control.commandOutcomes.has(id) === true;
   }
 
-  /** How far the write under way here has come, if there is one. */
+  /** Phase of the primary's current write; undefined if there is none. */
   get writePhase(): 'writingToDisk' | 'replicating' | undefined {
     const phase = this.state?.primaryWrite?.phase;
     return phase === 'writingToDisk' || phase === 'replicating' ? phase : undefined;
   }
 
-  /** What the disk holds, put together from all that was ever synced. */
+  /** Content of the disk, rebuilt from all synced writes. */
   #readDisk(): DiskContents {
-    if (this.disk.isTorn) return { status: 'damaged', reason: 'torn' };
+    if (this.disk.isTorn) return { status: 'damaged', reason: 'torn write' };
     const lastWrite = this.disk.synced.at(-1);
     if (lastWrite === undefined) return { status: 'empty' };
     const entries = new Map<string, KeyedEntry>();
@@ -125,7 +125,7 @@
     this.#dispatchNow(makeEvent);
   }
 
-  /** Asks the process to stop, within the grace if it is given. */
+  /** Requests a graceful stop, within `graceMs` if given. */
   stop(graceMs?: number): void {
     this.execute(() =>
       this.#dispatchNow((now) => ({
@@ -152,7 +152,7 @@
                       kind: 'writeFailed',
                       now,
                       writeId: write.id,
-                      reason: 'no room',
+                      reason: 'no space left on device',
                       isDiskFull,
                     },
               ),
--- a/packages/simulator/src/rules/coverage.ts
+++ b/packages/simulator/src/rules/coverage.ts
@@ -1,58 +1,56 @@
-/**
- * Counts what a run brought about, so that rules that hold are known to have been put to the test.
- */
+/** Counts the situations that a run reached, so that rules are known to have been exercised. */
 
 import { increment } from '@switchwheel/types';
 
-/** What a run must have done for its verdict on each rule to mean anything. */
+/** Situations that runs must reach for a passed rule to be meaningful. */
 export const coverageGoals = [
-  'R1: an unsafe result was lost after the work',
-  'R1: an origin died with an unsafe request in hand',
-  'R2: a request was told as refused',
-  'R2: a request was told as unknown',
-  'R2: a caller left before its result',
-  'R3: a whole result was corrupt',
-  'R3: a streamed result was corrupt',
-  'R3: a result was cut amid its body',
-  'R3: a result bore a wrong name',
-  'R3: two legs ran for one request',
-  'R4: a primary was lost just after it accepted',
-  'R4: accepted while a node was out of reach',
-  'R4: two descriptions collided',
-  'R4: an invalid description came',
-  'R4: a huge description came',
-  'R5: a node started again under a newer generation',
-  'R6: an origin that leaves was known',
-  'R6: an address was taken by another service',
-  'R6: an origin left while the core was cut',
+  'R1: the response to an unsafe request was lost after execution',
+  'R1: an origin crashed while executing an unsafe request',
+  'R2: a request was rejected',
+  'R2: a request ended with an unknown outcome',
+  'R2: a caller disconnected before its response',
+  'R3: a buffered response was corrupt',
+  'R3: a streamed response was corrupt',
+  'R3: a response body was truncated',
+  'R3: a response named the wrong instance',
+  'R3: a request was executed by several attempts',
+  'R4: a primary was lost just after accepting a write',
+  'R4: a configuration was accepted while a node was disconnected',
+  'R4: two configurations were applied to the same base',
+  'R4: an invalid configuration was submitted',
+  'R4: a very large configuration was submitted',
+  'R5: a node restarted after a newer generation was accepted',
+  'R6: the departure of an origin was confirmed',
+  'R6: an address was reused by another service',
+  'R6: an origin left during a network partition',
   'R7: a purge raced a fetch',
-  'R7: an edge out of reach was asked for what it may have kept',
-  'R7: a kept result was told',
-  'R7: a kept result came to its end',
-  'R8: the budget of extra legs was used up',
-  'R8: a keeper was lost with extra legs just sent',
-  'R9: a ceiling held requests back',
-  'R10: a bad release came',
-  'R10: a keeper was lost during a trial',
-  'R11: a node was stopped with requests open',
-  'R11: a keeper was stopped',
-  'R12: everything was killed',
-  'a keeper woke past its lease with legs open',
-  'a primary woke past its lease',
-  'a write was cut before its sync',
-  'a write was cut between the two disks',
-  'a write was cut before its answer',
-  'a store lost its disk after confirming',
+  'R7: a disconnected edge got a request for a cacheable object',
+  'R7: a cached response was served',
+  'R7: a response was served near the end of its cache lifetime',
+  'R8: the budget of extra attempts was exhausted',
+  'R8: a service leader was lost just after sending extra attempts',
+  'R9: a rate limit delayed requests',
+  'R10: a bad release was started',
+  'R10: a service leader was lost during a canary',
+  'R11: a node was stopped with requests in progress',
+  'R11: a service leader was stopped',
+  'R12: all processes were killed at once',
+  'a service leader resumed past its lease with attempts in progress',
+  'a primary resumed past its lease',
+  'a store was lost before it synced a write',
+  'a primary was lost while replicating a write',
+  'a primary was lost before replying to a write',
+  'a store lost its disk after acknowledging a write',
   'a disk was full',
   'a disk was stalled',
   'a voter was replaced',
-  'an area was lost',
-  'callers asked again at once',
+  'a zone was lost',
+  'callers retried immediately',
 ] as const;
-/** The name of one goal. */
+/** Name of one coverage goal. */
 export type CoverageGoal = (typeof coverageGoals)[number];
 
-/** Counts how often each rule was truly put to the test. */
+/** Counts how often each coverage goal was met. */
 export class Coverage {
   readonly counts = new Map<CoverageGoal, number>();
 
@@ -61,7 +59,7 @@
   }
 }
 
-/** Adds the counts of one run to those of several. */
+/** Adds the counts of one run to the totals. */
 export const addCounts = (
   totals: Map<CoverageGoal, number>,
   counts: ReadonlyMap<CoverageGoal, number>,
@@ -69,6 +67,6 @@
   for (const [goal, count] of counts) increment(totals, goal, count);
 };
 
-/** Those that never came about. */
+/** Goals that were never met. */
 export const unmetGoals = (counts: ReadonlyMap<CoverageGoal, number>): readonly CoverageGoal[] =>
   coverageGoals.filter((goal) => (counts.get(goal) ?? 0) === 0);
--- a/packages/simulator/src/rules/limits.ts
+++ b/packages/simulator/src/rules/limits.ts
@@ -1,4 +1,4 @@
 /** Limits that several rules share. */
 
-/** "About two seconds", with a little for the simulated network. */
+/** Time for a change to reach all nodes: 2 s, plus a margin for network latency. */
 export const propagationLimitMs = 2200;
--- a/packages/simulator/src/rules/origin-rules.ts
+++ b/packages/simulator/src/rules/origin-rules.ts
@@ -1,4 +1,4 @@
-/** Rules of origins over a whole run: departures (R6), extra attempts (R8), rate limits (R9), bad releases (R10). */
+/** Rules of origins, checked at the end of a run: departures (R6), extra attempts (R8), rate limits (R9), bad releases (R10). */
 
 import type { SimulatedOrigin } from '../processes/origin.js';
 import type { FinishedRun } from './finished-run.js';
@@ -7,17 +7,17 @@
 
 type OriginAttempt = SimulatedOrigin['attempts'][number];
 
-/** The window over which a rate limit is judged. */
+/** Window over which the rate limit is checked. */
 const rateWindowMs = 5000;
-/** For how many seconds' worth of its rate a service may be sent requests in that window. */
+/** Seconds of the configured rate that may be sent within that window. */
 const rateWindowSeconds = 5.5;
-/** The window over which extra attempts are judged. */
+/** Window over which extra attempts are counted. */
 const extraWindowMs = 10_000;
-/** Attempts of a bad release after which it must be known as bad, and how long that may take. */
+/** Number of failures after which a bad release must be rejected, and the time allowed for that. */
 const failuresUntilRejected = 50;
 const badReleaseLimitMs = 5000;
 
-/** The most of these times that lie in any one window. */
+/** Highest number of the times that lie within one window. */
 const maxCountWithin = (times: readonly number[], windowMs: number): number => {
   const sorted = [...times].sort((left, right) => left - right);
   let highestCount = 0;
@@ -29,7 +29,7 @@
   return highestCount;
 };
 
-/** R6, R8, R9, R10 from the origins' own records. */
+/** Checks R6, R8, R9 and R10 on the records of the origins. */
 export const checkOrigins = (run: FinishedRun): void => {
   const { world, violations } = run;
   for (const origin of world.origins) {
@@ -41,7 +41,7 @@
     if (lateArrivals.length > 0)
       violations.add(
         'R6',
-        `${origin.instance} got ${lateArrivals.length} requests up to ${Math.round((lateArrivals.at(-1) ?? 0) - departureKnownAt)} ms after it was known to leave`,
+        `${origin.instance} got ${lateArrivals.length} requests up to ${Math.round((lateArrivals.at(-1) ?? 0) - departureKnownAt)} ms after its departure was confirmed`,
       );
   }
   for (const service of world.layout.services) {
@@ -54,7 +54,7 @@
       if (highestCount > service.perSecond * rateWindowSeconds)
         violations.add(
           'R9',
-          `${service.name} was sent ${highestCount} in 5 s, its ceiling is ${service.perSecond} a second`,
+          `${service.name} was sent ${highestCount} requests and health checks in 5 s, its rate limit is ${service.perSecond} per second`,
         );
     }
     checkExtraAttempts(
@@ -66,7 +66,7 @@
   checkBadReleases(run);
 };
 
-/** In any ten seconds, tries beyond the first are at most a fifth of the traffic and sixty. */
+/** R8: in any ten seconds, extra attempts are at most 20% of the first attempts, plus 60. */
 const checkExtraAttempts = (
   violations: ViolationLog,
   service: string,
@@ -97,14 +97,14 @@
     if (extra > firstAttempts / 5 + 60) {
       violations.add(
         'R8',
-        `${service}: ${extra} extra tries beside ${firstAttempts} in ten seconds, up to ${Math.round(attempt.at)}`,
+        `${service}: ${extra} extra attempts beside ${firstAttempts} first attempts in 10 s, up to ${Math.round(attempt.at)}`,
       );
       return;
     }
   }
 };
 
-/** R10: a bad release gets few requests, and none soon after it was found bad. */
+/** R10: a bad release gets few requests, and none once its rejection is due. */
 const checkBadReleases = ({ world, violations, badReleases }: FinishedRun): void => {
   for (const release of badReleases) {
     const releaseOrigins = world.origins.filter((origin) => origin.release === release);
@@ -132,6 +132,6 @@
         origin.arrivalTimes.some((arrivedAt) => arrivedAt > rejectionDueAt + badReleaseLimitMs),
       )
     )
-      violations.add('R10', `${release} got requests more than 5 s after its fiftieth bad answer`);
+      violations.add('R10', `${release} got requests more than 5 s after its 50th failure`);
   }
 };
--- a/packages/simulator/src/rules/process-rules.ts
+++ b/packages/simulator/src/rules/process-rules.ts
@@ -1,6 +1,6 @@
 /**
- * What must hold after each event of any process: one holder of a lease, one content of a
- * generation, no lower generation than before, and the invariants that processes check themselves.
+ * Rules that are checked after each event of a process: a lease has one holder, a generation has
+ * one content and never decreases on a proxy, and the invariants that processes check hold.
  */
 
 import type { LeaseName } from '@switchwheel/types';
@@ -13,7 +13,7 @@
 
 type StoreState = NonNullable<SimulatedStore['state']>;
 
-/** Judges processes one event at a time. */
+/** Checks processes event by event. */
 export class ProcessRules {
   readonly #violations: ViolationLog;
   readonly #highestGenerations = new Map<string, number>();
@@ -32,7 +32,7 @@
       this.#checkStore(process, process.state);
   }
 
-  /** R5: the generation that a proxy runs never falls. */
+  /** R5: the active generation of a proxy never decreases. */
   #checkProxy(proxy: SimulatedProxy): void {
     const generation = proxy.state?.nodeAgent.compiledConfiguration?.generation ?? 0;
     const highest = this.#highestGenerations.get(proxy.node) ?? 0;
@@ -40,7 +40,7 @@
       this.#violations.addOnce(
         'R5',
         proxy.node,
-        `${proxy.node} went from ${highest} to ${generation}`,
+        `${proxy.node} went from generation ${highest} to ${generation}`,
       );
     if (generation > highest) this.#highestGenerations.set(proxy.node, generation);
     for (const [service, candidate] of proxy.state?.nodeAgent.candidates ?? [])
@@ -51,7 +51,7 @@
       );
   }
 
-  /** A generation that a primary serves has one content. */
+  /** A generation has the same content on every primary. */
   #checkStore(store: SimulatedStore, state: StoreState): void {
     this.#recordLeaseHolder(
       state.candidate.leaseName,
@@ -62,11 +62,11 @@
     if (!state.isServing || offer === undefined) return;
     const knownHash = this.#hashesByGeneration.get(offer.generation);
     if (knownHash !== undefined && knownHash !== offer.hash)
-      this.#violations.add('generation', `generation ${offer.generation} is two descriptions`);
+      this.#violations.add('generation', `generation ${offer.generation} has two contents`);
     this.#hashesByGeneration.set(offer.generation, offer.hash);
   }
 
-  /** What a process counted as broken of the invariants that it checks itself. */
+  /** Reports violations that the process itself counted. */
   #checkInvariants(process: SimulatedProcess): void {
     const counts =
       process instanceof SimulatedStore || process instanceof SimulatedRegistry
@@ -78,7 +78,7 @@
       this.#violations.addOnce(
         'invariant',
         `${process.node} ${invariant}`,
-        `${invariant}, ${count} times`,
+        `${process.node} counted ${count} violations of ${invariant}`,
       );
   }
 
@@ -94,7 +94,7 @@
       if (other === process) continue;
       if (this.#stillHoldsLease(other, lease))
         this.#violations.addOnce(
-          'one holder',
+          'lease holder',
           lease,
           `${lease} is held by ${process.node} and ${other.node}`,
         );
--- a/packages/simulator/src/rules/reachability.ts
+++ b/packages/simulator/src/rules/reachability.ts
@@ -1,6 +1,6 @@
 /**
- * Which nodes can reach a part of the fleet that takes writes, and since when: only they can be
- * held to most rules.
+ * Reachability: which nodes can reach the part of the fleet that accepts writes, and since when.
+ * Most rules apply only to these nodes.
  */
 
 import type { SimulatedProxy } from '../processes/proxy.js';
@@ -10,7 +10,7 @@
 
 const isRunning = (process: SimulatedProcess): boolean => process.isAlive && !process.isFrozen;
 
-/** Whether two processes can reach each other, both ways, by the state of the network and of both. */
+/** Whether two processes run and the links between them are open in both directions. */
 export const areConnected = (
   world: World,
   left: SimulatedProcess,
@@ -22,9 +22,9 @@
     world.network.isOpen(left.node, right.node) &&
     world.network.isOpen(right.node, left.node));
 
-/** The registries on the side where a primary is or can come to be: with a store in sync that a majority of voters can reach. */
+/** Registries that can reach a majority of voters and an in-sync store with such a majority: on their side a primary exists or can be elected. */
 export const registriesWithQuorum = (world: World): readonly SimulatedRegistry[] => {
-  // What a dead store's disk says counts: what it alone confirmed, nobody else can serve.
+  // The disks of dead stores count too: writes that only such a store holds can't be served by others.
   const metadata = world.stores
     .map((store) => store.state?.metadata ?? store.disk.synced.at(-1)?.metadata)
     .filter((one) => one !== undefined)
@@ -48,7 +48,7 @@
   );
 };
 
-/** Since when each node is in reach of the fleet without a break. */
+/** Tracks since when each node has been continuously reachable. */
 export class Reachability {
   readonly #world: World;
   readonly #reachableSince = new Map<
@@ -56,7 +56,7 @@
     { readonly incarnationNumber: number; readonly at: number }
   >();
   #coreAvailableSince: number | undefined;
-  /** The nodes that were out of reach at the last look. */
+  /** Nodes that were unreachable at the last sample. */
   readonly unreachable = new Set<SimulatedProxy>();
 
   constructor(world: World) {
@@ -90,7 +90,7 @@
     }
   }
 
-  /** For how long a node has been in reach. */
+  /** Time for which a node has been continuously reachable, in milliseconds. */
   reachableForMs(proxy: SimulatedProxy): number {
     const since = this.#reachableSince.get(proxy);
     return since === undefined || since.incarnationNumber !== proxy.incarnationNumber
@@ -98,7 +98,7 @@
       : this.#world.eventQueue.now - since.at;
   }
 
-  /** For how long there has been a side where writes can be taken. */
+  /** Time for which some part of the fleet could accept writes, in milliseconds. */
   coreAvailableForMs(): number {
     return this.#coreAvailableSince === undefined
       ? 0
--- a/packages/simulator/src/rules/rule-checker.test.ts
+++ b/packages/simulator/src/rules/rule-checker.test.ts
@@ -1,11 +1,11 @@
-/** Each checker of a rule finds what breaks it. */
+/** A checker that never reports anything would let broken rules pass. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
 import { toGeneration, toTimestamp, toRelease } from '@switchwheel/types';
 import { acts, clips, createFixture, type Fixture } from '../run/fixture.js';
 
-/** Runs a small calm fleet, breaks one rule on purpose in what happened, and gives what the checkers found. */
+/** Runs a small fleet without faults, breaks one rule in its records on purpose, and returns the violations. */
 const runWithViolation = (breakRule: (run: Fixture) => void): readonly string[] => {
   const run = createFixture(5, 60);
   run.callers.start();
@@ -18,7 +18,7 @@
 };
 
 const testDetects = (rule: string, breakRule: (run: Fixture) => void): void => {
-  void test(`the checker of ${rule} bites`, () => {
+  void test(`the rule checker reports a violation of ${rule}`, () => {
     const violations = runWithViolation(breakRule);
     assert.ok(
       violations.some((violation) => violation.startsWith(rule)),
@@ -33,7 +33,7 @@
   return origin;
 };
 
-void test('nothing spoilt, nothing found', () => {
+void test('a run without faults has no violations', () => {
   assert.deepEqual(
     runWithViolation(() => undefined),
     [],
@@ -71,7 +71,7 @@
   const proxy = run.world.proxies[0];
   const offer = proxy?.state?.nodeAgent.compiledConfiguration;
   assert.ok(proxy !== undefined && offer !== undefined);
-  // The node is made to run an older table, past the check that never lets it.
+  // Replaces the configuration of the node directly, which bypasses its own check.
   const proxyState = proxy.state;
   const holder = new Map(Object.entries(proxyState?.nodeAgent ?? {}));
   assert.ok(holder.has('compiledConfiguration'));
@@ -129,7 +129,7 @@
   run.world.runUntil(1000, () => write.reply !== undefined);
   write.reply = { at: run.world.eventQueue.now, status: 200, generation: 99, purge: 0, hash: '' };
 });
-testDetects('one holder', (run) => {
+testDetects('lease holder', (run) => {
   const [firstShield, secondShield] = run.world.shields;
   const holder = run.world.shields
     .flatMap((shield) => [...(shield.state?.nodeAgent.candidates.values() ?? [])])
--- a/packages/simulator/src/rules/rule-checker.ts
+++ b/packages/simulator/src/rules/rule-checker.ts
@@ -1,7 +1,7 @@
 /**
- * Judges a simulated fleet by the rules of the users' pages: some after each event of a process, some
- * at every sample of its state, the others over the whole run. Coverage counts how often each rule
- * was put to the test.
+ * Checks a simulated fleet against the documented rules: some after each event of a process, some
+ * at each sample of its state, the others at the end of the run. Coverage counts how often each
+ * rule was exercised.
  */
 
 import type { SimulatedCallers } from '../processes/callers.js';
@@ -16,12 +16,12 @@
 import { checkWrites } from './write-rules.js';
 
 const sampleIntervalMs = 25;
-/** Violations that processes reported of themselves and that are shown. */
+/** Maximum number of self-reported violations in the result. */
 const maxSelfReported = 5;
 
-/** Watches one fleet from its first event on. */
+/** Checks one fleet from its first event on. */
 export class RuleChecker {
-  /** Bad releases, as the run named them. */
+  /** Releases whose origins fail on purpose. */
   readonly badReleases = new Set<string>();
   readonly #world: World;
   readonly #callers: SimulatedCallers;
@@ -45,21 +45,21 @@
     this.#scheduleSamples();
   }
 
-  /** What was found so far. */
+  /** Violations found so far. */
   get violations(): readonly string[] {
     return this.#log.violations;
   }
 
-  /** Judges a process after one of its events. */
+  /** Checks a process after one of its events. */
   checkProcess(process: SimulatedProcess): void {
     this.#processRules.check(process);
   }
 
-  /** Judges the whole run; gives all that was found in it. */
+  /** Checks the rules of the whole run; returns all violations. */
   finish(): readonly string[] {
     this.#sampledRules.sample();
     for (const text of this.#world.selfReportedViolations.slice(0, maxSelfReported))
-      this.#log.add('fence', text);
+      this.#log.add('lease fencing', text);
     const run: FinishedRun = {
       world: this.#world,
       callers: this.#callers,
--- a/packages/simulator/src/rules/sampled-rules.ts
+++ b/packages/simulator/src/rules/sampled-rules.ts
@@ -1,6 +1,7 @@
 /**
- * What is judged again and again while time passes: configurations in force (R4), recovery (R12),
- * slots of origins; and the obligation to answer requests that nothing stands in the way of.
+ * Rules that are checked on samples of the fleet's state: active configurations (R4), recovery
+ * (R12) and slots of origins; and availability: requests must not fail while nothing on their path
+ * has a fault.
  */
 
 import { hasExtraAttemptBudget } from '@switchwheel/proxy-core';
@@ -13,22 +14,22 @@
 import { ServiceAvailability } from './service-availability.js';
 import type { ViolationLog } from './violation-log.js';
 
-/** After a full loss service is back within about fifteen seconds: then all that is in reach must serve. */
+/** Time within which all reachable nodes must serve again after a full loss. */
 const recoveryLimitMs = 15_000;
-/** For how long an edge must have owed a result before a request, so that what is left of a fault is over. */
+/** Time for which a service must have been available before a request, so that earlier faults have no effect. */
 const minAvailableMs = 3000;
 
 type ServiceLeaderState = NonNullable<
   ReturnType<NonNullable<SimulatedProxy['state']>['leaders']['get']>
 >;
 
-/** Judges a fleet by samples of its state. */
+/** Checks a fleet on samples of its state. */
 export class SampledRules {
   readonly reachability: Reachability;
   readonly #world: World;
   readonly #violations: ViolationLog;
   readonly #serviceAvailability: ServiceAvailability;
-  /** Accepted generations that need not be in force yet, by when they were accepted. */
+  /** Accepted generations that need not be active yet, in the order of their acceptance. */
   readonly #pendingGenerations: { readonly at: number; readonly generation: number }[] = [];
   readonly #seenReplies = new Set<string>();
   readonly #vacantSince = new Map<string, number>();
@@ -41,7 +42,7 @@
     this.#serviceAvailability = new ServiceAvailability(world, this.reachability);
   }
 
-  /** Takes a sample and judges it. */
+  /** Takes a sample and checks it. */
   sample(): void {
     this.reachability.sample();
     this.#serviceAvailability.sample();
@@ -58,13 +59,13 @@
 
   #checkLeader(shield: SimulatedProxy, service: ServiceName, leader: ServiceLeaderState): void {
     if (!hasExtraAttemptBudget(leader, shield.clock))
-      this.#world.coverage.record('R8: the budget of extra legs was used up');
+      this.#world.coverage.record('R8: the budget of extra attempts was exhausted');
     if (
       leader.serviceConfiguration.perSecond !== undefined &&
       leader.tokens < 1 &&
       leader.queues.size > 0
     )
-      this.#world.coverage.record('R9: a ceiling held requests back');
+      this.#world.coverage.record('R9: a rate limit delayed requests');
     const isOverfull = [...leader.endpoints.values()].some(
       (endpoint) => endpoint.activeAttempts > endpoint.slots,
     );
@@ -72,16 +73,16 @@
       this.#violations.addOnce(
         'slots',
         service,
-        `${service}: a leader has more legs at an origin than its slots`,
+        `${service}: the leader has more attempts at an origin than it has slots`,
       );
   }
 
-  /** For how long the edge of a request has owed its service's results, before the request. */
+  /** Time for which the service has been available at the edge of a request, in milliseconds. */
   serviceAvailableForMs(request: CallerRequest): number {
     return this.#serviceAvailability.availableForMs(request.edge, toServiceName(request.service));
   }
 
-  /** Takes note of accepted configurations, and of the newest that must be in force by now. */
+  /** Collects accepted configurations and the newest generation that must be active by now. */
   #updateDueGeneration(): void {
     const { now } = this.#world.eventQueue;
     for (const write of this.#world.writes) {
@@ -90,7 +91,9 @@
       this.#seenReplies.add(write.id);
       this.#pendingGenerations.push({ at: write.reply.at, generation: write.reply.generation });
       if (this.reachability.unreachable.size > 0)
-        this.#world.coverage.record('R4: accepted while a node was out of reach');
+        this.#world.coverage.record(
+          'R4: a configuration was accepted while a node was disconnected',
+        );
     }
     for (
       let first = this.#pendingGenerations[0];
@@ -102,7 +105,7 @@
     }
   }
 
-  /** R4, for every node that has been in reach for as long as it takes. */
+  /** R4: every node that has been reachable for the propagation limit runs the due generation. */
   #checkActiveGenerations(): void {
     for (const proxy of this.#world.proxies) {
       if (this.reachability.reachableForMs(proxy) < propagationLimitMs) continue;
@@ -113,12 +116,12 @@
         this.#violations.addOnce(
           'R4',
           `${proxy.node} ${this.#dueGeneration}`,
-          `generation ${this.#dueGeneration} is not in force on ${proxy.node}, which runs ${activeGeneration} and has been in reach for ${Math.round(this.reachability.reachableForMs(proxy))} ms`,
+          `generation ${this.#dueGeneration} is not active on ${proxy.node}, which runs ${activeGeneration} and has been reachable for ${Math.round(this.reachability.reachableForMs(proxy))} ms`,
         );
     }
   }
 
-  /** R12: what has been in reach for so long serves. */
+  /** R12: nodes that have been reachable for the recovery limit serve. */
   #checkRecovery(): void {
     const world = this.#world;
     for (const edge of world.edges) {
@@ -130,7 +133,7 @@
         this.#violations.addOnce(
           'R12',
           edge.node,
-          `${edge.node} has been in reach and not ready for ${Math.round(unreadyForMs)} ms`,
+          `${edge.node} has been reachable and not ready for ${Math.round(unreadyForMs)} ms`,
         );
     }
     const coreAvailableForMs = this.reachability.coreAvailableForMs();
@@ -138,7 +141,7 @@
       Math.min(coreAvailableForMs, this.#vacantForMs('primary', world.primary() !== undefined)) >
       recoveryLimitMs
     )
-      this.#violations.addOnce('R12', 'primary', 'no primary for fifteen seconds');
+      this.#violations.addOnce('R12', 'primary', 'no primary for 15 s');
     const shieldReachableForMs = Math.max(
       0,
       ...world.shields.map((candidate) => this.reachability.reachableForMs(candidate)),
@@ -151,11 +154,11 @@
           this.#vacantForMs(name, world.serviceLeaderOf(name) !== undefined),
         ) > recoveryLimitMs
       )
-        this.#violations.addOnce('R12', name, `${name} has had no leader for fifteen seconds`);
+        this.#violations.addOnce('R12', name, `${name} has had no leader for 15 s`);
     }
   }
 
-  /** For how long a role has been vacant, as far as samples show. */
+  /** Time for which a role has been vacant by the samples, in milliseconds. */
   #vacantForMs(role: string, isFilled: boolean): number {
     const { now } = this.#world.eventQueue;
     const since = isFilled ? now : (this.#vacantSince.get(role) ?? now);
@@ -163,7 +166,7 @@
     return now - since;
   }
 
-  /** Judges a request at the moment its caller gets a reply. */
+  /** Checks a request when its caller gets a reply. */
   checkReply(request: CallerRequest): void {
     const { result } = request;
     const world = this.#world;
@@ -175,7 +178,7 @@
       request.isFlood
     )
       return;
-    // What failed in this very moment, between two samples, counts.
+    // Samples again, since a fault may have started after the last sample.
     this.reachability.sample();
     this.#serviceAvailability.sample();
     if (
@@ -183,8 +186,8 @@
       request.serviceAvailableForMs + world.eventQueue.now - request.sentAt - 1
     ) {
       this.#violations.add(
-        'owed',
-        `${request.id} ${request.path} at ${request.edge.node} was told ${result.kind} (${result.text}) after ${Math.round(world.eventQueue.now - request.sentAt)} ms with nothing amiss on its way`,
+        'availability',
+        `${request.id} ${request.path} at ${request.edge.node} failed as ${result.kind} (${result.text}) after ${Math.round(world.eventQueue.now - request.sentAt)} ms without a fault on its path`,
       );
     }
   }
--- a/packages/simulator/src/rules/service-availability.ts
+++ b/packages/simulator/src/rules/service-availability.ts
@@ -1,4 +1,4 @@
-/** Since when each edge can serve each service, as far as the fleet's state tells. */
+/** Availability of each service at each edge, derived from the state of the fleet. */
 
 import type { ServiceName } from '@switchwheel/types';
 import type { SimulatedProxy } from '../processes/proxy.js';
@@ -7,7 +7,7 @@
 
 const keyOf = (edge: SimulatedProxy, service: ServiceName): string => `${edge.node} ${service}`;
 
-/** Since when each edge has owed each service a result: it is in reach and ready, has a way to one live service leader, and all its origins are healthy. */
+/** Tracks since when each edge can serve each service: it is reachable and ready, connected to the only service leader, and all origins are healthy. */
 export class ServiceAvailability {
   readonly #world: World;
   readonly #reachability: Reachability;
@@ -67,7 +67,7 @@
     }
   }
 
-  /** For how long a result has been owed without a break. */
+  /** Time for which a service has been continuously available at an edge, in milliseconds. */
   availableForMs(edge: SimulatedProxy, service: ServiceName): number {
     const entry = this.#availableSince.get(keyOf(edge, service));
     return entry === undefined ? 0 : this.#world.eventQueue.now - entry.at;
--- a/packages/simulator/src/rules/violation-log.ts
+++ b/packages/simulator/src/rules/violation-log.ts
@@ -1,9 +1,9 @@
-/** What a run broke of the rules, with the virtual time at which it was found. */
+/** Log of the violations of one run, with the virtual time of their detection. */
 
-/** More than these say nothing new of a run. */
+/** Further violations of a run are dropped. */
 const maxViolations = 20;
 
-/** Gathers violations in the order in which they were found. */
+/** Collects violations in the order of their detection. */
 export class ViolationLog {
   readonly violations: string[] = [];
   readonly #reported = new Set<string>();
@@ -18,7 +18,7 @@
       this.violations.push(`${rule} at ${Math.round(this.#now())}: ${text}`);
   }
 
-  /** Adds only the first violation of a rule under a key. */
+  /** Adds a violation unless the rule already has one under this key. */
   addOnce(rule: string, key: string, text: string): void {
     if (this.#reported.has(`${rule} ${key}`)) return;
     this.#reported.add(`${rule} ${key}`);
--- a/packages/simulator/src/rules/write-rules.ts
+++ b/packages/simulator/src/rules/write-rules.ts
@@ -1,8 +1,8 @@
-/** Rules of operators' writes over a whole run: none that was accepted is lost, none that was refused took effect. */
+/** Rules of operators' writes, checked at the end of a run: no accepted write is lost, no rejected write takes effect. */
 
 import type { FinishedRun } from './finished-run.js';
 
-/** Judges the writes by their replies and by what the primary holds in the end. */
+/** Checks the writes by their replies and the final state of the primary. */
 // eslint-disable-next-line complexity -- independent checks in a row; optional chaining counts as branches
 export const checkWrites = ({ world, violations }: FinishedRun): void => {
   let highestGeneration = 0;
@@ -10,12 +10,12 @@
   for (const write of world.writes) {
     const { reply } = write;
     if (write.kind !== 'apply' || reply?.status !== 200) continue;
-    if (write.isInvalid) violations.add('whole', `${write.id} is invalid and was accepted`);
+    if (write.isInvalid) violations.add('validation', `${write.id} is invalid and was accepted`);
     const earlierId = writeByGeneration.get(reply.generation);
     if (earlierId !== undefined)
       violations.add(
         'generation',
-        `${earlierId} and ${write.id} were both told generation ${reply.generation}`,
+        `${earlierId} and ${write.id} were both acknowledged with generation ${reply.generation}`,
       );
     writeByGeneration.set(reply.generation, write.id);
     highestGeneration = Math.max(highestGeneration, reply.generation);
@@ -25,7 +25,7 @@
   if (primary !== undefined && currentGeneration < highestGeneration)
     violations.add(
       'lost write',
-      `generation ${highestGeneration} was accepted, the store has ${currentGeneration}`,
+      `generation ${highestGeneration} was accepted, the primary has ${currentGeneration}`,
     );
   const outcomes = primary?.state?.control.commandOutcomes;
   for (const write of world.writes) {
@@ -34,9 +34,9 @@
     if (primary !== undefined && status === 200 && !isStored)
       violations.add(
         'lost write',
-        `${write.kind} ${write.id} was accepted and is not in the store`,
+        `${write.kind} ${write.id} was accepted and is not stored on the primary`,
       );
     if ((status === 409 || status === 422 || status === 503) && isStored)
-      violations.add('R2', `${write.kind} ${write.id} was told ${status} and took effect`);
+      violations.add('R2', `${write.kind} ${write.id} got status ${status} and took effect`);
   }
 };
--- a/packages/simulator/src/run/fixture.ts
+++ b/packages/simulator/src/run/fixture.ts
@@ -1,4 +1,4 @@
-/** A formed fleet with callers and rules: the common set-up of the tests of this folder. */
+/** Common test setup: a bootstrapped fleet with callers and a rule checker. */
 
 import { increment as add, toServiceName } from '@switchwheel/types';
 import { SimulatedCallers } from '../processes/callers.js';
@@ -11,7 +11,7 @@
 /** A service with a rate limit. */
 export const acts = toServiceName('acts');
 
-/** A formed fleet with callers and rules, for runs that cause one failure. */
+/** A bootstrapped fleet with callers and a rule checker. */
 export interface Fixture {
   readonly world: World;
   readonly callers: SimulatedCallers;
@@ -19,7 +19,7 @@
   readonly faults: FaultContext;
 }
 
-/** Forms a fleet; callers do not send until they are started. */
+/** Creates and bootstraps a fleet; callers send nothing until they are started. */
 export const createFixture = (
   seed: number,
   requestsPerSecond: number,
@@ -46,14 +46,14 @@
   };
 };
 
-/** Ends a run: no more callers, all that is under way ends, every rule is checked. */
+/** Stops the callers, waits for requests in progress and returns the violations of all rules. */
 export const finishRun = ({ world, callers, ruleChecker }: Fixture): readonly string[] => {
   callers.stop();
   world.runFor(6000);
   return ruleChecker.finish();
 };
 
-/** How callers fared over a part of a run. */
+/** Number of requests sent in a time range by result kind; `silent` counts those without a reply. */
 export const countOutcomes = (
   callers: SimulatedCallers,
   startAt = 0,
@@ -67,6 +67,6 @@
   return counts;
 };
 
-/** So many seeds, one after the other. */
+/** Returns consecutive seeds from 100 on. */
 export const seedRange = (count: number): readonly number[] =>
   Array.from({ length: count }, (_, index) => 100 + index);
--- a/packages/simulator/src/run/random-faults.ts
+++ b/packages/simulator/src/run/random-faults.ts
@@ -1,4 +1,4 @@
-/** A whole fleet under random faults, from one seed; the same options give the same run. */
+/** Runs of a whole fleet under random faults; the same options give the same run. */
 
 import { increment, toServiceName } from '@switchwheel/types';
 import { SimulatedCallers } from '../processes/callers.js';
@@ -14,25 +14,25 @@
 import { World } from '../world/world.js';
 
 const requestsPerSecond = 40;
-/** For how long faults that are under way go on before all are ended. */
+/** Time for active faults to end by themselves before all are ended. */
 const faultsEndMs = 6500;
 const recoveryMs = 15_000;
 
-/** What one run is made of: the same options give the same run. */
+/** Options of one run; the same options give the same run. */
 export interface RandomFaultOptions {
   readonly seed: number;
-  /** How many faults are caused. */
+  /** Number of faults to inject. */
   readonly faultCount: number;
-  /** Only faults whose names begin so; all if empty. */
+  /** Prefixes of the names of allowed faults; all are allowed if empty. */
   readonly namePrefixes: readonly string[];
-  /** Faults by number that are left out, to shrink a failing run. */
+  /** Numbers of faults that are left out, to shrink a failing run. */
   readonly skippedFaults: ReadonlySet<number>;
   readonly trace?: (text: string) => void;
-  /** Is given the fleet and its callers before anything happens, to watch the run. */
+  /** Called before the run starts, to attach observers. */
   readonly observe?: (world: World, callers: SimulatedCallers) => void;
 }
 
-/** What a run came to. */
+/** Result of a run. */
 export interface RandomFaultReport {
   readonly violations: readonly string[];
   readonly faultCounts: ReadonlyMap<string, number>;
@@ -41,7 +41,7 @@
   readonly messageCount: number;
   readonly causedFaultNumbers: readonly number[];
   readonly coverage: ReadonlyMap<CoverageGoal, number>;
-  /** How often each point of the operators' history was put to the test. */
+  /** How often each coverage goal of the history was met. */
   readonly historyCoverage: ReadonlyMap<HistoryCoverageGoal, number>;
 }
 
@@ -71,7 +71,7 @@
     ],
   });
 
-/** The faults that a run may cause; the numbered commands only if they are named. */
+/** Faults that a run may inject; numbered commands only if selected by name. */
 const candidatesOf = (namePrefixes: readonly string[]): readonly Fault[] =>
   namePrefixes.length === 0
     ? allFaults
@@ -81,11 +81,11 @@
 
 interface CausedFaults {
   readonly counts: ReadonlyMap<string, number>;
-  /** Their numbers in the run. */
+  /** Numbers of the injected faults within the run. */
   readonly numbers: readonly number[];
 }
 
-/** Causes one fault after another, until there are enough or a rule is broken. */
+/** Injects faults one after another until there are enough or a rule is violated. */
 const causeFaults = (
   context: FaultContext,
   candidates: readonly Fault[],
@@ -106,12 +106,12 @@
   return { counts, numbers };
 };
 
-/** R12: ends all faults; a while later each edge must be ready and serve whatever it is sent. */
+/** R12: ends all faults, then checks that each edge becomes ready and serves all requests. */
 const checkRecovery = (context: FaultContext): readonly string[] => {
   const { world, callers } = context;
   world.runFor(faultsEndMs);
   endAllFaults(world);
-  context.log('calm');
+  context.log('all faults ended');
   callers.maxImmediateRetries = 0;
   world.runFor(recoveryMs);
   const unready = world.edges.filter((edge) => !edge.isReady);
@@ -127,16 +127,16 @@
   const violations: string[] = [];
   if (unready.length > 0)
     violations.push(
-      `R12: 15 s after everything calmed down ${unready.map((edge) => edge.node).join(', ')} did not serve`,
+      `R12: 15 s after the end of all faults these edges were not ready: ${unready.map((edge) => edge.node).join(', ')}`,
     );
   if (failed.length > 0)
     violations.push(
-      `R12: after the calm ${failed.length} of ${requests.length} requests got no result: ${JSON.stringify(failed.slice(0, 3).map((request) => [request?.id, request?.path, request?.edge.node, request?.result]))}`,
+      `R12: after the end of all faults ${failed.length} of ${requests.length} requests got no result: ${JSON.stringify(failed.slice(0, 3).map((request) => [request?.id, request?.path, request?.edge.node, request?.result]))}`,
     );
   return violations;
 };
 
-/** Runs a whole fleet under random faults: every rule is checked, and in the end it has to serve again. */
+/** Runs a fleet under random faults, checks all rules, and checks that it recovers. */
 export const runRandomFaults = (options: RandomFaultOptions): RandomFaultReport => {
   const world = createWorld(options.seed);
   const callers = new SimulatedCallers(world, requestsPerSecond);
--- a/packages/simulator/src/run/soak.ts
+++ b/packages/simulator/src/run/soak.ts
@@ -1,6 +1,4 @@
-/**
- * The command line of long random runs: rotates seeds, counts coverage, shrinks a run that fails.
- */
+/** Command line for long random runs: iterates over seeds, counts coverage and shrinks failing runs. */
 
 import meow from 'meow';
 import { increment } from '@switchwheel/types';
@@ -18,19 +16,19 @@
     $ npm run soak -- [flags]
 
   Flags
-    --seed N      the first seed (by chance; it is printed)
-    --runs N      how many seeds, one after another (20)
-    --steps N     faults in each run (25)
-    --only NAME   only faults whose names begin so; repeat for more
-    --trace       print what is done to the fleet
-    --shrink      leave faults out of a failing run until it no longer fails
+    --seed N      first seed (default: random; it is printed)
+    --runs N      number of consecutive seeds (default: 20)
+    --steps N     number of faults per run (default: 25)
+    --only NAME   only faults whose name starts with NAME; may be repeated
+    --trace       print each injected fault
+    --shrink      reduce a failing run to a minimal set of faults
 
   Exit codes
-    0  every rule held    1  a rule was broken    2  wrong use
+    0  no violation    1  a rule was violated    2  usage error
 `,
   {
     importMeta: import.meta,
-    description: 'Random long runs of the simulator.',
+    description: 'Long random runs of the simulator.',
     flags: {
       seed: { type: 'number' },
       runs: { type: 'number', default: 20 },
@@ -48,13 +46,17 @@
 const usageErrors = [
   ...Object.keys(cli.flags)
     .filter((name) => !knownFlags.has(name))
-    .map((name) => `--${name}: no such flag`),
-  ...cli.input.map((argument) => `${argument}: not a flag`),
+    .map((name) => `--${name}: unknown flag`),
+  ...cli.input.map((argument) => `${argument}: unexpected argument`),
   ...(cli.flags.seed === undefined || isIntegerInRange(cli.flags.seed, 0, 4294967295)
     ? []
-    : ['--seed: a whole number from 0 to 4294967295']),
-  ...(isIntegerInRange(cli.flags.runs, 1, 1_000_000) ? [] : ['--runs: a whole number from 1']),
-  ...(isIntegerInRange(cli.flags.steps, 0, 100_000) ? [] : ['--steps: a whole number from 0']),
+    : ['--seed must be an integer from 0 to 4294967295']),
+  ...(isIntegerInRange(cli.flags.runs, 1, 1_000_000)
+    ? []
+    : ['--runs must be an integer from 1 to 1000000']),
+  ...(isIntegerInRange(cli.flags.steps, 0, 100_000)
+    ? []
+    : ['--steps must be an integer from 0 to 100000']),
 ];
 if (usageErrors.length > 0) {
   for (const line of usageErrors) process.stderr.write(`soak: ${line}\n`);
@@ -65,7 +67,7 @@
   process.stdout.write(`${text}\n`);
 };
 
-/** Leaves faults out one by one for as long as the run still fails. */
+/** Returns the faults that can be left out while the run still fails, tried one by one. */
 const shrink = (options: RandomFaultOptions, report: RandomFaultReport): ReadonlySet<number> => {
   let skippedFaults = new Set(options.skippedFaults);
   for (const number of report.causedFaultNumbers) {
@@ -100,7 +102,7 @@
   for (const [name, count] of report.faultCounts) increment(faultCounts, name, count);
   if (report.violations.length === 0) continue;
   failedRuns += 1;
-  printLine(`seed ${options.seed}, ${options.faultCount} steps:`);
+  printLine(`seed ${options.seed}, ${options.faultCount} faults:`);
   for (const line of report.violations.slice(0, 3)) printLine(`  ${line}`);
   if (report.violations.length > 3) printLine(`  and ${report.violations.length - 3} more`);
   if (cli.flags.shrink) {
@@ -114,7 +116,7 @@
       report,
     );
     const remaining = report.causedFaultNumbers.filter((number) => !skippedFaults.has(number));
-    printLine(`  still fails with only steps ${remaining.join(', ')}:`);
+    printLine(`  still fails with only the faults ${remaining.join(', ')}:`);
     runRandomFaults({
       seed: options.seed,
       faultCount: options.faultCount,
@@ -125,10 +127,10 @@
   }
 }
 printLine(
-  `seeds ${firstSeed} to ${(firstSeed + cli.flags.runs - 1) >>> 0}, ${cli.flags.steps} faults each, ${Math.round((performance.now() - startedAt) / 1000)} s: ${failedRuns} of ${cli.flags.runs} runs broke a rule`,
+  `seeds ${firstSeed} to ${(firstSeed + cli.flags.runs - 1) >>> 0}, ${cli.flags.steps} faults each, ${Math.round((performance.now() - startedAt) / 1000)} s: ${failedRuns} of ${cli.flags.runs} runs violated a rule`,
 );
 printLine(
-  `${requests} requests, ${results} with a result; faults: ${[...faultCounts]
+  `${requests} requests, ${results} with a response; faults: ${[...faultCounts]
     .sort()
     .map(([name, count]) => `${name} ${count}`)
     .join(', ')}`,
--- a/packages/simulator/src/world/configuration.ts
+++ b/packages/simulator/src/world/configuration.ts
@@ -2,7 +2,7 @@
 
 import type { ServiceName } from '@switchwheel/types';
 
-/** What a simulated operator applies: a valid configuration, one that must be rejected, or a very large one. */
+/** Kind of configuration that an operator applies: valid, one that must be rejected, or very large. */
 export type ConfigurationVariant = 'plain' | 'invalid' | 'huge';
 
 interface ConfiguredFleet {
@@ -15,10 +15,10 @@
 
 const hugeRouteCount = 1500;
 
-/** The second service's objects live shortly. */
+/** Cache lifetime of a service's objects, in milliseconds. */
 export const cacheLifetimeOf = (service: string): number => (service === 'acts' ? 1000 : 4000);
 
-/** The routes of one service; the marked one makes the configuration unlike others. */
+/** The routes of one service; the last one contains `marker`, so that no two configurations are equal. */
 const routesOf = (
   service: ServiceName,
   marker: number,
@@ -62,7 +62,7 @@
   },
 ];
 
-/** A configuration for simulated fleets; `marker` only makes it unlike others. */
+/** Configuration for a simulated fleet; `marker` makes its content unique. */
 export const createConfiguration = (
   layout: ConfiguredFleet,
   marker: number,
--- a/packages/simulator/src/world/event-queue.ts
+++ b/packages/simulator/src/world/event-queue.ts
@@ -1,6 +1,6 @@
 /**
- * Virtual time: a binary heap of events; those of one moment run in the order in which they were
- * scheduled.
+ * Virtual time: a binary heap of events. Events with the same time run in the order in which they
+ * were scheduled.
  */
 
 interface ScheduledEvent {
@@ -9,7 +9,7 @@
   readonly run: () => void;
 }
 
-/** What happens when, in one order for one seed. */
+/** Queue of scheduled events, and the current virtual time in milliseconds. */
 export class EventQueue {
   readonly #heap: ScheduledEvent[] = [];
   #lastSequence = 0;
@@ -20,7 +20,7 @@
     this.#push({ at: this.now + Math.max(0, delayMs), sequence: this.#lastSequence, run });
   }
 
-  /** Does the next thing; false when there is none before the end. */
+  /** Runs the next event. Returns false, with the time set to `end`, when none is due by then. */
   runNext(end: number): boolean {
     const next = this.#heap[0];
     if (next === undefined || next.at > end) {
--- a/packages/simulator/src/world/network.ts
+++ b/packages/simulator/src/world/network.ts
@@ -1,11 +1,9 @@
-/**
- * The virtual network between processes: partitions, latency, loss, duplication and reordering.
- */
+/** The virtual network between processes: partitions, latency, loss, duplication and reordering. */
 
 import type { EventQueue } from './event-queue.js';
 import type { SeededRandom } from './seeded-random.js';
 
-/** How the virtual network treats what is sent over it. */
+/** Latency of all links, and the probabilities of their faults. */
 export interface LinkConditions {
   readonly minLatencyMs: number;
   readonly maxLatencyMs: number;
@@ -21,7 +19,7 @@
   duplicationProbability: 0,
   delayProbability: 0,
 };
-/** Every link is slow, as over long and crowded lines. */
+/** Links with high latency, as over congested long-distance lines. */
 export const slowConditions: LinkConditions = {
   minLatencyMs: 25,
   maxLatencyMs: 90,
@@ -29,7 +27,7 @@
   duplicationProbability: 0,
   delayProbability: 0.03,
 };
-/** Links that lose, duplicate and delay. */
+/** Links that lose, duplicate and delay messages. */
 export const lossyConditions: LinkConditions = {
   minLatencyMs: 0.2,
   maxLatencyMs: 8,
@@ -38,18 +36,18 @@
   delayProbability: 0.02,
 };
 
-/** Sees what is sent over the network and what arrives; it draws nothing and schedules nothing. */
+/** Receives each message sent and delivered. Must not draw random numbers or schedule events. */
 export interface NetworkObserver {
   readonly sent: (from: string, to: string) => void;
   readonly delivered: (from: string, to: string) => void;
 }
 
-/** A virtual network: cut one way or both, slow, losing, doubling and reordering. */
+/** The links between all processes; each direction of a link can be cut on its own. */
 export class Network {
   readonly #eventQueue: EventQueue;
   readonly #random: SeededRandom;
   readonly #cutLinks = new Set<string>();
-  /** What waits in channels whose way is stalled: it arrives, late, once the way is whole. */
+  /** Messages held back on stalled links, delivered when the network heals. */
   readonly #stalledMessages = new Map<string, (() => void)[]>();
   readonly #refusedLinks = new Set<string>();
   conditions: LinkConditions = normalConditions;
@@ -65,13 +63,13 @@
     this.#cutLinks.add(`${from}>${to}`);
   }
 
-  /** Nothing gets through, nobody notices, and all that is sent meanwhile arrives after the healing. */
+  /** Holds back all messages until the network heals; the sender sees no error. */
   stall(from: string, to: string): void {
     this.#stalledMessages.set(`${from}>${to}`, []);
     this.cut(from, to);
   }
 
-  /** Nothing gets through, and a sender sees at once that the connection was refused. */
+  /** Cuts a link so that the sender gets a connection error immediately. */
   refuse(from: string, to: string): void {
     this.#refusedLinks.add(`${from}>${to}`);
     this.cut(from, to);
@@ -81,7 +79,7 @@
     return this.#refusedLinks.has(`${from}>${to}`);
   }
 
-  /** How many ways are cut. */
+  /** Number of link directions that are cut. */
   get cutCount(): number {
     return this.#cutLinks.size;
   }
@@ -106,7 +104,7 @@
       : latencyMs;
   }
 
-  /** Tells the observer that something is sent, and again when it arrives. */
+  /** Reports a message to the observer, and again when it is delivered. */
   #observed(from: string, to: string, deliver: () => void): () => void {
     const { observer } = this;
     if (observer === undefined) return deliver;
@@ -117,7 +115,7 @@
     };
   }
 
-  /** Carries something over that may be lost, doubled or overtaken. */
+  /** Sends a message that may be lost, duplicated or reordered. */
   sendDatagram(from: string, to: string, onArrival: () => void): void {
     this.sentCount += 1;
     const deliver = this.#observed(from, to, onArrival);
@@ -135,7 +133,7 @@
       this.#eventQueue.schedule(this.#drawLatencyMs(), deliverIfOpen);
   }
 
-  /** Carries something over a channel that keeps order and loses nothing while it stands. */
+  /** Sends a message over a reliable ordered channel. A cut link delays it until the link is open again. */
   sendOrdered(
     from: string,
     to: string,
--- a/packages/simulator/src/world/process.ts
+++ b/packages/simulator/src/world/process.ts
@@ -1,5 +1,5 @@
 /**
- * What every simulated process has in common: starts, ends, freezes, its own clock, ticks and
+ * Base of all simulated processes: start, kill, freeze and resume, a clock of its own, ticks and
  * frames.
  */
 
@@ -27,35 +27,35 @@
 import type { Coverage } from '../rules/coverage.js';
 import type { Network } from './network.js';
 
-/** Sees each control frame that a process sends to another; it draws nothing and schedules nothing. */
+/** Receives each control frame that a process sends. Must not draw random numbers or schedule events. */
 export interface FrameObserver {
   readonly frameSent: (from: SimulatedProcess, to: SimulatedProcess, frame: Frame) => void;
 }
 
-/** What all actors of one run share. */
+/** State shared by all processes of one run. */
 export interface SimulationContext {
   readonly eventQueue: EventQueue;
   readonly random: SeededRandom;
   readonly network: Network;
   readonly processes: Map<Address, SimulatedProcess>;
-  /** Called after each event that any machine acted on. */
+  /** Called after each event that a process handled. */
   afterEvent: (process: SimulatedProcess) => void;
   readonly logs: string[];
   readonly coverage: Coverage;
-  /** What an actor saw itself do that it may not. */
+  /** Violations that processes detected in their own actions. */
   readonly selfReportedViolations: string[];
-  /** The highest generation that was acknowledged to any operator. */
+  /** Highest configuration generation that was acknowledged to any operator. */
   readonly highestAcknowledgedGeneration: () => number;
   readonly frameObserver?: FrameObserver | undefined;
 }
 
-/** A process in the simulation: started, killed, frozen and woken; it runs the machine that ships. */
+/** A simulated process that runs a production state machine. */
 export abstract class SimulatedProcess {
   readonly context: SimulationContext;
   readonly node: NodeId;
   readonly address: Address;
   readonly zone: string;
-  /** A machine's clock starts anywhere and runs a little fast or slow. */
+  /** Offset and drift of the local clock against virtual time. */
   readonly #clockOffset: number;
   readonly #clockRate: number;
   #isAlive = false;
@@ -90,7 +90,7 @@
     return toIncarnation(this.#incarnationNumber);
   }
 
-  /** The time by this machine's own clock. */
+  /** Time of the local clock. */
   get clock(): Timestamp {
     return toTimestamp(this.#clockOffset + this.context.eventQueue.now * this.#clockRate);
   }
@@ -109,7 +109,7 @@
     this.#tick(this.#incarnationNumber);
   }
 
-  /** How one of its incarnations came to its end. */
+  /** How an incarnation ended: killed, or by a planned stop. */
   terminationOf(incarnationNumber: number): 'alive' | 'killed' | 'planned' {
     return this.#terminations.get(incarnationNumber) ?? 'alive';
   }
@@ -121,7 +121,7 @@
     this.#isFrozen = false;
     this.#heldWork.splice(0);
     this.onTerminated();
-    // Connections end: the peers that can be reached see it.
+    // Reachable peers see their connections to this process close.
     for (const other of this.context.processes.values()) {
       if (other !== this && other.isAlive)
         this.context.network.sendDatagram(this.node, other.node, () =>
@@ -134,14 +134,14 @@
     if (this.#isAlive) this.#isFrozen = true;
   }
 
-  /** Wakes: all that came meanwhile is acted on at once, in its order. */
+  /** Resumes a frozen process: all work that arrived meanwhile runs at once, in order. */
   resume(): void {
     if (!this.#isFrozen) return;
     this.#isFrozen = false;
     for (const work of this.#heldWork.splice(0)) if (this.#isAlive) work();
   }
 
-  /** Runs something as part of this process: later if it is frozen, not at all if it is another incarnation. */
+  /** Runs work in this process: deferred while it is frozen, dropped if the incarnation has ended. */
   execute(work: () => void, incarnationNumber = this.#incarnationNumber): void {
     const runIfAlive = (): void => {
       if (!this.#isAlive || incarnationNumber !== this.#incarnationNumber) return;
@@ -152,7 +152,7 @@
     else runIfAlive();
   }
 
-  /** Schedules something for this incarnation of the process only. */
+  /** Schedules work that is dropped if the current incarnation has ended by then. */
   schedule(delayMs: number, work: () => void): void {
     const incarnationNumber = this.#incarnationNumber;
     this.context.eventQueue.schedule(delayMs, () => this.execute(work, incarnationNumber));
@@ -187,7 +187,7 @@
     }
     const from = this.peer;
     const incarnationNumber = other.incarnationNumber;
-    // Now and then what is sent goes through the real coding, so that frames and their checks stay in step.
+    // A sample of the frames goes through the real codec, so that its validation is tested too.
     const received = this.context.random.happens(0.02)
       ? deserializeFrame(serializeFrame(frame)).unwrapOrElse((parseError) => {
           throw new Error(`${frame.kind}: ${parseError.text}`);
@@ -206,7 +206,7 @@
     this.dispatch((now) => ({ kind: 'peerDisconnected', now, address }));
   }
 
-  /** The least and the most milliseconds between two ticks. */
+  /** Minimum and maximum interval between two ticks, in milliseconds. */
   protected get tickIntervalMs(): readonly [number, number] {
     return [20, 30];
   }
--- a/packages/simulator/src/world/seeded-random.ts
+++ b/packages/simulator/src/world/seeded-random.ts
@@ -2,7 +2,7 @@
 
 import { type RandomState, nextRandom } from '@switchwheel/types';
 
-/** The simulator's own chance: all of it from one seed. */
+/** Pseudorandom number generator with a fixed seed. */
 export class SeededRandom {
   #state: RandomState;
 
@@ -10,7 +10,7 @@
     this.#state = { seed: seed >>> 0 };
   }
 
-  /** From 0 up to 1. */
+  /** Returns a number from 0 (inclusive) to 1 (exclusive). */
   next(): number {
     const [value, nextState] = nextRandom(this.#state);
     this.#state = nextState;
@@ -33,7 +33,7 @@
     return this.next() < probability;
   }
 
-  /** A chance of its own for a part, so that what one part throws does not move the others. */
+  /** Returns an independent generator, so that draws of one component do not affect the others. */
   fork(): SeededRandom {
     return new SeededRandom(Math.floor(this.next() * 4294967296));
   }
--- a/packages/simulator/src/world/virtual-disk.ts
+++ b/packages/simulator/src/world/virtual-disk.ts
@@ -1,10 +1,10 @@
-/** A virtual disk with its faults; what is written on it is its store's matter. */
+/** A virtual disk with fault injection; the content of writes is opaque to it. */
 
 import type { EventQueue } from './event-queue.js';
 import type { SeededRandom } from './seeded-random.js';
 
-/** What a virtual disk does just now. */
-export type DiskCondition = 'well' | 'full' | 'stalled';
+/** Current condition of a virtual disk. */
+export type DiskCondition = 'healthy' | 'full' | 'stalled';
 
 interface QueuedWrite<Write> {
   readonly write: Write;
@@ -12,14 +12,14 @@
   readonly powerCycle: object;
 }
 
-/** A virtual disk: it keeps what is synced, and may fill, stall, tear, or forget all. */
+/** A virtual disk: keeps synced writes, and can be full, stalled, torn or wiped. */
 export class VirtualDisk<Write> {
   readonly #eventQueue: EventQueue;
   readonly #random: SeededRandom;
   readonly #queue: QueuedWrite<Write>[] = [];
   #isWriting = false;
   #powerCycle = {};
-  condition: DiskCondition = 'well';
+  condition: DiskCondition = 'healthy';
   /** Writes in the order in which they were synced. */
   readonly synced: Write[] = [];
   isTorn = false;
@@ -34,24 +34,24 @@
     this.#writeNext();
   }
 
-  /** Power goes: what was not synced is gone, but for a write that may just have made it. */
+  /** Drops all writes that are not synced; the one in progress may have been synced just in time. */
   losePower(): void {
     this.#powerCycle = {};
     const pendingWrite = this.#queue[0];
-    if (pendingWrite !== undefined && this.condition === 'well' && this.#random.happens(0.5))
+    if (pendingWrite !== undefined && this.condition === 'healthy' && this.#random.happens(0.5))
       this.synced.push(pendingWrite.write);
     this.#queue.splice(0);
     this.#isWriting = false;
   }
 
-  /** All of it is gone, as with a new disk. */
+  /** Deletes all content, as a replaced disk. */
   wipe(): void {
     this.synced.splice(0);
     this.isTorn = false;
   }
 
   recover(): void {
-    this.condition = 'well';
+    this.condition = 'healthy';
     this.#writeNext();
   }
 
--- a/packages/simulator/src/world/world.ts
+++ b/packages/simulator/src/world/world.ts
@@ -1,4 +1,4 @@
-/** A whole simulated fleet: its processes, origins and objects, and operators' commands to it. */
+/** A whole simulated fleet: processes, origins and objects, and the commands of operators. */
 
 import {
   type Address,
@@ -27,17 +27,17 @@
 import type { PurgeTarget } from '@switchwheel/transport';
 import type { ReplicationSettings } from '@switchwheel/replicated-store';
 
-/** How large a simulated fleet is, and what stands behind it. */
+/** Size and settings of a simulated fleet. */
 export interface FleetLayout {
   readonly seed: number;
   readonly edges: number;
   readonly shields: number;
-  /** How many machines have a disk; two if it isn't said. */
+  /** Number of stores; 2 by default. */
   readonly stores?: number;
   readonly replication?: ReplicationSettings;
-  /** Whether nodes that run nothing may start on what disks hold. */
+  /** Whether registries offer configurations from disk hints of stores while there is no primary. */
   readonly offersDiskHints?: boolean;
-  /** The areas of the machines with a disk, in their order; they go round by four if it isn't said. */
+  /** Zones of the stores in order; by default they rotate through four zones. */
   readonly storeZones?: readonly string[];
   readonly services: readonly {
     readonly name: ServiceName;
@@ -48,13 +48,13 @@
   }[];
 }
 
-/** One write of an operator, with all that became of it. */
+/** One write of an operator, and the reply to it. */
 export interface OperatorWrite {
   readonly id: CommandId;
   readonly kind: 'apply' | 'purge';
   readonly sentAt: number;
   readonly marker: number;
-  /** Whether its configuration must be rejected. */
+  /** Whether the configuration must be rejected. */
   readonly isInvalid: boolean;
   reply:
     | {
@@ -66,7 +66,7 @@
       }
     | undefined;
   readonly paths: readonly string[];
-  /** For a purge: the revisions that the objects had when it was sent. */
+  /** For a purge: revisions of the objects when it was sent. */
   readonly revisions: ReadonlyMap<string, number>;
 }
 
@@ -83,7 +83,7 @@
   readonly origins: SimulatedOrigin[] = [];
   readonly writes: OperatorWrite[] = [];
   readonly coverage = new Coverage();
-  /** What operators requested, and the replies they got. */
+  /** Requests of operators and the replies to them. */
   readonly history = new History(() => this.eventQueue.now);
   readonly selfReportedViolations: string[] = [];
   readonly layout: FleetLayout;
@@ -91,9 +91,9 @@
   #originCount = 0;
   #writeCount = 0;
   afterEvent: (process: SimulatedProcess) => void = () => undefined;
-  /** Sees every control frame, where a run needs it. */
+  /** Optional observer of all control frames. */
   frameObserver: FrameObserver | undefined;
-  /** Whether a node is out of reach of the fleet. */
+  /** Whether a node is disconnected from the part of the fleet that accepts writes. */
   isUnreachable: (proxy: SimulatedProxy) => boolean = () => false;
 
   constructor(layout: FleetLayout) {
@@ -157,7 +157,7 @@
       );
   }
 
-  /** A new core machine's registry, found by the seeds that are there now. */
+  /** Starts a new registry that uses the current first three registries as seeds. */
   addRegistry(name: string, index: number, zone = 'one'): SimulatedRegistry {
     const seeds = this.registries.slice(0, 3).map((peer) => peer.address);
     const registry = new SimulatedRegistry(
@@ -172,7 +172,7 @@
     return registry;
   }
 
-  /** A new edge that knows nothing but the addresses of some registries. */
+  /** Starts a new edge that knows only the given seed addresses. */
   addEdge(name: string, index: number, seeds: readonly Address[]): SimulatedProxy {
     const edge = new SimulatedProxy(
       this,
@@ -188,7 +188,7 @@
     return edge;
   }
 
-  /** A new machine with a blank disk. */
+  /** Starts a new store with an empty disk. */
   addStore(name: string, index: number, zone = 'one'): SimulatedStore {
     const seeds = this.registries.slice(0, 3).map((peer) => peer.address);
     const store = new SimulatedStore(
@@ -204,14 +204,14 @@
     return store;
   }
 
-  /** A store is gone for good, with its disk. */
+  /** Removes a store and its disk permanently. */
   removeStore(store: SimulatedStore): void {
     store.kill();
     this.stores.splice(this.stores.indexOf(store), 1);
     this.processes.delete(store.address);
   }
 
-  /** A registry is gone for good: nothing names it any more. */
+  /** Removes a registry permanently. */
   removeRegistry(registry: SimulatedRegistry): void {
     registry.kill();
     this.registries.splice(this.registries.indexOf(registry), 1);
@@ -232,7 +232,7 @@
 
   findProcess(name: string): SimulatedProcess {
     const process = this.allProcesses.find((process) => process.node === name);
-    if (process === undefined) throw new Error(`no actor ${name}`);
+    if (process === undefined) throw new Error(`no simulated process named ${name}`);
     return process;
   }
 
@@ -241,7 +241,7 @@
     while (this.eventQueue.runNext(end));
   }
 
-  /** Runs until something is so, or time is over; says whether it was. */
+  /** Runs until a condition holds or the timeout expires. Returns whether it holds. */
   runUntil(timeoutMs: number, condition: () => boolean): boolean {
     const end = this.eventQueue.now + timeoutMs;
     while (!condition()) if (!this.eventQueue.runNext(end)) return condition();
@@ -272,7 +272,7 @@
     return origin;
   }
 
-  /** Starts every process and origin, founds the fleet and applies a first configuration. */
+  /** Starts all processes and origins, bootstraps the cluster and applies a first configuration. */
   bootstrap(): void {
     for (const process of this.allProcesses)
       this.eventQueue.schedule(this.random.uniform(0, 100), () => process.start());
@@ -291,13 +291,13 @@
             .length === this.stores.length,
       ),
     );
-    if (!isConnected) throw new Error('the core did not find itself');
+    if (!isConnected) throw new Error('registries and stores did not connect within 5 s');
     let isBootstrapped = false;
     const requestBootstrap = (): void => {
       this.registries[0]?.handleRequest(
         {
           verb: 'bootstrap',
-          id: toCommandId('found'),
+          id: toCommandId('bootstrap'),
           fleet: toFleetId('sim'),
           stores: this.stores.map((store) => store.node),
           voters: this.registries.map((registry) => registry.node),
@@ -309,15 +309,17 @@
       );
     };
     requestBootstrap();
-    if (!this.runUntil(5000, () => isBootstrapped)) throw new Error('the fleet was not founded');
-    if (!this.runUntil(5000, () => this.primary() !== undefined)) throw new Error('no primary');
+    if (!this.runUntil(5000, () => isBootstrapped))
+      throw new Error('the cluster was not bootstrapped within 5 s');
+    if (!this.runUntil(5000, () => this.primary() !== undefined))
+      throw new Error('no primary was elected within 5 s');
     this.apply(1);
     const isServing = (): boolean =>
       this.proxies.every((proxy) => proxy.isReady) &&
       this.layout.services.every((service) => this.serviceLeaderOf(service.name) !== undefined);
     if (!this.runUntil(8000, isServing))
       throw new Error(
-        `not in force: ${this.proxies
+        `nodes not ready or services without a leader after 8 s: ${this.proxies
           .filter((proxy) => !proxy.isReady)
           .map((proxy) => proxy.node)
           .join(', ')} ${JSON.stringify(this.writes.map((write) => write.reply))}`,
@@ -347,7 +349,7 @@
     this.#revisions.set(path, revisions);
   }
 
-  /** When a revision of an object stopped being the newest; undefined while it is. */
+  /** Time at which a newer revision replaced the given one; undefined while it is the newest. */
   supersededAt(path: string, revision: number): number | undefined {
     return this.#revisions.get(path)?.find((entry) => entry.revision > revision)?.since;
   }
@@ -380,7 +382,7 @@
     });
   }
 
-  /** The highest generation that was acknowledged to any operator. */
+  /** Highest configuration generation that was acknowledged to any operator. */
   highestAcknowledgedGeneration(): number {
     return Math.max(
       0,
@@ -388,7 +390,7 @@
     );
   }
 
-  /** An operator applies a configuration; `marker` makes it unlike others. */
+  /** Applies a configuration as an operator; `repeated` sends an earlier write again under its id. */
   apply(
     marker: number,
     base?: number,
@@ -442,7 +444,7 @@
     return write;
   }
 
-  /** An operator changes objects at the origins and purges them. */
+  /** Changes objects at the origins and purges them as an operator. */
   purge(paths: readonly string[], targets: readonly PurgeTarget[]): OperatorWrite {
     this.#writeCount += 1;
     for (const path of paths) this.advanceRevision(path);
