--- a/packages/simulator/src/fault/process-actions.ts
+++ b/packages/simulator/src/fault/process-actions.ts
@@ -28,7 +28,7 @@
     if (isPrimary && hasRecentWrite)
       world.coverage.record('R4: a primary was lost just after accepting a write');
     if (target.writePhase === 'writingToDisk')
-      world.coverage.record('a store was lost before it synced a write');
+      world.coverage.record('a primary was lost before it synced a write');
     if (target.writePhase === 'replicating')
       world.coverage.record('a primary was lost while replicating a write');
     if (isPrimary && hasUnansweredWrite(context, target))
--- a/packages/simulator/src/guard/built-copy.ts
+++ b/packages/simulator/src/guard/built-copy.ts
@@ -84,8 +84,7 @@
   const path = join(copy.root, 'packages', guard.file);
   const originalText = readFileSync(path, 'utf8');
   const occurrence = occurrencesOf(originalText, guard.from)[0];
-  if (occurrence === undefined)
-    throw new Error(`${guard.file}: text of the guard "${guard.name}" not found`);
+  if (occurrence === undefined) throw new Error(`text of the guard "${guard.name}" not found`);
   writeFileSync(
     path,
     originalText.slice(0, occurrence.start) + guard.to + originalText.slice(occurrence.end),
--- a/packages/simulator/src/rules/coverage.ts
+++ b/packages/simulator/src/rules/coverage.ts
@@ -37,7 +37,7 @@
   'R12: all processes were killed at once',
   'a service leader resumed past its lease with attempts in progress',
   'a primary resumed past its lease',
-  'a store was lost before it synced a write',
+  'a primary was lost before it synced a write',
   'a primary was lost while replicating a write',
   'a primary was lost before replying to a write',
   'a store lost its disk after acknowledging a write',
--- a/packages/simulator/src/rules/origin-rules.ts
+++ b/packages/simulator/src/rules/origin-rules.ts
@@ -72,32 +72,32 @@
   service: string,
   attempts: readonly OriginAttempt[],
 ): void => {
-  const sorted = [...attempts].sort((one, right) => one.at - right.at);
+  const sorted = [...attempts].sort((left, right) => left.at - right.at);
   const seenRequests = new Set<string>();
-  const markedAttempts = sorted.map((one) => {
-    const extra = seenRequests.has(one.request);
-    seenRequests.add(one.request);
-    return { at: one.at, extra };
+  const markedAttempts = sorted.map((attempt) => {
+    const isExtra = seenRequests.has(attempt.request);
+    seenRequests.add(attempt.request);
+    return { at: attempt.at, isExtra };
   });
   let windowStart = 0;
-  let extra = 0;
+  let extraAttempts = 0;
   let firstAttempts = 0;
   for (const attempt of markedAttempts) {
-    if (attempt.extra) extra += 1;
+    if (attempt.isExtra) extraAttempts += 1;
     else firstAttempts += 1;
     for (
       let expired = markedAttempts[windowStart];
       expired !== undefined && expired.at <= attempt.at - extraWindowMs;
       expired = markedAttempts[windowStart]
     ) {
-      if (expired.extra) extra -= 1;
+      if (expired.isExtra) extraAttempts -= 1;
       else firstAttempts -= 1;
       windowStart += 1;
     }
-    if (extra > firstAttempts / 5 + 60) {
+    if (extraAttempts > firstAttempts / 5 + 60) {
       violations.add(
         'R8',
-        `${service}: ${extra} extra attempts beside ${firstAttempts} first attempts in 10 s, up to ${Math.round(attempt.at)}`,
+        `${service}: ${extraAttempts} extra attempts beside ${firstAttempts} first attempts in 10 s, up to ${Math.round(attempt.at)}`,
       );
       return;
     }
--- a/packages/simulator/src/rules/process-rules.ts
+++ b/packages/simulator/src/rules/process-rules.ts
@@ -78,7 +78,7 @@
       this.#violations.addOnce(
         'invariant',
         `${process.node} ${invariant}`,
-        `${process.node} counted ${count} violations of ${invariant}`,
+        `invariant ${invariant} was violated ${count} times`,
       );
   }
 
--- a/packages/simulator/src/rules/reachability.ts
+++ b/packages/simulator/src/rules/reachability.ts
@@ -27,8 +27,8 @@
   // The disks of dead stores count too: writes that only such a store holds can't be served by others.
   const metadata = world.stores
     .map((store) => store.state?.metadata ?? store.disk.synced.at(-1)?.metadata)
-    .filter((one) => one !== undefined)
-    .sort((one, right) => right.epoch - one.epoch)[0];
+    .filter((stored) => stored !== undefined)
+    .sort((left, right) => right.epoch - left.epoch)[0];
   if (metadata === undefined) return [];
   const voters = world.registries.filter((registry) =>
     metadata.electorate.members.some((member) => member.node === registry.node),
--- a/packages/simulator/src/run/soak.ts
+++ b/packages/simulator/src/run/soak.ts
@@ -20,8 +20,8 @@
     --runs N      number of consecutive seeds (default: 20)
     --steps N     number of faults per run (default: 25)
     --only NAME   only faults whose name starts with NAME; may be repeated
-    --trace       print each injected fault
-    --shrink      reduce a failing run to a minimal set of faults
+    --trace       print each injected fault and its end
+    --shrink      leave out faults of a failing run while it still fails
 
   Exit codes
     0  no violation    1  a rule was violated    2  usage error
--- a/packages/simulator/src/world/world.ts
+++ b/packages/simulator/src/world/world.ts
@@ -231,7 +231,7 @@
   }
 
   findProcess(name: string): SimulatedProcess {
-    const process = this.allProcesses.find((process) => process.node === name);
+    const process = this.allProcesses.find((candidate) => candidate.node === name);
     if (process === undefined) throw new Error(`no simulated process named ${name}`);
     return process;
   }
