--- a/packages/simulator/src/digest/fleet.ts
+++ b/packages/simulator/src/digest/fleet.ts
@@ -125,7 +125,7 @@
     },
   });
   finishRecords();
-  digest.add(report.violations.length, ...report.causedFaultNumbers);
+  digest.add(report.violations.length, ...report.injectedFaultNumbers);
   return digest.finish();
 };
 
--- a/packages/simulator/src/direct/origin-client.ts
+++ b/packages/simulator/src/direct/origin-client.ts
@@ -52,7 +52,7 @@
   }
 
   closeIdleConnections(): void {
-    // There are no simulated connections; leftover bytes on one are the behaviour `other id`.
+    // There are no simulated connections; leftover bytes of a reused connection appear as the behaviour `other id`.
   }
 
   send(request: AttemptRequest, handlers: AttemptHandlers): () => void {
@@ -102,7 +102,7 @@
         : `done ${request.id}`;
     const [minDelayMs, maxDelayMs] = behaviour === 'late' ? lateResponseRangeMs : [2, 60];
     this.#eventQueue.schedule(this.#random.uniform(minDelayMs, maxDelayMs), () => {
-      if (behaviour === 'answer' || behaviour === 'late')
+      if (behaviour === 'response' || behaviour === 'late')
         report(() => handlers.onResponse(createResponse(200, body)));
       else if (behaviour === 'failure')
         report(() => handlers.onResponse(createResponse(500, 'failed')));
--- a/packages/simulator/src/direct/origin.ts
+++ b/packages/simulator/src/direct/origin.ts
@@ -6,13 +6,13 @@
 
 /** Behaviour of a simulated origin, or of the connection to it, for one request. */
 export type OriginBehaviour =
-  | 'answer'
+  | 'response'
   | 'late'
   | 'silent'
   | 'full'
   | 'failure'
   | 'misleading status'
-  | 'short'
+  | 'truncated'
   | 'other id'
   | 'unopened'
   | 'reset before'
@@ -25,7 +25,7 @@
   'full',
   'failure',
   'misleading status',
-  'short',
+  'truncated',
   'other id',
   'unopened',
   'reset before',
@@ -71,8 +71,8 @@
   }
 
   pickBehaviour(): OriginBehaviour {
-    if (!this.#random.happens(this.faultProbability)) return 'answer';
-    return this.#random.pick(faultyBehaviours) ?? 'answer';
+    if (!this.#random.happens(this.faultProbability)) return 'response';
+    return this.#random.pick(faultyBehaviours) ?? 'response';
   }
 
   recordExecution(origin: DirectOrigin, request: AttemptRequest): void {
--- a/packages/simulator/src/direct/run.ts
+++ b/packages/simulator/src/direct/run.ts
@@ -55,7 +55,7 @@
   service: ServiceName,
   generation: number,
 ): CompiledConfiguration => {
-  const bundle = runToCompletion(
+  const split = runToCompletion(
     splitIntoChunks({
       format: 1,
       classes: [{ name: 'all', share: 1 }],
@@ -83,8 +83,8 @@
       ],
     }),
   );
-  if (!bundle.isOk) throw new Error('the test configuration is not valid');
-  const { hash, chunkHashes, chunks } = bundle.value;
+  if (!split.isOk) throw new Error('the test configuration is not valid');
+  const { hash, chunkHashes, chunks } = split.value;
   const texts = chunkHashes.map((chunkHash) => chunks.get(chunkHash) ?? '');
   const compiled = runToCompletion(buildConfiguration(texts, toGeneration(generation), hash));
   if (!compiled.isOk) throw new Error('the test configuration did not compile');
--- a/packages/simulator/src/fault/caller-faults.ts
+++ b/packages/simulator/src/fault/caller-faults.ts
@@ -7,10 +7,10 @@
   {
     name: 'immediate retries',
     weight: 1,
-    cause: (context) => {
+    inject: (context) => {
       context.log('callers retry immediately');
       context.callers.maxImmediateRetries = 4;
-      context.world.eventQueue.schedule(context.randomMs(2000, 8000), () => {
+      context.world.eventQueue.schedule(context.uniform(2000, 8000), () => {
         context.callers.maxImmediateRetries = 0;
       });
     },
@@ -18,7 +18,7 @@
   {
     name: 'flood',
     weight: 1,
-    cause: (context) => {
+    inject: (context) => {
       const { world } = context;
       const service = world.random.pick(world.layout.services)?.name;
       if (service === undefined) return;
--- a/packages/simulator/src/fault/fault-context.ts
+++ b/packages/simulator/src/fault/fault-context.ts
@@ -40,7 +40,7 @@
     this.trace?.(`${Math.round(this.world.eventQueue.now)} ${text}`);
   }
 
-  randomMs(low: number, high: number): number {
+  uniform(low: number, high: number): number {
     return this.world.random.uniform(low, high);
   }
 
--- a/packages/simulator/src/fault/fault.ts
+++ b/packages/simulator/src/fault/fault.ts
@@ -7,7 +7,7 @@
   readonly name: string;
   /** Relative frequency. */
   readonly weight: number;
-  readonly cause: (context: FaultContext) => void;
+  readonly inject: (context: FaultContext) => void;
 }
 
 /** Picks a fault at random by the weights of the candidates. */
--- a/packages/simulator/src/fault/network-faults.ts
+++ b/packages/simulator/src/fault/network-faults.ts
@@ -23,7 +23,7 @@
   conditions: LinkConditions,
 ): void => {
   const { network, eventQueue } = context.world;
-  const durationMs = context.randomMs(1000, 6000);
+  const durationMs = context.uniform(1000, 6000);
   context.log(`${text} for ${Math.round(durationMs)}`);
   network.conditions = conditions;
   eventQueue.schedule(durationMs, () => {
@@ -36,8 +36,8 @@
   {
     name: 'isolate machine',
     weight: 3,
-    cause: (context) => {
-      const durationMs = context.randomMs(300, 5000);
+    inject: (context) => {
+      const durationMs = context.uniform(300, 5000);
       if (!context.reserveCoreFault(durationMs)) return;
       const process = context.world.random.pick(context.world.allProcesses);
       if (process === undefined) return;
@@ -53,8 +53,8 @@
   {
     name: 'split core',
     weight: 2,
-    cause: (context) => {
-      const durationMs = context.randomMs(500, 5000);
+    inject: (context) => {
+      const durationMs = context.uniform(500, 5000);
       if (!context.reserveCoreFault(durationMs)) return;
       const side = context.world.registries
         .filter(() => context.world.random.happens(0.5))
@@ -69,8 +69,8 @@
   {
     name: 'partition edges from core',
     weight: 1,
-    cause: (context) => {
-      const durationMs = context.randomMs(500, 4000);
+    inject: (context) => {
+      const durationMs = context.uniform(500, 4000);
       if (!context.reserveCoreFault(durationMs)) return;
       context.log(`partition edges from core for ${Math.round(durationMs)}`);
       for (const edge of context.world.edges) {
@@ -86,7 +86,7 @@
   {
     name: 'flapping machine',
     weight: 2,
-    cause: (context) => {
+    inject: (context) => {
       if (!context.reserveCoreFault(6000)) return;
       const process = context.world.random.pick(context.world.allProcesses);
       if (process === undefined) return;
@@ -94,7 +94,7 @@
       context.log(`flap links of ${machine.map((process) => process.node).join(' ')}`);
       for (let round = 0; round < 8; round += 1) {
         context.world.eventQueue.schedule(round * 700, () => context.isolate(machine, 'both'));
-        context.world.eventQueue.schedule(round * 700 + context.randomMs(50, 600), () =>
+        context.world.eventQueue.schedule(round * 700 + context.uniform(50, 600), () =>
           context.world.network.heal(),
         );
       }
@@ -104,11 +104,11 @@
   {
     name: 'slow links',
     weight: 1,
-    cause: (context) => changeConditions(context, 'slow links', slowConditions),
+    inject: (context) => changeConditions(context, 'slow links', slowConditions),
   },
   {
     name: 'lossy links',
     weight: 2,
-    cause: (context) => changeConditions(context, 'lossy links', lossyConditions),
+    inject: (context) => changeConditions(context, 'lossy links', lossyConditions),
   },
 ];
--- a/packages/simulator/src/fault/operator-commands.ts
+++ b/packages/simulator/src/fault/operator-commands.ts
@@ -7,14 +7,14 @@
   {
     name: 'apply',
     weight: 4,
-    cause: (context) => {
+    inject: (context) => {
       context.world.apply(context.world.random.integer(1, 1_000_000));
     },
   },
   {
     name: 'apply an invalid configuration',
     weight: 1,
-    cause: (context) => {
+    inject: (context) => {
       context.log('apply an invalid configuration');
       context.world.coverage.record('R4: an invalid configuration was submitted');
       context.world.apply(context.world.random.integer(1, 1_000_000), undefined, 'invalid');
@@ -23,7 +23,7 @@
   {
     name: 'apply a very large configuration',
     weight: 1,
-    cause: (context) => {
+    inject: (context) => {
       context.log('apply a very large configuration');
       context.world.coverage.record('R4: a very large configuration was submitted');
       context.world.apply(context.world.random.integer(1, 1_000_000), undefined, 'huge');
@@ -32,7 +32,7 @@
   {
     name: 'concurrent applies',
     weight: 2,
-    cause: (context) => {
+    inject: (context) => {
       const base = context.world.primary()?.state?.control.configuration?.offer.generation;
       if (base === undefined) return;
       context.log(`apply two configurations to generation ${base}`);
@@ -44,7 +44,7 @@
   {
     name: 'purge',
     weight: 4,
-    cause: (context) => {
+    inject: (context) => {
       const { world } = context;
       const service = world.random.pick(world.layout.services)?.name ?? '';
       const path = `/${service}/read/${world.random.integer(0, 19)}`;
@@ -54,12 +54,12 @@
   {
     name: 'purge storm',
     weight: 1,
-    cause: (context) => {
+    inject: (context) => {
       const { world } = context;
       for (const service of world.layout.services) {
         for (let index = 0; index < 20; index += 1) {
           const path = `/${service.name}/read/${index}`;
-          world.eventQueue.schedule(context.randomMs(0, 500), () => {
+          world.eventQueue.schedule(context.uniform(0, 500), () => {
             world.purge([path], [{ by: 'object', path }]);
           });
         }
@@ -73,7 +73,7 @@
   {
     name: 'numbered race',
     weight: 3,
-    cause: (context) => {
+    inject: (context) => {
       context.log('two operators apply different configurations under one number');
       context.operators?.applyConcurrently();
     },
@@ -81,21 +81,21 @@
   {
     name: 'numbered apply',
     weight: 3,
-    cause: (context) => context.operators?.apply(),
+    inject: (context) => context.operators?.apply(),
   },
   {
     name: 'numbered repeat',
     weight: 4,
-    cause: (context) => context.operators?.repeatConfiguration(),
+    inject: (context) => context.operators?.repeatConfiguration(),
   },
   {
     name: 'order a release',
     weight: 2,
-    cause: (context) => context.operators?.requestRollout(),
+    inject: (context) => context.operators?.requestRollout(),
   },
   {
     name: 'order a release again',
     weight: 3,
-    cause: (context) => context.operators?.repeatRollout(),
+    inject: (context) => context.operators?.repeatRollout(),
   },
 ];
--- a/packages/simulator/src/fault/origin-faults.ts
+++ b/packages/simulator/src/fault/origin-faults.ts
@@ -20,7 +20,7 @@
   {
     name: 'crash origin',
     weight: 2,
-    cause: (context) => {
+    inject: (context) => {
       const { world } = context;
       const runningOrigins = world.origins.filter(
         (origin) => origin.isAlive && origin.state === 'up',
@@ -33,7 +33,7 @@
         return;
       context.log(`crash ${origin.instance}`);
       origin.crash();
-      world.eventQueue.schedule(context.randomMs(500, 4000), () =>
+      world.eventQueue.schedule(context.uniform(500, 4000), () =>
         addReplacementOrigin(world, origin, world.random.happens(0.5) ? origin.address : undefined),
       );
     },
@@ -41,7 +41,7 @@
   {
     name: 'replace origin',
     weight: 3,
-    cause: (context) => {
+    inject: (context) => {
       const { world } = context;
       const origin = world.random.pick(
         world.origins.filter((other) => other.isAlive && other.state === 'up'),
@@ -58,7 +58,7 @@
   {
     name: 'reuse address',
     weight: 1,
-    cause: (context) => {
+    inject: (context) => {
       const { world } = context;
       const origin = world.random.pick(
         world.origins.filter((other) => other.isAlive && other.state === 'up'),
@@ -71,7 +71,7 @@
       context.log(`reuse ${origin.address} of ${origin.instance} for ${other.name}`);
       addReplacementOrigin(world, origin, undefined);
       origin.crash();
-      world.eventQueue.schedule(context.randomMs(10, 500), () =>
+      world.eventQueue.schedule(context.uniform(10, 500), () =>
         world.addOrigin(other.name, other.slots, 'r1', origin.address),
       );
     },
@@ -79,14 +79,14 @@
   {
     name: 'slow origin',
     weight: 2,
-    cause: (context) => {
+    inject: (context) => {
       const origin = context.world.random.pick(
         context.world.origins.filter((other) => other.isAlive),
       );
       if (origin === undefined) return;
-      origin.extraLatencyMs = context.randomMs(50, 1500);
+      origin.extraLatencyMs = context.uniform(50, 1500);
       context.log(`slow ${origin.instance} by ${Math.round(origin.extraLatencyMs)} ms`);
-      context.world.eventQueue.schedule(context.randomMs(1000, 6000), () => {
+      context.world.eventQueue.schedule(context.uniform(1000, 6000), () => {
         origin.extraLatencyMs = 0;
       });
     },
@@ -94,17 +94,17 @@
   {
     name: 'losing origin',
     weight: 2,
-    cause: (context) => {
+    inject: (context) => {
       const origin = context.world.random.pick(
         context.world.origins.filter((other) => other.isAlive),
       );
       if (origin === undefined) return;
       context.log(`faulty responses of ${origin.instance}`);
-      origin.lossProbability = context.randomMs(0.05, 0.6);
-      origin.corruptionProbability = context.randomMs(0, 0.3);
-      origin.truncationProbability = context.randomMs(0, 0.2);
-      origin.wrongInstanceProbability = context.randomMs(0, 0.1);
-      context.world.eventQueue.schedule(context.randomMs(1000, 6000), () => {
+      origin.lossProbability = context.uniform(0.05, 0.6);
+      origin.corruptionProbability = context.uniform(0, 0.3);
+      origin.truncationProbability = context.uniform(0, 0.2);
+      origin.wrongInstanceProbability = context.uniform(0, 0.1);
+      context.world.eventQueue.schedule(context.uniform(1000, 6000), () => {
         origin.clearResponseFaults();
       });
     },
@@ -112,13 +112,13 @@
   {
     name: 'bad release',
     weight: 1,
-    cause: (context) => {
+    inject: (context) => {
       const { world } = context;
       const service = world.random.pick(world.layout.services);
       if (service === undefined) return;
       const release = context.newRelease();
       const origin = world.addOrigin(service.name, service.slots, release);
-      origin.failureProbability = context.randomMs(0.3, 1);
+      origin.failureProbability = context.uniform(0.3, 1);
       context.ruleChecker.badReleases.add(toRelease(release));
       world.coverage.record('R10: a bad release was started');
       context.log(`bad release ${release} of ${service.name}`);
@@ -128,7 +128,7 @@
   {
     name: 'good release',
     weight: 1,
-    cause: (context) => {
+    inject: (context) => {
       const service = context.world.random.pick(context.world.layout.services);
       if (service === undefined) return;
       const release = context.newRelease();
--- a/packages/simulator/src/fault/process-faults.ts
+++ b/packages/simulator/src/fault/process-faults.ts
@@ -6,15 +6,15 @@
 import { freezeFor, killFor, restartAfter, stopProxy } from './process-actions.js';
 import type { Fault } from './fault.js';
 
-const killOneOf = (context: FaultContext, candidates: readonly SimulatedProcess[]): void => {
+const killRandom = (context: FaultContext, candidates: readonly SimulatedProcess[]): void => {
   const target = context.world.random.pick(candidates);
-  if (target?.isAlive === true) killFor(context, target, context.randomMs(100, 3000));
+  if (target?.isAlive === true) killFor(context, target, context.uniform(100, 3000));
 };
 
-const freezeOneOf = (context: FaultContext, candidates: readonly SimulatedProcess[]): void => {
+const freezeRandom = (context: FaultContext, candidates: readonly SimulatedProcess[]): void => {
   const target = context.world.random.pick(candidates);
   if (target?.isAlive === true && !target.isFrozen)
-    freezeFor(context, target, context.randomMs(200, 5000));
+    freezeFor(context, target, context.uniform(200, 5000));
 };
 
 /** All faults of processes. */
@@ -22,12 +22,12 @@
   {
     name: 'kill proxy',
     weight: 6,
-    cause: (context) => killOneOf(context, context.world.proxies),
+    inject: (context) => killRandom(context, context.world.proxies),
   },
   {
     name: 'stop proxy',
     weight: 4,
-    cause: (context) => {
+    inject: (context) => {
       const proxy = context.world.random.pick(context.world.proxies);
       if (proxy !== undefined) stopProxy(context, proxy);
     },
@@ -35,27 +35,27 @@
   {
     name: 'freeze proxy',
     weight: 5,
-    cause: (context) => freezeOneOf(context, context.world.proxies),
+    inject: (context) => freezeRandom(context, context.world.proxies),
   },
   {
     name: 'kill registry',
     weight: 4,
-    cause: (context) => killOneOf(context, context.world.registries),
+    inject: (context) => killRandom(context, context.world.registries),
   },
   {
     name: 'freeze registry',
     weight: 4,
-    cause: (context) => freezeOneOf(context, context.world.registries),
+    inject: (context) => freezeRandom(context, context.world.registries),
   },
   {
     name: 'compile failure',
     weight: 1,
-    cause: (context) => {
+    inject: (context) => {
       const proxy = context.world.random.pick(context.world.proxies);
       if (proxy === undefined || proxy.failsToCompile) return;
       context.log(`configurations fail to compile on ${proxy.node}`);
       proxy.failsToCompile = true;
-      const durationMs = context.randomMs(1000, 5000);
+      const durationMs = context.uniform(1000, 5000);
       context.world.eventQueue.schedule(durationMs, () => {
         proxy.failsToCompile = false;
       });
@@ -64,27 +64,27 @@
   {
     name: 'kill everything',
     weight: 1,
-    cause: (context) => {
+    inject: (context) => {
       if (!context.reserveCoreFault(12_000)) return;
       context.log('kill everything');
       context.world.coverage.record('R12: all processes were killed at once');
       for (const target of context.world.allProcesses) {
         target.kill();
-        restartAfter(context, target, context.randomMs(50, 1500));
+        restartAfter(context, target, context.uniform(50, 1500));
       }
     },
   },
   {
     name: 'kill many',
     weight: 1,
-    cause: (context) => {
+    inject: (context) => {
       if (!context.reserveCoreFault(6000)) return;
       const targets = context.world.allProcesses.filter(
         (target) => !(target instanceof SimulatedStore) && context.world.random.happens(0.5),
       );
       context.log(`kill ${targets.map((target) => target.node).join(' ')}`);
       for (const target of targets)
-        if (target.isAlive) killFor(context, target, context.randomMs(50, 1500));
+        if (target.isAlive) killFor(context, target, context.uniform(50, 1500));
     },
   },
 ];
--- a/packages/simulator/src/fault/store-faults.ts
+++ b/packages/simulator/src/fault/store-faults.ts
@@ -24,7 +24,7 @@
       return;
     }
     context.log(`power of ${store.node} lost during write ${write.id}`);
-    killFor(context, store, context.randomMs(100, 2500));
+    killFor(context, store, context.uniform(100, 2500));
     if (world.random.happens(0.3)) {
       world.coverage.record('a store lost its disk after acknowledging a write');
       store.disk.wipe();
@@ -44,7 +44,7 @@
   context.log(`${verb} ${store.node}`);
   store.kill();
   damage(store);
-  restartAfter(context, store, context.randomMs(200, 2000));
+  restartAfter(context, store, context.uniform(200, 2000));
 };
 
 /** Makes a disk full or stalled for a while. Returns false if no disk may fail now. */
@@ -53,7 +53,7 @@
   condition: Exclude<DiskCondition, 'healthy'>,
   minDurationMs: number,
 ): boolean => {
-  const durationMs = context.randomMs(minDurationMs, 6000);
+  const durationMs = context.uniform(minDurationMs, 6000);
   const store = context.reserveDiskFault(durationMs);
   if (store === undefined) return false;
   context.log(`${condition} disk of ${store.node} for ${Math.round(durationMs)}`);
@@ -67,35 +67,35 @@
   {
     name: 'kill store',
     weight: 3,
-    cause: (context) => {
+    inject: (context) => {
       const store = context.reserveDiskFault(2500);
-      if (store !== undefined) killFor(context, store, context.randomMs(100, 2500));
+      if (store !== undefined) killFor(context, store, context.uniform(100, 2500));
     },
   },
   {
     name: 'freeze store',
     weight: 3,
-    cause: (context) => {
+    inject: (context) => {
       const store = context.reserveDiskFault(4000);
-      if (store !== undefined) freezeFor(context, store, context.randomMs(300, 4000));
+      if (store !== undefined) freezeFor(context, store, context.uniform(300, 4000));
     },
   },
   {
     name: 'power lost before a sync',
     weight: 1,
-    cause: (context) =>
+    inject: (context) =>
       losePowerDuringWrite(context, (store) => store.writePhase === 'writingToDisk'),
   },
   {
     name: 'power lost during replication',
     weight: 1,
-    cause: (context) =>
+    inject: (context) =>
       losePowerDuringWrite(context, (store) => store.writePhase === 'replicating'),
   },
   {
     name: 'power lost before the reply',
     weight: 1,
-    cause: (context) =>
+    inject: (context) =>
       losePowerDuringWrite(
         context,
         (store) => store === context.world.primary() && hasUnansweredWrite(context, store),
@@ -104,7 +104,7 @@
   {
     name: 'disk lost after acknowledging',
     weight: 1,
-    cause: (context) => {
+    inject: (context) => {
       const { world } = context;
       const write = world.apply(world.random.integer(1, 1_000_000));
       const deadline = world.eventQueue.now + 1000;
@@ -114,7 +114,7 @@
           if (store === undefined) return;
           context.log(`wipe disk of ${store.node} just after write ${write.id}`);
           world.coverage.record('a store lost its disk after acknowledging a write');
-          killFor(context, store, context.randomMs(200, 2000));
+          killFor(context, store, context.uniform(200, 2000));
           store.disk.wipe();
         } else if (world.eventQueue.now < deadline) world.eventQueue.schedule(1, check);
       };
@@ -124,7 +124,7 @@
   {
     name: 'stop store',
     weight: 2,
-    cause: (context) => {
+    inject: (context) => {
       const store = context.reserveDiskFault(3000);
       if (store === undefined) return;
       context.log(`stop ${store.node}`);
@@ -135,12 +135,12 @@
   {
     name: 'wipe store',
     weight: 2,
-    cause: (context) => damageDisk(context, 'wipe disk of', (store) => store.disk.wipe()),
+    inject: (context) => damageDisk(context, 'wipe disk of', (store) => store.disk.wipe()),
   },
   {
     name: 'tear disk',
     weight: 1,
-    cause: (context) =>
+    inject: (context) =>
       damageDisk(context, 'tear disk of', (store) => {
         store.disk.isTorn = true;
       }),
@@ -148,14 +148,14 @@
   {
     name: 'fill disk',
     weight: 2,
-    cause: (context) => {
+    inject: (context) => {
       if (blockDisk(context, 'full', 1000)) context.world.coverage.record('a disk was full');
     },
   },
   {
     name: 'stall disk',
     weight: 2,
-    cause: (context) => {
+    inject: (context) => {
       if (blockDisk(context, 'stalled', 500)) context.world.coverage.record('a disk was stalled');
     },
   },
--- a/packages/simulator/src/fault/zone-faults.ts
+++ b/packages/simulator/src/fault/zone-faults.ts
@@ -9,21 +9,21 @@
   {
     name: 'lose an area',
     weight: 1,
-    cause: (context) => {
-      const durationMs = context.randomMs(1000, 6000);
+    inject: (context) => {
+      const durationMs = context.uniform(1000, 6000);
       const store = context.reserveZoneFault(durationMs);
       if (store === undefined) return;
       const affected = context.world.allProcesses.filter((process) => process.zone === store.zone);
       context.log(`lose zone ${store.zone} for ${Math.round(durationMs)}`);
       context.world.coverage.record('a zone was lost');
       for (const process of affected)
-        killFor(context, process, durationMs + context.randomMs(0, 500));
+        killFor(context, process, durationMs + context.uniform(0, 500));
     },
   },
   {
     name: 'stop all in turn',
     weight: 1,
-    cause: (context) => {
+    inject: (context) => {
       const { eventQueue, proxies } = context.world;
       context.log('stop all proxies in turn');
       for (const [index, proxy] of proxies.entries())
@@ -33,6 +33,6 @@
   {
     name: 'replace a registry',
     weight: 1,
-    cause: replaceRegistry,
+    inject: replaceRegistry,
   },
 ];
--- a/packages/simulator/src/history/checker.ts
+++ b/packages/simulator/src/history/checker.ts
@@ -34,7 +34,7 @@
 export type HistoryCoverageGoal = (typeof historyCoverageGoals)[number];
 
 /** Violations in a history, and how often each coverage goal was met. */
-export interface HistoryVerdict {
+export interface HistoryCheckResult {
   readonly violations: readonly string[];
   readonly counts: ReadonlyMap<HistoryCoverageGoal, number>;
 }
@@ -90,10 +90,10 @@
     this.#purges = operations.filter((operation) => operation.kind === 'purge');
   }
 
-  run(): HistoryVerdict {
+  run(): HistoryCheckResult {
     this.#recordWriteCoverage();
     this.#checkOneContentPerNumber();
-    this.#checkRefusals();
+    this.#checkRejections();
     this.#checkReadsWereSent();
     this.#checkAssignedNumbers();
     this.#checkReadsAreCurrent();
@@ -151,7 +151,7 @@
   }
 
   /** A configuration is not rejected after its acknowledgement, nor while no other content has its number. */
-  #checkRefusals(): void {
+  #checkRejections(): void {
     for (const write of this.#writes) {
       if (write.outcome !== 'rejected' || !write.isNumbered) continue;
       const acknowledgedBefore = this.#acknowledged.find(
@@ -257,7 +257,7 @@
 }
 
 /** Checks a history. */
-export const checkHistory = (operations: readonly Operation[]): HistoryVerdict =>
+export const checkHistory = (operations: readonly Operation[]): HistoryCheckResult =>
   new HistoryCheck(operations).run();
 
 /** Goals that no history met. */
--- a/packages/simulator/src/history/operators.ts
+++ b/packages/simulator/src/history/operators.ts
@@ -136,26 +136,26 @@
 
   /** Sends a command, and repeats it with a new id, through a random registry, while its outcome is unknown. */
   #sendUntilReplied(
-    send: (done: (reply: RegistryReply) => void) => void,
+    send: (onReply: (reply: RegistryReply) => void) => void,
     maxAttempts: number,
   ): void {
-    let isAnswered = false;
+    let isReplied = false;
     send((reply) => {
-      isAnswered ||= outcomeOfStatus(reply.status) !== 'unknown';
+      isReplied ||= outcomeOfStatus(reply.status) !== 'unknown';
     });
     this.#world.eventQueue.schedule(replyTimeoutMs, () => {
-      if (!isAnswered && maxAttempts > 1) this.#sendUntilReplied(send, maxAttempts - 1);
+      if (!isReplied && maxAttempts > 1) this.#sendUntilReplied(send, maxAttempts - 1);
     });
   }
 
   #submitConfiguration(configuration: SentConfiguration, maxAttempts: number): void {
-    const bundle = runToCompletion(
+    const split = runToCompletion(
       splitIntoChunks(createConfiguration(this.#world.layout, configuration.marker)),
     );
-    if (bundle.isErr) throw new Error(JSON.stringify(bundle.error));
-    const { hash, chunkHashes, chunks } = bundle.value;
+    if (split.isErr) throw new Error(JSON.stringify(split.error));
+    const { hash, chunkHashes, chunks } = split.value;
     const { number } = configuration;
-    this.#sendUntilReplied((done) => {
+    this.#sendUntilReplied((onReply) => {
       const registry = this.#pickRegistry();
       if (registry === undefined) return;
       const operation = this.#history.begin<ConfigurationWrite>({
@@ -180,7 +180,7 @@
         },
         (reply) => {
           operation.end({ outcome: outcomeOfStatus(reply.status) });
-          done(reply);
+          onReply(reply);
         },
       );
     }, maxAttempts);
@@ -191,7 +191,7 @@
     maxAttempts: number,
   ): void {
     const { service, target } = rollout;
-    this.#sendUntilReplied((done) => {
+    this.#sendUntilReplied((onReply) => {
       const registry = this.#pickRegistry();
       if (registry === undefined) return;
       const operation = this.#history.begin<RolloutRequest>({
@@ -215,7 +215,7 @@
             outcome: outcomeOfStatus(reply.status),
             rolloutNumber: numberField(reply.body, 'order'),
           });
-          done(reply);
+          onReply(reply);
         },
       );
     }, maxAttempts);
--- a/packages/simulator/src/processes/origin.ts
+++ b/packages/simulator/src/processes/origin.ts
@@ -122,7 +122,7 @@
   }
 
   /** Whether a request for the object is being executed. */
-  isWorkingOn(path: string): boolean {
+  isExecuting(path: string): boolean {
     return (this.#inProgress.get(path) ?? 0) > 0;
   }
 
--- a/packages/simulator/src/rules/request-rules.ts
+++ b/packages/simulator/src/rules/request-rules.ts
@@ -8,18 +8,18 @@
 import type { FinishedRun } from './finished-run.js';
 import { propagationLimitMs } from './limits.js';
 
-/** Time after which a request counts as unanswered: above the deadline of most routes. */
+/** Time after which a request counts as unanswered: above the deadlines of all requests drawn at random. */
 const maxRequestMs = 6500;
 /** Share of its cache lifetime after which a response counts as nearly expired. */
-const nearlyExpired = 0.9;
+const nearlyExpiredShare = 0.9;
 
 /** R1, R2: an unsafe request is executed at most once, and a rejected request never. */
 // eslint-disable-next-line complexity -- independent checks in a row
 export const checkExecutions = ({ world, callers, violations }: FinishedRun): void => {
   const executionCounts = new Map<string, number>();
   const { coverage } = world;
-  for (const description of world.origins)
-    for (const execution of description.executions) increment(executionCounts, execution.requestId);
+  for (const origin of world.origins)
+    for (const execution of origin.executions) increment(executionCounts, execution.requestId);
   for (const request of callers.requests) {
     const count = executionCounts.get(request.id) ?? 0;
     if (request.isUnsafe && count > 1)
@@ -83,7 +83,7 @@
       'R7',
       `${description} got ${request.path} ${Math.round(ageMs)} ms after its origin created it`,
     );
-  if (ageMs > lifetimeMs * nearlyExpired)
+  if (ageMs > lifetimeMs * nearlyExpiredShare)
     coverage.record('R7: a response was served near the end of its cache lifetime');
   for (const purge of purges) {
     const purgedAt = purge.reply?.at ?? 0;
--- a/packages/simulator/src/rules/rule-checker.ts
+++ b/packages/simulator/src/rules/rule-checker.ts
@@ -42,7 +42,7 @@
       request.serviceAvailableForMs = this.#sampledRules.serviceAvailableForMs(request);
     };
     callers.onReply = (request) => this.#sampledRules.checkReply(request);
-    this.#scheduleSamples();
+    this.#scheduleSampling();
   }
 
   /** Violations found so far. */
@@ -74,8 +74,8 @@
     return this.#log.violations;
   }
 
-  #scheduleSamples(): void {
+  #scheduleSampling(): void {
     this.#sampledRules.sample();
-    this.#world.eventQueue.schedule(sampleIntervalMs, () => this.#scheduleSamples());
+    this.#world.eventQueue.schedule(sampleIntervalMs, () => this.#scheduleSampling());
   }
 }
--- a/packages/simulator/src/rules/sampled-rules.ts
+++ b/packages/simulator/src/rules/sampled-rules.ts
@@ -66,10 +66,10 @@
       leader.queues.size > 0
     )
       this.#world.coverage.record('R9: a rate limit delayed requests');
-    const isOverfull = [...leader.endpoints.values()].some(
+    const exceedsSlots = [...leader.endpoints.values()].some(
       (endpoint) => endpoint.activeAttempts > endpoint.slots,
     );
-    if (isOverfull)
+    if (exceedsSlots)
       this.#violations.addOnce(
         'slots',
         service,
--- a/packages/simulator/src/run/random-faults.test.ts
+++ b/packages/simulator/src/run/random-faults.test.ts
@@ -24,7 +24,7 @@
     });
     addCounts(tried, report.coverage);
     assert.deepEqual(report.violations, []);
-    assert.ok(report.causedFaultNumbers.length === 25 && report.resultCount > 500);
+    assert.ok(report.injectedFaultNumbers.length === 25 && report.resultCount > 500);
   });
 }
 
--- a/packages/simulator/src/run/random-faults.ts
+++ b/packages/simulator/src/run/random-faults.ts
@@ -39,7 +39,7 @@
   readonly requestCount: number;
   readonly resultCount: number;
   readonly messageCount: number;
-  readonly causedFaultNumbers: readonly number[];
+  readonly injectedFaultNumbers: readonly number[];
   readonly coverage: ReadonlyMap<CoverageGoal, number>;
   /** How often each coverage goal of the history was met. */
   readonly historyCoverage: ReadonlyMap<HistoryCoverageGoal, number>;
@@ -79,18 +79,18 @@
         namePrefixes.some((prefix) => fault.name.startsWith(prefix)),
       );
 
-interface CausedFaults {
+interface InjectedFaults {
   readonly counts: ReadonlyMap<string, number>;
   /** Numbers of the injected faults within the run. */
   readonly numbers: readonly number[];
 }
 
 /** Injects faults one after another until there are enough or a rule is violated. */
-const causeFaults = (
+const injectFaults = (
   context: FaultContext,
   candidates: readonly Fault[],
   { faultCount, skippedFaults }: RandomFaultOptions,
-): CausedFaults => {
+): InjectedFaults => {
   const { world, ruleChecker } = context;
   const counts = new Map<string, number>();
   const numbers: number[] = [];
@@ -100,7 +100,7 @@
     if (fault === undefined || skippedFaults.has(number)) continue;
     numbers.push(number);
     increment(counts, fault.name);
-    fault.cause(context);
+    fault.inject(context);
     if (ruleChecker.violations.length > 0) break;
   }
   return { counts, numbers };
@@ -152,7 +152,7 @@
     context.operators = new SimulatedOperators(world, world.history);
     context.operators.startReading();
   }
-  const caused = causeFaults(context, candidates, options);
+  const injected = injectFaults(context, candidates, options);
   const recoveryViolations = checkRecovery(context);
   context.operators?.stopReading();
   const history = checkHistory(world.history.operations);
@@ -162,8 +162,8 @@
       ...history.violations.map((violation) => `history: ${violation}`),
       ...recoveryViolations,
     ],
-    faultCounts: caused.counts,
-    causedFaultNumbers: caused.numbers,
+    faultCounts: injected.counts,
+    injectedFaultNumbers: injected.numbers,
     coverage: world.coverage.counts,
     historyCoverage: history.counts,
     messageCount: world.network.sentCount,
--- a/packages/simulator/src/run/soak.ts
+++ b/packages/simulator/src/run/soak.ts
@@ -70,7 +70,7 @@
 /** Returns the faults that can be left out while the run still fails, tried one by one. */
 const shrink = (options: RandomFaultOptions, report: RandomFaultReport): ReadonlySet<number> => {
   let skippedFaults = new Set(options.skippedFaults);
-  for (const number of report.causedFaultNumbers) {
+  for (const number of report.injectedFaultNumbers) {
     const candidate = new Set([...skippedFaults, number]);
     if (runRandomFaults({ ...options, skippedFaults: candidate }).violations.length > 0)
       skippedFaults = candidate;
@@ -115,7 +115,7 @@
       },
       report,
     );
-    const remaining = report.causedFaultNumbers.filter((number) => !skippedFaults.has(number));
+    const remaining = report.injectedFaultNumbers.filter((number) => !skippedFaults.has(number));
     printLine(`  still fails with only the faults ${remaining.join(', ')}:`);
     runRandomFaults({
       seed: options.seed,
--- a/packages/simulator/src/world/world.ts
+++ b/packages/simulator/src/world/world.ts
@@ -343,7 +343,7 @@
     return this.#revisions.get(path)?.at(-1)?.revision ?? 0;
   }
 
-  advanceRevision(path: string): void {
+  incrementRevision(path: string): void {
     const revisions = this.#revisions.get(path) ?? [];
     revisions.push({ revision: this.revisionOf(path) + 1, since: this.eventQueue.now });
     this.#revisions.set(path, revisions);
@@ -369,7 +369,7 @@
     send(registry, (reply) => {
       if (
         reply.status === 200 &&
-        write.paths.some((path) => this.origins.some((origin) => origin.isWorkingOn(path)))
+        write.paths.some((path) => this.origins.some((origin) => origin.isExecuting(path)))
       )
         this.coverage.record('R7: a purge raced a fetch');
       write.reply ??= {
@@ -447,7 +447,7 @@
   /** Changes objects at the origins and purges them as an operator. */
   purge(paths: readonly string[], targets: readonly PurgeTarget[]): OperatorWrite {
     this.#writeCount += 1;
-    for (const path of paths) this.advanceRevision(path);
+    for (const path of paths) this.incrementRevision(path);
     const write: OperatorWrite = {
       id: toCommandId(`w${this.#writeCount}`),
       kind: 'purge',
