--- a/packages/registry/src/settings.ts
+++ b/packages/registry/src/settings.ts
@@ -1,4 +1,4 @@
-/** The settings of the `registry` program. Their names are part of the operators' interface. */
+/** Settings of the `registry` program and its help text. The names of the settings are a public interface. */
 
 import * as v from 'valibot';
 import { address } from '@switchwheel/types';
@@ -8,28 +8,39 @@
   commonSettingDefinitions,
 } from '@switchwheel/runtime';
 
-/** The program's name and settings, for its help text. */
+/** Name and settings of the program, for its help text. */
 export const program: ProgramDefinition = {
   name: 'registry',
-  description: 'The registry of switchwheel: one on every core machine.',
+  description:
+    'A switchwheel registry, which connects nodes, origins and operators to the stores. One runs on each core machine.',
   settings: [
     ...commonSettingDefinitions,
-    { name: 'door', type: 'text', help: 'IP:port for operators and origins' },
-    { name: 'limit', type: 'number', help: 'MiB that a description may weigh (64)' },
+    { name: 'door', type: 'text', help: 'IP:port to listen on for operators and origins (HTTP)' },
+    {
+      name: 'limit',
+      type: 'number',
+      help: 'maximum size of an uploaded configuration in MiB (64)',
+    },
   ],
 };
 
-/** The schema of the settings; `limit` is in mebibytes. */
-export const settingsSchema = v.strictObject({
-  ...commonSettingsSchema,
-  door: address,
-  limit: v.optional(
-    v.pipe(
-      v.number('a number'),
-      v.integer('a whole number'),
-      v.minValue(1, 'at least 1'),
-      v.maxValue(1024, 'at most 1024'),
+/** Schema of the settings; each message is printed after the setting's name. `limit` is in mebibytes. */
+export const settingsSchema = v.strictObject(
+  {
+    ...commonSettingsSchema,
+    door: address,
+    limit: v.optional(
+      v.pipe(
+        v.number('must be a number'),
+        v.integer('must be an integer'),
+        v.minValue(1, 'must be at least 1'),
+        v.maxValue(1024, 'must be at most 1024'),
+      ),
+      64,
     ),
-    64,
-  ),
-});
+  },
+  (issue) =>
+    issue.expected === 'never'
+      ? 'no such setting'
+      : `the required setting ${issue.expected} is missing; give it as a flag or in the --boot file`,
+);
