--- a/packages/simulator/src/digest/fleet.ts
+++ b/packages/simulator/src/digest/fleet.ts
@@ -40,8 +40,8 @@
   digest.add(reply?.at, reply?.status, reply?.generation, reply?.purge, reply?.hash);
 };
 
-/** The version, rollout or purge that an operation names. */
-const versionOf = (operation: Operation): readonly (string | number | undefined)[] => {
+/** Values that identify the version, rollout or purge of an operation. */
+const identifyingValues = (operation: Operation): readonly (string | number | undefined)[] => {
   switch (operation.kind) {
     case 'write':
     case 'read':
@@ -55,7 +55,7 @@
 
 const addOperation = (digest: RunDigest, operation: Operation): void => {
   const outcomeIndex = outcomes.indexOf(operation.outcome);
-  digest.add(operation.startedAt, operation.endedAt, outcomeIndex, ...versionOf(operation));
+  digest.add(operation.startedAt, operation.endedAt, outcomeIndex, ...identifyingValues(operation));
 };
 
 const addOrigin = (digest: RunDigest, origin: SimulatedOrigin): void => {
--- a/packages/simulator/src/fault/network-faults.ts
+++ b/packages/simulator/src/fault/network-faults.ts
@@ -24,7 +24,7 @@
 ): void => {
   const { network, eventQueue } = context.world;
   const durationMs = context.uniform(1000, 6000);
-  context.log(`${text} for ${Math.round(durationMs)}`);
+  context.log(`${text} for ${Math.round(durationMs)} ms`);
   network.conditions = conditions;
   eventQueue.schedule(durationMs, () => {
     network.conditions = normalConditions;
@@ -44,7 +44,7 @@
       const machine = context.processesOnMachineOf(process);
       const direction = context.world.random.pick(['both', 'both', 'out', 'in'] as const) ?? 'both';
       context.log(
-        `isolate ${machine.map((process) => process.node).join(' ')} ${direction} for ${Math.round(durationMs)}`,
+        `isolate ${machine.map((process) => process.node).join(' ')} ${direction} for ${Math.round(durationMs)} ms`,
       );
       context.isolate(machine, direction);
       healLater(context, durationMs);
@@ -60,7 +60,7 @@
         .filter(() => context.world.random.happens(0.5))
         .flatMap((registry) => context.processesOnMachineOf(registry));
       context.log(
-        `split core: ${side.map((process) => process.node).join(' ')} for ${Math.round(durationMs)}`,
+        `split core: ${side.map((process) => process.node).join(' ')} for ${Math.round(durationMs)} ms`,
       );
       context.isolate(side, 'both');
       healLater(context, durationMs);
@@ -72,7 +72,7 @@
     inject: (context) => {
       const durationMs = context.uniform(500, 4000);
       if (!context.reserveCoreFault(durationMs)) return;
-      context.log(`partition edges from core for ${Math.round(durationMs)}`);
+      context.log(`partition edges from core for ${Math.round(durationMs)} ms`);
       for (const edge of context.world.edges) {
         for (const other of context.world.allProcesses) {
           if (other instanceof SimulatedProxy && other.role === 'edge') continue;
--- a/packages/simulator/src/fault/operator-commands.ts
+++ b/packages/simulator/src/fault/operator-commands.ts
@@ -52,7 +52,7 @@
     },
   },
   {
-    name: 'purge storm',
+    name: 'purge many objects',
     weight: 1,
     inject: (context) => {
       const { world } = context;
--- a/packages/simulator/src/fault/process-actions.ts
+++ b/packages/simulator/src/fault/process-actions.ts
@@ -52,7 +52,7 @@
   durationMs: number,
 ): void => {
   recordLossCoverage(context, target);
-  context.log(`kill ${target.node} for ${Math.round(durationMs)}`);
+  context.log(`kill ${target.node} for ${Math.round(durationMs)} ms`);
   target.kill();
   restartAfter(context, target, durationMs);
 };
@@ -64,7 +64,7 @@
   durationMs: number,
 ): void => {
   recordLossCoverage(context, target);
-  context.log(`freeze ${target.node} for ${Math.round(durationMs)}`);
+  context.log(`freeze ${target.node} for ${Math.round(durationMs)} ms`);
   target.freeze();
   context.world.eventQueue.schedule(durationMs, () => target.resume());
 };
--- a/packages/simulator/src/fault/store-faults.ts
+++ b/packages/simulator/src/fault/store-faults.ts
@@ -56,7 +56,7 @@
   const durationMs = context.uniform(minDurationMs, 6000);
   const store = context.reserveDiskFault(durationMs);
   if (store === undefined) return false;
-  context.log(`${condition} disk of ${store.node} for ${Math.round(durationMs)}`);
+  context.log(`${condition} disk of ${store.node} for ${Math.round(durationMs)} ms`);
   store.disk.condition = condition;
   context.world.eventQueue.schedule(durationMs, () => store.disk.recover());
   return true;
--- a/packages/simulator/src/fault/zone-faults.ts
+++ b/packages/simulator/src/fault/zone-faults.ts
@@ -14,7 +14,7 @@
       const store = context.reserveZoneFault(durationMs);
       if (store === undefined) return;
       const affected = context.world.allProcesses.filter((process) => process.zone === store.zone);
-      context.log(`lose zone ${store.zone} for ${Math.round(durationMs)}`);
+      context.log(`lose zone ${store.zone} for ${Math.round(durationMs)} ms`);
       context.world.coverage.record('a zone was lost');
       for (const process of affected)
         killFor(context, process, durationMs + context.uniform(0, 500));
--- a/packages/simulator/src/processes/store.ts
+++ b/packages/simulator/src/processes/store.ts
@@ -14,7 +14,7 @@
   type DiskWrite,
   type DiskContents,
   type KeyedEntry,
-  type StoreState as StoreState,
+  type StoreState,
   type StoreEffect,
   type StoreEvent,
   type ReplicationSettings,
--- a/packages/simulator/src/rules/rule-checker.test.ts
+++ b/packages/simulator/src/rules/rule-checker.test.ts
@@ -28,7 +28,7 @@
 };
 
 const originOf = (run: Fixture, service = clips): Fixture['world']['origins'][number] => {
-  const origin = run.world.origins.find((origin) => origin.service === service);
+  const origin = run.world.origins.find((candidate) => candidate.service === service);
   assert.ok(origin !== undefined);
   return origin;
 };
@@ -73,8 +73,8 @@
   assert.ok(proxy !== undefined && offer !== undefined);
   // Replaces the configuration of the node directly, which bypasses its own check.
   const proxyState = proxy.state;
-  const holder = new Map(Object.entries(proxyState?.nodeAgent ?? {}));
-  assert.ok(holder.has('compiledConfiguration'));
+  const agentFields = new Map(Object.entries(proxyState?.nodeAgent ?? {}));
+  assert.ok(agentFields.has('compiledConfiguration'));
   Object.assign(proxyState?.nodeAgent ?? {}, {
     compiledConfiguration: { ...offer, generation: toGeneration(1) },
   });
@@ -131,15 +131,15 @@
 });
 testDetects('lease holder', (run) => {
   const [firstShield, secondShield] = run.world.shields;
-  const holder = run.world.shields
+  const leaseHolder = run.world.shields
     .flatMap((shield) => [...(shield.state?.nodeAgent.candidates.values() ?? [])])
     .find((candidate) => candidate.phase.phase === 'holdingLease');
-  assert.ok(firstShield !== undefined && secondShield !== undefined && holder !== undefined);
+  assert.ok(firstShield !== undefined && secondShield !== undefined && leaseHolder !== undefined);
   const service = clips;
   for (const shield of [firstShield, secondShield]) {
     const phase = {
       phase: 'holdingLease' as const,
-      epoch: holder.highestEpoch,
+      epoch: leaseHolder.highestEpoch,
       votes: new Map(),
       leaseEndsAt: toTimestamp(shield.clock + 10_000),
       renewalRequestedAt: shield.clock,
@@ -147,7 +147,7 @@
     };
     Object.assign(shield.state ?? {}, { activeLeaders: new Map([[service, 'clips#1']]) });
     Object.assign(shield.state?.nodeAgent ?? {}, {
-      candidates: new Map([[service, { ...holder, phase }]]),
+      candidates: new Map([[service, { ...leaseHolder, phase }]]),
     });
     run.ruleChecker.checkProcess(shield);
   }
