--- a/packages/simulator/src/fault/network-faults.ts
+++ b/packages/simulator/src/fault/network-faults.ts
@@ -1,4 +1,4 @@
-/** Faults of the network between processes: partitions, slow links and lossy links. */
+/** Faults of the network between processes: partitions, and slow or lossy links. */
 
 import { SimulatedProxy } from '../processes/proxy.js';
 import {
@@ -12,39 +12,39 @@
 
 const healLater = (context: FaultContext, durationMs: number): void =>
   context.world.eventQueue.schedule(durationMs, () => {
-    context.log('heal');
+    context.log('heal network');
     context.world.network.heal();
   });
 
-/** Gives all links other conditions for a while. */
+/** Changes the conditions of all links for 1 to 6 s. */
 const changeConditions = (
   context: FaultContext,
   text: string,
   conditions: LinkConditions,
 ): void => {
   const { network, eventQueue } = context.world;
-  const durationMs = context.randomMs(1000, 6000);
-  context.log(`${text} for ${Math.round(durationMs)}`);
+  const durationMs = context.uniform(1000, 6000);
+  context.log(`${text} for ${Math.round(durationMs)} ms`);
   network.conditions = conditions;
   eventQueue.schedule(durationMs, () => {
     network.conditions = normalConditions;
   });
 };
 
-/** Partitions and bad links. */
+/** All faults of the network. */
 export const networkFaults: readonly Fault[] = [
   {
     name: 'isolate machine',
     weight: 3,
-    cause: (context) => {
-      const durationMs = context.randomMs(300, 5000);
+    inject: (context) => {
+      const durationMs = context.uniform(300, 5000);
       if (!context.reserveCoreFault(durationMs)) return;
       const process = context.world.random.pick(context.world.allProcesses);
       if (process === undefined) return;
       const machine = context.processesOnMachineOf(process);
       const direction = context.world.random.pick(['both', 'both', 'out', 'in'] as const) ?? 'both';
       context.log(
-        `isolate ${machine.map((process) => process.node).join(' ')} ${direction} for ${Math.round(durationMs)}`,
+        `isolate ${machine.map((process) => process.node).join(' ')} ${direction} for ${Math.round(durationMs)} ms`,
       );
       context.isolate(machine, direction);
       healLater(context, durationMs);
@@ -53,26 +53,26 @@
   {
     name: 'split core',
     weight: 2,
-    cause: (context) => {
-      const durationMs = context.randomMs(500, 5000);
+    inject: (context) => {
+      const durationMs = context.uniform(500, 5000);
       if (!context.reserveCoreFault(durationMs)) return;
       const side = context.world.registries
         .filter(() => context.world.random.happens(0.5))
         .flatMap((registry) => context.processesOnMachineOf(registry));
       context.log(
-        `split ${side.map((process) => process.node).join(' ')} for ${Math.round(durationMs)}`,
+        `split core: ${side.map((process) => process.node).join(' ')} for ${Math.round(durationMs)} ms`,
       );
       context.isolate(side, 'both');
       healLater(context, durationMs);
     },
   },
   {
-    name: 'cut core off from edges',
+    name: 'partition edges from core',
     weight: 1,
-    cause: (context) => {
-      const durationMs = context.randomMs(500, 4000);
+    inject: (context) => {
+      const durationMs = context.uniform(500, 4000);
       if (!context.reserveCoreFault(durationMs)) return;
-      context.log(`cut edges off for ${Math.round(durationMs)}`);
+      context.log(`partition edges from core for ${Math.round(durationMs)} ms`);
       for (const edge of context.world.edges) {
         for (const other of context.world.allProcesses) {
           if (other instanceof SimulatedProxy && other.role === 'edge') continue;
@@ -86,15 +86,15 @@
   {
     name: 'flapping machine',
     weight: 2,
-    cause: (context) => {
+    inject: (context) => {
       if (!context.reserveCoreFault(6000)) return;
       const process = context.world.random.pick(context.world.allProcesses);
       if (process === undefined) return;
       const machine = context.processesOnMachineOf(process);
-      context.log(`flap ${machine.map((process) => process.node).join(' ')}`);
+      context.log(`flap links of ${machine.map((process) => process.node).join(' ')}`);
       for (let round = 0; round < 8; round += 1) {
         context.world.eventQueue.schedule(round * 700, () => context.isolate(machine, 'both'));
-        context.world.eventQueue.schedule(round * 700 + context.randomMs(50, 600), () =>
+        context.world.eventQueue.schedule(round * 700 + context.uniform(50, 600), () =>
           context.world.network.heal(),
         );
       }
@@ -104,11 +104,11 @@
   {
     name: 'slow links',
     weight: 1,
-    cause: (context) => changeConditions(context, 'slow links', slowConditions),
+    inject: (context) => changeConditions(context, 'slow links', slowConditions),
   },
   {
-    name: 'rough weather',
+    name: 'lossy links',
     weight: 2,
-    cause: (context) => changeConditions(context, 'lossy links', lossyConditions),
+    inject: (context) => changeConditions(context, 'lossy links', lossyConditions),
   },
 ];
--- a/packages/simulator/src/fault/store-faults.ts
+++ b/packages/simulator/src/fault/store-faults.ts
@@ -6,7 +6,7 @@
 import { freezeFor, hasUnansweredWrite, killFor, restartAfter } from './process-actions.js';
 import type { Fault } from './fault.js';
 
-/** Applies a configuration, waits until its write has come so far at some store, and cuts the power there. */
+/** Applies a configuration, and cuts the power of the first store at which `isDue` holds for its write. */
 const losePowerDuringWrite = (
   context: FaultContext,
   isDue: (store: SimulatedStore) => boolean,
@@ -23,17 +23,17 @@
       world.eventQueue.schedule(0.25, check);
       return;
     }
-    context.log(`power of ${store.node} lost amid ${write.id}`);
-    killFor(context, store, context.randomMs(100, 2500));
+    context.log(`power of ${store.node} lost during write ${write.id}`);
+    killFor(context, store, context.uniform(100, 2500));
     if (world.random.happens(0.3)) {
-      world.coverage.record('a store lost its disk after confirming');
+      world.coverage.record('a store lost its disk after acknowledging a write');
       store.disk.wipe();
     }
   };
   check();
 };
 
-/** Ends a store, damages its disk, and starts the store again after a while. */
+/** Kills a store, damages its disk and restarts it after a delay. */
 const damageDisk = (
   context: FaultContext,
   verb: string,
@@ -44,67 +44,67 @@
   context.log(`${verb} ${store.node}`);
   store.kill();
   damage(store);
-  restartAfter(context, store, context.randomMs(200, 2000));
+  restartAfter(context, store, context.uniform(200, 2000));
 };
 
-/** Lets a disk take nothing for a while; says whether there was one whose turn it is. */
+/** Makes a disk full or stalled for a while. Returns false if no disk may fail now. */
 const blockDisk = (
   context: FaultContext,
-  condition: Exclude<DiskCondition, 'well'>,
+  condition: Exclude<DiskCondition, 'healthy'>,
   minDurationMs: number,
 ): boolean => {
-  const durationMs = context.randomMs(minDurationMs, 6000);
+  const durationMs = context.uniform(minDurationMs, 6000);
   const store = context.reserveDiskFault(durationMs);
   if (store === undefined) return false;
-  context.log(`${condition} disk of ${store.node} for ${Math.round(durationMs)}`);
+  context.log(`${condition} disk of ${store.node} for ${Math.round(durationMs)} ms`);
   store.disk.condition = condition;
   context.world.eventQueue.schedule(durationMs, () => store.disk.recover());
   return true;
 };
 
-/** Faults of stores; at most one machine with a disk has a fault at a time. */
+/** All faults of stores; at most one store has a fault at a time. */
 export const storeFaults: readonly Fault[] = [
   {
     name: 'kill store',
     weight: 3,
-    cause: (context) => {
+    inject: (context) => {
       const store = context.reserveDiskFault(2500);
-      if (store !== undefined) killFor(context, store, context.randomMs(100, 2500));
+      if (store !== undefined) killFor(context, store, context.uniform(100, 2500));
     },
   },
   {
     name: 'freeze store',
     weight: 3,
-    cause: (context) => {
+    inject: (context) => {
       const store = context.reserveDiskFault(4000);
-      if (store !== undefined) freezeFor(context, store, context.randomMs(300, 4000));
+      if (store !== undefined) freezeFor(context, store, context.uniform(300, 4000));
     },
   },
   {
     name: 'power lost before a sync',
     weight: 1,
-    cause: (context) =>
+    inject: (context) =>
       losePowerDuringWrite(context, (store) => store.writePhase === 'writingToDisk'),
   },
   {
-    name: 'power lost between the disks',
+    name: 'power lost during replication',
     weight: 1,
-    cause: (context) =>
+    inject: (context) =>
       losePowerDuringWrite(context, (store) => store.writePhase === 'replicating'),
   },
   {
-    name: 'power lost before the answer',
+    name: 'power lost before the reply',
     weight: 1,
-    cause: (context) =>
+    inject: (context) =>
       losePowerDuringWrite(
         context,
         (store) => store === context.world.primary() && hasUnansweredWrite(context, store),
       ),
   },
   {
-    name: 'disk lost after confirming',
+    name: 'disk lost after acknowledging',
     weight: 1,
-    cause: (context) => {
+    inject: (context) => {
       const { world } = context;
       const write = world.apply(world.random.integer(1, 1_000_000));
       const deadline = world.eventQueue.now + 1000;
@@ -112,9 +112,9 @@
         if (write.reply?.status === 200) {
           const store = context.reserveDiskFault(4000);
           if (store === undefined) return;
-          context.log(`wipe ${store.node} just after ${write.id}`);
-          world.coverage.record('a store lost its disk after confirming');
-          killFor(context, store, context.randomMs(200, 2000));
+          context.log(`wipe disk of ${store.node} just after write ${write.id}`);
+          world.coverage.record('a store lost its disk after acknowledging a write');
+          killFor(context, store, context.uniform(200, 2000));
           store.disk.wipe();
         } else if (world.eventQueue.now < deadline) world.eventQueue.schedule(1, check);
       };
@@ -124,7 +124,7 @@
   {
     name: 'stop store',
     weight: 2,
-    cause: (context) => {
+    inject: (context) => {
       const store = context.reserveDiskFault(3000);
       if (store === undefined) return;
       context.log(`stop ${store.node}`);
@@ -135,27 +135,27 @@
   {
     name: 'wipe store',
     weight: 2,
-    cause: (context) => damageDisk(context, 'wipe', (store) => store.disk.wipe()),
+    inject: (context) => damageDisk(context, 'wipe disk of', (store) => store.disk.wipe()),
   },
   {
-    name: 'tear store',
+    name: 'tear disk',
     weight: 1,
-    cause: (context) =>
-      damageDisk(context, 'tear', (store) => {
+    inject: (context) =>
+      damageDisk(context, 'tear disk of', (store) => {
         store.disk.isTorn = true;
       }),
   },
   {
     name: 'fill disk',
     weight: 2,
-    cause: (context) => {
+    inject: (context) => {
       if (blockDisk(context, 'full', 1000)) context.world.coverage.record('a disk was full');
     },
   },
   {
     name: 'stall disk',
     weight: 2,
-    cause: (context) => {
+    inject: (context) => {
       if (blockDisk(context, 'stalled', 500)) context.world.coverage.record('a disk was stalled');
     },
   },
