--- a/packages/model-checker/src/seeded-bugs/list.ts
+++ b/packages/model-checker/src/seeded-bugs/list.ts
@@ -156,7 +156,7 @@
     name: 'a generation never changes its content',
     rule: 'one content per generation',
     file: apply,
-    from: 'if (taken !== undefined && taken !== command.hash)',
+    from: 'if (boundHash !== undefined && boundHash !== command.hash)',
     to: 'if (false)',
   },
 ];
--- a/packages/replicated-store/src/leadership/electorate.ts
+++ b/packages/replicated-store/src/leadership/electorate.ts
@@ -22,7 +22,7 @@
 import type { Subscriber } from '../state/peers.js';
 import type { StoreState } from '../state/state.js';
 
-type Member = Electorate['members'][number];
+type ElectorateMember = Electorate['members'][number];
 
 /** Silence after which a registry no longer counts as live. */
 const contactTimeoutMs = 1000;
@@ -44,7 +44,7 @@
   /** Live voters beyond a majority: the number that may fail in addition to those already lost. */
   readonly spareVoters: number;
   readonly live: number;
-  /** Dead voters beyond one; a single dead voter costs nothing in an odd electorate. */
+  /** Number of dead voters beyond the first; removing a single one from an electorate of odd size gains nothing. */
   readonly surplusDead: number;
 }
 
@@ -116,7 +116,10 @@
 };
 
 /** Number of live voters left after the loss of the largest tolerated failure domains. */
-const votersAfterDomainLoss = (live: readonly Member[], registries: Registries): number => {
+const votersAfterDomainLoss = (
+  live: readonly ElectorateMember[],
+  registries: Registries,
+): number => {
   const sizes = new Map<string, number>();
   for (const { node } of live) {
     const domain = registries.domainOf(node);
@@ -124,10 +127,10 @@
   }
   const largestFirst = [...sizes.values()].sort((first, second) => second - first);
   const lost = largestFirst.slice(0, registries.toleratedDomains);
-  return lost.reduce((left, size) => left - size, live.length);
+  return lost.reduce((remaining, size) => remaining - size, live.length);
 };
 
-const resilienceOf = (members: readonly Member[], registries: Registries): Resilience => {
+const resilienceOf = (members: readonly ElectorateMember[], registries: Registries): Resilience => {
   const live = members.filter(({ node }) => registries.isLive(node));
   const dead = members.filter(({ node }) => registries.isDead(node));
   const needed = quorumSize(members.length);
@@ -148,11 +151,11 @@
 
 /** Electorates that differ from the given one by a single member. */
 const singleMemberChanges = (
-  members: readonly Member[],
-  joinable: readonly Member[],
+  members: readonly ElectorateMember[],
+  joinable: readonly ElectorateMember[],
   registries: Registries,
-): readonly (readonly Member[])[] => {
-  const mayRemove = ({ node }: Member): boolean =>
+): readonly (readonly ElectorateMember[])[] => {
+  const mayRemove = ({ node }: ElectorateMember): boolean =>
     registries.isDead(node) || registries.toleratedDomains > 0;
   const removals =
     members.length > minElectorate
@@ -166,15 +169,15 @@
 
 interface Proposal {
   /** Electorate after the change. */
-  readonly members: readonly Member[];
+  readonly members: readonly ElectorateMember[];
   /** Best resilience reachable by this change, or by one further change with look-ahead. */
   readonly reachableResilience: Resilience;
 }
 
 /** Most resilient single-member change; with `looksAhead` also considers one further change. */
 const bestChange = (
-  members: readonly Member[],
-  joinable: readonly Member[],
+  members: readonly ElectorateMember[],
+  joinable: readonly ElectorateMember[],
   registries: Registries,
   looksAhead: boolean,
 ): Proposal | undefined => {
@@ -183,12 +186,12 @@
     const ownResilience = resilienceOf(changed, registries);
     // Without a live majority of the new electorate the lease would end with the change.
     if (ownResilience.spareVoters < 0) continue;
-    const further = looksAhead
+    const furtherResilience = looksAhead
       ? bestChange(changed, joinable, registries, false)?.reachableResilience
       : undefined;
     const reachableResilience =
-      further !== undefined && compareResilience(further, ownResilience) > 0
-        ? further
+      furtherResilience !== undefined && compareResilience(furtherResilience, ownResilience) > 0
+        ? furtherResilience
         : ownResilience;
     if (best === undefined || compareResilience(reachableResilience, best.reachableResilience) > 0)
       best = { members: changed, reachableResilience };
--- a/packages/simulator/src/run/bounded-state.test.ts
+++ b/packages/simulator/src/run/bounded-state.test.ts
@@ -1,7 +1,4 @@
-/**
- * What stores and registries keep depends on the fleet as it is, not on how much was ordered: after
- * a first part that fills the bounded records, 400 descriptions and 2,000 purges leave a flat line.
- */
+/** Guards against state of stores and registries that grows with the number of past changes. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -12,13 +9,13 @@
 const clips = toServiceName('clips');
 const rounds = 4;
 const changesPerRound = 600;
-/** Every sixth change is a configuration, the others are purges. */
-const descriptionEvery = 6;
-/** Every tenth configuration has 1,500 routes more. */
-const largeEvery = 60;
-const changeInterval = 12;
-/** By how much a size may differ from one round to another: what just moves. */
-const slack = 12;
+/** Every sixth change is a configuration; the others are purges. */
+const changesPerConfiguration = 6;
+/** Every tenth configuration has 1,500 additional routes. */
+const changesPerLargeConfiguration = 60;
+const changeIntervalMs = 12;
+/** Tolerated difference of a size between two rounds, for entries that come and go. */
+const allowedGrowth = 12;
 
 type Sizes = ReadonlyMap<string, number>;
 
@@ -29,14 +26,14 @@
       ? value.length
       : undefined;
 
-/** The size of each map, set and list of a state. */
+/** Sizes of all maps, sets and arrays of a state, by their path. */
 const sizesOf = (name: string, state: object | undefined): readonly (readonly [string, number])[] =>
   Object.entries(state ?? {}).flatMap(([key, value]: [string, unknown]) => {
     const size = sizeOf(value);
     return size === undefined ? [] : [[`${name}.${key}`, size] as const];
   });
 
-const measure = (world: World): Sizes => {
+const measureSizes = (world: World): Sizes => {
   const sizes = new Map<string, number>();
   for (const store of world.stores) {
     const state = store.state;
@@ -47,15 +44,15 @@
       ...sizesOf(`${name}.session`, state?.session),
     ])
       sizes.set(key, size);
-    const numbers = state?.control.hashByGeneration.size ?? 0;
-    assert.ok(numbers <= maxKeptGenerations, `${numbers} numbers are kept`);
-    // Which content a number has is kept for longer than these runs: it is bounded by a count.
+    const generationCount = state?.control.hashByGeneration.size ?? 0;
+    assert.ok(generationCount <= maxKeptGenerations, `${generationCount} generations are kept`);
+    // The hash of each generation is bounded by a count that these runs do not reach: excluded here.
     const entries = [...(state?.table ?? [])].filter(([key]) => !key.startsWith('number/'));
     sizes.delete(`${name}.control.hashByGeneration`);
     sizes.set(`${name}.table`, entries.length);
     sizes.set(
       `${name} table bytes`,
-      entries.reduce((sum, [key, one]) => sum + key.length + one.data.length, 0),
+      entries.reduce((sum, [key, row]) => sum + key.length + row.data.length, 0),
     );
   }
   for (const registry of world.registries) {
@@ -70,15 +67,15 @@
   return sizes;
 };
 
-/** What grew from one measure to another by more than it may. */
+/** Sizes that grew by more than the tolerated difference between two measurements. */
 const growth = (before: Sizes, after: Sizes): readonly string[] =>
   [...after].flatMap(([name, size]) => {
-    const was = before.get(name) ?? 0;
-    const limit = name.endsWith('bytes') ? was * 1.05 : was + slack;
-    return size > limit ? [`${name}: ${was}, then ${size}`] : [];
+    const previousSize = before.get(name) ?? 0;
+    const limit = name.endsWith('bytes') ? previousSize * 1.05 : previousSize + allowedGrowth;
+    return size > limit ? [`${name}: ${previousSize}, then ${size}`] : [];
   });
 
-const formed = (seed: number): World => {
+const createWorld = (seed: number): World => {
   const world = new World({
     seed,
     edges: 1,
@@ -96,57 +93,61 @@
   return world;
 };
 
-const orderRound = (world: World, from: number): void => {
-  for (let at = from; at < from + changesPerRound; at += 1) {
-    if (at % descriptionEvery === 0)
-      world.apply(1000 + at, undefined, at % largeEvery === 0 ? 'huge' : 'plain');
-    else world.purge([], [{ by: 'tag', tag: `tag-${at}` }]);
-    world.runFor(changeInterval);
+const runRound = (world: World, firstChange: number): void => {
+  for (let change = firstChange; change < firstChange + changesPerRound; change += 1) {
+    if (change % changesPerConfiguration === 0)
+      world.apply(
+        1000 + change,
+        undefined,
+        change % changesPerLargeConfiguration === 0 ? 'huge' : 'plain',
+      );
+    else world.purge([], [{ by: 'tag', tag: `tag-${change}` }]);
+    world.runFor(changeIntervalMs);
   }
-  // The round ends on a plain configuration, so that rounds are alike.
-  world.apply(900_000 + from);
+  // Each round ends on a plain configuration, so that sizes are comparable.
+  world.apply(900_000 + firstChange);
   world.runFor(4000);
 };
 
-void test('400 descriptions and 2,000 purges: no map of a store or registry, and not the table, grows once it is full', () => {
-  const world = formed(71);
-  const line: Sizes[] = [];
+void test('no collection of a store or registry, nor the store table, keeps growing over 400 configurations and 2,000 purges', () => {
+  const world = createWorld(71);
+  const sizesByRound: Sizes[] = [];
   for (let round = 0; round < rounds; round += 1) {
-    orderRound(world, round * changesPerRound);
-    line.push(measure(world));
+    runRound(world, round * changesPerRound);
+    sizesByRound.push(measureSizes(world));
   }
-  const told = world.writes.filter((one) => one.reply?.status === 200);
+  const acknowledged = world.writes.filter((write) => write.reply?.status === 200);
   assert.ok(
-    told.length > 0.95 * rounds * changesPerRound,
-    `${told.length} of ${world.writes.length} taken`,
+    acknowledged.length > 0.95 * rounds * changesPerRound,
+    `${acknowledged.length} of ${world.writes.length} changes acknowledged`,
   );
-  const [, second, third, fourth] = line;
+  const [, second, third, fourth] = sizesByRound;
   assert.ok(second !== undefined && third !== undefined && fourth !== undefined);
   assert.deepEqual(growth(second, third), []);
   assert.deepEqual(growth(second, fourth), []);
 });
 
-void test('500 origins come and go: a minute later nothing is left of them, in registries, stores and nodes', () => {
-  const world = formed(72);
+void test('registries, stores and nodes drop all state of 500 departed origins within 75 seconds', () => {
+  const world = createWorld(72);
   world.runFor(3000);
-  const before = measure(world);
-  for (let turn = 0; turn < 10; turn += 1) {
-    const fresh = Array.from({ length: 50 }, () => world.addOrigin(clips, 2));
+  const before = measureSizes(world);
+  for (let batch = 0; batch < 10; batch += 1) {
+    const newOrigins = Array.from({ length: 50 }, () => world.addOrigin(clips, 2));
     world.runFor(1500);
-    // Half of them say that they leave, the others are silent from now on.
-    for (const [at, origin] of fresh.entries()) {
-      if (at % 2 === 0) origin.crash();
+    // Half of them announce that they leave; the others crash.
+    for (const [index, origin] of newOrigins.entries()) {
+      if (index % 2 === 0) origin.crash();
       else origin.leave('gone');
     }
     world.runFor(1500);
-    for (const origin of fresh) origin.crash();
+    for (const origin of newOrigins) origin.crash();
   }
-  const busy = measure(world);
+  const peakSizes = measureSizes(world);
   world.runFor(75_000);
-  assert.deepEqual(growth(before, measure(world)), []);
-  assert.ok([...busy].some(([name, size]) => name.endsWith('.origins') && size > 300));
+  assert.deepEqual(growth(before, measureSizes(world)), []);
+  assert.ok([...peakSizes].some(([name, size]) => name.endsWith('.origins') && size > 300));
   for (const proxy of world.proxies) {
-    const known = proxy.state?.nodeAgent.nodeSession.origins.size ?? 0;
-    assert.ok(known < slack, `${proxy.node} knows ${known} origins`);
+    const originCount = proxy.state?.nodeAgent.nodeSession.origins.size ?? 0;
+    assert.ok(originCount < allowedGrowth, `${proxy.node} still knows ${originCount} origins`);
   }
 });
--- a/packages/simulator/src/run/calm.test.ts
+++ b/packages/simulator/src/run/calm.test.ts
@@ -1,4 +1,4 @@
-/** A fleet without faults. */
+/** A fleet without faults serves every request. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -7,7 +7,7 @@
 import { RuleChecker } from '../rules/rule-checker.js';
 import { World } from '../world/world.js';
 
-void test('a calm fleet serves everything and goes on doing so for longer than an origin may be silent', () => {
+void test('a fleet without faults serves every request for longer than the origin timeout', () => {
   const world = new World({
     seed: 7,
     edges: 3,
@@ -18,7 +18,7 @@
     ],
   });
   const callers = new SimulatedCallers(world, 60);
-  const rules = new RuleChecker(world, callers);
+  const ruleChecker = new RuleChecker(world, callers);
   world.bootstrap();
   callers.start();
   world.runFor(14_000);
@@ -26,10 +26,10 @@
   world.runFor(4000);
   callers.stop();
   world.runFor(4000);
-  assert.deepEqual(rules.finish(), []);
-  const failed = callers.requests.filter((one) => one.result?.kind !== 'result');
+  assert.deepEqual(ruleChecker.finish(), []);
+  const failed = callers.requests.filter((request) => request.result?.kind !== 'result');
   assert.deepEqual(
-    failed.map((one) => [one.id, one.path, Math.round(one.sentAt), one.result]),
+    failed.map((request) => [request.id, request.path, Math.round(request.sentAt), request.result]),
     [],
   );
   assert.ok(callers.requests.length > 500);
--- a/packages/simulator/src/run/concurrent-rollouts.test.ts
+++ b/packages/simulator/src/run/concurrent-rollouts.test.ts
@@ -1,7 +1,4 @@
-/**
- * Orders that race, and a later one that returns to a content from before: whatever an order was found to have when it
- * came in, it still has when it is put in force. Otherwise the configuration in force lacks a chunk, and no node can run it.
- */
+/** Guards against chunks of an accepted rollout request that are deleted before its configuration is activated. */
 
 import assert from 'node:assert/strict';
 import { test } from 'node:test';
@@ -15,93 +12,109 @@
 import { createConfiguration } from '../world/configuration.js';
 import { type Fixture, finishRun, createFixture } from './fixture.js';
 
-/** How long a confirmed configuration may take to be in force on every node. */
-const inForceLimit = 1500;
-/** Orders of a pair leave this far apart, in milliseconds: the second comes in at each stage of the first. */
-const offsets = [0, 1, 2, 3, 4, 6, 8, 10, 12, 15, 18, 22, 26, 30];
-const firstMark = 10;
-const secondMark = 11;
-const racingMark = 12;
+/** Maximum time from the acknowledgement of a configuration until every node runs it. */
+const inForceLimitMs = 1500;
+/** Delays between the two requests, so that the second arrives at each stage of the first. */
+const offsetsMs = [0, 1, 2, 3, 4, 6, 8, 10, 12, 15, 18, 22, 26, 30];
+const firstMarker = 10;
+const secondMarker = 11;
+const racingMarker = 12;
 
-const bundleOf = (run: Fixture, mark: number): ChunkedConfiguration => {
-  const bundle = runToCompletion(splitIntoChunks(createConfiguration(run.world.layout, mark)));
-  if (bundle.isErr) throw new Error(JSON.stringify(bundle.error));
-  return bundle.value;
+const splitMarkedConfiguration = (run: Fixture, marker: number): ChunkedConfiguration => {
+  const result = runToCompletion(splitIntoChunks(createConfiguration(run.world.layout, marker)));
+  if (result.isErr) throw new Error(JSON.stringify(result.error));
+  return result.value;
 };
 
-/** A rollout request under way, and its reply. */
-interface Order {
-  readonly number: Generation;
-  told: RegistryReply | undefined;
+/** A rollout request and its reply, once there is one. */
+interface RolloutRequest {
+  readonly generation: Generation;
+  reply: RegistryReply | undefined;
 }
 
-const send = (run: Fixture, registry: SimulatedRegistry, number: number, mark: number): Order => {
-  const order: Order = { number: toGeneration(number), told: undefined };
-  const id = toCommandId(`order-${number}`);
-  const { hash, chunkHashes: pieces, chunks: texts } = bundleOf(run, mark);
+const sendRequest = (
+  run: Fixture,
+  registry: SimulatedRegistry,
+  generation: number,
+  marker: number,
+): RolloutRequest => {
+  const request: RolloutRequest = { generation: toGeneration(generation), reply: undefined };
+  const id = toCommandId(`order-${generation}`);
+  const { hash, chunkHashes, chunks } = splitMarkedConfiguration(run, marker);
   registry.handleRequest(
     {
       verb: 'apply',
       id,
       baseGeneration: undefined,
-      requestedGeneration: order.number,
+      requestedGeneration: request.generation,
       hash,
-      chunkHashes: pieces,
-      chunks: texts,
+      chunkHashes,
+      chunks,
     },
-    (told) => {
-      order.told = told;
+    (reply) => {
+      request.reply = reply;
     },
   );
-  return order;
+  return request;
 };
 
-const registryAt = (run: Fixture, at: number): SimulatedRegistry => {
-  const found = run.world.registries[at % run.world.registries.length];
-  if (found === undefined) throw new Error('no registry');
-  return found;
+const registryAt = (run: Fixture, index: number): SimulatedRegistry => {
+  const registry = run.world.registries[index % run.world.registries.length];
+  if (registry === undefined) throw new Error('the fleet has no registry');
+  return registry;
 };
 
-const apply = (run: Fixture, number: number, mark: number): void => {
-  const order = send(run, registryAt(run, 0), number, mark);
-  run.world.runUntil(5000, () => order.told !== undefined);
-  assert.equal(order.told?.status, 200, `order ${number}`);
+const apply = (run: Fixture, generation: number, marker: number): void => {
+  const request = sendRequest(run, registryAt(run, 0), generation, marker);
+  run.world.runUntil(5000, () => request.reply !== undefined);
+  assert.equal(
+    request.reply?.status,
+    200,
+    `status of the rollout request for generation ${generation}`,
+  );
 };
 
-/** Whether every proxy runs a generation. */
-const isInForce = (run: Fixture, number: number): boolean =>
+/** Whether every proxy runs the given generation. */
+const isInForce = (run: Fixture, generation: number): boolean =>
   run.world.proxies.every(
-    (one) => one.state?.nodeAgent.compiledConfiguration?.generation === number,
+    (proxy) => proxy.state?.nodeAgent.compiledConfiguration?.generation === generation,
   );
 
-const missingPieces = (run: Fixture): number => {
+const missingChunkCount = (run: Fixture): number => {
   const control = run.world.primary()?.state?.control;
   assert.ok(control?.configuration !== undefined);
-  return control.configuration.offer.pieces.filter((one) => !control.chunks.has(one)).length;
+  return control.configuration.offer.pieces.filter((hash) => !control.chunks.has(hash)).length;
 };
 
-for (const offset of offsets) {
-  void test(`an order that returns to an earlier content, ${offset} ms after one that drops it, is in force in time`, () => {
-    const run = createFixture(700 + offset, 2, {
+for (const offsetMs of offsetsMs) {
+  void test(`a request that reverts to an earlier configuration ${offsetMs} ms after one that replaces it takes effect in time`, () => {
+    const run = createFixture(700 + offsetMs, 2, {
       edges: 3,
       shields: 2,
       stores: 3,
       replication: { copies: 3, tolerate: 1, electorateFollowsRegistries: false },
     });
-    apply(run, 2, firstMark);
-    assert.ok(run.world.runUntil(inForceLimit, () => isInForce(run, 2)));
-    apply(run, 3, secondMark);
-    assert.ok(run.world.runUntil(inForceLimit, () => isInForce(run, 3)));
-    const dropping = send(run, registryAt(run, 0), 4, racingMark);
-    run.world.runFor(offset);
-    const returning = send(run, registryAt(run, 1), 5, firstMark);
-    run.world.runUntil(5000, () => dropping.told !== undefined && returning.told !== undefined);
-    assert.equal(returning.told?.status, 200);
-    assert.equal(dropping.told?.status, 200);
-    assert.equal(missingPieces(run), 0, 'the table holds each piece of the description in force');
+    apply(run, 2, firstMarker);
+    assert.ok(run.world.runUntil(inForceLimitMs, () => isInForce(run, 2)));
+    apply(run, 3, secondMarker);
+    assert.ok(run.world.runUntil(inForceLimitMs, () => isInForce(run, 3)));
+    const replacingRequest = sendRequest(run, registryAt(run, 0), 4, racingMarker);
+    run.world.runFor(offsetMs);
+    const revertingRequest = sendRequest(run, registryAt(run, 1), 5, firstMarker);
+    run.world.runUntil(
+      5000,
+      () => replacingRequest.reply !== undefined && revertingRequest.reply !== undefined,
+    );
+    assert.equal(revertingRequest.reply?.status, 200);
+    assert.equal(replacingRequest.reply?.status, 200);
+    assert.equal(
+      missingChunkCount(run),
+      0,
+      'the store holds every chunk of the active configuration',
+    );
     assert.ok(
-      run.world.runUntil(inForceLimit, () => isInForce(run, 5)),
-      'in force in time',
+      run.world.runUntil(inForceLimitMs, () => isInForce(run, 5)),
+      'every node runs the configuration in time',
     );
     assert.deepEqual(finishRun(run), []);
   });
